--- a/crates/arrowyard-adapter/src/router.rs
+++ b/crates/arrowyard-adapter/src/router.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 
 use arrowyard::Router;
-use arrowyard_charter::{manifest, micros, point, span, tag};
+use arrowyard_platform_settings::{manifest, micros, point, span, tag};
 use arrowyard_types::*;
 use serde_json::{Map, Value};
 
--- a/crates/arrowyard-chores/tests/chores.rs
+++ b/crates/arrowyard-background-tasks/tests/chores.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_chores::{Budget, End, Rank, Scheduler, Slice, Slices, Terms};
+use arrowyard_background_tasks::{Budget, End, Rank, Scheduler, Slice, Slices, Terms};
 use arrowyard_types::{Point, Span};
 use proptest::prelude::*;
 
--- a/crates/arrowyard-gauge/tests/configuration.rs
+++ b/crates/arrowyard-config/tests/configuration.rs
@@ -1,6 +1,6 @@
 //! What is invalid is refused with its place; what is valid comes back as it was sent.
 
-use arrowyard_gauge::{Change, ChangeKind, Configuration, Kind, Refusal, Settings};
+use arrowyard_config::{Change, ChangeKind, Configuration, Kind, Refusal, Settings};
 use proptest::prelude::*;
 
 const FIRST: &str = r#"{"revision":7,"channels":[
--- a/crates/arrowyard-gauge/tests/shares.rs
+++ b/crates/arrowyard-config/tests/shares.rs
@@ -1,6 +1,6 @@
 //! What the operator promises kinds of requests: read, refused with its place, changed by name.
 
-use arrowyard_gauge::{Change, ChangeKind, Configuration, Share};
+use arrowyard_config::{Change, ChangeKind, Configuration, Share};
 
 fn body(revision: u64, route: &str, shares: &str) -> String {
     format!(
--- a/crates/arrowyard-control/src/applied.rs
+++ b/crates/arrowyard-control/src/applied.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use arrowyard_conduit::{Duty, Entry, Matter, Revised, Snapshot, Taken};
-use arrowyard_gauge::{Change, ChangeKind, Configuration};
+use arrowyard_config::{Change, ChangeKind, Configuration};
+use arrowyard_messages::{Duty, Entry, Matter, Revised, Snapshot, Taken};
 use prost::Message;
 use sha2::{Digest as _, Sha256};
 
--- a/crates/arrowyard-control/src/cell.rs
+++ b/crates/arrowyard-control/src/cell.rs
@@ -1,6 +1,6 @@
 use std::collections::{BTreeMap, BTreeSet};
 
-use arrowyard_conduit::{DbRole, Host, Phase};
+use arrowyard_messages::{DbRole, Host, Phase};
 use arrowyard_types::{Point, Span};
 
 /// A host that is gone is remembered so long, so that nobody's old word brings it back.
--- a/crates/arrowyard-control/src/control.rs
+++ b/crates/arrowyard-control/src/control.rs
@@ -20,8 +20,8 @@
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use arrowyard_conduit::{Host, Known, Word, number, said};
-use arrowyard_gauge::{Configuration, Settings};
+use arrowyard_config::{Configuration, Settings};
+use arrowyard_messages::{Host, Known, Word, number, said};
 use arrowyard_runtime::{Conn, Door, Event, Orders, Plane, Sign};
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
@@ -62,11 +62,11 @@
 enum Line {
     Caller(Caller),
     /// One of the system's own that has not said who it is.
-    Stranger(arrowyard_conduit::Frames),
-    Peer(u32, arrowyard_conduit::Frames),
+    Stranger(arrowyard_messages::Frames),
+    Peer(u32, arrowyard_messages::Frames),
     Router(Router),
     /// A router that came before this machine heard of the voters.
-    Early(arrowyard_conduit::Hello, arrowyard_conduit::Frames, Point),
+    Early(arrowyard_messages::Hello, arrowyard_messages::Frames, Point),
     Link(String),
     Platform(Platform),
 }
@@ -97,7 +97,7 @@
     /// By service of the configuration.
     leaders: BTreeMap<String, LeaderWatch>,
     /// The replacements of primaries that routers were told of last.
-    told_replacements: Vec<arrowyard_conduit::Replacement>,
+    told_replacements: Vec<arrowyard_messages::Replacement>,
     /// Under which fence the duty is carried out, since this machine took it up.
     fence: Option<u64>,
     /// The duty's fence that a majority has confirmed since this machine was cut off last, and the question for it.
@@ -109,7 +109,7 @@
     relays: Relays,
     /// Calls of the operator that wait for the ledger.
     pending: FxHashMap<ProposalId, calls::Pending>,
-    silent_here: Vec<arrowyard_conduit::Silent>,
+    silent_here: Vec<arrowyard_messages::Silent>,
     platform_calls: Vec<(Conn, Point)>,
     decisions: Decisions,
     departures: Departures,
@@ -278,7 +278,7 @@
 
     /// A host's word changed: the others hear of it, and the routers.
     fn news_of(&mut self, now: Point, host: Host, orders: &mut Orders) {
-        if host.phase() == arrowyard_conduit::Phase::Gone {
+        if host.phase() == arrowyard_messages::Phase::Gone {
             self.left.push((now, host.clone()));
         }
         self.tell_hosts(vec![host], orders);
@@ -351,7 +351,7 @@
                 drop(self.lines.insert(conn, Line::Caller(Caller::default())));
             }
             Event::Accepted { conn, .. } => {
-                drop(self.lines.insert(conn, Line::Stranger(arrowyard_conduit::Frames::default())));
+                drop(self.lines.insert(conn, Line::Stranger(arrowyard_messages::Frames::default())));
             }
             Event::Opened { conn } => self.opened(now, conn, orders),
             Event::Came { conn, bytes } => self.came(now, conn, bytes, orders),
--- a/crates/arrowyard-control/src/control/calls.rs
+++ b/crates/arrowyard-control/src/control/calls.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddrV4;
 
-use arrowyard_conduit::{DbRole, Entry, Host, Matter, Phase, Revised, number};
-use arrowyard_gauge::{Configuration, Refusal};
+use arrowyard_config::{Configuration, Refusal};
+use arrowyard_messages::{DbRole, Entry, Host, Matter, Phase, Revised, number};
 use arrowyard_runtime::http::{Messages, Request, answer};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{Point, Span};
--- a/crates/arrowyard-control/src/control/departures.rs
+++ b/crates/arrowyard-control/src/control/departures.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use arrowyard_conduit::{Departing, DepartureKept, Host, Phase, Word};
+use arrowyard_messages::{Departing, DepartureKept, Host, Phase, Word};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{Point, Span};
 
--- a/crates/arrowyard-control/src/control/feed.rs
+++ b/crates/arrowyard-control/src/control/feed.rs
@@ -1,6 +1,6 @@
 //! What routers are told: all of it once, then numbered changes. A router says which number it has.
 
-use arrowyard_conduit::{Change, Frames, Hello, Host, Known, Matter, Revised, Seen, Step, Whole, Word};
+use arrowyard_messages::{Change, Frames, Hello, Host, Known, Matter, Revised, Seen, Step, Whole, Word};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{Point, Span};
 
@@ -159,7 +159,7 @@
 
     /// News of hosts, to the other control machines and to the routers.
     pub(super) fn tell_hosts(&mut self, hosts: Vec<Host>, orders: &mut Orders) {
-        let cell = arrowyard_conduit::Cell { hosts: hosts.clone(), whole: false };
+        let cell = arrowyard_messages::Cell { hosts: hosts.clone(), whole: false };
         self.say_to_peers(&Word::Cell(cell), orders);
         self.tell_routers(&Change { hosts, ..Change::default() }, orders);
     }
--- a/crates/arrowyard-control/src/control/hosts.rs
+++ b/crates/arrowyard-control/src/control/hosts.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use arrowyard_flume::{Answer, Code, Lines, Observed};
+use arrowyard_protocol::{Answer, Code, Lines, Observed};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{Point, Span};
 
--- a/crates/arrowyard-control/src/control/memory.rs
+++ b/crates/arrowyard-control/src/control/memory.rs
@@ -2,7 +2,7 @@
 //! once. Of hosts in service it is a hint: they call within their period, and a connection to a host names the one that
 //! it means. That a host leaves or has left was acknowledged, so it is never forgotten for an older word.
 
-use arrowyard_conduit::Host;
+use arrowyard_messages::Host;
 use arrowyard_runtime::Orders;
 use arrowyard_types::Point;
 use prost::Message;
--- a/crates/arrowyard-control/src/control/mesh.rs
+++ b/crates/arrowyard-control/src/control/mesh.rs
@@ -2,7 +2,7 @@
 
 use std::net::Ipv4Addr;
 
-use arrowyard_conduit::{Beat, Cell, Frames, Hello, Word, said};
+use arrowyard_messages::{Beat, Cell, Frames, Hello, Word, said};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{Point, Span};
 
@@ -173,7 +173,7 @@
     fn hush(&mut self, now: Point) {
         let late = Span::from_millis((self.settings.beat_period_ms as f64 * 2.5) as i64);
         let quiet = |id: &str| self.cell.called_at(id).is_some_and(|at| now - at >= late);
-        let live = self.cell.all().filter(|host| host.phase() != arrowyard_conduit::Phase::Gone);
+        let live = self.cell.all().filter(|host| host.phase() != arrowyard_messages::Phase::Gone);
         let ids: Vec<String> = live.filter(|host| quiet(&host.id)).map(|host| host.id.clone()).collect();
         for id in &ids {
             let since = self.cell.called_at(id).unwrap_or(now);
@@ -183,7 +183,7 @@
             .into_iter()
             .map(|id| {
                 let since = self.cell.called_at(&id).unwrap_or(now);
-                arrowyard_conduit::Silent { id, ms: ((now - since).micros() / 1000) as u64 }
+                arrowyard_messages::Silent { id, ms: ((now - since).micros() / 1000) as u64 }
             })
             .collect();
     }
@@ -371,7 +371,7 @@
                         self.cell.moved(&host.id);
                     }
                     if self.cell.told(now, host.clone()) {
-                        if host.phase() == arrowyard_conduit::Phase::Gone {
+                        if host.phase() == arrowyard_messages::Phase::Gone {
                             self.left.push((now, host.clone()));
                         }
                         news.push(host);
--- a/crates/arrowyard-control/src/control/platform.rs
+++ b/crates/arrowyard-control/src/control/platform.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_conduit::{Decision, Entry, Matter};
+use arrowyard_messages::{Decision, Entry, Matter};
 use arrowyard_runtime::http::{Messages, call};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{Point, Span};
--- a/crates/arrowyard-control/src/control/relays.rs
+++ b/crates/arrowyard-control/src/control/relays.rs
@@ -7,8 +7,8 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_conduit::{HostRequest, HostRow, RelayedAnswer, RelayedQuestion, Word};
-use arrowyard_flume::{Observed, Position};
+use arrowyard_messages::{HostRequest, HostRow, RelayedAnswer, RelayedQuestion, Word};
+use arrowyard_protocol::{Observed, Position};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{Point, Span};
 
--- a/crates/arrowyard-control/src/control/replacements.rs
+++ b/crates/arrowyard-control/src/control/replacements.rs
@@ -6,7 +6,7 @@
 //! candidate lacks. What is told here reaches the routers before the platform hears of the decision. A router that no
 //! control machine reaches is not told; so whoever is told makes the old primary yield, for all others as well.
 
-use arrowyard_conduit::{Replacement, Replacements, Word, Yielded};
+use arrowyard_messages::{Replacement, Replacements, Word, Yielded};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::Point;
 
--- a/crates/arrowyard-control/src/control/seats.rs
+++ b/crates/arrowyard-control/src/control/seats.rs
@@ -1,6 +1,6 @@
 //! Who votes in the ledger: the holder of the duty sees to it that enough do.
 
-use arrowyard_conduit::{Entry, Matter, Voters, number};
+use arrowyard_messages::{Entry, Matter, Voters, number};
 use arrowyard_runtime::Orders;
 use arrowyard_types::{Point, Span};
 
--- a/crates/arrowyard-control/src/control/shares.rs
+++ b/crates/arrowyard-control/src/control/shares.rs
@@ -1,10 +1,10 @@
 //! The division of pressed hosts between services: whoever holds the duty divides, the others carry words to and from the
 //! routers that they feed.
 
-use arrowyard_conduit::{Allot, Allots, HostNeeds, Needs, Pressed, ServiceCap, Word};
+use arrowyard_fair_shares::{Allotter, At, Need, Router as RouterId, Shown, Terms};
+use arrowyard_messages::{Allot, Allots, HostNeeds, Needs, Pressed, ServiceCap, Word};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{Point, Span};
-use arrowyard_weir::{Allotter, At, Need, Router as RouterId, Shown, Terms};
 use rustc_hash::FxHashMap;
 
 use super::{Control, Line};
@@ -65,7 +65,7 @@
         }
         ways.insert(needs.router, from);
         for HostNeeds { host, slots, fence, answers, needs: list, group } in needs.hosts {
-            let need = |need: arrowyard_conduit::Need| Need {
+            let need = |need: arrowyard_messages::Need| Need {
                 service: terms.id(&need.service),
                 runs: need.runs,
                 waits: need.waits,
--- a/crates/arrowyard-control/src/control/suspicions.rs
+++ b/crates/arrowyard-control/src/control/suspicions.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_conduit::{Suspect, Word};
+use arrowyard_messages::{Suspect, Word};
 use arrowyard_runtime::Orders;
 use arrowyard_types::{Point, Span};
 
--- a/crates/arrowyard-control/src/duty.rs
+++ b/crates/arrowyard-control/src/duty.rs
@@ -1,6 +1,6 @@
 //! A singleton task of the control plane: who owns it, and when it falls vacant.
 
-use arrowyard_conduit::{Duty, Entry, Matter};
+use arrowyard_messages::{Duty, Entry, Matter};
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
 
--- a/crates/arrowyard-control/src/ledger.rs
+++ b/crates/arrowyard-control/src/ledger.rs
@@ -11,7 +11,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
 
-use arrowyard_conduit::{
+use arrowyard_messages::{
     Accept, Accepted, Ballot, Chosen, Entry, Fetch, Ledger as Entries, Matter, Prepare, Probe, Probed,
     Promise, Rejoin, Voters, Word,
 };
--- a/crates/arrowyard-control/src/promotion/leader.rs
+++ b/crates/arrowyard-control/src/promotion/leader.rs
@@ -1,7 +1,7 @@
 //! Whether a service has a host that leads it. Every control machine watches, so that whoever takes up the duty knows since
 //! when there is none.
 
-use arrowyard_conduit::Phase;
+use arrowyard_messages::Phase;
 use arrowyard_types::{Point, Span};
 
 use crate::Cell;
--- a/crates/arrowyard-control/src/promotion/mod.rs
+++ b/crates/arrowyard-control/src/promotion/mod.rs
@@ -14,8 +14,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{Hash, Hasher};
 
-use arrowyard_conduit::{DbRole, Host, Phase, Replacement};
-use arrowyard_flume::{Observed, Position};
+use arrowyard_messages::{DbRole, Host, Phase, Replacement};
+use arrowyard_protocol::{Observed, Position};
 use arrowyard_types::{Point, Span};
 
 pub use leader::LeaderWatch;
--- a/crates/arrowyard-control/src/promotion/request.rs
+++ b/crates/arrowyard-control/src/promotion/request.rs
@@ -1,6 +1,6 @@
 //! What the holder of the duty asks of hosts and of the platform, and what comes back.
 
-use arrowyard_flume::Observed;
+use arrowyard_protocol::Observed;
 
 /// What is asked of hosts and of the platform.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/arrowyard-control/src/promotion/stage.rs
+++ b/crates/arrowyard-control/src/promotion/stage.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use arrowyard_flume::{Observed, Position};
+use arrowyard_protocol::{Observed, Position};
 use arrowyard_types::Point;
 
 #[derive(Clone, Debug, PartialEq, Hash)]
--- a/crates/arrowyard-control/src/promotion/survey.rs
+++ b/crates/arrowyard-control/src/promotion/survey.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use arrowyard_conduit::{DbRole, Host, Phase};
-use arrowyard_flume::Observed;
+use arrowyard_messages::{DbRole, Host, Phase};
+use arrowyard_protocol::Observed;
 use arrowyard_types::{Point, Span};
 
 use super::{Ask, Promotion, RETRY, Sight, Stage};
--- a/crates/arrowyard-control/src/record.rs
+++ b/crates/arrowyard-control/src/record.rs
@@ -1,4 +1,4 @@
-use arrowyard_conduit::{Accept, Ballot, Chosen, Host, Snapshot, Voters};
+use arrowyard_messages::{Accept, Ballot, Chosen, Host, Snapshot, Voters};
 use prost::{Message, Oneof};
 
 /// What the ledger keeps on disk, in the order in which it was decided. Reading it twice changes nothing.
--- a/crates/arrowyard-control/src/seats.rs
+++ b/crates/arrowyard-control/src/seats.rs
@@ -1,7 +1,7 @@
 //! Who votes in the ledger: as many as what may be lost asks for, spread over places; a voter that is gone for good gives
 //! its seat to a machine that is there. Decided here without I/O; entered in the ledger like all else.
 
-use arrowyard_gauge::Tolerance;
+use arrowyard_config::Tolerance;
 use arrowyard_types::Span;
 
 /// A machine that has been heard of for so long may have a seat.
--- a/crates/arrowyard-control/src/view.rs
+++ b/crates/arrowyard-control/src/view.rs
@@ -1,6 +1,6 @@
 use std::collections::BTreeMap;
 
-use arrowyard_conduit::Known;
+use arrowyard_messages::Known;
 use fastrand::Rng;
 
 /// Control machines that one process knows of: a part of them, exchanged between neighbours (Voulgaris, Gavidia and van
--- a/crates/arrowyard-control/tests/control.rs
+++ b/crates/arrowyard-control/tests/control.rs
@@ -2,9 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_conduit::{DbRole, Duty, Entry, Host, Known, Matter, Phase};
 use arrowyard_control::{Applied, Ask, Cell, DiskWatch, Duties, Promotion, Reply, Sight, Stage, To, View};
-use arrowyard_flume::{Observed, Position};
+use arrowyard_messages::{DbRole, Duty, Entry, Host, Known, Matter, Phase};
+use arrowyard_protocol::{Observed, Position};
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
 
--- a/crates/arrowyard-control/tests/ledger.rs
+++ b/crates/arrowyard-control/tests/ledger.rs
@@ -4,10 +4,10 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_conduit::{
+use arrowyard_control::{Answer, Applied, Digest, Kept, Ledger, Output, ProposalId, Record, digest};
+use arrowyard_messages::{
     Ballot, Chosen, Duty, Entry, Ledger as Entries, Matter, Prepare, Probed, Revised, Voters, Word,
 };
-use arrowyard_control::{Answer, Applied, Digest, Kept, Ledger, Output, ProposalId, Record, digest};
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
 use prost::Message;
--- a/crates/arrowyard-control/tests/relays.rs
+++ b/crates/arrowyard-control/tests/relays.rs
@@ -1,8 +1,8 @@
 //! Questions to silent hosts that routers relay.
 
-use arrowyard_conduit::{HostRow, RelayedAnswer, RelayedQuestion};
 use arrowyard_control::{Ask, Relayed, Relays, Reply, To};
-use arrowyard_flume::{Observed, Position};
+use arrowyard_messages::{HostRow, RelayedAnswer, RelayedQuestion};
+use arrowyard_protocol::{Observed, Position};
 use arrowyard_types::Point;
 
 const LIFE: u64 = 1000;
--- a/crates/arrowyard-control/tests/seats.rs
+++ b/crates/arrowyard-control/tests/seats.rs
@@ -1,7 +1,7 @@
 //! Who votes: decided from what the holder of the duty hears of the others, without I/O or clock.
 
+use arrowyard_config::Tolerance;
 use arrowyard_control::seats::{Machine, can_hand_over, next, wanted};
-use arrowyard_gauge::Tolerance;
 use arrowyard_types::Span;
 
 const THERE: Result<Span, Span> = Ok(Span::from_millis(5000));
--- a/crates/arrowyard-core/src/discovery.rs
+++ b/crates/arrowyard-core/src/discovery.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowyard_return::{Credence, Herd, Verdict};
+use arrowyard_startup::{Credence, Herd, Verdict};
 use arrowyard_types::Span;
 use bytes::BytesMut;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/arrowyard-core/src/limits.rs
+++ b/crates/arrowyard-core/src/limits.rs
@@ -157,7 +157,7 @@
         let told = serde_json::json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
             "seed": "1f", "settings": settings});
         let waybill = Waybill::of(&told, |_| None).expect("it is whole");
-        let manifest = arrowyard_charter::manifest(&waybill.settings).expect("its types are right");
+        let manifest = arrowyard_platform_settings::manifest(&waybill.settings).expect("its types are right");
         let limits = Limits::new(&waybill, &manifest);
         (waybill, manifest, limits)
     }
--- a/crates/arrowyard-core/src/returns.rs
+++ b/crates/arrowyard-core/src/returns.rs
@@ -1,11 +1,11 @@
 //! Coming back: the stored list is read before the start, written while in service, and the start's stages are told. What is
-//! decided of it stands in `arrowyard-return`; files are `arrowyard-store`'s.
+//! decided of it stands in `arrowyard-startup`; files are `arrowyard-store`'s.
 
 use std::collections::HashMap;
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use arrowyard_return::{Comes, Full, Return, Stage, Terms, weigh};
+use arrowyard_startup::{Comes, Full, Return, Stage, Terms, weigh};
 use arrowyard_store::{Found, Snapshot, Store, System};
 use arrowyard_types::{Availability, GroupId, OpId, Point, Span};
 use fastrand::Rng;
--- a/crates/arrowyard-core/src/roster.rs
+++ b/crates/arrowyard-core/src/roster.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use arrowyard_cells::index::Index;
-use arrowyard_charter::{point, tag};
+use arrowyard_platform_settings::{point, tag};
 use arrowyard_store::Host;
 use arrowyard_types::{
     Availability, CellId, Entry, GroupId, HostId, ListForm, Note, Part, Parts, Point, Span, ZoneId,
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -5,9 +5,9 @@
 use std::rc::Rc;
 
 use arrowyard::Router;
+use arrowyard_background_tasks::{Budget, End as Ending, Rank, Scheduler, Slice, Slices, Terms};
 use arrowyard_cells::Layout;
 use arrowyard_cells::desk::{News, Why};
-use arrowyard_chores::{Budget, End as Ending, Rank, Scheduler, Slice, Slices, Terms};
 use arrowyard_types::*;
 use tokio::sync::mpsc::error::TryRecvError;
 use tokio::sync::{mpsc, oneshot};
--- a/crates/arrowyard-daemon/src/base.rs
+++ b/crates/arrowyard-daemon/src/base.rs
@@ -6,7 +6,6 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use arrowyard_charter::manifest;
 use arrowyard_core::Back;
 use arrowyard_core::admit::Gate;
 use arrowyard_core::clock::{Beat, Clock};
@@ -22,9 +21,10 @@
 use arrowyard_core::roster::Roster;
 use arrowyard_core::route::{Route, Yard};
 use arrowyard_core::waybill::Waybill;
-use arrowyard_return::{Credence, Herd};
+use arrowyard_operator_config::{Yardbook, belongs, layout, leases, returns as comes, schema};
+use arrowyard_platform_settings::manifest;
+use arrowyard_startup::{Credence, Herd};
 use arrowyard_types::{Fact, Facts};
-use arrowyard_yardbook::{Yardbook, belongs, layout, leases, returns as comes, schema};
 use tokio::runtime::Builder;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -114,7 +114,7 @@
         drop(spawn_local(discovery.run(wished)));
         let cells = book.and_then(layout);
         let reread = path.map(|path| -> (Reread, _) {
-            (Arc::new(move || Ok(layout(&arrowyard_yardbook::load(&path)?))), mail.clone())
+            (Arc::new(move || Ok(layout(&arrowyard_operator_config::load(&path)?))), mail.clone())
         });
         let reload = Reload { wishes: wishes.clone(), limits: limits.clone(), book: reread };
         drop(spawn_local(reload.run(hangup)));
@@ -218,7 +218,7 @@
     run: impl FnOnce(Waybill, Option<PathBuf>, Option<Yardbook>) -> F,
 ) -> Result<(), String> {
     let runtime = Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-    let book = path.as_deref().map(arrowyard_yardbook::load).transpose()?;
+    let book = path.as_deref().map(arrowyard_operator_config::load).transpose()?;
     let waybill = Waybill::read()?;
     LocalSet::new().block_on(&runtime, run(waybill, path, book))
 }
--- a/crates/arrowyard-daemon/src/cells.rs
+++ b/crates/arrowyard-daemon/src/cells.rs
@@ -71,8 +71,9 @@
 }
 
 fn load(path: &Path) -> Result<Layout, String> {
-    let book = arrowyard_yardbook::load(path)?;
-    arrowyard_yardbook::layout(&book).ok_or_else(|| format!("{}: it says nothing of cells", path.display()))
+    let book = arrowyard_operator_config::load(path)?;
+    arrowyard_operator_config::layout(&book)
+        .ok_or_else(|| format!("{}: it says nothing of cells", path.display()))
 }
 
 /// Carries the command out.
--- a/crates/arrowyard-daemon/src/lib.rs
+++ b/crates/arrowyard-daemon/src/lib.rs
@@ -71,7 +71,7 @@
 
 fn check(file: &Path, as_json: bool) -> Result<ExitCode, String> {
     let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
-    let read = arrowyard_yardbook::read(&text);
+    let read = arrowyard_operator_config::read(&text);
     let faults = read.as_ref().err().map(Vec::as_slice).unwrap_or_default();
     if as_json {
         let rows = faults.iter().map(|fault| {
--- a/crates/arrowyard-daemon/src/serve.rs
+++ b/crates/arrowyard-daemon/src/serve.rs
@@ -8,7 +8,7 @@
 use arrowyard_core::waybill::Waybill;
 use arrowyard_front_pg::PgBack;
 use arrowyard_front_pg::take_in::{Front, Idlers};
-use arrowyard_yardbook::Yardbook;
+use arrowyard_operator_config::Yardbook;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
 
--- a/crates/arrowyard-daemon/tests/cells.rs
+++ b/crates/arrowyard-daemon/tests/cells.rs
@@ -5,11 +5,11 @@
 use std::path::Path;
 use std::time::Duration;
 
-use arrowyard_standins::client::Ask;
-use arrowyard_standins::load::{Outcome, Stream, play};
-use arrowyard_standins::router::{OP_TYPES, waybill};
-use arrowyard_standins::town::unix_ms;
-use arrowyard_standins::{Act, Client, Process, Reply, Spec, Town};
+use arrowyard_testbed::client::Ask;
+use arrowyard_testbed::load::{Outcome, Stream, play};
+use arrowyard_testbed::router::{OP_TYPES, waybill};
+use arrowyard_testbed::town::unix_ms;
+use arrowyard_testbed::{Act, Client, Process, Reply, Spec, Town};
 use tokio::runtime::Runtime;
 
 const BOOK: &str = r#"epoch: 1
--- a/crates/arrowyard-daemon/tests/helpers/mod.rs
+++ b/crates/arrowyard-daemon/tests/helpers/mod.rs
@@ -3,9 +3,9 @@
 use std::path::Path;
 use std::time::Duration;
 
-use arrowyard_standins::load::{Outcome, Stream, play};
-use arrowyard_standins::rig::{Rig, Setting};
-use arrowyard_standins::router::OP_TYPES;
+use arrowyard_testbed::load::{Outcome, Stream, play};
+use arrowyard_testbed::rig::{Rig, Setting};
+use arrowyard_testbed::router::OP_TYPES;
 
 pub fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
--- a/crates/arrowyard-daemon/tests/leases.rs
+++ b/crates/arrowyard-daemon/tests/leases.rs
@@ -4,11 +4,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use arrowyard_standins::plan::{Fault, Plan};
-use arrowyard_standins::rig::{Rig, Setting, mono_us};
-use arrowyard_standins::taker::{Effect, Taker, audit};
-use arrowyard_standins::trial;
-use arrowyard_standins::wire::Cut;
+use arrowyard_testbed::plan::{Fault, Plan};
+use arrowyard_testbed::rig::{Rig, Setting, mono_us};
+use arrowyard_testbed::taker::{Effect, Taker, audit};
+use arrowyard_testbed::trial;
+use arrowyard_testbed::wire::Cut;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -254,10 +254,10 @@
     (1..3).for_each(|who| rig.kill(who));
     std::thread::sleep(ms(TERM + 400));
     let count = taker.effects().len();
-    let asked = arrowyard_standins::load::play(
+    let asked = arrowyard_testbed::load::play(
         rig.process(3).expect("it runs").address,
-        &arrowyard_standins::router::OP_TYPES,
-        &[arrowyard_standins::load::Stream {
+        &arrowyard_testbed::router::OP_TYPES,
+        &[arrowyard_testbed::load::Stream {
             tenant: "t",
             group: 7,
             rate: 60.0,
@@ -334,7 +334,7 @@
     let before = newest(&taker);
     let address = rig.process(first).expect("it runs").address;
     let asked = std::thread::spawn(move || {
-        let stream = arrowyard_standins::load::Stream {
+        let stream = arrowyard_testbed::load::Stream {
             tenant: "t",
             group: 7,
             rate: 30.0,
@@ -343,7 +343,7 @@
             till: ms(7_000),
             sessions: 20,
         };
-        arrowyard_standins::load::play(address, &arrowyard_standins::router::OP_TYPES, &[stream], 9, |_| {})
+        arrowyard_testbed::load::play(address, &arrowyard_testbed::router::OP_TYPES, &[stream], 9, |_| {})
     });
     std::thread::sleep(ms(300));
     let cut = mono_us();
--- a/crates/arrowyard-daemon/tests/peers.rs
+++ b/crates/arrowyard-daemon/tests/peers.rs
@@ -7,12 +7,12 @@
 use std::time::{Duration, Instant};
 
 use arrowyard_peers::message::{Claim, Datagram, FORM, Kind, Rumor, mark, write};
-use arrowyard_standins::load::{Outcome, Stream, play};
-use arrowyard_standins::plan::{Fault, Plan};
-use arrowyard_standins::rig::{Rig, Setting};
-use arrowyard_standins::router::OP_TYPES;
-use arrowyard_standins::wire::Cut;
-use arrowyard_standins::{Act, Process};
+use arrowyard_testbed::load::{Outcome, Stream, play};
+use arrowyard_testbed::plan::{Fault, Plan};
+use arrowyard_testbed::rig::{Rig, Setting};
+use arrowyard_testbed::router::OP_TYPES;
+use arrowyard_testbed::wire::Cut;
+use arrowyard_testbed::{Act, Process};
 use serde_json::Value;
 
 fn ms(millis: u64) -> Duration {
@@ -138,7 +138,7 @@
     );
     // Whoever woke up called nobody silent within the next second.
     let woke = zero + 3_000_000;
-    let blames = |held: &&arrowyard_standins::rig::Held| {
+    let blames = |held: &&arrowyard_testbed::rig::Held| {
         (held.by == 1 || held.by == 4)
             && held.mono_us > woke
             && held.mono_us < woke + 1_000_000
--- a/crates/arrowyard-daemon/tests/returns.rs
+++ b/crates/arrowyard-daemon/tests/returns.rs
@@ -6,10 +6,10 @@
 use std::process::Command;
 use std::time::Duration;
 
-use arrowyard_standins::client::Ask;
-use arrowyard_standins::load::Outcome;
-use arrowyard_standins::rig::{Rig, Setting, mono_us};
-use arrowyard_standins::{Client, Mood, Reply};
+use arrowyard_testbed::client::Ask;
+use arrowyard_testbed::load::Outcome;
+use arrowyard_testbed::rig::{Rig, Setting, mono_us};
+use arrowyard_testbed::{Client, Mood, Reply};
 use helpers::{alone, kept_rules, ms, ops_in, rig, said};
 use serde_json::Value;
 
@@ -382,7 +382,7 @@
     // Six hours, at which the share is exp(-1); a day, at which nothing is left; an hour ahead of this machine's clock.
     for (back, wanted) in [(6 * hours, "a stored list is used"), (24 * hours, "hosts=0"), (-hours, "Future")]
     {
-        let now = arrowyard_standins::town::unix_ms();
+        let now = arrowyard_testbed::town::unix_ms();
         rewrite(&rig, 0, |snapshot| snapshot.written_ms = (now - back) as u64);
         rig.begin(0).expect("it starts");
         let log = || rig.process(0).expect("it runs").log.lock().expect("nobody panics with it").join("\n");
--- a/crates/arrowyard-daemon/tests/sockets.rs
+++ b/crates/arrowyard-daemon/tests/sockets.rs
@@ -8,8 +8,8 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-use arrowyard_standins::router::{OpType, Process, waybill};
-use arrowyard_standins::{Act, Spec, Town};
+use arrowyard_testbed::router::{OpType, Process, waybill};
+use arrowyard_testbed::{Act, Spec, Town};
 use serde_json::{Value, json};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_arrowyard");
--- a/crates/arrowyard-basin/src/bin/arrowyard-basin.rs
+++ b/crates/arrowyard-emulator/src/bin/arrowyard-basin.rs
@@ -4,15 +4,15 @@
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use arrowyard_basin::acknowledgements::{TROUBLES, pauses};
-use arrowyard_basin::capacity::{ChangeCost, configuration, measure};
-use arrowyard_basin::catch_up::catch_up;
-use arrowyard_basin::chart::{draw, draw_paces};
-use arrowyard_basin::departures::last_questions;
-use arrowyard_basin::experiment::{Difference, FIGURES, Outcome, compare, outcomes};
-use arrowyard_basin::failover::{Cause, Outages, outages};
-use arrowyard_basin::models::{Checked, ledger, promotion};
-use arrowyard_basin::{Day, Played, drawn, play, shares};
+use arrowyard_emulator::acknowledgements::{TROUBLES, pauses};
+use arrowyard_emulator::capacity::{ChangeCost, configuration, measure};
+use arrowyard_emulator::catch_up::catch_up;
+use arrowyard_emulator::chart::{draw, draw_paces};
+use arrowyard_emulator::departures::last_questions;
+use arrowyard_emulator::experiment::{Difference, FIGURES, Outcome, compare, outcomes};
+use arrowyard_emulator::failover::{Cause, Outages, outages};
+use arrowyard_emulator::models::{Checked, ledger, promotion};
+use arrowyard_emulator::{Day, Played, drawn, play, shares};
 use bpaf::Bpaf;
 
 /// The share of a core that a control machine is reckoned to have.
--- a/crates/arrowyard-basin/src/capacity.rs
+++ b/crates/arrowyard-emulator/src/capacity.rs
@@ -3,8 +3,8 @@
 
 use std::time::{Duration, Instant};
 
-use arrowyard_gauge::Configuration;
-use arrowyard_sluice::Routes;
+use arrowyard_config::Configuration;
+use arrowyard_pooler::Routes;
 use arrowyard_types::{Point, Span};
 
 use crate::system::{Plan, System};
--- a/crates/arrowyard-basin/src/clients.rs
+++ b/crates/arrowyard-emulator/src/clients.rs
@@ -6,7 +6,7 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use arrowyard_flume::{Answer, Code, Lines, Verdict};
+use arrowyard_protocol::{Answer, Code, Lines, Verdict};
 use arrowyard_runtime::{Conn, Event, Orders, Plane, Timers};
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
--- a/crates/arrowyard-basin/src/host.rs
+++ b/crates/arrowyard-emulator/src/host.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use arrowyard_flume::{Answer, Ask, Lines, Position, State, split};
+use arrowyard_protocol::{Answer, Ask, Lines, Position, State, split};
 use arrowyard_runtime::http::{Messages, call};
 use arrowyard_runtime::{Conn, Event, Orders, Plane, Timers};
 use arrowyard_types::{Point, Span};
--- a/crates/arrowyard-basin/src/models/ledger.rs
+++ b/crates/arrowyard-emulator/src/models/ledger.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{BuildHasher, Hash, Hasher};
 
-use arrowyard_conduit::{Entry, Frame, Matter, Revised, Voters, Word};
 use arrowyard_control::{Answer, Kept, Ledger, Output, ProposalId, Record, digest};
+use arrowyard_messages::{Entry, Frame, Matter, Revised, Voters, Word};
 use arrowyard_types::{Point, Span};
 use prost::Message;
 use rustc_hash::FxBuildHasher;
--- a/crates/arrowyard-basin/src/models/promotion.rs
+++ b/crates/arrowyard-emulator/src/models/promotion.rs
@@ -6,9 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{BuildHasher, Hash, Hasher};
 
-use arrowyard_conduit::{DbRole, Host, Phase};
 use arrowyard_control::{Ask, Cell, Promotion, Reply, Sight, Stage, To, is_repeated};
-use arrowyard_flume::{Observed, Position};
+use arrowyard_messages::{DbRole, Host, Phase};
+use arrowyard_protocol::{Observed, Position};
 use arrowyard_types::{Point, Span};
 use rustc_hash::FxBuildHasher;
 use stateright::{Model, Property};
--- a/crates/arrowyard-basin/src/shard.rs
+++ b/crates/arrowyard-emulator/src/shard.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_flume::Position;
+use arrowyard_protocol::Position;
 use arrowyard_types::{Point, Span};
 
 /// A committed transaction: its term, and the tokens of the writes in it.
--- a/crates/arrowyard-basin/src/system.rs
+++ b/crates/arrowyard-emulator/src/system.rs
@@ -4,10 +4,10 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 use std::rc::Rc;
 
+use arrowyard_config::Settings;
 use arrowyard_control::Control;
-use arrowyard_gauge::Settings;
+use arrowyard_pooler::Sluice;
 use arrowyard_runtime::Plane;
-use arrowyard_sluice::Sluice;
 use arrowyard_types::{Point, Span};
 use serde::{Deserialize, Serialize};
 
--- a/crates/arrowyard-basin/tests/auditors.rs
+++ b/crates/arrowyard-emulator/tests/auditors.rs
@@ -3,7 +3,7 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use arrowyard_basin::{Asked, Fate, Fresh, History, Shard};
+use arrowyard_emulator::{Asked, Fate, Fresh, History, Shard};
 use arrowyard_types::{Point, Span};
 
 fn at(ms: i64) -> Point {
--- a/crates/arrowyard-basin/tests/control.rs
+++ b/crates/arrowyard-emulator/tests/control.rs
@@ -1,9 +1,9 @@
 //! The control plane on its worst days: control machines as they ship, in simulated time, and callers that ask them at
 //! the worst moment. Each test brings one point of `docs/notes/control.md` about.
 
-use arrowyard_basin::catch_up::catch_up;
-use arrowyard_basin::{CallAnswer, Day, DiskFault, Fault, Plan, System, Trouble, play};
 use arrowyard_control::REMEMBERED;
+use arrowyard_emulator::catch_up::catch_up;
+use arrowyard_emulator::{CallAnswer, Day, DiskFault, Fault, Plan, System, Trouble, play};
 use arrowyard_runtime::Sign;
 use arrowyard_runtime::http::call;
 use arrowyard_types::{Point, Span};
--- a/crates/arrowyard-basin/tests/days.rs
+++ b/crates/arrowyard-emulator/tests/days.rs
@@ -2,7 +2,7 @@
 
 use std::path::Path;
 
-use arrowyard_basin::{Day, play};
+use arrowyard_emulator::{Day, play};
 
 fn holds(path: &Path) -> datatest_stable::Result<()> {
     let day: Day = serde_saphyr::from_str(&std::fs::read_to_string(path)?)?;
--- a/crates/arrowyard-basin/tests/drawn.rs
+++ b/crates/arrowyard-emulator/tests/drawn.rs
@@ -3,7 +3,7 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::thread;
 
-use arrowyard_basin::{drawn, play};
+use arrowyard_emulator::{drawn, play};
 
 const DAYS: u64 = 2000;
 
--- a/crates/arrowyard-basin/tests/experiment.rs
+++ b/crates/arrowyard-emulator/tests/experiment.rs
@@ -3,10 +3,10 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-use arrowyard_basin::acknowledgements::{BOUND, TROUBLES, pauses};
-use arrowyard_basin::experiment::{Outcome, compare, outcomes, with};
-use arrowyard_basin::failover::{Cause, longest_pause, outages};
-use arrowyard_basin::{Day, Disk, World, chart, drawn, play};
+use arrowyard_emulator::acknowledgements::{BOUND, TROUBLES, pauses};
+use arrowyard_emulator::experiment::{Outcome, compare, outcomes, with};
+use arrowyard_emulator::failover::{Cause, longest_pause, outages};
+use arrowyard_emulator::{Day, Disk, World, chart, drawn, play};
 use arrowyard_runtime::{Event, Orders, Plane};
 use arrowyard_types::{Point, Span};
 use proptest::prelude::*;
--- a/crates/arrowyard-basin/tests/models.rs
+++ b/crates/arrowyard-emulator/tests/models.rs
@@ -1,6 +1,6 @@
 //! Every scene holds, to its end; each variant that is wrong on purpose is caught in one of them.
 
-use arrowyard_basin::models::{Checked, ledger, promotion};
+use arrowyard_emulator::models::{Checked, ledger, promotion};
 
 fn holds(name: &str, checked: Option<Checked>) {
     let checked = checked.expect("there is such a scene");
--- a/crates/arrowyard-basin/tests/shares.rs
+++ b/crates/arrowyard-emulator/tests/shares.rs
@@ -1,8 +1,8 @@
 //! Fair shares in the emulator: the planes as they ship under a surge of one kind of requests, while machines and hosts
 //! come and go. No bound here is a clock's: time is simulated, and the same day plays the same.
 
-use arrowyard_basin::shares::{FROM, Pace, UNTIL, back_at_once, morning, paces};
-use arrowyard_basin::{Day, Fault, Played, Surge, Trouble, play};
+use arrowyard_emulator::shares::{FROM, Pace, UNTIL, back_at_once, morning, paces};
+use arrowyard_emulator::{Day, Fault, Played, Surge, Trouble, play};
 
 fn of(played: &Played, kind: &str) -> Pace {
     let sound = &played.breaches;
--- a/crates/arrowyard-weir/src/terms.rs
+++ b/crates/arrowyard-fair-shares/src/terms.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_gauge::Configuration;
+use arrowyard_config::Configuration;
 
 use crate::owed::Claim;
 
@@ -82,7 +82,7 @@
             self.promise(Service::plain(&channel.share, channel.usual_weight()));
         }
         for share in configuration.shares().cloned() {
-            let arrowyard_gauge::Share { name, weight, least, most, lends, borrows } = share;
+            let arrowyard_config::Share { name, weight, least, most, lends, borrows } = share;
             self.promise(Service { name, share: weight, least, most, lends, borrows });
         }
     }
--- a/crates/arrowyard-weir/tests/allotment.rs
+++ b/crates/arrowyard-fair-shares/tests/allotment.rs
@@ -1,8 +1,8 @@
 //! Routers and whoever divides, with words lost, doubled and late between them: what routers go by never sums up to more
 //! than the host's places, and with news flowing the parts come to what is owed.
 
+use arrowyard_fair_shares::{Allot, Allotter, At, Holder, Need, Router, ServiceId, Terms, owed};
 use arrowyard_types::{Point, Span};
-use arrowyard_weir::{Allot, Allotter, At, Holder, Need, Router, ServiceId, Terms, owed};
 use proptest::prelude::*;
 
 const HOST: &str = "h";
@@ -10,7 +10,7 @@
 const AT: At<'static> = At { id: HOST, group: "g", slots: SLOTS };
 
 fn places() -> f64 {
-    f64::from(arrowyard_weir::places(SLOTS)) / 1000.0
+    f64::from(arrowyard_fair_shares::places(SLOTS)) / 1000.0
 }
 
 fn at(ms: i64) -> Point {
--- a/crates/arrowyard-weir/tests/division.rs
+++ b/crates/arrowyard-fair-shares/tests/division.rs
@@ -1,6 +1,6 @@
 //! The division by itself: what weighted max-min means, held against drawn claims.
 
-use arrowyard_weir::{Claim, Service, Terms, owed};
+use arrowyard_fair_shares::{Claim, Service, Terms, owed};
 use proptest::prelude::*;
 
 fn claim(demand: f64, share: f64) -> Claim {
--- a/crates/arrowyard-weir/tests/meter.rs
+++ b/crates/arrowyard-fair-shares/tests/meter.rs
@@ -1,7 +1,7 @@
 //! What a router says that it needs.
 
+use arrowyard_fair_shares::{Meter, ServiceId};
 use arrowyard_types::{Point, Span};
-use arrowyard_weir::{Meter, ServiceId};
 
 const S: ServiceId = ServiceId(0);
 
--- a/crates/arrowyard-fleet/src/bin/peers.rs
+++ b/crates/arrowyard-fleet/src/bin/peers.rs
@@ -1,7 +1,7 @@
 //! Plays fault plans before membership in simulated time, ours beside two plain ways, and prints what came of it.
 
 use arrowyard_fleet::peers::{Heartbeats, Node, Ours, Said, Swim, World};
-use arrowyard_standins::plan::{Fault, Plan};
+use arrowyard_testbed::plan::{Fault, Plan};
 use arrowyard_types::{Point, Span};
 use clap::Parser;
 use comfy_table::{Table, presets};
--- a/crates/arrowyard-fleet/src/peers/world.rs
+++ b/crates/arrowyard-fleet/src/peers/world.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use arrowyard_standins::plan::{Fault, Plan};
+use arrowyard_testbed::plan::{Fault, Plan};
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
 
--- a/crates/arrowyard-fleet/tests/peers.rs
+++ b/crates/arrowyard-fleet/tests/peers.rs
@@ -1,7 +1,7 @@
 //! Membership's hard cases in simulated time, at sizes that no machine plays with processes.
 
 use arrowyard_fleet::peers::{Ours, Said, World};
-use arrowyard_standins::plan::{Fault, Plan};
+use arrowyard_testbed::plan::{Fault, Plan};
 use arrowyard_types::Span;
 
 fn world(plan: Plan) -> World {
--- a/crates/arrowyard-flight-daemon/tests/abuse.rs
+++ b/crates/arrowyard-flight-daemon/tests/abuse.rs
@@ -6,8 +6,8 @@
 use std::net::{SocketAddr, TcpListener, TcpStream};
 use std::time::{Duration, Instant};
 
-use arrowyard_standins::flight::FlightClient;
-use arrowyard_standins::{Process, Reply, Spec, Town};
+use arrowyard_testbed::flight::FlightClient;
+use arrowyard_testbed::{Process, Reply, Spec, Town};
 use fastrand::Rng;
 use helpers::{STANDINGS, ask, runtime, specs, start, start_small};
 
--- a/crates/arrowyard-flight-daemon/tests/helpers/mod.rs
+++ b/crates/arrowyard-flight-daemon/tests/helpers/mod.rs
@@ -4,9 +4,9 @@
 
 use std::path::Path;
 
-use arrowyard_standins::client::Ask;
-use arrowyard_standins::router::{OpType, waybill};
-use arrowyard_standins::{Process, Spec, Town};
+use arrowyard_testbed::client::Ask;
+use arrowyard_testbed::router::{OpType, waybill};
+use arrowyard_testbed::{Process, Spec, Town};
 use tokio::runtime::Runtime;
 
 pub const OP_TYPES: [OpType; 5] = [
--- a/crates/arrowyard-flight-daemon/tests/never_ran.rs
+++ b/crates/arrowyard-flight-daemon/tests/never_ran.rs
@@ -9,8 +9,8 @@
 
 use arrow_flight::sql::DoPutUpdateResult;
 use arrow_flight::{PutResult, Result as Told};
-use arrowyard_standins::flight::FlightClient;
-use arrowyard_standins::{Process, Reply, Town};
+use arrowyard_testbed::flight::FlightClient;
+use arrowyard_testbed::{Process, Reply, Town};
 use helpers::{BUY, ask, runtime, specs, start};
 use prost::Message;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/crates/arrowyard-flight-daemon/tests/safety.rs
+++ b/crates/arrowyard-flight-daemon/tests/safety.rs
@@ -9,8 +9,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::{Duration, Instant};
 
-use arrowyard_standins::flight::FlightClient;
-use arrowyard_standins::{Act, Client, Reply, Speaks, Town};
+use arrowyard_testbed::flight::FlightClient;
+use arrowyard_testbed::{Act, Client, Reply, Speaks, Town};
 use fastrand::Rng;
 use helpers::{BUY, OP_TYPES, OWN, STANDINGS, SUBMIT, VIEW, ask, runtime, specs, start};
 use tokio::time::{sleep, timeout};
--- a/crates/arrowyard-flight-daemon/tests/streams.rs
+++ b/crates/arrowyard-flight-daemon/tests/streams.rs
@@ -13,11 +13,11 @@
     CommandGetCrossReference, CommandGetExportedKeys, CommandGetImportedKeys, CommandGetPrimaryKeys,
     CommandGetTables, SqlInfo,
 };
-use arrowyard_standins::client::Ask;
-use arrowyard_standins::flight::FlightClient;
-use arrowyard_standins::flight::client::{first, reply};
-use arrowyard_standins::router::waybill;
-use arrowyard_standins::{Act, Client, Process, Reply, Spec, Town};
+use arrowyard_testbed::client::Ask;
+use arrowyard_testbed::flight::FlightClient;
+use arrowyard_testbed::flight::client::{first, reply};
+use arrowyard_testbed::router::waybill;
+use arrowyard_testbed::{Act, Client, Process, Reply, Spec, Town};
 use futures::{StreamExt, TryStreamExt};
 use helpers::{BUY, OWN, STANDINGS, SUBMIT, VIEW, ask, runtime, specs, start, start_with};
 use tonic::Code;
--- a/crates/arrowyard-conduit/tests/frames.rs
+++ b/crates/arrowyard-messages/tests/frames.rs
@@ -1,6 +1,6 @@
 //! Frames come whole in whatever pieces; bytes that are none are refused without being held.
 
-use arrowyard_conduit::{Beat, Frames, Host, Whole, Word, said};
+use arrowyard_messages::{Beat, Frames, Host, Whole, Word, said};
 use proptest::prelude::*;
 
 proptest! {
--- a/crates/arrowyard-yardbook/examples/size.rs
+++ b/crates/arrowyard-operator-config/examples/size.rs
@@ -1,4 +1,4 @@
-//! How cells cost at size: `cargo run --release -p arrowyard-yardbook --example size`. A file of so many tenants and
+//! How cells cost at size: `cargo run --release -p arrowyard-operator-config --example size`. A file of so many tenants and
 //! cells is checked and taken in, hosts are divided, and cells of ops are found; each at a tenth of the size, too.
 
 use std::fmt::Write;
@@ -10,8 +10,8 @@
 use arrowyard_cells::index::Index;
 use arrowyard_cells::moving::Terms;
 use arrowyard_cells::{Cells, Layout};
+use arrowyard_operator_config::{layout, read};
 use arrowyard_types::{GroupId, Point, Span};
-use arrowyard_yardbook::{layout, read};
 
 fn text(tenants: usize, cells: usize, groups: usize) -> String {
     let mut text = String::from("epoch: 1\ncells {\n");
--- a/crates/arrowyard-yardbook/src/layout.rs
+++ b/crates/arrowyard-operator-config/src/layout.rs
@@ -4,7 +4,7 @@
 use arrowyard_cells::moving::{Row, Step};
 use arrowyard_leases::{Duty, Joins};
 use arrowyard_peers::{Belongs, Terms};
-use arrowyard_return::{Comes, Pace as Calls, Trust};
+use arrowyard_startup::{Comes, Pace as Calls, Trust};
 use arrowyard_types::{CellId, GroupId, Point, Span};
 use ipnet::IpNet;
 
--- a/crates/arrowyard-yardbook/tests/faults.rs
+++ b/crates/arrowyard-operator-config/tests/faults.rs
@@ -1,6 +1,6 @@
 //! Files with faults: each is found, where it stands, and none hides another.
 
-use arrowyard_yardbook::{Fault, read};
+use arrowyard_operator_config::{Fault, read};
 use proptest::prelude::*;
 
 fn faults(text: &str) -> Vec<Fault> {
--- a/crates/arrowyard-sluice/src/fresh.rs
+++ b/crates/arrowyard-pooler/src/fresh.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use arrowyard_flume::Position;
+use arrowyard_protocol::Position;
 use arrowyard_types::{Point, Span};
 
 /// Pairs closer than this to the one before are left out, and older ones than this are forgotten.
--- a/crates/arrowyard-sluice/src/link.rs
+++ b/crates/arrowyard-pooler/src/link.rs
@@ -3,11 +3,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use arrowyard_conduit::{HostRequest, RelayedQuestion};
-use arrowyard_flume::{Code, Lines, Mode, Observed, Position};
+use arrowyard_fair_shares::ServiceId;
+use arrowyard_messages::{HostRequest, RelayedQuestion};
+use arrowyard_protocol::{Code, Lines, Mode, Observed, Position};
 use arrowyard_runtime::Conn;
 use arrowyard_types::{HostId, OpId, Point, SendNo};
-use arrowyard_weir::ServiceId;
 use rustc_hash::FxHashSet;
 
 /// A session's values, by name. Sessions and connections that have the same ones share them.
@@ -169,6 +169,6 @@
     pub fn observed(&self) -> Option<Observed> {
         let text = String::from_utf8_lossy(&self.rows);
         let line = text.lines().next()?;
-        Observed::read(arrowyard_flume::split(line).1)
+        Observed::read(arrowyard_protocol::split(line).1)
     }
 }
--- a/crates/arrowyard-sluice/src/module.rs
+++ b/crates/arrowyard-pooler/src/module.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use arrowyard::Router;
-use arrowyard_conduit::{DbRole, Host, Phase};
+use arrowyard_messages::{DbRole, Host, Phase};
 use arrowyard_types::{
     Action, Availability, Entry, Fact, GroupId, HostId, ListForm, Manifest, Note, Part, Point, Role, Span,
     ZoneId,
--- a/crates/arrowyard-sluice/src/plane.rs
+++ b/crates/arrowyard-pooler/src/plane.rs
@@ -10,8 +10,8 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use arrowyard_conduit::{Known, number};
-use arrowyard_gauge::Settings;
+use arrowyard_config::Settings;
+use arrowyard_messages::{Known, number};
 use arrowyard_runtime::http::{Messages, answer};
 use arrowyard_runtime::{Conn, Door, Event, Orders, Plane, Sign, Timers};
 use arrowyard_types::{Action, Cookie, HostId, Note, OpId, Point, Span};
@@ -99,7 +99,7 @@
     paces: Paces,
     probing: FxHashMap<HostId, Point>,
     last_op: u64,
-    shapes: FxHashMap<(arrowyard_flume::Mode, Rc<str>), u32>,
+    shapes: FxHashMap<(arrowyard_protocol::Mode, Rc<str>), u32>,
     timers: Timers<Alarm>,
     feed: Feed,
     replacements: Replacements,
--- a/crates/arrowyard-sluice/src/plane/clients.rs
+++ b/crates/arrowyard-pooler/src/plane/clients.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use arrowyard_flume::{Ask as Said, Code, Mode, State, Text};
-use arrowyard_gauge::Channel;
+use arrowyard_config::Channel;
+use arrowyard_protocol::{Ask as Said, Code, Mode, State, Text};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{Note, Point, Span};
 use bytes::Bytes;
--- a/crates/arrowyard-sluice/src/plane/feed.rs
+++ b/crates/arrowyard-pooler/src/plane/feed.rs
@@ -4,11 +4,11 @@
 use std::net::Ipv4Addr;
 use std::rc::Rc;
 
-use arrowyard_conduit::{
+use arrowyard_config::{Change as Revision, ChangeKind, Configuration};
+use arrowyard_messages::{
     Change, DbRole, Frames, Hello, Host, Known as Machine, Phase, Replacements, Seen, Step, Suspect, Whole,
     Word, number, said,
 };
-use arrowyard_gauge::{Change as Revision, ChangeKind, Configuration};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{Note, Point, Span};
 
--- a/crates/arrowyard-sluice/src/plane/hosts.rs
+++ b/crates/arrowyard-pooler/src/plane/hosts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use arrowyard_flume::{Answer, Code, OWN, Position, State};
+use arrowyard_protocol::{Answer, Code, OWN, Position, State};
 use arrowyard_runtime::{Conn, Orders, Why};
 use arrowyard_types::{HostId, Note, OpId, Outcome, Point, Role, Span, Word};
 
@@ -228,7 +228,7 @@
 
     fn suspect_primary(&mut self, now: Point, host: HostId, orders: &mut Orders) {
         let known = self.module.host(host).host.clone();
-        if known.role() == arrowyard_conduit::DbRole::Primary {
+        if known.role() == arrowyard_messages::DbRole::Primary {
             self.suspect(now, &known, orders);
         }
     }
@@ -427,7 +427,7 @@
             }
         }
         let share = self.share(host);
-        let gone = self.module.host(host).host.phase() == arrowyard_conduit::Phase::Gone;
+        let gone = self.module.host(host).host.phase() == arrowyard_messages::Phase::Gone;
         if gone || self.pools[host.0 as usize].all > share {
             self.close_link(conn, orders);
         } else {
--- a/crates/arrowyard-sluice/src/plane/ops.rs
+++ b/crates/arrowyard-pooler/src/plane/ops.rs
@@ -2,8 +2,8 @@
 
 use std::rc::Rc;
 
-use arrowyard_flume::{Code, State, Verdict};
-use arrowyard_gauge::{Channel, Kind as Freshness};
+use arrowyard_config::{Channel, Kind as Freshness};
+use arrowyard_protocol::{Code, State, Verdict};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{
     Ask as Asked, Ended, HostId, Note, OpId, Outcome, Point, Role, SendNo, SessionId, Span, TenantId, Word,
@@ -542,5 +542,5 @@
     /// It must lead as it runs it.
     Lead,
     /// It must have this position.
-    After(arrowyard_flume::Position),
+    After(arrowyard_protocol::Position),
 }
--- a/crates/arrowyard-sluice/src/plane/questions.rs
+++ b/crates/arrowyard-pooler/src/plane/questions.rs
@@ -1,8 +1,8 @@
 //! Questions that control has for hosts and that this router asks: primaries that are replaced are told to yield, and
 //! hosts that control does not reach are asked in its place.
 
-use arrowyard_conduit::{Host, HostRow, RelayedAnswer, RelayedQuestion, Word, Yielded, said};
-use arrowyard_flume::{OWN, Observed};
+use arrowyard_messages::{Host, HostRow, RelayedAnswer, RelayedQuestion, Word, Yielded, said};
+use arrowyard_protocol::{OWN, Observed};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{HostId, Point, Span};
 
--- a/crates/arrowyard-sluice/src/plane/shares.rs
+++ b/crates/arrowyard-pooler/src/plane/shares.rs
@@ -3,11 +3,11 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_conduit::{Allots, HostNeeds, Needs, Phase, Word, said};
-use arrowyard_gauge::{Channel, Kind as Freshness};
+use arrowyard_config::{Channel, Kind as Freshness};
+use arrowyard_fair_shares::{Allot, Holder, Meter, Milli, Need, ServiceId, Terms, places};
+use arrowyard_messages::{Allots, HostNeeds, Needs, Phase, Word, said};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{HostId, Note, Point, Span, TenantId};
-use arrowyard_weir::{Allot, Holder, Meter, Milli, Need, ServiceId, Terms, places};
 
 use super::{Alarm, Line, Sluice};
 use crate::link::Stage;
@@ -130,7 +130,7 @@
                 self.shares.told.insert(host, (now, needs.clone()));
             }
             let (fence, answers) = self.shares.holder.answers(&id);
-            let need = |need: &Need| arrowyard_conduit::Need {
+            let need = |need: &Need| arrowyard_messages::Need {
                 service: self.shares.terms.name(need.service).to_string(),
                 runs: need.runs,
                 waits: need.waits,
--- a/crates/arrowyard-sluice/src/replacements.rs
+++ b/crates/arrowyard-pooler/src/replacements.rs
@@ -4,7 +4,7 @@
 //! commit that the old primary reports may be missing where the candidate leads, so its client is told that its fate is
 //! unknown. The old primary is told to yield, since other routers may not have heard of the change.
 
-use arrowyard_conduit::{Replacement, Replacements as Told};
+use arrowyard_messages::{Replacement, Replacements as Told};
 use arrowyard_types::{Point, Span};
 use rustc_hash::FxHashMap;
 
--- a/crates/arrowyard-sluice/src/routes.rs
+++ b/crates/arrowyard-pooler/src/routes.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use arrowyard_gauge::{Channel, Configuration, Kind, Limits, Service};
+use arrowyard_config::{Channel, Configuration, Kind, Limits, Service};
 use arrowyard_types::{Effect, GroupId, Need, OpType, OpTypeId, Span};
 use rustc_hash::FxHashMap;
 
--- a/crates/arrowyard-sluice/src/session.rs
+++ b/crates/arrowyard-pooler/src/session.rs
@@ -3,11 +3,11 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use arrowyard_flume::{Lines, Mode, Position, State};
-use arrowyard_gauge::Channel;
+use arrowyard_config::Channel;
+use arrowyard_fair_shares::ServiceId;
+use arrowyard_protocol::{Lines, Mode, Position, State};
 use arrowyard_runtime::Conn;
 use arrowyard_types::{HostId, OpId, OpTypeId, Point, Span};
-use arrowyard_weir::ServiceId;
 use bytes::Bytes;
 use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
@@ -57,7 +57,7 @@
     /// How long it may wait for a connection before it is given up.
     pub patience: Span,
     /// The last fault that a host gave for it.
-    pub fault: Option<(arrowyard_flume::Code, String)>,
+    pub fault: Option<(arrowyard_protocol::Code, String)>,
 }
 
 /// A transaction of the client's.
--- a/crates/arrowyard-sluice/tests/helpers/mod.rs
+++ b/crates/arrowyard-pooler/tests/helpers/mod.rs
@@ -3,10 +3,10 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
 
-use arrowyard_conduit::{DbRole, Frames, Host, Phase, Whole, Word, said};
-use arrowyard_gauge::Settings;
+use arrowyard_config::Settings;
+use arrowyard_messages::{DbRole, Frames, Host, Phase, Whole, Word, said};
+use arrowyard_pooler::{DOORS, Sluice};
 use arrowyard_runtime::{Conn, Event, Order, Orders, Plane};
-use arrowyard_sluice::{DOORS, Sluice};
 use arrowyard_types::{Point, Span};
 
 const SETTINGS: &str = "node: \"edge\"\nip: \"10.0.0.9\"\nzone: \"z\"\nbind-addrs: {}\ninternal-ports:\n  - 7440\n  - 7455\n\
--- a/crates/arrowyard-sluice/tests/plane.rs
+++ b/crates/arrowyard-pooler/tests/plane.rs
@@ -2,7 +2,7 @@
 
 mod helpers;
 
-use arrowyard_conduit::{
+use arrowyard_messages::{
     DbRole, HostRequest, HostRow, Phase, RelayedAnswer, RelayedQuestion, Replacement, Replacements, Word,
 };
 use arrowyard_runtime::{Event, Why};
--- a/crates/arrowyard-sluice/tests/units.rs
+++ b/crates/arrowyard-pooler/tests/units.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use arrowyard_flume::{Mode, Position};
+use arrowyard_pooler::{Link, Paces, Timeline, Values};
+use arrowyard_protocol::{Mode, Position};
 use arrowyard_runtime::Conn;
-use arrowyard_sluice::{Link, Paces, Timeline, Values};
 use arrowyard_types::{HostId, OpTypeId, Point, Span};
 use fastrand::Rng;
 
--- a/crates/arrowyard-flume/tests/wire.rs
+++ b/crates/arrowyard-protocol/tests/wire.rs
@@ -1,6 +1,6 @@
 //! Lines come whole or not at all, in whatever pieces they arrive; nothing that is said is read as something else.
 
-use arrowyard_flume::{Answer, Ask, Code, LONGEST, Lines, Mode, Position, State, Text, Verdict};
+use arrowyard_protocol::{Answer, Ask, Code, LONGEST, Lines, Mode, Position, State, Text, Verdict};
 use proptest::prelude::*;
 
 proptest! {
--- a/crates/arrowyard-return/tests/asking.rs
+++ b/crates/arrowyard-startup/tests/asking.rs
@@ -1,6 +1,6 @@
 //! Which lists are believed, and when discovery is called, beside plain models of both.
 
-use arrowyard_return::{Credence, Herd, Pace, Verdict};
+use arrowyard_startup::{Credence, Herd, Pace, Verdict};
 use arrowyard_types::{Point, Span};
 use proptest::prelude::*;
 
--- a/crates/arrowyard-return/tests/start.rs
+++ b/crates/arrowyard-startup/tests/start.rs
@@ -1,6 +1,6 @@
 //! What is trusted after how long, and when a start is over.
 
-use arrowyard_return::{Return, Stage, Terms, Trust, confidence, spread, weigh};
+use arrowyard_startup::{Return, Stage, Terms, Trust, confidence, spread, weigh};
 use arrowyard_store::{Host, Snapshot};
 use arrowyard_types::{GroupId, Point, Span};
 use proptest::prelude::*;
--- a/crates/arrowyard-works/examples/beside.rs
+++ b/crates/arrowyard-system/examples/beside.rs
@@ -1,7 +1,7 @@
 //! What a router costs beside a direct connection, in one run: the time of a read by both ways in turn, the processor time
 //! of a statement, and the memory of sessions at rest. The programs as they ship, on loopback, before stand-in hosts.
 //!
-//!     cargo build --release -p arrowyard-works --bins && cargo run --release -p arrowyard-works --example beside -- 4000 3000
+//!     cargo build --release -p arrowyard-system --bins && cargo run --release -p arrowyard-system --example beside -- 4000 3000
 
 #[path = "../tests/helpers/mod.rs"]
 #[allow(dead_code)]
--- a/crates/arrowyard-works/src/bin/arrowyard-control.rs
+++ b/crates/arrowyard-system/src/bin/arrowyard-control.rs
@@ -7,8 +7,8 @@
 
 use arrowyard_control::Control;
 use arrowyard_runtime::{Plumbing, Recovered, Store, open_store, run};
-use arrowyard_works as works;
-use arrowyard_works::show::{self, Part};
+use arrowyard_system as works;
+use arrowyard_system::show::{self, Part};
 use bpaf::Bpaf;
 
 /// The directory of the journal, in the data directory.
--- a/crates/arrowyard-works/src/bin/arrowyard-sluice.rs
+++ b/crates/arrowyard-system/src/bin/arrowyard-sluice.rs
@@ -3,9 +3,9 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
+use arrowyard_pooler::Sluice;
 use arrowyard_runtime::{Plumbing, run};
-use arrowyard_sluice::Sluice;
-use arrowyard_works as works;
+use arrowyard_system as works;
 use bpaf::Bpaf;
 
 /// A router: shares the connections of database hosts among sessions, and sends each statement where it belongs.
--- a/crates/arrowyard-works/src/lib.rs
+++ b/crates/arrowyard-system/src/lib.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::sync::{Mutex, OnceLock};
 
-use arrowyard_gauge::Settings;
+use arrowyard_config::Settings;
 
 /// The variable that names the settings file, and where it lies otherwise.
 pub const VARIABLE: &str = "ARROWYARD_SETTINGS";
--- a/crates/arrowyard-works/tests/helpers/mod.rs
+++ b/crates/arrowyard-system/tests/helpers/mod.rs
@@ -11,9 +11,9 @@
 use std::thread;
 use std::time::Duration;
 
-use arrowyard_basin::{DatabaseHost, HostFaults, HostPlan, Platform, Shard};
+use arrowyard_emulator::{DatabaseHost, HostFaults, HostPlan, Platform, Shard};
 use arrowyard_runtime::{Plumbing, run};
-use arrowyard_standins::rig::memory;
+use arrowyard_testbed::rig::memory;
 use arrowyard_types::Span;
 
 pub const LONG: Duration = Duration::from_secs(30);
@@ -41,7 +41,7 @@
 pub fn program(name: &str) -> PathBuf {
     let me = std::env::current_exe().expect("its own path");
     let found = me.ancestors().skip(1).map(|folder| folder.join(name)).find(|path| path.is_file());
-    found.unwrap_or_else(|| panic!("{name} is not built: cargo build -p arrowyard-works"))
+    found.unwrap_or_else(|| panic!("{name} is not built: cargo build -p arrowyard-system"))
 }
 
 pub struct Process {
--- a/crates/arrowyard-works/tests/show.rs
+++ b/crates/arrowyard-system/tests/show.rs
@@ -4,7 +4,7 @@
 use std::net::TcpListener;
 use std::thread;
 
-use arrowyard_works::show::{Part, fetch, shown};
+use arrowyard_system::show::{Part, fetch, shown};
 
 const STATUS: &str = r#"{"node":"core-0","revision":9,"slot":12,"votes":true,"voters":["10.0.0.1","10.0.0.2"],
     "controls":["10.0.0.2"],"routers-all":3,"routers":[{"node":"edge-0","revision":9},{"node":"edge-1","revision":7}],
--- a/crates/arrowyard-standins/src/bin/leases.rs
+++ b/crates/arrowyard-testbed/src/bin/leases.rs
@@ -5,9 +5,9 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use arrowyard_standins::plan::{Fault, Plan};
-use arrowyard_standins::router::beside;
-use arrowyard_standins::trial::{TERM_MS, Told, draw, play};
+use arrowyard_testbed::plan::{Fault, Plan};
+use arrowyard_testbed::router::beside;
+use arrowyard_testbed::trial::{TERM_MS, Told, draw, play};
 use clap::Parser;
 use comfy_table::{Table, presets};
 use hdrhistogram::Histogram;
--- a/crates/arrowyard-standins/src/bin/lists.rs
+++ b/crates/arrowyard-testbed/src/bin/lists.rs
@@ -5,9 +5,9 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-use arrowyard_standins::load::{Stats, Stream, play};
-use arrowyard_standins::router::{OP_TYPES, beside, waybill};
-use arrowyard_standins::{Process, Spec, Town};
+use arrowyard_testbed::load::{Stats, Stream, play};
+use arrowyard_testbed::router::{OP_TYPES, beside, waybill};
+use arrowyard_testbed::{Process, Spec, Town};
 use clap::Parser;
 use comfy_table::{Table, presets};
 
--- a/crates/arrowyard-standins/src/bin/look.rs
+++ b/crates/arrowyard-testbed/src/bin/look.rs
@@ -4,9 +4,9 @@
 use std::process::ExitCode;
 use std::time::Duration;
 
-use arrowyard_standins::load::{Stats, Stream, play};
-use arrowyard_standins::router::{OP_TYPES, Process, beside, waybill};
-use arrowyard_standins::{Spec, Town};
+use arrowyard_testbed::load::{Stats, Stream, play};
+use arrowyard_testbed::router::{OP_TYPES, Process, beside, waybill};
+use arrowyard_testbed::{Spec, Town};
 use clap::Parser;
 use comfy_table::{Table, presets};
 
--- a/crates/arrowyard-standins/src/bin/moves.rs
+++ b/crates/arrowyard-testbed/src/bin/moves.rs
@@ -7,10 +7,10 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use arrowyard_standins::load::{Stats, Stream, play};
-use arrowyard_standins::router::{OP_TYPES, Process, beside, waybill};
-use arrowyard_standins::town::unix_ms;
-use arrowyard_standins::{Act, Spec, Town};
+use arrowyard_testbed::load::{Stats, Stream, play};
+use arrowyard_testbed::router::{OP_TYPES, Process, beside, waybill};
+use arrowyard_testbed::town::unix_ms;
+use arrowyard_testbed::{Act, Spec, Town};
 use clap::Parser;
 use comfy_table::{Table, presets};
 use fastrand::Rng;
--- a/crates/arrowyard-standins/src/bin/returns.rs
+++ b/crates/arrowyard-testbed/src/bin/returns.rs
@@ -3,9 +3,9 @@
 
 use std::time::{Duration, Instant};
 
-use arrowyard_standins::load::{Outcome, Stream, play};
-use arrowyard_standins::rig::{Rig, Setting};
-use arrowyard_standins::router::{OP_TYPES, beside};
+use arrowyard_testbed::load::{Outcome, Stream, play};
+use arrowyard_testbed::rig::{Rig, Setting};
+use arrowyard_testbed::router::{OP_TYPES, beside};
 use clap::Parser;
 use comfy_table::{Table, presets};
 
--- a/crates/arrowyard-standins/src/bin/rig.rs
+++ b/crates/arrowyard-testbed/src/bin/rig.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use arrowyard_standins::load::{Stream, play};
-use arrowyard_standins::plan::{Fault, Plan};
-use arrowyard_standins::rig::{Rig, Setting, mono_us};
-use arrowyard_standins::router::{OP_TYPES, beside};
+use arrowyard_testbed::load::{Stream, play};
+use arrowyard_testbed::plan::{Fault, Plan};
+use arrowyard_testbed::rig::{Rig, Setting, mono_us};
+use arrowyard_testbed::router::{OP_TYPES, beside};
 use clap::Parser;
 use comfy_table::{Table, presets};
 
--- a/crates/arrowyard-standins/src/bin/streams.rs
+++ b/crates/arrowyard-testbed/src/bin/streams.rs
@@ -9,10 +9,10 @@
 use std::time::{Duration, Instant};
 
 use arrow_flight::error::FlightError;
-use arrowyard_standins::client::Ask;
-use arrowyard_standins::flight::FlightClient;
-use arrowyard_standins::router::{OpType, beside, waybill};
-use arrowyard_standins::{Act, Client, Process, Reply, Speaks, Spec, Town};
+use arrowyard_testbed::client::Ask;
+use arrowyard_testbed::flight::FlightClient;
+use arrowyard_testbed::router::{OpType, beside, waybill};
+use arrowyard_testbed::{Act, Client, Process, Reply, Speaks, Spec, Town};
 use clap::{Parser, Subcommand};
 use comfy_table::Table;
 use fastrand::Rng;
