--- a/crates/arrowyard-config/src/change.rs
+++ b/crates/arrowyard-config/src/change.rs
@@ -1,8 +1,8 @@
-use crate::{Configuration, Refusal};
+use crate::{ConfigError, Configuration};
 
 /// Whether a change brings a whole configuration or named items of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kind {
+pub enum ChangeKind {
     Replace,
     Adjust,
 }
@@ -10,7 +10,7 @@
 /// A change of the configuration, as the operator sent it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
-    pub kind: Kind,
+    pub kind: ChangeKind,
     /// The version that it builds on.
     pub base: u64,
     pub body: Vec<u8>,
@@ -21,10 +21,10 @@
     ///
     /// # Errors
     /// Why it is not taken.
-    pub fn apply(&self, to: &Configuration) -> Result<Configuration, Refusal> {
+    pub fn apply(&self, to: &Configuration) -> Result<Configuration, ConfigError> {
         match self.kind {
-            Kind::Replace => to.replace(&self.body),
-            Kind::Adjust => to.adjust(&self.body),
+            ChangeKind::Replace => to.replace(&self.body),
+            ChangeKind::Adjust => to.adjust(&self.body),
         }
     }
 }
--- a/crates/arrowyard-config/src/configuration.rs
+++ b/crates/arrowyard-config/src/configuration.rs
@@ -4,7 +4,7 @@
 
 /// Fields of the system's own in the operator's configuration: what kinds of requests are promised, and, at a route, what
 /// it counts as. Their names are no deployment's.
-pub const SHARES: &str = "arrowyard-shares";
+pub const SHARES_FIELD: &str = "arrowyard-shares";
 /// Whether pressed hosts are divided at all; they are unless this is false.
 pub const DIVISION: &str = "arrowyard-division";
 const SHARE: &str = "arrowyard-share";
@@ -13,7 +13,7 @@
 
 /// How fresh what a route reads must be.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Kind {
+pub enum RouteKind {
     Primary,
     BoundedStaleness,
     OwnRegion,
@@ -24,9 +24,9 @@
 pub struct Channel {
     pub name: String,
     /// The database's name.
-    pub plant: String,
+    pub database: String,
     pub prefix: String,
-    pub kind: Kind,
+    pub kind: RouteKind,
     pub deadline_ms: f64,
     /// The latency target of an operation.
     pub setpoint_ms: f64,
@@ -47,8 +47,8 @@
     /// Its weight beside the others, from 0 on.
     pub weight: f64,
     /// The parts of a host's places, 0 to 1, that it gets at least if it asks for them, and at most.
-    pub least: f64,
-    pub most: f64,
+    pub min_fraction: f64,
+    pub max_fraction: f64,
     /// Whether others may use its least while it does not ask for it.
     pub lends: bool,
     /// Whether it may have more than its weight's part.
@@ -81,7 +81,7 @@
 
 /// Why a configuration is not taken: its place and what is wrong there.
 #[derive(Clone, Debug, PartialEq, Eq, displaydoc::Display)]
-pub enum Refusal {
+pub enum ConfigError {
     /// it cannot be read: {0}
     Unreadable(String),
     /// {0}: {1}
@@ -111,11 +111,11 @@
     others: BTreeMap<String, String>,
 }
 
-fn wrong(place: impl Into<String>, what: &'static str) -> Refusal {
-    Refusal::Wrong(place.into(), what)
+fn wrong(place: impl Into<String>, what: &'static str) -> ConfigError {
+    ConfigError::Wrong(place.into(), what)
 }
 
-fn text(item: &Value, field: &str, place: &str) -> Result<String, Refusal> {
+fn text(item: &Value, field: &str, place: &str) -> Result<String, ConfigError> {
     match item.pointer([field]).and_then(|value| value.as_str()) {
         Some(text) if !text.is_empty() => Ok(text.to_string()),
         _ => Err(wrong(format!("{place}/{field}"), "is no text")),
@@ -123,7 +123,7 @@
 }
 
 /// A number that is not below 0; `otherwise` where the field is not there.
-fn number(item: &Value, field: &str, place: &str, otherwise: f64) -> Result<f64, Refusal> {
+fn number(item: &Value, field: &str, place: &str, otherwise: f64) -> Result<f64, ConfigError> {
     match item.pointer([field]) {
         None => Ok(otherwise),
         Some(value) => match value.as_f64() {
@@ -134,11 +134,11 @@
 }
 
 impl Channel {
-    fn read(item: &Value, place: &str) -> Result<Self, Refusal> {
+    fn read(item: &Value, place: &str) -> Result<Self, ConfigError> {
         let kind = match item.pointer(["kind"]).and_then(|kind| kind.as_str()) {
-            Some("primary") | None => Kind::Primary,
-            Some("bounded_staleness") => Kind::BoundedStaleness,
-            Some("own_region") => Kind::OwnRegion,
+            Some("primary") | None => RouteKind::Primary,
+            Some("bounded_staleness") => RouteKind::BoundedStaleness,
+            Some("own_region") => RouteKind::OwnRegion,
             Some(_) => return Err(wrong(format!("{place}/kind"), "is no kind of route")),
         };
         let deadline_ms = number(item, "deadline-ms", place, 1000.0)?;
@@ -147,7 +147,11 @@
         }
         Ok(Channel {
             name: text(item, "name", place)?,
-            plant: item.pointer(["plant"]).and_then(|plant| plant.as_str()).unwrap_or_default().to_string(),
+            database: item
+                .pointer(["plant"])
+                .and_then(|plant| plant.as_str())
+                .unwrap_or_default()
+                .to_string(),
             prefix: item
                 .pointer(["path-prefix"])
                 .and_then(|prefix| prefix.as_str())
@@ -166,28 +170,28 @@
             },
         })
         .map(|channel| match channel.share.as_str() {
-            "" => Channel { share: channel.usual_share(), ..channel },
+            "" => Channel { share: channel.default_share(), ..channel },
             _ => channel,
         })
     }
 
     /// What it counts as where the operator says nothing.
-    fn usual_share(&self) -> String {
+    fn default_share(&self) -> String {
         let kind = match self.kind {
-            Kind::Primary => "primary",
-            Kind::BoundedStaleness => "bounded_staleness",
-            Kind::OwnRegion => "own_region",
+            RouteKind::Primary => "primary",
+            RouteKind::BoundedStaleness => "bounded_staleness",
+            RouteKind::OwnRegion => "own_region",
         };
         format!("{kind}/{}", self.priority)
     }
 
     /// The weight of what it counts as where the operator says nothing: the higher the priority, the more.
-    pub fn usual_weight(&self) -> f64 {
+    pub fn default_weight(&self) -> f64 {
         HIGHEST / (f64::from(self.priority) + 1.0)
     }
 }
 
-fn flag(item: &Value, field: &str, place: &str) -> Result<bool, Refusal> {
+fn flag(item: &Value, field: &str, place: &str) -> Result<bool, ConfigError> {
     match item.pointer([field]) {
         None => Ok(true),
         Some(value) => {
@@ -197,7 +201,7 @@
 }
 
 impl Share {
-    fn read(item: &Value, place: &str) -> Result<Self, Refusal> {
+    fn read(item: &Value, place: &str) -> Result<Self, ConfigError> {
         let part = |field: &str, otherwise: f64| {
             let part = number(item, field, place, otherwise)?;
             if part > 1.0 { Err(wrong(format!("{place}/{field}"), "is above 1")) } else { Ok(part) }
@@ -205,12 +209,12 @@
         let share = Share {
             name: text(item, "name", place)?,
             weight: number(item, "weight", place, 1.0)?,
-            least: part("least", 0.0)?,
-            most: part("most", 1.0)?,
+            min_fraction: part("least", 0.0)?,
+            max_fraction: part("most", 1.0)?,
             lends: flag(item, "lends", place)?,
             borrows: flag(item, "borrows", place)?,
         };
-        if share.least > share.most {
+        if share.min_fraction > share.max_fraction {
             return Err(wrong(format!("{place}/least"), "is above its most"));
         }
         Ok(share)
@@ -218,7 +222,7 @@
 }
 
 impl Service {
-    fn read(item: &Value, place: &str) -> Result<Self, Refusal> {
+    fn read(item: &Value, place: &str) -> Result<Self, ConfigError> {
         Ok(Service {
             name: text(item, "name", place)?,
             conn_limit: number(item, "conn-limit", place, 64.0)? as u32,
@@ -228,7 +232,7 @@
 }
 
 impl Limits {
-    fn read(item: &Value, place: &str) -> Result<Self, Refusal> {
+    fn read(item: &Value, place: &str) -> Result<Self, ConfigError> {
         let otherwise = Limits::default();
         Ok(Limits {
             header_wait_ms: number(item, "header-wait-ms", place, otherwise.header_wait_ms)?,
@@ -242,9 +246,9 @@
 fn items<T>(
     list: Option<&Value>,
     place: &str,
-    read: impl Fn(&Value, &str) -> Result<T, Refusal>,
+    read: impl Fn(&Value, &str) -> Result<T, ConfigError>,
     name: impl Fn(&T) -> &str,
-) -> Result<Vec<Item<T>>, Refusal> {
+) -> Result<Vec<Item<T>>, ConfigError> {
     let Some(list) = list else { return Ok(Vec::new()) };
     let list = list.as_array().ok_or_else(|| wrong(place, "is no list"))?;
     let mut names = BTreeSet::new();
@@ -267,24 +271,24 @@
     sonic_rs::to_string(value).unwrap_or_default()
 }
 
-fn document(body: &[u8]) -> Result<Value, Refusal> {
+fn document(body: &[u8]) -> Result<Value, ConfigError> {
     let document: Value = sonic_rs::from_slice(body).map_err(|fault| {
-        Refusal::Unreadable(fault.to_string().lines().next().unwrap_or_default().to_string())
+        ConfigError::Unreadable(fault.to_string().lines().next().unwrap_or_default().to_string())
     })?;
     if document.get_type() != JsonType::Object {
-        return Err(Refusal::Unreadable("it is no object".to_string()));
+        return Err(ConfigError::Unreadable("it is no object".to_string()));
     }
     Ok(document)
 }
 
-fn revision(document: &Value) -> Result<u64, Refusal> {
+fn revision(document: &Value) -> Result<u64, ConfigError> {
     document
         .pointer(["revision"])
         .and_then(|value| value.as_u64())
         .ok_or_else(|| wrong("/revision", "is no number"))
 }
 
-fn names(list: Option<&Value>, place: &str) -> Result<BTreeSet<String>, Refusal> {
+fn names(list: Option<&Value>, place: &str) -> Result<BTreeSet<String>, ConfigError> {
     let Some(list) = list else { return Ok(BTreeSet::new()) };
     let list = list.as_array().ok_or_else(|| wrong(place, "is no list"))?;
     list.iter()
@@ -327,7 +331,7 @@
         let lists = [
             ("channels", changes(&self.channels, &next.channels, |channel| &channel.name)),
             ("services", changes(&self.services, &next.services, |service| &service.name)),
-            (SHARES, changes(&self.shares, &next.shares, |share| &share.name)),
+            (SHARES_FIELD, changes(&self.shares, &next.shares, |share| &share.name)),
         ];
         for (field, (gone, new)) in lists {
             remove.extend((!gone.is_empty()).then(|| format!("\"{field}\":[{}]", gone.join(","))));
@@ -373,7 +377,7 @@
     }
 
     /// Whether pressed hosts are divided between kinds of requests.
-    pub fn divides(&self) -> bool {
+    pub fn division_enabled(&self) -> bool {
         !self.whole
     }
 
@@ -389,7 +393,7 @@
     ///
     /// # Errors
     /// The first thing that makes it invalid.
-    pub fn replace(&self, body: &[u8]) -> Result<Self, Refusal> {
+    pub fn replace(&self, body: &[u8]) -> Result<Self, ConfigError> {
         let document = document(body)?;
         let mut new = Configuration { revision: revision(&document)?, ..Configuration::default() };
         let fields = document.as_object().into_iter().flat_map(|object| object.iter());
@@ -412,7 +416,7 @@
                         .as_bool()
                         .ok_or_else(|| wrong("/arrowyard-division", "is neither true nor false"))?;
                 }
-                SHARES => {
+                SHARES_FIELD => {
                     new.shares = items(Some(value), "/arrowyard-shares", Share::read, |share| &share.name)?;
                 }
                 _ => drop(new.others.insert(field.to_string(), written(value))),
@@ -425,7 +429,7 @@
     ///
     /// # Errors
     /// The first thing that makes the change, or what it leads to, invalid.
-    pub fn adjust(&self, body: &[u8]) -> Result<Self, Refusal> {
+    pub fn adjust(&self, body: &[u8]) -> Result<Self, ConfigError> {
         let document = document(body)?;
         let mut new = Configuration { revision: revision(&document)?, ..self.clone() };
         let at = |part: &str, list: &str| document.pointer([part, list]);
@@ -444,10 +448,10 @@
         let added =
             items(at("upsert", "services"), "/upsert/services", Service::read, |service| &service.name)?;
         upsert(&mut new.services, added, |service| &service.name);
-        let gone = names(at("remove", SHARES), "/remove/arrowyard-shares")?;
+        let gone = names(at("remove", SHARES_FIELD), "/remove/arrowyard-shares")?;
         new.shares.retain(|item| !gone.contains(&item.read.name));
         let added =
-            items(at("upsert", SHARES), "/upsert/arrowyard-shares", Share::read, |share| &share.name)?;
+            items(at("upsert", SHARES_FIELD), "/upsert/arrowyard-shares", Share::read, |share| &share.name)?;
         upsert(&mut new.shares, added, |share| &share.name);
         if let Some(value) = at("upsert", DIVISION) {
             let divides = value.as_bool();
@@ -460,9 +464,9 @@
         new.checked(self.revision)
     }
 
-    fn checked(self, current: u64) -> Result<Self, Refusal> {
+    fn checked(self, current: u64) -> Result<Self, ConfigError> {
         if self.revision <= current {
-            return Err(Refusal::Old(self.revision, current));
+            return Err(ConfigError::Old(self.revision, current));
         }
         let services: BTreeSet<&str> = self.services().map(|service| service.name.as_str()).collect();
         let shares: BTreeSet<&str> = self.shares().map(|share| share.name.as_str()).collect();
@@ -471,18 +475,18 @@
             if !services.contains(channel.service.as_str()) {
                 return Err(wrong(format!("/channels/{row}/service"), "names a service that is not there"));
             }
-            if !places.insert((channel.plant.as_str(), channel.prefix.as_str())) {
+            if !places.insert((channel.database.as_str(), channel.prefix.as_str())) {
                 return Err(wrong(format!("/channels/{row}"), "has the host and prefix of another one"));
             }
-            if channel.share != channel.usual_share() && !shares.contains(channel.share.as_str()) {
+            if channel.share != channel.default_share() && !shares.contains(channel.share.as_str()) {
                 return Err(wrong(format!("/channels/{row}/{SHARE}"), "names a share that is not there"));
             }
         }
         let mut promised = 0.0;
         for (row, share) in self.shares().enumerate() {
-            promised += share.least;
+            promised += share.min_fraction;
             if promised > 1.0 + 1e-9 {
-                return Err(wrong(format!("/{SHARES}/{row}/least"), "promises more than there is"));
+                return Err(wrong(format!("/{SHARES_FIELD}/{row}/least"), "promises more than there is"));
             }
         }
         Ok(self)
@@ -503,7 +507,7 @@
             fields.push(format!("\"{DIVISION}\":false"));
         }
         if !self.shares.is_empty() {
-            fields.push(format!("\"{SHARES}\":[{}]", list(&self.shares)));
+            fields.push(format!("\"{SHARES_FIELD}\":[{}]", list(&self.shares)));
         }
         for (name, value) in &self.others {
             fields.push(format!("{}:{value}", sonic_rs::to_string(name).unwrap_or_default()));
--- a/crates/arrowyard-config/src/lib.rs
+++ b/crates/arrowyard-config/src/lib.rs
@@ -5,6 +5,8 @@
 mod configuration;
 mod settings;
 
-pub use change::{Change, Kind as ChangeKind};
-pub use configuration::{Channel, Configuration, Kind, Limits, Refusal, SHARES, Service, Share};
-pub use settings::{Envelope, Fault, Settings, Tolerance};
+pub use change::{Change, ChangeKind};
+pub use configuration::{
+    Channel, ConfigError, Configuration, Limits, RouteKind, SHARES_FIELD, Service, Share,
+};
+pub use settings::{Envelope, Settings, SettingsError, Tolerance};
--- a/crates/arrowyard-config/src/settings.rs
+++ b/crates/arrowyard-config/src/settings.rs
@@ -31,34 +31,34 @@
     #[serde(default)]
     pub counts_loss: bool,
     #[serde(default)]
-    pub limits: Machine,
+    pub limits: MachineLimits,
     #[serde(default)]
     pub data_dir: Option<String>,
-    #[serde(default = "period")]
-    pub beat_period_ms: u64,
+    #[serde(rename = "beat-period-ms", default = "default_heartbeat_interval_ms")]
+    pub heartbeat_interval_ms: u64,
     #[serde(default)]
     pub tolerance: Tolerance,
     #[serde(default)]
     pub envelope: Envelope,
     #[serde(default)]
-    pub platform_api: Option<Platform>,
+    pub platform_api: Option<PlatformApi>,
 }
 
-fn period() -> u64 {
+fn default_heartbeat_interval_ms() -> u64 {
     1200
 }
 
 /// The machine's limits.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
-pub struct Machine {
+pub struct MachineLimits {
     pub memory_mb: u64,
     pub fd_limit: usize,
 }
 
-impl Default for Machine {
+impl Default for MachineLimits {
     fn default() -> Self {
-        Machine { memory_mb: 256, fd_limit: 1024 }
+        MachineLimits { memory_mb: 256, fd_limit: 1024 }
     }
 }
 
@@ -110,23 +110,23 @@
 /// Where duties are carried out.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct Platform {
+pub struct PlatformApi {
     pub address: SocketAddrV4,
     #[serde(default)]
     pub duties: Vec<String>,
-    #[serde(default = "rate")]
+    #[serde(default = "default_duty_rate_s")]
     pub duty_rate_s: f64,
 }
 
-fn rate() -> f64 {
+fn default_duty_rate_s() -> f64 {
     50.0
 }
 
 /// What is wrong with a settings file, all of it, each with its place.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault(pub Vec<String>);
+pub struct SettingsError(pub Vec<String>);
 
-impl std::fmt::Display for Fault {
+impl std::fmt::Display for SettingsError {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(&self.0.join("; "))
     }
@@ -137,9 +137,9 @@
     ///
     /// # Errors
     /// Every fault that is found, with its place.
-    pub fn read(text: &str) -> Result<Self, Fault> {
+    pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Settings =
-            serde_saphyr::from_str(text).map_err(|fault| Fault(vec![fault.to_string()]))?;
+            serde_saphyr::from_str(text).map_err(|fault| SettingsError(vec![fault.to_string()]))?;
         let mut faults = Vec::new();
         let mut check = |sound: bool, fault: &str| {
             if !sound {
@@ -153,11 +153,11 @@
             "internal-ports: the first is after the last",
         );
         check(settings.internal_ports.0 > 0, "internal-ports: 0 is no port");
-        check(settings.beat_period_ms > 0, "beat-period-ms: is 0");
+        check(settings.heartbeat_interval_ms > 0, "beat-period-ms: is 0");
         check(settings.limits.fd_limit >= 64, "limits.fd-limit: under 64");
         check(settings.limits.memory_mb >= 16, "limits.memory-mb: under 16");
         check(settings.envelope.grace_s > 0.0, "envelope.grace-s: is not above 0");
-        if faults.is_empty() { Ok(settings) } else { Err(Fault(faults)) }
+        if faults.is_empty() { Ok(settings) } else { Err(SettingsError(faults)) }
     }
 
     /// Where control processes meet each other and the routers, on each machine.
--- a/crates/arrowyard-config/tests/configuration.rs
+++ b/crates/arrowyard-config/tests/configuration.rs
@@ -1,6 +1,6 @@
 //! What is invalid is refused with its place; what is valid comes back as it was sent.
 
-use arrowyard_config::{Change, ChangeKind, Configuration, Kind, Refusal, Settings};
+use arrowyard_config::{Change, ChangeKind, ConfigError, Configuration, RouteKind, Settings};
 use proptest::prelude::*;
 
 const FIRST: &str = r#"{"revision":7,"channels":[
@@ -25,8 +25,8 @@
         assert!(body.contains(kept), "{kept} is not in {body}");
     }
     let read = first();
-    let kinds: Vec<Kind> = read.channels().map(|channel| channel.kind).collect();
-    assert_eq!(kinds, [Kind::Primary, Kind::BoundedStaleness]);
+    let kinds: Vec<RouteKind> = read.channels().map(|channel| channel.kind).collect();
+    assert_eq!(kinds, [RouteKind::Primary, RouteKind::BoundedStaleness]);
     assert_eq!(read.limits().tx_idle_ms, 3000.0);
 }
 
@@ -48,7 +48,7 @@
     assert!(refused(&unknown).contains("/channels/1/service"));
     let same = FIRST.replace("\"revision\":7", "\"revision\":9").replace("db2", "db1");
     assert!(refused(&same).contains("/channels/1"));
-    assert_eq!(first().replace(FIRST.as_bytes()), Err(Refusal::Old(7, 7)));
+    assert_eq!(first().replace(FIRST.as_bytes()), Err(ConfigError::Old(7, 7)));
 }
 
 #[test]
@@ -96,7 +96,7 @@
     let change = Change { kind: ChangeKind::Adjust, base: 7, body: body.into() };
     let next = change.apply(&first()).expect("it is valid");
     let names: Vec<(&str, &str)> =
-        next.channels().map(|channel| (channel.name.as_str(), channel.plant.as_str())).collect();
+        next.channels().map(|channel| (channel.name.as_str(), channel.database.as_str())).collect();
     assert_eq!(names, [("b", "db3"), ("c", "db4")]);
     assert_eq!(next.revision, 9);
     let orphan = r#"{"revision":9,"remove":{"services":["s1"]}}"#;
@@ -109,7 +109,7 @@
         drop(Configuration::default().replace(&body));
         let part = &FIRST.as_bytes()[..cut.min(FIRST.len())];
         prop_assert_eq!(Configuration::default().replace(part).is_ok(), part.len() == FIRST.len());
-        drop(Settings::read(&String::from_utf8_lossy(&body)));
+        drop(Settings::parse(&String::from_utf8_lossy(&body)));
     }
 }
 
@@ -117,10 +117,13 @@
 
 #[test]
 fn settings_are_checked_whole_and_unknown_fields_passed_over() {
-    let read = Settings::read(SETTINGS).expect("they are sound");
-    assert_eq!((read.internal_ports, read.bootstrap, read.beat_period_ms), ((7440, 7455), false, 1200));
+    let read = Settings::parse(SETTINGS).expect("they are sound");
+    assert_eq!(
+        (read.internal_ports, read.bootstrap, read.heartbeat_interval_ms),
+        ((7440, 7455), false, 1200)
+    );
     let wrong = SETTINGS.replace("edge-1", "").replace("7455", "7400") + "limits:\n  fd-limit: 3\n";
-    let faults = Settings::read(&wrong).expect_err("three faults").0;
+    let faults = Settings::parse(&wrong).expect_err("three faults").0;
     assert_eq!(faults.len(), 3, "{faults:?}");
-    assert!(Settings::read("node: [").is_err());
+    assert!(Settings::parse("node: [").is_err());
 }
--- a/crates/arrowyard-config/tests/shares.rs
+++ b/crates/arrowyard-config/tests/shares.rs
@@ -25,12 +25,18 @@
     let read = read(&body(3, r#","arrowyard-share":"postings""#, POSTINGS));
     let shares: Vec<&str> = read.channels().map(|channel| channel.share.as_str()).collect();
     assert_eq!(shares, ["postings", "bounded_staleness/2"]);
-    let weights: Vec<f64> = read.channels().map(|channel| channel.usual_weight()).collect();
+    let weights: Vec<f64> = read.channels().map(|channel| channel.default_weight()).collect();
     assert!(weights[0] > weights[1], "the higher priority weighs more: {weights:?}");
-    let postings =
-        Share { name: "postings".into(), weight: 3.0, least: 0.4, most: 1.0, lends: false, borrows: true };
+    let postings = Share {
+        name: "postings".into(),
+        weight: 3.0,
+        min_fraction: 0.4,
+        max_fraction: 1.0,
+        lends: false,
+        borrows: true,
+    };
     assert_eq!(read.shares().next(), Some(&postings));
-    assert!(read.divides());
+    assert!(read.division_enabled());
     let again = Configuration::default().replace(read.body().as_bytes()).expect("its own text is valid");
     assert_eq!(again, read);
 }
@@ -70,7 +76,7 @@
     let next = next.apply(&first).expect("it is valid");
     let weights: Vec<(&str, f64)> = next.shares().map(|share| (share.name.as_str(), share.weight)).collect();
     assert_eq!(weights, [("postings", 9.0), ("new", 1.0)]);
-    assert!(!next.divides() && !read(&next.body()).divides());
+    assert!(!next.division_enabled() && !read(&next.body()).division_enabled());
     // One that a route still counts as cannot go.
     let gone = adjust(4, r#"{"revision":5,"remove":{"arrowyard-shares":["postings"]}}"#).apply(&next);
     assert!(gone.expect_err("a route names it").to_string().contains("/channels/0/arrowyard-share"));
--- a/crates/arrowyard-control/src/applied.rs
+++ b/crates/arrowyard-control/src/applied.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use arrowyard_config::{Change, ChangeKind, Configuration};
-use arrowyard_messages::{Duty, Entry, Matter, Revised, Snapshot, Taken};
+use arrowyard_messages::{AppliedChange, ConfigRevision, Duty, Entry, EntryPayload, Snapshot};
 use prost::Message;
 use sha2::{Digest as _, Sha256};
 
@@ -57,7 +57,7 @@
 
 /// The digest by which a change is known again: over its kind, the version that it builds on and its body, so that two
 /// operators who choose the same number for different changes are told apart.
-pub fn digest(revised: &Revised) -> Digest {
+pub fn digest(revised: &ConfigRevision) -> Digest {
     let mut hash = Sha256::new();
     hash.update([u8::from(revised.whole)]);
     hash.update(revised.base.to_le_bytes());
@@ -73,7 +73,7 @@
     u64::from_le_bytes(*head) | 1
 }
 
-pub fn change(revised: &Revised) -> Change {
+pub fn change(revised: &ConfigRevision) -> Change {
     let kind = if revised.whole { ChangeKind::Replace } else { ChangeKind::Adjust };
     Change { kind, base: revised.base, body: revised.body.clone() }
 }
@@ -86,7 +86,7 @@
 
     /// How a change that is to bring a revision stands. Invariant: versions only rise, and every change up to this one is
     /// known here; so a change that builds on an older version and is not among those taken never will be taken.
-    pub fn standing(&self, revised: &Revised, revision: Option<u64>) -> Standing {
+    pub fn standing(&self, revised: &ConfigRevision, revision: Option<u64>) -> Standing {
         let taken = revision.and_then(|revision| self.taken(revision));
         let current = self.configuration.revision;
         if taken.is_some_and(|taken| taken == digest(revised)) {
@@ -102,7 +102,7 @@
         }
     }
 
-    fn remember(&mut self, revised: &Revised) {
+    fn remember(&mut self, revised: &ConfigRevision) {
         self.taken.push_back((self.configuration.revision, digest(revised)));
         while self.taken.len() > REMEMBERED {
             let oldest = self.taken.pop_front();
@@ -112,14 +112,15 @@
 
     /// Whether an entry would still do what it was meant for.
     pub fn holds(&self, entry: &Entry) -> bool {
-        match &entry.matter {
-            Some(Matter::Configuration(revised)) => revised.base == self.configuration.revision,
-            Some(Matter::Duty(duty)) => duty.fence == self.fence(&duty.duty),
-            Some(Matter::Voters(next)) => {
+        match &entry.payload {
+            Some(EntryPayload::Configuration(revised)) => revised.base == self.configuration.revision,
+            Some(EntryPayload::Duty(duty)) => duty.fence == self.fence(&duty.duty),
+            Some(EntryPayload::Voters(next)) => {
                 next.before == self.voters && is_one_step(&self.voters, &next.voters)
             }
-            Some(Matter::Decision(decision)) => self.duties.get(DUTY).is_some_and(|duty| {
-                (duty.holder, duty.life, duty.fence) == (decision.holder, decision.life, decision.duty_fence)
+            Some(EntryPayload::Decision(decision)) => self.duties.get(DUTY).is_some_and(|duty| {
+                (duty.holder, duty.incarnation, duty.fence)
+                    == (decision.holder, decision.incarnation, decision.duty_fence)
             }),
             _ => true,
         }
@@ -139,22 +140,22 @@
         if !self.holds(entry) {
             return;
         }
-        match &entry.matter {
-            Some(Matter::Configuration(revised)) => {
+        match &entry.payload {
+            Some(EntryPayload::Configuration(revised)) => {
                 if let Ok(configuration) = change(revised).apply(&self.configuration) {
                     self.configuration = configuration;
                     self.begun = true;
                     self.remember(revised);
                 }
             }
-            Some(Matter::Duty(duty)) => {
+            Some(EntryPayload::Duty(duty)) => {
                 // The slot is the fence: it rises with every change of holder and cannot come twice.
                 let duty = Duty { fence: self.slot, ..duty.clone() };
                 self.duties.insert(duty.duty.clone(), duty);
             }
-            Some(Matter::Voters(voters)) => self.voters = voters.voters.clone(),
+            Some(EntryPayload::Voters(voters)) => self.voters = voters.voters.clone(),
             // A decision changes nothing here: what counts is that its slot is above that of every one before.
-            Some(Matter::Rejoin(_) | Matter::Decision(_)) | None => {}
+            Some(EntryPayload::Rejoin(_) | EntryPayload::Decision(_)) | None => {}
         }
     }
 
@@ -164,10 +165,10 @@
             configuration: if self.begun { self.configuration.body().into_bytes() } else { Vec::new() },
             duties: self.duties.values().cloned().collect(),
             voters: self.voters.clone(),
-            taken: self
+            applied_changes: self
                 .taken
                 .iter()
-                .map(|(revision, digest)| Taken { revision: *revision, digest: digest.to_vec() })
+                .map(|(revision, digest)| AppliedChange { revision: *revision, digest: digest.to_vec() })
                 .collect(),
             forgotten: self.forgotten,
             deployment: self.deployment,
@@ -182,7 +183,7 @@
     /// # Errors
     /// When it cannot be read.
     pub fn restore(snapshot: &Snapshot) -> Result<Self, String> {
-        let taken = |taken: &Taken| {
+        let taken = |taken: &AppliedChange| {
             let digest = Digest::try_from(taken.digest.as_slice());
             digest
                 .map(|digest| (taken.revision, digest))
@@ -192,7 +193,7 @@
             slot: snapshot.slot,
             duties: snapshot.duties.iter().map(|duty| (duty.duty.clone(), duty.clone())).collect(),
             voters: snapshot.voters.clone(),
-            taken: snapshot.taken.iter().map(taken).collect::<Result<_, _>>()?,
+            taken: snapshot.applied_changes.iter().map(taken).collect::<Result<_, _>>()?,
             forgotten: snapshot.forgotten,
             deployment: snapshot.deployment,
             ..Applied::default()
--- a/crates/arrowyard-control/src/control.rs
+++ b/crates/arrowyard-control/src/control.rs
@@ -21,8 +21,8 @@
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use arrowyard_config::{Configuration, Settings};
-use arrowyard_messages::{Host, Known, Word, number, said};
-use arrowyard_runtime::{Conn, Door, Event, Orders, Plane, Sign};
+use arrowyard_messages::{Host, KnownControl, Payload, encode_payload, ip_to_u32};
+use arrowyard_runtime::{Commands, Conn, Event, ListenerId, Plane, Signal};
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
 use rustc_hash::FxHashMap;
@@ -43,7 +43,7 @@
 use suspicions::Suspicions;
 
 /// The doors of a control machine: the calls of hosts and operators, and the system's own processes.
-pub const DOORS: [Door; 2] = [Door(0), Door(1)];
+pub const DOORS: [ListenerId; 2] = [ListenerId(0), ListenerId(1)];
 
 /// What is done at regular times is done this often.
 const TICK: Span = Span::from_millis(250);
@@ -62,11 +62,11 @@
 enum Line {
     Caller(Caller),
     /// One of the system's own that has not said who it is.
-    Stranger(arrowyard_messages::Frames),
-    Peer(u32, arrowyard_messages::Frames),
+    Stranger(arrowyard_messages::FrameDecoder),
+    Peer(u32, arrowyard_messages::FrameDecoder),
     Router(Router),
     /// A router that came before this machine heard of the voters.
-    Early(arrowyard_messages::Hello, arrowyard_messages::Frames, Point),
+    Early(arrowyard_messages::Hello, arrowyard_messages::FrameDecoder, Point),
     Link(String),
     Platform(Platform),
 }
@@ -76,7 +76,7 @@
     settings: Settings,
     reread: Reread,
     me: u32,
-    life: u64,
+    incarnation: u64,
     rng: Rng,
     ledger: Ledger,
     /// Records are kept in memory only where there is no disk.
@@ -109,7 +109,7 @@
     relays: Relays,
     /// Calls of the operator that wait for the ledger.
     pending: FxHashMap<ProposalId, calls::Pending>,
-    silent_here: Vec<arrowyard_messages::Silent>,
+    silent_here: Vec<arrowyard_messages::SilentHost>,
     platform_calls: Vec<(Conn, Point)>,
     decisions: Decisions,
     departures: Departures,
@@ -120,7 +120,7 @@
     fewer_since: Option<Point>,
     /// When who votes may be changed next.
     seat_at: Point,
-    told: Vec<Known>,
+    told: Vec<KnownControl>,
     tick_at: Point,
     reread_at: Point,
     ticks: u64,
@@ -138,16 +138,16 @@
     /// When the disk's records cannot be read.
     pub fn open(
         settings: Settings,
-        life: u64,
+        incarnation: u64,
         records: &[Vec<u8>],
         disk: bool,
         reread: Reread,
     ) -> Result<Self, String> {
-        let me = number(settings.ip);
-        let seeds: Vec<u32> = settings.seeds.iter().map(|seed| number(*seed.ip())).collect();
+        let me = ip_to_u32(settings.ip);
+        let seeds: Vec<u32> = settings.seeds.iter().map(|seed| ip_to_u32(*seed.ip())).collect();
         let founders = (settings.bootstrap && !seeds.is_empty()).then_some(seeds.as_slice());
         let mut ready = Vec::new();
-        let ledger = Ledger::open(me, life, records, founders, &mut ready)?;
+        let ledger = Ledger::open(me, incarnation, records, founders, &mut ready)?;
         log::info!(
             "ledger: {} entries, {} voters, {}.",
             ledger.chosen(),
@@ -156,13 +156,13 @@
         );
         let mut view = View::default();
         seeds.iter().filter(|&&seed| seed != me).for_each(|&seed| view.seed(seed));
-        let duty = Duties::new(DUTY, me, life, &settings.node, Point::from_micros(0));
+        let duty = Duties::new(DUTY, me, incarnation, &settings.node, Point::from_micros(0));
         let fed = ledger.applied().configuration.clone();
         let (cell, routers) = memory::restore(records, &settings.zone);
         Ok(Control {
             me,
-            life,
-            rng: Rng::with_seed(life),
+            incarnation,
+            rng: Rng::with_seed(incarnation),
             ledger,
             has_disk: disk,
             disk: DiskWatch::default(),
@@ -183,12 +183,12 @@
             lines: FxHashMap::default(),
             peers: BTreeMap::new(),
             links: BTreeMap::new(),
-            relays: Relays::new(life),
+            relays: Relays::new(incarnation),
             pending: FxHashMap::default(),
             silent_here: Vec::new(),
             platform_calls: Vec::new(),
             decisions: Decisions::default(),
-            departures: Departures::new(life),
+            departures: Departures::new(incarnation),
             suspicions: Suspicions::default(),
             routers,
             fed,
@@ -212,23 +212,23 @@
     }
 
     /// Carries out what the ledger wants.
-    fn carry(&mut self, now: Point, out: Vec<Output>, orders: &mut Orders) {
+    fn carry(&mut self, now: Point, out: Vec<Output>, commands: &mut Commands) {
         let mut queue = std::collections::VecDeque::from(out);
         while let Some(one) = queue.pop_front() {
             match one {
-                Output::Send { to: 0, word } => self.say_to_peers(&word, orders),
-                Output::Send { to, word } => self.say_to_peer(to, &word, orders),
+                Output::Send { to: 0, word } => self.say_to_peers(&word, commands),
+                Output::Send { to, word } => self.say_to_peer(to, &word, commands),
                 Output::Store { ticket, record } if self.has_disk => {
                     self.disk.asked(now, ticket);
-                    orders.store(ticket, record);
+                    commands.store(ticket, record);
                 }
                 Output::Store { ticket, .. } => {
                     let mut more = Vec::new();
                     self.ledger.stored(now, ticket, true, &mut more);
                     queue.extend(more);
                 }
-                Output::Chosen { slot } => self.tell_chosen(now, slot, orders),
-                Output::Answered { proposal, answer } => self.answered(now, proposal, answer, orders),
+                Output::Chosen { slot } => self.tell_chosen(now, slot, commands),
+                Output::Answered { proposal, answer } => self.answered(now, proposal, answer, commands),
             }
         }
     }
@@ -237,58 +237,58 @@
     fn with_ledger<T>(
         &mut self,
         now: Point,
-        orders: &mut Orders,
+        commands: &mut Commands,
         act: impl FnOnce(&mut Ledger, &mut Vec<Output>) -> T,
     ) -> T {
         let mut out = Vec::new();
         let result = act(&mut self.ledger, &mut out);
-        self.carry(now, out, orders);
+        self.carry(now, out, commands);
         result
     }
 
-    fn tick(&mut self, now: Point, orders: &mut Orders) {
+    fn tick(&mut self, now: Point, commands: &mut Commands) {
         self.tick_at = now + TICK;
         self.ticks += 1;
         if now >= self.reread_at {
             self.reread(now);
         }
-        self.meet(now, orders);
-        self.keep_touch(now, orders);
+        self.meet(now, commands);
+        self.keep_touch(now, commands);
         if self.ticks.is_multiple_of(SWEEP) {
             self.cell.sweep(now);
             let cell = &self.cell;
             self.departures.retain(|host| cell.get(host).is_some());
         }
         self.left.retain(|(at, _)| now - *at < Span::from_millis(30_000));
-        self.drop_idle(now, orders);
-        self.count_routers(now, orders);
-        self.remember(now, orders);
-        self.tell_view(orders);
+        self.drop_idle(now, commands);
+        self.count_routers(now, commands);
+        self.remember(now, commands);
+        self.tell_view(commands);
         let mut rng = self.rng.clone();
         if let Some(entry) = self.duty.turn(now, self.ledger.applied(), &mut rng) {
-            self.with_ledger(now, orders, |ledger, out| ledger.enter(now, entry, now + TICK * 4.0, out));
+            self.with_ledger(now, commands, |ledger, out| ledger.enter(now, entry, now + TICK * 4.0, out));
         }
         self.rng = rng;
         self.unable_since = if self.is_able_to_vote(now) { None } else { self.unable_since.or(Some(now)) };
-        self.take_up(now, orders);
-        self.fill_seats(now, orders);
-        self.tell_replacements(true, orders);
-        self.divide(now, orders);
+        self.take_up(now, commands);
+        self.fill_seats(now, commands);
+        self.tell_replacements(true, commands);
+        self.divide(now, commands);
     }
 
     /// A host's word changed: the others hear of it, and the routers.
-    fn news_of(&mut self, now: Point, host: Host, orders: &mut Orders) {
+    fn news_of(&mut self, now: Point, host: Host, commands: &mut Commands) {
         if host.phase() == arrowyard_messages::Phase::Gone {
             self.left.push((now, host.clone()));
         }
-        self.tell_hosts(vec![host], orders);
-        self.look(now, orders);
+        self.tell_hosts(vec![host], commands);
+        self.look(now, commands);
     }
 
     fn reread(&mut self, now: Point) {
         self.reread_at = now + REREAD;
         if let Some(settings) = (self.reread)() {
-            settings.seeds.iter().map(|seed| number(*seed.ip())).filter(|&seed| seed != self.me).for_each(
+            settings.seeds.iter().map(|seed| ip_to_u32(*seed.ip())).filter(|&seed| seed != self.me).for_each(
                 |seed| {
                     self.view.seed(seed);
                 },
@@ -308,10 +308,10 @@
     }
 
     /// A vote that has just become durable is announced at once: another machine may be waiting to give up its seat.
-    fn announce_vote(&mut self, now: Point, orders: &mut Orders) {
+    fn announce_vote(&mut self, now: Point, commands: &mut Commands) {
         let votes = self.ledger.is_vote_durable();
         if votes && !self.announced {
-            self.beat_peers(now, orders);
+            self.beat_peers(now, commands);
         }
         self.announced = votes;
     }
@@ -327,64 +327,64 @@
         Some(SocketAddrV4::new(Ipv4Addr::from(ip), port))
     }
 
-    fn end(&mut self, now: Point, orders: &mut Orders) {
+    fn end(&mut self, now: Point, commands: &mut Commands) {
         if self.ending_since.is_none() {
             self.ending_since = Some(now);
-            self.beat_peers(now, orders);
+            self.beat_peers(now, commands);
         }
         let waited = self.ending_since.map_or(Span::ZERO, |since| now - since);
         let is_answered = self.pending.is_empty() || waited >= LAST;
         if is_answered && (waited >= HAND_OVER || !self.can_hand_over(now)) {
-            orders.stop();
+            commands.stop();
         }
     }
 }
 
 impl Plane for Control {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Point, event: Event<'_>, commands: &mut Commands) {
         match event {
             Event::Start => {
                 let ready = std::mem::take(&mut self.ready);
-                self.carry(now, ready, orders);
+                self.carry(now, ready, commands);
             }
-            Event::Accepted { conn, door } if door == DOORS[0] => {
+            Event::Accepted { conn, listener } if listener == DOORS[0] => {
                 drop(self.lines.insert(conn, Line::Caller(Caller::default())));
             }
             Event::Accepted { conn, .. } => {
-                drop(self.lines.insert(conn, Line::Stranger(arrowyard_messages::Frames::default())));
+                drop(self.lines.insert(conn, Line::Stranger(arrowyard_messages::FrameDecoder::default())));
             }
-            Event::Opened { conn } => self.opened(now, conn, orders),
-            Event::Came { conn, bytes } => self.came(now, conn, bytes, orders),
-            Event::Closed { conn, .. } => self.closed(now, conn, orders),
-            Event::Stored { ticket, kept } => {
+            Event::Connected { conn } => self.opened(now, conn, commands),
+            Event::Received { conn, bytes } => self.came(now, conn, bytes, commands),
+            Event::Closed { conn, .. } => self.closed(now, conn, commands),
+            Event::Stored { ticket, durable } => {
                 self.disk.answered(ticket);
-                self.with_ledger(now, orders, |ledger, out| ledger.stored(now, ticket, kept, out));
-                self.departure_stored(now, ticket, kept, orders);
-                self.announce_vote(now, orders);
+                self.with_ledger(now, commands, |ledger, out| ledger.stored(now, ticket, durable, out));
+                self.departure_stored(now, ticket, durable, commands);
+                self.announce_vote(now, commands);
             }
-            Event::Disk { works } => self.disk_changed(works),
-            Event::Sign(Sign::Terminate) => self.end(now, orders),
-            Event::Sign(Sign::Reread) => self.reread(now),
-            Event::Woke => {}
+            Event::DiskStatus { writable } => self.disk_changed(writable),
+            Event::Signal(Signal::Terminate) => self.end(now, commands),
+            Event::Signal(Signal::Reload) => self.reread(now),
+            Event::TimerExpired => {}
         }
         if self.ledger.due().is_some_and(|at| at <= now) {
-            self.with_ledger(now, orders, |ledger, out| ledger.on_timer(now, out));
+            self.with_ledger(now, commands, |ledger, out| ledger.on_timer(now, out));
         }
         if self.tick_at <= now {
-            self.tick(now, orders);
-            self.look(now, orders);
+            self.tick(now, commands);
+            self.look(now, commands);
         }
         if self.departures.due().is_some_and(|at| at <= now) {
-            self.refuse_late_departures(now, orders);
+            self.refuse_late_departures(now, commands);
         }
         if self.links_due().is_some_and(|at| at <= now) {
-            self.drop_idle(now, orders);
+            self.drop_idle(now, commands);
         }
         if self.promotions.due().is_some_and(|at| at <= now) {
-            self.look(now, orders);
+            self.look(now, commands);
         }
         if self.ending_since.is_some() {
-            self.end(now, orders);
+            self.end(now, commands);
         }
     }
 
@@ -405,56 +405,56 @@
 }
 
 impl Control {
-    fn opened(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn opened(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         match self.lines.get(&conn) {
-            Some(Line::Peer(ip, _)) => self.greet(now, conn, *ip, orders),
-            Some(Line::Link(host)) => self.link_opened(host.clone(), orders),
-            Some(Line::Platform(_)) => self.platform_opened(now, conn, orders),
+            Some(Line::Peer(ip, _)) => self.greet(now, conn, *ip, commands),
+            Some(Line::Link(host)) => self.link_opened(host.clone(), commands),
+            Some(Line::Platform(_)) => self.platform_opened(now, conn, commands),
             _ => {}
         }
     }
 
-    fn came(&mut self, now: Point, conn: Conn, bytes: &[u8], orders: &mut Orders) {
+    fn came(&mut self, now: Point, conn: Conn, bytes: &[u8], commands: &mut Commands) {
         match self.lines.get_mut(&conn) {
             Some(Line::Caller(caller)) => {
                 caller.messages.put(bytes);
-                self.calls(now, conn, orders);
+                self.calls(now, conn, commands);
             }
             Some(Line::Stranger(frames)) => {
                 frames.put(bytes);
-                self.strange(now, conn, orders);
+                self.strange(now, conn, commands);
             }
             Some(Line::Peer(ip, _)) => {
                 let ip = *ip;
-                self.peer_came(now, conn, ip, bytes, orders);
+                self.peer_came(now, conn, ip, bytes, commands);
             }
             Some(Line::Early(_, frames, _)) => frames.put(bytes),
             Some(Line::Router(router)) => {
                 router.frames.put(bytes);
-                self.router_came(now, conn, orders);
+                self.router_came(now, conn, commands);
             }
             Some(Line::Link(host)) => {
                 let host = host.clone();
-                self.link_came(now, host, bytes, orders);
+                self.link_came(now, host, bytes, commands);
             }
             Some(Line::Platform(platform)) => {
                 platform.messages.put(bytes);
-                self.platform_came(now, conn, orders);
+                self.platform_came(now, conn, commands);
             }
             None => {}
         }
     }
 
-    fn closed(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn closed(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         match self.lines.remove(&conn) {
             Some(Line::Peer(ip, _)) => self.peer_closed(conn, ip),
-            Some(Line::Link(host)) => self.link_closed(now, host, conn, orders),
-            Some(Line::Platform(platform)) => self.platform_closed(now, &platform, orders),
+            Some(Line::Link(host)) => self.link_closed(now, host, conn, commands),
+            Some(Line::Platform(platform)) => self.platform_closed(now, &platform, commands),
             _ => {}
         }
     }
 
-    fn say(&self, conn: Conn, word: Word, orders: &mut Orders) {
-        orders.write(conn, &[&said(word)]);
+    fn say(&self, conn: Conn, word: Payload, commands: &mut Commands) {
+        commands.write(conn, &[&encode_payload(word)]);
     }
 }
--- a/crates/arrowyard-control/src/control/calls.rs
+++ b/crates/arrowyard-control/src/control/calls.rs
@@ -2,10 +2,10 @@
 
 use std::net::SocketAddrV4;
 
-use arrowyard_config::{Configuration, Refusal};
-use arrowyard_messages::{DbRole, Entry, Host, Matter, Phase, Revised, number};
-use arrowyard_runtime::http::{Messages, Request, answer};
-use arrowyard_runtime::{Conn, Orders};
+use arrowyard_config::{ConfigError, Configuration};
+use arrowyard_messages::{ConfigRevision, DbRole, Entry, EntryPayload, Host, Phase, ip_to_u32};
+use arrowyard_runtime::http::{HttpDecoder, Request, format_response};
+use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{Point, Span};
 use sonic_rs::{JsonValueTrait, Value};
 
@@ -21,7 +21,7 @@
 /// A caller's connection.
 #[derive(Default)]
 pub struct Caller {
-    pub messages: Messages,
+    pub messages: HttpDecoder,
     /// Whether the answer to a call waits for others; the next call waits behind it.
     waits: bool,
     last: bool,
@@ -32,13 +32,13 @@
 pub enum Pending {
     Change {
         conn: Conn,
-        revised: Revised,
+        revised: ConfigRevision,
         revision: u64,
     },
     /// It builds on a version that is not known here: first it is learnt what there is.
     Learn {
         conn: Conn,
-        revised: Revised,
+        revised: ConfigRevision,
     },
     Read {
         conn: Conn,
@@ -51,76 +51,82 @@
 
 impl Control {
     /// Answers the calls of a connection that are whole, in their order.
-    pub(super) fn calls(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn calls(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         loop {
             let Some(Line::Caller(caller)) = self.lines.get_mut(&conn) else { return };
             if caller.waits {
                 return;
             }
-            match caller.messages.request() {
+            match caller.messages.next_request() {
                 Ok(None) => return,
                 Err(unreadable) => {
-                    orders.write(conn, &[answer(unreadable.0, &fault(unreadable.1)).as_bytes()]);
-                    orders.close(conn);
+                    commands.write(conn, &[format_response(unreadable.0, &fault(unreadable.1)).as_bytes()]);
+                    commands.close(conn);
                     drop(self.lines.remove(&conn));
                     return;
                 }
                 Ok(Some(request)) => {
-                    caller.last = request.last;
-                    self.call(now, conn, &request, orders);
+                    caller.last = request.close_connection;
+                    self.call(now, conn, &request, commands);
                 }
             }
         }
     }
 
-    pub(super) fn reply(&mut self, conn: Conn, status: u16, body: &str, orders: &mut Orders) {
+    pub(super) fn reply(&mut self, conn: Conn, status: u16, body: &str, commands: &mut Commands) {
         let Some(Line::Caller(caller)) = self.lines.get_mut(&conn) else { return };
         caller.waits = false;
-        orders.write(conn, &[answer(status, body).as_bytes()]);
+        commands.write(conn, &[format_response(status, body).as_bytes()]);
         if caller.last {
-            orders.close(conn);
+            commands.close(conn);
             drop(self.lines.remove(&conn));
         }
     }
 
-    fn call(&mut self, now: Point, conn: Conn, request: &Request, orders: &mut Orders) {
+    fn call(&mut self, now: Point, conn: Conn, request: &Request, commands: &mut Commands) {
         let path = request.path.split('?').next().unwrap_or_default();
         if path != "/status" && !self.is_in_touch(now) {
-            return self.reply(conn, 503, &fault("Cut off from the others; ask elsewhere."), orders);
+            return self.reply(conn, 503, &fault("Cut off from the others; ask elsewhere."), commands);
         }
         let named = |prefix: &str| path.strip_prefix(prefix).filter(|id| !id.is_empty());
         match (request.method.as_str(), path) {
             ("POST", _) if named("/Instances.Beat/").is_some() => {
                 let id = named("/Instances.Beat/").unwrap_or_default();
                 match beat(id, &request.body) {
-                    Ok(host) => self.beat(now, conn, host, orders),
-                    Err(why) => self.reply(conn, 400, &fault(why), orders),
+                    Ok(host) => self.beat(now, conn, host, commands),
+                    Err(why) => self.reply(conn, 400, &fault(why), commands),
                 }
             }
             ("POST", _) if named("/Instances.Leave/").is_some() => {
                 let id = named("/Instances.Leave/").unwrap_or_default();
-                self.leave(now, conn, id, orders);
+                self.leave(now, conn, id, commands);
             }
             ("POST", "/Config.Replace" | "/Config.Adjust") => {
                 let Some(base) = request.header(BASE).and_then(|base| base.parse().ok()) else {
-                    return self.reply(conn, 400, &fault("Arrowyard-Base-Revision: is no number."), orders);
+                    return self.reply(conn, 400, &fault("Arrowyard-Base-Revision: is no number."), commands);
                 };
                 if self.is_founding(now) {
-                    return self.reply(conn, 503, &fault("Not all seats are filled yet; ask again."), orders);
+                    return self.reply(
+                        conn,
+                        503,
+                        &fault("Not all seats are filled yet; ask again."),
+                        commands,
+                    );
                 }
-                let revised = Revised { whole: path == "/Config.Replace", base, body: request.body.clone() };
-                self.change(now, conn, revised, true, orders);
+                let revised =
+                    ConfigRevision { whole: path == "/Config.Replace", base, body: request.body.clone() };
+                self.change(now, conn, revised, true, commands);
             }
             ("GET", "/Config.Read") => {
                 let until = now + CLEAR;
                 let pending = Pending::Read { conn };
-                self.propose(now, conn, pending, orders, |ledger, out| ledger.read_all(now, until, out));
+                self.propose(now, conn, pending, commands, |ledger, out| ledger.read_all(now, until, out));
             }
             ("GET", "/status") => {
                 let body = self.status(now);
-                self.reply(conn, 200, &body, orders);
+                self.reply(conn, 200, &body, commands);
             }
-            _ => self.reply(conn, 404, &fault("There is no such call."), orders),
+            _ => self.reply(conn, 404, &fault("There is no such call."), commands),
         }
     }
 
@@ -130,14 +136,14 @@
         now: Point,
         conn: Conn,
         pending: Pending,
-        orders: &mut Orders,
+        commands: &mut Commands,
         proposal: impl FnOnce(&mut Ledger, &mut Vec<Output>) -> ProposalId,
     ) {
         // Danger: the answer may come before the proposal is made; what it is for is laid down first.
         let ticket = self.ledger.next_proposal();
         self.pending.insert(ticket, pending);
         self.wait_for(conn);
-        self.with_ledger(now, orders, proposal);
+        self.with_ledger(now, commands, proposal);
     }
 
     /// The answer to a caller is not known yet.
@@ -148,11 +154,11 @@
     }
 
     /// A host calls: it is known from now on, and where its own zone has a control machine, it is sent there.
-    fn beat(&mut self, now: Point, conn: Conn, host: Host, orders: &mut Orders) {
+    fn beat(&mut self, now: Point, conn: Conn, host: Host, commands: &mut Commands) {
         self.silent.remove(&host.id);
         let zone = host.zone.clone();
         if self.cell.called(now, host.clone()) {
-            self.news_of(now, host.clone(), orders);
+            self.news_of(now, host.clone(), commands);
         }
         let near = if zone == self.settings.zone { None } else { self.peer_in(now, &zone) };
         let body = match near.and_then(|ip| self.control_of(ip)) {
@@ -160,14 +166,14 @@
             None => "{}".to_string(),
         };
         if host.phase() == Phase::InService {
-            self.reply(conn, 200, &body, orders);
+            self.reply(conn, 200, &body, commands);
         } else {
-            self.departs(now, conn, host, body, orders);
+            self.departs(now, conn, host, body, commands);
         }
     }
 
     /// A host has left. One that was never heard of here may be known elsewhere, so that is told and kept all the same.
-    fn leave(&mut self, now: Point, conn: Conn, id: &str, orders: &mut Orders) {
+    fn leave(&mut self, now: Point, conn: Conn, id: &str, commands: &mut Commands) {
         self.silent.remove(id);
         let known = self.cell.get(id).cloned();
         let gone = match known {
@@ -176,17 +182,24 @@
             None => Host { id: id.to_string(), phase: Phase::Gone.into(), ..Host::default() },
         };
         if self.cell.called(now, gone.clone()) {
-            self.news_of(now, gone.clone(), orders);
+            self.news_of(now, gone.clone(), commands);
         }
-        self.departs(now, conn, gone, "{}".to_string(), orders);
+        self.departs(now, conn, gone, "{}".to_string(), commands);
     }
 
     /// An operator's change: answered at once where that is certain, else entered in the ledger.
-    fn change(&mut self, now: Point, conn: Conn, revised: Revised, first: bool, orders: &mut Orders) {
+    fn change(
+        &mut self,
+        now: Point,
+        conn: Conn,
+        revised: ConfigRevision,
+        first: bool,
+        commands: &mut Commands,
+    ) {
         let applied = self.ledger.applied();
         let alone = if revised.whole { Configuration::default().replace(&revised.body).err() } else { None };
-        if let Some(refusal) = alone.filter(|refusal| !matches!(refusal, Refusal::Old(..))) {
-            return self.refuse(conn, &refusal, orders);
+        if let Some(refusal) = alone.filter(|refusal| !matches!(refusal, ConfigError::Old(..))) {
+            return self.refuse(conn, &refusal, commands);
         }
         let revision = revision(&revised.body);
         match applied.standing(&revised, revision) {
@@ -195,17 +208,19 @@
                 let until = now + CLEAR;
                 let pending = Pending::Learn { conn, revised };
                 return self
-                    .propose(now, conn, pending, orders, |ledger, out| ledger.read_all(now, until, out));
+                    .propose(now, conn, pending, commands, |ledger, out| ledger.read_all(now, until, out));
             }
-            standing => return self.answer_standing(conn, standing, revision, orders),
+            standing => return self.answer_standing(conn, standing, revision, commands),
         }
         match change(&revised).apply(&applied.configuration) {
-            Err(refusal) => self.refuse(conn, &refusal, orders),
+            Err(refusal) => self.refuse(conn, &refusal, commands),
             Ok(next) => {
                 let (until, revision) = (now + CLEAR, next.revision);
-                let entry = Entry { matter: Some(Matter::Configuration(revised.clone())) };
+                let entry = Entry { payload: Some(EntryPayload::Configuration(revised.clone())) };
                 let pending = Pending::Change { conn, revised, revision };
-                self.propose(now, conn, pending, orders, |ledger, out| ledger.enter(now, entry, until, out));
+                self.propose(now, conn, pending, commands, |ledger, out| {
+                    ledger.enter(now, entry, until, out)
+                });
             }
         }
     }
@@ -216,36 +231,42 @@
         conn: Conn,
         standing: Standing,
         revision: Option<u64>,
-        orders: &mut Orders,
+        commands: &mut Commands,
     ) {
         match standing {
             Standing::Taken => {
                 log::info!("configuration: Revision {} is in place.", revision.unwrap_or_default());
-                self.reply(conn, 200, "{}", orders);
+                self.reply(conn, 200, "{}", commands);
             }
             // Safety: a change that was taken is never refused, however long ago that was.
             Standing::Forgotten => {
                 let body =
                     fault("So many changes were taken since that it is not known whether this one was.");
-                self.reply(conn, 503, &body, orders);
+                self.reply(conn, 503, &body, commands);
             }
-            Standing::Open => self.reply(conn, 503, &fault("It is not clear yet; ask again."), orders),
+            Standing::Open => self.reply(conn, 503, &fault("It is not clear yet; ask again."), commands),
             Standing::Ahead | Standing::Superseded => {
                 let current = self.ledger.applied().configuration.revision;
-                self.reply(conn, 412, &fault(&format!("Revision {current} is in place.")), orders);
+                self.reply(conn, 412, &fault(&format!("Revision {current} is in place.")), commands);
             }
         }
     }
 
-    fn refuse(&mut self, conn: Conn, refusal: &Refusal, orders: &mut Orders) {
+    fn refuse(&mut self, conn: Conn, refusal: &ConfigError, commands: &mut Commands) {
         log::info!("configuration: A change is refused: {refusal}.");
-        self.reply(conn, 400, &fault(&refusal.to_string()), orders);
+        self.reply(conn, 400, &fault(&refusal.to_string()), commands);
     }
 
     /// The ledger answers a proposal.
-    pub(super) fn answered(&mut self, now: Point, proposal: ProposalId, answer: Answer, orders: &mut Orders) {
-        if self.proposal_answered(now, proposal, answer, orders)
-            || self.confirmation_answered(now, proposal, answer, orders)
+    pub(super) fn answered(
+        &mut self,
+        now: Point,
+        proposal: ProposalId,
+        answer: Answer,
+        commands: &mut Commands,
+    ) {
+        if self.proposal_answered(now, proposal, answer, commands)
+            || self.confirmation_answered(now, proposal, answer, commands)
         {
             return;
         }
@@ -255,26 +276,28 @@
             Pending::Change { conn, .. } | Pending::Learn { conn, .. } | Pending::Read { conn } => *conn,
         };
         match (pending, answer) {
-            (_, Answer::Unknown) => self.reply(conn, 503, &fault("It is not clear yet; ask again."), orders),
+            (_, Answer::Unknown) => {
+                self.reply(conn, 503, &fault("It is not clear yet; ask again."), commands)
+            }
             (_, Answer::Full) => {
-                self.reply(conn, 503, &fault("Too much waits here; nothing was done."), orders)
+                self.reply(conn, 503, &fault("Too much waits here; nothing was done."), commands)
             }
             (Pending::Change { revised, revision, .. }, _) => {
                 let standing = self.ledger.applied().standing(&revised, Some(revision));
-                self.answer_standing(conn, standing, Some(revision), orders);
+                self.answer_standing(conn, standing, Some(revision), commands);
             }
-            (Pending::Learn { revised, .. }, _) => self.change(now, conn, revised, false, orders),
+            (Pending::Learn { revised, .. }, _) => self.change(now, conn, revised, false, commands),
             (Pending::Read { .. }, _) => {
                 if self.ledger.applied().begun {
                     let body = self.ledger.applied().configuration.body();
-                    self.reply(conn, 200, &body, orders);
+                    self.reply(conn, 200, &body, commands);
                 } else {
-                    self.reply(conn, 404, &fault("There is no configuration yet."), orders);
+                    self.reply(conn, 404, &fault("There is no configuration yet."), commands);
                 }
             }
         }
         // Calls that came behind it.
-        self.calls(now, conn, orders);
+        self.calls(now, conn, commands);
     }
 }
 
@@ -298,7 +321,7 @@
     Ok(Host {
         id: id.to_string(),
         service: text("service").filter(|service| !service.is_empty()).ok_or("service: is no text.")?,
-        ip: number(*address.ip()),
+        ip: ip_to_u32(*address.ip()),
         port: address.port().into(),
         zone: text("zone").unwrap_or_default(),
         capacity: count("capacity").unwrap_or(1.0).clamp(1.0, 1e6) as u32,
--- a/crates/arrowyard-control/src/control/departures.rs
+++ b/crates/arrowyard-control/src/control/departures.rs
@@ -7,8 +7,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use arrowyard_messages::{Departing, DepartureKept, Host, Phase, Word};
-use arrowyard_runtime::{Conn, Orders};
+use arrowyard_messages::{DepartureNotice, DepartureStored, Host, Payload, Phase};
+use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{Point, Span};
 
 use super::Control;
@@ -43,8 +43,8 @@
 impl Departures {
     /// Those of one life. Safety: numbers of two lives differ, so that a word on a departure of an earlier life does not
     /// pass for one on a departure of this life.
-    pub fn new(life: u64) -> Self {
-        Departures { last: life >> 1, ..Departures::default() }
+    pub fn new(incarnation: u64) -> Self {
+        Departures { last: incarnation >> 1, ..Departures::default() }
     }
 
     /// A host waits; this machine keeps it by this record. Its number is told to the others.
@@ -118,68 +118,81 @@
 
 impl Control {
     /// A host says here that it leaves or has left: it is answered once a majority keeps that.
-    pub(super) fn departs(&mut self, now: Point, conn: Conn, host: Host, reply: String, orders: &mut Orders) {
+    pub(super) fn departs(
+        &mut self,
+        now: Point,
+        conn: Conn,
+        host: Host,
+        reply: String,
+        commands: &mut Commands,
+    ) {
         if self.departures.is_acknowledged(&host.id, host.phase()) {
-            return self.reply(conn, 200, &reply, orders);
+            return self.reply(conn, 200, &reply, commands);
         }
         self.wait_for(conn);
-        let record = self.keep_departure(now, &host, orders);
+        let record = self.keep_departure(now, &host, commands);
         let number = self.departures.begin(now, conn, host.clone(), reply, record);
-        self.say_to_peers(&Word::Departing(Departing { number, host }), orders);
+        self.say_to_peers(&Payload::DepartureNotice(DepartureNotice { number, host }), commands);
         if !self.has_disk {
-            self.departure_stored(now, record, true, orders);
+            self.departure_stored(now, record, true, commands);
         }
     }
 
-    fn keep_departure(&mut self, now: Point, host: &Host, orders: &mut Orders) -> u64 {
+    fn keep_departure(&mut self, now: Point, host: &Host, commands: &mut Commands) -> u64 {
         let kept = Kept::Departing(host.clone());
-        self.with_ledger(now, orders, |ledger, out| ledger.keep(kept, out))
+        self.with_ledger(now, commands, |ledger, out| ledger.keep(kept, out))
     }
 
     /// Another control machine was told that a host leaves or has left.
-    pub(super) fn departure_told(&mut self, now: Point, ip: u32, departing: Departing, orders: &mut Orders) {
-        let Departing { number, host } = departing;
+    pub(super) fn departure_told(
+        &mut self,
+        now: Point,
+        ip: u32,
+        departing: DepartureNotice,
+        commands: &mut Commands,
+    ) {
+        let DepartureNotice { number, host } = departing;
         if self.cell.told(now, host.clone()) {
             if host.phase() == Phase::Gone {
                 self.left.push((now, host.clone()));
             }
-            self.pass_on(vec![host.clone()], orders);
-            self.look(now, orders);
+            self.pass_on(vec![host.clone()], commands);
+            self.look(now, commands);
         }
-        let record = self.keep_departure(now, &host, orders);
+        let record = self.keep_departure(now, &host, commands);
         self.departures.keep_for(record, ip, number);
         if !self.has_disk {
-            self.departure_stored(now, record, true, orders);
+            self.departure_stored(now, record, true, commands);
         }
     }
 
     /// The fate of a record is known; it may be a departure's.
-    pub(super) fn departure_stored(&mut self, now: Point, record: u64, kept: bool, orders: &mut Orders) {
+    pub(super) fn departure_stored(&mut self, now: Point, record: u64, kept: bool, commands: &mut Commands) {
         if let Some((ip, number)) = self.departures.stored(self.me, record, kept) {
-            self.say_to_peer(ip, &Word::DepartureKept(DepartureKept { number }), orders);
+            self.say_to_peer(ip, &Payload::DepartureStored(DepartureStored { number }), commands);
         }
-        self.acknowledge_departures(now, orders);
+        self.acknowledge_departures(now, commands);
     }
 
-    pub(super) fn departure_kept(&mut self, now: Point, ip: u32, number: u64, orders: &mut Orders) {
+    pub(super) fn departure_kept(&mut self, now: Point, ip: u32, number: u64, commands: &mut Commands) {
         self.departures.kept(ip, number);
-        self.acknowledge_departures(now, orders);
+        self.acknowledge_departures(now, commands);
     }
 
-    fn acknowledge_departures(&mut self, now: Point, orders: &mut Orders) {
+    fn acknowledge_departures(&mut self, now: Point, commands: &mut Commands) {
         for departure in self.departures.settle(self.ledger.voters()) {
-            self.reply(departure.conn, 200, &departure.reply, orders);
-            self.calls(now, departure.conn, orders);
+            self.reply(departure.conn, 200, &departure.reply, commands);
+            self.calls(now, departure.conn, commands);
         }
     }
 
     /// Hosts whose departure no majority keeps are told to ask elsewhere.
-    pub(super) fn refuse_late_departures(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn refuse_late_departures(&mut self, now: Point, commands: &mut Commands) {
         for departure in self.departures.late(now) {
             log::warn!("hosts: {} leaves, and no majority keeps that.", departure.host.id);
             let body = "{\"error\":\"No majority of the control machines keeps this yet; ask elsewhere.\"}";
-            self.reply(departure.conn, 503, body, orders);
-            self.calls(now, departure.conn, orders);
+            self.reply(departure.conn, 503, body, commands);
+            self.calls(now, departure.conn, commands);
         }
     }
 }
--- a/crates/arrowyard-control/src/control/duty.rs
+++ b/crates/arrowyard-control/src/control/duty.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use arrowyard_runtime::Orders;
+use arrowyard_runtime::Commands;
 use arrowyard_types::{Point, Span};
 
 use super::Control;
@@ -17,11 +17,11 @@
     /// Takes the duty up, or lays it down. Safety: a machine that was cut off may hold it by what it knows while another
     /// one holds it by now; the two would undo each other's questions to replicas. So it carries out nothing while it is
     /// cut off, and afterwards only once a majority has confirmed that it still holds the duty.
-    pub(super) fn take_up(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn take_up(&mut self, now: Point, commands: &mut Commands) {
         let held = self.duty.held(self.ledger.applied());
         let fence = held.filter(|_| self.in_touch && self.confirmed == held);
         if held.is_some() && fence.is_none() {
-            self.confirm(now, orders);
+            self.confirm(now, commands);
         }
         if fence == self.fence {
             return;
@@ -31,7 +31,7 @@
         self.divide_from(now, after_another);
         self.decide_from(now, after_another);
         self.promotions = Promotions::default();
-        self.drop_platform_calls(orders);
+        self.drop_platform_calls(commands);
         match fence {
             Some(fence) => log::info!("duty: Holds promote, fence {fence}."),
             None => log::info!("duty: Holds promote no more."),
@@ -39,18 +39,18 @@
         if after_another {
             // Whoever held it before may have left replicas paused.
             let replicas: Vec<String> = self.cell.all().map(|host| host.id.clone()).collect();
-            self.ask_hosts(now, replicas.into_iter().map(|host| Ask::Continue { host }).collect(), orders);
+            self.ask_hosts(now, replicas.into_iter().map(|host| Ask::Continue { host }).collect(), commands);
         }
         if fence.is_some() {
-            self.check_suspicions(now, orders);
+            self.check_suspicions(now, commands);
         }
     }
 
     /// Asks a majority whether all that was agreed on is known here, this machine's hold of the duty among it.
-    pub(super) fn confirm(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn confirm(&mut self, now: Point, commands: &mut Commands) {
         if self.in_touch && self.confirming.is_none() {
             self.confirming = Some(self.ledger.next_proposal());
-            self.with_ledger(now, orders, |ledger, out| ledger.read_all(now, now + CONFIRMED, out));
+            self.with_ledger(now, commands, |ledger, out| ledger.read_all(now, now + CONFIRMED, out));
         }
     }
 
@@ -60,7 +60,7 @@
         now: Point,
         ticket: ProposalId,
         answer: Answer,
-        orders: &mut Orders,
+        commands: &mut Commands,
     ) -> bool {
         if self.confirming != Some(ticket) {
             return false;
@@ -68,21 +68,21 @@
         self.confirming = None;
         if answer == Answer::Current && self.in_touch {
             self.confirmed = self.duty.held(self.ledger.applied());
-            self.take_up(now, orders);
+            self.take_up(now, commands);
         }
         true
     }
 
     /// This machine was cut off, or is in touch again.
-    pub(super) fn touch_changed(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn touch_changed(&mut self, now: Point, commands: &mut Commands) {
         if !self.in_touch {
             self.confirmed = None;
         }
-        self.take_up(now, orders);
+        self.take_up(now, commands);
     }
 
     /// Looks at every service whose primary may have to change.
-    pub(super) fn look(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn look(&mut self, now: Point, commands: &mut Commands) {
         let services: Vec<String> =
             self.ledger.applied().configuration.services().map(|service| service.name.clone()).collect();
         if self.leaders.len() > services.len() {
@@ -108,7 +108,7 @@
             }
             promotion.look(now, &sight, &mut asks);
         }
-        self.tell_replacements(false, orders);
-        self.ask_hosts(now, asks, orders);
+        self.tell_replacements(false, commands);
+        self.ask_hosts(now, asks, commands);
     }
 }
--- a/crates/arrowyard-control/src/control/feed.rs
+++ b/crates/arrowyard-control/src/control/feed.rs
@@ -1,7 +1,10 @@
 //! What routers are told: all of it once, then numbered changes. A router says which number it has.
 
-use arrowyard_messages::{Change, Frames, Hello, Host, Known, Matter, Revised, Seen, Step, Whole, Word};
-use arrowyard_runtime::{Conn, Orders};
+use arrowyard_messages::{
+    ChosenRevision, ConfigRevision, EntryPayload, FeedAck, FeedSnapshot, FeedUpdate, FrameDecoder, Hello,
+    Host, KnownControl, Payload,
+};
+use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{Point, Span};
 
 use super::{Control, Line};
@@ -16,12 +19,12 @@
 
 /// A router's connection.
 pub struct Router {
-    pub frames: Frames,
+    pub frames: FrameDecoder,
     pub node: String,
     /// Of its process.
-    pub life: u64,
+    pub incarnation: u64,
     number: u64,
-    pub seen: Seen,
+    pub seen: FeedAck,
     heard_at: Point,
 }
 
@@ -31,27 +34,27 @@
         now: Point,
         conn: Conn,
         hello: &Hello,
-        frames: Frames,
-        orders: &mut Orders,
+        frames: FrameDecoder,
+        commands: &mut Commands,
     ) {
         log::info!("feed: {} is fed.", hello.node);
         let router = Router {
             frames,
             node: hello.node.clone(),
-            life: hello.life,
+            incarnation: hello.incarnation,
             number: 0,
-            seen: Seen::default(),
+            seen: FeedAck::default(),
             heard_at: now,
         };
         self.lines.insert(conn, Line::Router(router));
-        self.tell_whole(conn, orders);
+        self.tell_whole(conn, commands);
     }
 
-    fn tell_whole(&mut self, conn: Conn, orders: &mut Orders) {
+    fn tell_whole(&mut self, conn: Conn, commands: &mut Commands) {
         let applied = self.ledger.applied();
         let configuration =
             if applied.begun { applied.configuration.body().into_bytes() } else { Vec::new() };
-        let mut whole = Whole {
+        let mut whole = FeedSnapshot {
             number: 0,
             slot: applied.slot,
             configuration,
@@ -62,33 +65,33 @@
         if let Some(Line::Router(router)) = self.lines.get_mut(&conn) {
             router.number += 1;
             whole.number = router.number;
-            self.say(conn, Word::Whole(whole), orders);
+            self.say(conn, Payload::FeedSnapshot(whole), commands);
         }
     }
 
-    pub(super) fn router_came(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn router_came(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         loop {
             let Some(Line::Router(router)) = self.lines.get_mut(&conn) else { return };
             match router.frames.take() {
                 Ok(None) => return,
                 Err(broken) => {
                     log::warn!("feed: {}: {broken}.", router.node);
-                    orders.drop(conn);
+                    commands.reset(conn);
                     drop(self.lines.remove(&conn));
                     return;
                 }
-                Ok(Some(frame)) => match frame.word {
-                    Some(Word::Seen(seen)) => {
+                Ok(Some(frame)) => match frame.payload {
+                    Some(Payload::FeedAck(seen)) => {
                         router.heard_at = now;
                         router.seen = seen;
                         if seen.lost {
-                            self.tell_whole(conn, orders);
+                            self.tell_whole(conn, commands);
                         }
                     }
-                    Some(Word::Suspect(suspect)) => self.suspected(now, suspect, orders),
-                    Some(Word::Needs(needs)) => self.needs(now, None, needs, orders),
-                    Some(Word::Yielded(yielded)) => self.yielded(now, true, yielded, orders),
-                    Some(Word::RelayedAnswer(answer)) => self.relayed(now, answer, orders),
+                    Some(Payload::Suspect(suspect)) => self.suspected(now, suspect, commands),
+                    Some(Payload::DemandReport(needs)) => self.needs(now, None, needs, commands),
+                    Some(Payload::Demotion(yielded)) => self.yielded(now, true, yielded, commands),
+                    Some(Payload::RelayedResponse(answer)) => self.relayed(now, answer, commands),
                     _ => {}
                 },
             }
@@ -101,7 +104,7 @@
     }
 
     /// Every router gets the change under its own next number.
-    fn tell_routers(&mut self, change: &Change, orders: &mut Orders) {
+    fn tell_routers(&mut self, change: &FeedUpdate, commands: &mut Commands) {
         let mut fed = Vec::new();
         for (conn, line) in &mut self.lines {
             if let Line::Router(router) = line {
@@ -111,43 +114,43 @@
         }
         fed.sort_unstable();
         for (conn, number) in fed {
-            self.say(conn, Word::Change(Change { number, ..change.clone() }), orders);
+            self.say(conn, Payload::FeedUpdate(FeedUpdate { number, ..change.clone() }), commands);
         }
     }
 
     /// A slot is known: what it changes goes out.
-    pub(super) fn tell_chosen(&mut self, now: Point, slot: u64, orders: &mut Orders) {
+    pub(super) fn tell_chosen(&mut self, now: Point, slot: u64, commands: &mut Commands) {
         let entry = self.ledger.entry(slot);
-        match entry.map(|entry| entry.matter.clone()) {
-            Some(Some(Matter::Duty(_))) => self.pass_suspicions(now, orders),
-            Some(Some(Matter::Decision(decision))) => self.decided(now, slot, &decision, orders),
-            Some(Some(Matter::Configuration(_))) => self.tell_configuration(orders),
+        match entry.map(|entry| entry.payload.clone()) {
+            Some(Some(EntryPayload::Duty(_))) => self.pass_suspicions(now, commands),
+            Some(Some(EntryPayload::Decision(decision))) => self.decided(now, slot, &decision, commands),
+            Some(Some(EntryPayload::Configuration(_))) => self.tell_configuration(commands),
             Some(_) => {}
             None => {
                 // It came as a snapshot: routers need all of it.
                 self.fed = self.ledger.applied().configuration.clone();
                 let fed: Vec<Conn> = self.routers_fed().map(|(conn, _)| conn).collect();
-                fed.into_iter().for_each(|conn| self.tell_whole(conn, orders));
+                fed.into_iter().for_each(|conn| self.tell_whole(conn, commands));
             }
         }
-        self.take_up(now, orders);
+        self.take_up(now, commands);
     }
 
     /// Routers are told what differs from what they were told last. A whole configuration that an operator sends mostly
     /// differs in little from the one before; sent whole to every router, a few in a second fill the links of small machines.
-    fn tell_configuration(&mut self, orders: &mut Orders) {
+    fn tell_configuration(&mut self, commands: &mut Commands) {
         let applied = self.ledger.applied();
         if applied.configuration.revision == self.fed.revision {
             return;
         }
         let base = self.fed.revision;
         let revised = match self.fed.difference(&applied.configuration) {
-            Some(body) => Revised { whole: false, base, body: body.into_bytes() },
-            None => Revised { whole: true, base, body: applied.configuration.body().into_bytes() },
+            Some(body) => ConfigRevision { whole: false, base, body: body.into_bytes() },
+            None => ConfigRevision { whole: true, base, body: applied.configuration.body().into_bytes() },
         };
-        let step = Step { slot: applied.slot, revised };
+        let step = ChosenRevision { slot: applied.slot, revised };
         self.fed = applied.configuration.clone();
-        self.tell_routers(&Change { revised: vec![step], ..Change::default() }, orders);
+        self.tell_routers(&FeedUpdate { revised: vec![step], ..FeedUpdate::default() }, commands);
     }
 
     pub(super) fn routers_fed(&self) -> impl Iterator<Item = (Conn, &Router)> {
@@ -158,24 +161,24 @@
     }
 
     /// News of hosts, to the other control machines and to the routers.
-    pub(super) fn tell_hosts(&mut self, hosts: Vec<Host>, orders: &mut Orders) {
-        let cell = arrowyard_messages::Cell { hosts: hosts.clone(), whole: false };
-        self.say_to_peers(&Word::Cell(cell), orders);
-        self.tell_routers(&Change { hosts, ..Change::default() }, orders);
+    pub(super) fn tell_hosts(&mut self, hosts: Vec<Host>, commands: &mut Commands) {
+        let cell = arrowyard_messages::HostUpdate { hosts: hosts.clone(), whole: false };
+        self.say_to_peers(&Payload::HostUpdate(cell), commands);
+        self.tell_routers(&FeedUpdate { hosts, ..FeedUpdate::default() }, commands);
     }
 
     /// News of hosts that came from another control machine.
-    pub(super) fn pass_on(&mut self, hosts: Vec<Host>, orders: &mut Orders) {
-        self.tell_routers(&Change { hosts, ..Change::default() }, orders);
+    pub(super) fn pass_on(&mut self, hosts: Vec<Host>, commands: &mut Commands) {
+        self.tell_routers(&FeedUpdate { hosts, ..FeedUpdate::default() }, commands);
     }
 
-    pub(super) fn count_routers(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn count_routers(&mut self, now: Point, commands: &mut Commands) {
         let here = self.routers_fed().count() as u32;
         let elsewhere: u32 = self.live_peers(now).map(|(_, peer)| peer.routers).sum();
         let routers = here + elsewhere;
         // A start counts its routers one by one: until it has them, it goes by what it knew, or by a careful guess.
         if self.routers == 0 && routers > 0 {
-            self.tell_count(GUESS.max(routers), orders);
+            self.tell_count(GUESS.max(routers), commands);
         }
         if routers < self.routers {
             let since = *self.fewer_since.get_or_insert(now);
@@ -185,30 +188,33 @@
         }
         self.fewer_since = None;
         if routers != self.routers {
-            self.tell_count(routers, orders);
+            self.tell_count(routers, commands);
         }
     }
 
     /// How many routers share the hosts' connections from now on.
-    fn tell_count(&mut self, routers: u32, orders: &mut Orders) {
+    fn tell_count(&mut self, routers: u32, commands: &mut Commands) {
         self.routers = routers;
-        self.tell_routers(&Change { routers, ..Change::default() }, orders);
+        self.tell_routers(&FeedUpdate { routers, ..FeedUpdate::default() }, commands);
     }
 
     /// Control machines that are up, for routers to turn to.
-    fn controls(&self) -> Vec<Known> {
-        let me = Known { ip: self.me, zone: self.settings.zone.clone(), age: 0 };
+    fn controls(&self) -> Vec<KnownControl> {
+        let me = KnownControl { ip: self.me, zone: self.settings.zone.clone(), age: 0 };
         let up = self.peers.iter().filter(|(_, peer)| peer.is_open());
-        let others =
-            up.map(|(ip, _)| Known { ip: *ip, zone: self.view.zone(*ip).unwrap_or_default().into(), age: 0 });
+        let others = up.map(|(ip, _)| KnownControl {
+            ip: *ip,
+            zone: self.view.zone(*ip).unwrap_or_default().into(),
+            age: 0,
+        });
         std::iter::once(me).chain(others).collect()
     }
 
-    pub(super) fn tell_view(&mut self, orders: &mut Orders) {
+    pub(super) fn tell_view(&mut self, commands: &mut Commands) {
         let view = self.controls();
         if view != self.told {
             self.told.clone_from(&view);
-            self.tell_routers(&Change { view, ..Change::default() }, orders);
+            self.tell_routers(&FeedUpdate { view, ..FeedUpdate::default() }, commands);
         }
     }
 }
--- a/crates/arrowyard-control/src/control/hosts.rs
+++ b/crates/arrowyard-control/src/control/hosts.rs
@@ -3,8 +3,8 @@
 use std::collections::VecDeque;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
-use arrowyard_protocol::{Answer, Code, Lines, Observed};
-use arrowyard_runtime::{Conn, Orders};
+use arrowyard_protocol::{FaultCode, LineDecoder, Observed, Response};
+use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{Point, Span};
 
 use super::{Control, Line};
@@ -19,12 +19,12 @@
 pub struct Link {
     conn: Option<Conn>,
     service: String,
-    lines: Lines,
+    lines: LineDecoder,
     open: bool,
     asked: Option<(Ask, Point)>,
     queue: VecDeque<Ask>,
     row: Option<Observed>,
-    fault: Option<Code>,
+    fault: Option<FaultCode>,
     used_at: Point,
 }
 
@@ -38,10 +38,10 @@
 }
 
 impl Control {
-    pub(super) fn ask_hosts(&mut self, now: Point, asks: Vec<Ask>, orders: &mut Orders) {
+    pub(super) fn ask_hosts(&mut self, now: Point, asks: Vec<Ask>, commands: &mut Commands) {
         for ask in asks {
             if let Ask::Promote { service, host } = &ask {
-                self.ask_platform(now, service, host, orders);
+                self.ask_platform(now, service, host, commands);
                 continue;
             }
             let id = host_of(&ask).to_string();
@@ -50,7 +50,7 @@
             let link = self.links.entry(id.clone()).or_insert_with(|| Link {
                 conn: None,
                 service,
-                lines: Lines::default(),
+                lines: LineDecoder::default(),
                 open: false,
                 asked: None,
                 queue: VecDeque::new(),
@@ -63,11 +63,11 @@
                 continue;
             }
             link.queue.push_back(ask);
-            self.ask_next(now, &id, orders);
+            self.ask_next(now, &id, commands);
         }
     }
 
-    fn ask_next(&mut self, now: Point, id: &str, orders: &mut Orders) {
+    fn ask_next(&mut self, now: Point, id: &str, commands: &mut Commands) {
         let Some(link) = self.links.get_mut(id) else { return };
         if link.asked.is_some() {
             return;
@@ -76,29 +76,29 @@
         link.asked = Some((ask.clone(), now + ANSWER));
         link.used_at = now;
         (link.row, link.fault) = (None, None);
-        self.relay(now, id, &ask, orders);
+        self.relay(now, id, &ask, commands);
         let Some(link) = self.links.get_mut(id) else { return };
         match link.conn {
-            Some(conn) if link.open => question(link, conn, orders),
+            Some(conn) if link.open => question(link, conn, commands),
             Some(_) => {}
             None => {
                 let Some(host) = self.cell.get(id) else { return };
-                let conn = orders.dial(SocketAddrV4::new(Ipv4Addr::from(host.ip), host.port as u16));
-                (link.conn, link.open, link.lines) = (Some(conn), false, Lines::default());
+                let conn = commands.dial(SocketAddrV4::new(Ipv4Addr::from(host.ip), host.port as u16));
+                (link.conn, link.open, link.lines) = (Some(conn), false, LineDecoder::default());
                 self.lines.insert(conn, Line::Link(id.to_string()));
             }
         }
     }
 
-    pub(super) fn link_opened(&mut self, id: String, orders: &mut Orders) {
+    pub(super) fn link_opened(&mut self, id: String, commands: &mut Commands) {
         if let Some(link) = self.links.get(&id)
             && let Some(conn) = link.conn
         {
-            orders.line(conn, &["OPEN ", &link.service, " control ", &id]);
+            commands.write_line(conn, &["OPEN ", &link.service, " control ", &id]);
         }
     }
 
-    pub(super) fn link_came(&mut self, now: Point, id: String, bytes: &[u8], orders: &mut Orders) {
+    pub(super) fn link_came(&mut self, now: Point, id: String, bytes: &[u8], commands: &mut Commands) {
         if let Some(link) = self.links.get_mut(&id) {
             link.lines.put(bytes);
         }
@@ -107,17 +107,17 @@
             let line = match link.lines.take() {
                 Ok(Some(line)) => line,
                 Ok(None) => return,
-                Err(_) => return self.link_fails(now, &id, orders),
+                Err(_) => return self.link_fails(now, &id, commands),
             };
-            match std::str::from_utf8(&line).ok().and_then(Answer::read) {
-                Some(Answer::Row(row)) => link.row = Observed::read(row),
-                Some(Answer::Settled(_)) => {}
-                Some(Answer::Fault { code, .. }) if link.open => link.fault = Some(code),
-                Some(Answer::Idle { .. }) if !link.open => {
+            match std::str::from_utf8(&line).ok().and_then(Response::parse) {
+                Some(Response::Row(row)) => link.row = Observed::parse(row),
+                Some(Response::Settled(_)) => {}
+                Some(Response::Fault { code, .. }) if link.open => link.fault = Some(code),
+                Some(Response::Idle { .. }) if !link.open => {
                     link.open = true;
-                    question(link, conn, orders);
+                    question(link, conn, commands);
                 }
-                Some(Answer::Idle { .. }) => {
+                Some(Response::Idle { .. }) => {
                     let (row, fault) = (link.row.take(), link.fault.take());
                     let Some((ask, _)) = link.asked.take() else { continue };
                     let service = link.service.clone();
@@ -125,77 +125,79 @@
                     let host = id.clone();
                     let reply = match (row, fault) {
                         (Some(row), _) => ask.to().map(|to| Reply::Row { host, to, row }),
-                        (None, Some(Code::Saturated | Code::Overload)) => Some(Reply::Busy { host }),
+                        (None, Some(FaultCode::Saturated | FaultCode::Overload)) => {
+                            Some(Reply::Busy { host })
+                        }
                         (None, Some(_)) => Some(Reply::Silent { host }),
                         (None, None) => None,
                     };
                     log::debug!("hosts: {ask:?}: {reply:?}.");
-                    reply.into_iter().for_each(|reply| self.replied(now, &service, reply, orders));
-                    self.ask_next(now, &id, orders);
+                    reply.into_iter().for_each(|reply| self.replied(now, &service, reply, commands));
+                    self.ask_next(now, &id, commands);
                 }
                 // A host that has no room lives.
-                Some(Answer::Fault { code: Code::Overload | Code::Saturated, .. }) => {
+                Some(Response::Fault { code: FaultCode::Overload | FaultCode::Saturated, .. }) => {
                     let service = link.service.clone();
-                    self.drop_link(&id, orders);
-                    return self.replied(now, &service, Reply::Busy { host: id }, orders);
+                    self.drop_link(&id, commands);
+                    return self.replied(now, &service, Reply::Busy { host: id }, commands);
                 }
-                _ => return self.link_fails(now, &id, orders),
+                _ => return self.link_fails(now, &id, commands),
             }
         }
     }
 
-    pub(super) fn drop_link(&mut self, id: &str, orders: &mut Orders) {
+    pub(super) fn drop_link(&mut self, id: &str, commands: &mut Commands) {
         if let Some(conn) = self.links.remove(id).and_then(|link| link.conn) {
-            orders.drop(conn);
+            commands.reset(conn);
             self.lines.remove(&conn);
         }
     }
 
-    fn link_fails(&mut self, now: Point, id: &str, orders: &mut Orders) {
+    fn link_fails(&mut self, now: Point, id: &str, commands: &mut Commands) {
         let Some(link) = self.links.get(id) else { return };
         let (service, asked) = (link.service.clone(), link.asked.is_some());
-        self.drop_link(id, orders);
+        self.drop_link(id, commands);
         if asked && !self.relays.direct_failed(id) {
-            self.replied(now, &service, Reply::Silent { host: id.to_string() }, orders);
+            self.replied(now, &service, Reply::Silent { host: id.to_string() }, commands);
         }
     }
 
-    pub(super) fn link_closed(&mut self, now: Point, id: String, conn: Conn, orders: &mut Orders) {
+    pub(super) fn link_closed(&mut self, now: Point, id: String, conn: Conn, commands: &mut Commands) {
         if self.links.get(&id).is_some_and(|link| link.conn == Some(conn)) {
-            self.link_fails(now, &id, orders);
+            self.link_fails(now, &id, commands);
         }
     }
 
     /// A service's change of primary takes an answer.
-    pub(super) fn replied(&mut self, now: Point, service: &str, reply: Reply, orders: &mut Orders) {
+    pub(super) fn replied(&mut self, now: Point, service: &str, reply: Reply, commands: &mut Commands) {
         if self.fence.is_none() {
             return;
         }
         let mut asks = Vec::new();
         let sight = Sight { cell: &self.cell, silent: &self.silent, left: &self.left };
         self.promotions.of(service).take(now, reply, &sight, &mut asks);
-        self.tell_replacements(false, orders);
-        self.ask_hosts(now, asks, orders);
+        self.tell_replacements(false, commands);
+        self.ask_hosts(now, asks, commands);
     }
 
     /// Questions without an answer, and connections without a question.
-    pub(super) fn drop_idle(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn drop_idle(&mut self, now: Point, commands: &mut Commands) {
         let late = |link: &Link| link.asked.as_ref().is_some_and(|(_, until)| *until <= now);
         let silent: Vec<String> =
             self.links.iter().filter(|(_, link)| late(link)).map(|(id, _)| id.clone()).collect();
-        silent.iter().for_each(|id| self.link_fails(now, id, orders));
+        silent.iter().for_each(|id| self.link_fails(now, id, commands));
         let rests = |link: &Link| link.asked.is_none() && now - link.used_at >= IDLE;
         let idle: Vec<String> =
             self.links.iter().filter(|(_, link)| rests(link)).map(|(id, _)| id.clone()).collect();
         for id in idle {
             if let Some(conn) = self.links.remove(&id).and_then(|link| link.conn) {
-                orders.line(conn, &["CLOSE"]);
-                orders.close(conn);
+                commands.write_line(conn, &["CLOSE"]);
+                commands.close(conn);
                 self.lines.remove(&conn);
             }
         }
-        self.expire_relays(now, orders);
-        self.drop_late_calls(now, orders);
+        self.expire_relays(now, commands);
+        self.drop_late_calls(now, commands);
     }
 
     pub(super) fn links_due(&self) -> Option<Point> {
@@ -204,11 +206,13 @@
     }
 }
 
-fn question(link: &Link, conn: Conn, orders: &mut Orders) {
+fn question(link: &Link, conn: Conn, commands: &mut Commands) {
     match &link.asked {
-        Some((Ask::Observe { .. }, _)) => orders.line(conn, &["QUERY - OBSERVE"]),
-        Some((Ask::Pause { term, .. }, _)) => orders.line(conn, &["QUERY - PAUSE ", &term.to_string()]),
-        Some((Ask::Continue { .. }, _)) => orders.line(conn, &["QUERY - CONTINUE"]),
+        Some((Ask::Observe { .. }, _)) => commands.write_line(conn, &["QUERY - OBSERVE"]),
+        Some((Ask::Pause { term, .. }, _)) => {
+            commands.write_line(conn, &["QUERY - PAUSE ", &term.to_string()])
+        }
+        Some((Ask::Continue { .. }, _)) => commands.write_line(conn, &["QUERY - CONTINUE"]),
         Some((Ask::Promote { .. }, _)) | None => {}
     }
 }
--- a/crates/arrowyard-control/src/control/memory.rs
+++ b/crates/arrowyard-control/src/control/memory.rs
@@ -3,7 +3,7 @@
 //! it means. That a host leaves or has left was acknowledged, so it is never forgotten for an older word.
 
 use arrowyard_messages::Host;
-use arrowyard_runtime::Orders;
+use arrowyard_runtime::Commands;
 use arrowyard_types::Point;
 use prost::Message;
 
@@ -36,13 +36,13 @@
     }
 
     /// Keeps what changed since the last time. Nobody waits for it.
-    pub(super) fn remember(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn remember(&mut self, now: Point, commands: &mut Commands) {
         let digest = self.cell.digest().wrapping_add(u64::from(self.routers));
         if digest == self.kept_digest {
             return;
         }
         self.kept_digest = digest;
         let memory = self.memory();
-        self.with_ledger(now, orders, |ledger, out| ledger.keep(Kept::Memory(memory), out));
+        self.with_ledger(now, commands, |ledger, out| ledger.keep(Kept::Memory(memory), out));
     }
 }
--- a/crates/arrowyard-control/src/control/mesh.rs
+++ b/crates/arrowyard-control/src/control/mesh.rs
@@ -2,8 +2,8 @@
 
 use std::net::Ipv4Addr;
 
-use arrowyard_messages::{Beat, Cell, Frames, Hello, Word, said};
-use arrowyard_runtime::{Conn, Orders};
+use arrowyard_messages::{FrameDecoder, Heartbeat, Hello, HostUpdate, Payload, encode_payload};
+use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{Point, Span};
 
 use super::{Control, Line};
@@ -31,7 +31,7 @@
     conns: Vec<Conn>,
     /// A dial of ours that has not come through.
     dialled: Option<(Conn, Point)>,
-    life: u64,
+    incarnation: u64,
     pub routers: u32,
     /// Whether it said that its vote counts, and since when it does not.
     pub votes: bool,
@@ -59,7 +59,7 @@
 
     /// Its present life, if it has ever told.
     pub fn known_life(&self) -> Option<u64> {
-        (self.life != 0).then_some(self.life)
+        (self.incarnation != 0).then_some(self.incarnation)
     }
 
     fn says_that_it_votes(&mut self, now: Point, votes: bool) {
@@ -88,19 +88,19 @@
 }
 
 impl Control {
-    fn hello(&mut self) -> Word {
-        Word::Hello(Hello {
+    fn hello(&mut self) -> Payload {
+        Payload::Hello(Hello {
             node: self.settings.node.clone(),
             ip: self.me,
             zone: self.settings.zone.clone(),
-            life: self.life,
+            incarnation: self.incarnation,
             control: true,
             view: self.view.part(&mut self.rng),
         })
     }
 
     /// Keeps a connection to every control machine that is known, and tells them that it is here.
-    pub(super) fn meet(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn meet(&mut self, now: Point, commands: &mut Commands) {
         let known: Vec<u32> =
             self.view.all().map(|known| known.ip).chain(self.ledger.voters().to_vec()).collect();
         // A machine that is gone for good is dialled till it has fallen out of the view.
@@ -113,13 +113,13 @@
             if let Some((conn, at)) = peer.dialled
                 && now - at >= DIAL
             {
-                orders.drop(conn);
+                commands.reset(conn);
                 self.lines.remove(&conn);
                 peer.dialled = None;
             }
             if now - peer.heard_at >= AWAY * 2.0 {
                 for conn in peer.conns.drain(..) {
-                    orders.drop(conn);
+                    commands.reset(conn);
                     self.lines.remove(&conn);
                 }
             }
@@ -129,34 +129,34 @@
             }
         }
         for ip in dial {
-            let conn = orders.dial(self.settings.internal(Ipv4Addr::from(ip)));
-            self.lines.insert(conn, Line::Peer(ip, Frames::default()));
+            let conn = commands.dial(self.settings.internal(Ipv4Addr::from(ip)));
+            self.lines.insert(conn, Line::Peer(ip, FrameDecoder::default()));
             self.peers.entry(ip).or_default().dialled = Some((conn, now));
         }
         if self.ticks.is_multiple_of(BEAT) {
-            self.beat_peers(now, orders);
+            self.beat_peers(now, commands);
         }
         if self.ticks.is_multiple_of(BEAT) {
             self.hush(now);
         }
     }
 
-    pub(super) fn beat_peers(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn beat_peers(&mut self, now: Point, commands: &mut Commands) {
         self.view.age();
         let view =
             if self.ticks.is_multiple_of(SHUFFLE) { self.view.part(&mut self.rng) } else { Vec::new() };
-        let beat = Beat {
+        let beat = Heartbeat {
             chosen: self.ledger.chosen(),
             view,
             routers: self.routers_fed().count() as u32,
             digest: self.cell.digest(),
             votes: self.is_able_to_vote(now),
             silent: self.silent_here.clone(),
-            disk_fails: !self.disk.is_well(now),
-            hears: self.heard_lately(now),
-            leaving: self.ending_since.is_some(),
+            disk_failing: !self.disk.is_well(now),
+            reachable: self.heard_lately(now),
+            shutting_down: self.ending_since.is_some(),
         };
-        self.say_to_peers(&Word::Beat(beat), orders);
+        self.say_to_peers(&Payload::Heartbeat(beat), commands);
     }
 
     /// The machines that are told that they are heard. Only voters tell: theirs is the word that others count, and lists of
@@ -171,7 +171,7 @@
 
     /// Hosts that called here and do so no more.
     fn hush(&mut self, now: Point) {
-        let late = Span::from_millis((self.settings.beat_period_ms as f64 * 2.5) as i64);
+        let late = Span::from_millis((self.settings.heartbeat_interval_ms as f64 * 2.5) as i64);
         let quiet = |id: &str| self.cell.called_at(id).is_some_and(|at| now - at >= late);
         let live = self.cell.all().filter(|host| host.phase() != arrowyard_messages::Phase::Gone);
         let ids: Vec<String> = live.filter(|host| quiet(&host.id)).map(|host| host.id.clone()).collect();
@@ -183,7 +183,7 @@
             .into_iter()
             .map(|id| {
                 let since = self.cell.called_at(&id).unwrap_or(now);
-                arrowyard_messages::Silent { id, ms: ((now - since).micros() / 1000) as u64 }
+                arrowyard_messages::SilentHost { id, silent_ms: ((now - since).micros() / 1000) as u64 }
             })
             .collect();
     }
@@ -203,31 +203,31 @@
     }
 
     /// Lets routers go to another control machine while this one is cut off.
-    pub(super) fn keep_touch(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn keep_touch(&mut self, now: Point, commands: &mut Commands) {
         let in_touch = self.is_in_touch(now);
         if in_touch != self.in_touch {
             self.in_touch = in_touch;
-            self.touch_changed(now, orders);
+            self.touch_changed(now, commands);
             log::info!(
                 "mesh: {}.",
                 if in_touch { "In touch with the voters" } else { "Cut off from the voters" }
             );
         }
-        self.admit_early(now, in_touch, orders);
+        self.admit_early(now, in_touch, commands);
         let fed: Vec<Conn> = self.routers_fed().map(|(conn, _)| conn).collect();
         for conn in fed {
             let silent = self.router_silent(now, conn);
             if !in_touch || silent {
-                orders.drop(conn);
+                commands.reset(conn);
                 self.lines.remove(&conn);
             } else if self.ticks.is_multiple_of(HEARTBEAT) {
-                self.say(conn, Word::Beat(Beat::default()), orders);
+                self.say(conn, Payload::Heartbeat(Heartbeat::default()), commands);
             }
         }
     }
 
     /// Routers that came while the voters were not heard of yet are fed, or sent away.
-    fn admit_early(&mut self, now: Point, in_touch: bool, orders: &mut Orders) {
+    fn admit_early(&mut self, now: Point, in_touch: bool, commands: &mut Commands) {
         let early = |(conn, line): (&Conn, &Line)| match line {
             Line::Early(_, _, since) if in_touch || now - *since >= EARLY => Some(*conn),
             _ => None,
@@ -237,10 +237,10 @@
         for conn in waiting {
             match self.lines.remove(&conn) {
                 Some(Line::Early(hello, frames, _)) if in_touch => {
-                    self.admit_router(now, conn, &hello, frames, orders);
-                    self.router_came(now, conn, orders);
+                    self.admit_router(now, conn, &hello, frames, commands);
+                    self.router_came(now, conn, commands);
                 }
-                _ => orders.close(conn),
+                _ => commands.close(conn),
             }
         }
     }
@@ -250,10 +250,10 @@
         self.live_peers(now).map(|(ip, _)| *ip).find(|ip| self.view.zone(*ip) == Some(zone))
     }
 
-    pub(super) fn say_to_peers(&mut self, word: &Word, orders: &mut Orders) {
-        let bytes = said(word.clone());
+    pub(super) fn say_to_peers(&mut self, word: &Payload, commands: &mut Commands) {
+        let bytes = encode_payload(word.clone());
         for conn in self.peers.values().filter_map(|peer| peer.conns.last().copied()) {
-            orders.write(conn, &[&bytes]);
+            commands.write(conn, &[&bytes]);
         }
     }
 
@@ -264,75 +264,82 @@
         self.rng.choose_multiple(connected, most)
     }
 
-    pub(super) fn say_to_peer(&mut self, ip: u32, word: &Word, orders: &mut Orders) {
+    pub(super) fn say_to_peer(&mut self, ip: u32, word: &Payload, commands: &mut Commands) {
         if let Some(conn) = self.peers.get(&ip).and_then(|peer| peer.conns.last().copied()) {
-            orders.write(conn, &[&said(word.clone())]);
+            commands.write(conn, &[&encode_payload(word.clone())]);
         }
     }
 
     /// A dial of ours came through.
-    pub(super) fn greet(&mut self, now: Point, conn: Conn, ip: u32, orders: &mut Orders) {
+    pub(super) fn greet(&mut self, now: Point, conn: Conn, ip: u32, commands: &mut Commands) {
         let hello = self.hello();
-        self.say(conn, hello, orders);
+        self.say(conn, hello, commands);
         let peer = self.peers.entry(ip).or_default();
         if peer.dialled.is_some_and(|(dialled, _)| dialled == conn) {
             peer.dialled = None;
         }
         peer.hear(now);
         peer.conns.push(conn);
-        self.with_ledger(now, orders, |ledger, out| ledger.is_ahead(now, ip, 0, out));
+        self.with_ledger(now, commands, |ledger, out| ledger.is_ahead(now, ip, 0, out));
     }
 
     /// Somebody of the system's own that has not said who it is.
-    pub(super) fn strange(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn strange(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         let Some(Line::Stranger(frames)) = self.lines.get_mut(&conn) else { return };
         match frames.take() {
             Ok(None) => {}
-            Ok(Some(frame)) if matches!(&frame.word, Some(Word::Hello(_))) => {
+            Ok(Some(frame)) if matches!(&frame.payload, Some(Payload::Hello(_))) => {
                 let frames = std::mem::take(frames);
-                let Some(Word::Hello(hello)) = frame.word else { return };
+                let Some(Payload::Hello(hello)) = frame.payload else { return };
                 if !hello.control {
                     if !self.is_in_touch(now) {
                         // At a start the others are heard of in a moment.
                         self.lines.insert(conn, Line::Early(hello, frames, now));
                         return;
                     }
-                    self.admit_router(now, conn, &hello, frames, orders);
-                    return self.router_came(now, conn, orders);
+                    self.admit_router(now, conn, &hello, frames, commands);
+                    return self.router_came(now, conn, commands);
                 }
                 let ip = hello.ip;
                 self.lines.insert(conn, Line::Peer(ip, frames));
                 let mine = self.hello();
-                self.say(conn, mine, orders);
+                self.say(conn, mine, commands);
                 let peer = self.peers.entry(ip).or_default();
                 peer.hear(now);
                 peer.conns.push(conn);
-                self.know(now, &hello, orders);
-                self.peer_came(now, conn, ip, &[], orders);
+                self.know(now, &hello, commands);
+                self.peer_came(now, conn, ip, &[], commands);
             }
             _ => {
-                orders.drop(conn);
+                commands.reset(conn);
                 drop(self.lines.remove(&conn));
             }
         }
     }
 
-    fn know(&mut self, now: Point, hello: &Hello, orders: &mut Orders) {
+    fn know(&mut self, now: Point, hello: &Hello, commands: &mut Commands) {
         self.view.heard(hello.ip, &hello.zone);
         self.view.merge(&hello.view, self.me);
         if let Some(peer) = self.peers.get_mut(&hello.ip) {
             // A connection was opened, so both ways are there.
-            (peer.life, peer.hears_me) = (hello.life, true);
+            (peer.incarnation, peer.hears_me) = (hello.incarnation, true);
         }
-        let cell = Cell { hosts: self.cell.all().cloned().collect(), whole: true };
-        self.say_to_peer(hello.ip, &Word::Cell(cell), orders);
-        self.with_ledger(now, orders, |ledger, out| ledger.is_ahead(now, hello.ip, 0, out));
+        let cell = HostUpdate { hosts: self.cell.all().cloned().collect(), whole: true };
+        self.say_to_peer(hello.ip, &Payload::HostUpdate(cell), commands);
+        self.with_ledger(now, commands, |ledger, out| ledger.is_ahead(now, hello.ip, 0, out));
         if !self.in_touch && self.is_in_touch(now) {
-            self.keep_touch(now, orders);
+            self.keep_touch(now, commands);
         }
     }
 
-    pub(super) fn peer_came(&mut self, now: Point, conn: Conn, ip: u32, bytes: &[u8], orders: &mut Orders) {
+    pub(super) fn peer_came(
+        &mut self,
+        now: Point,
+        conn: Conn,
+        ip: u32,
+        bytes: &[u8],
+        commands: &mut Commands,
+    ) {
         if let Some(Line::Peer(_, frames)) = self.lines.get_mut(&conn) {
             frames.put(bytes);
         }
@@ -342,28 +349,28 @@
                 Err(broken) => {
                     log::warn!("mesh: {}: {broken}.", Ipv4Addr::from(ip));
                     self.peer_closed(conn, ip);
-                    orders.drop(conn);
+                    commands.reset(conn);
                     drop(self.lines.remove(&conn));
                     return;
                 }
                 Ok(Some(frame)) => {
                     let peer = self.peers.entry(ip).or_default();
                     peer.hear(now);
-                    let life = peer.life;
-                    self.duty.heard(now, ip, life, self.ledger.applied());
-                    if let Some(word) = frame.word {
-                        self.peer_says(now, ip, word, orders);
+                    let incarnation = peer.incarnation;
+                    self.duty.heard(now, ip, incarnation, self.ledger.applied());
+                    if let Some(word) = frame.payload {
+                        self.peer_says(now, ip, word, commands);
                     }
                 }
             }
         }
     }
 
-    fn peer_says(&mut self, now: Point, ip: u32, word: Word, orders: &mut Orders) {
+    fn peer_says(&mut self, now: Point, ip: u32, word: Payload, commands: &mut Commands) {
         match word {
-            Word::Hello(hello) => self.know(now, &hello, orders),
-            Word::Beat(beat) => self.peer_beat(now, ip, &beat, orders),
-            Word::Cell(cell) => {
+            Payload::Hello(hello) => self.know(now, &hello, commands),
+            Payload::Heartbeat(beat) => self.peer_beat(now, ip, &beat, commands),
+            Payload::HostUpdate(cell) => {
                 let mut news = Vec::new();
                 for host in cell.hosts {
                     self.silent.remove(&host.id);
@@ -378,63 +385,64 @@
                     }
                 }
                 if !news.is_empty() {
-                    self.pass_on(news, orders);
-                    self.look(now, orders);
+                    self.pass_on(news, commands);
+                    self.look(now, commands);
                 }
             }
-            Word::Departing(departing) => self.departure_told(now, ip, departing, orders),
-            Word::DepartureKept(kept) => self.departure_kept(now, ip, kept.number, orders),
-            Word::Suspect(suspect) => self.suspected(now, suspect, orders),
-            Word::Yielded(yielded) => self.yielded(now, false, yielded, orders),
-            word @ Word::Replacements(_) => self.pass_replacements(&word, orders),
-            Word::RelayedQuestion(question) => self.relay_to_router(now, question, orders),
-            Word::RelayedAnswer(answer) => self.relayed(now, answer, orders),
-            Word::Needs(needs) => self.needs(now, Some(ip), needs, orders),
-            Word::Allots(allots) => self.allots(allots, orders),
-            word @ Word::Pressed(_) => self.pressed(&word, orders),
-            word => self.with_ledger(now, orders, |ledger, out| ledger.on_message(now, ip, &word, out)),
+            Payload::DepartureNotice(departing) => self.departure_told(now, ip, departing, commands),
+            Payload::DepartureStored(kept) => self.departure_kept(now, ip, kept.number, commands),
+            Payload::Suspect(suspect) => self.suspected(now, suspect, commands),
+            Payload::Demotion(yielded) => self.yielded(now, false, yielded, commands),
+            word @ Payload::Replacements(_) => self.pass_replacements(&word, commands),
+            Payload::RelayedRequest(question) => self.relay_to_router(now, question, commands),
+            Payload::RelayedResponse(answer) => self.relayed(now, answer, commands),
+            Payload::DemandReport(needs) => self.needs(now, Some(ip), needs, commands),
+            Payload::HostAllocations(allots) => self.allots(allots, commands),
+            word @ Payload::OverloadedHosts(_) => self.pressed(&word, commands),
+            word => self.with_ledger(now, commands, |ledger, out| ledger.on_message(now, ip, &word, out)),
         }
     }
 
-    fn peer_beat(&mut self, now: Point, ip: u32, beat: &Beat, orders: &mut Orders) {
+    fn peer_beat(&mut self, now: Point, ip: u32, beat: &Heartbeat, commands: &mut Commands) {
         let zone = self.view.zone(ip).unwrap_or_default().to_string();
         self.view.heard(ip, &zone);
         self.view.merge(&beat.view, self.me);
         let mine = self.cell.digest();
-        let life = |ip: u32| if ip == self.me { Some(self.life) } else { self.peers.get(&ip)?.known_life() };
-        self.duty.heard_elsewhere(now - NOT_HEARD, &beat.hears, life, self.ledger.applied());
+        let incarnation =
+            |ip: u32| if ip == self.me { Some(self.incarnation) } else { self.peers.get(&ip)?.known_life() };
+        self.duty.heard_elsewhere(now - NOT_HEARD, &beat.reachable, incarnation, self.ledger.applied());
         let Some(peer) = self.peers.get_mut(&ip) else { return };
         peer.routers = beat.routers;
         peer.says_that_it_votes(now, beat.votes);
-        peer.disk_fails = beat.disk_fails;
-        peer.leaving = beat.leaving;
-        peer.hears_me = beat.hears.contains(&self.me);
+        peer.disk_fails = beat.disk_failing;
+        peer.leaving = beat.shutting_down;
+        peer.hears_me = beat.reachable.contains(&self.me);
         // What is under way makes them differ for a moment; what stays is swept up.
         peer.differs = if beat.digest == mine { 0 } else { peer.differs + 1 };
         if peer.differs >= 2 {
             peer.differs = 0;
-            let cell = Cell { hosts: self.cell.all().cloned().collect(), whole: true };
-            self.say_to_peer(ip, &Word::Cell(cell), orders);
+            let cell = HostUpdate { hosts: self.cell.all().cloned().collect(), whole: true };
+            self.say_to_peer(ip, &Payload::HostUpdate(cell), commands);
         }
         if self.in_touch && !self.is_in_touch(now) {
-            self.keep_touch(now, orders);
+            self.keep_touch(now, commands);
         }
         for silent in &beat.silent {
             // Danger: it may call here by now; then whoever misses it is told so.
             let here = self
                 .cell
                 .called_at(&silent.id)
-                .is_some_and(|at| (now - at).micros() / 1000 < silent.ms as i64);
+                .is_some_and(|at| (now - at).micros() / 1000 < silent.silent_ms as i64);
             if here {
                 let hosts = self.cell.get(&silent.id).cloned().into_iter().collect();
-                self.say_to_peers(&Word::Cell(Cell { hosts, whole: false }), orders);
+                self.say_to_peers(&Payload::HostUpdate(HostUpdate { hosts, whole: false }), commands);
             } else {
-                let since = now - Span::from_millis(silent.ms as i64);
+                let since = now - Span::from_millis(silent.silent_ms as i64);
                 self.silent.entry(silent.id.clone()).or_insert(since);
             }
         }
         let (chosen, from) = (beat.chosen, ip);
-        self.with_ledger(now, orders, |ledger, out| ledger.is_ahead(now, from, chosen, out));
+        self.with_ledger(now, commands, |ledger, out| ledger.is_ahead(now, from, chosen, out));
     }
 
     pub(super) fn peer_closed(&mut self, conn: Conn, ip: u32) {
--- a/crates/arrowyard-control/src/control/platform.rs
+++ b/crates/arrowyard-control/src/control/platform.rs
@@ -6,9 +6,9 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_messages::{Decision, Entry, Matter};
-use arrowyard_runtime::http::{Messages, call};
-use arrowyard_runtime::{Conn, Orders};
+use arrowyard_messages::{Decision, Entry, EntryPayload};
+use arrowyard_runtime::http::{HttpDecoder, format_request};
+use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{Point, Span};
 
 use super::{Control, Line};
@@ -27,7 +27,7 @@
 
 /// A call to the platform.
 pub struct Platform {
-    pub messages: Messages,
+    pub messages: HttpDecoder,
     pub call: String,
     pub service: String,
     /// Nothing is sent from then on. Safety: a machine that was frozen wakes up with what it was about to send.
@@ -56,27 +56,27 @@
 
 impl Control {
     /// A host is to be made primary: that is agreed on first, unless it is a repetition of what was agreed on.
-    pub(super) fn ask_platform(&mut self, now: Point, service: &str, host: &str, orders: &mut Orders) {
+    pub(super) fn ask_platform(&mut self, now: Point, service: &str, host: &str, commands: &mut Commands) {
         let stage = &self.promotions.of(service).stage;
         let is_repeated = matches!(stage, Stage::Promoting { tries, .. } if *tries > 0);
         let decided = self.decisions.by_service.get(service);
         let is_valid = |decided: &&Decided| is_repeated && decided.host == host && now < decided.until;
         let agreed = decided.filter(is_valid).and_then(|decided| Some((decided.fence?, decided.until)));
         match agreed {
-            Some((fence, until)) => self.call_platform(now, service, host, (fence, until), orders),
+            Some((fence, until)) => self.call_platform(now, service, host, (fence, until), commands),
             None if now < self.decisions.from => {
-                self.replied(now, service, Reply::Platform { status: 0 }, orders);
+                self.replied(now, service, Reply::Platform { status: 0 }, commands);
             }
-            None => self.decide(now, service, host, orders),
+            None => self.decide(now, service, host, commands),
         }
     }
 
     /// The duty was taken up from another holder, or laid down: whatever is under way to the platform is given up.
-    pub(super) fn drop_platform_calls(&mut self, orders: &mut Orders) {
+    pub(super) fn drop_platform_calls(&mut self, commands: &mut Commands) {
         for (conn, _) in std::mem::take(&mut self.platform_calls) {
             if matches!(self.lines.get(&conn), Some(Line::Platform(_))) {
                 self.lines.remove(&conn);
-                orders.drop(conn);
+                commands.reset(conn);
             }
         }
         self.decisions.by_service.clear();
@@ -89,18 +89,18 @@
     }
 
     /// A connection to the platform is open: the call goes out, if there is still time for it.
-    pub(super) fn platform_opened(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn platform_opened(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         let Some(Line::Platform(platform)) = self.lines.get(&conn) else { return };
         if now < platform.until {
-            orders.write(conn, &[platform.call.as_bytes()]);
+            commands.write(conn, &[platform.call.as_bytes()]);
         } else if let Some(Line::Platform(platform)) = self.lines.remove(&conn) {
-            orders.drop(conn);
-            self.platform_closed(now, &platform, orders);
+            commands.reset(conn);
+            self.platform_closed(now, &platform, commands);
         }
     }
 
     /// Proposes a decision to the ledger.
-    fn decide(&mut self, now: Point, service: &str, host: &str, orders: &mut Orders) {
+    fn decide(&mut self, now: Point, service: &str, host: &str, commands: &mut Commands) {
         let Some(duty_fence) = self.fence else { return };
         self.decisions.last += 1;
         let number = self.decisions.last;
@@ -110,19 +110,19 @@
             service: service.to_string(),
             host: host.to_string(),
             holder: self.me,
-            life: self.life,
+            incarnation: self.incarnation,
             duty_fence,
             number,
         };
-        let entry = Entry { matter: Some(Matter::Decision(decision)) };
+        let entry = Entry { payload: Some(EntryPayload::Decision(decision)) };
         // The answer may come before the proposal is made; what it is for is laid down first.
         self.decisions.proposed.insert(self.ledger.next_proposal(), service.to_string());
-        self.with_ledger(now, orders, |ledger, out| ledger.enter(now, entry, now + DECIDED, out));
+        self.with_ledger(now, commands, |ledger, out| ledger.enter(now, entry, now + DECIDED, out));
     }
 
     /// A decision was agreed on in this slot: if it is this machine's newest one for the service, it is carried out.
-    pub(super) fn decided(&mut self, now: Point, slot: u64, decision: &Decision, orders: &mut Orders) {
-        let is_mine = (decision.holder, decision.life) == (self.me, self.life);
+    pub(super) fn decided(&mut self, now: Point, slot: u64, decision: &Decision, commands: &mut Commands) {
+        let is_mine = (decision.holder, decision.incarnation) == (self.me, self.incarnation);
         if !is_mine || self.fence != Some(decision.duty_fence) {
             return;
         }
@@ -132,19 +132,19 @@
         }
         decided.fence = Some(slot);
         let until = decided.until;
-        if self.survey_newcomers(now, &decision.service, orders) {
+        if self.survey_newcomers(now, &decision.service, commands) {
             return;
         }
-        self.call_platform(now, &decision.service, &decision.host, (slot, until), orders);
+        self.call_platform(now, &decision.service, &decision.host, (slot, until), commands);
     }
 
     /// Whether a host has joined the service since it was surveyed; then its hosts are surveyed again.
-    fn survey_newcomers(&mut self, now: Point, service: &str, orders: &mut Orders) -> bool {
+    fn survey_newcomers(&mut self, now: Point, service: &str, commands: &mut Commands) -> bool {
         let mut asks = Vec::new();
         let sight = Sight { cell: &self.cell, silent: &self.silent, left: &self.left };
         let joined = self.promotions.of(service).survey_newcomers(now, &sight, &mut asks);
-        self.tell_replacements(false, orders);
-        self.ask_hosts(now, asks, orders);
+        self.tell_replacements(false, commands);
+        self.ask_hosts(now, asks, commands);
         joined
     }
 
@@ -154,12 +154,12 @@
         now: Point,
         ticket: ProposalId,
         answer: Answer,
-        orders: &mut Orders,
+        commands: &mut Commands,
     ) -> bool {
         let Some(service) = self.decisions.proposed.remove(&ticket) else { return false };
         if !matches!(answer, Answer::Committed(_)) {
             log::warn!("promotion: {service}: No majority agreed in time.");
-            self.replied(now, &service, Reply::Platform { status: 0 }, orders);
+            self.replied(now, &service, Reply::Platform { status: 0 }, commands);
         }
         true
     }
@@ -171,7 +171,7 @@
         service: &str,
         host: &str,
         (fence, until): (u64, Point),
-        orders: &mut Orders,
+        commands: &mut Commands,
     ) {
         let Some(platform) = &self.settings.platform_api else {
             log::error!("promotion: {service}: There is no platform to ask.");
@@ -183,44 +183,45 @@
         let fence = fence.to_string();
         let headers =
             [("Arrowyard-Duty-Holder", self.settings.node.as_str()), ("Arrowyard-Fence", fence.as_str())];
-        let call = call("POST", "/promotion", &platform.address.to_string(), &headers, &body);
-        let conn = orders.dial(platform.address);
-        let platform = Platform { messages: Messages::default(), call, service: service.to_string(), until };
+        let call = format_request("POST", "/promotion", &platform.address.to_string(), &headers, &body);
+        let conn = commands.dial(platform.address);
+        let platform =
+            Platform { messages: HttpDecoder::default(), call, service: service.to_string(), until };
         self.lines.insert(conn, Line::Platform(platform));
         self.platform_calls.push((conn, now + PLATFORM));
     }
 
-    pub(super) fn platform_came(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn platform_came(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         let Some(Line::Platform(platform)) = self.lines.get_mut(&conn) else { return };
-        let status = match platform.messages.response() {
+        let status = match platform.messages.next_response() {
             Ok(None) => return,
             Ok(Some(response)) => response.status,
             Err(_) => 0,
         };
         let service = platform.service.clone();
-        orders.close(conn);
+        commands.close(conn);
         drop(self.lines.remove(&conn));
-        self.platform_said(now, &service, status, orders);
+        self.platform_said(now, &service, status, commands);
     }
 
-    pub(super) fn platform_closed(&mut self, now: Point, platform: &Platform, orders: &mut Orders) {
-        self.platform_said(now, &platform.service, 0, orders);
+    pub(super) fn platform_closed(&mut self, now: Point, platform: &Platform, commands: &mut Commands) {
+        self.platform_said(now, &platform.service, 0, commands);
     }
 
-    fn platform_said(&mut self, now: Point, service: &str, status: u16, orders: &mut Orders) {
+    fn platform_said(&mut self, now: Point, service: &str, status: u16, commands: &mut Commands) {
         log::info!("promotion: {service}: The platform says {status}.");
-        self.replied(now, service, Reply::Platform { status }, orders);
+        self.replied(now, service, Reply::Platform { status }, commands);
     }
 
     /// Calls that were not answered in time.
-    pub(super) fn drop_late_calls(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn drop_late_calls(&mut self, now: Point, commands: &mut Commands) {
         let late: Vec<Conn> =
             self.platform_calls.iter().filter(|(_, until)| *until <= now).map(|(conn, _)| *conn).collect();
         self.platform_calls.retain(|(_, until)| *until > now);
         for conn in late {
             if let Some(Line::Platform(platform)) = self.lines.remove(&conn) {
-                orders.drop(conn);
-                self.platform_closed(now, &platform, orders);
+                commands.reset(conn);
+                self.platform_closed(now, &platform, commands);
             }
         }
     }
--- a/crates/arrowyard-control/src/control/relays.rs
+++ b/crates/arrowyard-control/src/control/relays.rs
@@ -7,9 +7,9 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_messages::{HostRequest, HostRow, RelayedAnswer, RelayedQuestion, Word};
+use arrowyard_messages::{HostRequest, HostStatus, Payload, RelayedRequest, RelayedResponse};
 use arrowyard_protocol::{Observed, Position};
-use arrowyard_runtime::{Conn, Orders};
+use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{Point, Span};
 
 use super::Control;
@@ -54,8 +54,8 @@
 
 impl Relays {
     /// Numbers begin with the life of the process, so that no answer to an earlier life is taken for one to this life.
-    pub fn new(life: u64) -> Self {
-        Relays { last_number: life, by_host: BTreeMap::new() }
+    pub fn new(incarnation: u64) -> Self {
+        Relays { last_number: incarnation, by_host: BTreeMap::new() }
     }
 
     /// Begins to relay a question through this many control machines, in place of the last one to the same host. None
@@ -67,7 +67,7 @@
         service: &str,
         ask: &Ask,
         machines: usize,
-    ) -> Option<RelayedQuestion> {
+    ) -> Option<RelayedRequest> {
         let (host, request, term) = match ask {
             Ask::Observe { host } => (host, HostRequest::Observe, 0),
             Ask::Pause { host, term, .. } => (host, HostRequest::Pause, *term),
@@ -85,7 +85,7 @@
         };
         self.by_host.insert(host.clone(), relay);
         let number = self.last_number;
-        Some(RelayedQuestion { asked_by, number, host: host.clone(), request: request.into(), term })
+        Some(RelayedRequest { asked_by, number, host: host.clone(), request: request.into(), term })
     }
 
     /// Whether this question to the host is being relayed.
@@ -104,7 +104,7 @@
     }
 
     /// An answer has come by way of a control machine.
-    pub fn answered(&mut self, answer: &RelayedAnswer) -> Relayed {
+    pub fn answered(&mut self, answer: &RelayedResponse) -> Relayed {
         let asked = self.by_host.iter_mut().find(|(_, relay)| relay.number == answer.number);
         let Some((host, relay)) = asked else { return Relayed::Waiting };
         let host = host.clone();
@@ -142,7 +142,7 @@
     }
 }
 
-fn observed(row: &HostRow) -> Observed {
+fn observed(row: &HostStatus) -> Observed {
     let received = Position { term: row.received_term, number: row.received_number };
     Observed { primary: row.primary, term: row.term, received }
 }
@@ -150,7 +150,7 @@
 impl Control {
     /// Relays a question to a host that has fallen silent. A primary is not asked so: while control does not reach it, it
     /// is replaced.
-    pub(super) fn relay(&mut self, now: Point, id: &str, ask: &Ask, orders: &mut Orders) {
+    pub(super) fn relay(&mut self, now: Point, id: &str, ask: &Ask, commands: &mut Commands) {
         let Some(host) = self.cell.get(id) else { return };
         let service = host.service.clone();
         let is_primary = self.cell.primary(&service).is_some_and(|primary| primary.id == id);
@@ -160,50 +160,50 @@
         let peers = self.some_peers(OTHER_MACHINES);
         let Some(question) = self.relays.begin(now, self.me, &service, ask, 1 + peers.len()) else { return };
         for peer in peers {
-            self.say_to_peer(peer, &Word::RelayedQuestion(question.clone()), orders);
+            self.say_to_peer(peer, &Payload::RelayedRequest(question.clone()), commands);
         }
-        self.relay_to_router(now, question, orders);
+        self.relay_to_router(now, question, commands);
     }
 
     /// Passes a question on to one of the routers that are fed here, another one for each question.
-    pub(super) fn relay_to_router(&mut self, now: Point, question: RelayedQuestion, orders: &mut Orders) {
+    pub(super) fn relay_to_router(&mut self, now: Point, question: RelayedRequest, commands: &mut Commands) {
         let mut fed: Vec<Conn> = self.routers_fed().map(|(conn, _)| conn).collect();
         fed.sort_unstable();
         if fed.is_empty() {
-            let answer = RelayedAnswer { asked_by: question.asked_by, number: question.number, row: None };
-            return self.relayed(now, answer, orders);
+            let answer = RelayedResponse { asked_by: question.asked_by, number: question.number, row: None };
+            return self.relayed(now, answer, commands);
         }
         let chosen = fed[(question.number % fed.len() as u64) as usize];
-        self.say(chosen, Word::RelayedQuestion(question), orders);
+        self.say(chosen, Payload::RelayedRequest(question), commands);
     }
 
     /// An answer of a router, on its way to whoever asked.
-    pub(super) fn relayed(&mut self, now: Point, answer: RelayedAnswer, orders: &mut Orders) {
+    pub(super) fn relayed(&mut self, now: Point, answer: RelayedResponse, commands: &mut Commands) {
         if answer.asked_by != self.me {
-            return self.say_to_peer(answer.asked_by, &Word::RelayedAnswer(answer), orders);
+            return self.say_to_peer(answer.asked_by, &Payload::RelayedResponse(answer), commands);
         }
         let relayed = self.relays.answered(&answer);
-        self.conclude_relay(now, relayed, orders);
+        self.conclude_relay(now, relayed, commands);
     }
 
     /// Relayed questions that nobody has answered in time.
-    pub(super) fn expire_relays(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn expire_relays(&mut self, now: Point, commands: &mut Commands) {
         for relayed in self.relays.expire(now) {
-            self.conclude_relay(now, relayed, orders);
+            self.conclude_relay(now, relayed, commands);
         }
     }
 
-    fn conclude_relay(&mut self, now: Point, relayed: Relayed, orders: &mut Orders) {
+    fn conclude_relay(&mut self, now: Point, relayed: Relayed, commands: &mut Commands) {
         match relayed {
             Relayed::Waiting => {}
             Relayed::Answered { service, reply } => {
                 if let Reply::Row { host, .. } = &reply {
-                    self.drop_link(host, orders);
+                    self.drop_link(host, commands);
                 }
-                self.replied(now, &service, reply, orders);
+                self.replied(now, &service, reply, commands);
             }
             Relayed::Unreachable { service, host } => {
-                self.replied(now, &service, Reply::Silent { host }, orders);
+                self.replied(now, &service, Reply::Silent { host }, commands);
             }
         }
     }
--- a/crates/arrowyard-control/src/control/replacements.rs
+++ b/crates/arrowyard-control/src/control/replacements.rs
@@ -6,8 +6,8 @@
 //! candidate lacks. What is told here reaches the routers before the platform hears of the decision. A router that no
 //! control machine reaches is not told; so whoever is told makes the old primary yield, for all others as well.
 
-use arrowyard_messages::{Replacement, Replacements, Word, Yielded};
-use arrowyard_runtime::{Conn, Orders};
+use arrowyard_messages::{Demotion, Payload, Replacement, Replacements};
+use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::Point;
 
 use super::Control;
@@ -16,16 +16,16 @@
 
 impl Control {
     /// Tells routers what is being replaced, if that has changed, or while it lasts.
-    pub(super) fn tell_replacements(&mut self, again: bool, orders: &mut Orders) {
+    pub(super) fn tell_replacements(&mut self, again: bool, commands: &mut Commands) {
         let services = self.replacements();
         let changed = services != self.told_replacements;
         if !changed && (!again || services.is_empty()) {
             return;
         }
         self.told_replacements.clone_from(&services);
-        let word = Word::Replacements(Replacements { fence: self.fence.unwrap_or_default(), services });
-        self.say_to_peers(&word, orders);
-        self.pass_replacements(&word, orders);
+        let word = Payload::Replacements(Replacements { fence: self.fence.unwrap_or_default(), services });
+        self.say_to_peers(&word, commands);
+        self.pass_replacements(&word, commands);
     }
 
     fn replacements(&self) -> Vec<Replacement> {
@@ -33,20 +33,26 @@
     }
 
     /// A router made an old primary yield. It is passed on once, to the holder of the duty alone.
-    pub(super) fn yielded(&mut self, now: Point, from_router: bool, yielded: Yielded, orders: &mut Orders) {
+    pub(super) fn yielded(
+        &mut self,
+        now: Point,
+        from_router: bool,
+        yielded: Demotion,
+        commands: &mut Commands,
+    ) {
         if self.fence.is_some() {
-            return self.replied(now, &yielded.service, Reply::Yielded, orders);
+            return self.replied(now, &yielded.service, Reply::Yielded, commands);
         }
         let holder = self.ledger.applied().duties.get(DUTY).map(|duty| duty.holder);
         if let Some(holder) = holder.filter(|holder| from_router && *holder != self.me) {
-            self.say_to_peer(holder, &Word::Yielded(yielded), orders);
+            self.say_to_peer(holder, &Payload::Demotion(yielded), commands);
         }
     }
 
     /// Tells the routers that are fed here.
-    pub(super) fn pass_replacements(&mut self, word: &Word, orders: &mut Orders) {
+    pub(super) fn pass_replacements(&mut self, word: &Payload, commands: &mut Commands) {
         let mut fed: Vec<Conn> = self.routers_fed().map(|(conn, _)| conn).collect();
         fed.sort_unstable();
-        fed.into_iter().for_each(|conn| self.say(conn, word.clone(), orders));
+        fed.into_iter().for_each(|conn| self.say(conn, word.clone(), commands));
     }
 }
--- a/crates/arrowyard-control/src/control/seats.rs
+++ b/crates/arrowyard-control/src/control/seats.rs
@@ -1,7 +1,7 @@
 //! Who votes in the ledger: the holder of the duty sees to it that enough do.
 
-use arrowyard_messages::{Entry, Matter, Voters, number};
-use arrowyard_runtime::Orders;
+use arrowyard_messages::{Entry, EntryPayload, Voters, ip_to_u32};
+use arrowyard_runtime::Commands;
 use arrowyard_types::{Point, Span};
 
 use super::{Control, TICK};
@@ -50,7 +50,7 @@
 
     /// Whoever holds the duty sees to it that enough machines vote. A holder that is lost is replaced before it counts as
     /// gone for its seat.
-    pub(super) fn fill_seats(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn fill_seats(&mut self, now: Point, commands: &mut Commands) {
         if self.fence.is_none() || now < self.seat_at || !self.is_in_touch(now) {
             return;
         }
@@ -58,8 +58,8 @@
         let Some(voters) = next(&before, &self.machines(now), self.settings.tolerance) else { return };
         self.seat_at = now + PAUSE;
         log::info!("seats: {} voters instead of {} are asked for.", voters.len(), before.len());
-        let entry = Entry { matter: Some(Matter::Voters(Voters { voters, before })) };
-        self.with_ledger(now, orders, |ledger, out| ledger.enter(now, entry, now + TICK * 4.0, out));
+        let entry = Entry { payload: Some(EntryPayload::Voters(Voters { voters, before })) };
+        self.with_ledger(now, commands, |ledger, out| ledger.enter(now, entry, now + TICK * 4.0, out));
     }
 
     /// Whether this is a first start whose seats are not all filled. Danger: what fewer machines acknowledged is lost
@@ -68,7 +68,7 @@
         if !self.settings.bootstrap || now - Point::from_micros(0) >= FOUNDING {
             return false;
         }
-        let seeds: Vec<u32> = self.settings.seeds.iter().map(|seed| number(*seed.ip())).collect();
+        let seeds: Vec<u32> = self.settings.seeds.iter().map(|seed| ip_to_u32(*seed.ip())).collect();
         let votes = |voter: &&u32| {
             seeds.contains(voter)
                 || **voter == self.me && self.ledger.votes()
--- a/crates/arrowyard-control/src/control/shares.rs
+++ b/crates/arrowyard-control/src/control/shares.rs
@@ -2,8 +2,10 @@
 //! routers that they feed.
 
 use arrowyard_fair_shares::{Allotter, At, Need, Router as RouterId, Shown, Terms};
-use arrowyard_messages::{Allot, Allots, HostNeeds, Needs, Pressed, ServiceCap, Word};
-use arrowyard_runtime::{Conn, Orders};
+use arrowyard_messages::{
+    DemandReport, HostAllocation, HostAllocations, HostDemand, OverloadedHosts, Payload, ServiceCap,
+};
+use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{Point, Span};
 use rustc_hash::FxHashMap;
 
@@ -45,17 +47,23 @@
     }
 
     /// A router's needs, from itself or from the control machine that feeds it.
-    pub(super) fn needs(&mut self, now: Point, from: Option<u32>, needs: Needs, orders: &mut Orders) {
+    pub(super) fn needs(
+        &mut self,
+        now: Point,
+        from: Option<u32>,
+        needs: DemandReport,
+        commands: &mut Commands,
+    ) {
         if self.shares.allotter.is_none() {
             // It is passed on once, to the holder alone.
             let holder = self.ledger.applied().duties.get(crate::applied::DUTY).map(|duty| duty.holder);
             if let Some(holder) = holder.filter(|holder| from.is_none() && *holder != self.me) {
-                self.say_to_peer(holder, &Word::Needs(needs), orders);
+                self.say_to_peer(holder, &Payload::DemandReport(needs), commands);
             }
             return;
         }
         self.read_terms();
-        if !self.ledger.applied().configuration.divides() {
+        if !self.ledger.applied().configuration.division_enabled() {
             return;
         }
         let Shares { terms, allotter, ways, .. } = &mut self.shares;
@@ -64,18 +72,18 @@
             ways.clear();
         }
         ways.insert(needs.router, from);
-        for HostNeeds { host, slots, fence, answers, needs: list, group } in needs.hosts {
-            let need = |need: arrowyard_messages::Need| Need {
+        for HostDemand { host, slots, fence, answers, services: list, group } in needs.hosts {
+            let need = |need: arrowyard_messages::ServiceDemand| Need {
                 service: terms.id(&need.service),
-                runs: need.runs,
-                waits: need.waits,
+                runs: need.running_milli,
+                waits: need.waiting_milli,
             };
             let answers = if Some(fence) == self.fence { answers } else { 0 };
             let list = list.into_iter().take(MOST_SERVICES).map(need).collect();
             let at = At { id: &host, group: &group, slots };
             allotter.heard(now, &at, RouterId(needs.router), (needs.echo, answers), list);
         }
-        self.divide(now, orders);
+        self.divide(now, commands);
     }
 
     fn read_terms(&mut self) {
@@ -87,59 +95,64 @@
     }
 
     /// Divides what is due, and says what came of it.
-    pub(super) fn divide(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn divide(&mut self, now: Point, commands: &mut Commands) {
         let (routers, fence) = (self.routers, self.fence.unwrap_or_default());
         let Shares { terms, allotter, ways, .. } = &mut self.shares;
         let Some(allotter) = allotter else { return };
         let division = allotter.divide(now, terms, routers);
-        let mut by_router: std::collections::BTreeMap<u64, Vec<Allot>> = std::collections::BTreeMap::new();
+        let mut by_router: std::collections::BTreeMap<u64, Vec<HostAllocation>> =
+            std::collections::BTreeMap::new();
         for (router, allot) in division.allots {
             let caps = allot.caps.iter();
-            let cap = |(of, cap): &(_, u32)| ServiceCap { service: terms.name(*of).to_string(), cap: *cap };
-            by_router.entry(router.0).or_default().push(Allot {
+            let cap =
+                |(of, cap): &(_, u32)| ServiceCap { service: terms.name(*of).to_string(), cap_milli: *cap };
+            by_router.entry(router.0).or_default().push(HostAllocation {
                 host: allot.host,
                 number: allot.number,
                 echo: allot.echo,
-                pressed: allot.pressed,
+                overloaded: allot.pressed,
                 caps: caps.map(cap).collect(),
-                places: allot.places,
+                capacity_milli: allot.places,
                 routers: allot.routers,
             });
         }
-        let said: Vec<(Option<u32>, Allots)> = by_router
+        let said: Vec<(Option<u32>, HostAllocations)> = by_router
             .into_iter()
-            .filter_map(|(router, allots)| Some((*ways.get(&router)?, Allots { router, fence, allots })))
+            .filter_map(|(router, allots)| {
+                Some((*ways.get(&router)?, HostAllocations { router, fence, allocations: allots }))
+            })
             .collect();
         for (way, allots) in said {
             match way {
-                Some(peer) => self.say_to_peer(peer, &Word::Allots(allots), orders),
-                None => self.allots(allots, orders),
+                Some(peer) => self.say_to_peer(peer, &Payload::HostAllocations(allots), commands),
+                None => self.allots(allots, commands),
             }
         }
         if !division.ask.is_empty() {
-            let word = Word::Pressed(Pressed { hosts: division.ask });
-            self.say_to_peers(&word, orders);
-            self.pressed(&word, orders);
+            let word = Payload::OverloadedHosts(OverloadedHosts { hosts: division.ask });
+            self.say_to_peers(&word, commands);
+            self.pressed(&word, commands);
         }
     }
 
     /// Parts for a router that is fed here, or was.
-    pub(super) fn allots(&mut self, allots: Allots, orders: &mut Orders) {
-        let fed = self.routers_fed().find(|(_, router)| router.life == allots.router).map(|(conn, _)| conn);
+    pub(super) fn allots(&mut self, allots: HostAllocations, commands: &mut Commands) {
+        let fed =
+            self.routers_fed().find(|(_, router)| router.incarnation == allots.router).map(|(conn, _)| conn);
         if let Some(conn) = fed {
-            self.say(conn, Word::Allots(allots), orders);
+            self.say(conn, Payload::HostAllocations(allots), commands);
         }
     }
 
     /// Routers are asked what they need of hosts that are pressed.
-    pub(super) fn pressed(&mut self, word: &Word, orders: &mut Orders) {
+    pub(super) fn pressed(&mut self, word: &Payload, commands: &mut Commands) {
         let mut fed: Vec<Conn> = self
             .lines
             .iter()
             .filter_map(|(conn, line)| matches!(line, Line::Router(_)).then_some(*conn))
             .collect();
         fed.sort_unstable();
-        fed.into_iter().for_each(|conn| self.say(conn, word.clone(), orders));
+        fed.into_iter().for_each(|conn| self.say(conn, word.clone(), commands));
     }
 }
 
--- a/crates/arrowyard-control/src/control/status.rs
+++ b/crates/arrowyard-control/src/control/status.rs
@@ -19,8 +19,8 @@
                 text(&host.id),
                 text(&host.service),
                 text(&host.zone),
-                text(host.phase().word()),
-                text(host.role().word()),
+                text(host.phase().as_str()),
+                text(host.role().as_str()),
                 self.silent.contains_key(&host.id)
             )
         });
--- a/crates/arrowyard-control/src/control/suspicions.rs
+++ b/crates/arrowyard-control/src/control/suspicions.rs
@@ -3,8 +3,8 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_messages::{Suspect, Word};
-use arrowyard_runtime::Orders;
+use arrowyard_messages::{Payload, Suspect};
+use arrowyard_runtime::Commands;
 use arrowyard_types::{Point, Span};
 
 use super::Control;
@@ -19,44 +19,44 @@
 
 impl Control {
     /// A router, or a control machine for it, says that a primary does not answer.
-    pub(super) fn suspected(&mut self, now: Point, suspect: Suspect, orders: &mut Orders) {
+    pub(super) fn suspected(&mut self, now: Point, suspect: Suspect, commands: &mut Commands) {
         self.suspicions.retain(|_, (at, _)| now - *at < KEPT);
         self.suspicions.insert(suspect.host.clone(), (now, suspect.clone()));
         if self.fence.is_some() {
-            self.check_primary(now, &suspect, orders);
+            self.check_primary(now, &suspect, commands);
         } else if suspect.by == 0 {
             // It is passed on once, to the holder alone.
-            self.pass_suspicion(&suspect, orders);
+            self.pass_suspicion(&suspect, commands);
         }
     }
 
-    fn check_primary(&mut self, now: Point, suspect: &Suspect, orders: &mut Orders) {
+    fn check_primary(&mut self, now: Point, suspect: &Suspect, commands: &mut Commands) {
         let mut asks = Vec::new();
         let sight = Sight { cell: &self.cell, silent: &self.silent, left: &self.left };
         self.promotions.of(&suspect.service).suspect(now, &suspect.host, &sight, &mut asks);
-        self.ask_hosts(now, asks, orders);
+        self.ask_hosts(now, asks, commands);
     }
 
-    fn pass_suspicion(&mut self, suspect: &Suspect, orders: &mut Orders) {
+    fn pass_suspicion(&mut self, suspect: &Suspect, commands: &mut Commands) {
         let holder = self.ledger.applied().duties.get(DUTY).map(|duty| duty.holder);
         if let Some(holder) = holder.filter(|holder| *holder != self.me) {
-            let word = Word::Suspect(Suspect { by: self.me, ..suspect.clone() });
-            self.say_to_peer(holder, &word, orders);
+            let word = Payload::Suspect(Suspect { by: self.me, ..suspect.clone() });
+            self.say_to_peer(holder, &word, commands);
         }
     }
 
     /// Another machine holds the duty from now on: it hears what routers said here lately.
-    pub(super) fn pass_suspicions(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn pass_suspicions(&mut self, now: Point, commands: &mut Commands) {
         self.suspicions.retain(|_, (at, _)| now - *at < KEPT);
         let mine = self.suspicions.values().filter(|(_, suspect)| suspect.by == 0);
         let mine: Vec<Suspect> = mine.map(|(_, suspect)| suspect.clone()).collect();
-        mine.iter().for_each(|suspect| self.pass_suspicion(suspect, orders));
+        mine.iter().for_each(|suspect| self.pass_suspicion(suspect, commands));
     }
 
     /// This machine has taken the duty up.
-    pub(super) fn check_suspicions(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn check_suspicions(&mut self, now: Point, commands: &mut Commands) {
         self.suspicions.retain(|_, (at, _)| now - *at < KEPT);
         let all: Vec<Suspect> = self.suspicions.values().map(|(_, suspect)| suspect.clone()).collect();
-        all.iter().for_each(|suspect| self.check_primary(now, suspect, orders));
+        all.iter().for_each(|suspect| self.check_primary(now, suspect, commands));
     }
 }
--- a/crates/arrowyard-control/src/duty.rs
+++ b/crates/arrowyard-control/src/duty.rs
@@ -1,6 +1,6 @@
 //! A singleton task of the control plane: who owns it, and when it falls vacant.
 
-use arrowyard_messages::{Duty, Entry, Matter};
+use arrowyard_messages::{Duty, Entry, EntryPayload};
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
 
@@ -19,7 +19,7 @@
 pub struct Duties {
     pub duty: &'static str,
     me: u32,
-    life: u64,
+    incarnation: u64,
     node: String,
     /// When its holder was last heard of, and of which ballot it is the winner.
     holder_at: Point,
@@ -28,14 +28,14 @@
 }
 
 impl Duties {
-    pub fn new(duty: &'static str, me: u32, life: u64, node: &str, now: Point) -> Self {
-        Duties { duty, me, life, node: node.to_string(), holder_at: now, fence: 0, try_at: None }
+    pub fn new(duty: &'static str, me: u32, incarnation: u64, node: &str, now: Point) -> Self {
+        Duties { duty, me, incarnation, node: node.to_string(), holder_at: now, fence: 0, try_at: None }
     }
 
     /// The fence under which this machine holds it.
     pub fn held(&self, applied: &Applied) -> Option<u64> {
         let duty = applied.duties.get(self.duty)?;
-        ((duty.holder, duty.life) == (self.me, self.life)).then_some(duty.fence)
+        ((duty.holder, duty.incarnation) == (self.me, self.incarnation)).then_some(duty.fence)
     }
 
     /// Somebody else has heard of these machines since then. Safety: a way between two machines that is cut is no vacancy.
@@ -44,19 +44,23 @@
         &mut self,
         since: Point,
         hears: &[u32],
-        life: impl FnOnce(u32) -> Option<u64>,
+        incarnation: impl FnOnce(u32) -> Option<u64>,
         applied: &Applied,
     ) {
         if let Some(duty) = applied.duties.get(self.duty).filter(|duty| hears.contains(&duty.holder))
-            && life(duty.holder).is_none_or(|life| life == duty.life)
+            && incarnation(duty.holder).is_none_or(|incarnation| incarnation == duty.incarnation)
         {
             self.holder_at = self.holder_at.max(since);
         }
     }
 
     /// A control machine was heard of, in this life.
-    pub fn heard(&mut self, now: Point, ip: u32, life: u64, applied: &Applied) {
-        if applied.duties.get(self.duty).is_some_and(|duty| (duty.holder, duty.life) == (ip, life)) {
+    pub fn heard(&mut self, now: Point, ip: u32, incarnation: u64, applied: &Applied) {
+        if applied
+            .duties
+            .get(self.duty)
+            .is_some_and(|duty| (duty.holder, duty.incarnation) == (ip, incarnation))
+        {
             self.holder_at = now;
         }
     }
@@ -83,7 +87,13 @@
         self.try_at = Some(now + VACANT);
         let (duty, node) = (self.duty.to_string(), self.node.clone());
         Some(Entry {
-            matter: Some(Matter::Duty(Duty { duty, holder: self.me, life: self.life, node, fence })),
+            payload: Some(EntryPayload::Duty(Duty {
+                duty,
+                holder: self.me,
+                incarnation: self.incarnation,
+                node,
+                fence,
+            })),
         })
     }
 
--- a/crates/arrowyard-control/src/ledger.rs
+++ b/crates/arrowyard-control/src/ledger.rs
@@ -12,8 +12,8 @@
 use std::hash::{Hash, Hasher};
 
 use arrowyard_messages::{
-    Accept, Accepted, Ballot, Chosen, Entry, Fetch, Ledger as Entries, Matter, Prepare, Probe, Probed,
-    Promise, Rejoin, Voters, Word,
+    Accept, Accepted, Ballot, Chosen, Entry, EntryPayload, Fetch, LogEntries as Entries, Payload, Prepare,
+    Probe, Probed, Promise, Rejoin, Voters,
 };
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
@@ -58,7 +58,7 @@
 pub enum Output {
     Send {
         to: u32,
-        word: Word,
+        word: Payload,
     },
     /// To be on disk before anything that stands behind it for this ticket goes out.
     Store {
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug)]
 pub struct Ledger {
     me: u32,
-    life: u64,
+    incarnation: u64,
     rng: Rng,
     applied: Applied,
     kept: VecDeque<Chosen>,
@@ -125,7 +125,7 @@
     waiting: VecDeque<Waiting>,
     last: u64,
     /// What goes out once a record is on disk.
-    after: BTreeMap<u64, (u32, Word)>,
+    after: BTreeMap<u64, (u32, Payload)>,
     last_record: u64,
     /// Since when it asks for what it lacks, so that it does not ask each time.
     fetched_at: Point,
@@ -135,7 +135,7 @@
 /// same that differ in nothing else.
 impl Hash for Ledger {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        (self.me, self.life, self.votes, self.vote_record, self.seen, self.last, self.last_record)
+        (self.me, self.incarnation, self.votes, self.vote_record, self.seen, self.last, self.last_record)
             .hash(state);
         (self.applied.snapshot(), &self.kept, self.promised, &self.accepted, &self.after).hash(state);
         self.round.iter().for_each(|round| (round.slot, round.ballot, &round.phase).hash(state));
@@ -176,7 +176,7 @@
         self.applied.voters.iter().filter(|voter| heard.contains(voter)).count() >= self.majority()
     }
 
-    fn store(&mut self, kept: Kept, then: Option<(u32, Word)>, out: &mut Vec<Output>) -> u64 {
+    fn store(&mut self, kept: Kept, then: Option<(u32, Payload)>, out: &mut Vec<Output>) -> u64 {
         self.last_record += 1;
         let ticket = self.last_record;
         then.map(|then| self.after.insert(ticket, then));
@@ -204,11 +204,11 @@
         self.vote_record = None;
     }
 
-    fn send(&mut self, now: Point, to: u32, word: Word, out: &mut Vec<Output>) {
+    fn send(&mut self, now: Point, to: u32, word: Payload, out: &mut Vec<Output>) {
         if to == self.me { self.on_message(now, to, &word, out) } else { out.push(Output::Send { to, word }) }
     }
 
-    fn broadcast(&mut self, now: Point, word: &Word, out: &mut Vec<Output>) {
+    fn broadcast(&mut self, now: Point, word: &Payload, out: &mut Vec<Output>) {
         for to in self.applied.voters.clone() {
             self.send(now, to, word.clone(), out);
         }
@@ -238,22 +238,22 @@
     }
 
     /// Takes what another machine, or this one, says to it.
-    pub fn on_message(&mut self, now: Point, from: u32, word: &Word, out: &mut Vec<Output>) {
+    pub fn on_message(&mut self, now: Point, from: u32, word: &Payload, out: &mut Vec<Output>) {
         match word {
-            Word::Prepare(prepare) => self.prepare(now, from, *prepare, out),
-            Word::Promise(promise) => self.promise(now, from, promise, out),
-            Word::Accept(accept) => self.accept(now, from, accept, out),
-            Word::Accepted(accepted) => self.accepted(now, from, *accepted, out),
-            Word::Chosen(chosen) => self.learn(now, from, chosen.clone(), out),
-            Word::Fetch(fetch) => self.fetch(now, from, *fetch, out),
-            Word::Ledger(entries) => self.entries(now, from, entries, out),
-            Word::Probe(probe) => {
+            Payload::Prepare(prepare) => self.prepare(now, from, *prepare, out),
+            Payload::Promise(promise) => self.promise(now, from, promise, out),
+            Payload::Accept(accept) => self.accept(now, from, accept, out),
+            Payload::Accepted(accepted) => self.accepted(now, from, *accepted, out),
+            Payload::Chosen(chosen) => self.learn(now, from, chosen.clone(), out),
+            Payload::Fetch(fetch) => self.fetch(now, from, *fetch, out),
+            Payload::LogEntries(entries) => self.entries(now, from, entries, out),
+            Payload::Probe(probe) => {
                 let accepted = self.accepted.as_ref().map_or(0, |accepted| accepted.slot);
                 let (ticket, chosen) = (probe.ticket, self.applied.slot);
                 let word = Probed { ticket, chosen, accepted, votes: self.votes, promised: self.promised };
-                self.send(now, from, Word::Probed(word), out);
+                self.send(now, from, Payload::Probed(word), out);
             }
-            Word::Probed(probed) => self.probed(now, from, *probed, out),
+            Payload::Probed(probed) => self.probed(now, from, *probed, out),
             _ => {}
         }
     }
--- a/crates/arrowyard-control/src/ledger/acceptor.rs
+++ b/crates/arrowyard-control/src/ledger/acceptor.rs
@@ -23,10 +23,10 @@
         if ballot > self.promised {
             self.promised = ballot;
             let accepted = self.accepted.clone();
-            let word = Word::Promise(Promise { slot, ballot, promised: ballot, accepted });
+            let word = Payload::Promise(Promise { slot, ballot, promised: ballot, accepted });
             self.store(Kept::Promised(Promised { slot, ballot }), Some((from, word)), out);
         } else if ballot < self.promised {
-            let word = Word::Promise(Promise { slot, ballot, promised: self.promised, accepted: None });
+            let word = Payload::Promise(Promise { slot, ballot, promised: self.promised, accepted: None });
             self.send(now, from, word, out);
         }
         // Safety: the same question once more is answered by the promise that it was given, or is to be given once that is on
@@ -42,7 +42,7 @@
             self.take_vote(now, from, accept, out);
         } else {
             let word = Accepted { slot: accept.slot, ballot: accept.ballot, promised: self.promised };
-            self.send(now, from, Word::Accepted(word), out);
+            self.send(now, from, Payload::Accepted(word), out);
         }
     }
 
@@ -50,6 +50,6 @@
         self.promised = accept.ballot;
         self.accepted = Some(accept.clone());
         let word = Accepted { slot: accept.slot, ballot: accept.ballot, promised: accept.ballot };
-        self.store(Kept::Accepted(accept.clone()), Some((from, Word::Accepted(word))), out);
+        self.store(Kept::Accepted(accept.clone()), Some((from, Payload::Accepted(word))), out);
     }
 }
--- a/crates/arrowyard-control/src/ledger/learner.rs
+++ b/crates/arrowyard-control/src/ledger/learner.rs
@@ -7,7 +7,7 @@
         if from != self.me && now - self.fetched_at >= PAUSE {
             self.fetched_at = now;
             let from_slot = if self.applied.voters.is_empty() { 1 } else { self.applied.slot + 1 };
-            out.push(Output::Send { to: from, word: Word::Fetch(Fetch { from: from_slot }) });
+            out.push(Output::Send { to: from, word: Payload::Fetch(Fetch { from: from_slot }) });
         }
     }
 
@@ -37,18 +37,18 @@
         self.store(Kept::Chosen(chosen.clone()), None, out);
         if mine {
             // Whoever voted, and the others through them.
-            out.push(Output::Send { to: 0, word: Word::Chosen(chosen.clone()) });
+            out.push(Output::Send { to: 0, word: Payload::Chosen(chosen.clone()) });
         }
         let (slot, entry) = (chosen.slot, chosen.entry.clone());
         self.take_entry(chosen);
         out.push(Output::Chosen { slot });
-        if let Some(Matter::Voters(voters)) = &entry.matter
+        if let Some(EntryPayload::Voters(voters)) = &entry.payload
             && voters.voters == self.applied.voters
         {
             log::info!("ledger: {} voters from slot {} on.", voters.voters.len(), slot + 1);
         }
-        if let Some(Matter::Rejoin(rejoin)) = &entry.matter
-            && (rejoin.voter, rejoin.life) == (self.me, self.life)
+        if let Some(EntryPayload::Rejoin(rejoin)) = &entry.payload
+            && (rejoin.voter, rejoin.incarnation) == (self.me, self.incarnation)
         {
             self.votes = true;
             log::info!("ledger: Votes again.");
@@ -92,7 +92,7 @@
         let snapshot = (known && whole || self.applied.slot == 0).then(|| self.applied.snapshot());
         let entries = if snapshot.is_some() { Vec::new() } else { entries };
         if snapshot.is_some() || !entries.is_empty() {
-            self.send(now, from, Word::Ledger(Entries { snapshot, entries }), out);
+            self.send(now, from, Payload::LogEntries(Entries { snapshot, entries }), out);
         }
     }
 
--- a/crates/arrowyard-control/src/ledger/proposer.rs
+++ b/crates/arrowyard-control/src/ledger/proposer.rs
@@ -16,7 +16,7 @@
     /// Asks to know all that was acknowledged so far.
     pub fn read_all(&mut self, now: Point, until: Point, out: &mut Vec<Output>) -> ProposalId {
         let ticket = self.propose(now, Proposal::Read { heard: BTreeSet::new(), slot: 0 }, until, out);
-        self.broadcast(now, &Word::Probe(Probe { ticket: ticket.0 }), out);
+        self.broadcast(now, &Payload::Probe(Probe { ticket: ticket.0 }), out);
         ticket
     }
 
@@ -49,10 +49,10 @@
         }
         self.seen += 1;
         let (slot, ballot) =
-            (self.applied.slot + 1, Ballot { round: self.seen, by: self.me, life: self.life });
+            (self.applied.slot + 1, Ballot { round: self.seen, by: self.me, incarnation: self.incarnation });
         let phase = Phase::Preparing { promised: BTreeSet::new(), best: None };
         self.round = Some(Round { slot, ballot, phase, until: now + ROUND });
-        self.broadcast(now, &Word::Prepare(Prepare { slot, ballot }), out);
+        self.broadcast(now, &Payload::Prepare(Prepare { slot, ballot }), out);
     }
 
     /// Whether there is something to enter, or to find out. Danger: what one voter accepted may be chosen.
@@ -124,17 +124,19 @@
             // Its own vote counts from this ballot on: others() voters promised it after whatever it knew before.
             self.take_vote(now, me, &accept, out);
             for to in self.applied.voters.clone().into_iter().filter(|&to| to != me) {
-                self.send(now, to, Word::Accept(accept.clone()), out);
+                self.send(now, to, Payload::Accept(accept.clone()), out);
             }
         } else {
-            self.broadcast(now, &Word::Accept(accept), out);
+            self.broadcast(now, &Payload::Accept(accept), out);
         }
     }
 
     /// What this machine would enter next.
     pub(super) fn next_entry(&self) -> Option<Entry> {
         if self.rejoins() {
-            return Some(Entry { matter: Some(Matter::Rejoin(Rejoin { voter: self.me, life: self.life })) });
+            return Some(Entry {
+                payload: Some(EntryPayload::Rejoin(Rejoin { voter: self.me, incarnation: self.incarnation })),
+            });
         }
         self.waiting.iter().find_map(|waiting| match &waiting.proposal {
             Proposal::Enter(entry) => Some(entry.clone()),
--- a/crates/arrowyard-control/src/ledger/recovery.rs
+++ b/crates/arrowyard-control/src/ledger/recovery.rs
@@ -9,15 +9,15 @@
     /// When a record cannot be read; nothing is to be answered then.
     pub fn open(
         me: u32,
-        life: u64,
+        incarnation: u64,
         records: &[Vec<u8>],
         founders: Option<&[u32]>,
         out: &mut Vec<Output>,
     ) -> Result<Self, String> {
         let mut this = Ledger {
             me,
-            life,
-            rng: Rng::with_seed(life),
+            incarnation,
+            rng: Rng::with_seed(incarnation),
             applied: Applied::default(),
             kept: VecDeque::new(),
             kept_bytes: 0,
@@ -31,7 +31,7 @@
             losses: 0,
             waiting: VecDeque::new(),
             // Safety: an answer to a question of an earlier life must not pass for one to a question of this life.
-            last: life >> 1,
+            last: incarnation >> 1,
             after: BTreeMap::new(),
             last_record: 0,
             fetched_at: Point::DAWN,
--- a/crates/arrowyard-control/src/view.rs
+++ b/crates/arrowyard-control/src/view.rs
@@ -1,13 +1,13 @@
 use std::collections::BTreeMap;
 
-use arrowyard_messages::Known;
+use arrowyard_messages::KnownControl;
 use fastrand::Rng;
 
 /// Control machines that one process knows of: a part of them, exchanged between neighbours (Voulgaris, Gavidia and van
 /// Steen, "CYCLON"). A machine that is gone ages in every view and falls out.
 #[derive(Clone, Debug, Default)]
 pub struct View {
-    known: BTreeMap<u32, Known>,
+    known: BTreeMap<u32, KnownControl>,
 }
 
 /// Machines in one view, those told in one exchange, and the age at which one falls out.
@@ -18,18 +18,18 @@
 impl View {
     /// It was heard of itself just now.
     pub fn heard(&mut self, ip: u32, zone: &str) {
-        self.known.insert(ip, Known { ip, zone: zone.to_string(), age: 0 });
+        self.known.insert(ip, KnownControl { ip, zone: zone.to_string(), age: 0 });
         self.bound();
     }
 
     /// A machine that it was told of in the settings, not known to be up. Its zone is not told.
     pub fn seed(&mut self, ip: u32) {
-        self.known.entry(ip).or_insert(Known { ip, zone: String::new(), age: OLD / 2 });
+        self.known.entry(ip).or_insert(KnownControl { ip, zone: String::new(), age: OLD / 2 });
         self.bound();
     }
 
     /// What another view holds; the younger word of a machine counts.
-    pub fn merge(&mut self, others: &[Known], me: u32) {
+    pub fn merge(&mut self, others: &[KnownControl], me: u32) {
         for other in others.iter().filter(|other| other.ip != me && other.age < OLD) {
             match self.known.get_mut(&other.ip) {
                 Some(known) if known.age <= other.age => {}
@@ -53,14 +53,14 @@
     }
 
     /// Some of it, for a neighbour.
-    pub fn part(&self, rng: &mut Rng) -> Vec<Known> {
-        let mut all: Vec<Known> = self.known.values().cloned().collect();
+    pub fn part(&self, rng: &mut Rng) -> Vec<KnownControl> {
+        let mut all: Vec<KnownControl> = self.known.values().cloned().collect();
         rng.shuffle(&mut all);
         all.truncate(TOLD);
         all
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &Known> {
+    pub fn all(&self) -> impl Iterator<Item = &KnownControl> {
         self.known.values()
     }
 
--- a/crates/arrowyard-control/tests/control.rs
+++ b/crates/arrowyard-control/tests/control.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use arrowyard_control::{Applied, Ask, Cell, DiskWatch, Duties, Promotion, Reply, Sight, Stage, To, View};
-use arrowyard_messages::{DbRole, Duty, Entry, Host, Known, Matter, Phase};
+use arrowyard_messages::{DbRole, Duty, Entry, EntryPayload, Host, KnownControl, Phase};
 use arrowyard_protocol::{Observed, Position};
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
@@ -83,7 +83,7 @@
     let gone = 7;
     for round in 0..200 {
         for me in (0..machines).filter(|&me| me != gone || round < 20) {
-            let known: Vec<Known> =
+            let known: Vec<KnownControl> =
                 views[me as usize].all().filter(|known| known.ip != gone || round < 20).cloned().collect();
             if let Some(other) = rng.choice(known) {
                 let (mine, theirs) =
@@ -110,8 +110,8 @@
         (0..400).find_map(|ms| duties.turn(at(ms), &applied, &mut rng)).expect("it is vacant at first");
     applied.apply(&first);
     assert_eq!(duties.held(&applied), Some(1));
-    let other = Duty { duty: "promote".into(), holder: 2, life: 22, node: "two".into(), fence: 1 };
-    applied.apply(&Entry { matter: Some(Matter::Duty(other)) });
+    let other = Duty { duty: "promote".into(), holder: 2, incarnation: 22, node: "two".into(), fence: 1 };
+    applied.apply(&Entry { payload: Some(EntryPayload::Duty(other)) });
     assert_eq!(duties.held(&applied), None);
     assert!((500..4000).all(|ms| {
         duties.heard(at(ms), 2, 22, &applied);
@@ -123,8 +123,8 @@
         duties.turn(at(ms), &applied, &mut rng)
     });
     assert!(matches!(
-        again.and_then(|entry| entry.matter),
-        Some(Matter::Duty(Duty { holder: 1, fence: 2, .. }))
+        again.and_then(|entry| entry.payload),
+        Some(EntryPayload::Duty(Duty { holder: 1, fence: 2, .. }))
     ));
 }
 
@@ -133,12 +133,12 @@
 #[test]
 fn a_holder_that_others_hear_of_keeps_its_duty_unless_it_has_started_again() {
     let (mut applied, mut rng) = (Applied::default(), Rng::with_seed(1));
-    let duty = Duty { duty: "promote".into(), holder: 2, life: 22, node: "two".into(), fence: 0 };
-    applied.apply(&Entry { matter: Some(Matter::Duty(duty)) });
-    let mut vacant_at = |life: Option<u64>| {
+    let duty = Duty { duty: "promote".into(), holder: 2, incarnation: 22, node: "two".into(), fence: 0 };
+    applied.apply(&Entry { payload: Some(EntryPayload::Duty(duty)) });
+    let mut vacant_at = |incarnation: Option<u64>| {
         let mut duties = Duties::new("promote", 1, 11, "one", at(0));
         (0..9000).step_by(500).find(|ms| {
-            duties.heard_elsewhere(at(*ms - 1250), &[2, 3], |_| life, &applied);
+            duties.heard_elsewhere(at(*ms - 1250), &[2, 3], |_| incarnation, &applied);
             duties.turn(at(*ms), &applied, &mut rng).is_some()
         })
     };
--- a/crates/arrowyard-control/tests/ledger.rs
+++ b/crates/arrowyard-control/tests/ledger.rs
@@ -6,7 +6,8 @@
 
 use arrowyard_control::{Answer, Applied, Digest, Kept, Ledger, Output, ProposalId, Record, digest};
 use arrowyard_messages::{
-    Ballot, Chosen, Duty, Entry, Ledger as Entries, Matter, Prepare, Probed, Revised, Voters, Word,
+    Ballot, Chosen, ConfigRevision, Duty, Entry, EntryPayload, LogEntries as Entries, Payload, Prepare,
+    Probed, Voters,
 };
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
@@ -25,7 +26,7 @@
     rng: Rng,
     machines: Vec<Machine>,
     /// What arrives when: to whom, from whom.
-    mail: Vec<(Point, usize, u32, Word)>,
+    mail: Vec<(Point, usize, u32, Payload)>,
     syncs: Vec<(Point, usize, u64, Vec<u8>, u32)>,
     lives: Vec<u32>,
     answers: BTreeMap<(usize, u32, u64), Answer>,
@@ -84,7 +85,7 @@
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, word: Word) {
+    fn post(&mut self, from: usize, to: usize, word: Payload) {
         let copies = if self.rng.f64() < self.loss { 0 } else { 1 + usize::from(self.rng.f64() < self.loss) };
         for _ in 0..copies {
             let at = self.now + Span::from_micros(self.rng.i64(300..9000));
@@ -106,8 +107,8 @@
         let now = self.now;
         let mut due: Vec<_> = self.syncs.extract_if(.., |(at, ..)| *at <= now).collect();
         due.sort_by_key(|(_, _, ticket, _, _)| *ticket);
-        for (_, machine, ticket, record, life) in due {
-            if life == self.lives[machine] {
+        for (_, machine, ticket, record, incarnation) in due {
+            if incarnation == self.lives[machine] {
                 let kept = self.machines[machine].refuses_until.is_none();
                 if kept {
                     self.machines[machine].disk.push(record);
@@ -167,8 +168,8 @@
 
     fn start(&mut self, machine: usize) {
         let mut out = Vec::new();
-        let life = self.rng.u64(..);
-        let ledger = Ledger::open(ip(machine), life, &self.machines[machine].disk, None, &mut out);
+        let incarnation = self.rng.u64(..);
+        let ledger = Ledger::open(ip(machine), incarnation, &self.machines[machine].disk, None, &mut out);
         self.machines[machine].ledger = Some(ledger.expect("what it wrote itself"));
         self.carry(machine, out);
     }
@@ -189,11 +190,17 @@
 
 fn change(revision: u64, base: u64) -> Entry {
     let body = format!("{{\"revision\":{revision},\"services\":[{{\"name\":\"s{revision}\"}}]}}");
-    Entry { matter: Some(Matter::Configuration(Revised { whole: true, base, body: body.into_bytes() })) }
+    Entry {
+        payload: Some(EntryPayload::Configuration(ConfigRevision {
+            whole: true,
+            base,
+            body: body.into_bytes(),
+        })),
+    }
 }
 
 fn revision(entry: &Entry) -> Option<(u64, Digest)> {
-    let Some(Matter::Configuration(revised)) = &entry.matter else { return None };
+    let Some(EntryPayload::Configuration(revised)) = &entry.payload else { return None };
     let text = String::from_utf8_lossy(&revised.body).into_owned();
     let digits = text.split("revision\":").nth(1)?.split(',').next()?.parse().ok()?;
     Some((digits, digest(revised)))
@@ -213,7 +220,7 @@
         voters.push(free.pop()?);
         voters.sort_unstable();
     }
-    Some(Entry { matter: Some(Matter::Voters(Voters { voters, before })) })
+    Some(Entry { payload: Some(EntryPayload::Voters(Voters { voters, before })) })
 }
 
 /// One drawn history; what it shows of entries, reads and duties. With `seats`, who votes changes again and again.
@@ -254,7 +261,7 @@
         reads.retain(|(key, _)| !net.answers.contains_key(key));
         let machine = net.rng.usize(0..machines);
         if millis < 4500 && millis % 60 == 0 && net.machines[machine].ledger.is_some() {
-            let life = net.lives[machine];
+            let incarnation = net.lives[machine];
             let until = net.now + Span::from_millis(1500);
             let base =
                 net.machines[machine].ledger.as_ref().map_or(0, |l| l.applied().configuration.revision);
@@ -264,21 +271,26 @@
                 other
             } else if turn == 0 {
                 let fence = net.machines[machine].ledger.as_ref().map_or(0, |l| l.applied().fence("promote"));
-                let duty =
-                    Duty { duty: "promote".into(), holder: ip(machine), life: 1, node: "n".into(), fence };
-                Entry { matter: Some(Matter::Duty(duty)) }
+                let duty = Duty {
+                    duty: "promote".into(),
+                    holder: ip(machine),
+                    incarnation: 1,
+                    node: "n".into(),
+                    fence,
+                };
+                Entry { payload: Some(EntryPayload::Duty(duty)) }
             } else {
                 change(base + step * 10 + machine as u64, base)
             };
             if turn == 3 {
                 let mut ticket = ProposalId::default();
                 net.with(machine, |ledger, now, out| ticket = ledger.read_all(now, until, out));
-                reads.push(((machine, life, ticket.0), newest));
+                reads.push(((machine, incarnation, ticket.0), newest));
             } else {
                 let mut ticket = ProposalId::default();
                 let proposed = entry.clone();
                 net.with(machine, |ledger, now, out| ticket = ledger.enter(now, proposed, until, out));
-                proposals.push(((machine, life, ticket.0), entry));
+                proposals.push(((machine, incarnation, ticket.0), entry));
             }
         }
         // One machine at a time is away; now and then without its disk, once the last one votes again.
@@ -351,7 +363,7 @@
     applied.voters = vec![1, 2, 3];
     let mut seats = |voters: &[u32], before: &[u32]| {
         let voters = Voters { voters: voters.to_vec(), before: before.to_vec() };
-        applied.apply(&Entry { matter: Some(Matter::Voters(voters)) });
+        applied.apply(&Entry { payload: Some(EntryPayload::Voters(voters)) });
         applied.voters.clone()
     };
     assert_eq!(seats(&[1, 2, 4], &[1, 2, 4]), [1, 2, 3], "another list was seen");
@@ -394,8 +406,8 @@
 fn a_duty_changes_hands_only_from_the_holder_that_was_seen() {
     let mut applied = Applied::default();
     let duty = |holder, fence| {
-        let duty = Duty { duty: "promote".into(), holder, life: 1, node: "n".into(), fence };
-        Entry { matter: Some(Matter::Duty(duty)) }
+        let duty = Duty { duty: "promote".into(), holder, incarnation: 1, node: "n".into(), fence };
+        Entry { payload: Some(EntryPayload::Duty(duty)) }
     };
     applied.apply(&duty(1, 0));
     assert_eq!((applied.duties["promote"].holder, applied.fence("promote")), (1, 1));
@@ -426,13 +438,13 @@
     let ticket = ledger.read_all(now, now + Span::from_millis(1000), &mut out);
     let probed =
         Probed { ticket: ticket.0, chosen: 0, accepted: 0, votes: true, promised: Ballot::default() };
-    ledger.on_message(now, 1, &Word::Probed(probed), &mut out);
+    ledger.on_message(now, 1, &Payload::Probed(probed), &mut out);
     let seats = Voters { voters: vec![1, 2, 3], before: vec![1, 2, 3, 4] };
-    let entry = Entry { matter: Some(Matter::Voters(seats)) };
-    ledger.on_message(now, 1, &Word::Chosen(Chosen { slot: 1, entry }), &mut out);
+    let entry = Entry { payload: Some(EntryPayload::Voters(seats)) };
+    ledger.on_message(now, 1, &Payload::Chosen(Chosen { slot: 1, entry }), &mut out);
     let answered = |out: &[Output]| out.iter().any(|one| matches!(one, Output::Answered { .. }));
     assert!(ledger.voters() == [1, 2, 3] && !answered(&out), "one of three has spoken");
-    ledger.on_message(now, 2, &Word::Probed(probed), &mut out);
+    ledger.on_message(now, 2, &Payload::Probed(probed), &mut out);
     assert!(answered(&out));
 }
 
@@ -443,8 +455,8 @@
     let (mut out, now) = (Vec::new(), Point::from_micros(0));
     let mut ledger = Ledger::open(1, 1, &[], Some(&[1, 2, 3]), &mut out).expect("an empty disk");
     out.clear();
-    let ballot = Ballot { round: 7, by: 2, life: 1 };
-    ledger.on_message(now, 2, &Word::Prepare(Prepare { slot: 1, ballot }), &mut out);
+    let ballot = Ballot { round: 7, by: 2, incarnation: 1 };
+    ledger.on_message(now, 2, &Payload::Prepare(Prepare { slot: 1, ballot }), &mut out);
     let Some(Output::Store { ticket, .. }) = out.pop() else { panic!("it stores its promise first") };
     ledger.stored(now, ticket, false, &mut out);
     ledger.recovered();
@@ -452,10 +464,10 @@
     assert_eq!(out, [], "the promise was refused");
     let disk = [ledger.snapshot(None)];
     let mut again = Ledger::open(1, 2, &disk, None, &mut out).expect("what it wrote");
-    let older = Prepare { slot: 1, ballot: Ballot { round: 6, by: 3, life: 1 } };
-    again.on_message(now, 3, &Word::Prepare(older), &mut out);
+    let older = Prepare { slot: 1, ballot: Ballot { round: 6, by: 3, incarnation: 1 } };
+    again.on_message(now, 3, &Payload::Prepare(older), &mut out);
     let promised = out.iter().find_map(|one| match one {
-        Output::Send { word: Word::Promise(promise), .. } => Some(promise.promised),
+        Output::Send { word: Payload::Promise(promise), .. } => Some(promise.promised),
         _ => None,
     });
     assert_eq!(promised, Some(ballot), "what it promised in memory binds it after the start as well");
@@ -514,7 +526,7 @@
         net.machines[0].ledger.as_ref().expect("it is up").applied().snapshot()
     };
     let (older, newer) = (enter(5, 0), enter(9, 5));
-    let word = Word::Ledger(Entries { snapshot: Some(older), entries: Vec::new() });
+    let word = Payload::LogEntries(Entries { snapshot: Some(older), entries: Vec::new() });
     net.with(0, |ledger, now, out| ledger.on_message(now, 2, &word, out));
     let ledger = net.machines[0].ledger.as_ref().expect("it is up");
     assert_eq!(ledger.applied().snapshot(), newer);
@@ -525,8 +537,8 @@
 fn a_snapshot_of_another_deployment_is_passed_over() {
     let grown = |seed: u64| {
         let mut net = Net::new(seed, 3, 3, 0.0);
-        let duty = Duty { duty: "promote".into(), holder: 1, life: seed, node: "n".into(), fence: 0 };
-        let duty = Entry { matter: Some(Matter::Duty(duty)) };
+        let duty = Duty { duty: "promote".into(), holder: 1, incarnation: seed, node: "n".into(), fence: 0 };
+        let duty = Entry { payload: Some(EntryPayload::Duty(duty)) };
         let changes = [change(5, 0), change(9, 5)].into_iter().take(seed as usize % 2 + 1);
         for entry in std::iter::once(duty).chain(changes) {
             let until = net.now + Span::from_millis(2000);
@@ -539,7 +551,7 @@
     let snapshot = |net: &Net| net.machines[0].ledger.as_ref().expect("it is up").applied().snapshot();
     let (before, foreign) = (snapshot(&net), snapshot(&other));
     assert!(foreign.slot > before.slot, "it would be taken for newer");
-    let foreign = Word::Ledger(Entries { snapshot: Some(foreign), entries: Vec::new() });
+    let foreign = Payload::LogEntries(Entries { snapshot: Some(foreign), entries: Vec::new() });
     net.with(0, |ledger, now, out| ledger.on_message(now, 2, &foreign, out));
     assert_eq!(snapshot(&net), before);
 }
--- a/crates/arrowyard-control/tests/relays.rs
+++ b/crates/arrowyard-control/tests/relays.rs
@@ -1,7 +1,7 @@
 //! Questions to silent hosts that routers relay.
 
 use arrowyard_control::{Ask, Relayed, Relays, Reply, To};
-use arrowyard_messages::{HostRow, RelayedAnswer, RelayedQuestion};
+use arrowyard_messages::{HostStatus, RelayedRequest, RelayedResponse};
 use arrowyard_protocol::{Observed, Position};
 use arrowyard_types::Point;
 
@@ -16,16 +16,16 @@
     Ask::Pause { host: "c".into(), term: 4, turn }
 }
 
-fn begin(relays: &mut Relays, ask: &Ask) -> RelayedQuestion {
+fn begin(relays: &mut Relays, ask: &Ask) -> RelayedRequest {
     relays.begin(at(0), ME, "s", ask, 3).expect("a question to a host")
 }
 
-fn answer(question: &RelayedQuestion, row: Option<HostRow>) -> RelayedAnswer {
-    RelayedAnswer { asked_by: ME, number: question.number, row }
+fn answer(question: &RelayedRequest, row: Option<HostStatus>) -> RelayedResponse {
+    RelayedResponse { asked_by: ME, number: question.number, row }
 }
 
-fn row() -> Option<HostRow> {
-    Some(HostRow { primary: false, term: 3, received_term: 3, received_number: 21 })
+fn row() -> Option<HostStatus> {
+    Some(HostStatus { primary: false, term: 3, received_term: 3, received_number: 21 })
 }
 
 #[test]
--- a/crates/arrowyard-emulator/src/calls.rs
+++ b/crates/arrowyard-emulator/src/calls.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use arrowyard_runtime::http::Messages;
-use arrowyard_runtime::{Event, Orders, Plane};
+use arrowyard_runtime::http::HttpDecoder;
+use arrowyard_runtime::{Commands, Event, Plane};
 use arrowyard_types::{Point, Span};
 
 use crate::system::System;
@@ -21,18 +21,18 @@
 struct Caller {
     to: SocketAddrV4,
     text: String,
-    messages: Messages,
+    messages: HttpDecoder,
     answer: CallAnswer,
 }
 
 impl Plane for Caller {
-    fn handle(&mut self, _: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, _: Point, event: Event<'_>, commands: &mut Commands) {
         match event {
-            Event::Start => drop(orders.dial(self.to)),
-            Event::Opened { conn } => orders.write(conn, &[self.text.as_bytes()]),
-            Event::Came { bytes, .. } => {
+            Event::Start => drop(commands.dial(self.to)),
+            Event::Connected { conn } => commands.write(conn, &[self.text.as_bytes()]),
+            Event::Received { bytes, .. } => {
                 self.messages.put(bytes);
-                if let Ok(Some(response)) = self.messages.response() {
+                if let Ok(Some(response)) = self.messages.next_response() {
                     let body = String::from_utf8_lossy(&response.body).into_owned();
                     self.answer.borrow_mut().get_or_insert((response.status, body));
                 }
@@ -54,7 +54,7 @@
         let caller = Caller {
             to: self.control_address(control),
             text: text.to_string(),
-            messages: Messages::default(),
+            messages: HttpDecoder::default(),
             answer: answer.clone(),
         };
         let machine = self.world.add("caller", Vec::new(), Rc::default(), Span::ZERO);
--- a/crates/arrowyard-emulator/src/catch_up.rs
+++ b/crates/arrowyard-emulator/src/catch_up.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use arrowyard_runtime::http::call;
+use arrowyard_runtime::http::format_request;
 use arrowyard_types::{Point, Span};
 
 use crate::system::{Plan, System};
@@ -64,7 +64,7 @@
 }
 
 fn order(path: &str, base: u64, body: &str) -> String {
-    call("POST", path, "c", &[("Arrowyard-Base-Revision", &base.to_string())], body)
+    format_request("POST", path, "c", &[("Arrowyard-Base-Revision", &base.to_string())], body)
 }
 
 fn taken(system: &mut System, text: &str) -> Result<(), String> {
@@ -127,6 +127,6 @@
 
 /// Whether it answers a read, which it does only with all that was acknowledged.
 fn has_read(system: &mut System, revision: u64) -> bool {
-    let (status, body) = system.call(AWAY, &call("GET", "/Config.Read", "c", &[], ""));
+    let (status, body) = system.call(AWAY, &format_request("GET", "/Config.Read", "c", &[], ""));
     status == 200 && body.contains(&format!("\"revision\":{revision}"))
 }
