--- a/crates/arrowyard-emulator/src/clients.rs
+++ b/crates/arrowyard-emulator/src/clients.rs
@@ -6,8 +6,8 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use arrowyard_protocol::{Answer, Code, Lines, Verdict};
-use arrowyard_runtime::{Conn, Event, Orders, Plane, Timers};
+use arrowyard_protocol::{ExecutionStatus, FaultCode, LineDecoder, Response};
+use arrowyard_runtime::{Commands, Conn, Event, Plane, Timers};
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
 
@@ -50,7 +50,7 @@
     conn: Option<Conn>,
     open: bool,
     session: u64,
-    lines: Lines,
+    lines: LineDecoder,
     tag: Option<String>,
     prepared: BTreeMap<bool, String>,
     operation: Option<Operation>,
@@ -58,7 +58,7 @@
     id: Option<String>,
     rows: String,
     stamp: Option<String>,
-    fault: Option<Code>,
+    fault: Option<FaultCode>,
     again: Option<(Vec<Step>, u32, Point)>,
 }
 
@@ -109,7 +109,7 @@
             conn: None,
             open: false,
             session: 0,
-            lines: Lines::default(),
+            lines: LineDecoder::default(),
             tag: None,
             prepared: BTreeMap::new(),
             operation: None,
@@ -135,28 +135,28 @@
         }
     }
 
-    fn dial(&mut self, now: Point, place: usize, orders: &mut Orders) {
+    fn dial(&mut self, now: Point, place: usize, commands: &mut Commands) {
         let fronts = self.fronts.borrow().clone();
         if fronts.is_empty() {
             self.timers.set(now + Span::from_millis(200), Due::Dial(place));
             return;
         }
-        let conn = orders.dial(fronts[self.rng.usize(0..fronts.len())]);
+        let conn = commands.dial(fronts[self.rng.usize(0..fronts.len())]);
         self.by_conn.insert(conn, place);
         let session = self.history.borrow_mut().number();
         let user = &mut self.users[place];
         (user.conn, user.open, user.session) = (Some(conn), false, session);
-        (user.lines, user.tag, user.prepared) = (Lines::default(), None, BTreeMap::new());
+        (user.lines, user.tag, user.prepared) = (LineDecoder::default(), None, BTreeMap::new());
         (user.id, user.rows, user.stamp, user.fault) = (None, String::new(), None, None);
         self.timers.set(now + Span::from_millis(2000), Due::Late(place, format!("open{}", session)));
     }
 
     /// The session is no more: what was under way has failed.
-    fn lose(&mut self, now: Point, place: usize, orders: &mut Orders) {
+    fn lose(&mut self, now: Point, place: usize, commands: &mut Commands) {
         let user = &mut self.users[place];
         if let Some(conn) = user.conn.take() {
             self.by_conn.remove(&conn);
-            orders.drop(conn);
+            commands.reset(conn);
         }
         if let Some(operation) = user.operation.take() {
             self.settle(place, &operation, None);
@@ -240,7 +240,7 @@
         steps
     }
 
-    fn begin(&mut self, now: Point, place: usize, orders: &mut Orders) {
+    fn begin(&mut self, now: Point, place: usize, commands: &mut Commands) {
         if now > self.until || self.users[place].operation.is_some() {
             return;
         }
@@ -267,10 +267,10 @@
             tries,
             writes,
         });
-        self.step(now, place, orders);
+        self.step(now, place, commands);
     }
 
-    fn step(&mut self, now: Point, place: usize, orders: &mut Orders) {
+    fn step(&mut self, now: Point, place: usize, commands: &mut Commands) {
         let id = format!("{:016x}", self.history.borrow_mut().number());
         let letter = if self.costly { COSTLY } else { 't' };
         let thing = format!("{letter}{}", self.rng.u32(0..200));
@@ -341,38 +341,38 @@
             self.history.borrow_mut().asked.insert(id.clone(), asked);
         }
         (user.id, user.rows, user.stamp, user.fault) = (Some(id.clone()), String::new(), None, None);
-        orders.line(conn, &["QUERY ", &id, " ", &text]);
+        commands.write_line(conn, &["QUERY ", &id, " ", &text]);
         self.timers.set(now + DEADLINE + Span::from_millis(100), Due::Late(place, id));
     }
 
     /// A statement is answered.
-    fn answered(&mut self, now: Point, place: usize, letter: &str, orders: &mut Orders) {
+    fn answered(&mut self, now: Point, place: usize, letter: &str, commands: &mut Commands) {
         let user = &mut self.users[place];
         let (Some(id), Some(operation)) = (user.id.take(), user.operation.as_mut()) else {
             self.history.borrow_mut().breach("MIXED", now, "an answer to nothing".to_string());
-            return self.lose(now, place, orders);
+            return self.lose(now, place, commands);
         };
         let step = operation.steps[operation.next - 1].clone();
         if let Some(code) = user.fault.take() {
             // In a transaction that failed the client ends it before it goes on.
             let promised = matches!(
                 code,
-                Code::Saturated
-                    | Code::Reverted
-                    | Code::Lagging
-                    | Code::ReadOnly
-                    | Code::Misrouted
-                    | Code::Overload
+                FaultCode::Saturated
+                    | FaultCode::Reverted
+                    | FaultCode::Lagging
+                    | FaultCode::ReadOnly
+                    | FaultCode::Misrouted
+                    | FaultCode::Overload
             );
             let reads = !operation.writes;
-            let again = promised || code == Code::Failed && reads;
+            let again = promised || code == FaultCode::Failed && reads;
             let operation = user.operation.take().expect("it was there");
             let service = user.service.clone();
-            let sure = promised || code.verdict() == Verdict::NotRun;
+            let sure = promised || code.execution_status() == ExecutionStatus::NotRun;
             self.settle(place, &operation, sure.then_some(Fate::Promised { at: now, service }));
             self.over(now, place, operation, false, again);
             if letter != "I" {
-                self.close(now, place, orders);
+                self.close(now, place, commands);
             }
             return;
         }
@@ -389,7 +389,7 @@
         let user = &mut self.users[place];
         let Some(operation) = user.operation.as_mut() else { return };
         if operation.next < operation.steps.len() {
-            return self.step(now, place, orders);
+            return self.step(now, place, commands);
         }
         let operation = user.operation.take().expect("it was there");
         let (service, session) = (user.service.clone(), user.session);
@@ -404,36 +404,36 @@
         }
     }
 
-    fn close(&mut self, now: Point, place: usize, orders: &mut Orders) {
+    fn close(&mut self, now: Point, place: usize, commands: &mut Commands) {
         if let Some(conn) = self.users[place].conn.take() {
             self.by_conn.remove(&conn);
-            orders.close(conn);
+            commands.close(conn);
         }
         self.users[place].open = false;
         self.timers.set(now + Span::from_millis(10), Due::Dial(place));
     }
 
-    fn line(&mut self, now: Point, place: usize, line: &[u8], orders: &mut Orders) {
+    fn line(&mut self, now: Point, place: usize, line: &[u8], commands: &mut Commands) {
         let user = &mut self.users[place];
         match answer(line) {
-            Some(Answer::Idle { state, .. }) if !user.open => {
+            Some(Response::Idle { state, .. }) if !user.open => {
                 user.open = state.letter() == "I";
                 let wait = self.think * self.rng.f64();
                 if self.users[place].operation.is_none() && self.users[place].again.is_none() {
                     self.timers.set(now + wait, Due::Think(place));
                 }
             }
-            Some(Answer::Idle { state, .. }) => self.answered(now, place, state.letter(), orders),
-            Some(Answer::Row(row)) => user.rows.push_str(row),
-            Some(Answer::Settled(stamp)) => user.stamp = Some(stamp.to_string()),
-            Some(Answer::Fault { code, .. }) if user.open => user.fault = Some(code),
-            _ => self.lose(now, place, orders),
+            Some(Response::Idle { state, .. }) => self.answered(now, place, state.letter(), commands),
+            Some(Response::Row(row)) => user.rows.push_str(row),
+            Some(Response::Settled(stamp)) => user.stamp = Some(stamp.to_string()),
+            Some(Response::Fault { code, .. }) if user.open => user.fault = Some(code),
+            _ => self.lose(now, place, commands),
         }
     }
 }
 
 impl Plane for Clients {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Point, event: Event<'_>, commands: &mut Commands) {
         match event {
             Event::Start => {
                 for place in 0..self.users.len() {
@@ -441,44 +441,44 @@
                     self.timers.set(at, Due::Dial(place));
                 }
             }
-            Event::Opened { conn } => {
+            Event::Connected { conn } => {
                 if let Some(place) = self.by_conn.get(&conn) {
                     let user = &self.users[*place];
                     let who = format!("u{}", user.session);
-                    orders.line(conn, &["OPEN ", &user.database, " ", &who]);
+                    commands.write_line(conn, &["OPEN ", &user.database, " ", &who]);
                 }
             }
-            Event::Came { conn, bytes } => {
+            Event::Received { conn, bytes } => {
                 let Some(&place) = self.by_conn.get(&conn) else { return };
                 self.users[place].lines.put(bytes);
                 while self.by_conn.get(&conn) == Some(&place) {
                     let Ok(Some(line)) = self.users[place].lines.take() else { break };
-                    self.line(now, place, &line, orders);
+                    self.line(now, place, &line, commands);
                 }
             }
             Event::Closed { conn, .. } => {
                 if let Some(&place) = self.by_conn.get(&conn) {
-                    self.lose(now, place, orders);
+                    self.lose(now, place, commands);
                 }
             }
-            Event::Woke
-            | Event::Sign(_)
+            Event::TimerExpired
+            | Event::Signal(_)
             | Event::Stored { .. }
-            | Event::Disk { .. }
+            | Event::DiskStatus { .. }
             | Event::Accepted { .. } => {}
         }
         while let Some(due) = self.timers.take(now) {
             match due {
                 Due::Dial(place) if self.users[place].conn.is_none() && now <= self.until => {
-                    self.dial(now, place, orders);
+                    self.dial(now, place, commands);
                 }
                 Due::Dial(_) => {}
-                Due::Think(place) => self.begin(now, place, orders),
+                Due::Think(place) => self.begin(now, place, commands),
                 Due::Late(place, id) => {
                     let user = &self.users[place];
                     let opening = !user.open && user.conn.is_some() && id == format!("open{}", user.session);
                     if opening || user.id.as_ref() == Some(&id) {
-                        self.lose(now, place, orders);
+                        self.lose(now, place, commands);
                     }
                 }
             }
--- a/crates/arrowyard-emulator/src/day.rs
+++ b/crates/arrowyard-emulator/src/day.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_runtime::Sign;
+use arrowyard_runtime::Signal;
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
@@ -460,7 +460,7 @@
                 Trouble::KillRouter => system.world.kill(system.routers[router]),
                 Trouble::RollRouter => {
                     system.shun_router(router);
-                    system.world.sign(system.routers[router], Sign::Terminate);
+                    system.world.sign(system.routers[router], Signal::Terminate);
                     return vec![(now + Span::from_millis(6000), Turn::End(fault, router))];
                 }
                 Trouble::CrashPrimary | Trouble::DarkPrimary => {
--- a/crates/arrowyard-emulator/src/history.rs
+++ b/crates/arrowyard-emulator/src/history.rs
@@ -181,11 +181,11 @@
         let Some(asked) = self.asked.get(id).cloned() else {
             return self.breach("UNASKED", at, format!("{id} was not asked: {text}"));
         };
-        let (word, rest) = arrowyard_protocol::split(text);
+        let (word, rest) = arrowyard_protocol::split_word(text);
         let same = if word == "RUN" {
-            let (_, of) = arrowyard_protocol::split(rest);
-            let (mine, asked_rest) = arrowyard_protocol::split(&asked.text);
-            mine == "RUN" && arrowyard_protocol::split(asked_rest).1 == of
+            let (_, of) = arrowyard_protocol::split_word(rest);
+            let (mine, asked_rest) = arrowyard_protocol::split_word(&asked.text);
+            mine == "RUN" && arrowyard_protocol::split_word(asked_rest).1 == of
         } else {
             asked.text == text
         };
--- a/crates/arrowyard-emulator/src/host.rs
+++ b/crates/arrowyard-emulator/src/host.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use arrowyard_protocol::{Answer, Ask, Lines, Position, State, split};
-use arrowyard_runtime::http::{Messages, call};
-use arrowyard_runtime::{Conn, Event, Orders, Plane, Timers};
+use arrowyard_protocol::{LineDecoder, Position, Request, Response, TransactionState, split_word};
+use arrowyard_runtime::http::{HttpDecoder, format_request};
+use arrowyard_runtime::{Commands, Conn, Event, Plane, Timers};
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
 
@@ -52,7 +52,7 @@
 }
 
 struct Session {
-    lines: Lines,
+    lines: LineDecoder,
     open: bool,
     values: BTreeMap<String, String>,
     defined: BTreeMap<String, (bool, String)>,
@@ -94,7 +94,7 @@
     period: Span,
     limit: usize,
     sessions: BTreeMap<Conn, Session>,
-    calls: BTreeMap<Conn, (Messages, String)>,
+    calls: BTreeMap<Conn, (HttpDecoder, String)>,
     timers: Timers<Due>,
     rng: Rng,
     seq: Rc<RefCell<u64>>,
@@ -152,7 +152,7 @@
         }
     }
 
-    fn beat(&mut self, now: Point, orders: &mut Orders) {
+    fn beat(&mut self, now: Point, commands: &mut Commands) {
         let target = self.target.unwrap_or_else(|| {
             let controls = self.controls.borrow();
             controls[self.turn % controls.len()]
@@ -170,15 +170,16 @@
             if leads { "primary" } else { "replica" },
             self.seq.borrow(),
         );
-        let text = call("POST", &format!("/Instances.Beat/{}", self.id), &target.to_string(), &[], &body);
-        let conn = orders.dial(target);
-        self.calls.insert(conn, (Messages::default(), text));
+        let text =
+            format_request("POST", &format!("/Instances.Beat/{}", self.id), &target.to_string(), &[], &body);
+        let conn = commands.dial(target);
+        self.calls.insert(conn, (HttpDecoder::default(), text));
         self.timers.set(now + CALL, Due::Late(conn));
     }
 
-    fn call_failed(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn call_failed(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         if self.calls.remove(&conn).is_some() {
-            orders.drop(conn);
+            commands.reset(conn);
             self.target = None;
             self.turn += 1;
             let wait = Span::from_millis(100) * (1.0 + self.rng.f64());
@@ -186,55 +187,58 @@
         }
     }
 
-    fn line(&mut self, now: Point, conn: Conn, line: &str, orders: &mut Orders) {
+    fn line(&mut self, now: Point, conn: Conn, line: &str, commands: &mut Commands) {
         let open = self.sessions.values().filter(|session| session.open).count();
         let Some(session) = self.sessions.get_mut(&conn) else { return };
-        match Ask::read(line) {
-            Some(Ask::Open { database, who }) if !session.open => {
-                let wanted = split(who).1;
+        match Request::parse(line) {
+            Some(Request::Open { database, user }) if !session.open => {
+                let wanted = split_word(user).1;
                 let wrong =
                     database != self.shard.borrow().service || !wanted.is_empty() && wanted != self.id;
                 if wrong || open >= self.limit {
                     self.history.borrow_mut().reset_over_cap += u64::from(!wrong);
-                    orders.line(conn, &["FAULT ", if wrong { "MISROUTED " } else { "OVERLOAD " }, &self.id]);
-                    orders.close(conn);
+                    commands.write_line(
+                        conn,
+                        &["FAULT ", if wrong { "MISROUTED " } else { "OVERLOAD " }, &self.id],
+                    );
+                    commands.close(conn);
                     self.sessions.remove(&conn);
                     return;
                 }
                 session.open = true;
-                self.idle(conn, orders);
+                self.idle(conn, commands);
             }
-            Some(Ask::Query { id, text }) if session.open => {
+            Some(Request::Query { id, text }) if session.open => {
                 session.queue.push_back((id.to_string(), text.to_string()));
-                self.next(now, conn, orders);
+                self.next(now, conn, commands);
             }
             _ => {
-                orders.close(conn);
+                commands.close(conn);
                 self.sessions.remove(&conn);
             }
         }
     }
 
-    fn idle(&mut self, conn: Conn, orders: &mut Orders) {
+    fn idle(&mut self, conn: Conn, commands: &mut Commands) {
         let Some(session) = self.sessions.get(&conn) else { return };
         let state = match &session.transaction {
-            None => State::Idle,
-            Some(transaction) if transaction.failed => State::Failed,
-            Some(_) => State::InTransaction,
+            None => TransactionState::Idle,
+            Some(transaction) if transaction.failed => TransactionState::Failed,
+            Some(_) => TransactionState::InTransaction,
         };
         let (applied, _) = self.shard.borrow().positions(&self.id);
-        orders.line(conn, &["IDLE ", state.letter(), " ", &applied.to_string()]);
+        commands.write_line(conn, &["IDLE ", state.letter(), " ", &applied.to_string()]);
     }
 
-    fn next(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn next(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         loop {
             let Some(session) = self.sessions.get_mut(&conn) else { return };
             if session.busy {
                 return;
             }
             let Some((id, text)) = session.queue.pop_front() else { return };
-            let word = split(&text).0;
-            let plain = if word == "AFTER" { split(split(split(&text).1).1).0 } else { word };
+            let word = split_word(&text).0;
+            let plain = if word == "AFTER" { split_word(split_word(split_word(&text).1).1).0 } else { word };
             if matches!(plain, "READ" | "WRITE" | "COMMIT" | "RUN" | "OBSERVE") {
                 if self.running < SLOTS {
                     self.work(now, conn, id, text);
@@ -242,10 +246,10 @@
                     session.busy = true;
                     self.waiting.push_back((conn, id, text));
                 } else {
-                    self.fault(conn, "SATURATED", orders);
+                    self.fault(conn, "SATURATED", commands);
                 }
             } else {
-                self.at_once(conn, &id, &text, orders);
+                self.at_once(conn, &id, &text, commands);
             }
         }
     }
@@ -262,44 +266,44 @@
         self.timers.set(now + takes, Due::Done { conn, id, text });
     }
 
-    fn fault(&mut self, conn: Conn, code: &str, orders: &mut Orders) {
+    fn fault(&mut self, conn: Conn, code: &str, commands: &mut Commands) {
         if let Some(transaction) =
             self.sessions.get_mut(&conn).and_then(|session| session.transaction.as_mut())
         {
             transaction.failed = true;
         }
-        orders.line(conn, &["FAULT ", code, " ", &self.id]);
-        self.idle(conn, orders);
+        commands.write_line(conn, &["FAULT ", code, " ", &self.id]);
+        self.idle(conn, commands);
     }
 
-    fn settled(&mut self, conn: Conn, stamp: &str, orders: &mut Orders) {
-        orders.line(conn, &["SETTLED ", stamp]);
-        self.idle(conn, orders);
+    fn settled(&mut self, conn: Conn, stamp: &str, commands: &mut Commands) {
+        commands.write_line(conn, &["SETTLED ", stamp]);
+        self.idle(conn, commands);
     }
 
     /// Whether the host's log lacks a position that a statement must see; and the statement without it.
     fn after<'a>(&self, text: &'a str) -> (bool, &'a str) {
-        let (word, rest) = split(text);
+        let (word, rest) = split_word(text);
         if word != "AFTER" {
             return (false, text);
         }
-        let (position, text) = split(rest);
+        let (position, text) = split_word(rest);
         let (applied, _) = self.shard.borrow().positions(&self.id);
-        (Position::read(position).is_none_or(|wanted| applied < wanted), text)
+        (Position::parse(position).is_none_or(|wanted| applied < wanted), text)
     }
 
-    fn at_once(&mut self, conn: Conn, id: &str, text: &str, orders: &mut Orders) {
+    fn at_once(&mut self, conn: Conn, id: &str, text: &str, commands: &mut Commands) {
         let (lacks, text) = self.after(text);
         let leads = self.shard.borrow().leads(&self.id);
         let term = self.shard.borrow().term;
         let Some(session) = self.sessions.get_mut(&conn) else { return };
-        let (word, rest) = split(text);
+        let (word, rest) = split_word(text);
         if session.transaction.as_ref().is_some_and(|transaction| transaction.failed) && word != "ABORT" {
-            return self.fault(conn, "MALFORMED", orders);
+            return self.fault(conn, "MALFORMED", commands);
         }
         match word {
-            "BEGIN" if lacks => return self.fault(conn, "LAGGING", orders),
-            "BEGIN" if rest != "READ" && !leads => return self.fault(conn, "READONLY", orders),
+            "BEGIN" if lacks => return self.fault(conn, "LAGGING", commands),
+            "BEGIN" if rest != "READ" && !leads => return self.fault(conn, "READONLY", commands),
             "BEGIN" => {
                 session.transaction =
                     Some(Transaction { reads: rest == "READ", term, ..Transaction::default() });
@@ -310,18 +314,18 @@
                 session.defined.clear();
             }
             "ASSIGN" => {
-                let (name, value) = split(rest);
+                let (name, value) = split_word(rest);
                 session.values.insert(name.to_string(), value.to_string());
             }
             "DEFINE" => {
-                let (name, rest) = split(rest);
-                let (mode, shape) = split(rest);
+                let (name, rest) = split_word(rest);
+                let (mode, shape) = split_word(rest);
                 session.defined.insert(name.to_string(), (mode == "WRITE", shape.to_string()));
             }
             "YIELD" => {
                 let term = rest.parse().unwrap_or_default();
                 self.shard.borrow_mut().yield_to(&self.id, term);
-                return self.observe(conn, orders);
+                return self.observe(conn, commands);
             }
             "PAUSE" | "CONTINUE" => {
                 let mut shard = self.shard.borrow_mut();
@@ -330,74 +334,74 @@
                 }
                 if word == "CONTINUE" {
                     drop(shard);
-                    return self.observe(conn, orders);
+                    return self.observe(conn, commands);
                 }
                 drop(shard);
-                return self.observe(conn, orders);
+                return self.observe(conn, commands);
             }
-            _ => return self.fault(conn, "MALFORMED", orders),
+            _ => return self.fault(conn, "MALFORMED", commands),
         }
         let _ = id;
-        self.settled(conn, "-", orders);
+        self.settled(conn, "-", commands);
     }
 
-    fn observe(&mut self, conn: Conn, orders: &mut Orders) {
+    fn observe(&mut self, conn: Conn, commands: &mut Commands) {
         let shard = self.shard.borrow();
         let (_, received) = shard.positions(&self.id);
         let role = if shard.leads(&self.id) { "primary" } else { "replica" };
         let term = shard.copies[&self.id].term;
         let row = format!("ROW {role} {term} {received} {term} 0 0 {}", self.sessions.len());
         drop(shard);
-        orders.line(conn, &[&row]);
-        self.settled(conn, "-", orders);
+        commands.write_line(conn, &[&row]);
+        self.settled(conn, "-", commands);
     }
 
     /// A statement has had its time: it runs.
-    fn done(&mut self, now: Point, conn: Conn, id: &str, text: &str, orders: &mut Orders) {
+    fn done(&mut self, now: Point, conn: Conn, id: &str, text: &str, commands: &mut Commands) {
         self.running -= 1;
         if let Some((conn, id, text)) = self.waiting.pop_front() {
             self.work(now, conn, id, text);
         }
         let (lacks, text) = self.after(text);
-        let (word, rest) = split(text);
+        let (word, rest) = split_word(text);
         let leads = self.shard.borrow().leads(&self.id);
         let term = self.shard.borrow().term;
         let Some(session) = self.sessions.get_mut(&conn) else { return };
         session.busy = false;
         if word == "OBSERVE" {
-            return self.observe(conn, orders);
+            return self.observe(conn, commands);
         }
         let lost_lead =
             session.transaction.as_ref().is_some_and(|tx| !tx.reads && (!leads || tx.term != term));
-        let shape = (word == "RUN").then(|| session.defined.get(split(rest).0).cloned());
+        let shape = (word == "RUN").then(|| session.defined.get(split_word(rest).0).cloned());
         let writes = match &shape {
             Some(Some((writes, _))) => *writes,
-            Some(None) => return self.fault(conn, "UNDEFINED", orders),
+            Some(None) => return self.fault(conn, "UNDEFINED", commands),
             None => word == "WRITE",
         };
         if session.transaction.as_ref().is_some_and(|transaction| transaction.failed) {
             if word == "COMMIT" {
                 session.transaction = None;
-                return self.fault(conn, "REVERTED", orders);
+                return self.fault(conn, "REVERTED", commands);
             }
-            return self.fault(conn, "MALFORMED", orders);
+            return self.fault(conn, "MALFORMED", commands);
         }
         if lacks {
-            return self.fault(conn, "LAGGING", orders);
+            return self.fault(conn, "LAGGING", commands);
         }
         let wrote = session.transaction.as_ref().is_some_and(|tx| !tx.writes.is_empty());
         if writes && !leads || lost_lead && (word != "COMMIT" || wrote) {
             if word == "COMMIT" {
                 session.transaction = None;
             }
-            return self.fault(conn, "READONLY", orders);
+            return self.fault(conn, "READONLY", commands);
         }
         if self.rng.f64() < self.faults.borrow().failing {
             if word == "COMMIT" {
                 session.transaction = None;
             }
-            self.fault(conn, "FAILED", orders);
-            return self.next(now, conn, orders);
+            self.fault(conn, "FAILED", commands);
+            return self.next(now, conn, commands);
         }
         // It runs.
         let inside = session.transaction.as_ref().map(|transaction| transaction.operation);
@@ -448,20 +452,20 @@
         let lost = self.rng.f64() < self.faults.borrow().lost;
         if !lost {
             if !row.is_empty() {
-                orders.line(conn, &["ROW ", &row]);
+                commands.write_line(conn, &["ROW ", &row]);
             }
-            self.settled(conn, &stamp, orders);
+            self.settled(conn, &stamp, commands);
         }
-        self.next(now, conn, orders);
+        self.next(now, conn, commands);
     }
 
     /// A commit is answered once a replica has it; without one it waits.
-    fn safe(&mut self, now: Point, conn: Conn, id: &str, number: usize, tries: u32, orders: &mut Orders) {
+    fn safe(&mut self, now: Point, conn: Conn, id: &str, number: usize, tries: u32, commands: &mut Commands) {
         let leads = self.shard.borrow().leads(&self.id);
         if !leads {
             // Whether it is kept, nobody can say any more.
             self.sessions.remove(&conn);
-            return orders.drop(conn);
+            return commands.reset(conn);
         }
         if !self.shard.borrow().is_safe(&self.id, number) {
             if tries % 50 == 49 {
@@ -477,15 +481,15 @@
             let lost = self.rng.f64() < self.faults.borrow().lost;
             if !lost {
                 let stamp = format!("{}.{id}", self.id);
-                self.settled(conn, &stamp, orders);
+                self.settled(conn, &stamp, commands);
             }
-            self.next(now, conn, orders);
+            self.next(now, conn, commands);
         }
     }
 }
 
 impl Plane for DatabaseHost {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Point, event: Event<'_>, commands: &mut Commands) {
         self.shard.borrow_mut().advance(now);
         match event {
             Event::Start => {
@@ -496,7 +500,7 @@
             }
             Event::Accepted { conn, .. } => {
                 let session = Session {
-                    lines: Lines::default(),
+                    lines: LineDecoder::default(),
                     open: false,
                     values: BTreeMap::new(),
                     defined: BTreeMap::new(),
@@ -506,22 +510,22 @@
                 };
                 self.sessions.insert(conn, session);
             }
-            Event::Opened { conn } => {
+            Event::Connected { conn } => {
                 if let Some((_, text)) = self.calls.get(&conn) {
-                    orders.write(conn, &[text.as_bytes()]);
+                    commands.write(conn, &[text.as_bytes()]);
                 }
             }
-            Event::Came { conn, bytes } => {
+            Event::Received { conn, bytes } => {
                 if let Some((messages, _)) = self.calls.get_mut(&conn) {
                     messages.put(bytes);
-                    match messages.response() {
+                    match messages.next_response() {
                         Ok(None) => {}
                         Ok(Some(response)) if response.status == 200 => {
                             let said = self.calls.remove(&conn).map(|(_, text)| text).unwrap_or_default();
                             if said.contains("\"phase\":\"draining\"") {
                                 self.left_at.get_or_insert(now);
                             }
-                            orders.close(conn);
+                            commands.close(conn);
                             let body = String::from_utf8_lossy(&response.body).into_owned();
                             if let Some(target) =
                                 body.split('"').nth(3).and_then(|target| target.parse().ok())
@@ -529,7 +533,7 @@
                                 self.target = Some(target);
                             }
                         }
-                        _ => self.call_failed(now, conn, orders),
+                        _ => self.call_failed(now, conn, commands),
                     }
                     return;
                 }
@@ -540,31 +544,31 @@
                     self.sessions.get_mut(&conn).map(|session| session.lines.take())
                 {
                     let line = String::from_utf8_lossy(&line).into_owned();
-                    self.line(now, conn, &line, orders);
+                    self.line(now, conn, &line, commands);
                 }
             }
             Event::Closed { conn, .. } => {
-                self.call_failed(now, conn, orders);
+                self.call_failed(now, conn, commands);
                 self.sessions.remove(&conn);
                 self.waiting.retain(|(waiting, _, _)| *waiting != conn);
             }
-            Event::Woke | Event::Sign(_) | Event::Stored { .. } | Event::Disk { .. } => {}
+            Event::TimerExpired | Event::Signal(_) | Event::Stored { .. } | Event::DiskStatus { .. } => {}
         }
         while let Some(due) = self.timers.take(now) {
             match due {
-                Due::Done { conn, id, text } => self.done(now, conn, &id, &text, orders),
-                Due::Safe { conn, id, number, tries } => self.safe(now, conn, &id, number, tries, orders),
+                Due::Done { conn, id, text } => self.done(now, conn, &id, &text, commands),
+                Due::Safe { conn, id, number, tries } => self.safe(now, conn, &id, number, tries, commands),
                 Due::Beat => {
                     self.timers.set(now + self.period, Due::Beat);
-                    self.beat(now, orders);
+                    self.beat(now, commands);
                 }
-                Due::Late(conn) => self.call_failed(now, conn, orders),
+                Due::Late(conn) => self.call_failed(now, conn, commands),
             }
         }
         // Any change of its role is told at once.
         let leads = self.shard.borrow().leads(&self.id);
         if self.role.is_some_and(|told| told != leads) {
-            self.beat(now, orders);
+            self.beat(now, commands);
         }
     }
 
@@ -575,6 +579,6 @@
 }
 
 /// Reads an answer's line; for stand-ins that are clients.
-pub(crate) fn answer(line: &[u8]) -> Option<Answer<'_>> {
-    std::str::from_utf8(line).ok().and_then(Answer::read)
+pub(crate) fn answer(line: &[u8]) -> Option<Response<'_>> {
+    std::str::from_utf8(line).ok().and_then(Response::parse)
 }
--- a/crates/arrowyard-emulator/src/models/ledger.rs
+++ b/crates/arrowyard-emulator/src/models/ledger.rs
@@ -6,7 +6,7 @@
 use std::hash::{BuildHasher, Hash, Hasher};
 
 use arrowyard_control::{Answer, Kept, Ledger, Output, ProposalId, Record, digest};
-use arrowyard_messages::{Entry, Frame, Matter, Revised, Voters, Word};
+use arrowyard_messages::{ConfigRevision, Entry, EntryPayload, Frame, Payload, Voters};
 use arrowyard_types::{Point, Span};
 use prost::Message;
 use rustc_hash::FxBuildHasher;
@@ -111,11 +111,11 @@
 
 fn change(revision: u64) -> Entry {
     let body = format!("{{\"revision\":{revision},\"services\":[{{\"name\":\"s\"}}]}}").into_bytes();
-    Entry { matter: Some(Matter::Configuration(Revised { whole: true, base: 0, body })) }
+    Entry { payload: Some(EntryPayload::Configuration(ConfigRevision { whole: true, base: 0, body })) }
 }
 
 fn is_taken(ledger: &Ledger, entry: &Entry) -> bool {
-    let Some(Matter::Configuration(revised)) = &entry.matter else { return false };
+    let Some(EntryPayload::Configuration(revised)) = &entry.payload else { return false };
     let revision = ledger.applied().configuration.revision;
     ledger.applied().taken(revision) == Some(digest(revised))
 }
@@ -158,12 +158,12 @@
         let machines = &self.machines;
         self.net.retain(|(to, _, bytes)| {
             let ledger = &machines[*to].ledger;
-            match Frame::decode(bytes.as_slice()).expect("a word").word {
-                Some(Word::Promise(word)) => ledger.is_counting(word.slot, word.ballot),
-                Some(Word::Accepted(word)) => ledger.is_counting(word.slot, word.ballot),
-                Some(Word::Prepare(word)) => word.slot > ledger.chosen(),
-                Some(Word::Accept(word)) => word.slot > ledger.chosen(),
-                Some(Word::Chosen(word)) => word.slot > ledger.chosen(),
+            match Frame::decode(bytes.as_slice()).expect("a word").payload {
+                Some(Payload::Promise(word)) => ledger.is_counting(word.slot, word.ballot),
+                Some(Payload::Accepted(word)) => ledger.is_counting(word.slot, word.ballot),
+                Some(Payload::Prepare(word)) => word.slot > ledger.chosen(),
+                Some(Payload::Accept(word)) => word.slot > ledger.chosen(),
+                Some(Payload::Chosen(word)) => word.slot > ledger.chosen(),
                 _ => true,
             }
         });
@@ -173,12 +173,12 @@
         for one in out {
             match one {
                 Output::Send { to, mut word } => {
-                    if let (Some(Flaw::VotesHidden), Word::Promise(promise)) = (scene.flaw, &mut word) {
+                    if let (Some(Flaw::VotesHidden), Payload::Promise(promise)) = (scene.flaw, &mut word) {
                         promise.accepted = None;
                     }
                     let all = (0..scene.machines).filter(|&other| other != machine);
                     let to: Vec<usize> = if to == 0 { all.collect() } else { vec![to as usize - 1] };
-                    if let Word::Fetch(_) | Word::Ledger(_) = &word {
+                    if let Payload::Fetch(_) | Payload::LogEntries(_) = &word {
                         // Catching up is one step: `Beat`, or any other word that begins it, may be as late as it likes.
                         for other in to {
                             self.act(scene, other, |ledger, now, out| {
@@ -187,7 +187,7 @@
                         }
                         continue;
                     }
-                    let bytes = Frame { word: Some(word) }.encode_to_vec();
+                    let bytes = Frame { payload: Some(word) }.encode_to_vec();
                     self.net.extend(to.into_iter().map(|to| (to, ip(machine), bytes.clone())));
                 }
                 Output::Store { ticket, record } => {
@@ -264,8 +264,8 @@
         let founders: Vec<u32> = (0..3).map(ip).collect();
         let votes = wiped && scene.flaw == Some(Flaw::WipedVotes);
         let mut out = Vec::new();
-        let life = u64::from(self.crashes) + 100 * (machine as u64 + 1);
-        let ledger = Ledger::open(ip(machine), life, &disk, votes.then_some(&founders), &mut out);
+        let incarnation = u64::from(self.crashes) + 100 * (machine as u64 + 1);
+        let ledger = Ledger::open(ip(machine), incarnation, &disk, votes.then_some(&founders), &mut out);
         self.machines[machine].ledger = ledger.expect("what it wrote itself");
         self.carry(scene, machine, out);
         self.look(machine);
@@ -353,7 +353,7 @@
         let mut world = last.clone();
         match step {
             Step::Deliver(to, from, bytes) => {
-                let word = Frame::decode(bytes.as_slice()).ok()?.word?;
+                let word = Frame::decode(bytes.as_slice()).ok()?.payload?;
                 world.net.remove(&(to, from, bytes));
                 world.act(self, to, |ledger, now, out| ledger.on_message(now, from, &word, out));
             }
@@ -460,7 +460,7 @@
             Scene { proposals: vec![(0, change(1))], reader: Some(1), wakes: u8::from(long()), ..base }
         }
         "one more voter" => {
-            let seat = Entry { matter: Some(Matter::Voters(seat)) };
+            let seat = Entry { payload: Some(EntryPayload::Voters(seat)) };
             Scene { machines: 4, proposals: vec![(0, seat)], wakes: u8::from(long()), ..base }
         }
         _ => return None,
--- a/crates/arrowyard-emulator/src/operator.rs
+++ b/crates/arrowyard-emulator/src/operator.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddrV4;
 
-use arrowyard_runtime::http::{Messages, call};
-use arrowyard_runtime::{Conn, Event, Orders, Plane, Timers};
+use arrowyard_runtime::http::{HttpDecoder, format_request};
+use arrowyard_runtime::{Commands, Conn, Event, Plane, Timers};
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
 
@@ -29,7 +29,7 @@
     timers: Timers<Due>,
     /// What is to be acknowledged next: path, base, body, and since when.
     sending: Option<(String, u64, String, Point)>,
-    call: Option<(Conn, Messages)>,
+    call: Option<(Conn, HttpDecoder)>,
     pub revision: u64,
     acknowledged_at: Point,
     /// Databases of the last change, and routers that are looked at for it.
@@ -41,7 +41,7 @@
     turn: usize,
     /// When it reads the configuration back, and the call that does.
     read_at: Point,
-    reading: Option<(Conn, Messages)>,
+    reading: Option<(Conn, HttpDecoder)>,
     /// Whether all that it sent was acknowledged.
     pub done: bool,
 }
@@ -85,33 +85,33 @@
     }
 
     /// Asks for the newest configuration, till it is answered.
-    fn read(&mut self, now: Point, orders: &mut Orders) {
+    fn read(&mut self, now: Point, commands: &mut Commands) {
         self.turn += 1;
-        let conn = orders.dial(self.control());
-        self.reading = Some((conn, Messages::default()));
+        let conn = commands.dial(self.control());
+        self.reading = Some((conn, HttpDecoder::default()));
         self.timers.set(now + Span::from_millis(1000), Due::Unread(conn));
     }
 
-    fn unread(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn unread(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         if self.reading.take_if(|(reading, _)| *reading == conn).is_some() {
-            orders.drop(conn);
+            commands.reset(conn);
             self.timers.set(now + Span::from_millis(100), Due::Read);
         }
     }
 
-    fn send(&mut self, now: Point, orders: &mut Orders) {
+    fn send(&mut self, now: Point, commands: &mut Commands) {
         if self.sending.is_some() && self.call.is_none() {
             self.turn += 1;
-            let conn = orders.dial(self.control());
-            self.call = Some((conn, Messages::default()));
+            let conn = commands.dial(self.control());
+            self.call = Some((conn, HttpDecoder::default()));
             self.timers.set(now + Span::from_millis(1000), Due::Late(conn));
         }
     }
 
-    fn failed(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn failed(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         if self.call.as_ref().is_some_and(|(call, _)| *call == conn) {
             self.call = None;
-            orders.drop(conn);
+            commands.reset(conn);
             let wait = Span::from_millis(100) * (1.0 + self.rng.f64());
             self.timers.set(now + wait, Due::Send);
         }
@@ -151,59 +151,62 @@
 }
 
 impl Plane for Operator {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Point, event: Event<'_>, commands: &mut Commands) {
         match event {
             Event::Start => {
                 self.timers.set(now + Span::from_millis(500), Due::Send);
                 self.timers.set(self.read_at, Due::Read);
             }
-            Event::Opened { conn } if self.reading.as_ref().is_some_and(|(reading, _)| *reading == conn) => {
-                orders.write(conn, &[call("GET", "/Config.Read", "control", &[], "").as_bytes()]);
+            Event::Connected { conn }
+                if self.reading.as_ref().is_some_and(|(reading, _)| *reading == conn) =>
+            {
+                commands.write(conn, &[format_request("GET", "/Config.Read", "control", &[], "").as_bytes()]);
             }
-            Event::Came { conn, bytes }
+            Event::Received { conn, bytes }
                 if self.reading.as_ref().is_some_and(|(reading, _)| *reading == conn) =>
             {
                 let Some((_, messages)) = &mut self.reading else { return };
                 messages.put(bytes);
-                match messages.response() {
+                match messages.next_response() {
                     Ok(None) => {}
                     Ok(Some(response)) if response.status == 200 => {
                         self.reading = None;
-                        orders.close(conn);
+                        commands.close(conn);
                         let body = String::from_utf8_lossy(&response.body).into_owned();
                         self.history.borrow_mut().read_back = revision(&body);
                     }
-                    _ => self.unread(now, conn, orders),
+                    _ => self.unread(now, conn, commands),
                 }
             }
-            Event::Opened { conn } => {
+            Event::Connected { conn } => {
                 if let (Some((call_conn, _)), Some((path, base, body, _))) = (&self.call, &self.sending)
                     && *call_conn == conn
                 {
                     let base = base.to_string();
-                    let text = call("POST", path, "control", &[("Arrowyard-Base-Revision", &base)], body);
-                    orders.write(conn, &[text.as_bytes()]);
+                    let text =
+                        format_request("POST", path, "control", &[("Arrowyard-Base-Revision", &base)], body);
+                    commands.write(conn, &[text.as_bytes()]);
                 } else if let Some((_, _, database)) = self.looking.iter().find(|(look, _, _)| *look == conn)
                 {
-                    orders.line(conn, &["OPEN ", database, " operator"]);
+                    commands.write_line(conn, &["OPEN ", database, " operator"]);
                 }
             }
-            Event::Came { conn, bytes } => {
+            Event::Received { conn, bytes } => {
                 if let Some((_, messages)) = self.call.as_mut().filter(|(call, _)| *call == conn) {
                     messages.put(bytes);
-                    match messages.response() {
+                    match messages.next_response() {
                         Ok(None) => {}
                         Ok(Some(response)) if response.status < 500 => {
                             self.call = None;
-                            orders.close(conn);
+                            commands.close(conn);
                             self.answered(now, response.status);
                         }
-                        _ => self.failed(now, conn, orders),
+                        _ => self.failed(now, conn, commands),
                     }
                 } else if let Some(place) = self.looking.iter().position(|(look, _, _)| *look == conn) {
                     let (_, front, database) = self.looking.remove(place);
                     let text = String::from_utf8_lossy(bytes).into_owned();
-                    orders.close(conn);
+                    commands.close(conn);
                     if text.starts_with("FAULT NODB") {
                         let what = format!("{front} does not know {database} of revision {}", self.revision);
                         self.history.borrow_mut().breach("CONFIG", now, what);
@@ -211,18 +214,18 @@
                 }
             }
             Event::Closed { conn, .. } => {
-                self.failed(now, conn, orders);
-                self.unread(now, conn, orders);
+                self.failed(now, conn, commands);
+                self.unread(now, conn, commands);
                 self.looking.retain(|(look, _, _)| *look != conn);
             }
             _ => {}
         }
         while let Some(due) = self.timers.take(now) {
             match due {
-                Due::Send => self.send(now, orders),
-                Due::Late(conn) => self.failed(now, conn, orders),
-                Due::Read => self.read(now, orders),
-                Due::Unread(conn) => self.unread(now, conn, orders),
+                Due::Send => self.send(now, commands),
+                Due::Late(conn) => self.failed(now, conn, commands),
+                Due::Read => self.read(now, commands),
+                Due::Unread(conn) => self.unread(now, conn, commands),
                 Due::Change => {
                     let revision = self.revision + 1 + self.rng.u64(0..4);
                     let database = format!("extra{revision}");
@@ -235,11 +238,11 @@
                     self.extra = Some(database);
                     self.sending = Some(("/Config.Adjust".to_string(), self.revision, body, now));
                     self.history.borrow_mut().unacknowledged = Some(now);
-                    self.send(now, orders);
+                    self.send(now, commands);
                 }
                 Due::Look(database) => {
                     for front in self.fronts.clone() {
-                        let conn = orders.dial(front);
+                        let conn = commands.dial(front);
                         self.looking.push((conn, front, database.clone()));
                     }
                 }
--- a/crates/arrowyard-emulator/src/platform.rs
+++ b/crates/arrowyard-emulator/src/platform.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use arrowyard_runtime::http::{Messages, Request, answer};
-use arrowyard_runtime::{Conn, Event, Orders, Plane, Timers};
+use arrowyard_runtime::http::{HttpDecoder, Request, format_response};
+use arrowyard_runtime::{Commands, Conn, Event, Plane, Timers};
 use arrowyard_types::{Point, Span};
 
 use crate::history::Shared;
@@ -17,7 +17,7 @@
     history: Shared,
     takes: Span,
     fences: BTreeMap<String, u64>,
-    calls: BTreeMap<Conn, Messages>,
+    calls: BTreeMap<Conn, HttpDecoder>,
     timers: Timers<Due>,
     /// Whether it answers at all.
     pub away: Rc<RefCell<bool>>,
@@ -122,13 +122,13 @@
 }
 
 impl Plane for Platform {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Point, event: Event<'_>, commands: &mut Commands) {
         match event {
-            Event::Accepted { conn, .. } => drop(self.calls.insert(conn, Messages::default())),
-            Event::Came { conn, bytes } => {
+            Event::Accepted { conn, .. } => drop(self.calls.insert(conn, HttpDecoder::default())),
+            Event::Received { conn, bytes } => {
                 let Some(messages) = self.calls.get_mut(&conn) else { return };
                 messages.put(bytes);
-                if let Ok(Some(request)) = messages.request() {
+                if let Ok(Some(request)) = messages.next_request() {
                     let wanted = wanted(&request);
                     if *self.away.borrow() {
                         if self.hung.is_empty() {
@@ -137,7 +137,7 @@
                         self.hung.push(wanted);
                     } else {
                         let status = self.status(now, &wanted);
-                        orders.write(conn, &[answer(status, "{}").as_bytes()]);
+                        commands.write(conn, &[format_response(status, "{}").as_bytes()]);
                     }
                 }
             }
--- a/crates/arrowyard-emulator/src/system.rs
+++ b/crates/arrowyard-emulator/src/system.rs
@@ -135,7 +135,7 @@
         plan.tolerance,
         plan.fence_checked,
     );
-    Settings::read(&text).expect("the settings of the emulator are sound")
+    Settings::parse(&text).expect("the settings of the emulator are sound")
 }
 
 /// The first configuration.
@@ -315,7 +315,7 @@
         self.world.start(machine, Box::new(clients.costly(surge.costly)));
     }
 
-    fn life(&mut self) -> u64 {
+    fn incarnation(&mut self) -> u64 {
         self.lives =
             self.lives.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
         self.lives | 1
@@ -328,8 +328,8 @@
         }
         let settings = settings(&self.plan, false, number, first, &self.callable.borrow());
         let records = self.disks[number].borrow().records.clone();
-        let life = self.life();
-        let plane = Control::open(settings, life, &records, true, Box::new(|| None));
+        let incarnation = self.incarnation();
+        let plane = Control::open(settings, incarnation, &records, true, Box::new(|| None));
         match plane {
             Ok(plane) => self.world.start(self.controls[number], offset(self.world.now, Box::new(plane))),
             Err(fault) => panic!("a disk that the emulator kept cannot be read: {fault}"),
@@ -369,8 +369,8 @@
 
     pub fn start_router(&mut self, number: usize) {
         let settings = settings(&self.plan, true, number, false, &self.callable.borrow());
-        let life = self.life();
-        let plane = Sluice::new(settings, life, Box::new(|| None));
+        let incarnation = self.incarnation();
+        let plane = Sluice::new(settings, incarnation, Box::new(|| None));
         self.world.start(self.routers[number], offset(self.world.now, Box::new(plane)));
         let front = SocketAddrV4::new(ip(1, number), FRONT);
         let mut fronts = self.fronts.borrow_mut();
@@ -387,7 +387,7 @@
 
     pub fn start_host(&mut self, seat: usize) {
         let controls = self.callable.clone();
-        let seed = self.life();
+        let seed = self.incarnation();
         let seat = &self.hosts[seat];
         let plan = HostPlan {
             id: seat.id.clone(),
@@ -475,9 +475,9 @@
         &mut self,
         now: Point,
         event: arrowyard_runtime::Event<'_>,
-        orders: &mut arrowyard_runtime::Orders,
+        commands: &mut arrowyard_runtime::Commands,
     ) {
-        self.plane.handle(Point::from_micros((now - self.since).micros()), event, orders);
+        self.plane.handle(Point::from_micros((now - self.since).micros()), event, commands);
     }
 
     fn due(&self) -> Option<Point> {
--- a/crates/arrowyard-emulator/src/world.rs
+++ b/crates/arrowyard-emulator/src/world.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddrV4;
 use std::rc::Rc;
 
-use arrowyard_runtime::{Conn, Door, Event, Order, Orders, Plane, Sign, Why};
+use arrowyard_runtime::{CloseReason, Command, Commands, Conn, Event, ListenerId, Plane, Signal};
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
 use rustc_hash::FxHashMap;
@@ -42,7 +42,7 @@
     Start,
     Accepted {
         conn: Conn,
-        door: Door,
+        listener: ListenerId,
     },
     Opened {
         conn: Conn,
@@ -53,7 +53,7 @@
     },
     Closed {
         conn: Conn,
-        why: Why,
+        reason: CloseReason,
     },
     Woke,
     Stored {
@@ -62,7 +62,7 @@
     },
     DiskFailed,
     DiskMended,
-    Sign(Sign),
+    Sign(Signal),
     /// A dial arrives where it was meant for.
     Dialled {
         from: MachineId,
@@ -85,8 +85,8 @@
     name: String,
     doors: Vec<SocketAddrV4>,
     plane: Option<Box<dyn Plane>>,
-    orders: Orders,
-    life: u64,
+    commands: Commands,
+    incarnation: u64,
     frozen: bool,
     wakes_at: Option<Point>,
     disk: Rc<RefCell<Disk>>,
@@ -110,7 +110,7 @@
     last: u64,
     machines: Vec<Machine>,
     ends: FxHashMap<(MachineId, Conn), End>,
-    doors: FxHashMap<SocketAddrV4, (MachineId, Door)>,
+    doors: FxHashMap<SocketAddrV4, (MachineId, ListenerId)>,
     cuts: BTreeSet<(MachineId, MachineId)>,
     /// Ways on which nothing arrives, from one machine to another.
     mutes: BTreeSet<(MachineId, MachineId)>,
@@ -147,8 +147,8 @@
             name: name.to_string(),
             doors,
             plane: None,
-            orders: Orders::default(),
-            life: 0,
+            commands: Commands::default(),
+            incarnation: 0,
             frozen: false,
             wakes_at: None,
             disk,
@@ -186,12 +186,12 @@
     pub fn start(&mut self, id: MachineId, plane: Box<dyn Plane>) {
         let machine = &mut self.machines[id.0];
         machine.plane = Some(plane);
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.unanswered.clear();
         machine.disk.borrow_mut().failed = false;
         (machine.wakes_at, machine.stopped, machine.frozen) = (None, false, false);
         for (number, address) in machine.doors.clone().into_iter().enumerate() {
-            self.doors.insert(address, (id, Door(number as u8)));
+            self.doors.insert(address, (id, ListenerId(number as u8)));
         }
         self.at(self.now, id, Happening::Start);
     }
@@ -209,7 +209,7 @@
     fn end(&mut self, id: MachineId, tell: bool) {
         let machine = &mut self.machines[id.0];
         machine.plane = None;
-        machine.life += 1;
+        machine.incarnation += 1;
         machine.later.clear();
         self.doors.retain(|_, (machine, _)| *machine != id);
         let mut mine: Vec<Conn> =
@@ -221,7 +221,11 @@
             let wait = if tell && !self.is_cut(id, peer) { self.latency } else { DARK };
             if let Some(far) = self.ends.get_mut(&(peer, other)) {
                 far.peer = None;
-                self.at(self.now + wait, peer, Happening::Closed { conn: other, why: Why::Broken });
+                self.at(
+                    self.now + wait,
+                    peer,
+                    Happening::Closed { conn: other, reason: CloseReason::ConnectionLost },
+                );
             }
         }
     }
@@ -236,7 +240,7 @@
         }
     }
 
-    pub fn sign(&mut self, id: MachineId, sign: Sign) {
+    pub fn sign(&mut self, id: MachineId, sign: Signal) {
         self.at(self.now, id, Happening::Sign(sign));
     }
 
@@ -301,14 +305,14 @@
                 disk.failed = true;
                 drop(disk);
                 self.at(self.now, id, Happening::DiskFailed);
-                return Some(Event::Stored { ticket, kept: false });
+                return Some(Event::Stored { ticket, durable: false });
             }
             _ => {}
         }
         if !disk.failed {
             disk.records.push(record.to_vec());
         }
-        Some(Event::Stored { ticket, kept: !disk.failed })
+        Some(Event::Stored { ticket, durable: !disk.failed })
     }
 
     /// A disk that refused takes the plane's snapshot, in place of all records.
@@ -323,8 +327,8 @@
 
     fn at(&mut self, at: Point, id: MachineId, happening: Happening) {
         self.last += 1;
-        let life = self.machines[id.0].life;
-        self.queue.insert((at, self.last), (id, life, happening));
+        let incarnation = self.machines[id.0].incarnation;
+        self.queue.insert((at, self.last), (id, incarnation, happening));
     }
 
     fn way(&mut self) -> Span {
@@ -338,12 +342,12 @@
             if at > until {
                 break;
             }
-            let (id, life, happening) = entry.remove();
+            let (id, incarnation, happening) = entry.remove();
             self.now = at.max(self.now);
             let machine = &mut self.machines[id.0];
             if let Happening::Dialled { from, conn, to } = happening {
                 self.dialled(from, conn, to);
-            } else if life != machine.life || machine.plane.is_none() {
+            } else if incarnation != machine.incarnation || machine.plane.is_none() {
             } else if machine.frozen {
                 machine.later.push((at, happening));
             } else {
@@ -357,24 +361,24 @@
         if !self.ends.contains_key(&(from, conn)) {
             return;
         }
-        let Some(&(id, door)) = self.doors.get(&to) else {
+        let Some(&(id, listener)) = self.doors.get(&to) else {
             // A dead port resets; a machine without power would stay silent, which the dialler's own clock ends.
             self.ends.remove(&(from, conn));
             let back = self.now + self.latency;
-            return self.at(back, from, Happening::Closed { conn, why: Why::NeverOpen });
+            return self.at(back, from, Happening::Closed { conn, reason: CloseReason::ConnectFailed });
         };
         let is_mute = self.mutes.contains(&(from, id)) || self.mutes.contains(&(id, from));
         if is_mute || self.is_cut(from, id) {
             return;
         }
-        let other = self.machines[id.0].orders.conn();
+        let other = self.machines[id.0].commands.new_conn();
         let arrives = self.now;
         self.ends
             .insert((id, other), End { peer: Some((from, conn)), arrives, held: Vec::new(), written: false });
         if let Some(end) = self.ends.get_mut(&(from, conn)) {
             end.peer = Some((id, other));
         }
-        self.at(self.now, id, Happening::Accepted { conn: other, door });
+        self.at(self.now, id, Happening::Accepted { conn: other, listener });
         let back = self.now + self.latency;
         self.at(back, from, Happening::Opened { conn });
     }
@@ -382,18 +386,18 @@
     fn happen(&mut self, id: MachineId, happening: Happening) {
         let event = match &happening {
             Happening::Start => Event::Start,
-            Happening::Accepted { conn, door } => Event::Accepted { conn: *conn, door: *door },
-            Happening::Opened { conn } => Event::Opened { conn: *conn },
+            Happening::Accepted { conn, listener } => Event::Accepted { conn: *conn, listener: *listener },
+            Happening::Opened { conn } => Event::Connected { conn: *conn },
             Happening::Came { conn, bytes } if self.ends.contains_key(&(id, *conn)) => {
-                Event::Came { conn: *conn, bytes }
+                Event::Received { conn: *conn, bytes }
             }
             Happening::Came { .. } => return,
-            Happening::Closed { conn, why } => {
+            Happening::Closed { conn, reason } => {
                 // It may have been closed here meanwhile; then its plane wants to hear no more of it.
-                if self.ends.remove(&(id, *conn)).is_none() && *why != Why::NeverOpen {
+                if self.ends.remove(&(id, *conn)).is_none() && *reason != CloseReason::ConnectFailed {
                     return;
                 }
-                Event::Closed { conn: *conn, why: *why }
+                Event::Closed { conn: *conn, reason: *reason }
             }
             Happening::Woke => {
                 // Danger: an earlier time was asked for meanwhile. Were this one taken too, each would ask for the next,
@@ -402,23 +406,23 @@
                     return;
                 }
                 self.machines[id.0].wakes_at = None;
-                Event::Woke
+                Event::TimerExpired
             }
             Happening::Stored { ticket, record } => match self.store(id, *ticket, record) {
                 Some(event) => event,
                 None => return,
             },
-            Happening::DiskFailed => Event::Disk { works: false },
-            Happening::DiskMended if self.mend_disk(id) => Event::Disk { works: true },
+            Happening::DiskFailed => Event::DiskStatus { writable: false },
+            Happening::DiskMended if self.mend_disk(id) => Event::DiskStatus { writable: true },
             Happening::DiskMended => return,
-            Happening::Sign(sign) => Event::Sign(*sign),
+            Happening::Sign(sign) => Event::Signal(*sign),
             Happening::Dialled { .. } => return,
         };
         let now = self.now;
         let machine = &mut self.machines[id.0];
         let Some(plane) = machine.plane.as_mut() else { return };
         let began = std::time::Instant::now();
-        plane.handle(now, event, &mut machine.orders);
+        plane.handle(now, event, &mut machine.commands);
         machine.busy += began.elapsed();
         machine.events += 1;
         let due = plane.due();
@@ -436,31 +440,31 @@
     fn carry_out(&mut self, id: MachineId) {
         let machine = &mut self.machines[id.0];
         let (list, bytes) =
-            (std::mem::take(&mut machine.orders.list), std::mem::take(&mut machine.orders.bytes));
+            (std::mem::take(&mut machine.commands.list), std::mem::take(&mut machine.commands.bytes));
         let mut at = 0;
         for order in list {
             match order {
-                Order::Dial { conn, to } => {
+                Command::Dial { conn, to } => {
                     let end = End { peer: None, arrives: self.now, held: Vec::new(), written: false };
                     self.ends.insert((id, conn), end);
                     let way = self.way();
                     let there = self.now + way;
                     self.at(there, id, Happening::Dialled { from: id, conn, to });
                 }
-                Order::Write { conn, len } => {
+                Command::Write { conn, len } => {
                     let part = bytes[at..at + len].to_vec();
                     at += len;
                     self.machines[id.0].sent += len as u64;
                     self.machines[id.0].writes += 1;
                     self.write(id, conn, part);
                 }
-                Order::Close { conn } => self.close(id, conn, Why::Ended),
-                Order::Drop { conn } => self.close(id, conn, Why::Broken),
-                Order::Store { ticket, record } => {
+                Command::Close { conn } => self.close(id, conn, CloseReason::PeerClosed),
+                Command::Reset { conn } => self.close(id, conn, CloseReason::ConnectionLost),
+                Command::Store { ticket, record } => {
                     let done = self.now + self.machines[id.0].sync;
                     self.at(done, id, Happening::Stored { ticket, record });
                 }
-                Order::Stop => {
+                Command::Stop => {
                     self.machines[id.0].stopped = true;
                     self.kill(id);
                     return;
@@ -478,8 +482,8 @@
             end.held.extend(bytes);
             if first {
                 let late = self.now + DARK;
-                self.at(late, id, Happening::Closed { conn, why: Why::Broken });
-                self.at(late, peer, Happening::Closed { conn: other, why: Why::Broken });
+                self.at(late, id, Happening::Closed { conn, reason: CloseReason::ConnectionLost });
+                self.at(late, peer, Happening::Closed { conn: other, reason: CloseReason::ConnectionLost });
             }
             return;
         }
@@ -493,7 +497,7 @@
         self.at(arrives, peer, Happening::Came { conn: other, bytes });
     }
 
-    fn close(&mut self, id: MachineId, conn: Conn, why: Why) {
+    fn close(&mut self, id: MachineId, conn: Conn, reason: CloseReason) {
         let Some(end) = self.ends.remove(&(id, conn)) else { return };
         let Some((peer, other)) = end.peer else { return };
         let way = self.way();
@@ -503,6 +507,6 @@
         if let Some(far) = self.ends.get_mut(&(peer, other)) {
             far.peer = None;
         }
-        self.at(at, peer, Happening::Closed { conn: other, why });
+        self.at(at, peer, Happening::Closed { conn: other, reason });
     }
 }
--- a/crates/arrowyard-emulator/tests/control.rs
+++ b/crates/arrowyard-emulator/tests/control.rs
@@ -4,8 +4,8 @@
 use arrowyard_control::REMEMBERED;
 use arrowyard_emulator::catch_up::catch_up;
 use arrowyard_emulator::{CallAnswer, Day, DiskFault, Fault, Plan, System, Trouble, play};
-use arrowyard_runtime::Sign;
-use arrowyard_runtime::http::call;
+use arrowyard_runtime::Signal;
+use arrowyard_runtime::http::format_request;
 use arrowyard_types::{Point, Span};
 
 fn ms(ms: i64) -> Span {
@@ -76,17 +76,17 @@
     }
 
     fn read(&mut self, control: usize) -> (u16, Option<u64>) {
-        let (status, body) = self.ask(control, &call("GET", "/Config.Read", "c", &[], ""));
+        let (status, body) = self.ask(control, &format_request("GET", "/Config.Read", "c", &[], ""));
         (status, number(&body, "\"revision\":"))
     }
 
     fn status(&mut self, control: usize) -> String {
-        self.ask(control, &call("GET", "/status", "c", &[], "")).1
+        self.ask(control, &format_request("GET", "/status", "c", &[], "")).1
     }
 
     /// Machines that carry the duty out at this moment.
     fn holders(&mut self) -> Vec<usize> {
-        let text = call("GET", "/status", "c", &[], "");
+        let text = format_request("GET", "/status", "c", &[], "");
         let asked: Vec<CallAnswer> =
             (0..self.system.controls.len()).map(|one| self.begin(one, &text)).collect();
         let ways = self.system.world.latency * 5.0 + ms(2);
@@ -150,7 +150,7 @@
         "{{\"revision\":{revision},\"upsert\":{{\"channels\":[{{\"name\":\"r-x{mark}\",\"plant\":\"x{mark}\",\"path-prefix\":\"/\",\
          \"kind\":\"primary\",\"deadline-ms\":800,\"setpoint-ms\":150,\"priority\":1,\"service\":\"s0\",\"tries\":2}}]}}}}"
     );
-    call("POST", "/Config.Adjust", "c", &[("Arrowyard-Base-Revision", &base.to_string())], &body)
+    format_request("POST", "/Config.Adjust", "c", &[("Arrowyard-Base-Revision", &base.to_string())], &body)
 }
 
 fn draining(id: &str, call_seq: u64) -> String {
@@ -158,11 +158,11 @@
         "{{\"service\":\"s0\",\"address\":\"10.9.0.1:8000\",\"zone\":\"zone1\",\"revision\":\"v1\",\"capacity\":4,\"phase\":\"draining\",\
          \"cold-left-ms\":0,\"db-role\":\"replica\",\"call-seq\":{call_seq}}}"
     );
-    call("POST", &format!("/Instances.Beat/{id}"), "c", &[], &body)
+    format_request("POST", &format!("/Instances.Beat/{id}"), "c", &[], &body)
 }
 
 fn leave(id: &str) -> String {
-    call("POST", &format!("/Instances.Leave/{id}"), "c", &[], "{}")
+    format_request("POST", &format!("/Instances.Leave/{id}"), "c", &[], "{}")
 }
 
 fn phase_of<'a>(status: &'a str, id: &str) -> Option<&'a str> {
@@ -182,7 +182,7 @@
             let calls = [
                 draining(&format!("i-drain{turn}"), 1),
                 leave(&format!("i-leave{turn}")),
-                call("GET", "/Config.Read", "c", &[], ""),
+                format_request("GET", "/Config.Read", "c", &[], ""),
             ];
             let answers = calls.map(|text| fleet.begin(0, &text));
             let mine = fleet.begin(0, &order(900 + turn, newest, "cut"));
@@ -234,7 +234,7 @@
     fleet.pass(9000);
     let late = draining("i-x", 6).replace("draining", "in_service");
     let body = late.split("\r\n\r\n").nth(1).expect("a body").to_string();
-    fleet.ask(0, &call("POST", "/Instances.Beat/i-x", "c", &[], &body));
+    fleet.ask(0, &format_request("POST", "/Instances.Beat/i-x", "c", &[], &body));
     fleet.pass(500);
     for control in 0..3 {
         assert_eq!(phase_of(&fleet.status(control), "i-x"), Some("draining"), "{control}");
@@ -293,7 +293,7 @@
     let mut fleet = Fleet::new(3, 1);
     for round in 0..20_u64 {
         let (base, revision) = (fleet.revision, fleet.revision + 1);
-        let orders = [order(revision, base, "a"), order(revision, base, "b")];
+        let commands = [order(revision, base, "a"), order(revision, base, "b")];
         // Eight at a time; whoever got no clear answer asks again.
         let mut taken = [false, false];
         let mut refused = [false, false];
@@ -301,7 +301,7 @@
             let answers: Vec<(usize, CallAnswer)> = (0..8)
                 .map(|place| {
                     let which = (place + round as usize) % 2;
-                    (which, fleet.begin(place % 3, &orders[which]))
+                    (which, fleet.begin(place % 3, &commands[which]))
                 })
                 .collect();
             fleet.pass(300);
@@ -375,7 +375,7 @@
         fleet.change(leaving);
         let machine = fleet.system.controls[leaving];
         let told = fleet.system.world.now;
-        fleet.system.world.sign(machine, Sign::Terminate);
+        fleet.system.world.sign(machine, Signal::Terminate);
         fleet.change(leaving + 1);
         while !fleet.system.world.has_stopped(machine) {
             fleet.pass(10);
@@ -546,8 +546,13 @@
     };
     let replace = |fleet: &mut Fleet, revision: u64| {
         let base = (revision - 1).to_string();
-        let text =
-            call("POST", "/Config.Replace", "c", &[("Arrowyard-Base-Revision", &base)], &whole(revision));
+        let text = format_request(
+            "POST",
+            "/Config.Replace",
+            "c",
+            &[("Arrowyard-Base-Revision", &base)],
+            &whole(revision),
+        );
         assert_eq!(fleet.ask(0, &text).0, 200, "revision {revision}");
         fleet.pass(300);
     };
--- a/crates/arrowyard-emulator/tests/experiment.rs
+++ b/crates/arrowyard-emulator/tests/experiment.rs
@@ -7,7 +7,7 @@
 use arrowyard_emulator::experiment::{Outcome, compare, outcomes, with};
 use arrowyard_emulator::failover::{Cause, longest_pause, outages};
 use arrowyard_emulator::{Day, Disk, World, chart, drawn, play};
-use arrowyard_runtime::{Event, Orders, Plane};
+use arrowyard_runtime::{Commands, Event, Plane};
 use arrowyard_types::{Point, Span};
 use proptest::prelude::*;
 
@@ -147,12 +147,12 @@
 }
 
 impl Plane for Restless {
-    fn handle(&mut self, now: Point, event: Event<'_>, _: &mut Orders) {
-        if matches!(event, Event::Woke) {
+    fn handle(&mut self, now: Point, event: Event<'_>, _: &mut Commands) {
+        if matches!(event, Event::TimerExpired) {
             *self.woken.borrow_mut() += 1;
         }
         // Far away once it was woken, near for any other reason.
-        self.due = now + Span::from_millis(if matches!(event, Event::Woke) { 10 } else { 1 });
+        self.due = now + Span::from_millis(if matches!(event, Event::TimerExpired) { 10 } else { 1 });
     }
 
     fn due(&self) -> Option<Point> {
@@ -173,7 +173,7 @@
     world.start(machine, Box::new(Restless { woken: woken.clone(), due: at(0) }));
     for turn in 0..200 {
         world.run(at(turn * 5));
-        world.sign(machine, arrowyard_runtime::Sign::Reread);
+        world.sign(machine, arrowyard_runtime::Signal::Reload);
     }
     // Once a millisecond after each sign; before ten more have passed there is another sign.
     let times = *woken.borrow();
--- a/crates/arrowyard-fair-shares/src/terms.rs
+++ b/crates/arrowyard-fair-shares/src/terms.rs
@@ -79,10 +79,17 @@
         let plain = |service: &mut Service| *service = Service::plain(&service.name, UNTOLD);
         self.services.iter_mut().for_each(plain);
         for channel in configuration.channels() {
-            self.promise(Service::plain(&channel.share, channel.usual_weight()));
+            self.promise(Service::plain(&channel.share, channel.default_weight()));
         }
         for share in configuration.shares().cloned() {
-            let arrowyard_config::Share { name, weight, least, most, lends, borrows } = share;
+            let arrowyard_config::Share {
+                name,
+                weight,
+                min_fraction: least,
+                max_fraction: most,
+                lends,
+                borrows,
+            } = share;
             self.promise(Service { name, share: weight, least, most, lends, borrows });
         }
     }
--- a/crates/arrowyard-messages/src/lib.rs
+++ b/crates/arrowyard-messages/src/lib.rs
@@ -5,6 +5,6 @@
 mod message;
 mod relay;
 
-pub use frame::{Broken, Frames, frame};
+pub use frame::{FrameDecoder, FrameError, encode_frame};
 pub use message::*;
-pub use relay::{HostRequest, HostRow, RelayedAnswer, RelayedQuestion};
+pub use relay::{HostRequest, HostStatus, RelayedRequest, RelayedResponse};
--- a/crates/arrowyard-messages/src/message.rs
+++ b/crates/arrowyard-messages/src/message.rs
@@ -4,24 +4,24 @@
 
 use prost::{Enumeration, Message, Oneof};
 
-use crate::relay::{RelayedAnswer, RelayedQuestion};
+use crate::relay::{RelayedRequest, RelayedResponse};
 
 /// One thing that is said.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Frame {
     #[prost(
-        oneof = "Word",
+        oneof = "Payload",
         tags = "1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12, 13, 14, 15, 16, 17, 18, 19, 20, 21, 22, 23, 24, 25"
     )]
-    pub word: Option<Word>,
+    pub payload: Option<Payload>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Oneof)]
-pub enum Word {
+pub enum Payload {
     #[prost(message, tag = "1")]
     Hello(Hello),
     #[prost(message, tag = "2")]
-    Beat(Beat),
+    Heartbeat(Heartbeat),
     #[prost(message, tag = "3")]
     Prepare(Prepare),
     #[prost(message, tag = "4")]
@@ -35,39 +35,39 @@
     #[prost(message, tag = "8")]
     Fetch(Fetch),
     #[prost(message, tag = "9")]
-    Ledger(Ledger),
+    LogEntries(LogEntries),
     #[prost(message, tag = "10")]
-    Whole(Whole),
+    FeedSnapshot(FeedSnapshot),
     #[prost(message, tag = "11")]
-    Change(Change),
+    FeedUpdate(FeedUpdate),
     #[prost(message, tag = "12")]
-    Seen(Seen),
+    FeedAck(FeedAck),
     #[prost(message, tag = "13")]
     Suspect(Suspect),
     #[prost(message, tag = "14")]
-    Cell(Cell),
+    HostUpdate(HostUpdate),
     #[prost(message, tag = "15")]
     Probe(Probe),
     #[prost(message, tag = "16")]
     Probed(Probed),
     #[prost(message, tag = "17")]
-    Needs(Needs),
+    DemandReport(DemandReport),
     #[prost(message, tag = "18")]
-    Allots(Allots),
+    HostAllocations(HostAllocations),
     #[prost(message, tag = "19")]
-    Pressed(Pressed),
+    OverloadedHosts(OverloadedHosts),
     #[prost(message, tag = "20")]
-    Departing(Departing),
+    DepartureNotice(DepartureNotice),
     #[prost(message, tag = "21")]
-    DepartureKept(DepartureKept),
+    DepartureStored(DepartureStored),
     #[prost(message, tag = "22")]
     Replacements(Replacements),
     #[prost(message, tag = "23")]
-    Yielded(Yielded),
+    Demotion(Demotion),
     #[prost(message, tag = "24")]
-    RelayedQuestion(RelayedQuestion),
+    RelayedRequest(RelayedRequest),
     #[prost(message, tag = "25")]
-    RelayedAnswer(RelayedAnswer),
+    RelayedResponse(RelayedResponse),
 }
 
 /// The first frame on a connection, from both ends.
@@ -81,16 +81,16 @@
     pub zone: String,
     /// Drawn anew at each start of the process.
     #[prost(fixed64, tag = "4")]
-    pub life: u64,
+    pub incarnation: u64,
     #[prost(bool, tag = "5")]
     pub control: bool,
     #[prost(message, repeated, tag = "6")]
-    pub view: Vec<Known>,
+    pub view: Vec<KnownControl>,
 }
 
 /// A control machine that somebody knows of.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Known {
+pub struct KnownControl {
     #[prost(fixed32, tag = "1")]
     pub ip: u32,
     #[prost(string, tag = "2")]
@@ -102,12 +102,12 @@
 
 /// Between control machines: still here, and whom it knows.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Entries that it has in its ledger.
     #[prost(uint64, tag = "1")]
     pub chosen: u64,
     #[prost(message, repeated, tag = "2")]
-    pub view: Vec<Known>,
+    pub view: Vec<KnownControl>,
     /// Routers that are connected to it.
     #[prost(uint32, tag = "3")]
     pub routers: u32,
@@ -117,25 +117,25 @@
     #[prost(bool, tag = "5")]
     pub votes: bool,
     #[prost(message, repeated, tag = "6")]
-    pub silent: Vec<Silent>,
+    pub silent: Vec<SilentHost>,
     /// Whether its disk refuses or hangs.
     #[prost(bool, tag = "7")]
-    pub disk_fails: bool,
+    pub disk_failing: bool,
     /// From a voter: control machines that it has heard of lately.
     #[prost(fixed32, repeated, tag = "8")]
-    pub hears: Vec<u32>,
+    pub reachable: Vec<u32>,
     /// Whether it was told to end.
     #[prost(bool, tag = "9")]
-    pub leaving: bool,
+    pub shutting_down: bool,
 }
 
 /// A host that does not call any more, for so many milliseconds.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Silent {
+pub struct SilentHost {
     #[prost(string, tag = "1")]
     pub id: String,
     #[prost(uint64, tag = "2")]
-    pub ms: u64,
+    pub silent_ms: u64,
 }
 
 /// Rounds are told apart by their number, then by who began them, then by its life. Safety: a machine may forget with its
@@ -147,7 +147,7 @@
     #[prost(fixed32, tag = "2")]
     pub by: u32,
     #[prost(fixed64, tag = "3")]
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
@@ -209,7 +209,7 @@
 
 /// Entries from a slot on, or a snapshot that stands for all before them.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Ledger {
+pub struct LogEntries {
     #[prost(message, optional, tag = "1")]
     pub snapshot: Option<Snapshot>,
     #[prost(message, repeated, tag = "2")]
@@ -230,7 +230,7 @@
     pub voters: Vec<u32>,
     /// Of the last changes.
     #[prost(message, repeated, tag = "5")]
-    pub taken: Vec<Taken>,
+    pub applied_changes: Vec<AppliedChange>,
     /// The newest revision of which it is not remembered which change brought it; 0 for none.
     #[prost(uint64, tag = "6")]
     pub forgotten: u64,
@@ -241,7 +241,7 @@
 
 /// A change that was taken, and the digest by which it is known again.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Taken {
+pub struct AppliedChange {
     #[prost(uint64, tag = "1")]
     pub revision: u64,
     #[prost(bytes = "vec", tag = "2")]
@@ -251,14 +251,14 @@
 /// What is agreed on in one slot.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Entry {
-    #[prost(oneof = "Matter", tags = "1, 2, 3, 4, 5")]
-    pub matter: Option<Matter>,
+    #[prost(oneof = "EntryPayload", tags = "1, 2, 3, 4, 5")]
+    pub payload: Option<EntryPayload>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Oneof)]
-pub enum Matter {
+pub enum EntryPayload {
     #[prost(message, tag = "1")]
-    Configuration(Revised),
+    Configuration(ConfigRevision),
     #[prost(message, tag = "2")]
     Duty(Duty),
     /// A voter whose disk was lost votes again from here on.
@@ -274,7 +274,7 @@
 
 /// A change of the configuration as the operator sent it.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Revised {
+pub struct ConfigRevision {
     #[prost(bool, tag = "1")]
     pub whole: bool,
     #[prost(uint64, tag = "2")]
@@ -291,7 +291,7 @@
     #[prost(fixed32, tag = "2")]
     pub holder: u32,
     #[prost(fixed64, tag = "3")]
-    pub life: u64,
+    pub incarnation: u64,
     #[prost(string, tag = "4")]
     pub node: String,
     #[prost(uint64, tag = "5")]
@@ -308,7 +308,7 @@
     #[prost(fixed32, tag = "3")]
     pub holder: u32,
     #[prost(fixed64, tag = "4")]
-    pub life: u64,
+    pub incarnation: u64,
     /// Of the duty, as the holder took it up.
     #[prost(uint64, tag = "5")]
     pub duty_fence: u64,
@@ -322,7 +322,7 @@
     #[prost(fixed32, tag = "1")]
     pub voter: u32,
     #[prost(fixed64, tag = "2")]
-    pub life: u64,
+    pub incarnation: u64,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
@@ -372,7 +372,7 @@
 
 /// Between control machines: hosts that changed, or all that it has.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Cell {
+pub struct HostUpdate {
     #[prost(message, repeated, tag = "1")]
     pub hosts: Vec<Host>,
     #[prost(bool, tag = "2")]
@@ -381,7 +381,7 @@
 
 /// Between control machines: a host says that it leaves, or that it has left. Whoever has that on its disk says so.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Departing {
+pub struct DepartureNotice {
     /// Of the machine that asks.
     #[prost(uint64, tag = "1")]
     pub number: u64,
@@ -391,14 +391,14 @@
 
 /// The departure of this number is on the sender's disk.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
-pub struct DepartureKept {
+pub struct DepartureStored {
     #[prost(uint64, tag = "1")]
     pub number: u64,
 }
 
 /// To a router: all that it must know, as of a number.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Whole {
+pub struct FeedSnapshot {
     #[prost(uint64, tag = "1")]
     pub number: u64,
     #[prost(uint64, tag = "2")]
@@ -410,37 +410,37 @@
     #[prost(uint32, tag = "5")]
     pub routers: u32,
     #[prost(message, repeated, tag = "6")]
-    pub view: Vec<Known>,
+    pub view: Vec<KnownControl>,
 }
 
 /// To a router: what changed, under the next number.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Change {
+pub struct FeedUpdate {
     #[prost(uint64, tag = "1")]
     pub number: u64,
     #[prost(message, repeated, tag = "2")]
-    pub revised: Vec<Step>,
+    pub revised: Vec<ChosenRevision>,
     #[prost(message, repeated, tag = "3")]
     pub hosts: Vec<Host>,
     /// 0: as before.
     #[prost(uint32, tag = "4")]
     pub routers: u32,
     #[prost(message, repeated, tag = "5")]
-    pub view: Vec<Known>,
+    pub view: Vec<KnownControl>,
 }
 
 /// A change of the configuration in the order of slots.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Step {
+pub struct ChosenRevision {
     #[prost(uint64, tag = "1")]
     pub slot: u64,
     #[prost(message, required, tag = "2")]
-    pub revised: Revised,
+    pub revised: ConfigRevision,
 }
 
 /// From a router: it has all up to this number; or, if `lost`, it needs the whole again.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
-pub struct Seen {
+pub struct FeedAck {
     #[prost(uint64, tag = "1")]
     pub number: u64,
     #[prost(bool, tag = "2")]
@@ -464,7 +464,7 @@
 
 /// From a router, by way of its control machine, to whoever divides: what its services need of hosts.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Needs {
+pub struct DemandReport {
     /// The life of the router's process.
     #[prost(fixed64, tag = "1")]
     pub router: u64,
@@ -472,12 +472,12 @@
     #[prost(uint64, tag = "2")]
     pub echo: u64,
     #[prost(message, repeated, tag = "3")]
-    pub hosts: Vec<HostNeeds>,
+    pub hosts: Vec<HostDemand>,
 }
 
 /// What one router needs of one host.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct HostNeeds {
+pub struct HostDemand {
     #[prost(string, tag = "1")]
     pub host: String,
     /// Statements that the host runs at a time.
@@ -489,7 +489,7 @@
     #[prost(uint64, tag = "4")]
     pub answers: u64,
     #[prost(message, repeated, tag = "5")]
-    pub needs: Vec<Need>,
+    pub services: Vec<ServiceDemand>,
     /// The databases that the host holds a copy of.
     #[prost(string, tag = "6")]
     pub group: String,
@@ -497,29 +497,29 @@
 
 /// Of one service, in thousandths of a place.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Need {
+pub struct ServiceDemand {
     #[prost(string, tag = "1")]
     pub service: String,
     #[prost(uint32, tag = "2")]
-    pub runs: u32,
+    pub running_milli: u32,
     #[prost(uint32, tag = "3")]
-    pub waits: u32,
+    pub waiting_milli: u32,
 }
 
 /// From whoever divides to one router, by way of its control machine.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Allots {
+pub struct HostAllocations {
     #[prost(fixed64, tag = "1")]
     pub router: u64,
     #[prost(uint64, tag = "2")]
     pub fence: u64,
     #[prost(message, repeated, tag = "3")]
-    pub allots: Vec<Allot>,
+    pub allocations: Vec<HostAllocation>,
 }
 
 /// A router's part of one host. Services that are not named go free.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Allot {
+pub struct HostAllocation {
     #[prost(string, tag = "1")]
     pub host: String,
     #[prost(uint64, tag = "2")]
@@ -528,12 +528,12 @@
     #[prost(uint64, tag = "3")]
     pub echo: u64,
     #[prost(bool, tag = "4")]
-    pub pressed: bool,
+    pub overloaded: bool,
     #[prost(message, repeated, tag = "5")]
     pub caps: Vec<ServiceCap>,
     /// The host's places in thousandths, and how many routers share them.
     #[prost(uint32, tag = "6")]
-    pub places: u32,
+    pub capacity_milli: u32,
     #[prost(uint32, tag = "7")]
     pub routers: u32,
 }
@@ -544,12 +544,12 @@
     #[prost(string, tag = "1")]
     pub service: String,
     #[prost(uint32, tag = "2")]
-    pub cap: u32,
+    pub cap_milli: u32,
 }
 
 /// From whoever divides to all control machines and all routers: tell what you need of these hosts.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Pressed {
+pub struct OverloadedHosts {
     #[prost(string, repeated, tag = "1")]
     pub hosts: Vec<String>,
 }
@@ -579,7 +579,7 @@
 
 /// From a router, and between control machines: a primary that is replaced answered that it leads no more.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Yielded {
+pub struct Demotion {
     #[prost(string, tag = "1")]
     pub service: String,
     #[prost(string, tag = "2")]
@@ -610,7 +610,7 @@
 }
 
 impl Phase {
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         match self {
             Phase::InService => "in_service",
             Phase::Draining => "draining",
@@ -620,17 +620,17 @@
 }
 
 impl DbRole {
-    pub fn word(self) -> &'static str {
+    pub fn as_str(self) -> &'static str {
         if self == DbRole::Primary { "primary" } else { "replica" }
     }
 }
 
 /// A machine's number.
-pub fn number(ip: Ipv4Addr) -> u32 {
+pub fn ip_to_u32(ip: Ipv4Addr) -> u32 {
     u32::from(ip)
 }
 
 /// A frame of a word.
-pub fn said(word: Word) -> Vec<u8> {
-    crate::frame(&Frame { word: Some(word) })
+pub fn encode_payload(payload: Payload) -> Vec<u8> {
+    crate::encode_frame(&Frame { payload: Some(payload) })
 }
--- a/crates/arrowyard-messages/src/relay.rs
+++ b/crates/arrowyard-messages/src/relay.rs
@@ -16,7 +16,7 @@
 
 /// From the owner of the duty, by way of some control machines, to one router of each.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct RelayedQuestion {
+pub struct RelayedRequest {
     /// The control machine that waits for the answer, and its number for the question.
     #[prost(fixed32, tag = "1")]
     pub asked_by: u32,
@@ -33,19 +33,19 @@
 
 /// The answer to a [`RelayedQuestion`], one for each control machine that was told of it.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct RelayedAnswer {
+pub struct RelayedResponse {
     #[prost(fixed32, tag = "1")]
     pub asked_by: u32,
     #[prost(uint64, tag = "2")]
     pub number: u64,
     /// None if the host did not answer, or no router could be asked.
     #[prost(message, optional, tag = "3")]
-    pub row: Option<HostRow>,
+    pub row: Option<HostStatus>,
 }
 
 /// What a host says of itself.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
-pub struct HostRow {
+pub struct HostStatus {
     #[prost(bool, tag = "1")]
     pub primary: bool,
     #[prost(uint64, tag = "2")]
--- a/crates/arrowyard-pooler/src/link.rs
+++ b/crates/arrowyard-pooler/src/link.rs
@@ -4,8 +4,8 @@
 use std::rc::Rc;
 
 use arrowyard_fair_shares::ServiceId;
-use arrowyard_messages::{HostRequest, RelayedQuestion};
-use arrowyard_protocol::{Code, Lines, Mode, Observed, Position};
+use arrowyard_messages::{HostRequest, RelayedRequest};
+use arrowyard_protocol::{AccessMode, FaultCode, LineDecoder, Observed, Position};
 use arrowyard_runtime::Conn;
 use arrowyard_types::{HostId, OpId, Point, SendNo};
 use rustc_hash::FxHashSet;
@@ -33,7 +33,7 @@
     /// It is replaced as primary, and yields to this term.
     Yield(u64),
     /// Control does not reach it. After the time, control does not wait for the answer any more.
-    Relayed(RelayedQuestion, Point),
+    Relayed(RelayedRequest, Point),
 }
 
 impl HostQuestion {
@@ -79,7 +79,7 @@
     pub conn: Conn,
     pub host: HostId,
     pub stage: Stage,
-    pub lines: Lines,
+    pub lines: LineDecoder,
     pub expect: VecDeque<Expect>,
     /// The values that hold on it, and what is prepared on it.
     pub values: Values,
@@ -93,7 +93,7 @@
     /// Of the answer under way: its rows as they came, its stamp, its fault.
     pub rows: Vec<u8>,
     pub stamp: Option<String>,
-    pub fault: Option<(Code, String)>,
+    pub fault: Option<(FaultCode, String)>,
     pub opened_at: Point,
     pub since: Point,
     /// The question that is to be asked on it, or is being asked.
@@ -106,7 +106,7 @@
             conn,
             host,
             stage: Stage::Opening,
-            lines: Lines::default(),
+            lines: LineDecoder::default(),
             expect: VecDeque::from([Expect::Open]),
             values: Values::default(),
             defined: FxHashSet::default(),
@@ -130,7 +130,7 @@
 
     /// What has to be said so that these values, and no others, hold on it. Danger: a value that is left over from
     /// another session; values are only taken back all together, and what is prepared goes with them.
-    pub fn dress(&mut self, values: &Values, define: Option<(u32, Mode, &str)>) -> Vec<String> {
+    pub fn dress(&mut self, values: &Values, define: Option<(u32, AccessMode, &str)>) -> Vec<String> {
         let mut said = Vec::new();
         if !Rc::ptr_eq(&self.values, values) && self.values != *values {
             let left_over = self.values.keys().any(|name| !values.contains_key(name));
@@ -148,7 +148,7 @@
         if let Some((number, mode, shape)) = define
             && self.defined.insert(number)
         {
-            said.push(format!("DEFINE g{number} {} {shape}", mode.word()));
+            said.push(format!("DEFINE g{number} {} {shape}", mode.as_str()));
         }
         said
     }
@@ -159,7 +159,7 @@
 pub struct Answered {
     pub rows: Vec<u8>,
     pub stamp: Option<String>,
-    pub fault: Option<(Code, String)>,
+    pub fault: Option<(FaultCode, String)>,
     pub position: Option<Position>,
     pub in_transaction: bool,
 }
@@ -169,6 +169,6 @@
     pub fn observed(&self) -> Option<Observed> {
         let text = String::from_utf8_lossy(&self.rows);
         let line = text.lines().next()?;
-        Observed::read(arrowyard_protocol::split(line).1)
+        Observed::parse(arrowyard_protocol::split_word(line).1)
     }
 }
--- a/crates/arrowyard-pooler/src/plane.rs
+++ b/crates/arrowyard-pooler/src/plane.rs
@@ -11,9 +11,9 @@
 use std::rc::Rc;
 
 use arrowyard_config::Settings;
-use arrowyard_messages::{Known, number};
-use arrowyard_runtime::http::{Messages, answer};
-use arrowyard_runtime::{Conn, Door, Event, Orders, Plane, Sign, Timers};
+use arrowyard_messages::{KnownControl, ip_to_u32};
+use arrowyard_runtime::http::{HttpDecoder, format_response};
+use arrowyard_runtime::{Commands, Conn, Event, ListenerId, Plane, Signal, Timers};
 use arrowyard_types::{Action, Cookie, HostId, Note, OpId, Point, Span};
 use rustc_hash::FxHashMap;
 
@@ -30,7 +30,7 @@
 use shares::Shares;
 
 /// The doors of a router: clients, and whoever asks whether it is ready.
-pub const DOORS: [Door; 2] = [Door(0), Door(1)];
+pub const DOORS: [ListenerId; 2] = [ListenerId(0), ListenerId(1)];
 
 /// The settings file is read again so often, since it may change without a signal.
 const REREAD: Span = Span::from_millis(2000);
@@ -77,7 +77,7 @@
 /// What stands at the other end of a connection.
 enum Line {
     Client(Box<Session>),
-    Ready(Messages),
+    Ready(HttpDecoder),
     Link(Box<Link>),
     Feed,
 }
@@ -86,7 +86,7 @@
 pub struct Sluice {
     settings: Settings,
     reread: Reread,
-    life: u64,
+    incarnation: u64,
     rng: fastrand::Rng,
     module: Module,
     actions: Vec<Action>,
@@ -99,14 +99,14 @@
     paces: Paces,
     probing: FxHashMap<HostId, Point>,
     last_op: u64,
-    shapes: FxHashMap<(arrowyard_protocol::Mode, Rc<str>), u32>,
+    shapes: FxHashMap<(arrowyard_protocol::AccessMode, Rc<str>), u32>,
     timers: Timers<Alarm>,
     feed: Feed,
     replacements: Replacements,
     shares: Shares,
     /// How many routers share the hosts' connections.
     routers: u32,
-    controls: Vec<Known>,
+    controls: Vec<KnownControl>,
     draining: Option<Point>,
     closed_idle: bool,
     pending: VecDeque<Action>,
@@ -114,21 +114,21 @@
 }
 
 impl Sluice {
-    pub fn new(settings: Settings, life: u64, reread: Reread) -> Self {
+    pub fn new(settings: Settings, incarnation: u64, reread: Reread) -> Self {
         let now = Point::from_micros(0);
         let mut actions = Vec::new();
         let drain = Span::from_millis((settings.envelope.drain_bound_ms - 2000.0).max(0.0) as i64);
-        let module = Module::start(now, life, drain, &mut actions);
+        let module = Module::start(now, incarnation, drain, &mut actions);
         let controls = settings
             .seeds
             .iter()
-            .map(|seed| Known { ip: number(*seed.ip()), zone: String::new(), age: 0 })
+            .map(|seed| KnownControl { ip: ip_to_u32(*seed.ip()), zone: String::new(), age: 0 })
             .collect();
         Sluice {
             settings,
             reread,
-            life,
-            rng: fastrand::Rng::with_seed(life),
+            incarnation,
+            rng: fastrand::Rng::with_seed(incarnation),
             module,
             actions,
             configured: Configured::default(),
@@ -174,15 +174,15 @@
     }
 
     /// Carries out what the module wants, in order, until it wants no more.
-    fn carry(&mut self, now: Point, orders: &mut Orders) {
+    fn carry(&mut self, now: Point, commands: &mut Commands) {
         loop {
             self.pending.extend(self.actions.drain(..));
             let Some(action) = self.pending.pop_front() else { return };
             match action {
-                Action::Send { op, host, until } => self.send(now, op, host, until, orders),
-                Action::BusyReply { op, retry_after } => self.give_up(now, op, retry_after, orders),
-                Action::ErrorReply { op } => self.fail(now, op, orders),
-                Action::Probe { host } => self.probe(now, host, orders),
+                Action::Send { op, host, until } => self.send(now, op, host, until, commands),
+                Action::BusyReply { op, retry_after } => self.give_up(now, op, retry_after, commands),
+                Action::ErrorReply { op } => self.fail(now, op, commands),
+                Action::Probe { host } => self.probe(now, host, commands),
                 Action::Ring { after, cookie } => drop(self.timers.set(now + after, Alarm::Module(cookie))),
                 Action::Log { text } => log::info!("module: {text}."),
                 // Nothing of the kind is told to this module.
@@ -195,26 +195,26 @@
         }
     }
 
-    fn rang(&mut self, now: Point, alarm: Alarm, orders: &mut Orders) {
+    fn rang(&mut self, now: Point, alarm: Alarm, commands: &mut Commands) {
         match alarm {
             Alarm::Module(cookie) => self.note(now, Note::Rang { cookie }),
-            Alarm::Statement(conn) => self.statement_late(now, conn, orders),
-            Alarm::Silence(conn) => self.silent(now, conn, orders),
-            Alarm::Waits(conn, op) => self.waits_too_long(now, conn, op, orders),
-            Alarm::Lost(conn) => self.look_for_lost(now, conn, orders),
-            Alarm::Link(conn) => self.link_late(now, conn, orders),
-            Alarm::Feed => self.feed_due(now, orders),
-            Alarm::Shares => self.shares_due(now, orders),
+            Alarm::Statement(conn) => self.statement_late(now, conn, commands),
+            Alarm::Silence(conn) => self.silent(now, conn, commands),
+            Alarm::Waits(conn, op) => self.waits_too_long(now, conn, op, commands),
+            Alarm::Lost(conn) => self.look_for_lost(now, conn, commands),
+            Alarm::Link(conn) => self.link_late(now, conn, commands),
+            Alarm::Feed => self.feed_due(now, commands),
+            Alarm::Shares => self.shares_due(now, commands),
             Alarm::Reread => {
                 self.timers.set(now + REREAD, Alarm::Reread);
                 self.reread();
             }
-            Alarm::Rested(host) => self.close_rested_of(now, host, orders),
+            Alarm::Rested(host) => self.close_rested_of(now, host, commands),
             Alarm::Round => {
                 self.timers.set(now + RESTED, Alarm::Round);
-                self.close_rested(now, orders);
+                self.close_rested(now, commands);
             }
-            Alarm::Sweep => self.sweep(now, orders),
+            Alarm::Sweep => self.sweep(now, commands),
         }
     }
 
@@ -229,12 +229,12 @@
         self.draining.is_none() && self.configured.slot > 0 && self.module.hosts().next().is_some()
     }
 
-    fn readiness(&mut self, conn: Conn, bytes: &[u8], orders: &mut Orders) {
+    fn readiness(&mut self, conn: Conn, bytes: &[u8], commands: &mut Commands) {
         let ready = self.is_ready();
         let Some(Line::Ready(messages)) = self.lines.get_mut(&conn) else { return };
         messages.put(bytes);
         loop {
-            match messages.request() {
+            match messages.next_request() {
                 Ok(None) => return,
                 Ok(Some(request)) => {
                     let status = match request.path.as_str() {
@@ -242,18 +242,18 @@
                         "/readiness" => 503,
                         _ => 404,
                     };
-                    orders.write(conn, &[answer(status, "").as_bytes()]);
-                    if request.last {
+                    commands.write(conn, &[format_response(status, "").as_bytes()]);
+                    if request.close_connection {
                         break;
                     }
                 }
                 Err(unreadable) => {
-                    orders.write(conn, &[answer(unreadable.0, "").as_bytes()]);
+                    commands.write(conn, &[format_response(unreadable.0, "").as_bytes()]);
                     break;
                 }
             }
         }
-        orders.close(conn);
+        commands.close(conn);
         self.lines.remove(&conn);
     }
 
@@ -266,7 +266,7 @@
         }
     }
 
-    fn sweep(&mut self, now: Point, orders: &mut Orders) {
+    fn sweep(&mut self, now: Point, commands: &mut Commands) {
         let Some(since) = self.draining else { return };
         let grace = Span::from_micros((self.settings.envelope.grace_s * 1e6) as i64);
         let conns: Vec<Conn> = self
@@ -279,60 +279,62 @@
             self.closed_idle = true;
             for conn in &conns {
                 if self.session(*conn).is_some_and(|session| session.is_at_rest()) {
-                    self.end_session(now, *conn, orders);
+                    self.end_session(now, *conn, commands);
                 }
             }
         }
         if now - since >= grace * 0.5 {
             for conn in &conns {
-                self.break_transaction(now, *conn, orders);
+                self.break_transaction(now, *conn, commands);
             }
         }
         if self.sessions == 0 && self.closed_idle || now - since >= grace - BEFORE_END {
             log::info!("drain: {} sessions are left.", self.sessions);
-            return orders.stop();
+            return commands.stop();
         }
         self.timers.set(now + Span::from_millis(50), Alarm::Sweep);
     }
 }
 
 impl Plane for Sluice {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Point, event: Event<'_>, commands: &mut Commands) {
         match event {
             Event::Start => {
                 self.timers.set(now, Alarm::Feed);
                 self.timers.set(now + REREAD, Alarm::Reread);
                 self.timers.set(now + RESTED, Alarm::Round);
             }
-            Event::Accepted { conn, door } if door == DOORS[0] => self.welcome(now, conn),
-            Event::Accepted { conn, .. } => drop(self.lines.insert(conn, Line::Ready(Messages::default()))),
-            Event::Opened { conn } => self.opened(now, conn, orders),
-            Event::Came { conn, bytes } => match self.lines.get(&conn) {
-                Some(Line::Client(_)) => self.client_came(now, conn, bytes, orders),
-                Some(Line::Ready(_)) => self.readiness(conn, bytes, orders),
-                Some(Line::Link(_)) => self.link_came(now, conn, bytes, orders),
-                Some(Line::Feed) => self.feed_came(now, conn, bytes, orders),
+            Event::Accepted { conn, listener } if listener == DOORS[0] => self.welcome(now, conn),
+            Event::Accepted { conn, .. } => {
+                drop(self.lines.insert(conn, Line::Ready(HttpDecoder::default())))
+            }
+            Event::Connected { conn } => self.opened(now, conn, commands),
+            Event::Received { conn, bytes } => match self.lines.get(&conn) {
+                Some(Line::Client(_)) => self.client_came(now, conn, bytes, commands),
+                Some(Line::Ready(_)) => self.readiness(conn, bytes, commands),
+                Some(Line::Link(_)) => self.link_came(now, conn, bytes, commands),
+                Some(Line::Feed) => self.feed_came(now, conn, bytes, commands),
                 None => {}
             },
-            Event::Closed { conn, why } => match self.lines.get(&conn) {
-                Some(Line::Client(_)) => self.client_left(now, conn, orders),
+            Event::Closed { conn, reason } => match self.lines.get(&conn) {
+                Some(Line::Client(_)) => self.client_left(now, conn, commands),
                 Some(Line::Ready(_)) => drop(self.lines.remove(&conn)),
-                Some(Line::Link(_)) => self.link_broke(now, conn, why, orders),
+                Some(Line::Link(_)) => self.link_broke(now, conn, reason, commands),
                 Some(Line::Feed) => self.feed_broke(now, conn),
                 None => {}
             },
-            Event::Sign(Sign::Terminate) => self.drain(now),
-            Event::Sign(Sign::Reread) => self.reread(),
-            Event::Woke | Event::Stored { .. } | Event::Disk { .. } => {}
+            Event::Signal(Signal::Terminate) => self.drain(now),
+            Event::Signal(Signal::Reload) => self.reread(),
+            Event::TimerExpired | Event::Stored { .. } | Event::DiskStatus { .. } => {}
         }
         while let Some(alarm) = self.timers.take(now) {
-            self.rang(now, alarm, orders);
-            self.carry(now, orders);
+            self.rang(now, alarm, commands);
+            self.carry(now, commands);
         }
         if self.module.due().is_some_and(|at| at <= now) {
             self.module.woke(now, &mut self.actions);
         }
-        self.carry(now, orders);
+        self.carry(now, commands);
     }
 
     fn due(&self) -> Option<Point> {
--- a/crates/arrowyard-pooler/src/plane/feed.rs
+++ b/crates/arrowyard-pooler/src/plane/feed.rs
@@ -6,10 +6,10 @@
 
 use arrowyard_config::{Change as Revision, ChangeKind, Configuration};
 use arrowyard_messages::{
-    Change, DbRole, Frames, Hello, Host, Known as Machine, Phase, Replacements, Seen, Step, Suspect, Whole,
-    Word, number, said,
+    ChosenRevision, DbRole, FeedAck, FeedSnapshot, FeedUpdate, FrameDecoder, Hello, Host,
+    KnownControl as Machine, Payload, Phase, Replacements, Suspect, encode_payload, ip_to_u32,
 };
-use arrowyard_runtime::{Conn, Orders};
+use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{Note, Point, Span};
 
 use super::{Alarm, Line, Sluice};
@@ -32,7 +32,7 @@
 pub struct Feed {
     conn: Option<Conn>,
     open: bool,
-    frames: Frames,
+    frames: FrameDecoder,
     number: u64,
     tried: usize,
     since: Point,
@@ -51,35 +51,35 @@
 }
 
 impl Sluice {
-    pub(super) fn feed_due(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn feed_due(&mut self, now: Point, commands: &mut Commands) {
         match self.feed.conn {
             Some(conn) if self.feed.open && now - self.feed.heard_at >= QUIET => {
-                orders.drop(conn);
+                commands.reset(conn);
                 self.feed_broke(now, conn);
                 return;
             }
             Some(conn) if self.feed.open => {
                 if now - self.feed.said_at >= SEEN {
-                    self.say_seen(now, conn, false, orders);
+                    self.say_seen(now, conn, false, commands);
                 }
                 self.timers.set(now + LOOK, Alarm::Feed);
                 return;
             }
             Some(_) if now - self.feed.since < DIAL => {}
             Some(conn) => {
-                orders.drop(conn);
+                commands.reset(conn);
                 self.lines.remove(&conn);
                 self.lose_feed();
-                self.dial_control(now, orders);
+                self.dial_control(now, commands);
             }
-            None => self.dial_control(now, orders),
+            None => self.dial_control(now, commands),
         }
         self.timers.set(now + DIAL * 0.5, Alarm::Feed);
     }
 
     /// Dials the next control machine: those of the own zone come first, then the others by turns.
-    fn dial_control(&mut self, now: Point, orders: &mut Orders) {
-        let seeds = self.settings.seeds.iter().map(|seed| (number(*seed.ip()), String::new()));
+    fn dial_control(&mut self, now: Point, commands: &mut Commands) {
+        let seeds = self.settings.seeds.iter().map(|seed| (ip_to_u32(*seed.ip()), String::new()));
         let mut all: Vec<(u32, String)> =
             self.controls.iter().map(|known| (known.ip, known.zone.clone())).collect();
         for seed in seeds {
@@ -92,30 +92,30 @@
         }
         let mine = self.settings.zone.clone();
         // Routers spread over those that are equally near.
-        let turn = self.life;
+        let turn = self.incarnation;
         let failed = self.feed.failed;
         all.sort_by_key(|(ip, zone)| {
             (Some(*ip) == failed, *zone != mine, u64::from(*ip).wrapping_mul(turn | 1) >> 7)
         });
         let (ip, _) = all[self.feed.tried % all.len()];
         self.feed.tried += 1;
-        let conn = orders.dial(self.settings.internal(Ipv4Addr::from(ip)));
+        let conn = commands.dial(self.settings.internal(Ipv4Addr::from(ip)));
         self.lines.insert(conn, Line::Feed);
         let Feed { tried, told_at, failed, .. } = self.feed;
         self.feed = Feed { conn: Some(conn), since: now, tried, told_at, failed, ip, ..Feed::default() };
     }
 
-    pub(super) fn feed_opened(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn feed_opened(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         (self.feed.open, self.feed.since, self.feed.heard_at) = (true, now, now);
         let hello = Hello {
             node: self.settings.node.clone(),
-            ip: number(self.settings.ip),
+            ip: ip_to_u32(self.settings.ip),
             zone: self.settings.zone.clone(),
-            life: self.life,
+            incarnation: self.incarnation,
             control: false,
             view: Vec::new(),
         };
-        orders.write(conn, &[&said(Word::Hello(hello))]);
+        commands.write(conn, &[&encode_payload(Payload::Hello(hello))]);
     }
 
     pub(super) fn feed_broke(&mut self, now: Point, conn: Conn) {
@@ -137,59 +137,62 @@
         }
     }
 
-    fn say_seen(&mut self, now: Point, conn: Conn, lost: bool, orders: &mut Orders) {
+    fn say_seen(&mut self, now: Point, conn: Conn, lost: bool, commands: &mut Commands) {
         self.feed.said_at = now;
-        let seen = Seen { number: self.feed.number, lost, revision: self.configured.configuration.revision };
-        orders.write(conn, &[&said(Word::Seen(seen))]);
+        let seen =
+            FeedAck { number: self.feed.number, lost, revision: self.configured.configuration.revision };
+        commands.write(conn, &[&encode_payload(Payload::FeedAck(seen))]);
     }
 
-    pub(super) fn feed_came(&mut self, now: Point, conn: Conn, bytes: &[u8], orders: &mut Orders) {
+    pub(super) fn feed_came(&mut self, now: Point, conn: Conn, bytes: &[u8], commands: &mut Commands) {
         self.feed.heard_at = now;
         self.feed.frames.put(bytes);
         loop {
             match self.feed.frames.take() {
                 Ok(None) => return,
-                Ok(Some(frame)) => match frame.word {
-                    Some(Word::Whole(whole)) => self.take_whole(now, conn, &whole, orders),
-                    Some(Word::Change(change)) => self.take_change(now, conn, &change, orders),
-                    Some(Word::Allots(allots)) => self.take_allots(now, allots, orders),
-                    Some(Word::Replacements(told)) => self.take_replacements(now, told, orders),
-                    Some(Word::RelayedQuestion(question)) => self.relay_question(now, question, orders),
-                    Some(Word::Pressed(pressed)) => self.hosts_pressed(now, &pressed.hosts, orders),
+                Ok(Some(frame)) => match frame.payload {
+                    Some(Payload::FeedSnapshot(whole)) => self.take_whole(now, conn, &whole, commands),
+                    Some(Payload::FeedUpdate(change)) => self.take_change(now, conn, &change, commands),
+                    Some(Payload::HostAllocations(allots)) => self.take_allots(now, allots, commands),
+                    Some(Payload::Replacements(told)) => self.take_replacements(now, told, commands),
+                    Some(Payload::RelayedRequest(question)) => self.relay_question(now, question, commands),
+                    Some(Payload::OverloadedHosts(pressed)) => {
+                        self.hosts_pressed(now, &pressed.hosts, commands)
+                    }
                     _ => {}
                 },
                 Err(broken) => {
                     log::warn!("feed: {broken}.");
-                    orders.drop(conn);
+                    commands.reset(conn);
                     return self.feed_broke(now, conn);
                 }
             }
         }
     }
 
-    fn take_whole(&mut self, now: Point, conn: Conn, whole: &Whole, orders: &mut Orders) {
+    fn take_whole(&mut self, now: Point, conn: Conn, whole: &FeedSnapshot, commands: &mut Commands) {
         self.feed.number = whole.number;
         // It came through: the next time the nearest are tried first again.
         self.feed.tried = 0;
         if whole.slot > self.configured.slot && !whole.configuration.is_empty() {
             match Configuration::default().replace(&whole.configuration) {
-                Ok(configuration) => self.put_in_force(now, configuration, whole.slot, orders),
+                Ok(configuration) => self.put_in_force(now, configuration, whole.slot, commands),
                 Err(refusal) => log::error!("feed: A configuration cannot be read: {refusal}."),
             }
         }
         self.take_hosts(now, &whole.hosts);
-        self.take_routers(now, whole.routers, orders);
+        self.take_routers(now, whole.routers, commands);
         self.take_view(&whole.view);
         self.renew_shares(now);
-        self.say_seen(now, conn, false, orders);
+        self.say_seen(now, conn, false, commands);
     }
 
-    fn take_change(&mut self, now: Point, conn: Conn, change: &Change, orders: &mut Orders) {
+    fn take_change(&mut self, now: Point, conn: Conn, change: &FeedUpdate, commands: &mut Commands) {
         if change.number != self.feed.number + 1 {
-            return self.say_seen(now, conn, true, orders);
+            return self.say_seen(now, conn, true, commands);
         }
         self.feed.number = change.number;
-        for Step { slot, revised } in &change.revised {
+        for ChosenRevision { slot, revised } in &change.revised {
             if *slot <= self.configured.slot {
                 continue;
             }
@@ -197,28 +200,28 @@
             let revision = Revision { kind, base: revised.base, body: revised.body.clone() };
             // What does not fit on what is in force here was not taken by anyone, or something is missing between.
             if revised.base != self.configured.configuration.revision {
-                return self.say_seen(now, conn, true, orders);
+                return self.say_seen(now, conn, true, commands);
             }
             if let Ok(configuration) = revision.apply(&self.configured.configuration) {
-                self.put_in_force(now, configuration, *slot, orders);
+                self.put_in_force(now, configuration, *slot, commands);
             }
         }
         self.take_hosts(now, &change.hosts);
         if change.routers > 0 {
-            self.take_routers(now, change.routers, orders);
+            self.take_routers(now, change.routers, commands);
         }
         if !change.view.is_empty() {
             self.take_view(&change.view);
         }
-        self.say_seen(now, conn, false, orders);
+        self.say_seen(now, conn, false, commands);
     }
 
-    fn put_in_force(&mut self, now: Point, configuration: Configuration, slot: u64, orders: &mut Orders) {
+    fn put_in_force(&mut self, now: Point, configuration: Configuration, slot: u64, commands: &mut Commands) {
         log::info!("configuration: Revision {} is in force.", configuration.revision);
         self.configured.routes = Rc::new(Routes::new(&configuration));
         self.shares.terms.configure(&configuration);
         (self.configured.configuration, self.configured.slot) = (configuration, slot);
-        self.greet_waiting(now, orders);
+        self.greet_waiting(now, commands);
     }
 
     fn take_hosts(&mut self, now: Point, hosts: &[Host]) {
@@ -227,16 +230,16 @@
         self.pools.resize_with(count.max(self.pools.len()), super::hosts::Pool::default);
     }
 
-    fn take_routers(&mut self, now: Point, routers: u32, orders: &mut Orders) {
+    fn take_routers(&mut self, now: Point, routers: u32, commands: &mut Commands) {
         let routers = routers.max(1);
         if routers != self.routers {
             self.routers = routers;
             self.note(now, Note::Fleet { routers: f64::from(routers) });
-            self.trim_pools(now, orders);
+            self.trim_pools(now, commands);
         }
     }
 
-    fn take_replacements(&mut self, now: Point, told: Replacements, orders: &mut Orders) {
+    fn take_replacements(&mut self, now: Point, told: Replacements, commands: &mut Commands) {
         for change in self.replacements.take(now, told) {
             let is_replaced = |known: &&Known| {
                 known.host.service == change.service
@@ -247,7 +250,7 @@
             let replaced: Vec<String> =
                 self.module.hosts().filter(is_replaced).map(|known| known.host.id.clone()).collect();
             let replaced = replaced.iter().filter_map(|id| self.module.id_of(id)).collect::<Vec<_>>();
-            replaced.into_iter().for_each(|host| self.tell_to_yield(now, host, change.term, orders));
+            replaced.into_iter().for_each(|host| self.tell_to_yield(now, host, change.term, commands));
         }
     }
 
@@ -258,7 +261,7 @@
     }
 
     /// A primary does not answer: control hears of it.
-    pub(super) fn suspect(&mut self, now: Point, host: &Host, orders: &mut Orders) {
+    pub(super) fn suspect(&mut self, now: Point, host: &Host, commands: &mut Commands) {
         if now - self.feed.told_at < TOLD {
             return;
         }
@@ -266,7 +269,7 @@
             self.feed.told_at = now;
             log::info!("hosts: {} does not answer as primary.", host.id);
             let suspect = Suspect { service: host.service.clone(), host: host.id.clone(), by: 0 };
-            orders.write(conn, &[&said(Word::Suspect(suspect))]);
+            commands.write(conn, &[&encode_payload(Payload::Suspect(suspect))]);
         }
     }
 }
--- a/crates/arrowyard-pooler/src/plane/hosts.rs
+++ b/crates/arrowyard-pooler/src/plane/hosts.rs
@@ -2,8 +2,8 @@
 
 use std::collections::VecDeque;
 
-use arrowyard_protocol::{Answer, Code, OWN, Position, State};
-use arrowyard_runtime::{Conn, Orders, Why};
+use arrowyard_protocol::{FaultCode, INTERNAL_STATEMENT_ID, Position, Response, TransactionState};
+use arrowyard_runtime::{CloseReason, Commands, Conn};
 use arrowyard_types::{HostId, Note, OpId, Outcome, Point, Role, Span, Word};
 
 use super::ops::{Floor, MUTE};
@@ -78,7 +78,14 @@
     }
 
     /// Finds a connection for a statement, or opens one, or lets it wait for one.
-    pub(super) fn acquire(&mut self, now: Point, conn: Conn, host: HostId, sent: Sent, orders: &mut Orders) {
+    pub(super) fn acquire(
+        &mut self,
+        now: Point,
+        conn: Conn,
+        host: HostId,
+        sent: Sent,
+        commands: &mut Commands,
+    ) {
         let values = self.session(conn).map(|session| session.values.clone()).unwrap_or_default();
         let share = self.share(host);
         let pool = &mut self.pools[host.0 as usize];
@@ -95,7 +102,7 @@
         self.pools[host.0 as usize].idle = idle;
         if let Some(place) = place {
             let link = self.pools[host.0 as usize].idle.remove(place);
-            return self.hand_over(now, conn, link, sent, orders);
+            return self.hand_over(now, conn, link, sent, commands);
         }
         let Some(patience) = self.session(conn).and_then(|session| session.asks()).map(|asks| asks.patience)
         else {
@@ -105,13 +112,13 @@
         let pool = &mut self.pools[host.0 as usize];
         pool.waiting.push_back((conn, sent));
         if pool.all < share && pool.opening < pool.waiting.len() {
-            self.dial(now, host, orders);
+            self.dial(now, host, commands);
         }
     }
 
     /// A statement has waited for a connection for as long as it may. A read may have another host; all else is given
     /// up, while its client can still ask elsewhere.
-    pub(super) fn waits_too_long(&mut self, now: Point, conn: Conn, op: OpId, orders: &mut Orders) {
+    pub(super) fn waits_too_long(&mut self, now: Point, conn: Conn, op: OpId, commands: &mut Commands) {
         let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
         let (host, reads) = (statement.host, statement.kind == crate::routes::Statement::Read);
         let Some(host) = host else { return };
@@ -122,7 +129,7 @@
         {
             self.ended(now, sent, host, Outcome::Full, Word::default(), !elsewhere);
             if !elsewhere {
-                self.give_up(now, op, None, orders);
+                self.give_up(now, op, None, commands);
             }
         }
     }
@@ -132,8 +139,8 @@
         self.pools[host.0 as usize].idle.pop()
     }
 
-    pub(super) fn dial(&mut self, now: Point, host: HostId, orders: &mut Orders) -> Conn {
-        let conn = orders.dial(self.module.host(host).address);
+    pub(super) fn dial(&mut self, now: Point, host: HostId, commands: &mut Commands) -> Conn {
+        let conn = commands.dial(self.module.host(host).address);
         self.lines.insert(conn, Line::Link(Box::new(Link::new(conn, host, now))));
         self.timers.set(now + OPENS, Alarm::Link(conn));
         let pool = &mut self.pools[host.0 as usize];
@@ -142,19 +149,26 @@
         conn
     }
 
-    pub(super) fn opened(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn opened(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         match self.lines.get(&conn) {
-            Some(Line::Feed) => self.feed_opened(now, conn, orders),
+            Some(Line::Feed) => self.feed_opened(now, conn, commands),
             Some(Line::Link(link)) => {
                 let host = &self.module.host(link.host).host;
-                orders.line(conn, &["OPEN ", &host.service, " sluice ", &host.id]);
+                commands.write_line(conn, &["OPEN ", &host.service, " sluice ", &host.id]);
             }
             _ => {}
         }
     }
 
     /// Gives a session a connection, which is made to hold the session's values first.
-    pub(super) fn hand_over(&mut self, now: Point, conn: Conn, link: Conn, sent: Sent, orders: &mut Orders) {
+    pub(super) fn hand_over(
+        &mut self,
+        now: Point,
+        conn: Conn,
+        link: Conn,
+        sent: Sent,
+        commands: &mut Commands,
+    ) {
         let floor = self.floor_of(conn);
         let Some(session) = self.session(conn) else { return };
         let values = session.values.clone();
@@ -173,26 +187,29 @@
             held.dress(&values, define.as_ref().map(|(number, mode, shape)| (*number, *mode, &**shape)));
         for text in &dress {
             held.expect.push_back(Expect::Dress);
-            orders.line(link, &["QUERY ", OWN, " ", text]);
+            commands.write_line(link, &["QUERY ", INTERNAL_STATEMENT_ID, " ", text]);
         }
         if begins {
             held.expect.push_back(Expect::Begin);
             match floor {
                 Some(Floor::After(position)) => {
-                    orders.line(link, &["QUERY ", OWN, " AFTER ", &position.to_string(), " BEGIN READ"]);
+                    commands.write_line(
+                        link,
+                        &["QUERY ", INTERNAL_STATEMENT_ID, " AFTER ", &position.to_string(), " BEGIN READ"],
+                    );
                 }
                 // A plain transaction fails where its host does not lead any more; one that only reads does not.
-                _ => orders.line(link, &["QUERY ", OWN, " BEGIN"]),
+                _ => commands.write_line(link, &["QUERY ", INTERNAL_STATEMENT_ID, " BEGIN"]),
             }
         }
-        self.mute(now, link, orders);
+        self.mute(now, link, commands);
         if dress.is_empty() && !begins {
-            self.put_out(now, conn, link, orders);
+            self.put_out(now, conn, link, commands);
         }
     }
 
     /// Sends the statement itself, once all that has to come before it is answered.
-    fn put_out(&mut self, now: Point, conn: Conn, link: Conn, orders: &mut Orders) {
+    fn put_out(&mut self, now: Point, conn: Conn, link: Conn, commands: &mut Commands) {
         let floor = self.floor_of(conn);
         let Some(session) = self.session(conn) else { return };
         let inside = session.transaction.is_some();
@@ -206,34 +223,34 @@
         held.expect.push_back(Expect::Client);
         match floor {
             Some(Floor::After(position)) if !inside => {
-                orders.line(link, &["QUERY ", &id, " AFTER ", &position.to_string(), " ", &text]);
+                commands.write_line(link, &["QUERY ", &id, " AFTER ", &position.to_string(), " ", &text]);
             }
-            _ => orders.line(link, &["QUERY ", &id, " ", &text]),
+            _ => commands.write_line(link, &["QUERY ", &id, " ", &text]),
         }
         if fenced {
             held.expect.push_back(Expect::Abort);
-            orders.line(link, &["QUERY ", OWN, " ABORT"]);
+            commands.write_line(link, &["QUERY ", INTERNAL_STATEMENT_ID, " ABORT"]);
         }
     }
 
     /// Something is asked of a host. If nothing was heard of it for too long, and it leads, control hears of it.
-    fn mute(&mut self, now: Point, link: Conn, orders: &mut Orders) {
+    fn mute(&mut self, now: Point, link: Conn, commands: &mut Commands) {
         let Some(host) = self.link(link).map(|link| link.host) else { return };
         let pool = &mut self.pools[host.0 as usize];
         let since = *pool.mute_since.get_or_insert(now);
         if now - since >= MUTE {
-            self.suspect_primary(now, host, orders);
+            self.suspect_primary(now, host, commands);
         }
     }
 
-    fn suspect_primary(&mut self, now: Point, host: HostId, orders: &mut Orders) {
+    fn suspect_primary(&mut self, now: Point, host: HostId, commands: &mut Commands) {
         let known = self.module.host(host).host.clone();
         if known.role() == arrowyard_messages::DbRole::Primary {
-            self.suspect(now, &known, orders);
+            self.suspect(now, &known, commands);
         }
     }
 
-    pub(super) fn link_came(&mut self, now: Point, conn: Conn, bytes: &[u8], orders: &mut Orders) {
+    pub(super) fn link_came(&mut self, now: Point, conn: Conn, bytes: &[u8], commands: &mut Commands) {
         if let Some(link) = self.link(conn) {
             link.lines.put(bytes);
             let host = link.host;
@@ -245,37 +262,37 @@
             let line = match link.lines.take() {
                 Ok(Some(line)) => line,
                 Ok(None) => return,
-                Err(_) => return self.drop_link(now, conn, orders),
+                Err(_) => return self.drop_link(now, conn, commands),
             };
-            let Some(answer) = std::str::from_utf8(&line).ok().and_then(Answer::read) else {
-                return self.drop_link(now, conn, orders);
+            let Some(answer) = std::str::from_utf8(&line).ok().and_then(Response::parse) else {
+                return self.drop_link(now, conn, commands);
             };
             match answer {
-                Answer::Row(_) => {
+                Response::Row(_) => {
                     link.rows.extend_from_slice(&line);
                     link.rows.extend_from_slice(b"\r\n");
                     if link.rows.len() > MOST_ROWS {
-                        return self.drop_link(now, conn, orders);
+                        return self.drop_link(now, conn, commands);
                     }
                 }
-                Answer::Settled(stamp) => link.stamp = Some(stamp.to_string()),
-                Answer::Fault { code, text } => {
+                Response::Settled(stamp) => link.stamp = Some(stamp.to_string()),
+                Response::Fault { code, text } => {
                     link.fault = Some((code, text.to_string()));
                     if link.expect.front() == Some(&Expect::Open) {
-                        return self.not_let_in(now, conn, code, orders);
+                        return self.not_let_in(now, conn, code, commands);
                     }
                 }
-                Answer::Idle { state, position } => self.link_idle(now, conn, state, position, orders),
+                Response::Idle { state, position } => self.link_idle(now, conn, state, position, commands),
             }
         }
     }
 
     /// A host that does not let a connection in.
-    fn not_let_in(&mut self, now: Point, conn: Conn, code: Code, orders: &mut Orders) {
+    fn not_let_in(&mut self, now: Point, conn: Conn, code: FaultCode, commands: &mut Commands) {
         let Some(host) = self.link(conn).map(|link| link.host) else { return };
         self.forget_link(conn);
-        orders.drop(conn);
-        let full = matches!(code, Code::Overload | Code::Saturated);
+        commands.reset(conn);
+        let full = matches!(code, FaultCode::Overload | FaultCode::Saturated);
         let outcome = if full { Outcome::Full } else { Outcome::Miss };
         if let Some((session, sent)) = self.pools[host.0 as usize].waiting.pop_front() {
             self.ended(now, sent, host, outcome, Word::default(), false);
@@ -297,65 +314,67 @@
         &mut self,
         now: Point,
         conn: Conn,
-        state: State,
+        state: TransactionState,
         position: Option<Position>,
-        orders: &mut Orders,
+        commands: &mut Commands,
     ) {
         let Some(link) = self.link(conn) else { return };
         let host = link.host;
-        link.in_transaction = state != State::Idle;
+        link.in_transaction = state != TransactionState::Idle;
         let (rows, stamp, fault) = (std::mem::take(&mut link.rows), link.stamp.take(), link.fault.take());
-        let answer = Answered { rows, stamp, fault, position, in_transaction: state != State::Idle };
-        let Some(expected) = link.expect.pop_front() else { return self.drop_link(now, conn, orders) };
+        let answer =
+            Answered { rows, stamp, fault, position, in_transaction: state != TransactionState::Idle };
+        let Some(expected) = link.expect.pop_front() else { return self.drop_link(now, conn, commands) };
         match expected {
             Expect::Open => {
                 let has_question = link.aside.is_some();
                 self.pools[host.0 as usize].opening -= 1;
                 if has_question {
-                    self.send_aside(now, conn, orders);
+                    self.send_aside(now, conn, commands);
                 } else {
-                    self.rest(now, conn, orders);
+                    self.rest(now, conn, commands);
                 }
             }
-            Expect::Dress if answer.fault.is_some() => self.drop_link(now, conn, orders),
-            Expect::Dress => self.dressed(now, conn, orders),
+            Expect::Dress if answer.fault.is_some() => self.drop_link(now, conn, commands),
+            Expect::Dress => self.dressed(now, conn, commands),
             Expect::Begin => match answer.fault {
-                None => self.dressed(now, conn, orders),
+                None => self.dressed(now, conn, commands),
                 Some(_) => {
                     // Danger: a statement behind a BEGIN that failed would run outside its transaction. It is not sent.
                     if let (Stage::Held(_), Some(sent)) = (link.stage, link.sent.take()) {
-                        self.answered(now, conn, sent, answer, orders);
+                        self.answered(now, conn, sent, answer, commands);
                     } else {
-                        self.tidy(now, conn, orders);
+                        self.tidy(now, conn, commands);
                     }
                 }
             },
             // Danger: its own answer was lost, and this is the next one's. Whoever took it for its own would tell a client
             // of a success without the host's stamp; and every later answer would be a place off.
             Expect::Client
-                if answer.fault.is_none() && answer.stamp.as_deref().is_none_or(|stamp| stamp == OWN) =>
+                if answer.fault.is_none()
+                    && answer.stamp.as_deref().is_none_or(|stamp| stamp == INTERNAL_STATEMENT_ID) =>
             {
-                self.drop_link(now, conn, orders);
+                self.drop_link(now, conn, commands);
             }
             Expect::Client => {
                 let (stage, sent) = (link.stage, link.sent.take());
                 match (stage, sent) {
-                    (Stage::Held(_), Some(sent)) => self.answered(now, conn, sent, answer, orders),
+                    (Stage::Held(_), Some(sent)) => self.answered(now, conn, sent, answer, commands),
                     (_, Some(sent)) => {
                         self.answered_nobody(now, conn, sent, &answer);
-                        self.tidy(now, conn, orders);
+                        self.tidy(now, conn, commands);
                     }
-                    (_, None) => self.tidy(now, conn, orders),
+                    (_, None) => self.tidy(now, conn, commands),
                 }
             }
-            Expect::Abort => self.tidy(now, conn, orders),
+            Expect::Abort => self.tidy(now, conn, commands),
             Expect::Aside => {
-                self.aside_answered(conn, host, &answer, orders);
-                self.tidy(now, conn, orders);
+                self.aside_answered(conn, host, &answer, commands);
+                self.tidy(now, conn, commands);
             }
             Expect::Observe => {
                 self.observed(now, host, &answer);
-                self.tidy(now, conn, orders);
+                self.tidy(now, conn, commands);
             }
         }
     }
@@ -371,20 +390,20 @@
     }
 
     /// One of the things that come before a statement is done.
-    fn dressed(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn dressed(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         let Some(link) = self.link(conn) else { return };
         match link.stage {
-            Stage::Held(session) if link.expect.is_empty() => self.put_out(now, session, conn, orders),
+            Stage::Held(session) if link.expect.is_empty() => self.put_out(now, session, conn, commands),
             Stage::Held(_) => {}
-            _ => self.tidy(now, conn, orders),
+            _ => self.tidy(now, conn, commands),
         }
     }
 
     /// A session needs its connection no more. Danger: one that gives it back twice takes it from whoever has it by then,
     /// and two sessions speak on it; so only its holder can.
-    pub(super) fn release(&mut self, now: Point, session: Conn, conn: Conn, orders: &mut Orders) {
+    pub(super) fn release(&mut self, now: Point, session: Conn, conn: Conn, commands: &mut Commands) {
         if self.orphan(now, session, conn) {
-            self.tidy(now, conn, orders);
+            self.tidy(now, conn, commands);
         }
     }
 
@@ -401,35 +420,35 @@
     }
 
     /// Rolls back what is left on an orphan, and lets it rest once all is answered.
-    fn tidy(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn tidy(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         let Some(link) = self.link(conn) else { return };
         if link.stage != Stage::Orphan || !link.expect.is_empty() {
             return;
         }
         if link.in_transaction {
             link.expect.push_back(Expect::Abort);
-            orders.line(conn, &["QUERY ", OWN, " ABORT"]);
+            commands.write_line(conn, &["QUERY ", INTERNAL_STATEMENT_ID, " ABORT"]);
             self.timers.set(now + ORPHAN, Alarm::Link(conn));
             return;
         }
-        self.rest(now, conn, orders);
+        self.rest(now, conn, commands);
     }
 
     /// A connection is free: whoever waits longest gets it.
-    pub(super) fn rest(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn rest(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         let Some(link) = self.link(conn) else { return };
         link.shift(now, Stage::Idle);
         let host = link.host;
         if !self.pools[host.0 as usize].waiting.is_empty() {
             let place = self.next_waiting(host);
             if let Some((session, sent)) = self.pools[host.0 as usize].waiting.remove(place) {
-                return self.hand_over(now, session, conn, sent, orders);
+                return self.hand_over(now, session, conn, sent, commands);
             }
         }
         let share = self.share(host);
         let gone = self.module.host(host).host.phase() == arrowyard_messages::Phase::Gone;
         if gone || self.pools[host.0 as usize].all > share {
-            self.close_link(conn, orders);
+            self.close_link(conn, commands);
         } else {
             self.pools[host.0 as usize].idle.push(conn);
             if let Some(rest) = self.rest_of(host) {
@@ -438,10 +457,10 @@
         }
     }
 
-    fn close_link(&mut self, conn: Conn, orders: &mut Orders) {
+    fn close_link(&mut self, conn: Conn, commands: &mut Commands) {
         self.forget_link(conn);
-        orders.line(conn, &["CLOSE"]);
-        orders.close(conn);
+        commands.write_line(conn, &["CLOSE"]);
+        commands.close(conn);
     }
 
     fn forget_link(&mut self, conn: Conn) -> Option<Box<Link>> {
@@ -454,50 +473,56 @@
     }
 
     /// Fewer connections are this router's share: idle ones go first, the others as they are given back.
-    pub(super) fn trim_pools(&mut self, _now: Point, orders: &mut Orders) {
+    pub(super) fn trim_pools(&mut self, _now: Point, commands: &mut Commands) {
         for host in 0..self.pools.len() {
             let share = self.share(HostId(host as u32));
             while self.pools[host].all > share && !self.pools[host].idle.is_empty() {
                 let conn = self.pools[host].idle[0];
-                self.close_link(conn, orders);
+                self.close_link(conn, commands);
             }
         }
     }
 
     /// Connections that were of use in a rush are closed when it is over. Danger: a host counts the connections of
     /// routers that lost power for seconds more; if those are all that it takes, nobody gets in meanwhile.
-    pub(super) fn close_rested(&mut self, now: Point, orders: &mut Orders) {
-        (0..self.pools.len()).for_each(|host| self.close_rested_of(now, HostId(host as u32), orders));
+    pub(super) fn close_rested(&mut self, now: Point, commands: &mut Commands) {
+        (0..self.pools.len()).for_each(|host| self.close_rested_of(now, HostId(host as u32), commands));
     }
 
-    pub(super) fn close_rested_of(&mut self, now: Point, host: HostId, orders: &mut Orders) {
+    pub(super) fn close_rested_of(&mut self, now: Point, host: HostId, commands: &mut Commands) {
         let (spare, rest) = self.rest_of(host).map_or((SPARE, RESTED), |rest| (0, rest));
         while self.pools[host.0 as usize].idle.len() > spare {
             let conn = self.pools[host.0 as usize].idle[0];
             if self.link(conn).is_some_and(|link| now - link.since < rest) {
                 break;
             }
-            self.close_link(conn, orders);
+            self.close_link(conn, commands);
         }
     }
 
     /// A connection is of no use any more.
-    pub(super) fn drop_link(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
-        orders.drop(conn);
-        self.link_broke(now, conn, Why::Broken, orders);
+    pub(super) fn drop_link(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
+        commands.reset(conn);
+        self.link_broke(now, conn, CloseReason::ConnectionLost, commands);
     }
 
-    pub(super) fn link_broke(&mut self, now: Point, conn: Conn, why: Why, orders: &mut Orders) {
+    pub(super) fn link_broke(
+        &mut self,
+        now: Point,
+        conn: Conn,
+        reason: CloseReason,
+        commands: &mut Commands,
+    ) {
         let Some(link) = self.forget_link(conn) else { return };
         let host = link.host;
         let opening = link.expect.front() == Some(&Expect::Open);
-        self.aside_lost(link.aside, orders);
+        self.aside_lost(link.aside, commands);
         // A connection that rested may have been closed for its rest; that says nothing of the host.
         if link.stage != Stage::Idle {
             let pool = &mut self.pools[host.0 as usize];
             pool.failures += 1;
-            if pool.failures >= 2 || why == Why::NeverOpen {
-                self.suspect_primary(now, host, orders);
+            if pool.failures >= 2 || reason == CloseReason::ConnectFailed {
+                self.suspect_primary(now, host, commands);
             }
         }
         if link.expect.contains(&Expect::Observe) {
@@ -505,17 +530,17 @@
             self.note(now, Note::Probed { host, outcome: Outcome::Reset, word: Word::default() });
         }
         match (link.stage, link.sent) {
-            (Stage::Held(session), Some(sent)) => self.broke(now, session, sent, host, false, orders),
+            (Stage::Held(session), Some(sent)) => self.broke(now, session, sent, host, false, commands),
             (Stage::Held(session), None) => self.lost_transaction(session, conn),
             (_, Some(sent)) => self.ended(now, sent, host, Outcome::Reset, Word::default(), true),
             (_, None) => {}
         }
         let pool = &mut self.pools[host.0 as usize];
         if opening && let Some((session, sent)) = pool.waiting.pop_front() {
-            self.broke(now, session, sent, host, true, orders);
+            self.broke(now, session, sent, host, true, commands);
         }
         self.fail_stranded(now, host, Outcome::ConnectFailed);
-        self.redial(now, host, orders);
+        self.redial(now, host, commands);
     }
 
     /// The connection that held a resting transaction is gone, and the transaction with it.
@@ -525,15 +550,15 @@
             && transaction.link == Some(conn)
         {
             transaction.link = None;
-            (session.state, session.untold) = (State::Failed, true);
+            (session.state, session.untold) = (TransactionState::Failed, true);
         }
     }
 
-    fn redial(&mut self, now: Point, host: HostId, orders: &mut Orders) {
+    fn redial(&mut self, now: Point, host: HostId, commands: &mut Commands) {
         let share = self.share(host);
         let pool = &self.pools[host.0 as usize];
         if pool.opening < pool.waiting.len() && pool.all < share {
-            self.dial(now, host, orders);
+            self.dial(now, host, commands);
         }
     }
 
@@ -545,7 +570,7 @@
         host: HostId,
         op: OpId,
         link: Option<Conn>,
-        orders: &mut Orders,
+        commands: &mut Commands,
     ) -> Option<Sent> {
         let pool = &mut self.pools[host.0 as usize];
         if let Some(place) = pool.waiting.iter().position(|(_, sent)| sent.op == op) {
@@ -559,12 +584,12 @@
         if let Some(transaction) = self.session(conn).and_then(|session| session.transaction.as_mut()) {
             transaction.link = None;
         }
-        self.release(now, conn, link, orders);
+        self.release(now, conn, link, commands);
         sent
     }
 
     /// A connection that did not open, or an orphan that was not answered.
-    pub(super) fn link_late(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn link_late(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         let Some(link) = self.link(conn) else { return };
         let late = match link.stage {
             Stage::Opening => now - link.opened_at >= OPENS,
@@ -572,12 +597,12 @@
             Stage::Idle | Stage::Held(_) => false,
         };
         if late {
-            self.drop_link(now, conn, orders);
+            self.drop_link(now, conn, commands);
         }
     }
 
     /// The module asks a host where it is.
-    pub(super) fn probe(&mut self, now: Point, host: HostId, orders: &mut Orders) {
+    pub(super) fn probe(&mut self, now: Point, host: HostId, commands: &mut Commands) {
         let idle = self.pools.get(host.0 as usize).and_then(|pool| pool.idle.last().copied());
         match idle {
             Some(conn) => {
@@ -587,8 +612,8 @@
                     link.shift(now, Stage::Orphan);
                     link.expect.push_back(Expect::Observe);
                 }
-                orders.line(conn, &["QUERY ", OWN, " OBSERVE"]);
-                self.mute(now, conn, orders);
+                commands.write_line(conn, &["QUERY ", INTERNAL_STATEMENT_ID, " OBSERVE"]);
+                self.mute(now, conn, commands);
                 self.timers.set(now + ORPHAN, Alarm::Link(conn));
             }
             None => {
@@ -596,7 +621,7 @@
                 let share = self.share(host);
                 let pool = &self.pools[host.0 as usize];
                 if pool.all < share && pool.opening == 0 && self.part(host) >= 1.0 {
-                    self.dial(now, host, orders);
+                    self.dial(now, host, commands);
                 }
                 self.note(now, Note::Probed { host, outcome: Outcome::Moot, word: Word::default() });
             }
--- a/crates/arrowyard-pooler/src/plane/ops.rs
+++ b/crates/arrowyard-pooler/src/plane/ops.rs
@@ -2,9 +2,9 @@
 
 use std::rc::Rc;
 
-use arrowyard_config::{Channel, Kind as Freshness};
-use arrowyard_protocol::{Code, State, Verdict};
-use arrowyard_runtime::{Conn, Orders};
+use arrowyard_config::{Channel, RouteKind as Freshness};
+use arrowyard_protocol::{ExecutionStatus, FaultCode, TransactionState};
+use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{
     Ask as Asked, Ended, HostId, Note, OpId, Outcome, Point, Role, SendNo, SessionId, Span, TenantId, Word,
 };
@@ -37,9 +37,9 @@
         conn: Conn,
         channel: &Rc<Channel>,
         ask: Ask<'_>,
-        orders: &mut Orders,
+        commands: &mut Commands,
     ) {
-        self.look_now_and_then(now, orders);
+        self.look_now_and_then(now, commands);
         let service = self.service_of(channel);
         let row = self.op_types.row(channel, ask.kind);
         if let Some(rows) = self.op_types.news() {
@@ -88,7 +88,7 @@
     }
 
     /// The module sends a statement to a host, until then.
-    pub(super) fn send(&mut self, now: Point, op: OpId, host: HostId, until: Point, orders: &mut Orders) {
+    pub(super) fn send(&mut self, now: Point, op: OpId, host: HostId, until: Point, commands: &mut Commands) {
         let Some(&conn) = self.ops.get(&op) else { return self.moot(now, op, host) };
         let timer = self.timers.set(until, Alarm::Statement(conn));
         self.awaits_no_more(now, conn);
@@ -104,22 +104,22 @@
         let sent = Sent { op, number, at: now, wired: None, service };
         match link.filter(|link| self.link(*link).is_some()) {
             // Its transaction holds a connection.
-            Some(link) => self.hand_over(now, conn, link, sent, orders),
-            None if later => self.revert(now, conn, sent, host, orders),
-            None => self.acquire(now, conn, host, sent, orders),
+            Some(link) => self.hand_over(now, conn, link, sent, commands),
+            None if later => self.revert(now, conn, sent, host, commands),
+            None => self.acquire(now, conn, host, sent, commands),
         }
     }
 
     /// The connection of the statement's transaction is no more, and the statement has not run. Danger: on another
     /// connection it would run outside its transaction, and what came before it would be missing from the commit.
-    fn revert(&mut self, now: Point, conn: Conn, sent: Sent, host: HostId, orders: &mut Orders) {
+    fn revert(&mut self, now: Point, conn: Conn, sent: Sent, host: HostId, commands: &mut Commands) {
         if let Some(transaction) = self.session(conn).and_then(|session| session.transaction.as_mut()) {
             transaction.link = None;
         }
         self.ended(now, sent, host, Outcome::Moot, Word::default(), true);
         let Some(statement) = self.finish(now, conn) else { return };
-        self.answer(now, conn, &statement, Code::Reverted, "the transaction was ended", orders);
-        self.next_line(now, conn, orders);
+        self.answer(now, conn, &statement, FaultCode::Reverted, "the transaction was ended", commands);
+        self.next_line(now, conn, commands);
     }
 
     /// A send that nobody waits for any more.
@@ -162,7 +162,7 @@
         link: Conn,
         sent: Sent,
         answer: Answered,
-        orders: &mut Orders,
+        commands: &mut Commands,
     ) {
         let Some(&conn) = self.ops.get(&sent.op) else {
             return self.answered_nobody(now, link, sent, &answer);
@@ -174,7 +174,8 @@
         let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
         let (kind, writes, ends, fenced) =
             (statement.kind, statement.writes, statement.ends, statement.fenced);
-        let inside = self.session(conn).is_some_and(|session| session.state == State::InTransaction);
+        let inside =
+            self.session(conn).is_some_and(|session| session.state == TransactionState::InTransaction);
         let transaction = self.session(conn).and_then(|session| session.transaction.as_ref());
         let reads = transaction
             .is_some_and(|transaction| transaction.reads && transaction.channel.kind != Freshness::Primary);
@@ -185,7 +186,7 @@
             let kind =
                 self.session(conn).and_then(|session| session.asks()).map(|statement| statement.op_type);
             kind.into_iter().for_each(|kind| self.paces.took(kind, now - wired));
-            self.overtake(now, host, wired, orders);
+            self.overtake(now, host, wired, commands);
         }
         // An answer inside a plain transaction, or to a write, shows that the host led as it ran the statement. Safety: the
         // commit of a transaction that wrote nothing succeeds also at a host that has lost the lead meanwhile.
@@ -193,7 +194,7 @@
         let commits = if inside { ends && wrote } else { writes };
         let mut answer = answer;
         if answer.fault.is_none() && commits && self.replacements.forbids(now, &service, &id) {
-            answer.fault = Some((Code::Unknown, "its host is being replaced".to_string()));
+            answer.fault = Some((FaultCode::Unknown, "its host is being replaced".to_string()));
         }
         match answer.fault {
             None => {
@@ -218,20 +219,21 @@
                         .into_iter()
                         .for_each(|session| session.token = Some((position, wired)));
                 }
-                self.succeed(now, conn, link, &answer, orders);
+                self.succeed(now, conn, link, &answer, commands);
             }
             Some((code, text)) => {
-                let role = (code == Code::ReadOnly).then_some(Role::Replica);
+                let role = (code == FaultCode::ReadOnly).then_some(Role::Replica);
                 let time = answer.position.and_then(|position| self.timelines.get(&service)?.time(position));
-                let word = Word { role, position: time.filter(|_| code == Code::Lagging), ..Word::default() };
+                let word =
+                    Word { role, position: time.filter(|_| code == FaultCode::Lagging), ..Word::default() };
                 let outcome = match code {
-                    Code::Saturated | Code::Overload => Outcome::Full,
-                    code if code.verdict() == Verdict::NotRun => Outcome::Miss,
+                    FaultCode::Saturated | FaultCode::Overload => Outcome::Full,
+                    code if code.execution_status() == ExecutionStatus::NotRun => Outcome::Miss,
                     _ => Outcome::Errored,
                 };
-                let again = kind != Kind::Later && !(code == Code::Failed && kind == Kind::Write);
+                let again = kind != Kind::Later && !(code == FaultCode::Failed && kind == Kind::Write);
                 let again = again && (outcome != Outcome::Errored || kind != Kind::Write);
-                log::debug!("hosts: {id}: {} {text}.", code.word());
+                log::debug!("hosts: {id}: {} {text}.", code.as_str());
                 if let Some(statement) = self.session(conn).and_then(|session| session.asks()) {
                     statement.fault = Some((code, text));
                     statement.link = None;
@@ -239,16 +241,16 @@
                 // What is not done for is answered by the module's next word; else at once, with the host's own.
                 self.ended(now, sent, host, outcome, word, !again);
                 if again {
-                    self.release(now, conn, link, orders);
+                    self.release(now, conn, link, commands);
                 } else {
-                    self.answer_fault(now, conn, Some(link), orders);
+                    self.answer_fault(now, conn, Some(link), commands);
                 }
             }
         }
     }
 
     /// A statement that went out then is answered: those that went out earlier are one further behind.
-    fn overtake(&mut self, now: Point, host: HostId, wired: Point, orders: &mut Orders) {
+    fn overtake(&mut self, now: Point, host: HostId, wired: Point, commands: &mut Commands) {
         let mut behind = Vec::new();
         for (conn, line) in &mut self.lines {
             if let super::Line::Link(link) = line
@@ -263,12 +265,12 @@
             }
         }
         behind.sort_unstable();
-        behind.into_iter().for_each(|conn| self.look_for_lost(now, conn, orders));
+        behind.into_iter().for_each(|conn| self.look_for_lost(now, conn, commands));
     }
 
     /// Whether an answer is lost: many that were asked later are there, and it takes longer than its kind ever does.
     /// What can be asked again is; a transaction whose commit was not sent is broken off, and nothing of it is kept.
-    pub(super) fn look_for_lost(&mut self, now: Point, link: Conn, orders: &mut Orders) {
+    pub(super) fn look_for_lost(&mut self, now: Point, link: Conn, commands: &mut Commands) {
         let Some(held) = self.link(link) else { return };
         let (Some(sent), overtaken) = (held.sent, held.overtaken) else { return };
         let Some(wired) = sent.wired else { return };
@@ -289,7 +291,7 @@
         }
         log::debug!("hosts: An answer is taken as lost.");
         self.lost_answer(now, link);
-        self.drop_link(now, link, orders);
+        self.drop_link(now, link, commands);
     }
 
     /// The answer of a host to somebody who is gone.
@@ -314,12 +316,12 @@
         Some(statement)
     }
 
-    fn succeed(&mut self, now: Point, conn: Conn, link: Conn, answer: &Answered, orders: &mut Orders) {
+    fn succeed(&mut self, now: Point, conn: Conn, link: Conn, answer: &Answered, commands: &mut Commands) {
         let Some(statement) = self.finish(now, conn) else { return };
         let Some(session) = self.session(conn) else { return };
         let mut over = true;
         if statement.ends {
-            session.state = State::Idle;
+            session.state = TransactionState::Idle;
             session.transaction = None;
         } else if let Some(transaction) = &mut session.transaction {
             transaction.link = Some(link);
@@ -329,26 +331,26 @@
         let letter = session.state.letter();
         let stamp = answer.stamp.as_deref().unwrap_or("-");
         let position = answer.position.map_or("-".to_string(), |position| position.to_string());
-        orders.write(conn, &[&answer.rows]);
-        orders.line(conn, &["SETTLED ", stamp]);
-        orders.line(conn, &["IDLE ", letter, " ", &position]);
+        commands.write(conn, &[&answer.rows]);
+        commands.write_line(conn, &["SETTLED ", stamp]);
+        commands.write_line(conn, &["IDLE ", letter, " ", &position]);
         if over {
-            self.release(now, conn, link, orders);
+            self.release(now, conn, link, commands);
         } else {
             self.rest_inside(now, conn);
         }
-        self.next_line(now, conn, orders);
+        self.next_line(now, conn, commands);
     }
 
     /// Answers with the fault that a host gave last. The transaction that it happened in has failed.
-    fn answer_fault(&mut self, now: Point, conn: Conn, link: Option<Conn>, orders: &mut Orders) {
+    fn answer_fault(&mut self, now: Point, conn: Conn, link: Option<Conn>, commands: &mut Commands) {
         let Some(statement) = self.finish(now, conn) else { return };
         let (code, text) =
-            statement.fault.clone().unwrap_or((Code::Unknown, "no answer of the host".to_string()));
-        let code = if code == Code::Other { Code::Unknown } else { code };
-        self.answer(now, conn, &statement, code, &text, orders);
-        link.into_iter().for_each(|link| self.release(now, conn, link, orders));
-        self.next_line(now, conn, orders);
+            statement.fault.clone().unwrap_or((FaultCode::Unknown, "no answer of the host".to_string()));
+        let code = if code == FaultCode::Other { FaultCode::Unknown } else { code };
+        self.answer(now, conn, &statement, code, &text, commands);
+        link.into_iter().for_each(|link| self.release(now, conn, link, commands));
+        self.next_line(now, conn, commands);
     }
 
     /// A fault as the answer to a statement; a transaction has failed with it, or ended if it was its commit.
@@ -357,46 +359,46 @@
         now: Point,
         conn: Conn,
         statement: &Statement,
-        code: Code,
+        code: FaultCode,
         text: &str,
-        orders: &mut Orders,
+        commands: &mut Commands,
     ) {
-        orders.line(conn, &["FAULT ", code.word(), " ", text]);
+        commands.write_line(conn, &["FAULT ", code.as_str(), " ", text]);
         let Some(session) = self.session(conn) else { return };
-        if session.state == State::InTransaction {
+        if session.state == TransactionState::InTransaction {
             if statement.ends {
-                session.state = State::Idle;
+                session.state = TransactionState::Idle;
                 let transaction = session.transaction.take();
                 if let Some(link) = transaction.and_then(|transaction| transaction.link) {
-                    self.release(now, conn, link, orders);
+                    self.release(now, conn, link, commands);
                 }
             } else {
-                self.fail_transaction(now, conn, orders);
+                self.fail_transaction(now, conn, commands);
             }
         }
         let letter = self.session(conn).map_or("I", |session| session.state.letter());
-        orders.line(conn, &["IDLE ", letter, " -"]);
+        commands.write_line(conn, &["IDLE ", letter, " -"]);
     }
 
     /// The module gives a statement up that has not run: its client hears when to come back.
-    pub(super) fn give_up(&mut self, now: Point, op: OpId, after: Option<Span>, orders: &mut Orders) {
+    pub(super) fn give_up(&mut self, now: Point, op: OpId, after: Option<Span>, commands: &mut Commands) {
         let Some(&conn) = self.ops.get(&op) else { return };
         let Some(statement) = self.finish(now, conn) else { return };
         // Danger: a commit that stays behind on its connection is rolled back, or it is no promise.
         let millis = after.unwrap_or(crate::module::COME_BACK).micros() / 1000;
         let text = format!("come back in {millis} ms");
-        self.answer(now, conn, &statement, Code::Saturated, &text, orders);
-        self.next_line(now, conn, orders);
+        self.answer(now, conn, &statement, FaultCode::Saturated, &text, commands);
+        self.next_line(now, conn, commands);
     }
 
     /// The module has no more to try, and the statement may have run.
-    pub(super) fn fail(&mut self, now: Point, op: OpId, orders: &mut Orders) {
+    pub(super) fn fail(&mut self, now: Point, op: OpId, commands: &mut Commands) {
         let Some(&conn) = self.ops.get(&op) else { return };
-        self.answer_fault(now, conn, None, orders);
+        self.answer_fault(now, conn, None, commands);
     }
 
     /// A statement's time is up.
-    pub(super) fn statement_late(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn statement_late(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
         statement.timer = None;
         let (op, host, link, kind) = (statement.op, statement.host, statement.link, statement.kind);
@@ -413,10 +415,10 @@
                 self.ended(now, sent, host, Outcome::TimedOut, Word::default(), true);
                 let Some(statement) = self.finish(now, conn) else { return };
                 let writes = kind == Kind::Write || statement.ends;
-                let code = if writes { Code::Unknown } else { Code::Expired };
+                let code = if writes { FaultCode::Unknown } else { FaultCode::Expired };
                 if self.link(link).is_some_and(|link| link.overtaken >= OVERTAKEN) {
                     // What was asked later is long there: this answer will not come.
-                    self.drop_link(now, link, orders);
+                    self.drop_link(now, link, commands);
                 } else {
                     self.orphan(now, conn, link);
                 }
@@ -424,14 +426,14 @@
                 {
                     transaction.link = None;
                 }
-                self.answer(now, conn, &statement, code, "the host did not answer in time", orders);
-                self.next_line(now, conn, orders);
+                self.answer(now, conn, &statement, code, "the host did not answer in time", commands);
+                self.next_line(now, conn, commands);
             }
             None => {
                 // It has not gone out: nothing of it ran.
-                let sent = self.withdraw(now, conn, host, op, link, orders);
+                let sent = self.withdraw(now, conn, host, op, link, commands);
                 match sent {
-                    Some(sent) if kind == Kind::Later => self.revert(now, conn, sent, host, orders),
+                    Some(sent) if kind == Kind::Later => self.revert(now, conn, sent, host, commands),
                     Some(sent) => self.ended(now, sent, host, Outcome::Moot, Word::default(), false),
                     None => {}
                 }
@@ -440,7 +442,7 @@
     }
 
     /// Whoever asked is gone. A statement that has not gone out does not run; one that has is let run.
-    pub(super) fn abandon(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn abandon(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
         let Some(statement) = self.finish(now, conn) else { return };
         self.hang_up(now, statement.op);
         let Some(host) = statement.host else { return };
@@ -456,7 +458,7 @@
                 }
             }
             None => {
-                let sent = self.withdraw(now, conn, host, statement.op, statement.link, orders);
+                let sent = self.withdraw(now, conn, host, statement.op, statement.link, commands);
                 if let Some(sent) = sent {
                     self.ended(now, sent, host, Outcome::Moot, Word::default(), true);
                 }
@@ -472,7 +474,7 @@
         sent: Sent,
         host: HostId,
         never: bool,
-        orders: &mut Orders,
+        commands: &mut Commands,
     ) {
         let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
         statement.link = None;
@@ -487,28 +489,28 @@
             // The transaction is gone with its connection, and nothing of it is kept, unless its commit was on it.
             let ends = statement.ends;
             let (code, text) = match (ends, ran) {
-                (true, true) => (Code::Unknown, "the connection broke at the commit"),
-                _ => (Code::Reverted, "the connection broke"),
+                (true, true) => (FaultCode::Unknown, "the connection broke at the commit"),
+                _ => (FaultCode::Reverted, "the connection broke"),
             };
             if let Some(transaction) = self.session(conn).and_then(|session| session.transaction.as_mut()) {
                 transaction.link = None;
             }
             self.ended(now, sent, host, outcome, Word::default(), true);
             let Some(statement) = self.finish(now, conn) else { return };
-            self.answer(now, conn, &statement, code, text, orders);
-            return self.next_line(now, conn, orders);
+            self.answer(now, conn, &statement, code, text, commands);
+            return self.next_line(now, conn, commands);
         }
         // Danger: the first statement of a transaction runs inside it, and its end rolls it back; but a commit alone
         // may have been all there is.
         let commit = statement.ends && ran;
         if commit {
-            statement.fault = Some((Code::Unknown, "the connection broke at the commit".to_string()));
+            statement.fault = Some((FaultCode::Unknown, "the connection broke at the commit".to_string()));
         } else if ran {
-            statement.fault = Some((Code::Unknown, "the connection broke".to_string()));
+            statement.fault = Some((FaultCode::Unknown, "the connection broke".to_string()));
         }
         self.ended(now, sent, host, outcome, Word::default(), commit);
         if commit {
-            self.answer_fault(now, conn, None, orders);
+            self.answer_fault(now, conn, None, commands);
         }
     }
 
--- a/crates/arrowyard-pooler/src/plane/shares.rs
+++ b/crates/arrowyard-pooler/src/plane/shares.rs
@@ -3,10 +3,10 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_config::{Channel, Kind as Freshness};
+use arrowyard_config::{Channel, RouteKind as Freshness};
 use arrowyard_fair_shares::{Allot, Holder, Meter, Milli, Need, ServiceId, Terms, places};
-use arrowyard_messages::{Allots, HostNeeds, Needs, Phase, Word, said};
-use arrowyard_runtime::{Conn, Orders};
+use arrowyard_messages::{DemandReport, HostAllocations, HostDemand, Payload, Phase, encode_payload};
+use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{HostId, Note, Point, Span, TenantId};
 
 use super::{Alarm, Line, Sluice};
@@ -85,18 +85,18 @@
     }
 
     /// Needs are looked at where that was not done for a while.
-    pub(super) fn look_now_and_then(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn look_now_and_then(&mut self, now: Point, commands: &mut Commands) {
         if now - self.shares.looked_at >= LOOK {
-            self.look_at_needs(now, orders);
+            self.look_at_needs(now, commands);
         }
     }
 
     /// Tells control what is needed of hosts of which this router alone needs its even part, and of those that control
     /// asks for. Where all need more than there is, one of them needs more than its even part.
-    pub(super) fn look_at_needs(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn look_at_needs(&mut self, now: Point, commands: &mut Commands) {
         self.shares.looked_at = now;
         self.shares.needs.clear();
-        if !self.configured.configuration.divides() {
+        if !self.configured.configuration.division_enabled() {
             self.shares.holder = Holder::default();
             return self.hold_to_parts(now);
         }
@@ -130,18 +130,25 @@
                 self.shares.told.insert(host, (now, needs.clone()));
             }
             let (fence, answers) = self.shares.holder.answers(&id);
-            let need = |need: &Need| arrowyard_messages::Need {
+            let need = |need: &Need| arrowyard_messages::ServiceDemand {
                 service: self.shares.terms.name(need.service).to_string(),
-                runs: need.runs,
-                waits: need.waits,
+                running_milli: need.runs,
+                waiting_milli: need.waits,
             };
             let list = needs.iter().filter(|need| need.runs > 0 || need.waits > 0).map(need).collect();
-            hosts.push(HostNeeds { host: id, slots, fence, answers, needs: list, group });
+            hosts.push(HostDemand { host: id, slots, fence, answers, services: list, group });
             self.shares.needs.insert(host, needs);
         }
         if let Some(conn) = self.feed.open_conn().filter(|_| !hosts.is_empty()) {
             let echo = self.shares.holder.says(now);
-            orders.write(conn, &[&said(Word::Needs(Needs { router: self.life, echo, hosts }))]);
+            commands.write(
+                conn,
+                &[&encode_payload(Payload::DemandReport(DemandReport {
+                    router: self.incarnation,
+                    echo,
+                    hosts,
+                }))],
+            );
         }
         self.shares.holder.sweep(now);
         self.hold_to_parts(now);
@@ -157,39 +164,40 @@
         }
     }
 
-    pub(super) fn shares_due(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn shares_due(&mut self, now: Point, commands: &mut Commands) {
         self.shares.looks = false;
-        self.look_at_needs(now, orders);
+        self.look_at_needs(now, commands);
     }
 
     /// Control asks what is needed of hosts.
-    pub(super) fn hosts_pressed(&mut self, now: Point, hosts: &[String], orders: &mut Orders) {
+    pub(super) fn hosts_pressed(&mut self, now: Point, hosts: &[String], commands: &mut Commands) {
         hosts.iter().for_each(|host| self.shares.holder.asked(now, host));
-        self.look_now_and_then(now, orders);
+        self.look_now_and_then(now, commands);
         self.look_again(now);
     }
 
     /// Whoever divides says what this router may have of hosts.
-    pub(super) fn take_allots(&mut self, now: Point, allots: Allots, orders: &mut Orders) {
-        if allots.router != self.life {
+    pub(super) fn take_allots(&mut self, now: Point, allots: HostAllocations, commands: &mut Commands) {
+        if allots.router != self.incarnation {
             return;
         }
-        for allot in allots.allots {
-            let caps = allot.caps.iter().map(|cap| (self.shares.terms.id(&cap.service), cap.cap)).collect();
+        for allot in allots.allocations {
+            let caps =
+                allot.caps.iter().map(|cap| (self.shares.terms.id(&cap.service), cap.cap_milli)).collect();
             let allot = Allot {
                 host: allot.host,
                 fence: allots.fence,
                 number: allot.number,
                 echo: allot.echo,
-                pressed: allot.pressed,
+                pressed: allot.overloaded,
                 caps,
-                places: allot.places,
+                places: allot.capacity_milli,
                 routers: allot.routers,
             };
             self.shares.holder.heard(now, allot);
         }
         self.hold_to_parts(now);
-        self.look_now_and_then(now, orders);
+        self.look_now_and_then(now, commands);
         self.look_again(now);
     }
 
--- a/crates/arrowyard-pooler/src/routes.rs
+++ b/crates/arrowyard-pooler/src/routes.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use arrowyard_config::{Channel, Configuration, Kind, Limits, Service};
+use arrowyard_config::{Channel, Configuration, Limits, RouteKind, Service};
 use arrowyard_types::{Effect, GroupId, Need, OpType, OpTypeId, Span};
 use rustc_hash::FxHashMap;
 
@@ -25,7 +25,7 @@
 #[derive(Default)]
 pub struct OpTypes {
     rows: Vec<OpType>,
-    known: HashMap<(Kind, Statement, i64, i64, u32, i64), OpTypeId>,
+    known: HashMap<(RouteKind, Statement, i64, i64, u32, i64), OpTypeId>,
     told: usize,
 }
 
@@ -47,10 +47,10 @@
             return *row;
         }
         let need = match (statement, channel.kind) {
-            (Statement::Read, Kind::BoundedStaleness | Kind::OwnRegion) => {
+            (Statement::Read, RouteKind::BoundedStaleness | RouteKind::OwnRegion) => {
                 Need::Bounded(millis(channel.staleness_bound_ms))
             }
-            (Statement::Read, Kind::Primary) => Need::Fresh,
+            (Statement::Read, RouteKind::Primary) => Need::Fresh,
             (Statement::Write | Statement::First, _) => Need::Write,
             (Statement::Later, _) => Need::Fresh,
         };
@@ -103,10 +103,10 @@
         for channel in configuration.channels() {
             // Of several prefixes the shortest stands for the database.
             let known = by_database
-                .get(&channel.plant)
+                .get(&channel.database)
                 .is_some_and(|known| known.prefix.len() <= channel.prefix.len());
             if !known {
-                by_database.insert(channel.plant.clone(), Rc::new(channel.clone()));
+                by_database.insert(channel.database.clone(), Rc::new(channel.clone()));
             }
         }
         let services =
--- a/crates/arrowyard-pooler/src/session.rs
+++ b/crates/arrowyard-pooler/src/session.rs
@@ -5,7 +5,7 @@
 
 use arrowyard_config::Channel;
 use arrowyard_fair_shares::ServiceId;
-use arrowyard_protocol::{Lines, Mode, Position, State};
+use arrowyard_protocol::{AccessMode, LineDecoder, Position, TransactionState};
 use arrowyard_runtime::Conn;
 use arrowyard_types::{HostId, OpId, OpTypeId, Point, Span};
 use bytes::Bytes;
@@ -45,7 +45,7 @@
     pub ends: bool,
     pub writes: bool,
     /// What has to be prepared before it.
-    pub define: Option<(u32, Mode, Rc<str>)>,
+    pub define: Option<(u32, AccessMode, Rc<str>)>,
     pub arrived: Point,
     /// Where the module sent it, how often so far, and on which connection it is.
     pub sends: u32,
@@ -57,7 +57,7 @@
     /// How long it may wait for a connection before it is given up.
     pub patience: Span,
     /// The last fault that a host gave for it.
-    pub fault: Option<(arrowyard_protocol::Code, String)>,
+    pub fault: Option<(arrowyard_protocol::FaultCode, String)>,
 }
 
 /// A transaction of the client's.
@@ -75,11 +75,11 @@
 /// A client's session.
 pub struct Session {
     pub stage: Stage,
-    pub state: State,
+    pub state: TransactionState,
     pub database: String,
-    pub lines: Lines,
+    pub lines: LineDecoder,
     pub values: Values,
-    pub prepared: FxHashMap<String, (Mode, Rc<str>)>,
+    pub prepared: FxHashMap<String, (AccessMode, Rc<str>)>,
     pub transaction: Option<Transaction>,
     /// Its transaction was ended while it rested, and its client has not been told.
     pub untold: bool,
@@ -94,9 +94,9 @@
     pub fn new() -> Self {
         Session {
             stage: Stage::New,
-            state: State::Idle,
+            state: TransactionState::Idle,
             database: String::new(),
-            lines: Lines::default(),
+            lines: LineDecoder::default(),
             values: Values::default(),
             prepared: FxHashMap::default(),
             transaction: None,
@@ -121,7 +121,7 @@
 
     /// Whether nothing would be lost if it closed now.
     pub fn is_at_rest(&self) -> bool {
-        matches!(self.stage, Stage::New | Stage::Rests) && self.state == State::Idle
+        matches!(self.stage, Stage::New | Stage::Rests) && self.state == TransactionState::Idle
     }
 }
 
--- a/crates/arrowyard-pooler/tests/helpers/mod.rs
+++ b/crates/arrowyard-pooler/tests/helpers/mod.rs
@@ -4,9 +4,9 @@
 use std::net::SocketAddrV4;
 
 use arrowyard_config::Settings;
-use arrowyard_messages::{DbRole, Frames, Host, Phase, Whole, Word, said};
+use arrowyard_messages::{DbRole, FeedSnapshot, FrameDecoder, Host, Payload, Phase, encode_payload};
 use arrowyard_pooler::{DOORS, Sluice};
-use arrowyard_runtime::{Conn, Event, Order, Orders, Plane};
+use arrowyard_runtime::{Command, Commands, Conn, Event, Plane};
 use arrowyard_types::{Point, Span};
 
 const SETTINGS: &str = "node: \"edge\"\nip: \"10.0.0.9\"\nzone: \"z\"\nbind-addrs: {}\ninternal-ports:\n  - 7440\n  - 7455\n\
@@ -20,7 +20,7 @@
 /// The router, and what it wrote to whom.
 pub struct Hand {
     sluice: Sluice,
-    orders: Orders,
+    commands: Commands,
     pub now: Point,
     /// Lines that were written and not yet looked at, by connection.
     said: BTreeMap<Conn, VecDeque<String>>,
@@ -29,7 +29,7 @@
     pub dropped: Vec<Conn>,
     /// The connection to control.
     feed: Conn,
-    to_control: Frames,
+    to_control: FrameDecoder,
 }
 
 /// A configuration in which neither database is left.
@@ -54,20 +54,20 @@
 impl Hand {
     /// A router that knows a service with one host, its primary, and so many routers that share it.
     pub fn among(routers: u32) -> Hand {
-        let settings = Settings::read(SETTINGS).expect("sound settings");
+        let settings = Settings::parse(SETTINGS).expect("sound settings");
         let mut hand = Hand {
             sluice: Sluice::new(settings, 1, Box::new(|| None)),
-            orders: Orders::default(),
+            commands: Commands::default(),
             now: Point::from_micros(0),
             said: BTreeMap::new(),
             dialled: Vec::new(),
             dropped: Vec::new(),
             feed: Conn(0),
-            to_control: Frames::default(),
+            to_control: FrameDecoder::default(),
         };
         hand.event(Event::Start);
         (hand.feed, _) = hand.dialled[0];
-        hand.event(Event::Opened { conn: hand.feed });
+        hand.event(Event::Connected { conn: hand.feed });
         hand.configures(1, CONFIGURATION, vec![host(Phase::InService, DbRole::Primary, 1)], routers);
         hand
     }
@@ -83,7 +83,7 @@
 
     /// Control tells a configuration, the hosts that are new, and how many routers share them.
     pub fn configures(&mut self, slot: u64, configuration: &str, hosts: Vec<Host>, routers: u32) {
-        let whole = Whole {
+        let whole = FeedSnapshot {
             number: slot,
             slot,
             configuration: configuration.into(),
@@ -91,30 +91,31 @@
             routers,
             view: Vec::new(),
         };
-        self.control_says(Word::Whole(whole));
+        self.control_says(Payload::FeedSnapshot(whole));
     }
 
-    pub fn control_says(&mut self, word: Word) {
-        self.event(Event::Came { conn: self.feed, bytes: &said(word) });
+    pub fn control_says(&mut self, word: Payload) {
+        self.event(Event::Received { conn: self.feed, bytes: &encode_payload(word) });
     }
 
     /// What the router answered control since the last look.
-    pub fn control_hears(&mut self) -> Vec<Word> {
+    pub fn control_hears(&mut self) -> Vec<Payload> {
         let mut words = Vec::new();
         while let Ok(Some(frame)) = self.to_control.take() {
-            words.extend(frame.word.filter(|word| matches!(word, Word::RelayedAnswer(_))));
+            words.extend(frame.payload.filter(|word| matches!(word, Payload::RelayedResponse(_))));
         }
         words
     }
 
     pub fn event(&mut self, event: Event<'_>) {
-        self.sluice.handle(self.now, event, &mut self.orders);
-        let (list, bytes) = (std::mem::take(&mut self.orders.list), std::mem::take(&mut self.orders.bytes));
+        self.sluice.handle(self.now, event, &mut self.commands);
+        let (list, bytes) =
+            (std::mem::take(&mut self.commands.list), std::mem::take(&mut self.commands.bytes));
         let mut at = 0;
         for order in list {
             match order {
-                Order::Dial { conn, to } => self.dialled.push((conn, to)),
-                Order::Write { conn, len } => {
+                Command::Dial { conn, to } => self.dialled.push((conn, to)),
+                Command::Write { conn, len } => {
                     let written = &bytes[at..at + len];
                     at += len;
                     if conn == self.feed {
@@ -124,8 +125,8 @@
                     let text = String::from_utf8_lossy(written).into_owned();
                     self.said.entry(conn).or_default().extend(text.lines().map(str::to_string));
                 }
-                Order::Close { conn } | Order::Drop { conn } => self.dropped.push(conn),
-                Order::Store { .. } | Order::Stop => {}
+                Command::Close { conn } | Command::Reset { conn } => self.dropped.push(conn),
+                Command::Store { .. } | Command::Stop => {}
             }
         }
     }
@@ -135,7 +136,7 @@
         let end = self.now + Span::from_millis(ms);
         while let Some(due) = self.sluice.due().filter(|due| *due <= end) {
             self.now = due.max(self.now);
-            self.event(Event::Woke);
+            self.event(Event::TimerExpired);
         }
         self.now = end;
     }
@@ -147,8 +148,8 @@
 
     /// The same for a database: `p0` reads at the primary, `b0` what is 1.5 s old at most.
     pub fn client_of(&mut self, database: &str) -> Conn {
-        let conn = self.orders.conn();
-        self.event(Event::Accepted { conn, door: DOORS[0] });
+        let conn = self.commands.new_conn();
+        self.event(Event::Accepted { conn, listener: DOORS[0] });
         self.says(conn, &format!("OPEN {database} u1"));
         assert_eq!(self.hears(conn), ["IDLE I -"]);
         conn
@@ -157,7 +158,7 @@
     /// Somebody says lines to the router.
     pub fn says(&mut self, conn: Conn, lines: &str) {
         let bytes = lines.lines().map(|line| format!("{line}\r\n")).collect::<String>();
-        self.event(Event::Came { conn, bytes: bytes.as_bytes() });
+        self.event(Event::Received { conn, bytes: bytes.as_bytes() });
     }
 
     /// What the router wrote to somebody since the last look.
@@ -168,7 +169,7 @@
     /// The router's newest connection to the host is opened.
     pub fn host_opens(&mut self) -> Conn {
         let (conn, _) = *self.dialled.last().expect("it dialled");
-        self.event(Event::Opened { conn });
+        self.event(Event::Connected { conn });
         assert_eq!(self.hears(conn), ["OPEN s0 sluice i-1"]);
         self.says(conn, "IDLE I 1.1");
         conn
--- a/crates/arrowyard-pooler/tests/plane.rs
+++ b/crates/arrowyard-pooler/tests/plane.rs
@@ -3,9 +3,10 @@
 mod helpers;
 
 use arrowyard_messages::{
-    DbRole, HostRequest, HostRow, Phase, RelayedAnswer, RelayedQuestion, Replacement, Replacements, Word,
+    DbRole, HostRequest, HostStatus, Payload, Phase, RelayedRequest, RelayedResponse, Replacement,
+    Replacements,
 };
-use arrowyard_runtime::{Event, Why};
+use arrowyard_runtime::{CloseReason, Event};
 use helpers::{Hand, WITHOUT_ROUTES, host};
 
 /// A client inside a transaction that ran one statement, and the connection that holds it.
@@ -61,7 +62,7 @@
     let mut hand = Hand::among(1);
     let (client, host) = inside(&mut hand);
     let dials = hand.dialled.len();
-    hand.event(Event::Closed { conn: host, why: Why::Broken });
+    hand.event(Event::Closed { conn: host, reason: CloseReason::ConnectionLost });
     hand.says(client, "QUERY a3 WRITE t2 y");
     let answer = hand.hears(client);
     assert!(answer[0].starts_with("FAULT REVERTED") && answer[1] == "IDLE E -", "{answer:?}");
@@ -194,7 +195,7 @@
 #[test]
 fn a_commit_of_a_host_that_is_replaced_is_not_acknowledged() {
     let replaced =
-        |fence: u64, services: Vec<Replacement>| Word::Replacements(Replacements { fence, services });
+        |fence: u64, services: Vec<Replacement>| Payload::Replacements(Replacements { fence, services });
     let change = Replacement { service: "s0".into(), candidate: "i-2".into(), term: 4 };
     let mut hand = Hand::among(1);
     let client = hand.client();
@@ -257,9 +258,9 @@
     assert_eq!(hand.dialled.len(), dials);
 }
 
-fn relayed(number: u64, host: &str, request: HostRequest) -> Word {
+fn relayed(number: u64, host: &str, request: HostRequest) -> Payload {
     let request = request.into();
-    Word::RelayedQuestion(RelayedQuestion { asked_by: 7, number, host: host.into(), request, term: 4 })
+    Payload::RelayedRequest(RelayedRequest { asked_by: 7, number, host: host.into(), request, term: 4 })
 }
 
 /// What control does not reach, routers ask in its place; it hears at once of what cannot be asked.
@@ -270,13 +271,13 @@
     let link = hand.host_opens();
     assert_eq!(hand.hears(link), ["QUERY - PAUSE 4"]);
     hand.says(link, "ROW replica 3 3.21 0 12 2 17\nSETTLED -\nIDLE I 3.9");
-    let row = HostRow { primary: false, term: 3, received_term: 3, received_number: 21 };
-    let answer = |number, row| Word::RelayedAnswer(RelayedAnswer { asked_by: 7, number, row });
+    let row = HostStatus { primary: false, term: 3, received_term: 3, received_number: 21 };
+    let answer = |number, row| Payload::RelayedResponse(RelayedResponse { asked_by: 7, number, row });
     assert_eq!(hand.control_hears(), [answer(1, Some(row))]);
     // On the connection that rests now; its end is an answer as well.
     hand.control_says(relayed(2, "i-1", HostRequest::Observe));
     assert_eq!(hand.hears(link), ["QUERY - OBSERVE"]);
-    hand.event(Event::Closed { conn: link, why: Why::Broken });
+    hand.event(Event::Closed { conn: link, reason: CloseReason::ConnectionLost });
     assert_eq!(hand.control_hears(), [answer(2, None)]);
     hand.control_says(relayed(3, "i-9", HostRequest::Observe));
     assert_eq!(hand.control_hears(), [answer(3, None)], "nobody knows it");
--- a/crates/arrowyard-pooler/tests/units.rs
+++ b/crates/arrowyard-pooler/tests/units.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use arrowyard_pooler::{Link, Paces, Timeline, Values};
-use arrowyard_protocol::{Mode, Position};
+use arrowyard_protocol::{AccessMode, Position};
 use arrowyard_runtime::Conn;
 use arrowyard_types::{HostId, OpTypeId, Point, Span};
 use fastrand::Rng;
@@ -92,7 +92,7 @@
                 }
             }
             let number = rng.u32(0..3);
-            let define = rng.bool().then_some((number, Mode::Read, "shape"));
+            let define = rng.bool().then_some((number, AccessMode::Read, "shape"));
             for said in link.dress(&Rc::new(wanted.clone()), define) {
                 let words: Vec<&str> = said.split(' ').collect();
                 match words[..] {
--- a/crates/arrowyard-protocol/src/line.rs
+++ b/crates/arrowyard-protocol/src/line.rs
@@ -1,13 +1,13 @@
 use bytes::{Buf, Bytes, BytesMut};
 
-use crate::LONGEST;
+use crate::MAX_LINE_BYTES;
 
 /// A message is longer than the wire allows.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
-pub struct TooLong;
+pub struct LineTooLong;
 
 /// The first word of a line and the rest after the blanks.
-pub fn split(line: &str) -> (&str, &str) {
+pub fn split_word(line: &str) -> (&str, &str) {
     match line.split_once(' ') {
         Some((word, rest)) => (word, rest.trim_start_matches(' ')),
         None => (line, ""),
@@ -16,13 +16,13 @@
 
 /// The bytes of one connection that came and are not yet read.
 #[derive(Default)]
-pub struct Lines {
+pub struct LineDecoder {
     came: BytesMut,
     /// How far the search for a line's end got: bytes are looked at once.
     seen: usize,
 }
 
-impl Lines {
+impl LineDecoder {
     pub fn put(&mut self, bytes: &[u8]) {
         self.came.extend_from_slice(bytes);
     }
@@ -36,17 +36,17 @@
     ///
     /// # Errors
     /// When more bytes came than a message may have.
-    pub fn take(&mut self) -> Result<Option<Bytes>, TooLong> {
+    pub fn take(&mut self) -> Result<Option<Bytes>, LineTooLong> {
         let Some(end) = self.came[self.seen..].iter().position(|&byte| byte == b'\n') else {
             self.seen = self.came.len();
-            return if self.seen > LONGEST { Err(TooLong) } else { Ok(None) };
+            return if self.seen > MAX_LINE_BYTES { Err(LineTooLong) } else { Ok(None) };
         };
         let end = self.seen + end;
         self.seen = 0;
         let mut line = self.came.split_to(end).freeze();
         self.came.advance(1);
-        if line.len() > LONGEST {
-            return Err(TooLong);
+        if line.len() > MAX_LINE_BYTES {
+            return Err(LineTooLong);
         }
         if line.last() == Some(&b'\r') {
             line.truncate(line.len() - 1);
--- a/crates/arrowyard-protocol/src/position.rs
+++ b/crates/arrowyard-protocol/src/position.rs
@@ -10,7 +10,7 @@
 
 impl Position {
     /// Reads `TERM.NUMBER`; nothing for `-` and all else.
-    pub fn read(text: &str) -> Option<Self> {
+    pub fn parse(text: &str) -> Option<Self> {
         let (term, number) = text.split_once('.')?;
         let digits = |part: &str| part.bytes().all(|byte| byte.is_ascii_digit());
         if !digits(term) || !digits(number) {
--- /dev/null
+++ b/crates/arrowyard-protocol/src/request.rs
@@ -0,0 +1,28 @@
+use crate::split_word;
+
+/// What a client says, and a router to a host.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Request<'a> {
+    Open { database: &'a str, user: &'a str },
+    Query { id: &'a str, text: &'a str },
+    Close,
+}
+
+impl<'a> Request<'a> {
+    /// Reads one line, without its end. Nothing for what is none of these.
+    pub fn parse(line: &'a str) -> Option<Self> {
+        let (word, rest) = split_word(line);
+        match word {
+            "OPEN" => {
+                let (database, user) = split_word(rest);
+                (!database.is_empty()).then_some(Request::Open { database, user })
+            }
+            "QUERY" => {
+                let (id, text) = split_word(rest);
+                (!id.is_empty() && !text.is_empty()).then_some(Request::Query { id, text })
+            }
+            "CLOSE" => Some(Request::Close),
+            _ => None,
+        }
+    }
+}
--- a/crates/arrowyard-protocol/src/answer.rs
+++ b/crates/arrowyard-protocol/src/response.rs
@@ -1,50 +1,56 @@
-use crate::{Code, Position, split};
+use crate::{FaultCode, Position, split_word};
 
 /// The state of a session after each statement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum State {
+pub enum TransactionState {
     #[default]
     Idle,
     InTransaction,
     Failed,
 }
 
-impl State {
-    const LETTERS: [(State, &'static str); 3] =
-        [(State::Idle, "I"), (State::InTransaction, "T"), (State::Failed, "E")];
+impl TransactionState {
+    const LETTERS: [(TransactionState, &'static str); 3] = [
+        (TransactionState::Idle, "I"),
+        (TransactionState::InTransaction, "T"),
+        (TransactionState::Failed, "E"),
+    ];
 
     pub fn letter(self) -> &'static str {
         Self::LETTERS.iter().find(|(state, _)| *state == self).map_or("I", |(_, letter)| letter)
     }
 
-    fn read(letter: &str) -> Option<State> {
+    fn parse(letter: &str) -> Option<TransactionState> {
         Self::LETTERS.iter().find(|(_, known)| *known == letter).map(|(state, _)| *state)
     }
 }
 
 /// What a host answers, a line at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer<'a> {
+pub enum Response<'a> {
     Row(&'a str),
     Settled(&'a str),
-    Fault { code: Code, text: &'a str },
-    Idle { state: State, position: Option<Position> },
+    Fault { code: FaultCode, text: &'a str },
+    Idle { state: TransactionState, position: Option<Position> },
 }
 
-impl<'a> Answer<'a> {
+impl<'a> Response<'a> {
     /// Reads one line, without its end. Nothing for what is none of these.
-    pub fn read(line: &'a str) -> Option<Self> {
-        let (word, rest) = split(line);
+    pub fn parse(line: &'a str) -> Option<Self> {
+        let (word, rest) = split_word(line);
         match word {
-            "ROW" => Some(Answer::Row(rest)),
-            "SETTLED" => Some(Answer::Settled(rest)),
+            "ROW" => Some(Response::Row(rest)),
+            "SETTLED" => Some(Response::Settled(rest)),
             "FAULT" => {
-                let (code, text) = split(rest);
-                Some(Answer::Fault { code: Code::read(code), text })
+                let (code, text) = split_word(rest);
+                Some(Response::Fault { code: FaultCode::parse(code), text })
             }
             "IDLE" => {
-                let (state, position) = split(rest);
-                Some(Answer::Idle { state: State::read(state)?, position: Position::read(position) })
+                let (state, position) = split_word(rest);
+                Some(Response::Idle {
+                    state: TransactionState::parse(state)?,
+                    position: Position::parse(position),
+                })
             }
             _ => None,
         }
@@ -62,7 +68,7 @@
 
 impl Observed {
     /// Reads the row: role, term, position received, term held, lag in ms, busy, connections.
-    pub fn read(row: &str) -> Option<Self> {
+    pub fn parse(row: &str) -> Option<Self> {
         let mut fields = row.split_ascii_whitespace();
         let primary = match fields.next()? {
             "primary" => true,
@@ -72,7 +78,7 @@
         let term = fields.next()?.parse().ok()?;
         let received = match fields.next()? {
             "-" => Position::default(),
-            position => Position::read(position)?,
+            position => Position::parse(position)?,
         };
         Some(Observed { primary, term, received })
     }
