--- a/crates/arrowyard-protocol/tests/wire.rs
+++ b/crates/arrowyard-protocol/tests/wire.rs
@@ -1,13 +1,16 @@
 //! Lines come whole or not at all, in whatever pieces they arrive; nothing that is said is read as something else.
 
-use arrowyard_protocol::{Answer, Ask, Code, LONGEST, Lines, Mode, Position, State, Text, Verdict};
+use arrowyard_protocol::{
+    AccessMode, ExecutionStatus, FaultCode, LineDecoder, MAX_LINE_BYTES, Position, Request, Response,
+    Statement, TransactionState,
+};
 use proptest::prelude::*;
 
 proptest! {
     #[test]
     fn lines_come_whole_in_whatever_pieces(lines in prop::collection::vec("[ -~]{0,40}", 0..12), cuts in prop::collection::vec(1usize..9, 1..200)) {
         let sent: Vec<u8> = lines.iter().flat_map(|line| [line.as_bytes(), b"\r\n"].concat()).collect();
-        let (mut read, mut buffer, mut rest) = (Vec::new(), Lines::default(), sent.as_slice());
+        let (mut read, mut buffer, mut rest) = (Vec::new(), LineDecoder::default(), sent.as_slice());
         for cut in cuts.iter().cycle() {
             if rest.is_empty() {
                 break;
@@ -25,23 +28,23 @@
 
     #[test]
     fn whatever_comes_is_read_or_refused(line in "\\PC{0,60}") {
-        let _ = Ask::read(&line);
-        let _ = Answer::read(&line);
-        let _ = Text::read(&line);
+        let _ = Request::parse(&line);
+        let _ = Response::parse(&line);
+        let _ = Statement::parse(&line);
     }
 
     #[test]
     fn positions_compare_by_term_first(a in any::<(u32, u32)>(), b in any::<(u32, u32)>()) {
         let of = |(term, number): (u32, u32)| Position { term: term.into(), number: number.into() };
         prop_assert_eq!(of(a).cmp(&of(b)), a.cmp(&b));
-        prop_assert_eq!(Position::read(&of(a).to_string()), Some(of(a)));
+        prop_assert_eq!(Position::parse(&of(a).to_string()), Some(of(a)));
     }
 }
 
 #[test]
 fn a_line_without_end_is_given_up_at_the_longest() {
-    let mut lines = Lines::default();
-    lines.put(&vec![b'x'; LONGEST]);
+    let mut lines = LineDecoder::default();
+    lines.put(&vec![b'x'; MAX_LINE_BYTES]);
     assert_eq!(lines.take(), Ok(None));
     lines.put(b"xx");
     assert!(lines.take().is_err());
@@ -49,28 +52,40 @@
 
 #[test]
 fn the_pages_own_examples() {
-    assert_eq!(Ask::read("OPEN lepu270 u3f1"), Some(Ask::Open { database: "lepu270", who: "u3f1" }));
-    let query = Ask::read("QUERY 5c0e7a21d94b36f8 AFTER 3.1207 READ 1a4");
-    assert_eq!(query, Some(Ask::Query { id: "5c0e7a21d94b36f8", text: "AFTER 3.1207 READ 1a4" }));
-    let define = Text::Define { name: "s1", mode: Mode::Write, shape: "q2c" };
-    assert_eq!(Text::read("DEFINE s1 WRITE q2c"), Some(define));
-    assert_eq!(Text::read("RUN s1 1a4 xkqpwnzd"), Some(Text::Run { name: "s1", rest: "1a4 xkqpwnzd" }));
     assert_eq!(
-        Answer::read("FAULT READONLY i-7f3a91c2"),
-        Some(Answer::Fault { code: Code::ReadOnly, text: "i-7f3a91c2" })
+        Request::parse("OPEN lepu270 u3f1"),
+        Some(Request::Open { database: "lepu270", user: "u3f1" })
+    );
+    let query = Request::parse("QUERY 5c0e7a21d94b36f8 AFTER 3.1207 READ 1a4");
+    assert_eq!(query, Some(Request::Query { id: "5c0e7a21d94b36f8", text: "AFTER 3.1207 READ 1a4" }));
+    let define = Statement::Define { name: "s1", mode: AccessMode::Write, shape: "q2c" };
+    assert_eq!(Statement::parse("DEFINE s1 WRITE q2c"), Some(define));
+    assert_eq!(
+        Statement::parse("RUN s1 1a4 xkqpwnzd"),
+        Some(Statement::Run { name: "s1", rest: "1a4 xkqpwnzd" })
+    );
+    assert_eq!(
+        Response::parse("FAULT READONLY i-7f3a91c2"),
+        Some(Response::Fault { code: FaultCode::ReadOnly, text: "i-7f3a91c2" })
     );
     let position = Some(Position { term: 3, number: 1209 });
-    assert_eq!(Answer::read("IDLE E 3.1209"), Some(Answer::Idle { state: State::Failed, position }));
-    assert_eq!(Answer::read("IDLE I -"), Some(Answer::Idle { state: State::Idle, position: None }));
+    assert_eq!(
+        Response::parse("IDLE E 3.1209"),
+        Some(Response::Idle { state: TransactionState::Failed, position })
+    );
+    assert_eq!(
+        Response::parse("IDLE I -"),
+        Some(Response::Idle { state: TransactionState::Idle, position: None })
+    );
 }
 
 #[test]
 fn only_what_the_page_promises_counts_as_not_run() {
     for code in ["SATURATED", "REVERTED", "LAGGING", "READONLY", "MISROUTED", "OVERLOAD", "UNDEFINED"] {
-        assert_eq!(Code::read(code).verdict(), Verdict::NotRun, "{code}");
+        assert_eq!(FaultCode::parse(code).execution_status(), ExecutionStatus::NotRun, "{code}");
     }
     for code in ["UNKNOWN", "EXPIRED", "MALFORMED", "SOMETHING", ""] {
-        assert_eq!(Code::read(code).verdict(), Verdict::MayHaveRun, "{code}");
+        assert_eq!(FaultCode::parse(code).execution_status(), ExecutionStatus::MayHaveRun, "{code}");
     }
-    assert_eq!(Code::read("FAILED").verdict(), Verdict::Ran);
+    assert_eq!(FaultCode::parse("FAILED").execution_status(), ExecutionStatus::Ran);
 }
--- a/crates/arrowyard-runtime/src/orders.rs
+++ b/crates/arrowyard-runtime/src/commands.rs
@@ -6,24 +6,24 @@
 
 /// A place that listens, numbered by the program in the order in which it was opened.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Door(pub u8);
+pub struct ListenerId(pub u8);
 
 /// What the platform tells a process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sign {
+pub enum Signal {
     Terminate,
-    Reread,
+    Reload,
 }
 
 /// Why a connection is no more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Why {
+pub enum CloseReason {
     /// The far end closed it in order.
-    Ended,
+    PeerClosed,
     /// It was never open: nothing that was written to it can have arrived.
-    NeverOpen,
+    ConnectFailed,
     /// It broke.
-    Broken,
+    ConnectionLost,
 }
 
 /// What reaches a plane.
@@ -33,35 +33,35 @@
     Start,
     Accepted {
         conn: Conn,
-        door: Door,
+        listener: ListenerId,
     },
-    Opened {
+    Connected {
         conn: Conn,
     },
-    Came {
+    Received {
         conn: Conn,
         bytes: &'a [u8],
     },
     Closed {
         conn: Conn,
-        why: Why,
+        reason: CloseReason,
     },
-    Woke,
-    Sign(Sign),
+    TimerExpired,
+    Signal(Signal),
     /// A record is on disk, or could not be written.
     Stored {
         ticket: u64,
-        kept: bool,
+        durable: bool,
     },
     /// The disk refuses records from now on; or it has the plane's snapshot and takes records again.
-    Disk {
-        works: bool,
+    DiskStatus {
+        writable: bool,
     },
 }
 
 /// What a plane wants done, in this order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Order {
+pub enum Command {
     Dial {
         conn: Conn,
         to: SocketAddrV4,
@@ -76,7 +76,7 @@
         conn: Conn,
     },
     /// At once; no more events of it.
-    Drop {
+    Reset {
         conn: Conn,
     },
     /// `Event::Stored` comes back once it would survive a loss of power.
@@ -89,22 +89,22 @@
 
 /// The orders of one event, and where connections get their numbers.
 #[derive(Debug, Default)]
-pub struct Orders {
-    pub list: Vec<Order>,
+pub struct Commands {
+    pub list: Vec<Command>,
     pub bytes: Vec<u8>,
     last: u64,
 }
 
-impl Orders {
-    pub fn conn(&mut self) -> Conn {
+impl Commands {
+    pub fn new_conn(&mut self) -> Conn {
         self.last += 1;
         Conn(self.last)
     }
 
     /// Opens a connection; `Event::Opened` or `Event::Closed` comes back.
     pub fn dial(&mut self, to: SocketAddrV4) -> Conn {
-        let conn = self.conn();
-        self.list.push(Order::Dial { conn, to });
+        let conn = self.new_conn();
+        self.list.push(Command::Dial { conn, to });
         conn
     }
 
@@ -113,35 +113,35 @@
         let len = parts.iter().map(|part| part.len()).sum();
         parts.iter().for_each(|part| self.bytes.extend_from_slice(part));
         match self.list.last_mut() {
-            Some(Order::Write { conn: last, len: so_far }) if *last == conn => *so_far += len,
-            _ => self.list.push(Order::Write { conn, len }),
+            Some(Command::Write { conn: last, len: so_far }) if *last == conn => *so_far += len,
+            _ => self.list.push(Command::Write { conn, len }),
         }
     }
 
     /// Writes the parts and the end of a line.
-    pub fn line(&mut self, conn: Conn, parts: &[&str]) {
+    pub fn write_line(&mut self, conn: Conn, parts: &[&str]) {
         let len = parts.iter().map(|part| part.len()).sum::<usize>() + 2;
         parts.iter().for_each(|part| self.bytes.extend_from_slice(part.as_bytes()));
         self.bytes.extend_from_slice(b"\r\n");
         match self.list.last_mut() {
-            Some(Order::Write { conn: last, len: so_far }) if *last == conn => *so_far += len,
-            _ => self.list.push(Order::Write { conn, len }),
+            Some(Command::Write { conn: last, len: so_far }) if *last == conn => *so_far += len,
+            _ => self.list.push(Command::Write { conn, len }),
         }
     }
 
     pub fn close(&mut self, conn: Conn) {
-        self.list.push(Order::Close { conn });
+        self.list.push(Command::Close { conn });
     }
 
-    pub fn drop(&mut self, conn: Conn) {
-        self.list.push(Order::Drop { conn });
+    pub fn reset(&mut self, conn: Conn) {
+        self.list.push(Command::Reset { conn });
     }
 
     pub fn store(&mut self, ticket: u64, record: Vec<u8>) {
-        self.list.push(Order::Store { ticket, record });
+        self.list.push(Command::Store { ticket, record });
     }
 
     pub fn stop(&mut self) {
-        self.list.push(Order::Stop);
+        self.list.push(Command::Stop);
     }
 }
--- a/crates/arrowyard-runtime/src/conn.rs
+++ b/crates/arrowyard-runtime/src/conn.rs
@@ -5,7 +5,7 @@
 use mio::net::TcpStream;
 use socket2::SockRef;
 
-use crate::orders::Why;
+use crate::commands::CloseReason;
 
 /// A peer that takes no bytes for so long counts as gone. Danger: without it a write to a machine without power hangs
 /// for as long as the kernel likes.
@@ -39,15 +39,15 @@
     }
 
     /// Whether a dial came through; `None` while it is under way.
-    pub fn opened(&self) -> Option<Result<(), Why>> {
+    pub fn opened(&self) -> Option<Result<(), CloseReason>> {
         match self.stream.take_error() {
             Ok(None) => {}
-            _ => return Some(Err(Why::NeverOpen)),
+            _ => return Some(Err(CloseReason::ConnectFailed)),
         }
         match self.stream.peer_addr() {
             Ok(_) => Some(Ok(())),
             Err(fault) if fault.kind() == ErrorKind::NotConnected => None,
-            Err(_) => Some(Err(Why::NeverOpen)),
+            Err(_) => Some(Err(CloseReason::ConnectFailed)),
         }
     }
 
--- a/crates/arrowyard-runtime/src/journal.rs
+++ b/crates/arrowyard-runtime/src/journal.rs
@@ -19,7 +19,7 @@
 use log::warn;
 use redb::{Builder, Database, ReadableDatabase, ReadableTable, StorageBackend, TableDefinition};
 
-use crate::folder::Folder;
+use crate::storage::JournalStorage;
 
 /// Records by their place in the journal. Place 0 marks a generation that was begun in full.
 const RECORDS: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("records");
@@ -82,7 +82,7 @@
 }
 
 /// A journal and its present generation.
-pub struct Journal<F: Folder> {
+pub struct Journal<F: JournalStorage> {
     /// None after a failure, until [`Journal::replace`] has begun a new generation. Safety: it writes to its file as it
     /// closes, so it stands before the folder, whose lock is given back last.
     database: Option<Database>,
@@ -97,7 +97,7 @@
     bytes: usize,
 }
 
-impl<F: Folder> Journal<F> {
+impl<F: JournalStorage> Journal<F> {
     /// Reads the newest generation that was begun in full, oldest record first, and begins a new one with its records.
     ///
     /// # Errors
@@ -307,7 +307,7 @@
     }
 }
 
-fn open<F: Folder>(folder: &F, generation: u64) -> Result<Database, JournalError> {
+fn open<F: JournalStorage>(folder: &F, generation: u64) -> Result<Database, JournalError> {
     let file = Fused { file: folder.open(generation)?, blown: AtomicBool::new(false) };
     let opened = Builder::new().set_cache_size(CACHE_BYTES).create_with_backend(file);
     opened.map_err(|error| redb::Error::from(error).into())
@@ -316,12 +316,15 @@
 /// The records of a generation; none if it was not begun in full.
 ///
 /// Safety: `redb` panics at some spoilt bytes. A process that ended there would end at each of its starts.
-fn read<F: Folder>(folder: &F, generation: u64) -> Result<Option<Vec<Vec<u8>>>, JournalError> {
+fn read<F: JournalStorage>(folder: &F, generation: u64) -> Result<Option<Vec<Vec<u8>>>, JournalError> {
     let read = catch_unwind(AssertUnwindSafe(|| read_unguarded(folder, generation)));
     read.unwrap_or_else(|_| Err(JournalError::Corrupt("its pages contradict each other".to_string())))
 }
 
-fn read_unguarded<F: Folder>(folder: &F, generation: u64) -> Result<Option<Vec<Vec<u8>>>, JournalError> {
+fn read_unguarded<F: JournalStorage>(
+    folder: &F,
+    generation: u64,
+) -> Result<Option<Vec<Vec<u8>>>, JournalError> {
     let database = open(folder, generation)?;
     let transaction = database.begin_read().map_err(redb::Error::from)?;
     let table = match transaction.open_table(RECORDS) {
--- a/crates/arrowyard-runtime/src/lib.rs
+++ b/crates/arrowyard-runtime/src/lib.rs
@@ -1,27 +1,27 @@
 //! The loop under every plane: one thread with sockets, timers and signals, and one more that waits for the disk.
 //! A plane decides without I/O: it takes an [`Event`] with the time and leaves [`Orders`]; the loop carries them out.
 
+mod commands;
 mod conn;
-mod folder;
 pub mod http;
 mod journal;
-mod orders;
 mod run;
+mod storage;
 mod store;
 mod timers;
 
-pub use folder::{Directory, Folder, RegularFile};
+pub use commands::{CloseReason, Command, Commands, Conn, Event, ListenerId, Signal};
 pub use journal::{CHECKPOINT_BYTES, Journal, JournalError};
-pub use orders::{Conn, Door, Event, Order, Orders, Sign, Why};
-pub use run::{Plumbing, run};
-pub use store::{Recovered, Store, Stored, open as open_store};
+pub use run::{LoopConfig, run};
+pub use storage::{Directory, JournalStorage, RegularFile};
+pub use store::{DiskEvent, Recovered, Store, open as open_store};
 pub use timers::Timers;
 
 use arrowyard_types::Point;
 
 /// What decides: one function for every change of its state.
 pub trait Plane {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders);
+    fn handle(&mut self, now: Point, event: Event<'_>, commands: &mut Commands);
 
     /// When it wants to be woken; nothing: not before the next event.
     fn due(&self) -> Option<Point>;
--- a/crates/arrowyard-runtime/src/run.rs
+++ b/crates/arrowyard-runtime/src/run.rs
@@ -11,14 +11,14 @@
 use rustc_hash::FxHashMap;
 use socket2::SockRef;
 
+use crate::commands::{CloseReason, Command, Commands, Conn, Event, ListenerId, Signal};
 use crate::conn::{Socket, Stage};
-use crate::orders::{Conn, Door, Event, Order, Orders, Sign, Why};
 use crate::store::Outcome;
 use crate::{Plane, Store, Timers};
 
 const WAKER: Token = Token(0);
-const DOORS: usize = 1;
-const CONNS: usize = 1 << 8;
+const FIRST_LISTENER_TOKEN: usize = 1;
+const FIRST_CONN_TOKEN: usize = 1 << 8;
 /// Bytes read from one socket at a time, and the most of them before others have their turn.
 const READ: usize = 64 * 1024;
 const TURN: usize = 4;
@@ -29,70 +29,70 @@
 
 /// What a program lays down for its plane.
 #[derive(Default)]
-pub struct Plumbing {
-    pub doors: Vec<SocketAddrV4>,
+pub struct LoopConfig {
+    pub listen_addresses: Vec<SocketAddrV4>,
     pub store: Option<Store>,
     /// The most connections at a time; more are closed as they come.
-    pub most: usize,
+    pub max_connections: usize,
 }
 
 struct Loop {
     poll: Poll,
-    doors: Vec<TcpListener>,
+    listeners: Vec<TcpListener>,
     sockets: FxHashMap<Conn, Socket>,
     lingering: Timers<Conn>,
     start: Instant,
-    most: usize,
-    orders: Orders,
+    max_connections: usize,
+    commands: Commands,
     store: Option<Store>,
     stopping: bool,
     dirty: Vec<Conn>,
     /// Connections that ended while orders were carried out; their plane is told next.
-    ended: Vec<(Conn, Why)>,
+    ended: Vec<(Conn, CloseReason)>,
 }
 
 /// Runs a plane until it orders a stop.
 ///
 /// # Errors
 /// When a door cannot be opened or the system's poll fails.
-pub fn run(plumbing: Plumbing, plane: &mut dyn Plane) -> io::Result<()> {
+pub fn run(config: LoopConfig, plane: &mut dyn Plane) -> io::Result<()> {
     let poll = Poll::new()?;
     let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
-    let signs = signs(&waker)?;
-    let mut doors = Vec::new();
-    for (number, address) in plumbing.doors.iter().enumerate() {
-        let mut door = TcpListener::bind(SocketAddr::V4(*address))
+    let signals = signals(&waker)?;
+    let mut listeners = Vec::new();
+    for (number, address) in config.listen_addresses.iter().enumerate() {
+        let mut listener = TcpListener::bind(SocketAddr::V4(*address))
             .map_err(|fault| io::Error::new(fault.kind(), format!("{address}: {fault}")))?;
-        poll.registry().register(&mut door, Token(DOORS + number), Interest::READABLE)?;
-        doors.push(door);
+        poll.registry().register(&mut listener, Token(FIRST_LISTENER_TOKEN + number), Interest::READABLE)?;
+        listeners.push(listener);
     }
-    if let Some(store) = &plumbing.store {
+    if let Some(store) = &config.store {
         store.wake_by(waker.clone());
     }
     let mut this = Loop {
         poll,
-        doors,
+        listeners,
         sockets: FxHashMap::default(),
         lingering: Timers::default(),
         start: Instant::now(),
-        most: plumbing.most,
-        orders: Orders::default(),
-        store: plumbing.store,
+        max_connections: config.max_connections,
+        commands: Commands::default(),
+        store: config.store,
         stopping: false,
         dirty: Vec::new(),
         ended: Vec::new(),
     };
     this.tell(plane, Event::Start);
-    this.work(plane, &signs)
+    this.work(plane, &signals)
 }
 
 /// Sets up the handlers of signals: they set a flag and wake the loop, nothing else.
-fn signs(waker: &Arc<Waker>) -> io::Result<[(Arc<AtomicBool>, Sign); 2]> {
-    let signs = [
-        (Arc::new(AtomicBool::new(false)), Sign::Terminate),
-        (Arc::new(AtomicBool::new(false)), Sign::Reread),
+fn signals(waker: &Arc<Waker>) -> io::Result<[(Arc<AtomicBool>, Signal); 2]> {
+    let signals = [
+        (Arc::new(AtomicBool::new(false)), Signal::Terminate),
+        (Arc::new(AtomicBool::new(false)), Signal::Reload),
     ];
-    for ((flag, _), number) in signs.iter().zip([libc::SIGTERM, libc::SIGHUP]) {
+    for ((flag, _), number) in signals.iter().zip([libc::SIGTERM, libc::SIGHUP]) {
         let (flag, waker) = (flag.clone(), waker.clone());
         let handler = move || {
             flag.store(true, Ordering::SeqCst);
@@ -101,7 +101,7 @@
         // SAFETY: a store to an atomic and a write to a descriptor are both allowed in a handler.
         unsafe { signal_hook::low_level::register(number, handler)? };
     }
-    Ok(signs)
+    Ok(signals)
 }
 
 impl Loop {
@@ -109,7 +109,7 @@
         Point::from_micros(self.start.elapsed().as_micros() as i64)
     }
 
-    fn work(&mut self, plane: &mut dyn Plane, signs: &[(Arc<AtomicBool>, Sign)]) -> io::Result<()> {
+    fn work(&mut self, plane: &mut dyn Plane, signals: &[(Arc<AtomicBool>, Signal)]) -> io::Result<()> {
         let mut events = Events::with_capacity(256);
         let mut buffer = vec![0; READ];
         while !self.stopping {
@@ -123,9 +123,9 @@
             for event in &events {
                 match event.token() {
                     WAKER => {}
-                    Token(token) if token < CONNS => self.accept(Door((token - DOORS) as u8), plane),
+                    Token(token) if token < FIRST_CONN_TOKEN => self.accept(ListenerId((token - FIRST_LISTENER_TOKEN) as u8), plane),
                     Token(token) => {
-                        let conn = Conn((token - CONNS) as u64);
+                        let conn = Conn((token - FIRST_CONN_TOKEN) as u64);
                         if event.is_writable() {
                             self.writable(conn, plane);
                         }
@@ -140,16 +140,16 @@
                     }
                 }
             }
-            for (flag, sign) in signs {
+            for (flag, signal) in signals {
                 if flag.swap(false, Ordering::SeqCst) {
-                    self.tell(plane, Event::Sign(*sign));
+                    self.tell(plane, Event::Signal(*signal));
                 }
             }
             while let Some(outcome) = self.store.as_mut().and_then(|store| store.outcome(|| plane.snapshot()))
             {
                 let event = match outcome {
-                    Outcome::Kept { ticket, kept } => Event::Stored { ticket, kept },
-                    Outcome::Disk { works } => Event::Disk { works },
+                    Outcome::Stored { ticket, durable } => Event::Stored { ticket, durable },
+                    Outcome::DiskStatus { writable } => Event::DiskStatus { writable },
                 };
                 self.tell(plane, event);
             }
@@ -158,7 +158,7 @@
                 self.forget(conn);
             }
             if plane.due().is_some_and(|at| at <= now) {
-                self.tell(plane, Event::Woke);
+                self.tell(plane, Event::TimerExpired);
             }
             self.flush(plane);
         }
@@ -167,21 +167,22 @@
     }
 
     fn tell(&mut self, plane: &mut dyn Plane, event: Event<'_>) {
-        plane.handle(self.now(), event, &mut self.orders);
+        plane.handle(self.now(), event, &mut self.commands);
         self.carry_out();
-        while let Some((conn, why)) = self.ended.pop() {
-            plane.handle(self.now(), Event::Closed { conn, why }, &mut self.orders);
+        while let Some((conn, reason)) = self.ended.pop() {
+            plane.handle(self.now(), Event::Closed { conn, reason }, &mut self.commands);
             self.carry_out();
         }
     }
 
     fn carry_out(&mut self) {
-        let (list, bytes) = (std::mem::take(&mut self.orders.list), std::mem::take(&mut self.orders.bytes));
+        let (list, bytes) =
+            (std::mem::take(&mut self.commands.list), std::mem::take(&mut self.commands.bytes));
         let mut at = 0;
-        for order in &list {
-            match order {
-                Order::Dial { conn, to } => self.dial(*conn, *to),
-                Order::Write { conn, len } => {
+        for command in &list {
+            match command {
+                Command::Dial { conn, to } => self.dial(*conn, *to),
+                Command::Write { conn, len } => {
                     let part = &bytes[at..at + len];
                     at += len;
                     if let Some(socket) = self.sockets.get_mut(conn) {
@@ -191,11 +192,11 @@
                         socket.out.extend_from_slice(part);
                         if socket.out.len() > MOST_WAITING {
                             self.forget(*conn);
-                            self.ended.push((*conn, Why::Broken));
+                            self.ended.push((*conn, CloseReason::ConnectionLost));
                         }
                     }
                 }
-                Order::Close { conn } => {
+                Command::Close { conn } => {
                     if let Some(socket) = self.sockets.get_mut(conn) {
                         socket.stage = match socket.stage {
                             Stage::Opening => Stage::Ended,
@@ -206,45 +207,45 @@
                         self.lingering.set(until, *conn);
                     }
                 }
-                Order::Drop { conn } => self.reset(*conn),
-                Order::Store { ticket, record } => match &mut self.store {
+                Command::Reset { conn } => self.reset(*conn),
+                Command::Store { ticket, record } => match &mut self.store {
                     Some(store) => store.put(*ticket, record.clone()),
                     None => error!("A record was to be kept, and there is no disk."),
                 },
-                Order::Stop => self.stopping = true,
+                Command::Stop => self.stopping = true,
             }
         }
         // The room is used again.
-        (self.orders.list, self.orders.bytes) = (list, bytes);
-        self.orders.list.clear();
-        self.orders.bytes.clear();
+        (self.commands.list, self.commands.bytes) = (list, bytes);
+        self.commands.list.clear();
+        self.commands.bytes.clear();
     }
 
     fn dial(&mut self, conn: Conn, to: SocketAddrV4) {
         let opened = TcpStream::connect(SocketAddr::V4(to)).and_then(|mut stream| {
-            let token = Token(CONNS + conn.0 as usize);
+            let token = Token(FIRST_CONN_TOKEN + conn.0 as usize);
             self.poll.registry().register(&mut stream, token, Interest::READABLE | Interest::WRITABLE)?;
             Ok(stream)
         });
         match opened {
             Ok(stream) => drop(self.sockets.insert(conn, Socket::new(stream, Stage::Opening))),
-            Err(_) => self.ended.push((conn, Why::NeverOpen)),
+            Err(_) => self.ended.push((conn, CloseReason::ConnectFailed)),
         }
     }
 
-    fn accept(&mut self, door: Door, plane: &mut dyn Plane) {
+    fn accept(&mut self, listener: ListenerId, plane: &mut dyn Plane) {
         loop {
-            match self.doors[usize::from(door.0)].accept() {
+            match self.listeners[usize::from(listener.0)].accept() {
                 Ok((mut stream, _)) => {
-                    if self.sockets.len() >= self.most {
+                    if self.sockets.len() >= self.max_connections {
                         continue;
                     }
-                    let conn = self.orders.conn();
-                    let token = Token(CONNS + conn.0 as usize);
+                    let conn = self.commands.new_conn();
+                    let token = Token(FIRST_CONN_TOKEN + conn.0 as usize);
                     let interest = Interest::READABLE | Interest::WRITABLE;
                     if self.poll.registry().register(&mut stream, token, interest).is_ok() {
                         self.sockets.insert(conn, Socket::new(stream, Stage::Open));
-                        self.tell(plane, Event::Accepted { conn, door });
+                        self.tell(plane, Event::Accepted { conn, listener });
                     }
                 }
                 Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
@@ -261,11 +262,11 @@
                 None => return,
                 Some(Ok(())) => {
                     socket.stage = Stage::Open;
-                    self.tell(plane, Event::Opened { conn });
+                    self.tell(plane, Event::Connected { conn });
                 }
-                Some(Err(why)) => {
+                Some(Err(reason)) => {
                     self.forget(conn);
-                    return self.tell(plane, Event::Closed { conn, why });
+                    return self.tell(plane, Event::Closed { conn, reason });
                 }
             }
         }
@@ -283,18 +284,18 @@
                 }
                 if socket.opened() != Some(Ok(())) {
                     self.forget(conn);
-                    return self.tell(plane, Event::Closed { conn, why: Why::NeverOpen });
+                    return self.tell(plane, Event::Closed { conn, reason: CloseReason::ConnectFailed });
                 }
                 socket.stage = Stage::Open;
-                self.tell(plane, Event::Opened { conn });
+                self.tell(plane, Event::Connected { conn });
                 continue;
             }
             let quiet = socket.stage != Stage::Open;
-            let why = match socket.stream.read(buffer) {
-                Ok(0) => Why::Ended,
+            let reason = match socket.stream.read(buffer) {
+                Ok(0) => CloseReason::PeerClosed,
                 Ok(came) => {
                     if !quiet {
-                        self.tell(plane, Event::Came { conn, bytes: &buffer[..came] });
+                        self.tell(plane, Event::Received { conn, bytes: &buffer[..came] });
                     }
                     // A short read has emptied the socket, unless its end is there as well.
                     if came < buffer.len() && !ends {
@@ -309,11 +310,11 @@
                 }
                 Err(fault) if fault.kind() == ErrorKind::Interrupted => continue,
                 Err(fault) if fault.kind() == ErrorKind::WouldBlock => return,
-                Err(_) => Why::Broken,
+                Err(_) => CloseReason::ConnectionLost,
             };
             self.forget(conn);
             if !quiet {
-                self.tell(plane, Event::Closed { conn, why });
+                self.tell(plane, Event::Closed { conn, reason });
             }
             return;
         }
@@ -321,11 +322,11 @@
 
     fn renew(&mut self, conn: Conn) {
         if let Some(socket) = self.sockets.get_mut(&conn) {
-            let token = Token(CONNS + conn.0 as usize);
+            let token = Token(FIRST_CONN_TOKEN + conn.0 as usize);
             let interest = Interest::READABLE | Interest::WRITABLE;
             if self.poll.registry().reregister(&mut socket.stream, token, interest).is_err() {
                 self.forget(conn);
-                self.ended.push((conn, Why::Broken));
+                self.ended.push((conn, CloseReason::ConnectionLost));
             }
         }
     }
@@ -338,7 +339,7 @@
             if socket.flush().is_err() {
                 self.forget(conn);
                 if !silent {
-                    self.tell(plane, Event::Closed { conn, why: Why::Broken });
+                    self.tell(plane, Event::Closed { conn, reason: CloseReason::ConnectionLost });
                 }
             }
         }
--- a/crates/arrowyard-runtime/src/folder.rs
+++ b/crates/arrowyard-runtime/src/storage.rs
@@ -16,7 +16,7 @@
 const LOCK: &str = "lock";
 
 /// A directory that holds the generations of one journal.
-pub trait Folder: Send {
+pub trait JournalStorage: Send {
     type File: StorageBackend;
 
     /// The numbers of the generations that are there, in ascending order.
@@ -86,7 +86,7 @@
     Ok(file)
 }
 
-impl Folder for Directory {
+impl JournalStorage for Directory {
     type File = RegularFile;
 
     fn generations(&self) -> io::Result<Vec<u64>> {
--- a/crates/arrowyard-runtime/src/store.rs
+++ b/crates/arrowyard-runtime/src/store.rs
@@ -13,8 +13,8 @@
 use log::{error, info, warn};
 use mio::Waker;
 
-use crate::folder::{Directory, Folder};
 use crate::journal::{Journal, JournalError};
+use crate::storage::{Directory, JournalStorage};
 
 /// A disk that refused is tried again after so long.
 const RETRY: Duration = Duration::from_millis(200);
@@ -23,13 +23,13 @@
 
 /// What the disk's thread tells.
 #[derive(Debug)]
-pub enum Stored {
+pub enum DiskEvent {
     /// A record is durable, or may not be.
-    Kept { ticket: u64, kept: bool },
+    Stored { ticket: u64, durable: bool },
     /// One record is wanted that stands for all before it.
     Snapshot(Sender<Vec<u8>>),
     /// The disk refuses writes, or takes them again.
-    Disk { works: bool },
+    DiskStatus { writable: bool },
 }
 
 /// A record with the number under which its fate is told.
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 struct Thread {
     records: Sender<Numbered>,
-    said: Receiver<Stored>,
+    said: Receiver<DiskEvent>,
 }
 
 impl Drop for Store {
@@ -68,7 +68,7 @@
     /// The records, oldest first.
     pub records: Vec<Vec<u8>>,
     /// Whether there were records that cannot be read: then nothing is known of what was promised before.
-    pub forgot: bool,
+    pub corrupt: bool,
 }
 
 /// Opens the journal in a directory and reads what it holds.
@@ -78,11 +78,11 @@
 pub fn open(path: &Path) -> Result<(Store, Recovered), JournalError> {
     let opened = Journal::open(Directory::create(path)?);
     let (journal, recovered) = match opened {
-        Ok((journal, records)) => (journal, Recovered { records, forgot: false }),
+        Ok((journal, records)) => (journal, Recovered { records, corrupt: false }),
         Err(JournalError::Corrupt(why)) => {
             error!("disk: {why}; it begins anew, and this machine's word counts for nothing at first.");
             let journal = Journal::begin_anew(Directory::create(path)?)?;
-            (journal, Recovered { records: Vec::new(), forgot: true })
+            (journal, Recovered { records: Vec::new(), corrupt: true })
         }
         Err(unavailable) => return Err(unavailable),
     };
@@ -90,7 +90,7 @@
     Ok((store, recovered))
 }
 
-fn spawn<F: Folder + 'static>(journal: Journal<F>) -> Result<Store, JournalError> {
+fn spawn<F: JournalStorage + 'static>(journal: Journal<F>) -> Result<Store, JournalError> {
     let (say, said) = channel();
     let (records, wanted) = channel();
     let wake: Wake = Arc::default();
@@ -105,14 +105,14 @@
 }
 
 /// The state of the disk's thread.
-struct Disk<F: Folder> {
+struct Disk<F: JournalStorage> {
     journal: Journal<F>,
     wanted: Receiver<Numbered>,
-    say: Sender<Stored>,
+    say: Sender<DiskEvent>,
     wake: Wake,
 }
 
-impl<F: Folder> Disk<F> {
+impl<F: JournalStorage> Disk<F> {
     /// One step of its work; none once the process has no more use for it.
     fn turn(&mut self) -> Option<()> {
         if !self.journal.is_well() {
@@ -124,17 +124,17 @@
         let written = self.journal.append(batch.iter().map(|(_, record)| record.as_slice()));
         if let Err(error) = &written {
             error!("disk: {} records were not kept: {error}.", batch.len());
-            self.tell(Stored::Disk { works: false })?;
+            self.tell(DiskEvent::DiskStatus { writable: false })?;
         }
         for (ticket, _) in batch {
-            self.tell(Stored::Kept { ticket, kept: written.is_ok() })?;
+            self.tell(DiskEvent::Stored { ticket, durable: written.is_ok() })?;
         }
         self.wake();
         if self.journal.wants_checkpoint() {
             let snapshot = self.snapshot()?;
             if let Err(error) = self.journal.replace(&snapshot) {
                 error!("disk: A snapshot was not kept: {error}.");
-                self.tell(Stored::Disk { works: false })?;
+                self.tell(DiskEvent::DiskStatus { writable: false })?;
                 self.wake();
             }
         }
@@ -145,13 +145,13 @@
     fn recover(&mut self) -> Option<()> {
         match self.wanted.recv_timeout(RETRY) {
             Ok((ticket, _)) => {
-                self.tell(Stored::Kept { ticket, kept: false })?;
+                self.tell(DiskEvent::Stored { ticket, durable: false })?;
                 self.wake();
                 // The wait is over by time alone, or records that keep coming would put it off for ever.
                 thread::sleep(RETRY);
                 let late: Vec<Numbered> = self.wanted.try_iter().collect();
                 for (ticket, _) in late {
-                    self.tell(Stored::Kept { ticket, kept: false })?;
+                    self.tell(DiskEvent::Stored { ticket, durable: false })?;
                 }
                 self.wake();
             }
@@ -162,7 +162,7 @@
         match self.journal.replace(&snapshot) {
             Ok(()) => {
                 info!("disk: It takes records again.");
-                self.tell(Stored::Disk { works: true })?;
+                self.tell(DiskEvent::DiskStatus { writable: true })?;
                 self.wake();
             }
             Err(error) => warn!("disk: Still no record can be kept: {error}."),
@@ -172,12 +172,12 @@
 
     fn snapshot(&self) -> Option<Vec<u8>> {
         let (send, snapshot) = channel();
-        self.tell(Stored::Snapshot(send))?;
+        self.tell(DiskEvent::Snapshot(send))?;
         self.wake();
         snapshot.recv().ok()
     }
 
-    fn tell(&self, said: Stored) -> Option<()> {
+    fn tell(&self, said: DiskEvent) -> Option<()> {
         self.say.send(said).ok()
     }
 
@@ -189,8 +189,8 @@
 /// What became of the disk or of one record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
-    Kept { ticket: u64, kept: bool },
-    Disk { works: bool },
+    Stored { ticket: u64, durable: bool },
+    DiskStatus { writable: bool },
 }
 
 impl Store {
@@ -209,9 +209,9 @@
     pub(crate) fn outcome(&mut self, snapshot: impl Fn() -> Vec<u8>) -> Option<Outcome> {
         loop {
             match self.thread.as_ref()?.said.try_recv().ok()? {
-                Stored::Kept { ticket, kept } => return Some(Outcome::Kept { ticket, kept }),
-                Stored::Disk { works } => return Some(Outcome::Disk { works }),
-                Stored::Snapshot(to) => drop(to.send(snapshot())),
+                DiskEvent::Stored { ticket, durable } => return Some(Outcome::Stored { ticket, durable }),
+                DiskEvent::DiskStatus { writable } => return Some(Outcome::DiskStatus { writable }),
+                DiskEvent::Snapshot(to) => drop(to.send(snapshot())),
             }
         }
     }
--- a/crates/arrowyard-runtime/tests/faulty/mod.rs
+++ b/crates/arrowyard-runtime/tests/faulty/mod.rs
@@ -6,7 +6,7 @@
 use std::io;
 use std::sync::{Arc, Mutex};
 
-use arrowyard_runtime::Folder;
+use arrowyard_runtime::JournalStorage;
 use fastrand::Rng;
 use redb::StorageBackend;
 
@@ -183,7 +183,7 @@
     }
 }
 
-impl Folder for FaultyFolder {
+impl JournalStorage for FaultyFolder {
     type File = FaultyFile;
 
     fn generations(&self) -> io::Result<Vec<u64>> {
--- a/crates/arrowyard-runtime/tests/parts.rs
+++ b/crates/arrowyard-runtime/tests/parts.rs
@@ -4,19 +4,21 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU32, Ordering};
 
-use arrowyard_runtime::http::{Messages, answer, call};
-use arrowyard_runtime::{Event, JournalError, Orders, Plane, Plumbing, Recovered, Timers, open_store, run};
+use arrowyard_runtime::http::{HttpDecoder, format_request, format_response};
+use arrowyard_runtime::{
+    Commands, Event, JournalError, LoopConfig, Plane, Recovered, Timers, open_store, run,
+};
 use arrowyard_types::Point;
 use proptest::prelude::*;
 
 proptest! {
     #[test]
     fn calls_come_whole_in_whatever_pieces(body in "[a-z]{0,60}", cut in 1usize..40) {
-        let text = call("POST", "/Config.Replace", "h", &[("Arrowyard-Base-Revision", "5")], &body).repeat(2);
-        let (mut messages, mut seen) = (Messages::default(), 0);
+        let text = format_request("POST", "/Config.Replace", "h", &[("Arrowyard-Base-Revision", "5")], &body).repeat(2);
+        let (mut messages, mut seen) = (HttpDecoder::default(), 0);
         for piece in text.as_bytes().chunks(cut) {
             messages.put(piece);
-            while let Some(request) = messages.request().expect("a sound call") {
+            while let Some(request) = messages.next_request().expect("a sound call") {
                 prop_assert_eq!(request.header("arrowyard-base-revision"), Some("5"));
                 prop_assert_eq!(request.body, body.as_bytes());
                 seen += 1;
@@ -27,29 +29,29 @@
 
     #[test]
     fn whatever_comes_is_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let mut messages = Messages::default();
+        let mut messages = HttpDecoder::default();
         messages.put(&bytes);
-        let _ = messages.request();
-        let mut messages = Messages::default();
+        let _ = messages.next_request();
+        let mut messages = HttpDecoder::default();
         messages.put(&bytes);
-        let _ = messages.response();
+        let _ = messages.next_response();
     }
 }
 
 #[test]
 fn a_call_that_is_too_long_or_of_no_length_is_refused() {
     let refused = |text: &str| {
-        let mut messages = Messages::default();
+        let mut messages = HttpDecoder::default();
         messages.put(text.as_bytes());
-        messages.request().expect_err("it is refused").0
+        messages.next_request().expect_err("it is refused").0
     };
     assert_eq!(refused("POST / HTTP/1.1\r\nContent-Length: 99999999999\r\n\r\n"), 413);
     assert_eq!(refused("POST / HTTP/1.1\r\nContent-Length: many\r\n\r\n"), 400);
     assert_eq!(refused("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"), 501);
     assert_eq!(refused(&format!("GET /{} HTTP/1.1\r\nx: ", "a".repeat(20_000))), 431);
-    let mut messages = Messages::default();
-    messages.put(answer(412, "{\"error\":\"x\"}").as_bytes());
-    assert_eq!(messages.response().expect("sound").expect("whole").status, 412);
+    let mut messages = HttpDecoder::default();
+    messages.put(format_response(412, "{\"error\":\"x\"}").as_bytes());
+    assert_eq!(messages.next_response().expect("sound").expect("whole").status, 412);
 }
 
 #[test]
@@ -79,19 +81,19 @@
 }
 
 impl Plane for Keeper {
-    fn handle(&mut self, _: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, _: Point, event: Event<'_>, commands: &mut Commands) {
         match event {
             Event::Start => {}
-            Event::Stored { ticket, kept } => {
-                assert!(kept);
+            Event::Stored { ticket, durable } => {
+                assert!(durable);
                 assert_eq!(ticket as usize, self.next, "in the order in which they were asked for");
                 self.next += 1;
             }
             _ => return,
         }
         match self.records.get(self.next) {
-            Some(record) => orders.store(self.next as u64, record.clone()),
-            None => orders.stop(),
+            Some(record) => commands.store(self.next as u64, record.clone()),
+            None => commands.stop(),
         }
     }
 
@@ -108,7 +110,8 @@
 fn keep(folder: &Path, records: Vec<Vec<u8>>) -> u32 {
     let (store, _) = open_store(folder).expect("the folder can be used");
     let mut plane = Keeper { records, next: 0, snapshots: std::cell::Cell::new(0) };
-    run(Plumbing { store: Some(store), most: 4, ..Plumbing::default() }, &mut plane).expect("it runs");
+    run(LoopConfig { store: Some(store), max_connections: 4, ..LoopConfig::default() }, &mut plane)
+        .expect("it runs");
     plane.snapshots.get()
 }
 
@@ -129,7 +132,7 @@
     let (store, _) = open_store(&folder).expect("the folder can be used");
     assert!(matches!(open_store(&folder), Err(JournalError::InUse)));
     drop(store);
-    assert!(!recovered(&folder).forgot);
+    assert!(!recovered(&folder).corrupt);
     fs::remove_dir_all(&folder).expect("it was ours");
 }
 
@@ -140,7 +143,7 @@
     keep(&folder, records.clone());
     for _ in 0..3 {
         let recovered = recovered(&folder);
-        assert_eq!((recovered.records, recovered.forgot), (records.clone(), false));
+        assert_eq!((recovered.records, recovered.corrupt), (records.clone(), false));
     }
     fs::remove_dir_all(&folder).expect("it was ours");
 }
--- a/crates/arrowyard-system/src/bin/arrowyard-control.rs
+++ b/crates/arrowyard-system/src/bin/arrowyard-control.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use arrowyard_control::Control;
-use arrowyard_runtime::{Plumbing, Recovered, Store, open_store, run};
+use arrowyard_runtime::{LoopConfig, Recovered, Store, open_store, run};
 use arrowyard_system as works;
 use arrowyard_system::show::{self, Part};
 use bpaf::Bpaf;
@@ -62,10 +62,12 @@
         None => (None, Recovered::default()),
     };
     // Safety: a machine that forgot what it promised must not found the system once more.
-    settings.bootstrap &= !recovered.forgot;
+    settings.bootstrap &= !recovered.corrupt;
     let records = recovered.records;
-    let mut plane = Control::open(settings, works::life(), &records, store.is_some(), works::reread(path))?;
-    run(Plumbing { doors, store, most }, &mut plane).map_err(|fault| fault.to_string())
+    let mut plane =
+        Control::open(settings, works::incarnation(), &records, store.is_some(), works::reread(path))?;
+    run(LoopConfig { listen_addresses: doors, store, max_connections: most }, &mut plane)
+        .map_err(|fault| fault.to_string())
 }
 
 /// Opens the journal. While the disk refuses, nothing is known of what this machine promised, so it waits.
--- a/crates/arrowyard-system/src/bin/arrowyard-sluice.rs
+++ b/crates/arrowyard-system/src/bin/arrowyard-sluice.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 
 use arrowyard_pooler::Sluice;
-use arrowyard_runtime::{Plumbing, run};
+use arrowyard_runtime::{LoopConfig, run};
 use arrowyard_system as works;
 use bpaf::Bpaf;
 
@@ -38,8 +38,9 @@
     };
     let doors = vec![door("front")?, door("readiness")?];
     let most = settings.limits.fd_limit.saturating_sub(300).max(64);
-    let mut plane = Sluice::new(settings, works::life(), works::reread(path));
-    run(Plumbing { doors, store: None, most }, &mut plane).map_err(|fault| fault.to_string())
+    let mut plane = Sluice::new(settings, works::incarnation(), works::reread(path));
+    run(LoopConfig { listen_addresses: doors, store: None, max_connections: most }, &mut plane)
+        .map_err(|fault| fault.to_string())
 }
 
 fn main() -> ExitCode {
--- a/crates/arrowyard-system/src/lib.rs
+++ b/crates/arrowyard-system/src/lib.rs
@@ -24,7 +24,7 @@
 /// Every fault, with its place.
 pub fn settings(path: &PathBuf) -> Result<Settings, String> {
     let text = fs::read_to_string(path).map_err(|fault| format!("{}: {fault}", path.display()))?;
-    Settings::read(&text).map_err(|fault| format!("{}: {fault}", path.display()))
+    Settings::parse(&text).map_err(|fault| format!("{}: {fault}", path.display()))
 }
 
 /// Reads the settings file again; only what is new and sound is told.
@@ -36,7 +36,7 @@
             return None;
         }
         last.clone_from(&now);
-        match Settings::read(&String::from_utf8_lossy(&now)) {
+        match Settings::parse(&String::from_utf8_lossy(&now)) {
             Ok(settings) => {
                 log::info!("settings: They were read again.");
                 Some(settings)
@@ -66,7 +66,7 @@
 }
 
 /// A number that no other life of a process has: of the machine's own randomness.
-pub fn life() -> u64 {
+pub fn incarnation() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new().build_hasher().finish() | 1
 }
--- a/crates/arrowyard-system/src/show.rs
+++ b/crates/arrowyard-system/src/show.rs
@@ -5,7 +5,7 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use arrowyard_runtime::http::{Messages, call};
+use arrowyard_runtime::http::{HttpDecoder, format_request};
 use sonic_rs::{JsonContainerTrait, JsonValueTrait, Value};
 
 /// A machine that does not answer in so long is told as one that does not.
@@ -47,8 +47,10 @@
     let mut stream = TcpStream::connect_timeout(&address, PATIENCE).map_err(told)?;
     stream.set_read_timeout(Some(PATIENCE)).map_err(told)?;
     stream.set_write_timeout(Some(PATIENCE)).map_err(told)?;
-    stream.write_all(call("GET", "/status", &address.to_string(), &[], "").as_bytes()).map_err(told)?;
-    let (mut messages, mut bytes, mut length) = (Messages::default(), [0; 16 << 10], 0);
+    stream
+        .write_all(format_request("GET", "/status", &address.to_string(), &[], "").as_bytes())
+        .map_err(told)?;
+    let (mut messages, mut bytes, mut length) = (HttpDecoder::default(), [0; 16 << 10], 0);
     loop {
         let count = stream.read(&mut bytes).map_err(told)?;
         length += count;
@@ -56,7 +58,7 @@
             return Err(format!("{address}: its answer breaks off, or never ends"));
         }
         messages.put(&bytes[..count]);
-        match messages.response() {
+        match messages.next_response() {
             Ok(None) => {}
             Ok(Some(response)) if response.status == 200 => {
                 return String::from_utf8(response.body).map_err(|_| format!("{address}: no text came"));
--- a/crates/arrowyard-system/tests/helpers/mod.rs
+++ b/crates/arrowyard-system/tests/helpers/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use arrowyard_emulator::{DatabaseHost, HostFaults, HostPlan, Platform, Shard};
-use arrowyard_runtime::{Plumbing, run};
+use arrowyard_runtime::{LoopConfig, run};
 use arrowyard_testbed::rig::memory;
 use arrowyard_types::Span;
 
@@ -156,7 +156,10 @@
             let takes = Span::from_millis(300);
             planes.push(Box::new(Platform::new(&[shard], history, takes, Rc::default())));
             let mut together = Together { planes, of: Default::default() };
-            drop(run(Plumbing { doors, store: None, most: 1000 }, &mut together));
+            drop(run(
+                LoopConfig { listen_addresses: doors, store: None, max_connections: 1000 },
+                &mut together,
+            ));
         });
     }
 
@@ -236,15 +239,15 @@
         &mut self,
         now: arrowyard_types::Point,
         event: arrowyard_runtime::Event<'_>,
-        orders: &mut arrowyard_runtime::Orders,
+        commands: &mut arrowyard_runtime::Commands,
     ) {
-        use arrowyard_runtime::{Door, Event, Order};
+        use arrowyard_runtime::{Command, Event, ListenerId};
         let (place, event) = match event {
-            Event::Accepted { conn, door } => {
-                self.of.insert(conn, usize::from(door.0));
-                (Some(usize::from(door.0)), Event::Accepted { conn, door: Door(0) })
+            Event::Accepted { conn, listener } => {
+                self.of.insert(conn, usize::from(listener.0));
+                (Some(usize::from(listener.0)), Event::Accepted { conn, listener: ListenerId(0) })
             }
-            Event::Opened { conn } | Event::Came { conn, .. } | Event::Closed { conn, .. } => {
+            Event::Connected { conn } | Event::Received { conn, .. } | Event::Closed { conn, .. } => {
                 (self.of.get(&conn).copied(), event)
             }
             event => (None, event),
@@ -252,12 +255,12 @@
         for (number, plane) in self.planes.iter_mut().enumerate() {
             if place.is_some_and(|place| place != number) {
                 // What one did may concern the others: they look at the time.
-                plane.handle(now, Event::Woke, orders);
+                plane.handle(now, Event::TimerExpired, commands);
             } else {
-                plane.handle(now, event, orders);
+                plane.handle(now, event, commands);
             }
-            for order in &orders.list {
-                if let Order::Dial { conn, .. } = order {
+            for order in &commands.list {
+                if let Command::Dial { conn, .. } = order {
                     self.of.entry(*conn).or_insert(number);
                 }
             }
