--- a/crates/arrowyard-runtime/src/run.rs
+++ b/crates/arrowyard-runtime/src/run.rs
@@ -123,7 +123,9 @@
             for event in &events {
                 match event.token() {
                     WAKER => {}
-                    Token(token) if token < FIRST_CONN_TOKEN => self.accept(ListenerId((token - FIRST_LISTENER_TOKEN) as u8), plane),
+                    Token(token) if token < FIRST_CONN_TOKEN => {
+                        self.accept(ListenerId((token - FIRST_LISTENER_TOKEN) as u8), plane)
+                    }
                     Token(token) => {
                         let conn = Conn((token - FIRST_CONN_TOKEN) as u64);
                         if event.is_writable() {
