--- a/crates/arrowyard-adapter/src/router.rs
+++ b/crates/arrowyard-adapter/src/router.rs
@@ -37,17 +37,17 @@
 pub struct Instance {
     router: Router,
     hosts: Hosts,
-    zero: Point,
+    zero: Timestamp,
     /// How many op types the settings named.
     op_types: usize,
     actions: Vec<Action>,
 }
 
 impl Instance {
-    pub fn start(fields: Fields, now: Point) -> Result<Self, String> {
+    pub fn start(fields: Fields, now: Timestamp) -> Result<Self, String> {
         let info = fields.get(2).and_then(Value::as_object).ok_or_else(|| fields.wrong(2, "an object"))?;
         let zero = match info.get("domain").and_then(|domain| domain.get("origin_time")) {
-            None | Some(Value::Null) => Point::from_micros(0),
+            None | Some(Value::Null) => Timestamp::from_micros(0),
             Some(zero) => {
                 point(zero.as_f64().ok_or("PowerOn: params domain.origin_time has the wrong type")?)
             }
@@ -59,102 +59,110 @@
     }
 
     /// Turns one event into a note; nothing for events that ask nothing of the module.
-    pub fn note(&mut self, fields: Fields, pools: &[Option<Vec<Value>>]) -> Result<Option<Note>, String> {
+    pub fn note(
+        &mut self,
+        fields: Fields,
+        pools: &[Option<Vec<Value>>],
+    ) -> Result<Option<RouterEvent>, String> {
         let note = match fields.name {
             "Topology" => self.listed(fields, pools)?,
             "Request" if fields.small(2)? as usize >= self.op_types => {
                 return Err(fields.wrong(2, "a place in grades"));
             }
-            "Request" => Note::Asked(Ask {
+            "Request" => RouterEvent::OpRequested(OpRequest {
                 op: OpId(fields.whole(1)?),
                 op_type: OpTypeId(fields.small(2)?),
                 tenant: fields.small_or_none(3)?.map(TenantId),
                 group: GroupId(fields.number_or_none(4)?.unwrap_or(0.0) as i64),
                 session: fields.key_or_none(6)?.map(SessionId),
-                again: fields.whole_or_none(5)?.unwrap_or(0) & 2 != 0,
+                is_retry: fields.whole_or_none(5)?.unwrap_or(0) & 2 != 0,
                 token_age: fields.number_or_none(7)?.map(span),
-                due: point(fields.number(8)?),
-                ..Ask::default()
+                deadline: point(fields.number(8)?),
+                ..OpRequest::default()
             }),
-            "AttemptEnd" => Note::SendEnded(Ended {
+            "AttemptEnd" => RouterEvent::SendEnded(SendResult {
                 op: OpId(fields.whole(1)?),
-                send: SendNo(fields.small(2)?),
+                send: SendIndex(fields.small(2)?),
                 host: self.hosts.known(fields, 3)?,
                 outcome: outcome(fields, 4)?,
-                took: span(fields.number_or_none(5)?.unwrap_or(0.0)),
-                finished: fields.truth(6)?,
-                word: self.word(fields, 7, 8)?,
+                elapsed: span(fields.number_or_none(5)?.unwrap_or(0.0)),
+                op_finished: fields.truth(6)?,
+                status: self.word(fields, 7, 8)?,
             }),
-            "Hangup" => Note::HungUp { op: OpId(fields.whole(1)?) },
-            "Bell" => Note::Rang { cookie: Cookie(fields.whole(1)?) },
-            "Sampled" => Note::Probed {
+            "Hangup" => RouterEvent::ClientCancelled { op: OpId(fields.whole(1)?) },
+            "Bell" => RouterEvent::TimerFired { timer: TimerId(fields.whole(1)?) },
+            "Sampled" => RouterEvent::ProbeEnded {
                 host: self.hosts.known(fields, 1)?,
                 outcome: outcome(fields, 2)?,
-                word: self.word(fields, usize::MAX, 4)?,
+                status: self.word(fields, usize::MAX, 4)?,
             },
-            "Mail" => Note::Told { from: PeerId(fields.small(1)?), bytes: fields.bytes(2)? },
+            "Mail" => RouterEvent::PeerMessage { from: PeerId(fields.small(1)?), bytes: fields.bytes(2)? },
             "Begun" => return Ok(None),
             other => return Err(format!("{other}: unknown message")),
         };
         Ok(Some(note))
     }
 
-    fn listed(&mut self, fields: Fields, pools: &[Option<Vec<Value>>]) -> Result<Note, String> {
+    fn listed(&mut self, fields: Fields, pools: &[Option<Vec<Value>>]) -> Result<RouterEvent, String> {
         let form = match fields.text(2)? {
-            "INCREMENTAL" => ListForm::Changes,
-            "FULL" => ListForm::Whole,
-            "SAVED" => ListForm::Saved,
-            "FAILED" => return Ok(Note::ListFailed),
+            "INCREMENTAL" => ListKind::Incremental,
+            "FULL" => ListKind::Full,
+            "SAVED" => ListKind::Saved,
+            "FAILED" => return Ok(RouterEvent::ListFailed),
             _ => return Err(fields.wrong(2, "a form of list")),
         };
         let number = fields.small(3)? as usize;
         let records = pools.get(number).and_then(Option::as_ref);
         let records = records.ok_or_else(|| format!("{}: no Pool has number {number}", fields.name))?;
         let entries = records.iter().map(|record| self.entry(record)).collect::<Result<_, _>>()?;
-        Ok(Note::Listed { form, entries })
+        Ok(RouterEvent::HostList { kind: form, entries })
     }
 
-    fn entry(&mut self, record: &Value) -> Result<Entry, String> {
+    fn entry(&mut self, record: &Value) -> Result<HostEntry, String> {
         let values = record.as_array().ok_or("Pool: an entry is not an array")?;
         let fields = Fields { name: "Pool entry", values };
-        Ok(Entry {
+        Ok(HostEntry {
             availability: match fields.text(1)? {
                 "IN" => Availability::Ready,
                 "LAME" => Availability::Draining,
                 "OUT" => Availability::Gone,
                 _ => return Err(fields.wrong(1, "a kind of availability")),
             },
-            parts: [Part { group: GroupId(fields.number_or_none(2)?.unwrap_or(0.0) as i64), guest: false }]
-                .into(),
+            memberships: [GroupMembership {
+                group: GroupId(fields.number_or_none(2)?.unwrap_or(0.0) as i64),
+                primary_only: false,
+            }]
+            .into(),
             host: self.hosts.id(fields.text(3)?),
-            tag: tag(fields.text(3)?),
-            primary: fields.number_or_none(4)? == Some(1.0),
-            started: fields.number_or_none(5)?.filter(|&millis| millis > 0.0).map(point),
+            address_hash: tag(fields.text(3)?),
+            is_primary: fields.number_or_none(4)? == Some(1.0),
+            started_at: fields.number_or_none(5)?.filter(|&millis| millis > 0.0).map(point),
             size: fields.number_or_none(6)?.unwrap_or(1.0),
             zone: ZoneId(fields.small_or_none(7)?.unwrap_or(0)),
         })
     }
 
-    fn word(&self, fields: Fields, note_at: usize, report_at: usize) -> Result<Word, String> {
-        let mut word = Word::default();
+    fn word(&self, fields: Fields, note_at: usize, report_at: usize) -> Result<HostStatus, String> {
+        let mut word = HostStatus::default();
         if let Some(note) = fields.whole_or_none(note_at)? {
             word.role = [None, Some(Role::Primary), Some(Role::Replica), None][(note % 4) as usize];
-            word.position = (note >= 4).then(|| self.zero + Span::from_millis((note / 4) as i64));
+            word.position = (note >= 4).then(|| self.zero + TimeDelta::from_millis((note / 4) as i64));
         }
         if let Some(report) = fields.report(report_at)? {
             let read = |name: &str| report.get(name).and_then(Value::as_f64);
-            word.position =
-                read("x0").map(|s| self.zero + Span::from_micros((s * 1e6).floor() as i64)).or(word.position);
+            word.position = read("x0")
+                .map(|s| self.zero + TimeDelta::from_micros((s * 1e6).floor() as i64))
+                .or(word.position);
             word.role =
                 read("x1").map(|x| if x == 1.0 { Role::Primary } else { Role::Replica }).or(word.role);
-            word.util = read("busy");
-            word.queue = read("q");
+            word.cpu_utilization = read("busy");
+            word.queued_ops = read("q");
         }
         Ok(word)
     }
 
-    pub fn take(&mut self, now: Point, note: Note) {
-        self.router.take(now, note, &mut self.actions);
+    pub fn take(&mut self, now: Timestamp, note: RouterEvent) {
+        self.router.handle(now, note, &mut self.actions);
     }
 
     /// Writes out what the module wants, in its order.
@@ -163,7 +171,7 @@
             let address = |host: HostId| &self.hosts.addresses[host.0 as usize];
             let comma = if out.ends_with('[') { "" } else { "," };
             let written = match action {
-                Action::Send { op, host, until } => {
+                Action::Send { op, host, deadline: until } => {
                     let until = until.micros() as f64 / 1e3;
                     write!(out, r#"{comma}["PassOn","{name}",{},{until},"{}"]"#, op.0, address(host))
                 }
@@ -176,15 +184,15 @@
                 }
                 Action::ErrorReply { op } => write!(out, r#"{comma}["EndFailed","{name}",{}]"#, op.0),
                 Action::Probe { host } => write!(out, r#"{comma}["Touch","{name}","{}"]"#, address(host)),
-                Action::Ring { after, cookie } => {
+                Action::SetTimer { after, timer: cookie } => {
                     write!(out, r#"{comma}["WakeMe","{name}",{},{}]"#, after.micros() as f64 / 1e3, cookie.0)
                 }
-                Action::Subscribe { on } => write!(out, r#"{comma}["Follow","{name}",{on}]"#),
-                Action::FetchList => write!(out, r#"{comma}["ListAll","{name}"]"#),
-                Action::CloseIdle { host } => {
+                Action::SubscribeHostList { on } => write!(out, r#"{comma}["Follow","{name}",{on}]"#),
+                Action::FetchHostList => write!(out, r#"{comma}["ListAll","{name}"]"#),
+                Action::CloseIdleConnections { host } => {
                     write!(out, r#"{comma}["ShutIdle","{name}","{}"]"#, address(host))
                 }
-                Action::Tell { to, bytes } => {
+                Action::SendPeerMessage { to, bytes } => {
                     let whom = to.map_or(Value::from("*"), |peer| Value::from(peer.0));
                     let blob: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
                     write!(out, r#"{comma}["Signal","{name}",{whom},"{blob}"]"#)
@@ -200,19 +208,19 @@
     Ok(match fields.whole(place)? {
         0 => Outcome::Acked,
         13 => Outcome::Errored,
-        8 => Outcome::Full,
+        8 => Outcome::Overloaded,
         4 => Outcome::TimedOut,
         14 => Outcome::ConnectFailed,
         10 => Outcome::Reset,
         1 => Outcome::Cancelled,
-        9 => Outcome::Moot,
-        5 => Outcome::Miss,
+        9 => Outcome::NotSent,
+        5 => Outcome::Misrouted,
         _ => return Err(fields.wrong(place, "an outcome code")),
     })
 }
 
 /// The clock of a batch.
-pub fn clock(batch: &Map<String, Value>) -> Result<Point, String> {
+pub fn clock(batch: &Map<String, Value>) -> Result<Timestamp, String> {
     let millis = batch.get("t").and_then(Value::as_f64).ok_or("batch: t is not a number")?;
-    Ok(Point::from_micros(micros(millis)))
+    Ok(Timestamp::from_micros(micros(millis)))
 }
--- a/crates/arrowyard-background-tasks/src/lib.rs
+++ b/crates/arrowyard-background-tasks/src/lib.rs
@@ -9,7 +9,7 @@
 pub use budget::Bucket;
 pub use slices::{Slice, Slices};
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
 /// Who goes before whom.
@@ -29,14 +29,14 @@
     pub name: &'static str,
     pub rank: Rank,
     /// So long after its last turn it is due again; never by itself if absent.
-    pub every: Option<Span>,
+    pub every: Option<TimeDelta>,
     /// That time is drawn from this share less to this share more, so that processes do not fall in step.
     pub jitter: f64,
     /// So long after it was due it goes before all that are not, whatever ops wait and whatever was spent.
-    pub within: Span,
+    pub within: TimeDelta,
     /// The pause after a turn that failed, doubled with each in a row, up to the longest.
-    pub rest: Span,
-    pub most_rest: Span,
+    pub rest: TimeDelta,
+    pub most_rest: TimeDelta,
     /// What a turn takes outside: connections, probes, calls.
     pub takes: f64,
 }
@@ -44,14 +44,14 @@
 impl Terms {
     /// Upkeep that is due so often.
     #[must_use]
-    pub fn every(name: &'static str, rank: Rank, every: Span) -> Terms {
+    pub fn every(name: &'static str, rank: Rank, every: TimeDelta) -> Terms {
         Terms { every: Some(every), within: every * 2.0, ..Terms::asked(name, rank, every) }
     }
 
     /// What is done when it is asked for.
     #[must_use]
-    pub fn asked(name: &'static str, rank: Rank, within: Span) -> Terms {
-        let (rest, most_rest) = (Span::from_millis(100), Span::from_millis(30_000));
+    pub fn asked(name: &'static str, rank: Rank, within: TimeDelta) -> Terms {
+        let (rest, most_rest) = (TimeDelta::from_millis(100), TimeDelta::from_millis(30_000));
         Terms { name, rank, every: None, jitter: 0.1, within, rest, most_rest, takes: 0.0 }
     }
 }
@@ -61,7 +61,7 @@
 pub struct Budget {
     /// The share of the thread's time, and how much of it may be saved up.
     pub thread: f64,
-    pub burst: Span,
+    pub burst: TimeDelta,
     /// What may be taken outside, a second, and saved up.
     pub takes: f64,
     pub takes_burst: f64,
@@ -69,7 +69,7 @@
 
 impl Default for Budget {
     fn default() -> Self {
-        Budget { thread: 0.05, burst: Span::from_millis(10), takes: 50.0, takes_burst: 50.0 }
+        Budget { thread: 0.05, burst: TimeDelta::from_millis(10), takes: 50.0, takes_burst: 50.0 }
     }
 }
 
@@ -87,17 +87,17 @@
 pub struct Stats {
     pub turns: u64,
     pub failed: u64,
-    pub thread: Span,
+    pub thread: TimeDelta,
     /// The longest single turn, and the longest time from due to begin.
-    pub longest: Span,
-    pub latest: Span,
+    pub longest: TimeDelta,
+    pub latest: TimeDelta,
 }
 
 #[derive(Clone, Debug)]
 struct State<C> {
     chore: C,
     terms: Terms,
-    due: Option<Point>,
+    due: Option<Timestamp>,
     running: bool,
     /// It was asked for while it ran.
     again: bool,
@@ -111,16 +111,16 @@
     thread: Bucket,
     takes: Bucket,
     /// The earliest moment at which anything may be due: one comparison for callers that come round all the time.
-    next: Option<Point>,
+    next: Option<Timestamp>,
     rng: Rng,
 }
 
 /// So soon a chore that is due and may not be done yet is looked at again.
-const LOOK_AGAIN: Span = Span::from_millis(5);
+const LOOK_AGAIN: TimeDelta = TimeDelta::from_millis(5);
 
 impl<C: Copy + PartialEq> Scheduler<C> {
     #[must_use]
-    pub fn new(now: Point, budget: Budget, seed: u64) -> Scheduler<C> {
+    pub fn new(now: Timestamp, budget: Budget, seed: u64) -> Scheduler<C> {
         Scheduler {
             chores: Vec::new(),
             thread: Bucket::new(now, budget.thread, budget.burst.as_secs_f64()),
@@ -131,7 +131,7 @@
     }
 
     /// One more chore; one that is done from time to time is due for the first time within its time.
-    pub fn add(&mut self, now: Point, chore: C, terms: Terms) {
+    pub fn add(&mut self, now: Timestamp, chore: C, terms: Terms) {
         let due = terms.every.map(|every| now + every * self.rng.f64());
         self.chores.push(State {
             chore,
@@ -150,7 +150,7 @@
     }
 
     /// It is due from now on, if it is not yet. One that rests after a failure goes on resting.
-    pub fn ask(&mut self, now: Point, chore: C) {
+    pub fn ask(&mut self, now: Timestamp, chore: C) {
         let Some(one) = self.of(chore) else { return };
         if one.running {
             one.again = true;
@@ -168,7 +168,7 @@
 
     /// When a turn may be taken next, if nothing else happens: at once for one that only waits for ops or for its budget.
     #[must_use]
-    pub fn next_at(&self) -> Option<Point> {
+    pub fn next_at(&self) -> Option<Timestamp> {
         self.next
     }
 
@@ -177,13 +177,13 @@
     /// First those that are late beyond their time, the one that is latest by its own measure first. Danger: a router that is
     /// never idle never saves its list, and one that never has budget left never closes an idle connection. Each
     /// turn of them is one slice, so that between two of them ops are served; all the same the debt is kept and paid by the rest.
-    pub fn take(&mut self, now: Point, ops: bool) -> Option<C> {
+    pub fn take(&mut self, now: Timestamp, ops: bool) -> Option<C> {
         if self.next.is_none_or(|next| next > now) {
             return None;
         }
         let due = |one: &(usize, &State<C>)| !one.1.running && one.1.due.is_some_and(|due| due <= now);
         let lateness =
-            |one: &State<C>| (now - one.due.unwrap_or(now)) / one.terms.within.max(Span::from_micros(1));
+            |one: &State<C>| (now - one.due.unwrap_or(now)) / one.terms.within.max(TimeDelta::from_micros(1));
         let latest = self
             .chores
             .iter()
@@ -213,7 +213,7 @@
         Some(self.begin(now, next?))
     }
 
-    fn begin(&mut self, now: Point, at: usize) -> C {
+    fn begin(&mut self, now: Timestamp, at: usize) -> C {
         let one = &mut self.chores[at];
         let late = now - one.due.unwrap_or(now);
         one.stats.latest = one.stats.latest.max(late);
@@ -225,7 +225,7 @@
     }
 
     /// A turn has ended, and took so much of the thread's time.
-    pub fn done(&mut self, now: Point, chore: C, took: Span, end: End) {
+    pub fn done(&mut self, now: Timestamp, chore: C, took: TimeDelta, end: End) {
         self.thread.spend(now, took.as_secs_f64());
         let draw = self.rng.f64();
         let Some(one) = self.of(chore) else { return };
--- a/crates/arrowyard-background-tasks/tests/chores.rs
+++ b/crates/arrowyard-background-tasks/tests/chores.rs
@@ -3,15 +3,15 @@
 use std::collections::BTreeMap;
 
 use arrowyard_background_tasks::{Budget, End, Rank, Scheduler, Slice, Slices, Terms};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
-fn ms(millis: i64) -> Span {
-    Span::from_millis(millis)
+fn ms(millis: i64) -> TimeDelta {
+    TimeDelta::from_millis(millis)
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -99,7 +99,7 @@
 
 #[test]
 fn upkeep_does_not_fall_in_step() {
-    let dues: Vec<Point> = (0..50)
+    let dues: Vec<Timestamp> = (0..50)
         .filter_map(|seed| {
             let mut chores = Scheduler::new(at(0), Budget::default(), seed);
             chores.add(at(0), 0, Terms::every("tick", Rank::Usual, ms(1000)));
--- a/crates/arrowyard-cells/src/budget.rs
+++ b/crates/arrowyard-cells/src/budget.rs
@@ -1,7 +1,7 @@
 //! A budget of repeated attempts: further sends and clients' marked retries, against first sends. Over any window
 //! they are at most a share of the first sends, or a small number that is always allowed, whichever is more.
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::layout::Repeats;
 
@@ -37,11 +37,11 @@
         };
     }
 
-    fn number(&self, now: Point) -> i64 {
+    fn number(&self, now: Timestamp) -> i64 {
         now.micros().div_euclid((self.terms.window.micros() / SLICES).max(1))
     }
 
-    fn slice(&mut self, now: Point) -> &mut Slice {
+    fn slice(&mut self, now: Timestamp) -> &mut Slice {
         let number = self.number(now);
         let slice = &mut self.slices[number.rem_euclid(SLICES + 1) as usize];
         if slice.number != number {
@@ -50,14 +50,14 @@
         slice
     }
 
-    pub fn first(&mut self, now: Point) {
+    pub fn first(&mut self, now: Timestamp) {
         let slice = self.slice(now);
         slice.first = slice.first.saturating_add(1);
     }
 
     /// How many more attempts may be repeated now. Danger: a window that straddles slices. Repeats count in every
     /// slice that the window touches, first sends only in those that lie wholly within it.
-    pub fn left(&self, now: Point) -> u32 {
+    pub fn left(&self, now: Timestamp) -> u32 {
         let number = self.number(now);
         let within = |from: i64| {
             self.slices.iter().filter(move |s| (number - s.number) >= 0 && s.number > number - from)
@@ -69,13 +69,13 @@
     }
 
     /// Counts one that was repeated.
-    pub fn repeated(&mut self, now: Point) {
+    pub fn repeated(&mut self, now: Timestamp) {
         let slice = self.slice(now);
         slice.repeated = slice.repeated.saturating_add(1);
     }
 
     /// Whether one more may be repeated; if so, it counts.
-    pub fn spend(&mut self, now: Point) -> bool {
+    pub fn spend(&mut self, now: Timestamp) -> bool {
         let may = self.left(now) > 0;
         if may {
             self.repeated(now);
@@ -84,7 +84,7 @@
     }
 
     /// After this span the oldest slice falls out of the window, and there may be room again.
-    pub fn back_after(&self) -> Span {
-        Span::from_micros(self.terms.window.micros() / SLICES)
+    pub fn back_after(&self) -> TimeDelta {
+        TimeDelta::from_micros(self.terms.window.micros() / SLICES)
     }
 }
--- a/crates/arrowyard-cells/src/desk.rs
+++ b/crates/arrowyard-cells/src/desk.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-use arrowyard_types::{CellId, GroupId, HostId, Need, Point, Span};
+use arrowyard_types::{CellId, Consistency, GroupId, HostId, TimeDelta, Timestamp};
 use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
 
@@ -34,13 +34,13 @@
     pub address: Option<IpAddr>,
     pub group: GroupId,
     pub bytes: u64,
-    pub need: Need,
+    pub need: Consistency,
     /// What names the session: its ops keep to one of several cells.
     pub session: Option<u64>,
     /// The token, in op types whose repeats have one effect.
     pub token: Option<u64>,
     pub again: bool,
-    pub due: Point,
+    pub due: Timestamp,
 }
 
 /// A place that an op has: told back when it ends.
@@ -62,12 +62,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Verdict {
     /// It goes on in this cell, to this group as the lists name it; a session's read has to see this much at least.
-    Go { pass: Pass, group: GroupId, floor: Option<Point> },
+    Go { pass: Pass, group: GroupId, floor: Option<Timestamp> },
     /// It waits, at most until this point; then, and whenever something changed, its place is given back (`ended`)
     /// and it is asked about anew.
-    Hold { pass: Pass, until: Point },
+    Hold { pass: Pass, until: Timestamp },
     /// Nothing of it was sent. Come back after this span, if one is known.
-    Busy { cell: Option<CellId>, after: Option<Span>, why: Why },
+    Busy { cell: Option<CellId>, after: Option<TimeDelta>, why: Why },
     /// It cannot be an op here, or may have run where it cannot be asked for any more.
     Error { why: Why },
 }
@@ -183,10 +183,10 @@
 }
 
 /// When a client had better come back whose cell had no room: a few ops have ended by then.
-const COME_BACK: Span = Span::from_millis(20);
+const COME_BACK: TimeDelta = TimeDelta::from_millis(20);
 
 impl Cells {
-    pub fn new(now: Point, layout: Layout, totals: Totals, terms: Terms) -> Self {
+    pub fn new(now: Timestamp, layout: Layout, totals: Totals, terms: Terms) -> Self {
         let room = |total| Room::new(total, parts(&layout), layout.call_back);
         let mut cells = Cells {
             index: Index::new(&layout),
@@ -255,7 +255,7 @@
     ///
     /// # Errors
     /// Why it is refused; nothing has changed then.
-    pub fn relayout(&mut self, now: Point, layout: Layout) -> Result<(), Stale> {
+    pub fn relayout(&mut self, now: Timestamp, layout: Layout) -> Result<(), Stale> {
         let aligned =
             layout.clone().aligned(&self.layout, |id| self.ops.used(id) == 0 && self.probes.used(id) == 0);
         if aligned == self.layout {
@@ -275,7 +275,7 @@
     }
 
     /// Brings cells and moves in line with the layout.
-    fn renew(&mut self, now: Point, old: Option<&Layout>) {
+    fn renew(&mut self, now: Timestamp, old: Option<&Layout>) {
         let repeats = self.layout.repeats;
         let mut cells = std::mem::take(&mut self.cells).into_iter();
         let renewed = self.layout.cells.iter().enumerate().map(|(id, row)| {
@@ -319,14 +319,16 @@
     }
 
     /// Where an op goes that came just now, or is held.
-    pub fn admit(&mut self, now: Point, facts: &Facts) -> Verdict {
+    pub fn admit(&mut self, now: Timestamp, facts: &Facts) -> Verdict {
         let homes = match self.assign.of(facts.tenant, facts.address, facts.group) {
             Ok(homes) => homes,
             Err(why) => return Verdict::Error { why: Why::Homeless(why) },
         };
         // Danger: who writes where may have changed since this file was written. What is written here is lost then,
         // and what is read with a bound is older than that.
-        if facts.need != Need::Any && self.layout.lease.is_some_and(|lease| now >= lease.until - lease.skew) {
+        if facts.need != Consistency::Any
+            && self.layout.lease.is_some_and(|lease| now >= lease.until - lease.skew)
+        {
             return self.busy(homes[0], None, Why::Lease);
         }
         let moving = facts.tenant.and_then(|tenant| self.moving.get(tenant).copied());
@@ -338,14 +340,14 @@
         self.admit_in(now, &homes, facts, facts.group, None, None)
     }
 
-    fn admit_moving(&mut self, now: Point, id: MoveId, facts: &Facts) -> Verdict {
+    fn admit_moving(&mut self, now: Timestamp, id: MoveId, facts: &Facts) -> Verdict {
         let Some(moving) = self.moves.get_mut(&id) else { return Verdict::Error { why: Why::Unsure } };
         let (need, token, again, due) = (facts.need, facts.token, facts.again, facts.due);
         let (from, to) = (moving.row.from, moving.row.to);
         let groups = moving.row.groups.unwrap_or((facts.group, facts.group));
         match moving.place(now, Wanted { need, token, again, due }) {
             Where::Source => {
-                let counted = (need == Need::Write).then_some(id);
+                let counted = (need == Consistency::Write).then_some(id);
                 let verdict = self.admit_in(now, &[from], facts, groups.0, None, counted);
                 let moving = self.moves.get_mut(&id).filter(|_| counted.is_some());
                 if let (Verdict::Go { .. }, Some(moving)) = (verdict, moving) {
@@ -379,11 +381,11 @@
 
     fn admit_in(
         &mut self,
-        now: Point,
+        now: Timestamp,
         homes: &[CellId],
         facts: &Facts,
         group: GroupId,
-        floor: Option<Point>,
+        floor: Option<Timestamp>,
         moving: Option<MoveId>,
     ) -> Verdict {
         let serving = |id: &CellId| self.index.serves(*id, group);
@@ -409,12 +411,12 @@
         self.busy(cell, after, why)
     }
 
-    fn busy(&mut self, cell: CellId, after: Option<Span>, why: Why) -> Verdict {
+    fn busy(&mut self, cell: CellId, after: Option<TimeDelta>, why: Why) -> Verdict {
         self.cells[cell.0 as usize].tally.busy += 1;
         Verdict::Busy { cell: Some(cell), after, why }
     }
 
-    fn take(&mut self, now: Point, id: CellId, facts: &Facts) -> Result<(), (Why, Option<Span>)> {
+    fn take(&mut self, now: Timestamp, id: CellId, facts: &Facts) -> Result<(), (Why, Option<TimeDelta>)> {
         let cell = &mut self.cells[id.0 as usize];
         if cell.pace.is_some_and(|pace| self.ops.used(id) >= pace.limit()) {
             return Err((Why::Pace, Some(COME_BACK)));
@@ -435,7 +437,7 @@
     }
 
     /// A send of the op goes out: its first, or a further one.
-    pub fn sent(&mut self, now: Point, pass: &Pass, first: bool) {
+    pub fn sent(&mut self, now: Timestamp, pass: &Pass, first: bool) {
         let cell = &mut self.cells[pass.cell.0 as usize];
         if let Some(budget) = &mut cell.budget {
             if first { budget.first(now) } else { budget.repeated(now) }
@@ -445,7 +447,7 @@
     }
 
     /// How many further sends the cell may make now; none: as many as it likes.
-    pub fn spare(&self, now: Point, cell: CellId) -> Option<u32> {
+    pub fn spare(&self, now: Timestamp, cell: CellId) -> Option<u32> {
         self.cells[cell.0 as usize].budget.as_ref().map(|budget| budget.left(now))
     }
 
@@ -465,7 +467,7 @@
 
     /// The op is over and none of its sends is out: its place is free. `ran` is what became of it, `position` where
     /// its write was acked.
-    pub fn ended(&mut self, now: Point, pass: Pass, ran: Ran, position: Option<Point>) {
+    pub fn ended(&mut self, now: Timestamp, pass: Pass, ran: Ran, position: Option<Timestamp>) {
         self.ops.give(pass.cell, 1);
         self.bytes.give(pass.cell, pass.bytes);
         match pass.moving.and_then(|id| self.moves.get_mut(&id)) {
@@ -477,7 +479,7 @@
 
     /// Whether a host of the cell may be probed now. Danger: a cell whose hosts all hang has a probe at each of them
     /// for as long as a probe may last, and they take the connections of all others.
-    pub fn probe(&mut self, now: Point, cell: CellId) -> bool {
+    pub fn probe(&mut self, now: Timestamp, cell: CellId) -> bool {
         self.probes.take(now, cell, 1).is_ok()
     }
 
@@ -487,7 +489,7 @@
     }
 
     /// A host of a cell started anew.
-    pub fn renewed(&mut self, cell: CellId, at: Point, within: Span) {
+    pub fn renewed(&mut self, cell: CellId, at: Timestamp, within: TimeDelta) {
         if let Some(widen) = &mut self.widen {
             widen.renewed(cell, at, within);
         }
@@ -521,12 +523,12 @@
     }
 
     /// A host said where it is.
-    pub fn learnt(&mut self, host: HostId, position: Point, primary: bool) {
+    pub fn learnt(&mut self, host: HostId, position: Timestamp, primary: bool) {
         self.moves.values_mut().for_each(|moving| moving.learnt(host, position, primary));
     }
 
     /// Time has passed. Whether held ops should be asked about again.
-    pub fn tick(&mut self, now: Point) -> bool {
+    pub fn tick(&mut self, now: Timestamp) -> bool {
         let mut changed = false;
         for moving in self.moves.values_mut() {
             let stuck = moving.tick(now);
--- a/crates/arrowyard-cells/src/layout.rs
+++ b/crates/arrowyard-cells/src/layout.rs
@@ -1,6 +1,6 @@
 //! What a file of the operator's says of cells, checked, under our names.
 
-use arrowyard_types::{CellId, GroupId, Point, Span};
+use arrowyard_types::{CellId, GroupId, TimeDelta, Timestamp};
 use ipnet::IpNet;
 use rustc_hash::FxHashMap;
 
@@ -18,7 +18,7 @@
     /// To how many cells a tenant goes that no row names; none: its ops are errors.
     pub rest: Option<usize>,
     /// After a cell asked for its own room, nobody borrows for so long.
-    pub call_back: Span,
+    pub call_back: TimeDelta,
     pub repeats: Option<Repeats>,
     pub release: Option<Release>,
     pub lease: Option<Lease>,
@@ -64,7 +64,7 @@
     pub share: f64,
     /// In a window, however few first sends there were.
     pub least: u32,
-    pub window: Span,
+    pub window: TimeDelta,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -77,8 +77,8 @@
 /// Until when the file's word on who writes where holds, and how far apart two clocks may be.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
-    pub until: Point,
-    pub skew: Span,
+    pub until: Timestamp,
+    pub skew: TimeDelta,
 }
 
 impl Layout {
--- a/crates/arrowyard-cells/src/moving.rs
+++ b/crates/arrowyard-cells/src/moving.rs
@@ -17,7 +17,7 @@
 
 use std::collections::VecDeque;
 
-use arrowyard_types::{CellId, GroupId, HostId, Need, Point, Span};
+use arrowyard_types::{CellId, Consistency, GroupId, HostId, TimeDelta, Timestamp};
 use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
 
@@ -46,15 +46,15 @@
     /// The group that clients name; none: any.
     pub named: Option<GroupId>,
     pub step: Step,
-    pub fence_at: Option<Point>,
-    pub switch_at: Option<Point>,
+    pub fence_at: Option<Timestamp>,
+    pub switch_at: Option<Timestamp>,
     /// The source's position up to which all was copied, and the target's from which on it holds that.
-    pub copied_through: Option<Point>,
-    pub target_floor: Option<Point>,
+    pub copied_through: Option<Timestamp>,
+    pub target_floor: Option<Timestamp>,
     /// The target's primary whose position that is, by its name in the lists.
     pub target_host: Option<Box<str>>,
     /// How long the source remembers tokens.
-    pub memory: Span,
+    pub memory: TimeDelta,
 }
 
 /// How far this router is.
@@ -78,7 +78,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Noted {
-    first_at: Point,
+    first_at: Timestamp,
     ran: Ran,
 }
 
@@ -88,20 +88,20 @@
     /// Whether clients mark what they ask again.
     pub marks: bool,
     /// Writes that are out at the fence have ended after this: the longest op timeout.
-    pub settle: Span,
+    pub settle: TimeDelta,
     /// How far apart two clocks may be.
-    pub skew: Span,
+    pub skew: TimeDelta,
 }
 
 /// An op of the tenant, as far as a move cares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Wanted {
-    pub need: Need,
+    pub need: Consistency,
     /// The token, if repeats of it have one effect.
     pub token: Option<u64>,
     /// Whether the client says that it asks again.
     pub again: bool,
-    pub due: Point,
+    pub due: Timestamp,
 }
 
 /// Where it goes.
@@ -109,11 +109,11 @@
 pub enum Where {
     Source,
     /// With what a session's read must see at least.
-    Target(Option<Point>),
+    Target(Option<Timestamp>),
     /// It waits till the move is further, at most until this point; then it is asked about again.
-    Hold(Point),
+    Hold(Timestamp),
     /// Nothing of it was sent; come back after this span.
-    Busy(Span),
+    Busy(TimeDelta),
     /// It may have run where it cannot be asked for any more.
     Unsure,
 }
@@ -124,9 +124,9 @@
     /// Writes of the tenant are out.
     Out(u32),
     /// The copy ends before this point, up to which writes were, or may have been, acked; it has to be taken further.
-    Copy { needed: Point, copied: Point },
+    Copy { needed: Timestamp, copied: Timestamp },
     /// The switch is announced for later.
-    Early(Point),
+    Early(Timestamp),
     /// Fewer than most of the target's hosts are known to hold the copy.
     Target { hold: usize, hosts: usize },
     /// The target's primary is not known, or is not the host that the file names: the copy has to be looked at again.
@@ -154,14 +154,14 @@
     terms: Terms,
     stage: Stage,
     tokens: FxHashMap<u64, Noted>,
-    order: VecDeque<(Point, u64)>,
+    order: VecDeque<(Timestamp, u64)>,
     /// Writes that were let through to the source and have not ended.
     out: u32,
     /// Writes that are held.
     held: u32,
-    last_acked: Option<Point>,
+    last_acked: Option<Timestamp>,
     /// Positions of the target's hosts, as learnt.
-    positions: SmallVec<[(HostId, Point); 4]>,
+    positions: SmallVec<[(HostId, Timestamp); 4]>,
     /// The target's primary, as learnt last, and the host whose position the file's floor is.
     lead: Option<HostId>,
     floor_of: Option<HostId>,
@@ -169,7 +169,7 @@
 
 impl Moving {
     /// A move that this router learns of now; of what was before it knows nothing.
-    pub fn new(now: Point, row: Row, terms: Terms) -> Self {
+    pub fn new(now: Timestamp, row: Row, terms: Terms) -> Self {
         let (tokens, order, positions) = Default::default();
         let (stage, out, held, last_acked) = (Stage::Open, 0, 0, None);
         let (lead, floor_of) = (None, None);
@@ -226,7 +226,7 @@
     }
 
     /// Takes what was accepted, of the same move.
-    pub fn take(&mut self, now: Point, row: Row) {
+    pub fn take(&mut self, now: Timestamp, row: Row) {
         if row.target_host != self.row.target_host {
             // Till the target's hosts are named anew.
             self.floor_of = None;
@@ -239,7 +239,7 @@
     }
 
     /// Goes on as far as all that a stage demands is given; tells what is missing for the next.
-    pub fn tick(&mut self, now: Point) -> Option<Stuck> {
+    pub fn tick(&mut self, now: Timestamp) -> Option<Stuck> {
         self.forget(now);
         loop {
             self.stage = match self.stage {
@@ -268,11 +268,11 @@
     }
 
     /// No write that was let through to the source has an effect later than this.
-    fn settled_at(&self) -> Option<Point> {
+    fn settled_at(&self) -> Option<Timestamp> {
         self.row.fence_at.map(|at| at + self.terms.settle + self.terms.skew)
     }
 
-    fn switch_lacks(&self, now: Point) -> Option<Stuck> {
+    fn switch_lacks(&self, now: Timestamp) -> Option<Stuck> {
         if self.row.step < Step::Switched {
             return Some(Stuck::File);
         }
@@ -304,7 +304,7 @@
     }
 
     /// Whether the source may remember a token of a write that was first sent there before the fence.
-    fn remembers(&self, now: Point) -> bool {
+    fn remembers(&self, now: Timestamp) -> bool {
         self.row.fence_at.is_some_and(|at| now < at + self.row.memory + self.terms.skew)
     }
 
@@ -321,7 +321,7 @@
 
     /// A host said where it is, and whether it is the primary. Danger: after a failover of the target its newest
     /// records are lost, and positions go back; the last word counts here, not the highest.
-    pub fn learnt(&mut self, host: HostId, position: Point, primary: bool) {
+    pub fn learnt(&mut self, host: HostId, position: Timestamp, primary: bool) {
         let Some(known) = self.positions.iter_mut().find(|(other, _)| *other == host) else { return };
         known.1 = position;
         match self.lead {
@@ -333,7 +333,7 @@
 
     /// Danger: tokens without end. One that is dropped too early is not known any more, and its marked repeat is
     /// answered with an error, not sent.
-    fn forget(&mut self, now: Point) {
+    fn forget(&mut self, now: Timestamp) {
         while let Some(&(at, token)) = self.order.front() {
             let old = at + self.row.memory * 2.0 + self.terms.settle < now;
             if self.order.len() <= TOKENS && !old {
@@ -345,14 +345,14 @@
     }
 
     /// Where an op of the tenant may go now. A write that goes to the source is followed by `sent`.
-    pub fn place(&mut self, now: Point, op: Wanted) -> Where {
+    pub fn place(&mut self, now: Timestamp, op: Wanted) -> Where {
         self.tick(now);
         let switched = self.stage >= Stage::Switched;
-        if op.need != Need::Write {
+        if op.need != Consistency::Write {
             // Danger: others have switched, and what they write the source never sees.
             let due =
                 self.row.switch_at.filter(|_| self.row.groups.is_some() && self.row.step != Step::Cancelled);
-            let late = due.is_some_and(|at| now >= at - self.terms.skew) && op.need != Need::Any;
+            let late = due.is_some_and(|at| now >= at - self.terms.skew) && op.need != Consistency::Any;
             return match switched {
                 true => Where::Target(self.row.target_floor),
                 false if late && self.stage >= Stage::Fenced => self.wait(now, op.due),
@@ -399,15 +399,15 @@
     }
 
     /// Whether a write that ends by then has its effect before the copy's end.
-    fn settles(&self, due: Point) -> bool {
+    fn settles(&self, due: Timestamp) -> bool {
         self.settled_at().is_none_or(|settled| due + self.terms.skew <= settled)
     }
 
-    fn wait(&self, now: Point, due: Point) -> Where {
+    fn wait(&self, now: Timestamp, due: Timestamp) -> Where {
         // Danger: the fence holds a rush of writes until they are all given up at their deadlines. What cannot be
         // answered in time is given up at once, with when to come back.
         let half = now + (due - now) * 0.5;
-        let soon = (self.row.memory * 0.25).max(Span::from_millis(50));
+        let soon = (self.row.memory * 0.25).max(TimeDelta::from_millis(50));
         match self.row.switch_at {
             Some(at) if now < at && at <= half => Where::Hold(half),
             Some(at) if now < at => Where::Busy(at - now),
@@ -424,7 +424,7 @@
     }
 
     /// A write was let through to the source.
-    pub fn sent(&mut self, now: Point, token: Option<u64>) {
+    pub fn sent(&mut self, now: Timestamp, token: Option<u64>) {
         self.out += 1;
         if self.stage == Stage::Drained {
             self.stage = Stage::Fenced;
@@ -443,7 +443,7 @@
     }
 
     /// A write at the source ended: what became of it, and at which position it was acked.
-    pub fn ended(&mut self, now: Point, token: Option<u64>, ran: Ran, position: Option<Point>) {
+    pub fn ended(&mut self, now: Timestamp, token: Option<u64>, ran: Ran, position: Option<Timestamp>) {
         self.out = self.out.saturating_sub(1);
         let noted = token.and_then(|token| self.tokens.get_mut(&token));
         let before = noted.as_ref().map(|noted| noted.ran);
--- a/crates/arrowyard-cells/src/room.rs
+++ b/crates/arrowyard-cells/src/room.rs
@@ -2,7 +2,7 @@
 //! share by its weight. A part of the share is guaranteed: it stands free for the cell whatever others do. The rest
 //! may be lent while it is idle, and is called back when its owner asks.
 
-use arrowyard_types::{CellId, Point, Span};
+use arrowyard_types::{CellId, TimeDelta, Timestamp};
 
 /// One divided thing.
 #[derive(Clone, Debug)]
@@ -11,9 +11,9 @@
     cells: Vec<Part>,
     /// Of each cell what it holds, or what is guaranteed to it if that is more; summed.
     taken: u64,
-    call_back: Span,
+    call_back: TimeDelta,
     /// Nobody borrows before: some cell asked for room of its own that was lent.
-    called_till: Point,
+    called_till: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -40,7 +40,7 @@
 
 impl Room {
     /// `parts`: each cell's weight, and the part of its share that is guaranteed.
-    pub fn new(total: u64, parts: impl Iterator<Item = (f64, f64)>, call_back: Span) -> Self {
+    pub fn new(total: u64, parts: impl Iterator<Item = (f64, f64)>, call_back: TimeDelta) -> Self {
         let parts: Vec<(f64, f64)> = parts.collect();
         let weights: f64 = parts.iter().map(|(weight, _)| weight).sum();
         let part = |(weight, guaranteed): (f64, f64)| {
@@ -50,11 +50,11 @@
         };
         let cells: Vec<Part> = parts.into_iter().map(part).collect();
         let taken = cells.iter().map(Part::taken).sum();
-        Room { total, cells, taken, call_back, called_till: Point::DAWN }
+        Room { total, cells, taken, call_back, called_till: Timestamp::DISTANT_PAST }
     }
 
     /// Divides anew; what is held stays held. Cells keep their ids, and there may be more of them.
-    pub fn divide(&mut self, parts: impl Iterator<Item = (f64, f64)>, call_back: Span) {
+    pub fn divide(&mut self, parts: impl Iterator<Item = (f64, f64)>, call_back: TimeDelta) {
         let mut next = Room::new(self.total, parts, call_back);
         for (part, old) in next.cells.iter_mut().zip(&self.cells) {
             part.used = old.used;
@@ -81,7 +81,7 @@
     }
 
     /// Whether a cell waits for room of its own.
-    pub fn is_called(&self, now: Point) -> bool {
+    pub fn is_called(&self, now: Timestamp) -> bool {
         now < self.called_till
     }
 
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// Why there is no room.
-    pub fn take(&mut self, now: Point, cell: CellId, more: u64) -> Result<(), Full> {
+    pub fn take(&mut self, now: Timestamp, cell: CellId, more: u64) -> Result<(), Full> {
         let part = self.cells[cell.0 as usize];
         let then = Part { used: part.used.saturating_add(more), ..part };
         let taken = self.taken - part.taken() + then.taken().min(u64::MAX / 2);
--- a/crates/arrowyard-cells/src/widen.rs
+++ b/crates/arrowyard-cells/src/widen.rs
@@ -2,7 +2,7 @@
 //! started anew is judged against what all other hosts do meanwhile, by Wald's sequential test. Until a cell is judged good,
 //! hosts of the next ones that start anew are trusted little. Nothing is moved by the router on its own.
 
-use arrowyard_types::{CellId, Point, Span};
+use arrowyard_types::{CellId, TimeDelta, Timestamp};
 
 use crate::layout::Release;
 
@@ -27,7 +27,7 @@
     evidence: f64,
     judged: Judged,
     /// When the last of its hosts started anew.
-    renewed: Option<Point>,
+    renewed: Option<Timestamp>,
 }
 
 /// The trials of the cells, in the order of the release.
@@ -66,7 +66,7 @@
 
     /// A host of the cell started anew, at this point. A trial begins with the first of a release; hosts that follow
     /// within the span belong to it.
-    pub fn renewed(&mut self, cell: CellId, at: Point, within: Span) {
+    pub fn renewed(&mut self, cell: CellId, at: Timestamp, within: TimeDelta) {
         let Some(place) = self.place(cell) else { return };
         let trial = &mut self.trials[place];
         if trial.renewed.is_none_or(|last| at - last > within) {
--- a/crates/arrowyard-cells/tests/desk.rs
+++ b/crates/arrowyard-cells/tests/desk.rs
@@ -6,13 +6,13 @@
 use arrowyard_cells::moving::{Ran, Row, Stage, Step, Terms};
 use arrowyard_cells::widen::Judged;
 use arrowyard_cells::{Cells, Fate, Verdict};
-use arrowyard_types::{CellId, GroupId, Need, Point, Span};
+use arrowyard_types::{CellId, Consistency, GroupId, TimeDelta, Timestamp};
 
 const A: CellId = CellId(0);
 const B: CellId = CellId(1);
 
-fn ms(millis: i64) -> Point {
-    Point::from_micros(millis * 1000)
+fn ms(millis: i64) -> Timestamp {
+    Timestamp::from_micros(millis * 1000)
 }
 
 fn layout(epoch: u64) -> Layout {
@@ -33,7 +33,7 @@
         tenants: [("ann".into(), A), ("bob".into(), B)].into_iter().collect(),
         nets,
         rest: None,
-        call_back: Span::from_millis(100),
+        call_back: TimeDelta::from_millis(100),
         repeats: None,
         release: None,
         lease: None,
@@ -42,7 +42,7 @@
 }
 
 fn desk(layout: Layout) -> Cells {
-    let terms = Terms { marks: true, settle: Span::from_millis(500), skew: Span::ZERO };
+    let terms = Terms { marks: true, settle: TimeDelta::from_millis(500), skew: TimeDelta::ZERO };
     Cells::new(ms(0), layout, Totals { ops: 40, bytes: 1000, probes: 8 }, terms)
 }
 
@@ -52,9 +52,9 @@
     tenant: &str,
     again: bool,
     bytes: u64,
-) -> Result<Pass, (Why, Option<Span>)> {
+) -> Result<Pass, (Why, Option<TimeDelta>)> {
     let (address, session, token, group) = (None, None, None, GroupId(1));
-    let (need, due) = (Need::Any, ms(now + 500));
+    let (need, due) = (Consistency::Any, ms(now + 500));
     let facts = Facts { tenant: Some(tenant), address, group, bytes, need, session, token, again, due };
     match cells.admit(ms(now), &facts) {
         Verdict::Go { pass, .. } => Ok(pass),
@@ -69,7 +69,7 @@
     let passes: Vec<Pass> = (0..30).map_while(|_| ask(&mut cells, 0, "ann", false, 1).ok()).collect();
     assert_eq!(passes.len(), 30, "its 20, and the 10 of the other's that are not guaranteed");
     assert!(
-        matches!(ask(&mut cells, 0, "ann", false, 1), Err((Why::Ops, Some(after))) if after > Span::ZERO)
+        matches!(ask(&mut cells, 0, "ann", false, 1), Err((Why::Ops, Some(after))) if after > TimeDelta::ZERO)
     );
     assert_eq!(ask(&mut cells, 0, "bob", false, 900).map_err(|(why, _)| why), Err(Why::Bytes));
     assert!(ask(&mut cells, 0, "bob", false, 1).is_ok());
@@ -85,14 +85,14 @@
 
 #[test]
 fn repeats_are_counted_by_cell_from_clients_and_from_further_sends() {
-    let window = Span::from_millis(1600);
+    let window = TimeDelta::from_millis(1600);
     let mut cells = desk(Layout { repeats: Some(Repeats { share: 0.5, least: 2, window }), ..layout(1) });
     assert_eq!((cells.spare(ms(10), A), cells.spare(ms(10), B)), (Some(2), Some(2)));
     let pass = ask(&mut cells, 10, "ann", true, 1).expect("one of two");
     assert_eq!(cells.spare(ms(10), A), Some(1));
     cells.sent(ms(10), &pass, false);
     assert_eq!((cells.spare(ms(10), A), cells.spare(ms(10), B)), (Some(0), Some(2)));
-    assert_eq!(ask(&mut cells, 10, "ann", true, 1), Err((Why::Repeats, Some(Span::from_millis(100)))));
+    assert_eq!(ask(&mut cells, 10, "ann", true, 1), Err((Why::Repeats, Some(TimeDelta::from_millis(100)))));
     assert!(ask(&mut cells, 10, "ann", false, 1).is_ok() && ask(&mut cells, 10, "bob", true, 1).is_ok());
     // First sends earn repeats, from the next slice on at half a repeat each.
     (0..10).for_each(|_| cells.sent(ms(10), &pass, true));
@@ -138,7 +138,7 @@
     let mut cells = desk(Layout { release: Some(release), ..layout(1) });
     let (canary, other) = (ask(&mut cells, 0, "ann", false, 1), ask(&mut cells, 0, "bob", false, 1));
     let (canary, other) = (canary.expect("there is room"), other.expect("there is room"));
-    let within = Span::from_millis(1000);
+    let within = TimeDelta::from_millis(1000);
     cells.renewed(A, ms(0), within);
     assert_eq!((cells.trust(A), cells.trust(B)), (1.0, 0.1));
     assert!(matches!(cells.news()[..], [News::HeldBack(B, held)] if held.by == A && !held.bad));
@@ -177,9 +177,9 @@
         copied_through: None,
         target_floor: None,
         target_host: None,
-        memory: Span::from_millis(1000),
+        memory: TimeDelta::from_millis(1000),
     };
-    let lease = Some(Lease { until: ms(2000), skew: Span::from_millis(10) });
+    let lease = Some(Lease { until: ms(2000), skew: TimeDelta::from_millis(10) });
     Layout { moves: vec![row], lease, ..layout(epoch) }
 }
 
--- a/crates/arrowyard-cells/tests/laws.rs
+++ b/crates/arrowyard-cells/tests/laws.rs
@@ -9,14 +9,14 @@
 use arrowyard_cells::room::Room;
 use arrowyard_cells::widen::{Judged, Widen};
 use arrowyard_cells::{Cells, Fate, Verdict};
-use arrowyard_types::{CellId, GroupId, Need, Point, Span};
+use arrowyard_types::{CellId, Consistency, GroupId, TimeDelta, Timestamp};
 use proptest::prelude::*;
 
 const A: CellId = CellId(0);
 const B: CellId = CellId(1);
 
-fn ms(millis: i64) -> Point {
-    Point::from_micros(millis * 1000)
+fn ms(millis: i64) -> Timestamp {
+    Timestamp::from_micros(millis * 1000)
 }
 
 fn config() -> ProptestConfig {
@@ -129,11 +129,11 @@
 fn a_trial_begins_anew_with_a_host_that_starts_after_the_span_and_not_within_it() {
     for (later, open) in [(100, false), (101, true)] {
         let mut widen = Widen::new(Release { order: vec![A, B], worse: 3.0, wrong: 0.1 });
-        widen.renewed(A, ms(0), Span::from_millis(100));
+        widen.renewed(A, ms(0), TimeDelta::from_millis(100));
         while widen.judged(A) != Judged::Good {
             widen.outcome(Some(A), false);
         }
-        widen.renewed(A, ms(later), Span::from_millis(100));
+        widen.renewed(A, ms(later), TimeDelta::from_millis(100));
         assert_eq!(widen.judged(A) == Judged::Open, open, "{later} ms later");
     }
 }
@@ -158,10 +158,10 @@
 #[test]
 fn rooms_are_divided_anew_and_what_is_held_stays_held() {
     let even = || [(1.0, 0.5), (1.0, 0.5)].into_iter();
-    let mut room = Room::new(100, even(), Span::from_millis(100));
+    let mut room = Room::new(100, even(), TimeDelta::from_millis(100));
     (0..60).for_each(|_| assert_eq!(room.take(ms(0), A, 1), Ok(())));
     assert_eq!((room.borrowed(A), room.share(A)), (10, (50, 25)));
-    room.divide([(3.0, 0.5), (1.0, 0.0), (1.0, 0.5)].into_iter(), Span::from_millis(50));
+    room.divide([(3.0, 0.5), (1.0, 0.0), (1.0, 0.5)].into_iter(), TimeDelta::from_millis(50));
     assert_eq!((room.used(A), room.borrowed(A), room.share(A)), (60, 0, (60, 30)));
     assert_eq!((room.share(B), room.share(CellId(2))), ((20, 0), (20, 10)));
     // 60 are held and 10 guaranteed to the third: 30 are left.
@@ -209,7 +209,7 @@
         tenants: names.iter().zip(0..).map(|(name, n)| (format!("of-{name}").into(), CellId(n))).collect(),
         nets,
         rest: Some(1),
-        call_back: Span::from_millis(100),
+        call_back: TimeDelta::from_millis(100),
         repeats: None,
         release: Some(Release { order: vec![A], worse: 3.0, wrong: 0.1 }),
         lease: None,
@@ -219,7 +219,7 @@
 
 /// An op of the tenant of the first cell, which has room for it.
 fn first(cells: &mut Cells) -> Pass {
-    let (tenant, group, need, due) = (Some("of-a"), GroupId(7), Need::Any, ms(500));
+    let (tenant, group, need, due) = (Some("of-a"), GroupId(7), Consistency::Any, ms(500));
     let (address, session, token, again, bytes) = (None, None, None, false, 1);
     let facts = Facts { tenant, address, group, bytes, need, session, token, again, due };
     match cells.admit(ms(0), &facts) {
@@ -241,7 +241,7 @@
     assert_eq!((ids(true), ids(false)), (A, CellId(2)));
     // By the desk: an op, or a probe, that is out keeps it.
     for probe in [false, true] {
-        let terms = Terms { marks: true, settle: Span::from_millis(500), skew: Span::ZERO };
+        let terms = Terms { marks: true, settle: TimeDelta::from_millis(500), skew: TimeDelta::ZERO };
         let mut cells = Cells::new(ms(0), old.clone(), Totals { ops: 40, bytes: 1000, probes: 8 }, terms);
         let pass = first(&mut cells);
         if probe {
@@ -266,7 +266,7 @@
 #[test]
 fn a_trial_goes_on_over_a_new_layout_with_the_same_release_and_begins_anew_with_another() {
     for (worse, kept) in [(3.0, true), (2.0, false)] {
-        let terms = Terms { marks: true, settle: Span::from_millis(500), skew: Span::ZERO };
+        let terms = Terms { marks: true, settle: TimeDelta::from_millis(500), skew: TimeDelta::ZERO };
         let mut cells =
             Cells::new(ms(0), layout(1, &["a", "b"]), Totals { ops: 40, bytes: 1000, probes: 8 }, terms);
         let pass = first(&mut cells);
--- a/crates/arrowyard-cells/tests/moves.rs
+++ b/crates/arrowyard-cells/tests/moves.rs
@@ -8,7 +8,7 @@
 use arrowyard_cells::layout::{Cell, Layout, Lease};
 use arrowyard_cells::moving::{Ran, Refused, Row, Stage, Step, Terms};
 use arrowyard_cells::{Cells, Verdict};
-use arrowyard_types::{CellId, GroupId, HostId, Need, Point, Span};
+use arrowyard_types::{CellId, Consistency, GroupId, HostId, TimeDelta, Timestamp};
 use fastrand::Rng;
 use proptest::prelude::*;
 
@@ -25,12 +25,12 @@
 const SWITCH: i64 = COPIED + 300;
 const END: i64 = 9000;
 
-fn ms(millis: i64) -> Point {
-    Point::from_micros(millis * 1000)
+fn ms(millis: i64) -> Timestamp {
+    Timestamp::from_micros(millis * 1000)
 }
 
-fn span(millis: i64) -> Span {
-    Span::from_millis(millis)
+fn span(millis: i64) -> TimeDelta {
+    TimeDelta::from_millis(millis)
 }
 
 fn row(step: Step) -> Row {
@@ -88,7 +88,7 @@
     cells
 }
 
-fn facts(need: Need, token: Option<u64>, again: bool, due: i64) -> Facts<'static> {
+fn facts(need: Consistency, token: Option<u64>, again: bool, due: i64) -> Facts<'static> {
     let (tenant, address, group) = (Some("t"), None, GroupId(SOURCE));
     Facts { tenant, address, group, bytes: 10, need, session: Some(7), token, again, due: ms(due) }
 }
@@ -151,8 +151,8 @@
         let (cells, off, life) = &mut self.routers[router];
         let life = *life;
         let due = now + TIMEOUT;
-        let verdict =
-            cells.admit(ms(now + *off), &facts(Need::Write, Some(token), again && self.marks, due + *off));
+        let verdict = cells
+            .admit(ms(now + *off), &facts(Consistency::Write, Some(token), again && self.marks, due + *off));
         match verdict {
             Verdict::Go { pass, group, .. } => {
                 self.given[usize::from(group.0 == TARGET)] += 1;
@@ -184,7 +184,7 @@
             Verdict::Busy { why, after, .. } => {
                 self.given[2] += 1;
                 assert!(matches!(why, Why::Fence | Why::Lease), "{why:?}");
-                assert!(why == Why::Lease || after.is_some_and(|after| after > Span::ZERO));
+                assert!(why == Why::Lease || after.is_some_and(|after| after > TimeDelta::ZERO));
                 let back = after.map_or(200, |after| after.micros() / 1000);
                 self.retry(now + back, token, since, again);
             }
@@ -246,7 +246,7 @@
             Event::Read => {
                 let router = self.rng.usize(0..3);
                 let (cells, off, _) = &mut self.routers[router];
-                let read = facts(Need::Session, None, false, now + TIMEOUT + *off);
+                let read = facts(Consistency::Session, None, false, now + TIMEOUT + *off);
                 match cells.admit(ms(now + *off), &read) {
                     Verdict::Go { pass, group, floor } => {
                         cells.ended(ms(now + *off), pass, Ran::Never, None);
@@ -386,7 +386,8 @@
 fn noted(ran: Ran, step: Step, now: i64) -> Cells {
     let mut cells = desk(0, file(Some(Step::Planned)), true);
     if ran == Ran::Never {
-        let Verdict::Go { pass, .. } = cells.admit(ms(2900), &facts(Need::Write, Some(1), false, 3400))
+        let Verdict::Go { pass, .. } =
+            cells.admit(ms(2900), &facts(Consistency::Write, Some(1), false, 3400))
         else {
             panic!("nothing is fenced yet")
         };
@@ -396,7 +397,7 @@
         Ran::Never => cells,
         _ => desk(0, file(Some(Step::Planned)), true),
     };
-    let go = cells.admit(ms(2900), &facts(Need::Write, Some(1), false, 3400));
+    let go = cells.admit(ms(2900), &facts(Consistency::Write, Some(1), false, 3400));
     let Verdict::Go { pass, .. } = go else { panic!("{go:?}") };
     if ran != Ran::Out {
         cells.ended(ms(2950), pass, ran, (ran == Ran::Acked).then_some(ms(2940)));
@@ -416,7 +417,7 @@
 fn a_repeat_goes_where_its_first_send_left_it() {
     let repeat = |ran, step, now: i64| {
         let mut cells = noted(ran, step, now);
-        match cells.admit(ms(now), &facts(Need::Write, Some(1), true, now + 300)) {
+        match cells.admit(ms(now), &facts(Consistency::Write, Some(1), true, now + 300)) {
             Verdict::Go { group, .. } => Ok(group.0),
             Verdict::Hold { .. } => Err("held"),
             Verdict::Busy { .. } => Err("busy"),
@@ -447,7 +448,7 @@
     let write = |now: i64| {
         let mut cells = desk(0, file(Some(Step::Fenced)), true);
         cells.tick(ms(now));
-        place(&mut cells, now, facts(Need::Write, Some(1), false, now + TIMEOUT))
+        place(&mut cells, now, facts(Consistency::Write, Some(1), false, now + TIMEOUT))
     };
     assert_eq!(write(FENCE - SKEW - TIMEOUT - 1), "source");
     assert_eq!(write(FENCE - SKEW - 1), "source", "the fence is nowhere reached");
@@ -459,7 +460,9 @@
 fn a_rush_at_the_fence_is_held_in_bounds_and_given_back_at_once_beyond_them() {
     let mut cells = noted(Ran::Never, Step::Fenced, SWITCH - 100);
     let verdicts: Vec<Verdict> = (10..500)
-        .map(|token| cells.admit(ms(SWITCH - 100), &facts(Need::Write, Some(token), false, SWITCH + 400)))
+        .map(|token| {
+            cells.admit(ms(SWITCH - 100), &facts(Consistency::Write, Some(token), false, SWITCH + 400))
+        })
         .collect();
     let held: Vec<Pass> = verdicts
         .iter()
@@ -469,7 +472,7 @@
     let back = |verdict: &&Verdict| matches!(verdict, Verdict::Busy { after: Some(after), .. } if *after == span(100));
     assert_eq!(verdicts.iter().filter(back).count(), 440);
     // One that cannot be answered in time is not held at all.
-    let short = cells.admit(ms(SWITCH - 100), &facts(Need::Write, Some(900), false, SWITCH + 50));
+    let short = cells.admit(ms(SWITCH - 100), &facts(Consistency::Write, Some(900), false, SWITCH + 50));
     assert!(matches!(short, Verdict::Busy { why: Why::Fence, .. }), "{short:?}");
     held.into_iter().for_each(|pass| cells.ended(ms(SWITCH - 90), pass, Ran::Never, None));
     assert_eq!(cells.report()[0].ops, 0);
@@ -481,7 +484,7 @@
     // Acked behind the end of the copy.
     let mut late = noted(Ran::Out, Step::Switched, SWITCH + 5);
     assert_eq!(stage(&late), Some(Stage::Fenced), "its write is out");
-    let pass = late.admit(ms(FENCE + 1), &facts(Need::Write, Some(1), true, FENCE + 300));
+    let pass = late.admit(ms(FENCE + 1), &facts(Consistency::Write, Some(1), true, FENCE + 300));
     let Verdict::Go { pass, .. } = pass else { panic!("{pass:?}") };
     late.ended(ms(SWITCH + 6), pass, Ran::Acked, Some(ms(COPIED + 5)));
     late.ended(ms(SWITCH + 6), pass, Ran::Acked, Some(ms(COPIED + 5)));
@@ -536,20 +539,21 @@
     assert_eq!(fenced.relayout(ms(FENCE + 6), off), Err(Stale::Move("t".into(), Refused::Fence)));
     // Cancelled in time, all is as it was.
     assert_eq!(fenced.relayout(ms(FENCE + 7), later(Some(Step::Cancelled), 10)), Ok(()));
-    let go = fenced.admit(ms(FENCE + 8), &facts(Need::Write, Some(5), false, FENCE + 300));
+    let go = fenced.admit(ms(FENCE + 8), &facts(Consistency::Write, Some(5), false, FENCE + 300));
     assert!(matches!(go, Verdict::Go { group: GroupId(SOURCE), .. }), "{go:?}");
 }
 
 #[test]
 fn a_router_whose_file_is_too_old_keeps_to_reads_without_a_bound() {
     let mut cells = desk(0, file(None), true);
-    let write =
-        |cells: &mut Cells, now: i64| cells.admit(ms(now), &facts(Need::Write, Some(3), false, now + 300));
+    let write = |cells: &mut Cells, now: i64| {
+        cells.admit(ms(now), &facts(Consistency::Write, Some(3), false, now + 300))
+    };
     assert!(matches!(write(&mut cells, LEASE - SKEW - 1), Verdict::Go { .. }));
     assert!(matches!(write(&mut cells, LEASE - SKEW), Verdict::Busy { why: Why::Lease, .. }));
-    let read = cells.admit(ms(LEASE + 500), &facts(Need::Any, None, false, LEASE + 800));
+    let read = cells.admit(ms(LEASE + 500), &facts(Consistency::Any, None, false, LEASE + 800));
     assert!(matches!(read, Verdict::Go { .. }));
-    let bounded = cells.admit(ms(LEASE), &facts(Need::Bounded(span(300)), None, false, LEASE + 800));
+    let bounded = cells.admit(ms(LEASE), &facts(Consistency::Bounded(span(300)), None, false, LEASE + 800));
     assert!(matches!(bounded, Verdict::Busy { why: Why::Lease, .. }));
     // Nothing bounds how long others act on a file that has no lease.
     let mut unleased = desk(0, Layout { lease: None, ..file(None) }, true);
@@ -565,7 +569,7 @@
                 // The first send was at 2900; the stage is the one that the time and the file make.
                 for now in [2960, FENCE + 10, COPIED + 10, SWITCH + 5].map(|at: i64| at.max(2900 + delay)) {
                     let mut cells = noted(ran, step.max(Step::Fenced), now);
-                    let again = cells.admit(ms(now), &facts(Need::Write, Some(1), true, now + 300));
+                    let again = cells.admit(ms(now), &facts(Consistency::Write, Some(1), true, now + 300));
                     let stage = cells.moves().next().map(|(_, stage, ..)| stage);
                     let place = match again {
                         Verdict::Go { group, .. } if group.0 == SOURCE => "source",
@@ -600,7 +604,7 @@
     assert_eq!(cells.relayout(ms(SWITCH + 10), file(Some(Step::Done))), Ok(()));
     cells.tick(ms(FENCE + MEMORY + SKEW));
     let go = |cells: &mut Cells, now: i64| match cells
-        .admit(ms(now), &facts(Need::Write, Some(77), false, now + 300))
+        .admit(ms(now), &facts(Consistency::Write, Some(77), false, now + 300))
     {
         Verdict::Go { pass, group, .. } => {
             cells.ended(ms(now), pass, Ran::Never, None);
@@ -653,12 +657,12 @@
 
 #[test]
 fn what_a_router_never_saw_is_asked_for_only_while_the_copy_goes_on() {
-    let repeat = |now: i64| facts(Need::Write, Some(50), true, now + 300);
+    let repeat = |now: i64| facts(Consistency::Write, Some(50), true, now + 300);
     let fenced = || noted(Ran::Acked, Step::Fenced, FENCE + 5);
     assert_eq!(place(&mut fenced(), FENCE + 10, repeat(FENCE + 10)), "source");
     assert_eq!(place(&mut fenced(), COPIED + 10, repeat(COPIED + 10)), "unsure");
     // Before the fence, a client that waits for longer than any op type: its write could end behind the copy.
-    let long = |due| facts(Need::Write, Some(51), false, due);
+    let long = |due| facts(Consistency::Write, Some(51), false, due);
     assert_eq!(place(&mut noted(Ran::Acked, Step::Fenced, 2995), 2995, long(FENCE + TIMEOUT)), "source");
     assert_eq!(place(&mut noted(Ran::Acked, Step::Fenced, 2995), 2995, long(FENCE + TIMEOUT + SKEW)), "busy");
     let mut cancelled = noted(Ran::Acked, Step::Fenced, FENCE + 5);
@@ -676,18 +680,18 @@
         layout
     };
     let mut cells = desk(0, alone(2, Step::Planned), true);
-    let go = cells.admit(ms(10), &facts(Need::Write, Some(1), false, 400));
+    let go = cells.admit(ms(10), &facts(Consistency::Write, Some(1), false, 400));
     let Verdict::Go { pass, .. } = go else { panic!("{go:?}") };
     assert_eq!(pass.cell, CellId(0));
     assert_eq!(cells.relayout(ms(20), alone(3, Step::Fenced)), Ok(()));
-    assert_eq!(place(&mut cells, 30, facts(Need::Write, Some(1), true, 400)), "busy");
+    assert_eq!(place(&mut cells, 30, facts(Consistency::Write, Some(1), true, 400)), "busy");
     assert_eq!(cells.relayout(ms(40), alone(4, Step::Switched)), Ok(()));
     assert_eq!(
         cells.moves().map(|(_, stage, out, tokens)| (stage, out, tokens)).next(),
         Some((Stage::Fenced, 1, 1))
     );
     cells.ended(ms(50), pass, Ran::Maybe, None);
-    let again = cells.admit(ms(60), &facts(Need::Write, Some(1), true, 400));
+    let again = cells.admit(ms(60), &facts(Consistency::Write, Some(1), true, 400));
     assert!(
         matches!(again, Verdict::Go { pass, group: GroupId(SOURCE), .. } if pass.cell == CellId(1)),
         "{again:?}"
@@ -730,7 +734,7 @@
     let mut cells = noted(Ran::Never, Step::Fenced, SWITCH - 100);
     for round in 0..5 {
         // Each round fills what the fence holds at most.
-        let wanted = |token| facts(Need::Write, Some(token), false, SWITCH + 400);
+        let wanted = |token| facts(Consistency::Write, Some(token), false, SWITCH + 400);
         let verdicts: Vec<Verdict> =
             (100..160).map(|token| cells.admit(ms(SWITCH - 100), &wanted(token))).collect();
         let passes = verdicts
@@ -748,17 +752,17 @@
     let mut switched = noted(Ran::Acked, Step::Switched, SWITCH + 5);
     // Another tenant fills the target's cell: its own room, and all that is lent.
     let other = |cells: &mut Cells, token| {
-        let wanted = facts(Need::Write, Some(token), false, SWITCH + 400);
+        let wanted = facts(Consistency::Write, Some(token), false, SWITCH + 400);
         let wanted = Facts { tenant: Some("u"), group: GroupId(TARGET), ..wanted };
         cells.admit(ms(SWITCH + 6), &wanted)
     };
     let filled =
         (1000..1400).filter(|&token| matches!(other(&mut switched, token), Verdict::Go { .. })).count();
     assert!(filled > 0);
-    let write = switched.admit(ms(SWITCH + 7), &facts(Need::Write, Some(2000), false, SWITCH + 400));
+    let write = switched.admit(ms(SWITCH + 7), &facts(Consistency::Write, Some(2000), false, SWITCH + 400));
     assert!(matches!(write, Verdict::Busy { why: Why::Ops, after: Some(_), .. }), "{write:?}");
     // A repeat of what the source acked is still the source's, within the room of its cell.
-    let repeat = switched.admit(ms(SWITCH + 7), &facts(Need::Write, Some(1), true, SWITCH + 400));
+    let repeat = switched.admit(ms(SWITCH + 7), &facts(Consistency::Write, Some(1), true, SWITCH + 400));
     assert!(matches!(repeat, Verdict::Go { group: GroupId(SOURCE), .. }), "{repeat:?}");
 }
 
@@ -773,8 +777,14 @@
         hosts.iter().for_each(|(host, _)| cells.learnt(*host, ms(SWITCH), false));
         cells.tick(ms(SWITCH + 5));
         assert_eq!(cells.moves().next().map(|(_, stage, ..)| stage), Some(Stage::Drained));
-        assert_eq!(place(&mut cells, SWITCH + 6, facts(Need::Write, Some(9), false, SWITCH + 400)), "busy");
+        assert_eq!(
+            place(&mut cells, SWITCH + 6, facts(Consistency::Write, Some(9), false, SWITCH + 400)),
+            "busy"
+        );
     }
     assert_eq!(cells.relayout(ms(SWITCH + 7), Layout { epoch: 9, ..file(Some(Step::Cancelled)) }), Ok(()));
-    assert_eq!(place(&mut cells, SWITCH + 8, facts(Need::Write, Some(9), false, SWITCH + 400)), "source");
+    assert_eq!(
+        place(&mut cells, SWITCH + 8, facts(Consistency::Write, Some(9), false, SWITCH + 400)),
+        "source"
+    );
 }
--- a/crates/arrowyard-cells/tests/parts.rs
+++ b/crates/arrowyard-cells/tests/parts.rs
@@ -11,11 +11,11 @@
 use arrowyard_cells::pace::Pace;
 use arrowyard_cells::room::{Full, Room};
 use arrowyard_cells::widen::{Judged, Widen};
-use arrowyard_types::{CellId, GroupId, Point, Span};
+use arrowyard_types::{CellId, GroupId, TimeDelta, Timestamp};
 use proptest::prelude::*;
 
-fn ms(millis: i64) -> Point {
-    Point::from_micros(millis * 1000)
+fn ms(millis: i64) -> Timestamp {
+    Timestamp::from_micros(millis * 1000)
 }
 
 fn cell(name: &str, weight: f64) -> Cell {
@@ -25,7 +25,7 @@
 
 fn layout(cells: Vec<Cell>, rest: Option<usize>) -> Layout {
     let (tenants, nets, moves) = Default::default();
-    let call_back = Span::from_millis(100);
+    let call_back = TimeDelta::from_millis(100);
     Layout {
         epoch: 1,
         cells,
@@ -119,7 +119,7 @@
 
 #[test]
 fn lent_room_comes_back_to_its_owner_and_what_is_guaranteed_is_never_lent() {
-    let mut room = Room::new(100, [(1.0, 0.5), (1.0, 0.5)].into_iter(), Span::from_millis(100));
+    let mut room = Room::new(100, [(1.0, 0.5), (1.0, 0.5)].into_iter(), TimeDelta::from_millis(100));
     let (one, two, mut now) = (CellId(0), CellId(1), ms(0));
     let taken = (0..200).filter(|_| room.take(now, one, 1).is_ok()).count();
     assert_eq!(taken, 75, "its own 50, and the part of the other's 50 that is not guaranteed");
@@ -129,11 +129,11 @@
     assert_eq!(room.take(now, two, 1), Err(Full::Lent));
     // Whatever the borrower gives back goes to the owner, not to the borrower.
     room.give(one, 1);
-    now = now + Span::from_millis(50);
+    now = now + TimeDelta::from_millis(50);
     assert_eq!((room.take(now, one, 1), room.take(now, two, 1)), (Err(Full::Share), Ok(())));
     // Not called for any more: idle room is lent again.
     room.give(two, 20);
-    now = now + Span::from_millis(200);
+    now = now + TimeDelta::from_millis(200);
     assert_eq!(room.take(now, one, 1), Ok(()));
 }
 
@@ -153,7 +153,7 @@
     ) {
         const TOTAL: u64 = 97;
         let parts = || weights.iter().map(|&(weight, kept)| (f64::from(weight), f64::from(kept) / 10.0));
-        let mut room = Room::new(TOTAL, parts(), Span::from_millis(10));
+        let mut room = Room::new(TOTAL, parts(), TimeDelta::from_millis(10));
         let mut held: Vec<Vec<u64>> = vec![Vec::new(); weights.len()];
         let shares: Vec<(u64, u64)> = (0..weights.len()).map(|id| room.share(CellId(id as u32))).collect();
         for (step, (id, more, takes)) in (0..).zip(steps) {
@@ -184,7 +184,7 @@
     fn over_any_window_repeats_are_a_share_of_first_sends(
         steps in prop::collection::vec((0_i64..90, prop::bool::weighted(0.5)), 1..400),
     ) {
-        let terms = Repeats { share: 0.25, least: 3, window: Span::from_millis(1600) };
+        let terms = Repeats { share: 0.25, least: 3, window: TimeDelta::from_millis(1600) };
         let (mut budget, mut now) = (Budget::new(terms), 1_000_000);
         let (mut first, mut repeated): (Vec<i64>, Vec<i64>) = Default::default();
         for (wait, repeats) in steps {
@@ -264,7 +264,7 @@
         // One in 50 is usual; first hosts that did not start anew, then the canary's.
         assert!((0..4000).all(|n| widen.outcome(None, n % 50 == 0).is_none()));
         assert!(widen.may_widen(canary).is_ok() && widen.may_widen(next).is_err());
-        widen.renewed(canary, ms(0), Span::from_millis(1000));
+        widen.renewed(canary, ms(0), TimeDelta::from_millis(1000));
         let verdict = (1..4000).find_map(|n| widen.outcome(Some(canary), n % every == 0));
         assert_eq!(verdict.map(|verdict| verdict.judged), Some(wanted));
         assert_eq!(widen.may_widen(next).is_ok(), wanted == Judged::Good);
@@ -273,7 +273,7 @@
         assert_eq!(late.is_some(), wanted == Judged::Good);
         assert_eq!(widen.may_widen(next).map_err(|held| held.bad), Err(true));
         // The next release is judged on its own.
-        widen.renewed(canary, ms(60_000), Span::from_millis(1000));
+        widen.renewed(canary, ms(60_000), TimeDelta::from_millis(1000));
         assert_eq!(widen.judged(canary), Judged::Open);
     }
 }
--- a/crates/arrowyard-control/src/cell.rs
+++ b/crates/arrowyard-control/src/cell.rs
@@ -1,14 +1,14 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use arrowyard_messages::{DbRole, Host, Phase};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 /// A host that is gone is remembered so long, so that nobody's old word brings it back.
-const REMEMBERED: Span = Span::from_millis(600_000);
+const REMEMBERED: TimeDelta = TimeDelta::from_millis(600_000);
 /// A call with a lower number than the last counts again after so long: its host began to count anew.
-const ANEW: Span = Span::from_millis(5_000);
+const ANEW: TimeDelta = TimeDelta::from_millis(5_000);
 /// The same for a host that said that it leaves. Calls may come seconds late: one from before must not bring it back.
-const ANEW_IN_SERVICE: Span = Span::from_millis(30_000);
+const ANEW_IN_SERVICE: TimeDelta = TimeDelta::from_millis(30_000);
 
 /// The hosts that control knows of; the cell of a zone hears its hosts' calls, the others hear of them from it.
 #[derive(Debug, Default)]
@@ -32,9 +32,9 @@
 #[derive(Debug)]
 struct Kept {
     host: Host,
-    changed_at: Point,
+    changed_at: Timestamp,
     /// When it last called here itself.
-    called_at: Option<Point>,
+    called_at: Option<Timestamp>,
 }
 
 /// A word of a host, with what it does not tell taken from what is known. A host that was never heard of may be told to
@@ -54,7 +54,7 @@
 
 impl Cell {
     /// A host called here. Whether something changed that others must hear of.
-    pub fn called(&mut self, now: Point, host: Host) -> bool {
+    pub fn called(&mut self, now: Timestamp, host: Host) -> bool {
         let anew = self.hosts.get(&host.id).is_some_and(|kept| {
             let silence = match kept.host.phase() {
                 Phase::Gone => return false,
@@ -72,7 +72,7 @@
     }
 
     /// A host as it was known before this start. Those of the own zone are to call here soon, or are missed.
-    pub fn remember(&mut self, now: Point, host: Host, zone: &str) {
+    pub fn remember(&mut self, now: Timestamp, host: Host, zone: &str) {
         let called_at = (host.zone == zone && host.phase() != Phase::Gone).then_some(now);
         self.put(Kept { host, changed_at: now, called_at });
     }
@@ -111,13 +111,13 @@
     }
 
     /// Somebody else's word of a host. Whether it was news.
-    pub fn told(&mut self, now: Point, host: Host) -> bool {
+    pub fn told(&mut self, now: Timestamp, host: Host) -> bool {
         self.take(now, host, false)
     }
 
     /// Higher numbers win, whoever brings them, and a host that left stays gone: machines that tell each other what
     /// they have come to the same, in whatever order.
-    fn take(&mut self, now: Point, host: Host, anew: bool) -> bool {
+    fn take(&mut self, now: Timestamp, host: Host, anew: bool) -> bool {
         match self.hosts.get(&host.id) {
             None => {
                 self.put(Kept { host, changed_at: now, called_at: None });
@@ -145,7 +145,7 @@
     }
 
     /// Forgets hosts that are gone for long.
-    pub fn sweep(&mut self, now: Point) {
+    pub fn sweep(&mut self, now: Timestamp) {
         let old = |kept: &&Kept| kept.host.phase() == Phase::Gone && now - kept.changed_at >= REMEMBERED;
         let gone: Vec<Host> = self.hosts.values().filter(old).map(|kept| kept.host.clone()).collect();
         for host in gone {
@@ -160,7 +160,7 @@
     }
 
     /// When a host last called here itself.
-    pub fn called_at(&self, id: &str) -> Option<Point> {
+    pub fn called_at(&self, id: &str) -> Option<Timestamp> {
         self.hosts.get(id).and_then(|kept| kept.called_at)
     }
 
--- a/crates/arrowyard-control/src/control.rs
+++ b/crates/arrowyard-control/src/control.rs
@@ -23,7 +23,7 @@
 use arrowyard_config::{Configuration, Settings};
 use arrowyard_messages::{Host, Known, Word, number, said};
 use arrowyard_runtime::{Conn, Door, Event, Orders, Plane, Sign};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 use rustc_hash::FxHashMap;
 
@@ -46,14 +46,14 @@
 pub const DOORS: [Door; 2] = [Door(0), Door(1)];
 
 /// What is done at regular times is done this often.
-const TICK: Span = Span::from_millis(250);
+const TICK: TimeDelta = TimeDelta::from_millis(250);
 /// Hosts that are gone are looked through every so many ticks.
 const SWEEP: u64 = 40;
 /// The settings file is read again so often, since it may change without a signal.
-const REREAD: Span = Span::from_millis(2000);
+const REREAD: TimeDelta = TimeDelta::from_millis(2000);
 /// How long a process that is told to end goes on with what it has begun, and waits for another one to take its vote over.
-const LAST: Span = Span::from_millis(800);
-const HAND_OVER: Span = Span::from_millis(2500);
+const LAST: TimeDelta = TimeDelta::from_millis(800);
+const HAND_OVER: TimeDelta = TimeDelta::from_millis(2500);
 
 /// Reads the settings file anew.
 pub type Reread = Box<dyn FnMut() -> Option<Settings>>;
@@ -66,7 +66,7 @@
     Peer(u32, arrowyard_messages::Frames),
     Router(Router),
     /// A router that came before this machine heard of the voters.
-    Early(arrowyard_messages::Hello, arrowyard_messages::Frames, Point),
+    Early(arrowyard_messages::Hello, arrowyard_messages::Frames, Timestamp),
     Link(String),
     Platform(Platform),
 }
@@ -83,14 +83,14 @@
     has_disk: bool,
     disk: DiskWatch,
     /// Since when this machine's vote cannot be counted on.
-    unable_since: Option<Point>,
+    unable_since: Option<Timestamp>,
     /// Whether the others were told that this machine's vote is durable.
     announced: bool,
     cell: Cell,
     /// Of the hosts as they were last put on disk.
     kept_digest: u64,
-    silent: BTreeMap<String, Point>,
-    left: Vec<(Point, Host)>,
+    silent: BTreeMap<String, Timestamp>,
+    left: Vec<(Timestamp, Host)>,
     view: View,
     duty: Duties,
     promotions: Promotions,
@@ -110,24 +110,24 @@
     /// Calls of the operator that wait for the ledger.
     pending: FxHashMap<ProposalId, calls::Pending>,
     silent_here: Vec<arrowyard_messages::Silent>,
-    platform_calls: Vec<(Conn, Point)>,
+    platform_calls: Vec<(Conn, Timestamp)>,
     decisions: Decisions,
     departures: Departures,
     suspicions: Suspicions,
     routers: u32,
     /// The configuration that routers were told last.
     fed: Configuration,
-    fewer_since: Option<Point>,
+    fewer_since: Option<Timestamp>,
     /// When who votes may be changed next.
-    seat_at: Point,
+    seat_at: Timestamp,
     told: Vec<Known>,
-    tick_at: Point,
-    reread_at: Point,
+    tick_at: Timestamp,
+    reread_at: Timestamp,
     ticks: u64,
     in_touch: bool,
     shares: Shares,
     /// Since when it is told to end.
-    ending_since: Option<Point>,
+    ending_since: Option<Timestamp>,
     ready: Vec<Output>,
 }
 
@@ -156,7 +156,7 @@
         );
         let mut view = View::default();
         seeds.iter().filter(|&&seed| seed != me).for_each(|&seed| view.seed(seed));
-        let duty = Duties::new(DUTY, me, life, &settings.node, Point::from_micros(0));
+        let duty = Duties::new(DUTY, me, life, &settings.node, Timestamp::from_micros(0));
         let fed = ledger.applied().configuration.clone();
         let (cell, routers) = memory::restore(records, &settings.zone);
         Ok(Control {
@@ -193,10 +193,10 @@
             routers,
             fed,
             fewer_since: None,
-            seat_at: Point::DAWN,
+            seat_at: Timestamp::DISTANT_PAST,
             told: Vec::new(),
-            tick_at: Point::DAWN,
-            reread_at: Point::DAWN,
+            tick_at: Timestamp::DISTANT_PAST,
+            reread_at: Timestamp::DISTANT_PAST,
             ticks: 0,
             in_touch: false,
             shares: Shares::default(),
@@ -212,7 +212,7 @@
     }
 
     /// Carries out what the ledger wants.
-    fn carry(&mut self, now: Point, out: Vec<Output>, orders: &mut Orders) {
+    fn carry(&mut self, now: Timestamp, out: Vec<Output>, orders: &mut Orders) {
         let mut queue = std::collections::VecDeque::from(out);
         while let Some(one) = queue.pop_front() {
             match one {
@@ -236,7 +236,7 @@
     /// Hands something to the ledger and carries out what it wants.
     fn with_ledger<T>(
         &mut self,
-        now: Point,
+        now: Timestamp,
         orders: &mut Orders,
         act: impl FnOnce(&mut Ledger, &mut Vec<Output>) -> T,
     ) -> T {
@@ -246,7 +246,7 @@
         result
     }
 
-    fn tick(&mut self, now: Point, orders: &mut Orders) {
+    fn tick(&mut self, now: Timestamp, orders: &mut Orders) {
         self.tick_at = now + TICK;
         self.ticks += 1;
         if now >= self.reread_at {
@@ -259,7 +259,7 @@
             let cell = &self.cell;
             self.departures.retain(|host| cell.get(host).is_some());
         }
-        self.left.retain(|(at, _)| now - *at < Span::from_millis(30_000));
+        self.left.retain(|(at, _)| now - *at < TimeDelta::from_millis(30_000));
         self.drop_idle(now, orders);
         self.count_routers(now, orders);
         self.remember(now, orders);
@@ -277,7 +277,7 @@
     }
 
     /// A host's word changed: the others hear of it, and the routers.
-    fn news_of(&mut self, now: Point, host: Host, orders: &mut Orders) {
+    fn news_of(&mut self, now: Timestamp, host: Host, orders: &mut Orders) {
         if host.phase() == arrowyard_messages::Phase::Gone {
             self.left.push((now, host.clone()));
         }
@@ -285,7 +285,7 @@
         self.look(now, orders);
     }
 
-    fn reread(&mut self, now: Point) {
+    fn reread(&mut self, now: Timestamp) {
         self.reread_at = now + REREAD;
         if let Some(settings) = (self.reread)() {
             settings.seeds.iter().map(|seed| number(*seed.ip())).filter(|&seed| seed != self.me).for_each(
@@ -308,7 +308,7 @@
     }
 
     /// A vote that has just become durable is announced at once: another machine may be waiting to give up its seat.
-    fn announce_vote(&mut self, now: Point, orders: &mut Orders) {
+    fn announce_vote(&mut self, now: Timestamp, orders: &mut Orders) {
         let votes = self.ledger.is_vote_durable();
         if votes && !self.announced {
             self.beat_peers(now, orders);
@@ -317,7 +317,7 @@
     }
 
     /// Whether this machine's vote can be counted on: it has one, and a disk that keeps its word.
-    fn is_able_to_vote(&self, now: Point) -> bool {
+    fn is_able_to_vote(&self, now: Timestamp) -> bool {
         self.ledger.is_vote_durable() && self.disk.is_well(now)
     }
 
@@ -327,12 +327,12 @@
         Some(SocketAddrV4::new(Ipv4Addr::from(ip), port))
     }
 
-    fn end(&mut self, now: Point, orders: &mut Orders) {
+    fn end(&mut self, now: Timestamp, orders: &mut Orders) {
         if self.ending_since.is_none() {
             self.ending_since = Some(now);
             self.beat_peers(now, orders);
         }
-        let waited = self.ending_since.map_or(Span::ZERO, |since| now - since);
+        let waited = self.ending_since.map_or(TimeDelta::ZERO, |since| now - since);
         let is_answered = self.pending.is_empty() || waited >= LAST;
         if is_answered && (waited >= HAND_OVER || !self.can_hand_over(now)) {
             orders.stop();
@@ -341,7 +341,7 @@
 }
 
 impl Plane for Control {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Timestamp, event: Event<'_>, orders: &mut Orders) {
         match event {
             Event::Start => {
                 let ready = std::mem::take(&mut self.ready);
@@ -388,7 +388,7 @@
         }
     }
 
-    fn due(&self) -> Option<Point> {
+    fn due(&self) -> Option<Timestamp> {
         let parts = [
             Some(self.tick_at),
             self.ledger.due(),
@@ -405,7 +405,7 @@
 }
 
 impl Control {
-    fn opened(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn opened(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         match self.lines.get(&conn) {
             Some(Line::Peer(ip, _)) => self.greet(now, conn, *ip, orders),
             Some(Line::Link(host)) => self.link_opened(host.clone(), orders),
@@ -414,7 +414,7 @@
         }
     }
 
-    fn came(&mut self, now: Point, conn: Conn, bytes: &[u8], orders: &mut Orders) {
+    fn came(&mut self, now: Timestamp, conn: Conn, bytes: &[u8], orders: &mut Orders) {
         match self.lines.get_mut(&conn) {
             Some(Line::Caller(caller)) => {
                 caller.messages.put(bytes);
@@ -445,7 +445,7 @@
         }
     }
 
-    fn closed(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn closed(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         match self.lines.remove(&conn) {
             Some(Line::Peer(ip, _)) => self.peer_closed(conn, ip),
             Some(Line::Link(host)) => self.link_closed(now, host, conn, orders),
--- a/crates/arrowyard-control/src/control/calls.rs
+++ b/crates/arrowyard-control/src/control/calls.rs
@@ -6,7 +6,7 @@
 use arrowyard_messages::{DbRole, Entry, Host, Matter, Phase, Revised, number};
 use arrowyard_runtime::http::{Messages, Request, answer};
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use sonic_rs::{JsonValueTrait, Value};
 
 use super::{Control, Line};
@@ -16,7 +16,7 @@
 /// Hosts and routers that this many calls wait for at most on one connection.
 const BASE: &str = "Arrowyard-Base-Revision";
 /// An operator's call is answered by then, as unclear if need be.
-const CLEAR: Span = Span::from_millis(2500);
+const CLEAR: TimeDelta = TimeDelta::from_millis(2500);
 
 /// A caller's connection.
 #[derive(Default)]
@@ -51,7 +51,7 @@
 
 impl Control {
     /// Answers the calls of a connection that are whole, in their order.
-    pub(super) fn calls(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn calls(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         loop {
             let Some(Line::Caller(caller)) = self.lines.get_mut(&conn) else { return };
             if caller.waits {
@@ -83,7 +83,7 @@
         }
     }
 
-    fn call(&mut self, now: Point, conn: Conn, request: &Request, orders: &mut Orders) {
+    fn call(&mut self, now: Timestamp, conn: Conn, request: &Request, orders: &mut Orders) {
         let path = request.path.split('?').next().unwrap_or_default();
         if path != "/status" && !self.is_in_touch(now) {
             return self.reply(conn, 503, &fault("Cut off from the others; ask elsewhere."), orders);
@@ -127,7 +127,7 @@
     /// Proposes something to the ledger, for a caller who waits for it.
     fn propose(
         &mut self,
-        now: Point,
+        now: Timestamp,
         conn: Conn,
         pending: Pending,
         orders: &mut Orders,
@@ -148,7 +148,7 @@
     }
 
     /// A host calls: it is known from now on, and where its own zone has a control machine, it is sent there.
-    fn beat(&mut self, now: Point, conn: Conn, host: Host, orders: &mut Orders) {
+    fn beat(&mut self, now: Timestamp, conn: Conn, host: Host, orders: &mut Orders) {
         self.silent.remove(&host.id);
         let zone = host.zone.clone();
         if self.cell.called(now, host.clone()) {
@@ -167,7 +167,7 @@
     }
 
     /// A host has left. One that was never heard of here may be known elsewhere, so that is told and kept all the same.
-    fn leave(&mut self, now: Point, conn: Conn, id: &str, orders: &mut Orders) {
+    fn leave(&mut self, now: Timestamp, conn: Conn, id: &str, orders: &mut Orders) {
         self.silent.remove(id);
         let known = self.cell.get(id).cloned();
         let gone = match known {
@@ -182,7 +182,7 @@
     }
 
     /// An operator's change: answered at once where that is certain, else entered in the ledger.
-    fn change(&mut self, now: Point, conn: Conn, revised: Revised, first: bool, orders: &mut Orders) {
+    fn change(&mut self, now: Timestamp, conn: Conn, revised: Revised, first: bool, orders: &mut Orders) {
         let applied = self.ledger.applied();
         let alone = if revised.whole { Configuration::default().replace(&revised.body).err() } else { None };
         if let Some(refusal) = alone.filter(|refusal| !matches!(refusal, Refusal::Old(..))) {
@@ -243,7 +243,13 @@
     }
 
     /// The ledger answers a proposal.
-    pub(super) fn answered(&mut self, now: Point, proposal: ProposalId, answer: Answer, orders: &mut Orders) {
+    pub(super) fn answered(
+        &mut self,
+        now: Timestamp,
+        proposal: ProposalId,
+        answer: Answer,
+        orders: &mut Orders,
+    ) {
         if self.proposal_answered(now, proposal, answer, orders)
             || self.confirmation_answered(now, proposal, answer, orders)
         {
--- a/crates/arrowyard-control/src/control/departures.rs
+++ b/crates/arrowyard-control/src/control/departures.rs
@@ -9,13 +9,13 @@
 
 use arrowyard_messages::{Departing, DepartureKept, Host, Phase, Word};
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::Control;
 use crate::record::Kept;
 
 /// A departure that no majority has kept in so long is not acknowledged; a host waits for a second at most.
-const KEPT: Span = Span::from_millis(800);
+const KEPT: TimeDelta = TimeDelta::from_millis(800);
 
 /// A departure that its host waits for.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,7 +27,7 @@
     /// The record by which this machine keeps it.
     record: u64,
     kept_by: BTreeSet<u32>,
-    until: Point,
+    until: Timestamp,
 }
 
 /// What this machine is asked to acknowledge, and to keep for others.
@@ -48,7 +48,7 @@
     }
 
     /// A host waits; this machine keeps it by this record. Its number is told to the others.
-    pub fn begin(&mut self, now: Point, conn: Conn, host: Host, reply: String, record: u64) -> u64 {
+    pub fn begin(&mut self, now: Timestamp, conn: Conn, host: Host, reply: String, record: u64) -> u64 {
         self.last += 1;
         let departure = Departure { conn, host, reply, record, kept_by: BTreeSet::new(), until: now + KEPT };
         self.waiting.insert(self.last, departure);
@@ -97,7 +97,7 @@
     }
 
     /// Departures that were not kept by a majority in time.
-    pub fn late(&mut self, now: Point) -> Vec<Departure> {
+    pub fn late(&mut self, now: Timestamp) -> Vec<Departure> {
         self.waiting.extract_if(.., |_, departure| departure.until <= now).map(|(_, late)| late).collect()
     }
 
@@ -111,14 +111,21 @@
         self.acknowledged.retain(|host, _| is_known(host));
     }
 
-    pub fn due(&self) -> Option<Point> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.waiting.values().map(|departure| departure.until).min()
     }
 }
 
 impl Control {
     /// A host says here that it leaves or has left: it is answered once a majority keeps that.
-    pub(super) fn departs(&mut self, now: Point, conn: Conn, host: Host, reply: String, orders: &mut Orders) {
+    pub(super) fn departs(
+        &mut self,
+        now: Timestamp,
+        conn: Conn,
+        host: Host,
+        reply: String,
+        orders: &mut Orders,
+    ) {
         if self.departures.is_acknowledged(&host.id, host.phase()) {
             return self.reply(conn, 200, &reply, orders);
         }
@@ -131,13 +138,19 @@
         }
     }
 
-    fn keep_departure(&mut self, now: Point, host: &Host, orders: &mut Orders) -> u64 {
+    fn keep_departure(&mut self, now: Timestamp, host: &Host, orders: &mut Orders) -> u64 {
         let kept = Kept::Departing(host.clone());
         self.with_ledger(now, orders, |ledger, out| ledger.keep(kept, out))
     }
 
     /// Another control machine was told that a host leaves or has left.
-    pub(super) fn departure_told(&mut self, now: Point, ip: u32, departing: Departing, orders: &mut Orders) {
+    pub(super) fn departure_told(
+        &mut self,
+        now: Timestamp,
+        ip: u32,
+        departing: Departing,
+        orders: &mut Orders,
+    ) {
         let Departing { number, host } = departing;
         if self.cell.told(now, host.clone()) {
             if host.phase() == Phase::Gone {
@@ -154,19 +167,19 @@
     }
 
     /// The fate of a record is known; it may be a departure's.
-    pub(super) fn departure_stored(&mut self, now: Point, record: u64, kept: bool, orders: &mut Orders) {
+    pub(super) fn departure_stored(&mut self, now: Timestamp, record: u64, kept: bool, orders: &mut Orders) {
         if let Some((ip, number)) = self.departures.stored(self.me, record, kept) {
             self.say_to_peer(ip, &Word::DepartureKept(DepartureKept { number }), orders);
         }
         self.acknowledge_departures(now, orders);
     }
 
-    pub(super) fn departure_kept(&mut self, now: Point, ip: u32, number: u64, orders: &mut Orders) {
+    pub(super) fn departure_kept(&mut self, now: Timestamp, ip: u32, number: u64, orders: &mut Orders) {
         self.departures.kept(ip, number);
         self.acknowledge_departures(now, orders);
     }
 
-    fn acknowledge_departures(&mut self, now: Point, orders: &mut Orders) {
+    fn acknowledge_departures(&mut self, now: Timestamp, orders: &mut Orders) {
         for departure in self.departures.settle(self.ledger.voters()) {
             self.reply(departure.conn, 200, &departure.reply, orders);
             self.calls(now, departure.conn, orders);
@@ -174,7 +187,7 @@
     }
 
     /// Hosts whose departure no majority keeps are told to ask elsewhere.
-    pub(super) fn refuse_late_departures(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn refuse_late_departures(&mut self, now: Timestamp, orders: &mut Orders) {
         for departure in self.departures.late(now) {
             log::warn!("hosts: {} leaves, and no majority keeps that.", departure.host.id);
             let body = "{\"error\":\"No majority of the control machines keeps this yet; ask elsewhere.\"}";
--- a/crates/arrowyard-control/src/control/disk.rs
+++ b/crates/arrowyard-control/src/control/disk.rs
@@ -3,21 +3,21 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 /// A record that is not durable after so long: the disk hangs.
-const HANGS: Span = Span::from_millis(800);
+const HANGS: TimeDelta = TimeDelta::from_millis(800);
 
 /// The records that are under way to the disk.
 #[derive(Debug, Default)]
 pub struct DiskWatch {
-    since: BTreeMap<u64, Point>,
+    since: BTreeMap<u64, Timestamp>,
     refuses: bool,
 }
 
 impl DiskWatch {
     /// A record was handed to the disk.
-    pub fn asked(&mut self, now: Point, ticket: u64) {
+    pub fn asked(&mut self, now: Timestamp, ticket: u64) {
         self.since.insert(ticket, now);
     }
 
@@ -32,7 +32,7 @@
     }
 
     /// Whether records are durable in good time.
-    pub fn is_well(&self, now: Point) -> bool {
+    pub fn is_well(&self, now: Timestamp) -> bool {
         let oldest = self.since.first_key_value().map(|(_, since)| *since);
         !self.refuses && oldest.is_none_or(|since| now - since < HANGS)
     }
--- a/crates/arrowyard-control/src/control/duty.rs
+++ b/crates/arrowyard-control/src/control/duty.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeSet;
 
 use arrowyard_runtime::Orders;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::Control;
 use crate::applied::DUTY;
@@ -11,13 +11,13 @@
 use crate::{Answer, ProposalId};
 
 /// A majority has so long to confirm that this machine holds the duty.
-const CONFIRMED: Span = Span::from_millis(1000);
+const CONFIRMED: TimeDelta = TimeDelta::from_millis(1000);
 
 impl Control {
     /// Takes the duty up, or lays it down. Safety: a machine that was cut off may hold it by what it knows while another
     /// one holds it by now; the two would undo each other's questions to replicas. So it carries out nothing while it is
     /// cut off, and afterwards only once a majority has confirmed that it still holds the duty.
-    pub(super) fn take_up(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn take_up(&mut self, now: Timestamp, orders: &mut Orders) {
         let held = self.duty.held(self.ledger.applied());
         let fence = held.filter(|_| self.in_touch && self.confirmed == held);
         if held.is_some() && fence.is_none() {
@@ -47,7 +47,7 @@
     }
 
     /// Asks a majority whether all that was agreed on is known here, this machine's hold of the duty among it.
-    pub(super) fn confirm(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn confirm(&mut self, now: Timestamp, orders: &mut Orders) {
         if self.in_touch && self.confirming.is_none() {
             self.confirming = Some(self.ledger.next_proposal());
             self.with_ledger(now, orders, |ledger, out| ledger.read_all(now, now + CONFIRMED, out));
@@ -57,7 +57,7 @@
     /// The ledger answers a question. Whether it was the one for the duty.
     pub(super) fn confirmation_answered(
         &mut self,
-        now: Point,
+        now: Timestamp,
         ticket: ProposalId,
         answer: Answer,
         orders: &mut Orders,
@@ -74,7 +74,7 @@
     }
 
     /// This machine was cut off, or is in touch again.
-    pub(super) fn touch_changed(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn touch_changed(&mut self, now: Timestamp, orders: &mut Orders) {
         if !self.in_touch {
             self.confirmed = None;
         }
@@ -82,7 +82,7 @@
     }
 
     /// Looks at every service whose primary may have to change.
-    pub(super) fn look(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn look(&mut self, now: Timestamp, orders: &mut Orders) {
         let services: Vec<String> =
             self.ledger.applied().configuration.services().map(|service| service.name.clone()).collect();
         if self.leaders.len() > services.len() {
--- a/crates/arrowyard-control/src/control/feed.rs
+++ b/crates/arrowyard-control/src/control/feed.rs
@@ -2,15 +2,15 @@
 
 use arrowyard_messages::{Change, Frames, Hello, Host, Known, Matter, Revised, Seen, Step, Whole, Word};
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::{Control, Line};
 
 /// Fewer routers are believed after so long: one that only starts again still holds its share of the connections.
-const FEWER: Span = Span::from_millis(5000);
+const FEWER: TimeDelta = TimeDelta::from_millis(5000);
 
 /// A router that says nothing for so long is gone; it says what it has every two seconds.
-const SILENT: Span = Span::from_millis(6500);
+const SILENT: TimeDelta = TimeDelta::from_millis(6500);
 /// So many routers are taken to be there at a first start.
 const GUESS: u32 = 12;
 
@@ -22,13 +22,13 @@
     pub life: u64,
     number: u64,
     pub seen: Seen,
-    heard_at: Point,
+    heard_at: Timestamp,
 }
 
 impl Control {
     pub(super) fn admit_router(
         &mut self,
-        now: Point,
+        now: Timestamp,
         conn: Conn,
         hello: &Hello,
         frames: Frames,
@@ -66,7 +66,7 @@
         }
     }
 
-    pub(super) fn router_came(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn router_came(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         loop {
             let Some(Line::Router(router)) = self.lines.get_mut(&conn) else { return };
             match router.frames.take() {
@@ -96,7 +96,7 @@
     }
 
     /// Whether a router has said nothing for so long that it is gone.
-    pub(super) fn router_silent(&self, now: Point, conn: Conn) -> bool {
+    pub(super) fn router_silent(&self, now: Timestamp, conn: Conn) -> bool {
         matches!(self.lines.get(&conn), Some(Line::Router(router)) if now - router.heard_at >= SILENT)
     }
 
@@ -116,7 +116,7 @@
     }
 
     /// A slot is known: what it changes goes out.
-    pub(super) fn tell_chosen(&mut self, now: Point, slot: u64, orders: &mut Orders) {
+    pub(super) fn tell_chosen(&mut self, now: Timestamp, slot: u64, orders: &mut Orders) {
         let entry = self.ledger.entry(slot);
         match entry.map(|entry| entry.matter.clone()) {
             Some(Some(Matter::Duty(_))) => self.pass_suspicions(now, orders),
@@ -169,7 +169,7 @@
         self.tell_routers(&Change { hosts, ..Change::default() }, orders);
     }
 
-    pub(super) fn count_routers(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn count_routers(&mut self, now: Timestamp, orders: &mut Orders) {
         let here = self.routers_fed().count() as u32;
         let elsewhere: u32 = self.live_peers(now).map(|(_, peer)| peer.routers).sum();
         let routers = here + elsewhere;
--- a/crates/arrowyard-control/src/control/hosts.rs
+++ b/crates/arrowyard-control/src/control/hosts.rs
@@ -5,15 +5,15 @@
 
 use arrowyard_protocol::{Answer, Code, Lines, Observed};
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::{Control, Line};
 use crate::promotion::{Ask, Reply, Sight, is_repeated};
 
 /// A host that does not answer a question in so long is silent.
-const ANSWER: Span = Span::from_millis(400);
+const ANSWER: TimeDelta = TimeDelta::from_millis(400);
 /// A connection without a question is closed after so long.
-const IDLE: Span = Span::from_millis(2000);
+const IDLE: TimeDelta = TimeDelta::from_millis(2000);
 
 /// A connection to a host.
 pub struct Link {
@@ -21,11 +21,11 @@
     service: String,
     lines: Lines,
     open: bool,
-    asked: Option<(Ask, Point)>,
+    asked: Option<(Ask, Timestamp)>,
     queue: VecDeque<Ask>,
     row: Option<Observed>,
     fault: Option<Code>,
-    used_at: Point,
+    used_at: Timestamp,
 }
 
 fn host_of(ask: &Ask) -> &str {
@@ -38,7 +38,7 @@
 }
 
 impl Control {
-    pub(super) fn ask_hosts(&mut self, now: Point, asks: Vec<Ask>, orders: &mut Orders) {
+    pub(super) fn ask_hosts(&mut self, now: Timestamp, asks: Vec<Ask>, orders: &mut Orders) {
         for ask in asks {
             if let Ask::Promote { service, host } = &ask {
                 self.ask_platform(now, service, host, orders);
@@ -67,7 +67,7 @@
         }
     }
 
-    fn ask_next(&mut self, now: Point, id: &str, orders: &mut Orders) {
+    fn ask_next(&mut self, now: Timestamp, id: &str, orders: &mut Orders) {
         let Some(link) = self.links.get_mut(id) else { return };
         if link.asked.is_some() {
             return;
@@ -98,7 +98,7 @@
         }
     }
 
-    pub(super) fn link_came(&mut self, now: Point, id: String, bytes: &[u8], orders: &mut Orders) {
+    pub(super) fn link_came(&mut self, now: Timestamp, id: String, bytes: &[u8], orders: &mut Orders) {
         if let Some(link) = self.links.get_mut(&id) {
             link.lines.put(bytes);
         }
@@ -151,7 +151,7 @@
         }
     }
 
-    fn link_fails(&mut self, now: Point, id: &str, orders: &mut Orders) {
+    fn link_fails(&mut self, now: Timestamp, id: &str, orders: &mut Orders) {
         let Some(link) = self.links.get(id) else { return };
         let (service, asked) = (link.service.clone(), link.asked.is_some());
         self.drop_link(id, orders);
@@ -160,14 +160,14 @@
         }
     }
 
-    pub(super) fn link_closed(&mut self, now: Point, id: String, conn: Conn, orders: &mut Orders) {
+    pub(super) fn link_closed(&mut self, now: Timestamp, id: String, conn: Conn, orders: &mut Orders) {
         if self.links.get(&id).is_some_and(|link| link.conn == Some(conn)) {
             self.link_fails(now, &id, orders);
         }
     }
 
     /// A service's change of primary takes an answer.
-    pub(super) fn replied(&mut self, now: Point, service: &str, reply: Reply, orders: &mut Orders) {
+    pub(super) fn replied(&mut self, now: Timestamp, service: &str, reply: Reply, orders: &mut Orders) {
         if self.fence.is_none() {
             return;
         }
@@ -179,7 +179,7 @@
     }
 
     /// Questions without an answer, and connections without a question.
-    pub(super) fn drop_idle(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn drop_idle(&mut self, now: Timestamp, orders: &mut Orders) {
         let late = |link: &Link| link.asked.as_ref().is_some_and(|(_, until)| *until <= now);
         let silent: Vec<String> =
             self.links.iter().filter(|(_, link)| late(link)).map(|(id, _)| id.clone()).collect();
@@ -198,7 +198,7 @@
         self.drop_late_calls(now, orders);
     }
 
-    pub(super) fn links_due(&self) -> Option<Point> {
+    pub(super) fn links_due(&self) -> Option<Timestamp> {
         let links = self.links.values().filter_map(|link| link.asked.as_ref().map(|(_, until)| *until));
         links.chain(self.relays.due()).min()
     }
--- a/crates/arrowyard-control/src/control/memory.rs
+++ b/crates/arrowyard-control/src/control/memory.rs
@@ -4,7 +4,7 @@
 
 use arrowyard_messages::Host;
 use arrowyard_runtime::Orders;
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 use prost::Message;
 
 use super::Control;
@@ -23,7 +23,7 @@
             _ => {}
         }
     }
-    let (mut cell, now) = (Cell::default(), Point::from_micros(0));
+    let (mut cell, now) = (Cell::default(), Timestamp::from_micros(0));
     last.hosts.into_iter().for_each(|host| cell.remember(now, host, zone));
     // Records may be older or newer than the last memory: the cell takes the newer word of each host.
     departed.into_iter().for_each(|host| _ = cell.told(now, host));
@@ -36,7 +36,7 @@
     }
 
     /// Keeps what changed since the last time. Nobody waits for it.
-    pub(super) fn remember(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn remember(&mut self, now: Timestamp, orders: &mut Orders) {
         let digest = self.cell.digest().wrapping_add(u64::from(self.routers));
         if digest == self.kept_digest {
             return;
--- a/crates/arrowyard-control/src/control/mesh.rs
+++ b/crates/arrowyard-control/src/control/mesh.rs
@@ -4,22 +4,22 @@
 
 use arrowyard_messages::{Beat, Cell, Frames, Hello, Word, said};
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::{Control, Line};
 
 /// A control machine that says nothing for so long is away.
-const AWAY: Span = Span::from_millis(1500);
+const AWAY: TimeDelta = TimeDelta::from_millis(1500);
 /// A machine that was not heard for so long is told that it is not. It is shorter, so that both ends of a way that is cut
 /// in one direction notice at about the same time.
-const NOT_HEARD: Span = Span::from_millis(1250);
+const NOT_HEARD: TimeDelta = TimeDelta::from_millis(1250);
 /// A dial without an answer is given up after so long, and tried again at the earliest after so long.
-const DIAL: Span = Span::from_millis(1000);
+const DIAL: TimeDelta = TimeDelta::from_millis(1000);
 /// Beats are so many ticks apart, and every so many of them tell of other machines.
 const BEAT: u64 = 2;
 const SHUFFLE: u64 = 8;
 /// A router that came too early is sent away after so long.
-const EARLY: Span = Span::from_millis(600);
+const EARLY: TimeDelta = TimeDelta::from_millis(600);
 /// Routers hear that it is here every so many ticks.
 const HEARTBEAT: u64 = 2;
 
@@ -30,28 +30,28 @@
     /// other on both, and speaks on the newest that it has.
     conns: Vec<Conn>,
     /// A dial of ours that has not come through.
-    dialled: Option<(Conn, Point)>,
+    dialled: Option<(Conn, Timestamp)>,
     life: u64,
     pub routers: u32,
     /// Whether it said that its vote counts, and since when it does not.
     pub votes: bool,
-    unable_since: Option<Point>,
+    unable_since: Option<Timestamp>,
     pub disk_fails: bool,
     /// Whether it was told to end.
     pub leaving: bool,
     /// Whether it said last that it hears of this machine.
     hears_me: bool,
     /// Since when it is heard of without a break, and when it was last.
-    since: Point,
-    heard_at: Point,
-    tried_at: Point,
+    since: Timestamp,
+    heard_at: Timestamp,
+    tried_at: Timestamp,
     differs: u32,
 }
 
 impl Peer {
     /// It said something.
-    fn hear(&mut self, now: Point) {
-        if now - self.heard_at >= AWAY || self.since == Point::default() {
+    fn hear(&mut self, now: Timestamp) {
+        if now - self.heard_at >= AWAY || self.since == Timestamp::default() {
             self.since = now;
         }
         self.heard_at = now;
@@ -62,7 +62,7 @@
         (self.life != 0).then_some(self.life)
     }
 
-    fn says_that_it_votes(&mut self, now: Point, votes: bool) {
+    fn says_that_it_votes(&mut self, now: Timestamp, votes: bool) {
         self.votes = votes;
         if votes {
             self.unable_since = None;
@@ -72,12 +72,12 @@
     }
 
     /// For how long it has said that its vote does not count.
-    pub fn unable_for(&self, now: Point) -> Span {
-        self.unable_since.map_or(Span::ZERO, |since| now - since)
+    pub fn unable_for(&self, now: Timestamp) -> TimeDelta {
+        self.unable_since.map_or(TimeDelta::ZERO, |since| now - since)
     }
 
     /// For how long it has been heard of, or not.
-    pub fn heard_for(&self, now: Point) -> Result<Span, Span> {
+    pub fn heard_for(&self, now: Timestamp) -> Result<TimeDelta, TimeDelta> {
         let silence = now - self.heard_at;
         if self.is_open() && silence < AWAY { Ok(now - self.since) } else { Err(silence) }
     }
@@ -100,7 +100,7 @@
     }
 
     /// Keeps a connection to every control machine that is known, and tells them that it is here.
-    pub(super) fn meet(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn meet(&mut self, now: Timestamp, orders: &mut Orders) {
         let known: Vec<u32> =
             self.view.all().map(|known| known.ip).chain(self.ledger.voters().to_vec()).collect();
         // A machine that is gone for good is dialled till it has fallen out of the view.
@@ -141,7 +141,7 @@
         }
     }
 
-    pub(super) fn beat_peers(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn beat_peers(&mut self, now: Timestamp, orders: &mut Orders) {
         self.view.age();
         let view =
             if self.ticks.is_multiple_of(SHUFFLE) { self.view.part(&mut self.rng) } else { Vec::new() };
@@ -161,7 +161,7 @@
 
     /// The machines that are told that they are heard. Only voters tell: theirs is the word that others count, and lists of
     /// all machines from all machines would grow with the cube of their number.
-    fn heard_lately(&self, now: Point) -> Vec<u32> {
+    fn heard_lately(&self, now: Timestamp) -> Vec<u32> {
         if !self.ledger.voters().contains(&self.me) {
             return Vec::new();
         }
@@ -170,8 +170,8 @@
     }
 
     /// Hosts that called here and do so no more.
-    fn hush(&mut self, now: Point) {
-        let late = Span::from_millis((self.settings.beat_period_ms as f64 * 2.5) as i64);
+    fn hush(&mut self, now: Timestamp) {
+        let late = TimeDelta::from_millis((self.settings.beat_period_ms as f64 * 2.5) as i64);
         let quiet = |id: &str| self.cell.called_at(id).is_some_and(|at| now - at >= late);
         let live = self.cell.all().filter(|host| host.phase() != arrowyard_messages::Phase::Gone);
         let ids: Vec<String> = live.filter(|host| quiet(&host.id)).map(|host| host.id.clone()).collect();
@@ -188,14 +188,14 @@
             .collect();
     }
 
-    pub(super) fn live_peers(&self, now: Point) -> impl Iterator<Item = (&u32, &Peer)> {
+    pub(super) fn live_peers(&self, now: Timestamp) -> impl Iterator<Item = (&u32, &Peer)> {
         self.peers.iter().filter(move |(_, peer)| peer.is_open() && now - peer.heard_at < AWAY)
     }
 
     /// Whether it hears of more than half of the voters and they hear of it, itself among them if it is one. Safety: a
     /// machine that is cut off, in one direction or both, takes calls and feeds routers as before, and nothing that it
     /// says is news to anyone.
-    pub(super) fn is_in_touch(&self, now: Point) -> bool {
+    pub(super) fn is_in_touch(&self, now: Timestamp) -> bool {
         let voters = self.ledger.voters();
         let in_touch = |voter: &u32| self.live_peers(now).any(|(ip, peer)| ip == voter && peer.hears_me);
         let live = voters.iter().filter(|voter| **voter == self.me || in_touch(voter));
@@ -203,7 +203,7 @@
     }
 
     /// Lets routers go to another control machine while this one is cut off.
-    pub(super) fn keep_touch(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn keep_touch(&mut self, now: Timestamp, orders: &mut Orders) {
         let in_touch = self.is_in_touch(now);
         if in_touch != self.in_touch {
             self.in_touch = in_touch;
@@ -227,7 +227,7 @@
     }
 
     /// Routers that came while the voters were not heard of yet are fed, or sent away.
-    fn admit_early(&mut self, now: Point, in_touch: bool, orders: &mut Orders) {
+    fn admit_early(&mut self, now: Timestamp, in_touch: bool, orders: &mut Orders) {
         let early = |(conn, line): (&Conn, &Line)| match line {
             Line::Early(_, _, since) if in_touch || now - *since >= EARLY => Some(*conn),
             _ => None,
@@ -246,7 +246,7 @@
     }
 
     /// A control machine that is up in a zone.
-    pub(super) fn peer_in(&self, now: Point, zone: &str) -> Option<u32> {
+    pub(super) fn peer_in(&self, now: Timestamp, zone: &str) -> Option<u32> {
         self.live_peers(now).map(|(ip, _)| *ip).find(|ip| self.view.zone(*ip) == Some(zone))
     }
 
@@ -271,7 +271,7 @@
     }
 
     /// A dial of ours came through.
-    pub(super) fn greet(&mut self, now: Point, conn: Conn, ip: u32, orders: &mut Orders) {
+    pub(super) fn greet(&mut self, now: Timestamp, conn: Conn, ip: u32, orders: &mut Orders) {
         let hello = self.hello();
         self.say(conn, hello, orders);
         let peer = self.peers.entry(ip).or_default();
@@ -284,7 +284,7 @@
     }
 
     /// Somebody of the system's own that has not said who it is.
-    pub(super) fn strange(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn strange(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         let Some(Line::Stranger(frames)) = self.lines.get_mut(&conn) else { return };
         match frames.take() {
             Ok(None) => {}
@@ -317,7 +317,7 @@
         }
     }
 
-    fn know(&mut self, now: Point, hello: &Hello, orders: &mut Orders) {
+    fn know(&mut self, now: Timestamp, hello: &Hello, orders: &mut Orders) {
         self.view.heard(hello.ip, &hello.zone);
         self.view.merge(&hello.view, self.me);
         if let Some(peer) = self.peers.get_mut(&hello.ip) {
@@ -332,7 +332,14 @@
         }
     }
 
-    pub(super) fn peer_came(&mut self, now: Point, conn: Conn, ip: u32, bytes: &[u8], orders: &mut Orders) {
+    pub(super) fn peer_came(
+        &mut self,
+        now: Timestamp,
+        conn: Conn,
+        ip: u32,
+        bytes: &[u8],
+        orders: &mut Orders,
+    ) {
         if let Some(Line::Peer(_, frames)) = self.lines.get_mut(&conn) {
             frames.put(bytes);
         }
@@ -359,7 +366,7 @@
         }
     }
 
-    fn peer_says(&mut self, now: Point, ip: u32, word: Word, orders: &mut Orders) {
+    fn peer_says(&mut self, now: Timestamp, ip: u32, word: Word, orders: &mut Orders) {
         match word {
             Word::Hello(hello) => self.know(now, &hello, orders),
             Word::Beat(beat) => self.peer_beat(now, ip, &beat, orders),
@@ -396,7 +403,7 @@
         }
     }
 
-    fn peer_beat(&mut self, now: Point, ip: u32, beat: &Beat, orders: &mut Orders) {
+    fn peer_beat(&mut self, now: Timestamp, ip: u32, beat: &Beat, orders: &mut Orders) {
         let zone = self.view.zone(ip).unwrap_or_default().to_string();
         self.view.heard(ip, &zone);
         self.view.merge(&beat.view, self.me);
@@ -429,7 +436,7 @@
                 let hosts = self.cell.get(&silent.id).cloned().into_iter().collect();
                 self.say_to_peers(&Word::Cell(Cell { hosts, whole: false }), orders);
             } else {
-                let since = now - Span::from_millis(silent.ms as i64);
+                let since = now - TimeDelta::from_millis(silent.ms as i64);
                 self.silent.entry(silent.id.clone()).or_insert(since);
             }
         }
--- a/crates/arrowyard-control/src/control/platform.rs
+++ b/crates/arrowyard-control/src/control/platform.rs
@@ -9,21 +9,21 @@
 use arrowyard_messages::{Decision, Entry, Matter};
 use arrowyard_runtime::http::{Messages, call};
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::{Control, Line};
 use crate::promotion::{Reply, Sight, Stage};
 use crate::{Answer, ProposalId};
 
 /// A platform that does not answer in so long is asked anew.
-const PLATFORM: Span = Span::from_millis(1200);
+const PLATFORM: TimeDelta = TimeDelta::from_millis(1200);
 /// A decision is carried out, by calls that are repeated, for so long after it was proposed; then anew. Where the platform
 /// does not check fences, whoever takes the duty up waits longer than that before its first decision, so that no call of
 /// the holder before comes after it.
-const VALID: Span = Span::from_millis(2000);
-const UNCHECKED_WAIT: Span = Span::from_millis(3000);
+const VALID: TimeDelta = TimeDelta::from_millis(2000);
+const UNCHECKED_WAIT: TimeDelta = TimeDelta::from_millis(3000);
 /// A decision that is not entered in the ledger in so long is asked for anew.
-const DECIDED: Span = Span::from_millis(1000);
+const DECIDED: TimeDelta = TimeDelta::from_millis(1000);
 
 /// A call to the platform.
 pub struct Platform {
@@ -31,7 +31,7 @@
     pub call: String,
     pub service: String,
     /// Nothing is sent from then on. Safety: a machine that was frozen wakes up with what it was about to send.
-    pub until: Point,
+    pub until: Timestamp,
 }
 
 /// Which host is to lead a service, and under which fence that was agreed on.
@@ -40,7 +40,7 @@
     host: String,
     number: u64,
     fence: Option<u64>,
-    until: Point,
+    until: Timestamp,
 }
 
 /// The decisions of this machine, one a service.
@@ -51,12 +51,12 @@
     proposed: BTreeMap<ProposalId, String>,
     last: u64,
     /// Nothing is decided before.
-    from: Point,
+    from: Timestamp,
 }
 
 impl Control {
     /// A host is to be made primary: that is agreed on first, unless it is a repetition of what was agreed on.
-    pub(super) fn ask_platform(&mut self, now: Point, service: &str, host: &str, orders: &mut Orders) {
+    pub(super) fn ask_platform(&mut self, now: Timestamp, service: &str, host: &str, orders: &mut Orders) {
         let stage = &self.promotions.of(service).stage;
         let is_repeated = matches!(stage, Stage::Promoting { tries, .. } if *tries > 0);
         let decided = self.decisions.by_service.get(service);
@@ -83,13 +83,13 @@
     }
 
     /// Where the platform does not check fences, calls of the holder before must have come to an end first.
-    pub(super) fn decide_from(&mut self, now: Point, after_another: bool) {
+    pub(super) fn decide_from(&mut self, now: Timestamp, after_another: bool) {
         let waits = after_another && !self.settings.envelope.fence_checked;
         self.decisions.from = if waits { now + UNCHECKED_WAIT } else { now };
     }
 
     /// A connection to the platform is open: the call goes out, if there is still time for it.
-    pub(super) fn platform_opened(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn platform_opened(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         let Some(Line::Platform(platform)) = self.lines.get(&conn) else { return };
         if now < platform.until {
             orders.write(conn, &[platform.call.as_bytes()]);
@@ -100,7 +100,7 @@
     }
 
     /// Proposes a decision to the ledger.
-    fn decide(&mut self, now: Point, service: &str, host: &str, orders: &mut Orders) {
+    fn decide(&mut self, now: Timestamp, service: &str, host: &str, orders: &mut Orders) {
         let Some(duty_fence) = self.fence else { return };
         self.decisions.last += 1;
         let number = self.decisions.last;
@@ -121,7 +121,7 @@
     }
 
     /// A decision was agreed on in this slot: if it is this machine's newest one for the service, it is carried out.
-    pub(super) fn decided(&mut self, now: Point, slot: u64, decision: &Decision, orders: &mut Orders) {
+    pub(super) fn decided(&mut self, now: Timestamp, slot: u64, decision: &Decision, orders: &mut Orders) {
         let is_mine = (decision.holder, decision.life) == (self.me, self.life);
         if !is_mine || self.fence != Some(decision.duty_fence) {
             return;
@@ -139,7 +139,7 @@
     }
 
     /// Whether a host has joined the service since it was surveyed; then its hosts are surveyed again.
-    fn survey_newcomers(&mut self, now: Point, service: &str, orders: &mut Orders) -> bool {
+    fn survey_newcomers(&mut self, now: Timestamp, service: &str, orders: &mut Orders) -> bool {
         let mut asks = Vec::new();
         let sight = Sight { cell: &self.cell, silent: &self.silent, left: &self.left };
         let joined = self.promotions.of(service).survey_newcomers(now, &sight, &mut asks);
@@ -151,7 +151,7 @@
     /// The ledger answers a proposal. Whether it was one for a decision.
     pub(super) fn proposal_answered(
         &mut self,
-        now: Point,
+        now: Timestamp,
         ticket: ProposalId,
         answer: Answer,
         orders: &mut Orders,
@@ -167,10 +167,10 @@
     /// Calls the platform for a decision, under the decision's own fence and as long as it is valid.
     fn call_platform(
         &mut self,
-        now: Point,
+        now: Timestamp,
         service: &str,
         host: &str,
-        (fence, until): (u64, Point),
+        (fence, until): (u64, Timestamp),
         orders: &mut Orders,
     ) {
         let Some(platform) = &self.settings.platform_api else {
@@ -190,7 +190,7 @@
         self.platform_calls.push((conn, now + PLATFORM));
     }
 
-    pub(super) fn platform_came(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn platform_came(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         let Some(Line::Platform(platform)) = self.lines.get_mut(&conn) else { return };
         let status = match platform.messages.response() {
             Ok(None) => return,
@@ -203,17 +203,17 @@
         self.platform_said(now, &service, status, orders);
     }
 
-    pub(super) fn platform_closed(&mut self, now: Point, platform: &Platform, orders: &mut Orders) {
+    pub(super) fn platform_closed(&mut self, now: Timestamp, platform: &Platform, orders: &mut Orders) {
         self.platform_said(now, &platform.service, 0, orders);
     }
 
-    fn platform_said(&mut self, now: Point, service: &str, status: u16, orders: &mut Orders) {
+    fn platform_said(&mut self, now: Timestamp, service: &str, status: u16, orders: &mut Orders) {
         log::info!("promotion: {service}: The platform says {status}.");
         self.replied(now, service, Reply::Platform { status }, orders);
     }
 
     /// Calls that were not answered in time.
-    pub(super) fn drop_late_calls(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn drop_late_calls(&mut self, now: Timestamp, orders: &mut Orders) {
         let late: Vec<Conn> =
             self.platform_calls.iter().filter(|(_, until)| *until <= now).map(|(conn, _)| *conn).collect();
         self.platform_calls.retain(|(_, until)| *until > now);
--- a/crates/arrowyard-control/src/control/relays.rs
+++ b/crates/arrowyard-control/src/control/relays.rs
@@ -10,14 +10,14 @@
 use arrowyard_messages::{HostRequest, HostRow, RelayedAnswer, RelayedQuestion, Word};
 use arrowyard_protocol::{Observed, Position};
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::Control;
 use crate::promotion::{Ask, Reply};
 
 /// Routers have so long to bring an answer. It is shorter than the wait for the host's own, so that a host that is down
 /// is not waited for longer.
-const RELAY_TIMEOUT: Span = Span::from_millis(300);
+const RELAY_TIMEOUT: TimeDelta = TimeDelta::from_millis(300);
 /// Beside this machine so many others have one of their routers ask: each takes a connection to the host.
 const OTHER_MACHINES: usize = 2;
 
@@ -29,7 +29,7 @@
     service: String,
     /// Control machines of which no answer has come.
     outstanding: usize,
-    until: Point,
+    until: Timestamp,
     /// Whether the host has failed to answer control itself.
     direct_failed: bool,
 }
@@ -62,7 +62,7 @@
     /// where the question is not one to a host.
     pub fn begin(
         &mut self,
-        now: Point,
+        now: Timestamp,
         asked_by: u32,
         service: &str,
         ask: &Ask,
@@ -121,7 +121,7 @@
     }
 
     /// Whoever has not answered by now does not.
-    pub fn expire(&mut self, now: Point) -> Vec<Relayed> {
+    pub fn expire(&mut self, now: Timestamp) -> Vec<Relayed> {
         let late = self.by_host.iter().filter(|(_, relay)| relay.until <= now);
         let late: Vec<String> = late.map(|(host, _)| host.clone()).collect();
         late.iter().map(|host| self.ended(host)).collect()
@@ -137,7 +137,7 @@
         }
     }
 
-    pub fn due(&self) -> Option<Point> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.by_host.values().map(|relay| relay.until).min()
     }
 }
@@ -150,7 +150,7 @@
 impl Control {
     /// Relays a question to a host that has fallen silent. A primary is not asked so: while control does not reach it, it
     /// is replaced.
-    pub(super) fn relay(&mut self, now: Point, id: &str, ask: &Ask, orders: &mut Orders) {
+    pub(super) fn relay(&mut self, now: Timestamp, id: &str, ask: &Ask, orders: &mut Orders) {
         let Some(host) = self.cell.get(id) else { return };
         let service = host.service.clone();
         let is_primary = self.cell.primary(&service).is_some_and(|primary| primary.id == id);
@@ -166,7 +166,7 @@
     }
 
     /// Passes a question on to one of the routers that are fed here, another one for each question.
-    pub(super) fn relay_to_router(&mut self, now: Point, question: RelayedQuestion, orders: &mut Orders) {
+    pub(super) fn relay_to_router(&mut self, now: Timestamp, question: RelayedQuestion, orders: &mut Orders) {
         let mut fed: Vec<Conn> = self.routers_fed().map(|(conn, _)| conn).collect();
         fed.sort_unstable();
         if fed.is_empty() {
@@ -178,7 +178,7 @@
     }
 
     /// An answer of a router, on its way to whoever asked.
-    pub(super) fn relayed(&mut self, now: Point, answer: RelayedAnswer, orders: &mut Orders) {
+    pub(super) fn relayed(&mut self, now: Timestamp, answer: RelayedAnswer, orders: &mut Orders) {
         if answer.asked_by != self.me {
             return self.say_to_peer(answer.asked_by, &Word::RelayedAnswer(answer), orders);
         }
@@ -187,13 +187,13 @@
     }
 
     /// Relayed questions that nobody has answered in time.
-    pub(super) fn expire_relays(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn expire_relays(&mut self, now: Timestamp, orders: &mut Orders) {
         for relayed in self.relays.expire(now) {
             self.conclude_relay(now, relayed, orders);
         }
     }
 
-    fn conclude_relay(&mut self, now: Point, relayed: Relayed, orders: &mut Orders) {
+    fn conclude_relay(&mut self, now: Timestamp, relayed: Relayed, orders: &mut Orders) {
         match relayed {
             Relayed::Waiting => {}
             Relayed::Answered { service, reply } => {
--- a/crates/arrowyard-control/src/control/replacements.rs
+++ b/crates/arrowyard-control/src/control/replacements.rs
@@ -8,7 +8,7 @@
 
 use arrowyard_messages::{Replacement, Replacements, Word, Yielded};
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 
 use super::Control;
 use crate::applied::DUTY;
@@ -33,7 +33,13 @@
     }
 
     /// A router made an old primary yield. It is passed on once, to the holder of the duty alone.
-    pub(super) fn yielded(&mut self, now: Point, from_router: bool, yielded: Yielded, orders: &mut Orders) {
+    pub(super) fn yielded(
+        &mut self,
+        now: Timestamp,
+        from_router: bool,
+        yielded: Yielded,
+        orders: &mut Orders,
+    ) {
         if self.fence.is_some() {
             return self.replied(now, &yielded.service, Reply::Yielded, orders);
         }
--- a/crates/arrowyard-control/src/control/seats.rs
+++ b/crates/arrowyard-control/src/control/seats.rs
@@ -2,27 +2,27 @@
 
 use arrowyard_messages::{Entry, Matter, Voters, number};
 use arrowyard_runtime::Orders;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::{Control, TICK};
 use crate::seats::{Machine, can_hand_over, next, wanted};
 
 /// Between two changes.
-const PAUSE: Span = Span::from_millis(250);
+const PAUSE: TimeDelta = TimeDelta::from_millis(250);
 /// A first start waits so long at most for all seats to be filled before it takes a configuration.
-const FOUNDING: Span = Span::from_millis(4000);
+const FOUNDING: TimeDelta = TimeDelta::from_millis(4000);
 
 impl Control {
-    fn machines(&self, now: Point) -> Vec<Machine> {
+    fn machines(&self, now: Timestamp) -> Vec<Machine> {
         let region = |zone: &str| self.settings.zones.get(zone).cloned().unwrap_or_default();
         let zone = self.settings.zone.clone();
         let me = Machine {
             ip: self.me,
             region: region(&zone),
             zone,
-            heard: Ok(now - Point::from_micros(0)),
+            heard: Ok(now - Timestamp::from_micros(0)),
             votes: self.is_able_to_vote(now),
-            unable: self.unable_since.map_or(Span::ZERO, |since| now - since),
+            unable: self.unable_since.map_or(TimeDelta::ZERO, |since| now - since),
             disk_works: self.disk.is_well(now),
             leaving: self.ending_since.is_some(),
         };
@@ -44,13 +44,13 @@
 
     /// Whether this machine has a vote that another one can take over. Safety: it may be gone for good once it has ended, and
     /// the next loss may follow at once.
-    pub(super) fn can_hand_over(&self, now: Point) -> bool {
+    pub(super) fn can_hand_over(&self, now: Timestamp) -> bool {
         can_hand_over(self.me, self.ledger.voters(), &self.machines(now), self.settings.tolerance)
     }
 
     /// Whoever holds the duty sees to it that enough machines vote. A holder that is lost is replaced before it counts as
     /// gone for its seat.
-    pub(super) fn fill_seats(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn fill_seats(&mut self, now: Timestamp, orders: &mut Orders) {
         if self.fence.is_none() || now < self.seat_at || !self.is_in_touch(now) {
             return;
         }
@@ -64,8 +64,8 @@
 
     /// Whether this is a first start whose seats are not all filled. Danger: what fewer machines acknowledged is lost
     /// with what may be lost.
-    pub(super) fn is_founding(&self, now: Point) -> bool {
-        if !self.settings.bootstrap || now - Point::from_micros(0) >= FOUNDING {
+    pub(super) fn is_founding(&self, now: Timestamp) -> bool {
+        if !self.settings.bootstrap || now - Timestamp::from_micros(0) >= FOUNDING {
             return false;
         }
         let seeds: Vec<u32> = self.settings.seeds.iter().map(|seed| number(*seed.ip())).collect();
--- a/crates/arrowyard-control/src/control/shares.rs
+++ b/crates/arrowyard-control/src/control/shares.rs
@@ -4,13 +4,13 @@
 use arrowyard_fair_shares::{Allotter, At, Need, Router as RouterId, Shown, Terms};
 use arrowyard_messages::{Allot, Allots, HostNeeds, Needs, Pressed, ServiceCap, Word};
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use rustc_hash::FxHashMap;
 
 use super::{Control, Line};
 
 /// How long whoever held the duty before may go on dividing: till it notices that it is cut off.
-const BEFORE: Span = Span::from_millis(1750);
+const BEFORE: TimeDelta = TimeDelta::from_millis(1750);
 /// Routers whose control machine is remembered.
 const MOST_ROUTERS: usize = 65_536;
 
@@ -39,13 +39,13 @@
 
 impl Control {
     /// The duty was taken up, or laid down.
-    pub(super) fn divide_from(&mut self, now: Point, after_another: bool) {
-        let waits = if after_another { BEFORE } else { Span::ZERO };
+    pub(super) fn divide_from(&mut self, now: Timestamp, after_another: bool) {
+        let waits = if after_another { BEFORE } else { TimeDelta::ZERO };
         self.shares.allotter = self.fence.map(|fence| Allotter::begin(now, fence, waits));
     }
 
     /// A router's needs, from itself or from the control machine that feeds it.
-    pub(super) fn needs(&mut self, now: Point, from: Option<u32>, needs: Needs, orders: &mut Orders) {
+    pub(super) fn needs(&mut self, now: Timestamp, from: Option<u32>, needs: Needs, orders: &mut Orders) {
         if self.shares.allotter.is_none() {
             // It is passed on once, to the holder alone.
             let holder = self.ledger.applied().duties.get(crate::applied::DUTY).map(|duty| duty.holder);
@@ -87,7 +87,7 @@
     }
 
     /// Divides what is due, and says what came of it.
-    pub(super) fn divide(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn divide(&mut self, now: Timestamp, orders: &mut Orders) {
         let (routers, fence) = (self.routers, self.fence.unwrap_or_default());
         let Shares { terms, allotter, ways, .. } = &mut self.shares;
         let Some(allotter) = allotter else { return };
--- a/crates/arrowyard-control/src/control/status.rs
+++ b/crates/arrowyard-control/src/control/status.rs
@@ -2,13 +2,13 @@
 
 use std::net::Ipv4Addr;
 
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 
 use super::Control;
 
 impl Control {
     /// What an operator may want to know, as JSON.
-    pub(super) fn status(&self, now: Point) -> String {
+    pub(super) fn status(&self, now: Timestamp) -> String {
         let applied = self.ledger.applied();
         let text = |text: &str| sonic_rs::to_string(text).unwrap_or_default();
         let ip = |ip: u32| text(&Ipv4Addr::from(ip).to_string());
@@ -47,7 +47,7 @@
                 row.runs,
                 row.waits,
                 row.held,
-                (now - row.since).micros().max(0) / 1000 * i64::from(row.since != Point::default()),
+                (now - row.since).micros().max(0) / 1000 * i64::from(row.since != Timestamp::default()),
             )
         });
         format!(
--- a/crates/arrowyard-control/src/control/suspicions.rs
+++ b/crates/arrowyard-control/src/control/suspicions.rs
@@ -5,21 +5,21 @@
 
 use arrowyard_messages::{Suspect, Word};
 use arrowyard_runtime::Orders;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::Control;
 use crate::applied::DUTY;
 use crate::promotion::Sight;
 
 /// For so long a suspicion is kept for the next holder of the duty.
-const KEPT: Span = Span::from_millis(3000);
+const KEPT: TimeDelta = TimeDelta::from_millis(3000);
 
 /// What was said lately, by host.
-pub type Suspicions = BTreeMap<String, (Point, Suspect)>;
+pub type Suspicions = BTreeMap<String, (Timestamp, Suspect)>;
 
 impl Control {
     /// A router, or a control machine for it, says that a primary does not answer.
-    pub(super) fn suspected(&mut self, now: Point, suspect: Suspect, orders: &mut Orders) {
+    pub(super) fn suspected(&mut self, now: Timestamp, suspect: Suspect, orders: &mut Orders) {
         self.suspicions.retain(|_, (at, _)| now - *at < KEPT);
         self.suspicions.insert(suspect.host.clone(), (now, suspect.clone()));
         if self.fence.is_some() {
@@ -30,7 +30,7 @@
         }
     }
 
-    fn check_primary(&mut self, now: Point, suspect: &Suspect, orders: &mut Orders) {
+    fn check_primary(&mut self, now: Timestamp, suspect: &Suspect, orders: &mut Orders) {
         let mut asks = Vec::new();
         let sight = Sight { cell: &self.cell, silent: &self.silent, left: &self.left };
         self.promotions.of(&suspect.service).suspect(now, &suspect.host, &sight, &mut asks);
@@ -46,7 +46,7 @@
     }
 
     /// Another machine holds the duty from now on: it hears what routers said here lately.
-    pub(super) fn pass_suspicions(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn pass_suspicions(&mut self, now: Timestamp, orders: &mut Orders) {
         self.suspicions.retain(|_, (at, _)| now - *at < KEPT);
         let mine = self.suspicions.values().filter(|(_, suspect)| suspect.by == 0);
         let mine: Vec<Suspect> = mine.map(|(_, suspect)| suspect.clone()).collect();
@@ -54,7 +54,7 @@
     }
 
     /// This machine has taken the duty up.
-    pub(super) fn check_suspicions(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn check_suspicions(&mut self, now: Timestamp, orders: &mut Orders) {
         self.suspicions.retain(|_, (at, _)| now - *at < KEPT);
         let all: Vec<Suspect> = self.suspicions.values().map(|(_, suspect)| suspect.clone()).collect();
         all.iter().for_each(|suspect| self.check_primary(now, suspect, orders));
--- a/crates/arrowyard-control/src/duty.rs
+++ b/crates/arrowyard-control/src/duty.rs
@@ -1,7 +1,7 @@
 //! A singleton task of the control plane: who owns it, and when it falls vacant.
 
 use arrowyard_messages::{Duty, Entry, Matter};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
 use crate::Applied;
@@ -10,9 +10,9 @@
 /// by then and have laid the duty down. It does so after 1.75 s: by the others' silence (a peer is away after 1.5 s, and
 /// that is looked at each 0.25 s) or by their word that they do not hear it (after 1.25 s, and their beats are 0.5 s
 /// apart).
-const VACANT: Span = Span::from_millis(2000);
+const VACANT: TimeDelta = TimeDelta::from_millis(2000);
 /// Whoever sees a vacancy waits up to so long before it asks for a ballot: mostly one is enough.
-const SPREAD: Span = Span::from_millis(250);
+const SPREAD: TimeDelta = TimeDelta::from_millis(250);
 
 /// One duty that one control machine does for all. Whoever holds it, and with which fence, is an entry of the ledger.
 #[derive(Debug)]
@@ -22,13 +22,13 @@
     life: u64,
     node: String,
     /// When its holder was last heard of, and of which ballot it is the winner.
-    holder_at: Point,
+    holder_at: Timestamp,
     fence: u64,
-    try_at: Option<Point>,
+    try_at: Option<Timestamp>,
 }
 
 impl Duties {
-    pub fn new(duty: &'static str, me: u32, life: u64, node: &str, now: Point) -> Self {
+    pub fn new(duty: &'static str, me: u32, life: u64, node: &str, now: Timestamp) -> Self {
         Duties { duty, me, life, node: node.to_string(), holder_at: now, fence: 0, try_at: None }
     }
 
@@ -42,7 +42,7 @@
     /// `life` is what is known here of a machine's present life: a holder that has started again holds nothing any more.
     pub fn heard_elsewhere(
         &mut self,
-        since: Point,
+        since: Timestamp,
         hears: &[u32],
         life: impl FnOnce(u32) -> Option<u64>,
         applied: &Applied,
@@ -55,14 +55,14 @@
     }
 
     /// A control machine was heard of, in this life.
-    pub fn heard(&mut self, now: Point, ip: u32, life: u64, applied: &Applied) {
+    pub fn heard(&mut self, now: Timestamp, ip: u32, life: u64, applied: &Applied) {
         if applied.duties.get(self.duty).is_some_and(|duty| (duty.holder, duty.life) == (ip, life)) {
             self.holder_at = now;
         }
     }
 
     /// What is to be entered now, if the duty is vacant and it is this machine's turn to ask.
-    pub fn turn(&mut self, now: Point, applied: &Applied, rng: &mut Rng) -> Option<Entry> {
+    pub fn turn(&mut self, now: Timestamp, applied: &Applied, rng: &mut Rng) -> Option<Entry> {
         let fence = applied.fence(self.duty);
         if fence != self.fence {
             (self.fence, self.holder_at, self.try_at) = (fence, now, None);
@@ -87,7 +87,7 @@
         })
     }
 
-    pub fn due(&self) -> Option<Point> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.try_at
     }
 }
--- a/crates/arrowyard-control/src/ledger.rs
+++ b/crates/arrowyard-control/src/ledger.rs
@@ -15,7 +15,7 @@
     Accept, Accepted, Ballot, Chosen, Entry, Fetch, Ledger as Entries, Matter, Prepare, Probe, Probed,
     Promise, Rejoin, Voters, Word,
 };
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 use prost::Message;
 
@@ -23,9 +23,9 @@
 use crate::record::{Kept, Memory, Promised, Record, Whole};
 
 /// A round without a majority is given up after so long, and begun again.
-const ROUND: Span = Span::from_millis(400);
+const ROUND: TimeDelta = TimeDelta::from_millis(400);
 /// The first pause after a round that lost to another one; it doubles.
-const PAUSE: Span = Span::from_millis(15);
+const PAUSE: TimeDelta = TimeDelta::from_millis(15);
 /// Entries that are kept for machines that are behind, and bytes of them; who is further behind takes a snapshot. To apply
 /// an entry takes time that grows with the routes: of 5,000 routes, 500 entries took 3 s of a core, a snapshot 0.04 s.
 const KEPT: usize = 64;
@@ -86,7 +86,7 @@
 struct Waiting {
     ticket: ProposalId,
     proposal: Proposal,
-    until: Point,
+    until: Timestamp,
 }
 
 #[derive(Clone, Debug, Hash)]
@@ -100,7 +100,7 @@
     slot: u64,
     ballot: Ballot,
     phase: Phase,
-    until: Point,
+    until: Timestamp,
 }
 
 /// One machine's part in the ledger: voter, if it is one; learner; and whoever enters something.
@@ -120,7 +120,7 @@
     accepted: Option<Accept>,
     seen: u64,
     round: Option<Round>,
-    pause_until: Point,
+    pause_until: Timestamp,
     losses: u32,
     waiting: VecDeque<Waiting>,
     last: u64,
@@ -128,7 +128,7 @@
     after: BTreeMap<u64, (u32, Word)>,
     last_record: u64,
     /// Since when it asks for what it lacks, so that it does not ask each time.
-    fetched_at: Point,
+    fetched_at: Timestamp,
 }
 
 /// What is agreed on does not hang on times and chance, so they are left out: a model checker takes two ledgers for the
@@ -190,7 +190,7 @@
     }
 
     /// A record is on disk, or could not be put there; then nothing is answered for it.
-    pub fn stored(&mut self, now: Point, ticket: u64, kept: bool, out: &mut Vec<Output>) {
+    pub fn stored(&mut self, now: Timestamp, ticket: u64, kept: bool, out: &mut Vec<Output>) {
         if kept && self.vote_record == Some(ticket) {
             self.vote_record = None;
         }
@@ -204,17 +204,17 @@
         self.vote_record = None;
     }
 
-    fn send(&mut self, now: Point, to: u32, word: Word, out: &mut Vec<Output>) {
+    fn send(&mut self, now: Timestamp, to: u32, word: Word, out: &mut Vec<Output>) {
         if to == self.me { self.on_message(now, to, &word, out) } else { out.push(Output::Send { to, word }) }
     }
 
-    fn broadcast(&mut self, now: Point, word: &Word, out: &mut Vec<Output>) {
+    fn broadcast(&mut self, now: Timestamp, word: &Word, out: &mut Vec<Output>) {
         for to in self.applied.voters.clone() {
             self.send(now, to, word.clone(), out);
         }
     }
 
-    pub fn due(&self) -> Option<Point> {
+    pub fn due(&self) -> Option<Timestamp> {
         let proposals = self.waiting.iter().map(|waiting| waiting.until);
         let round = self.round.iter().map(|round| round.until);
         // Danger: without voters no round can begin, and a time that is over would be due for ever.
@@ -223,7 +223,7 @@
         proposals.chain(round).chain(pause).min()
     }
 
-    pub fn on_timer(&mut self, now: Point, out: &mut Vec<Output>) {
+    pub fn on_timer(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         if self.round.as_ref().is_some_and(|round| round.until <= now) {
             self.lose_round(now);
         }
@@ -238,7 +238,7 @@
     }
 
     /// Takes what another machine, or this one, says to it.
-    pub fn on_message(&mut self, now: Point, from: u32, word: &Word, out: &mut Vec<Output>) {
+    pub fn on_message(&mut self, now: Timestamp, from: u32, word: &Word, out: &mut Vec<Output>) {
         match word {
             Word::Prepare(prepare) => self.prepare(now, from, *prepare, out),
             Word::Promise(promise) => self.promise(now, from, promise, out),
--- a/crates/arrowyard-control/src/ledger/acceptor.rs
+++ b/crates/arrowyard-control/src/ledger/acceptor.rs
@@ -4,7 +4,7 @@
 
 impl Ledger {
     /// Whether a voter answers for this slot; if not, it tells what it knows, or asks for what it lacks.
-    pub(super) fn is_open(&mut self, now: Point, from: u32, slot: u64, out: &mut Vec<Output>) -> bool {
+    pub(super) fn is_open(&mut self, now: Timestamp, from: u32, slot: u64, out: &mut Vec<Output>) -> bool {
         let next = self.applied.slot + 1;
         if slot < next {
             self.fetch(now, from, Fetch { from: slot }, out);
@@ -14,7 +14,7 @@
         slot == next
     }
 
-    pub(super) fn prepare(&mut self, now: Point, from: u32, prepare: Prepare, out: &mut Vec<Output>) {
+    pub(super) fn prepare(&mut self, now: Timestamp, from: u32, prepare: Prepare, out: &mut Vec<Output>) {
         self.seen = self.seen.max(prepare.ballot.round);
         if !self.is_open(now, from, prepare.slot, out) || !self.votes {
             return;
@@ -33,7 +33,7 @@
         // disk; an answer without what was accepted would pass for one that the slot is free.
     }
 
-    pub(super) fn accept(&mut self, now: Point, from: u32, accept: &Accept, out: &mut Vec<Output>) {
+    pub(super) fn accept(&mut self, now: Timestamp, from: u32, accept: &Accept, out: &mut Vec<Output>) {
         self.seen = self.seen.max(accept.ballot.round);
         if !self.is_open(now, from, accept.slot, out) || !self.votes {
             return;
@@ -46,7 +46,7 @@
         }
     }
 
-    pub(super) fn take_vote(&mut self, _now: Point, from: u32, accept: &Accept, out: &mut Vec<Output>) {
+    pub(super) fn take_vote(&mut self, _now: Timestamp, from: u32, accept: &Accept, out: &mut Vec<Output>) {
         self.promised = accept.ballot;
         self.accepted = Some(accept.clone());
         let word = Accepted { slot: accept.slot, ballot: accept.ballot, promised: accept.ballot };
--- a/crates/arrowyard-control/src/ledger/learner.rs
+++ b/crates/arrowyard-control/src/ledger/learner.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Ledger {
-    pub(super) fn ask_for_more(&mut self, now: Point, from: u32, out: &mut Vec<Output>) {
+    pub(super) fn ask_for_more(&mut self, now: Timestamp, from: u32, out: &mut Vec<Output>) {
         if from != self.me && now - self.fetched_at >= PAUSE {
             self.fetched_at = now;
             let from_slot = if self.applied.voters.is_empty() { 1 } else { self.applied.slot + 1 };
@@ -12,20 +12,20 @@
     }
 
     /// Somebody is known to have more entries.
-    pub fn is_ahead(&mut self, now: Point, other: u32, chosen: u64, out: &mut Vec<Output>) {
+    pub fn is_ahead(&mut self, now: Timestamp, other: u32, chosen: u64, out: &mut Vec<Output>) {
         if chosen > self.applied.slot || self.applied.voters.is_empty() {
             self.ask_for_more(now, other, out);
         }
     }
 
     /// A slot's entry is known, and what waits may be proposed behind it.
-    pub(super) fn learn(&mut self, now: Point, from: u32, chosen: Chosen, out: &mut Vec<Output>) {
+    pub(super) fn learn(&mut self, now: Timestamp, from: u32, chosen: Chosen, out: &mut Vec<Output>) {
         self.learn_entry(now, from, chosen, out);
         self.begin(now, out);
     }
 
     /// Slots are taken in order; what lies further ahead is asked for.
-    fn learn_entry(&mut self, now: Point, from: u32, chosen: Chosen, out: &mut Vec<Output>) {
+    fn learn_entry(&mut self, now: Timestamp, from: u32, chosen: Chosen, out: &mut Vec<Output>) {
         // Danger: whoever does not know who votes lacks what stands before the first entry.
         if chosen.slot > self.applied.slot + 1 || self.applied.voters.is_empty() {
             return self.ask_for_more(now, from, out);
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(super) fn fetch(&mut self, now: Point, from: u32, fetch: Fetch, out: &mut Vec<Output>) {
+    pub(super) fn fetch(&mut self, now: Timestamp, from: u32, fetch: Fetch, out: &mut Vec<Output>) {
         if from == self.me {
             return;
         }
@@ -96,7 +96,7 @@
         }
     }
 
-    pub(super) fn entries(&mut self, now: Point, from: u32, entries: &Entries, out: &mut Vec<Output>) {
+    pub(super) fn entries(&mut self, now: Timestamp, from: u32, entries: &Entries, out: &mut Vec<Output>) {
         if let Some(snapshot) = &entries.snapshot {
             let newer = snapshot.slot > self.applied.slot;
             let known = snapshot.slot == self.applied.slot && !snapshot.voters.is_empty();
--- a/crates/arrowyard-control/src/ledger/proposer.rs
+++ b/crates/arrowyard-control/src/ledger/proposer.rs
@@ -9,12 +9,18 @@
     }
 
     /// Proposes an entry; what came of it is told by `until`.
-    pub fn enter(&mut self, now: Point, entry: Entry, until: Point, out: &mut Vec<Output>) -> ProposalId {
+    pub fn enter(
+        &mut self,
+        now: Timestamp,
+        entry: Entry,
+        until: Timestamp,
+        out: &mut Vec<Output>,
+    ) -> ProposalId {
         self.propose(now, Proposal::Enter(entry), until, out)
     }
 
     /// Asks to know all that was acknowledged so far.
-    pub fn read_all(&mut self, now: Point, until: Point, out: &mut Vec<Output>) -> ProposalId {
+    pub fn read_all(&mut self, now: Timestamp, until: Timestamp, out: &mut Vec<Output>) -> ProposalId {
         let ticket = self.propose(now, Proposal::Read { heard: BTreeSet::new(), slot: 0 }, until, out);
         self.broadcast(now, &Word::Probe(Probe { ticket: ticket.0 }), out);
         ticket
@@ -22,9 +28,9 @@
 
     pub(super) fn propose(
         &mut self,
-        now: Point,
+        now: Timestamp,
         proposal: Proposal,
-        until: Point,
+        until: Timestamp,
         out: &mut Vec<Output>,
     ) -> ProposalId {
         self.last += 1;
@@ -39,7 +45,7 @@
     }
 
     /// Begins a round where there is something to enter and none is under way.
-    pub(super) fn begin(&mut self, now: Point, out: &mut Vec<Output>) {
+    pub(super) fn begin(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         if !self.wants_round()
             || self.round.is_some()
             || now < self.pause_until
@@ -69,14 +75,14 @@
         !self.votes && self.applied.voters.contains(&self.me)
     }
 
-    pub(super) fn lose_round(&mut self, now: Point) {
+    pub(super) fn lose_round(&mut self, now: Timestamp) {
         self.round = None;
         self.losses = (self.losses + 1).min(6);
         let most = PAUSE * f64::from(1 << self.losses);
         self.pause_until = now + PAUSE + most * self.rng.f64();
     }
 
-    pub(super) fn promise(&mut self, now: Point, from: u32, promise: &Promise, out: &mut Vec<Output>) {
+    pub(super) fn promise(&mut self, now: Timestamp, from: u32, promise: &Promise, out: &mut Vec<Output>) {
         self.seen = self.seen.max(promise.promised.round);
         let (majority, others, rejoins) = (self.majority(), self.others(), self.rejoins());
         let me = self.me;
@@ -142,7 +148,7 @@
         })
     }
 
-    pub(super) fn accepted(&mut self, now: Point, from: u32, word: Accepted, out: &mut Vec<Output>) {
+    pub(super) fn accepted(&mut self, now: Timestamp, from: u32, word: Accepted, out: &mut Vec<Output>) {
         self.seen = self.seen.max(word.promised.round);
         let (majority, others, rejoins, me) = (self.majority(), self.others(), self.rejoins(), self.me);
         if !self.is_counting(word.slot, word.ballot) {
--- a/crates/arrowyard-control/src/ledger/reads.rs
+++ b/crates/arrowyard-control/src/ledger/reads.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Ledger {
-    pub(super) fn probed(&mut self, now: Point, from: u32, probed: Probed, out: &mut Vec<Output>) {
+    pub(super) fn probed(&mut self, now: Timestamp, from: u32, probed: Probed, out: &mut Vec<Output>) {
         if probed.chosen > self.applied.slot {
             self.ask_for_more(now, from, out);
         }
--- a/crates/arrowyard-control/src/ledger/recovery.rs
+++ b/crates/arrowyard-control/src/ledger/recovery.rs
@@ -27,14 +27,14 @@
             accepted: None,
             seen: 0,
             round: None,
-            pause_until: Point::DAWN,
+            pause_until: Timestamp::DISTANT_PAST,
             losses: 0,
             waiting: VecDeque::new(),
             // Safety: an answer to a question of an earlier life must not pass for one to a question of this life.
             last: life >> 1,
             after: BTreeMap::new(),
             last_record: 0,
-            fetched_at: Point::DAWN,
+            fetched_at: Timestamp::DISTANT_PAST,
         };
         this.read(records)?;
         if let Some(founders) = founders.filter(|_| this.applied.voters.is_empty()) {
--- a/crates/arrowyard-control/src/promotion/leader.rs
+++ b/crates/arrowyard-control/src/promotion/leader.rs
@@ -2,16 +2,16 @@
 //! when there is none.
 
 use arrowyard_messages::Phase;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::Cell;
 
 /// A service of which no host has said for so long that it leads gets a primary. Hosts call every 1.2 s, and those of a
 /// start in any order.
-const LEADERLESS: Span = Span::from_millis(3000);
+const LEADERLESS: TimeDelta = TimeDelta::from_millis(3000);
 /// The same where the host that led says itself that it does so no more: only a change that an earlier owner of the duty
 /// began may still be under way, and it takes a second and a half at most.
-const DEPOSED: Span = Span::from_millis(2000);
+const DEPOSED: TimeDelta = TimeDelta::from_millis(2000);
 
 /// What is known of one service's leader.
 #[derive(Clone, Debug, Default)]
@@ -19,12 +19,12 @@
     /// The host that was known to lead last.
     last: Option<String>,
     /// Since when no host says that it leads.
-    leaderless_since: Option<Point>,
+    leaderless_since: Option<Timestamp>,
 }
 
 impl LeaderWatch {
     /// Takes in what hosts say by now.
-    pub fn update(&mut self, now: Point, service: &str, cell: &Cell) {
+    pub fn update(&mut self, now: Timestamp, service: &str, cell: &Cell) {
         let primary = cell.primary(service);
         if primary.is_some() || cell.members(service).next().is_none() {
             self.last = primary.map(|host| host.id.clone()).or(self.last.take());
@@ -41,7 +41,7 @@
 
     /// Whether the service needs a primary: one that was told to yield did so, and whoever was to replace it was lost with
     /// the owner of the duty.
-    pub fn is_leaderless(&self, now: Point, cell: &Cell) -> bool {
+    pub fn is_leaderless(&self, now: Timestamp, cell: &Cell) -> bool {
         let last = self.last.as_ref().and_then(|id| cell.get(id));
         let is_deposed = last.is_some_and(|host| host.phase() != Phase::Gone);
         let wait = if is_deposed { DEPOSED } else { LEADERLESS };
--- a/crates/arrowyard-control/src/promotion/mod.rs
+++ b/crates/arrowyard-control/src/promotion/mod.rs
@@ -16,7 +16,7 @@
 
 use arrowyard_messages::{DbRole, Host, Phase, Replacement};
 use arrowyard_protocol::{Observed, Position};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 pub use leader::LeaderWatch;
 pub use request::{Ask, Reply, To, is_repeated};
@@ -25,21 +25,21 @@
 use crate::Cell;
 
 /// A primary that does not answer is asked again after the first of these, and nobody hears of it for the second.
-const AGAIN: Span = Span::from_millis(80);
-const COOL: Span = Span::from_millis(400);
+const AGAIN: TimeDelta = TimeDelta::from_millis(80);
+const COOL: TimeDelta = TimeDelta::from_millis(400);
 /// Hosts that did not answer are asked again after so long; a candidate that still receives, and the platform, likewise; one
 /// that was to stop receiving and is to go on.
-const RETRY: Span = Span::from_millis(150);
-const HELD: Span = Span::from_millis(1000);
+const RETRY: TimeDelta = TimeDelta::from_millis(150);
+const HELD: TimeDelta = TimeDelta::from_millis(1000);
 /// A question to stop receiving that a router relays may arrive so long after it was asked.
-const LATE_PAUSE: Span = Span::from_millis(1000);
-const CATCH_UP: Span = Span::from_millis(15);
+const LATE_PAUSE: TimeDelta = TimeDelta::from_millis(1000);
+const CATCH_UP: TimeDelta = TimeDelta::from_millis(15);
 /// An old primary that lives has so long to yield; once it has, hosts that joined it before have so long to be heard of.
-const YIELDS: Span = Span::from_millis(40);
-const NEWCOMERS: Span = Span::from_millis(500);
+const YIELDS: TimeDelta = TimeDelta::from_millis(40);
+const NEWCOMERS: TimeDelta = TimeDelta::from_millis(500);
 /// A candidate has so long to receive what the others have; the platform so long to make it primary.
-const PATIENCE: Span = Span::from_millis(1500);
-const SETTLE: Span = Span::from_millis(4000);
+const PATIENCE: TimeDelta = TimeDelta::from_millis(1500);
+const SETTLE: TimeDelta = TimeDelta::from_millis(4000);
 /// So many questions in a row must stay without an answer.
 const SURE: u32 = 2;
 
@@ -48,16 +48,16 @@
 pub struct Promotion {
     service: String,
     pub stage: Stage,
-    wake_at: Option<Point>,
-    quiet_until: Point,
+    wake_at: Option<Timestamp>,
+    quiet_until: Timestamp,
     /// Hosts that were asked to stop receiving, and have not said since that they go on.
     held: BTreeSet<String>,
-    paused_at: Point,
+    paused_at: Timestamp,
     /// What the primary had after a replica fell silent: whoever has as much has all that this replica acknowledged.
     floors: BTreeMap<String, Position>,
     /// Replicas that were silent when the primary was asked for that.
     floor_of: BTreeSet<String>,
-    floor_at: Point,
+    floor_at: Timestamp,
     /// Rises each time that hosts are asked to stop.
     turn: u64,
     /// The service's hosts as they were when the last survey was complete, and a term above all of theirs.
@@ -81,9 +81,9 @@
 pub struct Sight<'a> {
     pub cell: &'a Cell,
     /// Hosts that do not call any more, and since when.
-    pub silent: &'a BTreeMap<String, Point>,
+    pub silent: &'a BTreeMap<String, Timestamp>,
     /// Hosts that left, with the time and their address.
-    pub left: &'a [(Point, Host)],
+    pub left: &'a [(Timestamp, Host)],
 }
 
 impl Promotion {
@@ -92,12 +92,12 @@
             service: service.to_string(),
             stage: Stage::Steady,
             wake_at: None,
-            quiet_until: Point::DAWN,
+            quiet_until: Timestamp::DISTANT_PAST,
             held: BTreeSet::new(),
-            paused_at: Point::DAWN,
+            paused_at: Timestamp::DISTANT_PAST,
             floors: BTreeMap::new(),
             floor_of: BTreeSet::new(),
-            floor_at: Point::DAWN,
+            floor_at: Timestamp::DISTANT_PAST,
             turn: 0,
             surveyed_hosts: BTreeSet::new(),
             next_term: 0,
@@ -106,7 +106,7 @@
         }
     }
 
-    pub fn due(&self) -> Option<Point> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.wake_at
     }
 
@@ -133,7 +133,7 @@
 
     /// Begins the survey again if a host has joined the service since it was complete. Whether it did: then the decision
     /// that came of it must not be carried out.
-    pub fn survey_newcomers(&mut self, now: Point, sight: &Sight<'_>, asks: &mut Vec<Ask>) -> bool {
+    pub fn survey_newcomers(&mut self, now: Timestamp, sight: &Sight<'_>, asks: &mut Vec<Ask>) -> bool {
         let (old, planned, tries) = match self.stage.clone() {
             Stage::Yielding { old, .. } => (old, false, 0),
             Stage::Promoting { old, planned, tries, .. } => (old, planned, tries),
@@ -166,7 +166,7 @@
         self.held.contains(host)
     }
 
-    fn go(&mut self, stage: Stage, wake_at: Option<Point>) {
+    fn go(&mut self, stage: Stage, wake_at: Option<Timestamp>) {
         if std::mem::discriminant(&self.stage) != std::mem::discriminant(&stage) {
             log::info!("promotion: {}: {}.", self.service, stage);
         }
@@ -181,7 +181,7 @@
     }
 
     /// Somebody says that a host, as primary, does not answer.
-    pub fn suspect(&mut self, now: Point, host: &str, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
+    pub fn suspect(&mut self, now: Timestamp, host: &str, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
         let primary = sight.cell.primary(&self.service).is_some_and(|primary| primary.id == host);
         if self.stage == Stage::Steady && primary && now >= self.quiet_until {
             asks.push(Ask::Observe { host: host.to_string() });
@@ -190,7 +190,7 @@
     }
 
     /// Time has passed, or the hosts changed.
-    pub fn look(&mut self, now: Point, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
+    pub fn look(&mut self, now: Timestamp, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
         // Danger: a floor holds for one silence. A host that is back, and silent again, has acknowledged more meanwhile;
         // so it is forgotten at whatever stage, well before a new silence can be noticed.
         self.floors.retain(|host, _| sight.silent.contains_key(host));
@@ -269,7 +269,7 @@
     }
 
     /// A replica is silent: what has the primary? Once for each silence, since every such question takes a slot there.
-    fn ask_for_floors(&mut self, now: Point, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
+    fn ask_for_floors(&mut self, now: Timestamp, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
         let Some(primary) = sight.cell.primary(&self.service).map(|host| host.id.clone()) else { return };
         let lacks = |host: &&Host| {
             host.id != primary && sight.silent.contains_key(&host.id) && !self.floors.contains_key(&host.id)
@@ -283,7 +283,7 @@
     }
 
     /// Takes what came back.
-    pub fn take(&mut self, now: Point, reply: Reply, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
+    pub fn take(&mut self, now: Timestamp, reply: Reply, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
         match &reply {
             // Safety: it may be asked to stop again by now, or the last question to stop may arrive only now.
             Reply::Row { host, to: To::Continue, .. }
@@ -387,7 +387,7 @@
     }
 
     /// Once all that were asked to have stopped receiving.
-    fn paused(&mut self, now: Point, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
+    fn paused(&mut self, now: Timestamp, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
         let Stage::Fencing { old, candidate, asked, rows, .. } = self.stage.clone() else { return };
         if !asked.iter().all(|host| rows.contains_key(host)) {
             return;
@@ -414,7 +414,7 @@
     }
 
     /// The old primary has yielded or does not answer routers either.
-    fn end_yielding(&mut self, now: Point, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
+    fn end_yielding(&mut self, now: Timestamp, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
         let Stage::Yielding { old, candidate } = self.stage.clone() else { return };
         if !self.survey_newcomers(now, sight, asks) {
             self.promote(old, candidate, false, asks);
@@ -428,7 +428,7 @@
 
     fn pause<'a>(
         &mut self,
-        now: Point,
+        now: Timestamp,
         hosts: impl Iterator<Item = &'a String>,
         term: u64,
         asks: &mut Vec<Ask>,
@@ -441,7 +441,7 @@
     }
 
     /// Nothing is replaced. Whoever was held goes on: see `look`, which asks for it till it is done.
-    fn abort(&mut self, now: Point, asks: &mut Vec<Ask>) {
+    fn abort(&mut self, now: Timestamp, asks: &mut Vec<Ask>) {
         asks.extend(self.held.iter().map(|host| Ask::Continue { host: host.clone() }));
         self.quiet_until = now + COOL;
         self.go(Stage::Steady, None);
@@ -467,7 +467,7 @@
         self.by_service.entry(service.to_string()).or_insert_with(|| Promotion::new(service))
     }
 
-    pub fn due(&self) -> Option<Point> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.by_service.values().filter_map(Promotion::due).min()
     }
 }
--- a/crates/arrowyard-control/src/promotion/stage.rs
+++ b/crates/arrowyard-control/src/promotion/stage.rs
@@ -4,7 +4,7 @@
 use std::fmt;
 
 use arrowyard_protocol::{Observed, Position};
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub enum Stage {
@@ -38,7 +38,7 @@
         least: Position,
         /// Whether what the old primary has is known, and `least` covers it.
         covers_old: bool,
-        until: Point,
+        until: Timestamp,
     },
     /// Routers make a primary that control cannot ask yield, and hosts that joined it lately are waited for.
     Yielding {
@@ -56,7 +56,7 @@
     Settling {
         candidate: String,
         planned: bool,
-        until: Point,
+        until: Timestamp,
     },
 }
 
--- a/crates/arrowyard-control/src/promotion/survey.rs
+++ b/crates/arrowyard-control/src/promotion/survey.rs
@@ -4,17 +4,17 @@
 
 use arrowyard_messages::{DbRole, Host, Phase};
 use arrowyard_protocol::Observed;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::{Ask, Promotion, RETRY, Sight, Stage};
 
 /// A host that left may hold what nobody else has until another one has its log.
-const HANDED_ON: Span = Span::from_millis(8000);
+const HANDED_ON: TimeDelta = TimeDelta::from_millis(8000);
 
 impl Promotion {
     pub(super) fn survey(
         &mut self,
-        now: Point,
+        now: Timestamp,
         old: Option<String>,
         planned: bool,
         sight: &Sight<'_>,
@@ -25,7 +25,7 @@
 
     pub(super) fn ask_again(
         &mut self,
-        now: Point,
+        now: Timestamp,
         old: Option<String>,
         planned: bool,
         (rows, mute): (BTreeMap<String, Observed>, BTreeSet<String>),
@@ -49,8 +49,8 @@
     }
 
     /// Hosts that left a while ago and whose log nobody took over yet.
-    fn is_handed_on(&self, now: Point, sight: &Sight<'_>) -> bool {
-        let open = |(at, host): &&(Point, Host)| {
+    fn is_handed_on(&self, now: Timestamp, sight: &Sight<'_>) -> bool {
+        let open = |(at, host): &&(Timestamp, Host)| {
             host.service == self.service && host.role() == DbRole::Replica && now - *at < HANDED_ON
         };
         sight.left.iter().filter(open).all(|(_, gone)| {
@@ -59,7 +59,7 @@
     }
 
     /// Once all witnesses have answered: who is to lead, and who is to receive no more.
-    pub(super) fn surveyed(&mut self, now: Point, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
+    pub(super) fn surveyed(&mut self, now: Timestamp, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
         let Stage::Surveying { old, planned, rows, mute } = self.stage.clone() else { return };
         let replicas: Vec<&Host> =
             self.members(sight).into_iter().filter(|host| Some(&host.id) != old.as_ref()).collect();
--- a/crates/arrowyard-control/src/seats.rs
+++ b/crates/arrowyard-control/src/seats.rs
@@ -2,16 +2,16 @@
 //! its seat to a machine that is there. Decided here without I/O; entered in the ledger like all else.
 
 use arrowyard_config::Tolerance;
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 
 /// A machine that has been heard of for so long may have a seat.
-const FRESH: Span = Span::from_millis(400);
+const FRESH: TimeDelta = TimeDelta::from_millis(400);
 /// A voter that was not heard of for so long loses its seat, if there is a machine for it. Danger: a new machine in the
 /// place of one that is gone must vote within `settle-s`, or the next loss is one too many.
-const GONE: Span = Span::from_millis(2500);
+const GONE: TimeDelta = TimeDelta::from_millis(2500);
 /// A voter that is there, and has said for so long that its vote does not count, loses its seat likewise: its disk
 /// refuses or hangs. One that only lost its disk is let in again much sooner.
-const UNABLE: Span = Span::from_millis(4000);
+const UNABLE: TimeDelta = TimeDelta::from_millis(4000);
 
 /// A control machine, as the holder of the duty sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -20,11 +20,11 @@
     pub zone: String,
     pub region: String,
     /// For how long it has been heard of, or not.
-    pub heard: Result<Span, Span>,
+    pub heard: Result<TimeDelta, TimeDelta>,
     /// Whether its vote counts, as it said last.
     pub votes: bool,
     /// For how long it has said that its vote does not count.
-    pub unable: Span,
+    pub unable: TimeDelta,
     /// Whether its disk takes what it is told to keep.
     pub disk_works: bool,
     /// Whether it was told to end. It may come back, or be gone for good; its seat does not wait for that.
--- a/crates/arrowyard-control/tests/control.rs
+++ b/crates/arrowyard-control/tests/control.rs
@@ -5,11 +5,11 @@
 use arrowyard_control::{Applied, Ask, Cell, DiskWatch, Duties, Promotion, Reply, Sight, Stage, To, View};
 use arrowyard_messages::{DbRole, Duty, Entry, Host, Known, Matter, Phase};
 use arrowyard_protocol::{Observed, Position};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
 fn host(id: &str, role: DbRole, phase: Phase, call_seq: u64) -> Host {
@@ -149,7 +149,7 @@
 
 struct Scene {
     cell: Cell,
-    silent: BTreeMap<String, Point>,
+    silent: BTreeMap<String, Timestamp>,
     promotion: Promotion,
     asks: Vec<Ask>,
     now: i64,
@@ -176,7 +176,7 @@
         scene
     }
 
-    fn sight(&mut self, act: impl FnOnce(&mut Promotion, Point, &Sight<'_>, &mut Vec<Ask>)) -> Vec<Ask> {
+    fn sight(&mut self, act: impl FnOnce(&mut Promotion, Timestamp, &Sight<'_>, &mut Vec<Ask>)) -> Vec<Ask> {
         let sight = Sight { cell: &self.cell, silent: &self.silent, left: &[] };
         let mut asks = Vec::new();
         act(&mut self.promotion, at(self.now), &sight, &mut asks);
@@ -496,7 +496,7 @@
     scene.cell.told(at(scene.now), host(&candidate, DbRole::Primary, Phase::InService, 7));
     scene.pass(300);
     assert_eq!(scene.promotion.stage, Stage::Steady);
-    assert!(scene.pass(Span::from_millis(60_000).micros() / 1000).is_empty());
+    assert!(scene.pass(TimeDelta::from_millis(60_000).micros() / 1000).is_empty());
 }
 
 #[test]
--- a/crates/arrowyard-control/tests/ledger.rs
+++ b/crates/arrowyard-control/tests/ledger.rs
@@ -8,7 +8,7 @@
 use arrowyard_messages::{
     Ballot, Chosen, Duty, Entry, Ledger as Entries, Matter, Prepare, Probed, Revised, Voters, Word,
 };
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 use prost::Message;
 
@@ -17,16 +17,16 @@
     disk: Vec<Vec<u8>>,
     wiped: bool,
     /// Its disk refuses records until then; what was refused in between is kept by a snapshot alone.
-    refuses_until: Option<Point>,
+    refuses_until: Option<Timestamp>,
 }
 
 struct Net {
-    now: Point,
+    now: Timestamp,
     rng: Rng,
     machines: Vec<Machine>,
     /// What arrives when: to whom, from whom.
-    mail: Vec<(Point, usize, u32, Word)>,
-    syncs: Vec<(Point, usize, u64, Vec<u8>, u32)>,
+    mail: Vec<(Timestamp, usize, u32, Word)>,
+    syncs: Vec<(Timestamp, usize, u64, Vec<u8>, u32)>,
     lives: Vec<u32>,
     answers: BTreeMap<(usize, u32, u64), Answer>,
     loss: f64,
@@ -40,7 +40,7 @@
     fn new(seed: u64, machines: usize, voters: usize, loss: f64) -> Self {
         let founders: Vec<u32> = (0..voters).map(ip).collect();
         let mut net = Net {
-            now: Point::from_micros(0),
+            now: Timestamp::from_micros(0),
             rng: Rng::with_seed(seed),
             machines: Vec::new(),
             mail: Vec::new(),
@@ -73,7 +73,7 @@
                 }
                 Output::Send { to, word } => self.post(machine, to as usize - 1, word),
                 Output::Store { ticket, record } => {
-                    let done = self.now + Span::from_micros(self.rng.i64(500..6000));
+                    let done = self.now + TimeDelta::from_micros(self.rng.i64(500..6000));
                     self.syncs.push((done, machine, ticket, record, self.lives[machine]));
                 }
                 Output::Chosen { .. } => {}
@@ -87,12 +87,12 @@
     fn post(&mut self, from: usize, to: usize, word: Word) {
         let copies = if self.rng.f64() < self.loss { 0 } else { 1 + usize::from(self.rng.f64() < self.loss) };
         for _ in 0..copies {
-            let at = self.now + Span::from_micros(self.rng.i64(300..9000));
+            let at = self.now + TimeDelta::from_micros(self.rng.i64(300..9000));
             self.mail.push((at, to, ip(from), word.clone()));
         }
     }
 
-    fn with(&mut self, machine: usize, act: impl FnOnce(&mut Ledger, Point, &mut Vec<Output>)) {
+    fn with(&mut self, machine: usize, act: impl FnOnce(&mut Ledger, Timestamp, &mut Vec<Output>)) {
         let mut out = Vec::new();
         if let Some(ledger) = self.machines[machine].ledger.as_mut() {
             act(ledger, self.now, &mut out);
@@ -102,7 +102,7 @@
 
     /// Lets a millisecond pass.
     fn step(&mut self) {
-        self.now = self.now + Span::from_millis(1);
+        self.now = self.now + TimeDelta::from_millis(1);
         let now = self.now;
         let mut due: Vec<_> = self.syncs.extract_if(.., |(at, ..)| *at <= now).collect();
         due.sort_by_key(|(_, _, ticket, _, _)| *ticket);
@@ -255,7 +255,7 @@
         let machine = net.rng.usize(0..machines);
         if millis < 4500 && millis % 60 == 0 && net.machines[machine].ledger.is_some() {
             let life = net.lives[machine];
-            let until = net.now + Span::from_millis(1500);
+            let until = net.now + TimeDelta::from_millis(1500);
             let base =
                 net.machines[machine].ledger.as_ref().map_or(0, |l| l.applied().configuration.revision);
             let (step, turn) = (net.rng.u64(1..4), net.rng.u32(0..4));
@@ -298,7 +298,7 @@
         if millis < 4000 && down.is_none() && millis >= back && net.rng.f64() < 0.002 {
             let victim = net.rng.usize(0..machines);
             let for_ms = net.rng.i64(20..600);
-            net.machines[victim].refuses_until = Some(net.now + Span::from_millis(for_ms));
+            net.machines[victim].refuses_until = Some(net.now + TimeDelta::from_millis(for_ms));
             // Danger for the test, not the code: a lost disk beside it is beyond what is borne.
             back = millis + for_ms as u32 + 100;
         }
@@ -367,11 +367,13 @@
 fn a_disk_is_read_in_whatever_order_a_snapshot_was_written_beside_newer_records() {
     // A snapshot is taken, newer records are written, then the snapshot: none of them may be forgotten.
     let mut net = Net::new(7, 3, 3, 0.0);
-    let until = net.now + Span::from_millis(2000);
+    let until = net.now + TimeDelta::from_millis(2000);
     net.with(0, |ledger, now, out| _ = ledger.enter(now, change(5, 0), until, out));
     (0..300).for_each(|_| net.step());
     let early = net.machines[0].ledger.as_ref().expect("it is up").snapshot(None);
-    net.with(0, |ledger, now, out| _ = ledger.enter(now, change(9, 5), now + Span::from_millis(2000), out));
+    net.with(0, |ledger, now, out| {
+        _ = ledger.enter(now, change(9, 5), now + TimeDelta::from_millis(2000), out)
+    });
     (0..300).for_each(|_| net.step());
     let mut disk = net.machines[0].disk.clone();
     disk.push(early.clone());
@@ -409,9 +411,9 @@
 /// again. It once did, as long as something was proposed of it.
 #[test]
 fn whoever_knows_no_voters_rests_till_its_wish_is_over() {
-    let (mut out, now) = (Vec::new(), Point::from_micros(5_000_000));
+    let (mut out, now) = (Vec::new(), Timestamp::from_micros(5_000_000));
     let mut ledger = Ledger::open(9, 1, &[], None, &mut out).expect("an empty disk");
-    let until = now + Span::from_millis(1000);
+    let until = now + TimeDelta::from_millis(1000);
     ledger.enter(now, change(5, 0), until, &mut out);
     ledger.on_timer(now, &mut out);
     assert_eq!(ledger.due(), Some(until));
@@ -421,9 +423,9 @@
 /// other's are no majority of those who vote now.
 #[test]
 fn a_read_counts_only_who_votes_by_then() {
-    let (mut out, now) = (Vec::new(), Point::from_micros(0));
+    let (mut out, now) = (Vec::new(), Timestamp::from_micros(0));
     let mut ledger = Ledger::open(4, 1, &[], Some(&[1, 2, 3, 4]), &mut out).expect("an empty disk");
-    let ticket = ledger.read_all(now, now + Span::from_millis(1000), &mut out);
+    let ticket = ledger.read_all(now, now + TimeDelta::from_millis(1000), &mut out);
     let probed =
         Probed { ticket: ticket.0, chosen: 0, accepted: 0, votes: true, promised: Ballot::default() };
     ledger.on_message(now, 1, &Word::Probed(probed), &mut out);
@@ -440,7 +442,7 @@
 /// the snapshot that follows.
 #[test]
 fn nothing_is_said_for_a_record_that_was_refused() {
-    let (mut out, now) = (Vec::new(), Point::from_micros(0));
+    let (mut out, now) = (Vec::new(), Timestamp::from_micros(0));
     let mut ledger = Ledger::open(1, 1, &[], Some(&[1, 2, 3]), &mut out).expect("an empty disk");
     out.clear();
     let ballot = Ballot { round: 7, by: 2, life: 1 };
@@ -466,7 +468,7 @@
 fn a_disk_with_a_gap_does_not_vote() {
     let mut net = Net::new(11, 3, 3, 0.0);
     for revision in [5, 9] {
-        let (base, until) = (if revision == 5 { 0 } else { 5 }, net.now + Span::from_millis(2000));
+        let (base, until) = (if revision == 5 { 0 } else { 5 }, net.now + TimeDelta::from_millis(2000));
         net.with(0, |ledger, now, out| _ = ledger.enter(now, change(revision, base), until, out));
         (0..300).for_each(|_| net.step());
     }
@@ -508,7 +510,7 @@
 fn an_older_snapshot_is_passed_over() {
     let mut net = Net::new(17, 3, 3, 0.0);
     let mut enter = |revision, base| {
-        let until = net.now + Span::from_millis(2000);
+        let until = net.now + TimeDelta::from_millis(2000);
         net.with(0, |ledger, now, out| _ = ledger.enter(now, change(revision, base), until, out));
         (0..300).for_each(|_| net.step());
         net.machines[0].ledger.as_ref().expect("it is up").applied().snapshot()
@@ -529,7 +531,7 @@
         let duty = Entry { matter: Some(Matter::Duty(duty)) };
         let changes = [change(5, 0), change(9, 5)].into_iter().take(seed as usize % 2 + 1);
         for entry in std::iter::once(duty).chain(changes) {
-            let until = net.now + Span::from_millis(2000);
+            let until = net.now + TimeDelta::from_millis(2000);
             net.with(0, |ledger, now, out| _ = ledger.enter(now, entry, until, out));
             (0..300).for_each(|_| net.step());
         }
--- a/crates/arrowyard-control/tests/relays.rs
+++ b/crates/arrowyard-control/tests/relays.rs
@@ -3,13 +3,13 @@
 use arrowyard_control::{Ask, Relayed, Relays, Reply, To};
 use arrowyard_messages::{HostRow, RelayedAnswer, RelayedQuestion};
 use arrowyard_protocol::{Observed, Position};
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 
 const LIFE: u64 = 1000;
 const ME: u32 = 7;
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
 fn pause(turn: u64) -> Ask {
--- a/crates/arrowyard-control/tests/seats.rs
+++ b/crates/arrowyard-control/tests/seats.rs
@@ -2,10 +2,10 @@
 
 use arrowyard_config::Tolerance;
 use arrowyard_control::seats::{Machine, can_hand_over, next, wanted};
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 
-const THERE: Result<Span, Span> = Ok(Span::from_millis(5000));
-const GONE: Result<Span, Span> = Err(Span::from_millis(4000));
+const THERE: Result<TimeDelta, TimeDelta> = Ok(TimeDelta::from_millis(5000));
+const GONE: Result<TimeDelta, TimeDelta> = Err(TimeDelta::from_millis(4000));
 
 fn bears(machines: u32, zones: u32, regions: u32) -> Tolerance {
     Tolerance { machines, zones, regions }
@@ -19,7 +19,7 @@
         region: zone[..1].to_string(),
         heard: THERE,
         votes: true,
-        unable: Span::ZERO,
+        unable: TimeDelta::ZERO,
         disk_works: true,
         leaving: false,
     };
@@ -43,7 +43,7 @@
 #[test]
 fn one_that_is_gone_goes_only_once_another_votes_in_its_place() {
     let mut machines = fleet(&["aa", "ab", "ac", "aa"]);
-    machines[1].heard = Err(Span::from_millis(2000));
+    machines[1].heard = Err(TimeDelta::from_millis(2000));
     assert_eq!(next(&[1, 2, 3], &machines, bears(1, 0, 0)), None, "it may be back in a moment");
     machines[1].heard = GONE;
     machines[3].votes = false;
@@ -55,7 +55,7 @@
     // One of which nothing at all is known is gone, too.
     assert_eq!(next(&[1, 3, 9], &machines, bears(1, 0, 0)), Some(vec![1, 3, 4, 9]));
     // A machine that was only just heard of has no seat yet.
-    machines[3].heard = Ok(Span::from_millis(100));
+    machines[3].heard = Ok(TimeDelta::from_millis(100));
     assert_eq!(next(&[1, 2, 3], &machines, bears(1, 0, 0)), None);
 }
 
@@ -85,9 +85,9 @@
 fn a_voter_whose_disk_refuses_or_hangs_gives_its_seat_to_a_machine_whose_disk_works() {
     let mut machines = fleet(&["aa", "ab", "ac", "aa"]);
     (machines[1].votes, machines[1].disk_works) = (false, false);
-    machines[1].unable = Span::from_millis(3000);
+    machines[1].unable = TimeDelta::from_millis(3000);
     assert_eq!(next(&[1, 2, 3], &machines, bears(1, 0, 0)), None, "it may be well in a moment");
-    machines[1].unable = Span::from_millis(4000);
+    machines[1].unable = TimeDelta::from_millis(4000);
     machines[3].disk_works = false;
     assert_eq!(next(&[1, 2, 3], &machines, bears(1, 0, 0)), None, "the other one's disk is no better");
     machines[3].disk_works = true;
--- a/crates/arrowyard-core/src/admit.rs
+++ b/crates/arrowyard-core/src/admit.rs
@@ -5,7 +5,8 @@
 use std::rc::Rc;
 
 use arrowyard_types::{
-    Ask, CellId, Effect, GroupId, Manifest, Need, OpId, OpType, OpTypeId, Point, SessionId, Span, TenantId,
+    CellId, Consistency, GroupId, OpId, OpRequest, OpType, OpTypeId, RetrySafety, RouterSettings, SessionId,
+    TenantId, TimeDelta, Timestamp,
 };
 use serde_json::{Map, Value};
 
@@ -36,7 +37,7 @@
 /// An op that was admitted.
 #[derive(Debug)]
 pub struct Admitted {
-    pub ask: Ask,
+    pub ask: OpRequest,
     pub claim: Option<Box<Claim>>,
     pub place: Place,
 }
@@ -63,7 +64,12 @@
 }
 
 impl Gate {
-    pub fn new(settings: &Map<String, Value>, manifest: &Manifest, limits: Rc<Limits>, cells: bool) -> Self {
+    pub fn new(
+        settings: &Map<String, Value>,
+        manifest: &RouterSettings,
+        limits: Rc<Limits>,
+        cells: bool,
+    ) -> Self {
         let rows = names(settings, "grades").into_iter().zip(OpType::rows(manifest));
         let tenants = names(settings, "parties").into_iter().enumerate();
         Gate {
@@ -89,7 +95,7 @@
 
     /// The op that the call asks for, with its place. Danger: more ops, or more bytes of them, than the
     /// router's memory holds.
-    pub fn admit<A>(&self, call: Call<'_>, arrived: Point) -> Result<Admitted, Reply<A>> {
+    pub fn admit<A>(&self, call: Call<'_>, arrived: Timestamp) -> Result<Admitted, Reply<A>> {
         let Some((op_type, row)) = self.op_types.get(call.op_type) else {
             return Err(Reply::Refused("its op type is not known"));
         };
@@ -100,11 +106,11 @@
             }
             _ => None,
         };
-        let tokened = matches!(row.effect, Effect::Tokened { .. });
+        let tokened = matches!(row.retry_safety, RetrySafety::Deduplicated { .. });
         if tokened && call.token.is_none() {
             return Err(Reply::Refused("an op of this type needs its mark, k"));
         }
-        let with_session = matches!(row.need, Need::Session | Need::Write);
+        let with_session = matches!(row.consistency, Consistency::Session | Consistency::Write);
         let bytes = call.bytes;
         if self.open.get() >= self.limits.ops || self.bytes.get() + bytes > self.limits.held {
             return Err(Reply::Busy(None));
@@ -121,23 +127,23 @@
         };
         let op = OpId(self.next.get());
         self.next.set(op.0 + 1);
-        let commit = |millis: i64| Point::from_micros(millis.saturating_mul(1000));
+        let commit = |millis: i64| Timestamp::from_micros(millis.saturating_mul(1000));
         let token_age = call.after.map(|after| match after {
-            0 => Span::ZERO,
-            after => (arrived - commit(after)).max(Span::from_micros(1)),
+            0 => TimeDelta::ZERO,
+            after => (arrived - commit(after)).max(TimeDelta::from_micros(1)),
         });
-        let ask = Ask {
+        let ask = OpRequest {
             op,
             op_type: *op_type,
             tenant,
             cell: CellId::default(),
             group: GroupId(call.group),
             session: call.session.filter(|_| with_session).map(SessionId),
-            again: call.again,
+            is_retry: call.again,
             token_age,
-            floor: None,
-            pinned: None,
-            due: arrived + Span::from_millis(call.wait_ms.into()),
+            min_position: None,
+            pinned_host: None,
+            deadline: arrived + TimeDelta::from_millis(call.wait_ms.into()),
         };
         let claim = self.cells.then(|| {
             let (tenant, address) = (call.tenant.map(Box::from), call.address);
@@ -183,28 +189,28 @@
 
     #[test]
     fn names_become_ids_and_times_points() {
-        let arrived = Point::from_micros(5_000_000);
+        let arrived = Timestamp::from_micros(5_000_000);
         let call = Call { after: Some(4900), again: true, ..call(1, 0) };
         let Admitted { ask, .. } = gate().admit::<()>(call, arrived).expect("there is room");
-        let wanted = Ask {
+        let wanted = OpRequest {
             op: OpId(0),
             op_type: OpTypeId(0),
             tenant: Some(TenantId(1)),
             cell: CellId(0),
             group: GroupId(4),
             session: Some(SessionId(0xff)),
-            again: true,
-            token_age: Some(Span::from_millis(100)),
-            floor: None,
-            pinned: None,
-            due: Point::from_micros(5_080_000),
+            is_retry: true,
+            token_age: Some(TimeDelta::from_millis(100)),
+            min_position: None,
+            pinned_host: None,
+            deadline: Timestamp::from_micros(5_080_000),
         };
         assert_eq!(ask, wanted);
     }
 
     #[test]
     fn ops_beyond_the_count_or_the_bytes_are_busy_replied_till_a_place_is_free() {
-        let (gate, now) = (gate(), Point::from_micros(0));
+        let (gate, now) = (gate(), Timestamp::from_micros(0));
         let admit = |id, length| gate.admit(call(id, length), now).map(|admitted| admitted.place);
         let (first, second) = (admit(1, 100), admit(2, 100));
         assert!(first.is_ok() && second.is_ok());
@@ -216,7 +222,7 @@
 
     #[test]
     fn an_id_names_one_open_op_and_is_free_again_once_that_is_over() {
-        let (gate, now) = (gate(), Point::from_micros(0));
+        let (gate, now) = (gate(), Timestamp::from_micros(0));
         let admit = || gate.admit(call(1, 0), now).map(|admitted| admitted.place);
         let first = admit();
         assert!(first.is_ok());
--- a/crates/arrowyard-core/src/back.rs
+++ b/crates/arrowyard-core/src/back.rs
@@ -4,13 +4,13 @@
 use std::future::Future;
 use std::net::SocketAddr;
 
-use arrowyard_types::{HostId, Outcome, Point, Word};
+use arrowyard_types::{HostId, HostStatus, Outcome, Timestamp};
 use tokio::time::Instant;
 
 use crate::clock::Clock;
 
 /// One send or probe: how it ended, what the host said of itself, and the answer if it is whole.
-pub type Told<A> = (Outcome, Word, Option<A>);
+pub type Told<A> = (Outcome, HostStatus, Option<A>);
 
 /// How far a send is, as its back tells while it goes on.
 pub struct Progress<A> {
@@ -70,13 +70,13 @@
         host: HostId,
         dial: SocketAddr,
         payload: &Self::Payload,
-        until: Point,
+        until: Timestamp,
         clock: Clock,
         progress: &Progress<Self::Answer>,
     ) -> impl Future<Output = Told<Self::Answer>>;
 
     /// Asks the host for its report.
-    fn probe(&self, host: HostId, dial: SocketAddr) -> impl Future<Output = (Outcome, Word)>;
+    fn probe(&self, host: HostId, dial: SocketAddr) -> impl Future<Output = (Outcome, HostStatus)>;
 
     /// A send begun then was wholly written and not answered.
     fn unanswered(&self, host: HostId, since: Instant);
--- a/crates/arrowyard-core/src/book.rs
+++ b/crates/arrowyard-core/src/book.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use arrowyard_types::{OpId, Outcome, SendNo};
+use arrowyard_types::{OpId, Outcome, SendIndex};
 use tokio::sync::oneshot;
 
 use crate::reply::Reply;
@@ -66,16 +66,16 @@
 
     /// The number of the op's next send, its payload, and what tells it that it is called off; for an op that is
     /// over it is so at once. Nothing for an op whose page is closed.
-    pub fn send(&mut self, op: OpId) -> Option<(SendNo, Rc<P>, oneshot::Receiver<()>)> {
+    pub fn send(&mut self, op: OpId) -> Option<(SendIndex, Rc<P>, oneshot::Receiver<()>)> {
         let page = self.pages.get_mut(&op)?;
         let (call_off, called_off) = oneshot::channel();
         page.sends.push(if page.client.is_some() { Stand::Out(call_off) } else { Stand::CalledOff });
         self.tally.sends += 1;
         self.tally.repeats += u32::from(page.sends.len() > 1);
-        Some((SendNo(page.sends.len() as u32 - 1), page.payload.clone(), called_off))
+        Some((SendIndex(page.sends.len() as u32 - 1), page.payload.clone(), called_off))
     }
 
-    pub fn call_off(&mut self, op: OpId, send: SendNo) {
+    pub fn call_off(&mut self, op: OpId, send: SendIndex) {
         let Some(stand) = self.stand(op, send) else { return };
         match std::mem::replace(stand, Stand::CalledOff) {
             // The send's end may be on its way already; then nobody hears this.
@@ -84,13 +84,13 @@
         }
     }
 
-    fn stand(&mut self, op: OpId, send: SendNo) -> Option<&mut Stand> {
+    fn stand(&mut self, op: OpId, send: SendIndex) -> Option<&mut Stand> {
         self.pages.get_mut(&op)?.sends.get_mut(send.0 as usize)
     }
 
     /// Takes the end of a send; the first acked one goes to the client. Tells whether the op is over; nothing for
     /// an end that was taken before. Danger: an end taken twice would end another send in the module's eyes.
-    pub fn end(&mut self, op: OpId, send: SendNo, outcome: Outcome, answer: Option<A>) -> Option<bool> {
+    pub fn end(&mut self, op: OpId, send: SendIndex, outcome: Outcome, answer: Option<A>) -> Option<bool> {
         let stand = self.stand(op, send).filter(|stand| !matches!(stand, Stand::Ended))?;
         *stand = Stand::Ended;
         self.tally.lost_sends += u32::from(!outcome.is_answer());
@@ -162,12 +162,12 @@
     fn a_send_ends_once_and_the_first_answer_is_the_only_one() {
         let (mut book, mut answered) = open();
         let sends: Vec<_> = (0..2).filter_map(|_| book.send(OP)).collect();
-        assert_eq!(book.end(OP, SendNo(0), Outcome::Reset, None), Some(false));
-        assert_eq!(book.end(OP, SendNo(0), Outcome::Acked, Some(())), None);
-        assert_eq!(book.end(OP, SendNo(1), Outcome::Acked, Some(())), Some(true));
+        assert_eq!(book.end(OP, SendIndex(0), Outcome::Reset, None), Some(false));
+        assert_eq!(book.end(OP, SendIndex(0), Outcome::Acked, Some(())), None);
+        assert_eq!(book.end(OP, SendIndex(1), Outcome::Acked, Some(())), Some(true));
         book.answer(OP, Reply::Errored);
         assert_eq!(answered.try_recv(), Ok(Reply::Acked(())));
-        assert_eq!((book.open_ops(), book.end(OP, SendNo(1), Outcome::Acked, None)), (0, None));
+        assert_eq!((book.open_ops(), book.end(OP, SendIndex(1), Outcome::Acked, None)), (0, None));
         assert!(book.send(OP).is_none());
         drop(sends);
     }
@@ -181,7 +181,7 @@
         assert!(!book.hang_up(OP));
         let (late, _, mut too_late) = book.send(OP).expect("its page is open");
         assert_eq!(too_late.try_recv(), Err(TryRecvError::Closed));
-        assert_eq!(book.end(OP, late, Outcome::Moot, None), Some(true));
+        assert_eq!(book.end(OP, late, Outcome::NotSent, None), Some(true));
         book.call_off(OP, number);
         book.call_off(OP, number);
         assert_eq!(called_off.try_recv(), Ok(()));
@@ -201,7 +201,7 @@
                 let known = out.contains(&number) && !ended.contains(&number);
                 match step {
                     0 => match book.send(OP) {
-                        Some((SendNo(number), ..)) => {
+                        Some((SendIndex(number), ..)) => {
                             prop_assert_eq!(number, out.len() as u32);
                             out.push(number);
                         }
@@ -215,7 +215,7 @@
                         if known && step == 1 {
                             first.get_or_insert(Some(Reply::Acked(())));
                         }
-                        let told = book.end(OP, SendNo(number), outcome, answer);
+                        let told = book.end(OP, SendIndex(number), outcome, answer);
                         prop_assert_eq!(told, known.then_some(first.is_some()));
                         ended.extend(known.then_some(number));
                     }
@@ -227,7 +227,7 @@
                         prop_assert_eq!(book.hang_up(OP), first.is_none());
                         first.get_or_insert(None);
                     }
-                    _ => book.call_off(OP, SendNo(number)),
+                    _ => book.call_off(OP, SendIndex(number)),
                 }
                 let gone = first.is_some() && out.len() == ended.len();
                 prop_assert_eq!(book.open_ops(), usize::from(!gone));
--- a/crates/arrowyard-core/src/clock.rs
+++ b/crates/arrowyard-core/src/clock.rs
@@ -6,19 +6,19 @@
 use std::sync::atomic::Ordering::Relaxed;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use tokio::time::{Instant, sleep};
 
 /// How far the machine's clock may be set forward at once and be followed. Further away is no correction.
-const STEP: Span = Span::from_millis(1000);
+const STEP: TimeDelta = TimeDelta::from_millis(1000);
 /// Less than this is no step: two readings of one clock lie so far apart.
-const NOISE: Span = Span::from_micros(500);
+const NOISE: TimeDelta = TimeDelta::from_micros(500);
 
 /// Copies show the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
-    unix: Point,
+    unix: Timestamp,
     /// By how many microseconds the machine's clock was set forward since the start, as far as that was followed. One
     /// of a process, never freed: the clock is copied to threads of other fronts.
     gained: &'static AtomicI64,
@@ -29,23 +29,23 @@
         Clock { started: Instant::now(), unix: machine(), gained: Box::leak(Box::default()) }
     }
 
-    pub fn now(&self) -> Point {
-        self.unix + self.gained() + Span::from_micros(self.started.elapsed().as_micros() as i64)
+    pub fn now(&self) -> Timestamp {
+        self.unix + self.gained() + TimeDelta::from_micros(self.started.elapsed().as_micros() as i64)
     }
 
     /// The moment at which this clock shows the point; at once for points gone by.
-    pub fn when(&self, point: Point) -> Instant {
+    pub fn when(&self, point: Timestamp) -> Instant {
         self.started + duration(point - self.unix - self.gained())
     }
 
-    fn gained(&self) -> Span {
-        Span::from_micros(self.gained.load(Relaxed))
+    fn gained(&self) -> TimeDelta {
+        TimeDelta::from_micros(self.gained.load(Relaxed))
     }
 
     /// Goes with the machine's clock where that was set forward by a little, and says by how much. Danger: hosts tell
     /// their positions by clocks that were set as well; one that stays behind takes each of them for one in the
     /// future, and all reads go to the primaries from then on.
-    pub fn follow(&self, machine: Point) -> Option<Span> {
+    pub fn follow(&self, machine: Timestamp) -> Option<TimeDelta> {
         let step = machine - self.now();
         (NOISE < step && step <= STEP).then(|| {
             self.gained.fetch_add(step.micros(), Relaxed);
@@ -55,12 +55,12 @@
 }
 
 /// What the machine's clock shows, which may be set at any time.
-fn machine() -> Point {
+fn machine() -> Timestamp {
     let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Point::from_micros(unix.as_micros() as i64)
+    Timestamp::from_micros(unix.as_micros() as i64)
 }
 
-pub fn duration(span: Span) -> Duration {
+pub fn duration(span: TimeDelta) -> Duration {
     // A timer further away than a day is none.
     Duration::from_micros(span.micros().clamp(0, 86_400_000_000) as u64)
 }
@@ -70,8 +70,8 @@
 pub struct Beat {
     clock: Clock,
     every: Duration,
-    last: Cell<Point>,
-    before: Cell<Point>,
+    last: Cell<Timestamp>,
+    before: Cell<Timestamp>,
 }
 
 impl Beat {
@@ -96,9 +96,9 @@
 
     /// The earliest point at which something can have come that is read now: now itself, or the beat before the
     /// thread was away.
-    pub fn came(&self) -> Point {
+    pub fn came(&self) -> Timestamp {
         let (now, last, before) = (self.clock.now(), self.last.get(), self.before.get());
-        let away = |from: Point, to: Point| duration(to - from) > self.every * 4;
+        let away = |from: Timestamp, to: Timestamp| duration(to - from) > self.every * 4;
         if away(last, now) {
             last
         } else if away(before, last) {
