--- a/crates/arrowyard-core/src/discovery.rs
+++ b/crates/arrowyard-core/src/discovery.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use arrowyard_startup::{Credence, Herd, Verdict};
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 use bytes::BytesMut;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpStream;
@@ -34,9 +34,9 @@
 
 impl Manners {
     /// How long the next call waits. One that is asked for while calls succeed is urgent: somebody knows of news.
-    fn wait(&mut self, first: bool) -> Span {
+    fn wait(&mut self, first: bool) -> TimeDelta {
         let urgent = !first && !self.herd.fails();
-        if urgent { Span::ZERO } else { self.herd.wait(self.listed) }
+        if urgent { TimeDelta::ZERO } else { self.herd.wait(self.listed) }
     }
 }
 
@@ -85,7 +85,7 @@
                         watch = Some(self.begin(true, Some(old)));
                     }
                 }
-                Wish::Fetch => drop(spawn_local(self.clone().call(false, Span::ZERO, None))),
+                Wish::Fetch => drop(spawn_local(self.clone().call(false, TimeDelta::ZERO, None))),
                 Wish::Routers(routers) => {
                     self.manners.iter().for_each(|manners| manners.borrow_mut().herd.count(routers));
                 }
@@ -95,17 +95,17 @@
 
     /// A call that stands, in place of the old one from its first moment on.
     fn begin(&self, watch: bool, old: Option<Standing>) -> Standing {
-        let wait = self.manners.as_ref().map_or(Span::ZERO, |manners| manners.borrow_mut().wait(true));
-        let old = old.filter(|_| wait > Span::ZERO);
+        let wait = self.manners.as_ref().map_or(TimeDelta::ZERO, |manners| manners.borrow_mut().wait(true));
+        let old = old.filter(|_| wait > TimeDelta::ZERO);
         Standing(spawn_local(self.clone().call(watch, wait, old)))
     }
 
-    async fn call(self, watch: bool, wait: Span, old: Option<Standing>) {
+    async fn call(self, watch: bool, wait: TimeDelta, old: Option<Standing>) {
         let wait = match &self.manners {
             Some(manners) if !watch => manners.borrow_mut().wait(false),
             _ => wait,
         };
-        if wait > Span::ZERO {
+        if wait > TimeDelta::ZERO {
             sleep(duration(wait)).await;
         }
         drop(old);
--- a/crates/arrowyard-core/src/hatch.rs
+++ b/crates/arrowyard-core/src/hatch.rs
@@ -5,7 +5,7 @@
 use std::any::Any;
 use std::rc::Rc;
 
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::spawn_local;
 
@@ -19,7 +19,7 @@
 /// An op as it comes from another thread. `P` tells its own call; `R` is the answer in a form that may move.
 struct Errand<P, R> {
     payload: P,
-    arrived: Point,
+    arrived: Timestamp,
     client: oneshot::Sender<Reply<R>>,
 }
 
@@ -143,7 +143,7 @@
 mod tests {
     use std::net::SocketAddr;
 
-    use arrowyard_types::{HostId, Outcome, Word};
+    use arrowyard_types::{HostId, HostStatus, Outcome};
     use tokio::runtime::Builder;
     use tokio::task::LocalSet;
     use tokio::time::Instant;
@@ -164,15 +164,15 @@
             _: HostId,
             _: SocketAddr,
             _: &u64,
-            _: Point,
+            _: Timestamp,
             _: Clock,
             _: &Progress<Rc<u64>>,
         ) -> Told<Rc<u64>> {
-            (Outcome::Moot, Word::default(), None)
+            (Outcome::NotSent, HostStatus::default(), None)
         }
 
-        async fn probe(&self, _: HostId, _: SocketAddr) -> (Outcome, Word) {
-            (Outcome::Moot, Word::default())
+        async fn probe(&self, _: HostId, _: SocketAddr) -> (Outcome, HostStatus) {
+            (Outcome::NotSent, HostStatus::default())
         }
 
         fn unanswered(&self, _: HostId, _: Instant) {}
--- a/crates/arrowyard-core/src/hints.rs
+++ b/crates/arrowyard-core/src/hints.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_types::{PeerId, Point, Span};
+use arrowyard_types::{PeerId, TimeDelta, Timestamp};
 use smallvec::SmallVec;
 
 /// The form of a hint, by its first byte and its length; the module's news has another length.
@@ -42,42 +42,49 @@
 /// What is known of one host that others say is leaving.
 #[derive(Debug)]
 struct Hint {
-    due: Point,
+    due: Timestamp,
     by: SmallVec<[PeerId; TELLERS]>,
     /// When the list was asked for because of it.
-    asked: Option<Point>,
+    asked: Option<Timestamp>,
 }
 
 /// What others say of hosts that leave, till the own list speaks.
 #[derive(Debug)]
 pub struct Hints {
     hosts: BTreeMap<u32, Hint>,
-    wait: Span,
+    wait: TimeDelta,
     /// How often the list is asked for because of hints, at most.
-    gap: Span,
-    asked: Point,
+    gap: TimeDelta,
+    asked: Timestamp,
     /// Hosts that were closed by others' word since the own list spoke.
     closed: usize,
     /// Hosts that the own list left out: when they are told of again, and how often.
-    own: BTreeMap<u32, (Point, u8)>,
+    own: BTreeMap<u32, (Timestamp, u8)>,
 }
 
 impl Hints {
     /// `wait` is how long the own watch is given, `gap` the least time between two looks.
     #[must_use]
-    pub fn new(wait: Span, gap: Span) -> Hints {
-        Hints { hosts: BTreeMap::new(), wait, gap, asked: Point::DAWN, closed: 0, own: BTreeMap::new() }
+    pub fn new(wait: TimeDelta, gap: TimeDelta) -> Hints {
+        Hints {
+            hosts: BTreeMap::new(),
+            wait,
+            gap,
+            asked: Timestamp::DISTANT_PAST,
+            closed: 0,
+            own: BTreeMap::new(),
+        }
     }
 
     /// The own list has left out a host: others are to hear of it, now and again.
-    pub fn ceased(&mut self, now: Point, tag: u32) {
+    pub fn ceased(&mut self, now: Timestamp, tag: u32) {
         if self.own.len() < MOST || self.own.contains_key(&tag) {
             self.own.insert(tag, (now, TOLD));
         }
     }
 
     /// Hosts that are told of now.
-    pub fn tell(&mut self, now: Point) -> SmallVec<[u32; 4]> {
+    pub fn tell(&mut self, now: Timestamp) -> SmallVec<[u32; 4]> {
         let due = self.own.iter_mut().filter(|(_, (at, _))| *at <= now);
         let told: SmallVec<[u32; 4]> = due
             .map(|(&tag, (at, left))| {
@@ -90,7 +97,7 @@
     }
 
     /// Another router says that the host is leaving.
-    pub fn heard(&mut self, now: Point, tag: u32, by: PeerId) {
+    pub fn heard(&mut self, now: Timestamp, tag: u32, by: PeerId) {
         // Danger: one that names thousands of hosts. What finds no room is named again by those that mean it, or is not.
         if self.hosts.len() >= MOST && !self.hosts.contains_key(&tag) {
             return;
@@ -111,7 +118,7 @@
     /// Whether the list is to be asked for now: some host was said to be leaving, the own watch had its time, and still holds
     /// it as ready. Danger: all routers ask at the moment in which the first one hears of a drain; so those whose own
     /// watch tells them in time ask nothing, and one asks once in a while, whatever it is told.
-    pub fn look(&mut self, now: Point, holds_ready: impl Fn(u32) -> bool) -> bool {
+    pub fn look(&mut self, now: Timestamp, holds_ready: impl Fn(u32) -> bool) -> bool {
         let mut stale = false;
         self.hosts.retain(|tag, hint| {
             let due = hint.due <= now && hint.asked.is_none();
@@ -134,7 +141,7 @@
     /// the hosts that are ready are closed so, till the own list speaks.
     pub fn close(
         &mut self,
-        now: Point,
+        now: Timestamp,
         ready: usize,
         holds_ready: impl Fn(u32) -> bool,
     ) -> SmallVec<[u32; 4]> {
@@ -160,13 +167,13 @@
 mod tests {
     use super::*;
 
-    fn at(ms: i64) -> Point {
-        Point::from_micros(ms * 1000)
+    fn at(ms: i64) -> Timestamp {
+        Timestamp::from_micros(ms * 1000)
     }
 
     #[test]
     fn only_what_the_own_watch_did_not_tell_in_time_is_looked_at_and_seldom() {
-        let mut hints = Hints::new(Span::from_millis(400), Span::from_millis(1000));
+        let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
         let by = PeerId(1);
         hints.heard(at(0), 7, by);
         assert!(!hints.look(at(399), |_| true), "the watch has its time");
@@ -186,7 +193,7 @@
 
     #[test]
     fn where_the_own_list_cannot_be_had_the_word_of_two_closes_a_quarter_of_the_hosts_at_most() {
-        let mut hints = Hints::new(Span::from_millis(400), Span::from_millis(1000));
+        let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
         for tag in 0..8 {
             hints.heard(at(0), tag, PeerId(1));
             hints.heard(at(0), tag, PeerId(1));
@@ -203,7 +210,7 @@
         assert!(hints.close(at(1300), 6, |_| true).is_empty(), "a quarter, till the own list speaks");
         hints.listed();
         assert!(hints.close(at(9000), 8, |_| true).is_empty(), "it has spoken");
-        assert!(Hints::new(Span::ZERO, Span::ZERO).close(at(0), 0, |_| true).is_empty());
+        assert!(Hints::new(TimeDelta::ZERO, TimeDelta::ZERO).close(at(0), 0, |_| true).is_empty());
     }
 
     #[test]
--- a/crates/arrowyard-core/src/leases.rs
+++ b/crates/arrowyard-core/src/leases.rs
@@ -14,7 +14,7 @@
     Word, keep, lease,
 };
 use arrowyard_store::{Disk, System};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 use rustix::time::{ClockId, clock_gettime};
 use serde_json::json;
@@ -67,10 +67,10 @@
         LeaseClock { off_ppm: off.unwrap_or(0) }
     }
 
-    fn now(self) -> Point {
+    fn now(self) -> Timestamp {
         let now = clock_gettime(ClockId::Boottime);
         let us = now.tv_sec * 1_000_000 + now.tv_nsec / 1000;
-        Point::from_micros(us + us / 1_000_000 * self.off_ppm + us % 1_000_000 * self.off_ppm / 1_000_000)
+        Timestamp::from_micros(us + us / 1_000_000 * self.off_ppm + us % 1_000_000 * self.off_ppm / 1_000_000)
     }
 }
 
@@ -79,7 +79,7 @@
     duty: Duty,
     lease: LeaseId,
     /// When it is done next, and whether an act is under way.
-    next: Point,
+    next: Timestamp,
     acting: bool,
     acts: u64,
     failed: u64,
@@ -97,7 +97,7 @@
     store: Option<PathBuf>,
     socket: UdpSocket,
     /// Where candidates are, and when each was heard last.
-    candidates: HashMap<CandidateId, (SocketAddr, Point)>,
+    candidates: HashMap<CandidateId, (SocketAddr, Timestamp)>,
     doing: Vec<Doing>,
     rng: Rng,
     errands: mpsc::Receiver<Errand>,
@@ -229,7 +229,7 @@
         });
         let voter = self.voter.as_ref().and_then(Voter::next_at);
         let next = acts.chain(voter).chain(self.candidate.next_at()).min();
-        let wait = next.map_or(Span::from_millis(1000), |at| at - self.clock.now());
+        let wait = next.map_or(TimeDelta::from_millis(1000), |at| at - self.clock.now());
         Instant::now() + duration(wait)
     }
 
@@ -382,7 +382,7 @@
     }
 
     /// Duties that are due are done, where the lease lasts.
-    fn act(&mut self, now: Point) {
+    fn act(&mut self, now: Timestamp) {
         if self.stops {
             return;
         }
@@ -467,7 +467,7 @@
     /// For `SHOW leases`.
     fn report(&self) -> String {
         let now = self.clock.now();
-        let ms = |span: Span| span.micros() / 1000;
+        let ms = |span: TimeDelta| span.micros() / 1000;
         let rows = self.candidate.seen(now).map(|seen| {
             let one = self.doing.iter().find(|one| one.lease == seen.lease);
             let (acts, failed) = one.map_or((0, 0), |one| (one.acts, one.failed));
@@ -478,7 +478,7 @@
             let one = self.doing.iter().find(|one| one.lease == lease);
             let name = one.map_or_else(|| format!("{:016x}", lease.0), |one| one.duty.name.clone());
             json!({"name": name, "epoch": vote.epoch.0, "holder": format!("{:016x}", vote.holder.0),
-                "left_ms": ms((vote.until - now).max(Span::ZERO))})
+                "left_ms": ms((vote.until - now).max(TimeDelta::ZERO))})
         });
         let drifts =
             self.drifts.iter().map(|(voter, ppm)| (self.voters[usize::from(voter.0)].0.clone(), *ppm));
@@ -499,7 +499,7 @@
     // The last moment. Danger: connecting took long, or the process was halted since it looked; from here on only the
     // epoch, which the taker looks at, tells that the lease has ended.
     let now = clock.now();
-    if !permit.allows(now, Span::ZERO) {
+    if !permit.allows(now, TimeDelta::ZERO) {
         return Err("the lease ended before the act began".to_string());
     }
     let left_ms = permit.left(now).micros() / 1000;
--- a/crates/arrowyard-core/src/limits.rs
+++ b/crates/arrowyard-core/src/limits.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use arrowyard_cells::desk::Totals;
-use arrowyard_types::{Facts, Manifest, OpType, Span};
+use arrowyard_types::{OpType, RouterSettings, RouterSettingsExt, TimeDelta};
 
 use crate::clock::duration;
 use crate::waybill::Waybill;
@@ -60,7 +60,7 @@
     /// How long is waited before something is tried once more.
     pub pause: Duration,
     /// How far a position may lie ahead of this router's clock.
-    pub ahead: Span,
+    pub ahead: TimeDelta,
     /// How often the thread notes that it comes round.
     pub beat: Duration,
     /// How often cells are asked what time has changed.
@@ -84,17 +84,17 @@
 const STATEMENT: usize = 8 * 1024;
 
 impl Limits {
-    pub fn new(waybill: &Waybill, manifest: &Manifest) -> Self {
+    pub fn new(waybill: &Waybill, manifest: &RouterSettings) -> Self {
         let message = 2 * VALUE + STATEMENT;
         let sockets = waybill.sockets;
         let told = manifest.number_or("max_open", f64::MAX) as usize;
         // Danger: a time that was not told is zero, no connection comes up, and each is idle for too long.
-        let told_span = |name: &str| match duration(manifest.span(name)) {
+        let told_span = |name: &str| match duration(manifest.time_delta(name)) {
             Duration::ZERO => Duration::from_secs(1),
             told => told,
         };
         let longest = OpType::rows(manifest).iter().map(|row| row.op_timeout).max().unwrap_or_default();
-        let last = duration(longest.max(Span::from_millis(3000)));
+        let last = duration(longest.max(TimeDelta::from_millis(3000)));
         Limits {
             // Danger: clients, too, hold only so many connections, a third of this router's descriptors; idle ones that
             // are kept here up to that number leave them none to ask over. So this is less than a third.
@@ -117,7 +117,7 @@
             log_lines: 50,
             connect: told_span("connect_timeout"),
             idle: told_span("idle_close").mul_f64(0.8),
-            ready: duration(manifest.span("tick").max(Span::from_millis(1))),
+            ready: duration(manifest.time_delta("tick").max(TimeDelta::from_millis(1))),
             // A connection without an open op may be closed after 2 s, and one that only holds a place must be within 3.
             greeting: Duration::from_millis(2300),
             relay: Duration::from_secs(2),
@@ -129,7 +129,7 @@
             forget: last * 4,
             pause: Duration::from_millis(5),
             // Commits are told in whole milliseconds, rounded up.
-            ahead: Span::from_millis(5),
+            ahead: TimeDelta::from_millis(5),
             beat: Duration::from_millis(5),
             tick: Duration::from_millis(25),
             tally: Duration::from_secs(5),
@@ -153,7 +153,7 @@
 #[cfg(any(test, feature = "blank"))]
 impl Limits {
     /// Of a router that is told these settings and otherwise the least.
-    pub fn told(settings: serde_json::Value) -> (Waybill, Manifest, Limits) {
+    pub fn told(settings: serde_json::Value) -> (Waybill, RouterSettings, Limits) {
         let told = serde_json::json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
             "seed": "1f", "settings": settings});
         let waybill = Waybill::of(&told, |_| None).expect("it is whole");
--- a/crates/arrowyard-core/src/mail.rs
+++ b/crates/arrowyard-core/src/mail.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use arrowyard_cells::Layout;
-use arrowyard_types::{Ask, CellId, HostId, OpId, Outcome, PeerId, SendNo, Word};
+use arrowyard_types::{CellId, HostId, HostStatus, OpId, OpRequest, Outcome, PeerId, SendIndex};
 use tokio::sync::oneshot;
 
 use crate::back::Back;
@@ -16,15 +16,15 @@
 /// What the other tasks tell the one that owns the module.
 pub enum Mail<B: Back> {
     /// With what cells want to know of it, where there are any.
-    Asked(Ask, Option<Box<Claim>>, Rc<B::Payload>, oneshot::Sender<Reply<B::Answer>>),
+    Asked(OpRequest, Option<Box<Claim>>, Rc<B::Payload>, oneshot::Sender<Reply<B::Answer>>),
     HungUp(OpId),
     /// The answer goes to the client, and the send goes on.
     Begun(OpId, B::Answer),
-    SendEnded(OpId, SendNo, HostId, End<B::Answer>),
+    SendEnded(OpId, SendIndex, HostId, End<B::Answer>),
     /// In the name of the cell, where there are any.
-    Probed(HostId, Option<CellId>, Outcome, Word),
+    Probed(HostId, Option<CellId>, Outcome, HostStatus),
     /// A host was asked for its position since a tenant moves there.
-    Watched(HostId, Word),
+    Watched(HostId, HostStatus),
     /// The operator's file was read anew.
     Relayout(Box<Layout>),
     /// Somebody wants to see the cells.
--- a/crates/arrowyard-core/src/returns.rs
+++ b/crates/arrowyard-core/src/returns.rs
@@ -7,7 +7,7 @@
 
 use arrowyard_startup::{Comes, Full, Return, Stage, Terms, weigh};
 use arrowyard_store::{Found, Snapshot, Store, System};
-use arrowyard_types::{Availability, GroupId, OpId, Point, Span};
+use arrowyard_types::{Availability, GroupId, OpId, TimeDelta, Timestamp};
 use fastrand::Rng;
 use serde_json::{Map, Value};
 use tokio::sync::mpsc;
@@ -68,7 +68,7 @@
         tracing::info!("nothing is stored for this start");
         return (known, None);
     };
-    let age = Span::from_millis(now.saturating_sub(stored.written_ms) as i64);
+    let age = TimeDelta::from_millis(now.saturating_sub(stored.written_ms) as i64);
     let names: Vec<String> =
         known.iter().flat_map(|list| &list.lines).map(|line| line.host.clone()).collect();
     let weighed = weigh(stored, age, comes.trust, &names);
@@ -102,7 +102,7 @@
     told: Stage,
     /// Discovery has changed the list since it was saved last; when that was; and whether a write is under way.
     changed: bool,
-    saved: Point,
+    saved: Timestamp,
     saving: bool,
     version: i64,
 }
@@ -110,7 +110,7 @@
 impl Returning {
     #[must_use]
     pub fn new(
-        now: Point,
+        now: Timestamp,
         comes: Comes,
         deployment: u64,
         router: &str,
@@ -141,7 +141,7 @@
     }
 
     /// An op had its final answer.
-    pub fn answered(&mut self, now: Point, op: OpId, acked: bool) {
+    pub fn answered(&mut self, now: Timestamp, op: OpId, acked: bool) {
         match self.ops.remove(&op) {
             Some((group, write)) if acked => self.start.acked(now, group, write),
             Some(_) => self.start.failed(),
@@ -149,18 +149,18 @@
         }
     }
 
-    pub fn listed(&mut self, now: Point, version: i64) {
+    pub fn listed(&mut self, now: Timestamp, version: i64) {
         self.start.listed(now);
         (self.changed, self.version) = (true, version);
     }
 
     /// When a client that is given back may come again.
-    pub fn after(&mut self, told: Option<Span>, most: Option<Span>) -> Option<Span> {
+    pub fn after(&mut self, told: Option<TimeDelta>, most: Option<TimeDelta>) -> Option<TimeDelta> {
         most.map_or(told, |most| self.start.after(told, most, &mut self.rng))
     }
 
     /// What time has changed; what is logged of the start.
-    pub fn tick(&mut self, now: Point) {
+    pub fn tick(&mut self, now: Timestamp) {
         let full = self.start.tick(now);
         if self.told != self.start.stage() {
             self.told = self.start.stage();
@@ -181,7 +181,7 @@
     }
 
     /// Whether the list is to be written now; it is said once, and till `saved` is called not again.
-    pub fn due(&mut self, now: Point) -> bool {
+    pub fn due(&mut self, now: Timestamp) -> bool {
         let due =
             self.comes.store.is_some() && self.changed && !self.saving && now - self.saved >= self.comes.save;
         if due {
--- a/crates/arrowyard-core/src/roster.rs
+++ b/crates/arrowyard-core/src/roster.rs
@@ -8,7 +8,8 @@
 use arrowyard_platform_settings::{point, tag};
 use arrowyard_store::Host;
 use arrowyard_types::{
-    Availability, CellId, Entry, GroupId, HostId, ListForm, Note, Part, Parts, Point, Span, ZoneId,
+    Availability, CellId, GroupId, GroupMembership, GroupMemberships, HostEntry, HostId, ListKind,
+    RouterEvent, TimeDelta, Timestamp, ZoneId,
 };
 use serde_json::{Map, Value};
 use tokio::time::Instant;
@@ -17,14 +18,14 @@
 use crate::list::{Line, List};
 
 /// A group that is nobody's cell.
-fn whole(group: GroupId) -> Parts {
-    [Part { group, guest: false }].into()
+fn whole(group: GroupId) -> GroupMemberships {
+    [GroupMembership { group, primary_only: false }].into()
 }
 
 pub struct Roster {
     ids: HashMap<String, HostId>,
     dials: Vec<Option<SocketAddr>>,
-    last: Vec<Entry>,
+    last: Vec<HostEntry>,
     zones: HashMap<String, ZoneId>,
     /// By host: its name, its group as lists name it, and its size without what trust makes of it.
     raw: Vec<(String, GroupId, f64)>,
@@ -56,13 +57,16 @@
     }
 
     /// The list as a note; a saved one is the router's last list before it started.
-    pub fn note(&mut self, list: &List, saved: bool) -> Note {
+    pub fn note(&mut self, list: &List, saved: bool) -> RouterEvent {
         let form = match (saved, list.whole) {
-            (true, _) => ListForm::Saved,
-            (false, true) => ListForm::Whole,
-            (false, false) => ListForm::Changes,
+            (true, _) => ListKind::Saved,
+            (false, true) => ListKind::Full,
+            (false, false) => ListKind::Incremental,
         };
-        Note::Listed { form, entries: list.lines.iter().map(|line| self.entry(line)).collect() }
+        RouterEvent::HostList {
+            kind: form,
+            entries: list.lines.iter().map(|line| self.entry(line)).collect(),
+        }
     }
 
     /// From now on lines are of this whole list.
@@ -74,7 +78,7 @@
     pub fn missing(&self, turn: u64) -> Vec<Line> {
         let there = self.last.iter().zip(&self.named);
         let there = there.filter(|(entry, named)| entry.availability != Availability::Gone && **named < turn);
-        let line = |entry: &Entry| Line {
+        let line = |entry: &HostEntry| Line {
             host: self.raw[entry.host.0 as usize].0.clone(),
             availability: Availability::Gone,
             dial: None,
@@ -108,20 +112,20 @@
     /// primary only. `trust` tells for a cell how much of its size a host that started so lately is trusted with.
     pub fn divide(
         &mut self,
-        entries: &mut [Entry],
+        entries: &mut [HostEntry],
         index: &Index,
-        mut trust: impl FnMut(CellId, Point) -> f64,
+        mut trust: impl FnMut(CellId, Timestamp) -> f64,
     ) {
         for entry in entries {
             let (name, group, size) = self.raw[entry.host.0 as usize].clone();
             let mut part = 1.0_f64;
-            entry.parts = index
+            entry.memberships = index
                 .parts(group, &name)
                 .map(|(cell, guest)| {
-                    if let Some(started) = entry.started.filter(|_| !guest) {
+                    if let Some(started) = entry.started_at.filter(|_| !guest) {
                         part = part.min(trust(cell, started));
                     }
-                    Part { group: self.view(group, cell), guest }
+                    GroupMembership { group: self.view(group, cell), primary_only: guest }
                 })
                 .collect();
             entry.size = size * part;
@@ -129,7 +133,7 @@
     }
 
     /// All hosts that are there, as they were listed last.
-    pub fn all(&self) -> Vec<Entry> {
+    pub fn all(&self) -> Vec<HostEntry> {
         self.last.iter().filter(|entry| entry.availability != Availability::Gone).cloned().collect()
     }
 
@@ -138,7 +142,7 @@
         let there = self.last.iter().filter(|entry| entry.availability != Availability::Gone);
         let zone =
             |id: ZoneId| self.zones.iter().find(|(_, zone)| **zone == id).map(|(name, _)| name.clone());
-        let host = |entry: &Entry| {
+        let host = |entry: &HostEntry| {
             let (name, group, size) = &self.raw[entry.host.0 as usize];
             Host {
                 name: name.clone(),
@@ -146,9 +150,9 @@
                 site: zone(entry.zone).unwrap_or_default(),
                 group: group.0,
                 size: *size,
-                born_ms: entry.started.map_or(0.0, |at| at.micros() as f64 / 1000.0),
+                born_ms: entry.started_at.map_or(0.0, |at| at.micros() as f64 / 1000.0),
                 draining: entry.availability == Availability::Draining,
-                was_primary: entry.primary,
+                was_primary: entry.is_primary,
             }
         };
         there.map(host).collect()
@@ -161,7 +165,7 @@
 
     /// Whether the list holds the host that all routers call so as ready.
     pub fn holds_ready(&self, tag: u32) -> bool {
-        self.last.iter().any(|entry| entry.tag == tag && entry.availability == Availability::Ready)
+        self.last.iter().any(|entry| entry.address_hash == tag && entry.availability == Availability::Ready)
     }
 
     /// How many hosts the list holds as ready.
@@ -170,8 +174,9 @@
     }
 
     /// The host that all routers call so is held as leaving, by others' word; its entry.
-    pub fn close(&mut self, tag: u32) -> Option<Entry> {
-        let ready = |entry: &&mut Entry| entry.tag == tag && entry.availability == Availability::Ready;
+    pub fn close(&mut self, tag: u32) -> Option<HostEntry> {
+        let ready =
+            |entry: &&mut HostEntry| entry.address_hash == tag && entry.availability == Availability::Ready;
         let entry = self.last.iter_mut().find(ready)?;
         entry.availability = Availability::Draining;
         Some(entry.clone())
@@ -179,7 +184,7 @@
 
     /// The hosts of a group, as lists name it, and their names.
     pub fn members(&self, group: GroupId) -> Vec<(HostId, &str)> {
-        let of = |entry: &&Entry| self.raw[entry.host.0 as usize].1 == group;
+        let of = |entry: &&HostEntry| self.raw[entry.host.0 as usize].1 == group;
         let there = self.last.iter().filter(|entry| entry.availability != Availability::Gone);
         there.filter(of).map(|entry| (entry.host, &*self.raw[entry.host.0 as usize].0)).collect()
     }
@@ -194,12 +199,12 @@
     }
 
     /// Whether the host started within this span.
-    pub fn is_new(&self, host: HostId, now: Point, within: Span) -> bool {
-        let started = self.last.get(host.0 as usize).and_then(|entry| entry.started);
+    pub fn is_new(&self, host: HostId, now: Timestamp, within: TimeDelta) -> bool {
+        let started = self.last.get(host.0 as usize).and_then(|entry| entry.started_at);
         started.is_some_and(|started| now - started < within)
     }
 
-    fn entry(&mut self, line: &Line) -> Entry {
+    fn entry(&mut self, line: &Line) -> HostEntry {
         let known = self.ids.get(&line.host).copied();
         let host = known.or_else(|| self.forget()).unwrap_or(HostId(self.dials.len() as u32));
         let place = host.0 as usize;
@@ -207,8 +212,16 @@
             self.ids.insert(line.host.clone(), host);
             let (parts, zone, availability) = (whole(GroupId(0)), ZoneId(0), line.availability);
             let tag = tag(&line.host);
-            let blank =
-                Entry { host, tag, availability, parts, zone, size: 1.0, primary: false, started: None };
+            let blank = HostEntry {
+                host,
+                address_hash: tag,
+                availability,
+                memberships: parts,
+                zone,
+                size: 1.0,
+                is_primary: false,
+                started_at: None,
+            };
             if place == self.dials.len() {
                 self.dials.push(None);
                 self.named.push(0);
@@ -233,7 +246,7 @@
             && line.availability != Availability::Ready
             && known.is_some()
         {
-            self.ceased.push(last.tag);
+            self.ceased.push(last.address_hash);
         }
         if last.availability != line.availability || known.is_none() {
             let dial = self.dials[place];
@@ -243,11 +256,11 @@
         let raw = &mut self.raw[place];
         raw.1 = line.group.map_or(raw.1, GroupId);
         raw.2 = line.size.unwrap_or(raw.2);
-        (last.parts, last.size) = (whole(raw.1), raw.2);
+        (last.memberships, last.size) = (whole(raw.1), raw.2);
         last.zone = line.site.as_ref().and_then(|site| self.zones.get(site).copied()).unwrap_or(last.zone);
-        last.primary = line.primary.unwrap_or(last.primary && line.availability != Availability::Gone);
+        last.is_primary = line.primary.unwrap_or(last.is_primary && line.availability != Availability::Gone);
         if let Some(born) = line.born_ms {
-            last.started = (born > 0.0).then(|| point(born));
+            last.started_at = (born > 0.0).then(|| point(born));
         }
         last.clone()
     }
@@ -265,7 +278,7 @@
             let line = serde_json::json!({"host": host, "health": health, "dial": "127.0.0.1:9"});
             let list = List::of(&serde_json::json!({"seq": 1, "hosts": [line]})).expect("it is whole");
             match roster.note(&list, false) {
-                Note::Listed { entries, .. } => (entries[0].host.0, entries[0].tag),
+                RouterEvent::HostList { entries, .. } => (entries[0].host.0, entries[0].address_hash),
                 other => panic!("{other:?}"),
             }
         };
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -64,8 +64,8 @@
     Save,
 }
 
-fn span(time: std::time::Duration) -> Span {
-    Span::from_micros(time.as_micros() as i64)
+fn span(time: std::time::Duration) -> TimeDelta {
+    TimeDelta::from_micros(time.as_micros() as i64)
 }
 
 /// What goes with an op that waits for its cell.
@@ -79,11 +79,11 @@
     watched: HashSet<HostId>,
     watched_at: Instant,
     /// The most that a client may be told to wait before it comes back; nothing where it may not be told.
-    most_after: Option<Span>,
-    cold: Span,
+    most_after: Option<TimeDelta>,
+    cold: TimeDelta,
     router: Router,
     book: Book<B::Payload, B::Answer>,
-    alarms: BinaryHeap<Reverse<(Point, u64, Cookie)>>,
+    alarms: BinaryHeap<Reverse<(Timestamp, u64, TimerId)>>,
     rung: u64,
     chores: Scheduler<Chore>,
     /// Long lists that are worked off.
@@ -98,7 +98,7 @@
     owns: Vec<bool>,
     /// Where the router comes back: what own-turn reads have to see at least. Danger: a session wrote by way of this router
     /// before it ended, and nobody remembers the bound. All that was acked then was committed before the start.
-    floor: Option<Point>,
+    floor: Option<Timestamp>,
     /// Groups that were asked for, so many at most: their lines of a long list go first.
     wanted: HashSet<i64>,
     /// Ops taken, and acked by the last tally, since the start.
@@ -110,24 +110,24 @@
     pub fn start(
         mut yard: Yard<B>,
         seed: u64,
-        manifest: Manifest,
+        manifest: RouterSettings,
         known: Option<&List>,
         cells: Option<Layout>,
     ) -> Self {
         let mut actions = Vec::new();
         let now = yard.clock.now();
-        let most_after = manifest.flag("retry_after").then(|| manifest.span("max_retry_after"));
-        let cold = manifest.span("cold");
+        let most_after = manifest.flag("retry_after").then(|| manifest.time_delta("max_retry_after"));
+        let cold = manifest.time_delta("cold");
         // Within the grace the own watch should have told; where none is told, half a second.
-        let grace = manifest.span("drain_grace").max(Span::from_millis(500));
+        let grace = manifest.time_delta("drain_grace").max(TimeDelta::from_millis(500));
         let ward = cells.map(|layout| {
             let (rows, marks) = (OpType::rows(&manifest), manifest.flag("marks_retry"));
             Ward::new(now, layout, yard.limits.of_cells(), rows, marks)
         });
         let returns = yard.returns.take();
         let rows = OpType::rows(&manifest);
-        let writes = rows.iter().map(|row| row.need == Need::Write).collect();
-        let owns = rows.iter().map(|row| row.need == Need::Session).collect();
+        let writes = rows.iter().map(|row| row.consistency == Consistency::Write).collect();
+        let owns = rows.iter().map(|row| row.consistency == Consistency::Session).collect();
         // Positions of what was acked were at most so far ahead of this router's clock.
         let floor = returns.is_some().then_some(now + yard.limits.ahead);
         let router = Router::start(now, seed, manifest, &mut actions);
@@ -176,7 +176,7 @@
         };
         if let Some(list) = known {
             let note = route.listed(list, Some(true));
-            route.router.take(now, note, &mut actions);
+            route.router.handle(now, note, &mut actions);
         }
         actions.into_iter().for_each(|action| route.carry_out(now, action));
         route
@@ -212,20 +212,20 @@
         }
     }
 
-    fn hand_over(&mut self, note: Note, actions: &mut Vec<Action>) {
+    fn hand_over(&mut self, note: RouterEvent, actions: &mut Vec<Action>) {
         let now = self.yard.clock.now();
         tracing::trace!(at = now.micros(), "{note:?}");
         if let Some(ward) = &mut self.ward {
             let cell = match &note {
-                Note::Asked(ask) => Some(ask.cell),
-                Note::SendEnded(end) => ward.cell_of(end.op),
+                RouterEvent::OpRequested(ask) => Some(ask.cell),
+                RouterEvent::SendEnded(end) => ward.cell_of(end.op),
                 _ => None,
             };
             if let Some(spare) = cell.and_then(|cell| ward.spare(now, cell)) {
-                self.router.take(now, spare, actions);
+                self.router.handle(now, spare, actions);
             }
         }
-        self.router.take(now, note, actions);
+        self.router.handle(now, note, actions);
         actions.drain(..).for_each(|action| self.carry_out(now, action));
         if let Some(ward) = &mut self.ward {
             self.book
@@ -238,7 +238,7 @@
 
     /// The next note where there are cells: an alarm that is due, mail that concerns all, else the mail whose cell's
     /// turn it is. Nothing at all once nobody can send mail.
-    async fn fair_turn(&mut self, inbox: &mut mpsc::Receiver<Mail<B>>) -> Option<Option<Note>> {
+    async fn fair_turn(&mut self, inbox: &mut mpsc::Receiver<Mail<B>>) -> Option<Option<RouterEvent>> {
         // All that has come gets its place in its cell's line first, so that a full channel delays nobody.
         loop {
             match inbox.try_recv() {
@@ -267,7 +267,7 @@
     }
 
     /// Mail of an op goes into its cell's line; what concerns all is taken at once.
-    fn sort(&mut self, mail: Mail<B>) -> Option<Note> {
+    fn sort(&mut self, mail: Mail<B>) -> Option<RouterEvent> {
         let now = self.yard.clock.now();
         let ward = self.ward.as_mut()?;
         let waits = match mail {
@@ -292,7 +292,7 @@
         match turn {
             Turn::Go(ask, (payload, client)) => {
                 let group = self.yard.roster.view(ask.group, ask.cell);
-                let asked = Mail::Asked(Ask { group, ..ask }, None, payload, client);
+                let asked = Mail::Asked(OpRequest { group, ..ask }, None, payload, client);
                 // It has its place, so that it is known.
                 let _ = ward.queue(ask.op, asked);
             }
@@ -377,7 +377,7 @@
                 }
                 drop(spawn_local(async move {
                     let (outcome, word) = back.probe(host, dial).await;
-                    let word = if outcome == Outcome::Acked { word } else { Word::default() };
+                    let word = if outcome == Outcome::Acked { word } else { HostStatus::default() };
                     let _ = mail.send(Mail::Watched(host, word)).await;
                 }));
             }
@@ -385,7 +385,7 @@
     }
 
     /// The list as a note, as cells divide it. `saved`: the router's last one before it started; nothing for a slice.
-    fn listed(&mut self, list: &List, saved: Option<bool>) -> Note {
+    fn listed(&mut self, list: &List, saved: Option<bool>) -> RouterEvent {
         let note = self.yard.roster.note(list, saved == Some(true));
         self.book.tally.listed += list.lines.len() as u32;
         let ceased = self.yard.roster.ceased();
@@ -401,14 +401,14 @@
             self.tell_of_ceased(now);
         }
         match note {
-            Note::Listed { form, entries } if self.ward.is_some() => {
-                Note::Listed { form, entries: self.divided(entries) }
+            RouterEvent::HostList { kind: form, entries } if self.ward.is_some() => {
+                RouterEvent::HostList { kind: form, entries: self.divided(entries) }
             }
             note => note,
         }
     }
 
-    fn divided(&mut self, mut entries: Vec<Entry>) -> Vec<Entry> {
+    fn divided(&mut self, mut entries: Vec<HostEntry>) -> Vec<HostEntry> {
         let Some(ward) = &mut self.ward else { return entries };
         let (now, within) = (self.yard.clock.now(), self.cold * NEW);
         let index = ward.index().clone();
@@ -426,7 +426,7 @@
     fn redivide(&mut self) {
         let entries = self.divided(self.yard.roster.all());
         let (now, mut actions) = (self.yard.clock.now(), Vec::new());
-        self.router.take(now, Note::Listed { form: ListForm::Changes, entries }, &mut actions);
+        self.router.handle(now, RouterEvent::HostList { kind: ListKind::Incremental, entries }, &mut actions);
         actions.into_iter().for_each(|action| self.carry_out(now, action));
     }
 
@@ -453,7 +453,7 @@
     }
 
     /// One turn of a chore, if one may be done; `ops`: others wait for the thread.
-    fn chore(&mut self, now: Point, ops: bool) {
+    fn chore(&mut self, now: Timestamp, ops: bool) {
         let Some(chore) = self.chores.take(now, ops) else { return };
         let end = match chore {
             Chore::List => self.slice(),
@@ -495,17 +495,18 @@
     }
 
     /// Other routers hear which hosts the own list has left out.
-    fn tell_of_ceased(&mut self, now: Point) {
+    fn tell_of_ceased(&mut self, now: Timestamp) {
         let told = self.hints.tell(now);
         let Some(peers) = &self.yard.peers else { return };
         told.into_iter().for_each(|tag| drop(peers.try_send(Errand::Tell(hint(tag)))));
     }
 
     /// Closes hosts that others say are leaving, where the own list cannot be had.
-    fn close_by_word(&mut self, now: Point) {
+    fn close_by_word(&mut self, now: Timestamp) {
         let Yard { roster, .. } = &self.yard;
         let tags = self.hints.close(now, roster.ready(), |tag| roster.holds_ready(tag));
-        let entries: Vec<Entry> = tags.into_iter().filter_map(|tag| self.yard.roster.close(tag)).collect();
+        let entries: Vec<HostEntry> =
+            tags.into_iter().filter_map(|tag| self.yard.roster.close(tag)).collect();
         if entries.is_empty() {
             return;
         }
@@ -514,7 +515,8 @@
             "hosts are closed by other routers' word: the list cannot be had"
         );
         let entries = if self.ward.is_some() { self.divided(entries) } else { entries };
-        let (note, mut actions) = (Note::Listed { form: ListForm::Changes, entries }, Vec::new());
+        let (note, mut actions) =
+            (RouterEvent::HostList { kind: ListKind::Incremental, entries }, Vec::new());
         self.hand_over(note, &mut actions);
     }
 
@@ -545,23 +547,23 @@
     }
 
     /// The next alarm that is due, after a turn of a chore that is.
-    fn rung(&mut self, ops: bool) -> Option<Note> {
+    fn rung(&mut self, ops: bool) -> Option<RouterEvent> {
         let now = self.yard.clock.now();
         if self.chores.next_at().is_some_and(|at| at <= now) {
             self.chore(now, ops);
         }
         let due = self.alarms.peek().is_some_and(|Reverse((at, ..))| *at <= now);
         let alarm = due.then(|| self.alarms.pop()).flatten();
-        alarm.map(|Reverse((_, _, cookie))| Note::Rang { cookie })
+        alarm.map(|Reverse((_, _, cookie))| RouterEvent::TimerFired { timer: cookie })
     }
 
     /// What the mail tells the module; nothing where it is old news.
-    fn note(&mut self, mail: Mail<B>) -> Option<Note> {
+    fn note(&mut self, mail: Mail<B>) -> Option<RouterEvent> {
         match mail {
             Mail::Asked(mut ask, _, payload, client) => {
                 self.taken += 1;
                 if self.owns.get(ask.op_type.0 as usize) == Some(&true) {
-                    ask.floor = ask.floor.max(self.floor);
+                    ask.min_position = ask.min_position.max(self.floor);
                 }
                 if self.wanted.len() < self.yard.limits.wanted {
                     self.wanted.insert(ask.group.0);
@@ -571,14 +573,14 @@
                     returns.asked(ask.op, ask.group, write);
                 }
                 self.book.open(ask.op, payload, client);
-                Some(Note::Asked(ask))
+                Some(RouterEvent::OpRequested(ask))
             }
             // The module hears of it when the send has ended, as of any other: till then it works at its host.
             Mail::Begun(op, answer) => {
                 self.book.begin(op, answer);
                 None
             }
-            Mail::HungUp(op) => self.book.hang_up(op).then_some(Note::HungUp { op }),
+            Mail::HungUp(op) => self.book.hang_up(op).then_some(RouterEvent::ClientCancelled { op }),
             Mail::SendEnded(op, send, host, End { outcome, took, word, answer }) => {
                 let finished = self.book.end(op, send, outcome, answer)?;
                 if let Some(returns) = self.returns.as_mut().filter(|_| finished) {
@@ -590,13 +592,21 @@
                     ward.send_ended(op, outcome, took, &word, new);
                     ward.learnt(host, &word);
                 }
-                Some(Note::SendEnded(Ended { op, send, host, outcome, took, finished, word }))
+                Some(RouterEvent::SendEnded(SendResult {
+                    op,
+                    send,
+                    host,
+                    outcome,
+                    elapsed: took,
+                    op_finished: finished,
+                    status: word,
+                }))
             }
             Mail::Probed(host, cell, outcome, word) => {
                 if let (Some(ward), Some(cell)) = (&mut self.ward, cell) {
                     ward.probed(cell);
                 }
-                Some(Note::Probed { host, outcome, word: self.likely(word) })
+                Some(RouterEvent::ProbeEnded { host, outcome, status: self.likely(word) })
             }
             Mail::Watched(host, word) => {
                 self.watched.remove(&host);
@@ -623,7 +633,7 @@
             }
             Mail::Fleet(routers) => {
                 wish(&self.yard.wishes, Wish::Routers(routers));
-                Some(Note::Fleet { routers })
+                Some(RouterEvent::RouterCount { routers })
             }
             Mail::Told(from, mut bytes) => {
                 if let Some(tag) = hinted(&bytes) {
@@ -631,8 +641,8 @@
                     return None;
                 }
                 // Danger: another router's word that a host is primary sends writes there. It only ever takes that away.
-                arrowyard::careful(&mut bytes);
-                Some(Note::Told { from, bytes })
+                arrowyard::clear_primary_claim(&mut bytes);
+                Some(RouterEvent::PeerMessage { from, bytes })
             }
             Mail::Saved(failed) => {
                 self.returns.iter_mut().for_each(|returns| returns.saved(failed));
@@ -656,26 +666,26 @@
                 None
             }
             Mail::News(mail::News::Listed(list)) => Some(self.listed(&list, Some(false))),
-            Mail::News(mail::News::ListFailed) => Some(Note::ListFailed),
+            Mail::News(mail::News::ListFailed) => Some(RouterEvent::ListFailed),
         }
     }
 
     /// A host's word without a position that cannot be. Danger: positions never go back, so that one spoilt on the
     /// way, in the future, would make stale data look fresh for good.
-    fn likely(&self, word: Word) -> Word {
+    fn likely(&self, word: HostStatus) -> HostStatus {
         let latest = self.yard.clock.now() + self.yard.limits.ahead;
         let position = word.position.filter(|&position| position <= latest);
         if position != word.position {
             tracing::warn!(?word, "a position in the future is ignored");
         }
-        Word { position, ..word }
+        HostStatus { position, ..word }
     }
 
-    fn carry_out(&mut self, now: Point, action: Action) {
+    fn carry_out(&mut self, now: Timestamp, action: Action) {
         let Yard { roster, back, clock, wishes, mail, .. } = &self.yard;
         tracing::trace!(at = now.micros(), "{action:?}");
         match action {
-            Action::Send { op, host, until } => {
+            Action::Send { op, host, deadline: until } => {
                 let Some((send, payload, called_off)) = self.book.send(op) else { return };
                 self.book.tally.cold += u32::from(roster.is_new(host, now, self.cold));
                 self.ward.iter_mut().for_each(|ward| ward.sent(now, op, send));
@@ -724,20 +734,20 @@
                         (_, full) => {
                             // Danger: the module asks again at once. A probe that found no room takes as long as one that is lost.
                             sleep_until(Instant::now() + full.unwrap_or_default()).await;
-                            (Outcome::Moot, Word::default())
+                            (Outcome::NotSent, HostStatus::default())
                         }
                     };
                     let _ = mail.send(Mail::Probed(host, cell, outcome, word)).await;
                 }));
             }
-            Action::Ring { after, cookie } => {
+            Action::SetTimer { after, timer: cookie } => {
                 self.rung += 1;
                 self.alarms.push(Reverse((now + after, self.rung, cookie)));
             }
-            Action::Subscribe { on } => wish(wishes, Wish::Watch(on)),
-            Action::FetchList => wish(wishes, Wish::Fetch),
-            Action::CloseIdle { host } => back.close_idle(host),
-            Action::Tell { bytes, .. } => {
+            Action::SubscribeHostList { on } => wish(wishes, Wish::Watch(on)),
+            Action::FetchHostList => wish(wishes, Wish::Fetch),
+            Action::CloseIdleConnections { host } => back.close_idle(host),
+            Action::SendPeerMessage { bytes, .. } => {
                 if let Some(peers) = &self.yard.peers {
                     // Danger: the fleet's task hangs, and the route stage with it. News that finds no room is lost.
                     let _ = peers.try_send(Errand::Tell(bytes));
--- a/crates/arrowyard-core/src/send.rs
+++ b/crates/arrowyard-core/src/send.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::task::Poll;
 
-use arrowyard_types::{HostId, Outcome, Point, Span, Word};
+use arrowyard_types::{HostId, HostStatus, Outcome, TimeDelta, Timestamp};
 use tokio::sync::oneshot::{self, error::TryRecvError};
 use tokio::time::sleep_until;
 
@@ -17,7 +17,7 @@
     pub host: HostId,
     pub dial: SocketAddr,
     pub payload: Rc<P>,
-    pub until: Point,
+    pub until: Timestamp,
     /// Resolves when the send is called off.
     pub called_off: oneshot::Receiver<()>,
 }
@@ -26,15 +26,15 @@
 #[derive(Debug)]
 pub struct End<A> {
     pub outcome: Outcome,
-    pub took: Span,
-    pub word: Word,
+    pub took: TimeDelta,
+    pub word: HostStatus,
     pub answer: Option<A>,
 }
 
 impl<A> End<A> {
     /// Of a send that was never tried: its op is over, its time has run out, or its host is nowhere.
     pub fn unsent() -> Self {
-        End { outcome: Outcome::Moot, took: Span::ZERO, word: Word::default(), answer: None }
+        End { outcome: Outcome::NotSent, took: TimeDelta::ZERO, word: HostStatus::default(), answer: None }
     }
 }
 
@@ -58,8 +58,8 @@
             told = &mut exchange => break told,
             // An answer begins while the exchange is polled, just before this; nobody has to be woken for it.
             answer = poll_fn(|_| progress.begun().map_or(Poll::Pending, Poll::Ready)) => begun(answer).await,
-            _ = &mut called_off => break (Outcome::Cancelled, Word::default(), None),
-            () = sleep_until(clock.when(until)) => break (Outcome::TimedOut, Word::default(), None),
+            _ = &mut called_off => break (Outcome::Cancelled, HostStatus::default(), None),
+            () = sleep_until(clock.when(until)) => break (Outcome::TimedOut, HostStatus::default(), None),
         }
     };
     if let Some(answer) = progress.begun() {
@@ -67,7 +67,7 @@
     }
     let written = progress.is_written();
     let outcome = match outcome {
-        Outcome::Cancelled if !written => Outcome::Moot,
+        Outcome::Cancelled if !written => Outcome::NotSent,
         Outcome::TimedOut if !written => Outcome::ConnectFailed,
         Outcome::TimedOut if progress.is_held_up() => Outcome::Cancelled,
         outcome => outcome,
@@ -111,7 +111,7 @@
             _: HostId,
             _: SocketAddr,
             (): &(),
-            _: Point,
+            _: Timestamp,
             _: Clock,
             progress: &Progress<u8>,
         ) -> Told<u8> {
@@ -126,14 +126,14 @@
                 Script::Begin => progress.begin(7),
                 Script::BeginAndEnd => {
                     progress.begin(7);
-                    return (Outcome::Acked, Word::default(), None);
+                    return (Outcome::Acked, HostStatus::default(), None);
                 }
             }
             pending().await
         }
 
-        async fn probe(&self, _: HostId, _: SocketAddr) -> (Outcome, Word) {
-            (Outcome::Moot, Word::default())
+        async fn probe(&self, _: HostId, _: SocketAddr) -> (Outcome, HostStatus) {
+            (Outcome::NotSent, HostStatus::default())
         }
 
         fn unanswered(&self, _: HostId, _: Instant) {}
@@ -153,7 +153,7 @@
     async fn play(script: Script) -> (Outcome, Vec<u8>) {
         let (clock, begun) = (Clock::start(), RefCell::new(Vec::new()));
         let (_call_off, called_off) = oneshot::channel();
-        let until = clock.now() + Span::from_millis(50);
+        let until = clock.now() + TimeDelta::from_millis(50);
         let dial = SocketAddr::from(([127, 0, 0, 1], 9));
         let order = Order { host: HostId(0), dial, payload: Rc::new(()), until, called_off };
         let end = run(order, &script, clock, async |answer| begun.borrow_mut().push(answer)).await;
--- a/crates/arrowyard-core/src/ward.rs
+++ b/crates/arrowyard-core/src/ward.rs
@@ -12,7 +12,8 @@
 use arrowyard_cells::moving::{Ran, Stage, Terms};
 use arrowyard_cells::{Cells, Facts, Fate, Layout, Verdict};
 use arrowyard_types::{
-    Ask, CellId, GroupId, HostId, Need, Note, OpId, OpType, Outcome, Point, Role, SendNo, Span, Word,
+    CellId, Consistency, GroupId, HostId, HostStatus, OpId, OpRequest, OpType, Outcome, Role, RouterEvent,
+    SendIndex, TimeDelta, Timestamp,
 };
 use serde_json::{Value, json};
 
@@ -31,23 +32,23 @@
     pass: Pass,
     op_type: usize,
     ran: Ran,
-    position: Option<Point>,
+    position: Option<Timestamp>,
 }
 
 /// Where an op goes next.
 pub enum Turn<T> {
     /// To the module, when its cell's turn comes.
-    Go(Ask, T),
+    Go(OpRequest, T),
     Held,
-    Busy(Option<Span>, T),
+    Busy(Option<TimeDelta>, T),
     Error(Why, T),
 }
 
 struct Held<T> {
-    ask: Ask,
+    ask: OpRequest,
     claim: Box<Claim>,
     pass: Pass,
-    until: Point,
+    until: Timestamp,
     rest: T,
 }
 
@@ -66,9 +67,9 @@
 pub const NEW: f64 = 10.0;
 
 impl<M, T> Ward<M, T> {
-    pub fn new(now: Point, layout: Layout, totals: Totals, op_types: Vec<OpType>, marks: bool) -> Self {
+    pub fn new(now: Timestamp, layout: Layout, totals: Totals, op_types: Vec<OpType>, marks: bool) -> Self {
         let settle = op_types.iter().map(|row| row.op_timeout).max().unwrap_or_default();
-        let skew = layout.lease.map_or(Span::ZERO, |lease| lease.skew);
+        let skew = layout.lease.map_or(TimeDelta::ZERO, |lease| lease.skew);
         let fair = Fair::new(layout.cells.iter().map(|cell| cell.weight));
         let cells = Cells::new(now, layout, totals, Terms { marks, settle, skew });
         let (kept, held, spares) = Default::default();
@@ -84,24 +85,24 @@
     }
 
     /// The op's cell is found, and its place taken; `rest` comes back with the verdict, or later if it is held.
-    pub fn place(&mut self, now: Point, ask: Ask, claim: Box<Claim>, rest: T) -> Turn<T> {
+    pub fn place(&mut self, now: Timestamp, ask: OpRequest, claim: Box<Claim>, rest: T) -> Turn<T> {
         let row = &self.op_types[ask.op_type.0 as usize];
         let facts = Facts {
             tenant: claim.tenant.as_deref(),
             address: claim.address,
             group: ask.group,
             bytes: claim.bytes,
-            need: row.need,
+            need: row.consistency,
             session: ask.session.map(|session| session.0),
             token: claim.token,
-            again: ask.again,
-            due: ask.due,
+            again: ask.is_retry,
+            due: ask.deadline,
         };
         match self.cells.admit(now, &facts) {
             Verdict::Go { pass, group, floor } => {
                 let (op_type, ran, position) = (ask.op_type.0 as usize, Ran::Never, None);
                 self.kept.insert(ask.op, Kept { pass, op_type, ran, position });
-                Turn::Go(Ask { cell: pass.cell, group, floor, ..ask }, rest)
+                Turn::Go(OpRequest { cell: pass.cell, group, min_position: floor, ..ask }, rest)
             }
             Verdict::Hold { pass, until } => {
                 self.held.push(Held { ask, claim, pass, until, rest });
@@ -132,17 +133,17 @@
     }
 
     /// What the module has to be told before it hears of this cell again.
-    pub fn spare(&mut self, now: Point, cell: CellId) -> Option<Note> {
+    pub fn spare(&mut self, now: Timestamp, cell: CellId) -> Option<RouterEvent> {
         let sends = self.cells.spare(now, cell);
         let told = self.spares.insert(cell, sends).unwrap_or(None);
-        (told != sends).then_some(Note::Spare { cell, sends })
+        (told != sends).then_some(RouterEvent::RetryBudget { cell, retries: sends })
     }
 
     pub fn cell_of(&self, op: OpId) -> Option<CellId> {
         self.kept.get(&op).map(|kept| kept.pass.cell)
     }
 
-    pub fn sent(&mut self, now: Point, op: OpId, send: SendNo) {
+    pub fn sent(&mut self, now: Timestamp, op: OpId, send: SendIndex) {
         let Some(kept) = self.kept.get(&op) else { return };
         self.cells.sent(now, &kept.pass, send.0 == 0);
         if let Some(Some(spare)) = self.spares.get_mut(&kept.pass.cell).filter(|_| send.0 > 0) {
@@ -151,7 +152,7 @@
         }
     }
 
-    pub fn send_ended(&mut self, op: OpId, outcome: Outcome, took: Span, word: &Word, new: bool) {
+    pub fn send_ended(&mut self, op: OpId, outcome: Outcome, took: TimeDelta, word: &HostStatus, new: bool) {
         let Some(kept) = self.kept.get_mut(&op) else { return };
         let row = &self.op_types[kept.op_type];
         let (ran, fate) = match outcome {
@@ -161,23 +162,23 @@
             _ => (Ran::Maybe, Fate::Bad),
         };
         // Turned away tells of load as a time-out does, though it never ran.
-        let fate = if outcome == Outcome::Full { Fate::Bad } else { fate };
+        let fate = if outcome == Outcome::Overloaded { Fate::Bad } else { fate };
         kept.ran = kept.ran.max(ran);
-        if ran == Ran::Acked && row.need == Need::Write {
+        if ran == Ran::Acked && row.consistency == Consistency::Write {
             kept.position = word.position;
         }
         self.cells.send_ended(&kept.pass, fate, took / row.latency_target, new);
     }
 
     /// The op is answered and none of its sends is out.
-    pub fn closed(&mut self, now: Point, op: OpId) {
+    pub fn closed(&mut self, now: Timestamp, op: OpId) {
         if let Some(kept) = self.kept.remove(&op) {
             self.cells.ended(now, kept.pass, kept.ran, kept.position);
         }
     }
 
     /// The client of an op that may be held went away.
-    pub fn hung_up(&mut self, now: Point, op: OpId) {
+    pub fn hung_up(&mut self, now: Timestamp, op: OpId) {
         if let Some(place) = self.held.iter().position(|held| held.ask.op == op) {
             let held = self.held.swap_remove(place);
             self.cells.ended(now, held.pass, Ran::Never, None);
@@ -185,7 +186,7 @@
     }
 
     /// Time has passed: held ops whose time it is, or all if something changed, are placed anew.
-    pub fn tick(&mut self, now: Point) -> Vec<Turn<T>> {
+    pub fn tick(&mut self, now: Timestamp) -> Vec<Turn<T>> {
         let changed = self.cells.tick(now);
         let (due, rest) = self.held.drain(..).partition(|held| changed || now >= held.until);
         self.held = rest;
@@ -202,14 +203,14 @@
     }
 
     /// Takes a new layout, or says why not.
-    pub fn relayout(&mut self, now: Point, layout: Layout) -> Result<(), Stale> {
+    pub fn relayout(&mut self, now: Timestamp, layout: Layout) -> Result<(), Stale> {
         self.cells.relayout(now, layout)?;
         self.fair.divide(self.cells.layout().cells.iter().map(|cell| cell.weight));
         Ok(())
     }
 
     /// Whether a host of the cell may be probed now; if so it counts till it is told to have ended.
-    pub fn probe(&mut self, now: Point, cell: CellId) -> bool {
+    pub fn probe(&mut self, now: Timestamp, cell: CellId) -> bool {
         self.cells.probe(now, cell)
     }
 
@@ -226,13 +227,13 @@
         self.cells.members(group, hosts);
     }
 
-    pub fn learnt(&mut self, host: HostId, word: &Word) {
+    pub fn learnt(&mut self, host: HostId, word: &HostStatus) {
         if let Some(position) = word.position {
             self.cells.learnt(host, position, word.role == Some(Role::Primary));
         }
     }
 
-    pub fn renewed(&mut self, cell: CellId, at: Point, within: Span) {
+    pub fn renewed(&mut self, cell: CellId, at: Timestamp, within: TimeDelta) {
         self.cells.renewed(cell, at, within);
     }
 
--- a/crates/arrowyard-core/tests/hints.rs
+++ b/crates/arrowyard-core/tests/hints.rs
@@ -1,15 +1,15 @@
 //! Hosts that left the own list are told of more than once, and no more hosts than there is room for.
 
 use arrowyard_core::hints::Hints;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
 #[test]
 fn a_host_that_left_is_told_of_four_times_with_pauses() {
-    let mut hints = Hints::new(Span::from_millis(400), Span::from_millis(1000));
+    let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
     hints.ceased(at(0), 7);
     let told = |hints: &mut Hints, ms: i64| hints.tell(at(ms)).to_vec();
     assert_eq!(told(&mut hints, 0), [7], "at once");
--- a/crates/arrowyard-daemon/src/base.rs
+++ b/crates/arrowyard-daemon/src/base.rs
@@ -24,7 +24,7 @@
 use arrowyard_operator_config::{Yardbook, belongs, layout, leases, returns as comes, schema};
 use arrowyard_platform_settings::manifest;
 use arrowyard_startup::{Credence, Herd};
-use arrowyard_types::{Fact, Facts};
+use arrowyard_types::{RouterSettingsExt, SettingValue};
 use tokio::runtime::Builder;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::sync::{mpsc, oneshot, watch};
@@ -140,7 +140,7 @@
         if let Some(belongs) = book.and_then(belongs) {
             gate.peers = true;
             if belongs.news {
-                told.insert("peers".to_string(), Fact::Flag(true));
+                told.insert("peers".to_string(), SettingValue::Flag(true));
             }
             let (settings, mail) = (told.number_or("routers", 1.0), mail.clone());
             let (name, seed, holding) = (&waybill.name, waybill.seed, gate.leases.clone());
--- a/crates/arrowyard-emulator/src/calls.rs
+++ b/crates/arrowyard-emulator/src/calls.rs
@@ -6,7 +6,7 @@
 
 use arrowyard_runtime::http::Messages;
 use arrowyard_runtime::{Event, Orders, Plane};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::system::System;
 
@@ -14,7 +14,7 @@
 pub type CallAnswer = Rc<RefCell<Option<(u16, String)>>>;
 
 /// A call is looked at so often, and waited for so often at most: a second.
-const LOOK: Span = Span::from_millis(5);
+const LOOK: TimeDelta = TimeDelta::from_millis(5);
 const LOOKS: usize = 200;
 
 /// Makes one call.
@@ -26,7 +26,7 @@
 }
 
 impl Plane for Caller {
-    fn handle(&mut self, _: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, _: Timestamp, event: Event<'_>, orders: &mut Orders) {
         match event {
             Event::Start => drop(orders.dial(self.to)),
             Event::Opened { conn } => orders.write(conn, &[self.text.as_bytes()]),
@@ -42,7 +42,7 @@
         }
     }
 
-    fn due(&self) -> Option<Point> {
+    fn due(&self) -> Option<Timestamp> {
         None
     }
 }
@@ -57,7 +57,7 @@
             messages: Messages::default(),
             answer: answer.clone(),
         };
-        let machine = self.world.add("caller", Vec::new(), Rc::default(), Span::ZERO);
+        let machine = self.world.add("caller", Vec::new(), Rc::default(), TimeDelta::ZERO);
         self.world.start(machine, Box::new(caller));
         answer
     }
--- a/crates/arrowyard-emulator/src/capacity.rs
+++ b/crates/arrowyard-emulator/src/capacity.rs
@@ -5,7 +5,7 @@
 
 use arrowyard_config::Configuration;
 use arrowyard_pooler::Routes;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::system::{Plan, System};
 use crate::world::MachineId;
@@ -60,7 +60,7 @@
 
 /// Plays a calm stretch of a deployment, and says what it cost; with `changes`, changes of the configuration in it.
 pub fn measure(controls: usize, routers: usize, services: usize, users: usize, changes: usize) -> Cost {
-    let at = |seconds: f64| Point::from_micros((seconds * 1e6) as i64);
+    let at = |seconds: f64| Timestamp::from_micros((seconds * 1e6) as i64);
     let (from, seconds) = (10.0, 20.0);
     let before = resident();
     let plan = Plan {
@@ -69,7 +69,7 @@
         routers,
         services,
         users,
-        think: Span::from_millis(if users > 50 { 60_000 } else { 100 }),
+        think: TimeDelta::from_millis(if users > 50 { 60_000 } else { 100 }),
         from: at(4.0),
         until: at(60.0),
         changes: (0..changes)
--- a/crates/arrowyard-emulator/src/catch_up.rs
+++ b/crates/arrowyard-emulator/src/catch_up.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use arrowyard_runtime::http::call;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::system::{Plan, System};
 
@@ -14,14 +14,14 @@
 /// The first configuration has this revision.
 const FIRST_REVISION: u64 = 3;
 /// Whoever has not caught up in so long never does.
-const GIVEN_UP: Span = Span::from_millis(60_000);
-const LOOK: Span = Span::from_millis(5);
+const GIVEN_UP: TimeDelta = TimeDelta::from_millis(60_000);
+const LOOK: TimeDelta = TimeDelta::from_millis(5);
 
 /// What catching up took.
 #[derive(Clone, Copy, Debug)]
 pub struct CatchUp {
     /// From the start of the process until it has all entries: waits, messages and the disk's syncs.
-    pub waited: Span,
+    pub waited: TimeDelta,
     /// The plane's own time meanwhile, on the real clock.
     pub busy: Duration,
     /// Bytes that the others sent meanwhile, to whomever.
@@ -42,9 +42,9 @@
         routers: 2,
         services: 1,
         users: 0,
-        think: Span::from_millis(100),
-        from: Point::from_micros(0),
-        until: Point::from_micros(3_600_000_000),
+        think: TimeDelta::from_millis(100),
+        from: Timestamp::from_micros(0),
+        until: Timestamp::from_micros(3_600_000_000),
         changes: Vec::new(),
         limit: 40,
         zones: 3,
@@ -82,7 +82,7 @@
 /// When a change is not taken, or the machine never catches up.
 pub fn catch_up(entries: u64, routes: usize) -> Result<CatchUp, String> {
     let mut system = System::new(plan());
-    pass(&mut system, Span::from_millis(6000));
+    pass(&mut system, TimeDelta::from_millis(6000));
     let mut revision = FIRST_REVISION + 1;
     let all: Vec<String> = (0..routes).map(|number| route(number, 800)).collect();
     let whole = format!(
@@ -90,7 +90,7 @@
         all.join(",")
     );
     taken(&mut system, &order("/Config.Replace", FIRST_REVISION, &whole))?;
-    pass(&mut system, Span::from_millis(1000));
+    pass(&mut system, TimeDelta::from_millis(1000));
     let machine = system.controls[AWAY];
     system.world.kill(machine);
     for entry in 0..entries {
@@ -116,7 +116,7 @@
     Err(format!("it has not caught up after {GIVEN_UP:?}"))
 }
 
-fn pass(system: &mut System, time: Span) {
+fn pass(system: &mut System, time: TimeDelta) {
     let until = system.world.now + time;
     system.world.run(until);
 }
--- a/crates/arrowyard-emulator/src/chart.rs
+++ b/crates/arrowyard-emulator/src/chart.rs
@@ -82,7 +82,7 @@
     }
     for (place, (kind, kept)) in played.kinds.iter().enumerate() {
         let colour = Palette99::pick(place).to_rgba();
-        let at = |half: i64| arrowyard_types::Point::from_micros(half * 500_000);
+        let at = |half: i64| arrowyard_types::Timestamp::from_micros(half * 500_000);
         let point = |half: i64| {
             let (asked, in_aim) = kept.between(at(half), at(half + 1));
             (asked > 0).then(|| (half as f64 * 0.5 + 0.25, in_aim as f64 / asked as f64))
--- a/crates/arrowyard-emulator/src/clients.rs
+++ b/crates/arrowyard-emulator/src/clients.rs
@@ -8,14 +8,14 @@
 
 use arrowyard_protocol::{Answer, Code, Lines, Verdict};
 use arrowyard_runtime::{Conn, Event, Orders, Plane, Timers};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
 use crate::history::{Asked, Fate, Fresh, Shared};
 use crate::host::{COSTLY, answer};
 
-const AIM: Span = Span::from_millis(150);
-const DEADLINE: Span = Span::from_millis(1000);
+const AIM: TimeDelta = TimeDelta::from_millis(150);
+const DEADLINE: TimeDelta = TimeDelta::from_millis(1000);
 
 /// What a user does at a time.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -34,8 +34,8 @@
     number: u64,
     steps: Vec<Step>,
     next: usize,
-    started: Point,
-    since: Point,
+    started: Timestamp,
+    since: Timestamp,
     tokens: Vec<String>,
     inside: bool,
     commit_sent: bool,
@@ -59,7 +59,7 @@
     rows: String,
     stamp: Option<String>,
     fault: Option<Code>,
-    again: Option<(Vec<Step>, u32, Point)>,
+    again: Option<(Vec<Step>, u32, Timestamp)>,
 }
 
 #[derive(Clone, Debug)]
@@ -77,9 +77,9 @@
     timers: Timers<Due>,
     history: Shared,
     rng: Rng,
-    think: Span,
-    until: Point,
-    from: Point,
+    think: TimeDelta,
+    until: Timestamp,
+    from: Timestamp,
     /// What it asks for is found by more work than usual.
     costly: bool,
 }
@@ -97,8 +97,8 @@
         fronts: Rc<RefCell<Vec<SocketAddrV4>>>,
         databases: &[(String, String, Fresh)],
         users: usize,
-        think: Span,
-        times: (Point, Point),
+        think: TimeDelta,
+        times: (Timestamp, Timestamp),
         history: Shared,
         seed: u64,
     ) -> Self {
@@ -135,10 +135,10 @@
         }
     }
 
-    fn dial(&mut self, now: Point, place: usize, orders: &mut Orders) {
+    fn dial(&mut self, now: Timestamp, place: usize, orders: &mut Orders) {
         let fronts = self.fronts.borrow().clone();
         if fronts.is_empty() {
-            self.timers.set(now + Span::from_millis(200), Due::Dial(place));
+            self.timers.set(now + TimeDelta::from_millis(200), Due::Dial(place));
             return;
         }
         let conn = orders.dial(fronts[self.rng.usize(0..fronts.len())]);
@@ -148,11 +148,11 @@
         (user.conn, user.open, user.session) = (Some(conn), false, session);
         (user.lines, user.tag, user.prepared) = (Lines::default(), None, BTreeMap::new());
         (user.id, user.rows, user.stamp, user.fault) = (None, String::new(), None, None);
-        self.timers.set(now + Span::from_millis(2000), Due::Late(place, format!("open{}", session)));
+        self.timers.set(now + TimeDelta::from_millis(2000), Due::Late(place, format!("open{}", session)));
     }
 
     /// The session is no more: what was under way has failed.
-    fn lose(&mut self, now: Point, place: usize, orders: &mut Orders) {
+    fn lose(&mut self, now: Timestamp, place: usize, orders: &mut Orders) {
         let user = &mut self.users[place];
         if let Some(conn) = user.conn.take() {
             self.by_conn.remove(&conn);
@@ -163,7 +163,7 @@
             let tries = !(operation.commit_sent || operation.writes && !operation.inside);
             self.over(now, place, operation, false, tries);
         }
-        let wait = Span::from_millis(30) * (1.0 + self.rng.f64());
+        let wait = TimeDelta::from_millis(30) * (1.0 + self.rng.f64());
         self.timers.set(now + wait, Due::Dial(place));
     }
 
@@ -179,14 +179,14 @@
         }
     }
 
-    fn over(&mut self, now: Point, place: usize, operation: Operation, served: bool, again: bool) {
+    fn over(&mut self, now: Timestamp, place: usize, operation: Operation, served: bool, again: bool) {
         let took = now - operation.started;
-        let room = took < DEADLINE - Span::from_millis(50);
+        let room = took < DEADLINE - TimeDelta::from_millis(50);
         let user = &mut self.users[place];
         if !served && again && operation.tries < 2 && room {
             let steps = operation.steps;
             user.again = Some((steps, operation.tries + 1, operation.started));
-            self.timers.set(now + Span::from_millis(2), Due::Think(place));
+            self.timers.set(now + TimeDelta::from_millis(2), Due::Think(place));
             return;
         }
         let mut history = self.history.borrow_mut();
@@ -240,12 +240,12 @@
         steps
     }
 
-    fn begin(&mut self, now: Point, place: usize, orders: &mut Orders) {
+    fn begin(&mut self, now: Timestamp, place: usize, orders: &mut Orders) {
         if now > self.until || self.users[place].operation.is_some() {
             return;
         }
         if self.users[place].conn.is_none() || !self.users[place].open {
-            self.timers.set(now + Span::from_millis(20), Due::Think(place));
+            self.timers.set(now + TimeDelta::from_millis(20), Due::Think(place));
             return;
         }
         let (steps, tries, started) = match self.users[place].again.take() {
@@ -270,7 +270,7 @@
         self.step(now, place, orders);
     }
 
-    fn step(&mut self, now: Point, place: usize, orders: &mut Orders) {
+    fn step(&mut self, now: Timestamp, place: usize, orders: &mut Orders) {
         let id = format!("{:016x}", self.history.borrow_mut().number());
         let letter = if self.costly { COSTLY } else { 't' };
         let thing = format!("{letter}{}", self.rng.u32(0..200));
@@ -342,11 +342,11 @@
         }
         (user.id, user.rows, user.stamp, user.fault) = (Some(id.clone()), String::new(), None, None);
         orders.line(conn, &["QUERY ", &id, " ", &text]);
-        self.timers.set(now + DEADLINE + Span::from_millis(100), Due::Late(place, id));
+        self.timers.set(now + DEADLINE + TimeDelta::from_millis(100), Due::Late(place, id));
     }
 
     /// A statement is answered.
-    fn answered(&mut self, now: Point, place: usize, letter: &str, orders: &mut Orders) {
+    fn answered(&mut self, now: Timestamp, place: usize, letter: &str, orders: &mut Orders) {
         let user = &mut self.users[place];
         let (Some(id), Some(operation)) = (user.id.take(), user.operation.as_mut()) else {
             self.history.borrow_mut().breach("MIXED", now, "an answer to nothing".to_string());
@@ -404,16 +404,16 @@
         }
     }
 
-    fn close(&mut self, now: Point, place: usize, orders: &mut Orders) {
+    fn close(&mut self, now: Timestamp, place: usize, orders: &mut Orders) {
         if let Some(conn) = self.users[place].conn.take() {
             self.by_conn.remove(&conn);
             orders.close(conn);
         }
         self.users[place].open = false;
-        self.timers.set(now + Span::from_millis(10), Due::Dial(place));
+        self.timers.set(now + TimeDelta::from_millis(10), Due::Dial(place));
     }
 
-    fn line(&mut self, now: Point, place: usize, line: &[u8], orders: &mut Orders) {
+    fn line(&mut self, now: Timestamp, place: usize, line: &[u8], orders: &mut Orders) {
         let user = &mut self.users[place];
         match answer(line) {
             Some(Answer::Idle { state, .. }) if !user.open => {
@@ -433,7 +433,7 @@
 }
 
 impl Plane for Clients {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Timestamp, event: Event<'_>, orders: &mut Orders) {
         match event {
             Event::Start => {
                 for place in 0..self.users.len() {
@@ -485,7 +485,7 @@
         }
     }
 
-    fn due(&self) -> Option<Point> {
+    fn due(&self) -> Option<Timestamp> {
         self.timers.due()
     }
 }
--- a/crates/arrowyard-emulator/src/day.rs
+++ b/crates/arrowyard-emulator/src/day.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use arrowyard_runtime::Sign;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 use serde::{Deserialize, Serialize};
 
@@ -241,11 +241,11 @@
     pub runs: u64,
     pub over_cap: u64,
     /// How long after the acknowledgement that it leaves a host was asked last.
-    pub asked_after_leaving: Option<Span>,
+    pub asked_after_leaving: Option<TimeDelta>,
     /// By service: when a write was acknowledged.
-    pub writes: BTreeMap<String, Vec<Point>>,
+    pub writes: BTreeMap<String, Vec<Timestamp>>,
     /// When changes of the configuration were acknowledged.
-    pub acks: Vec<Point>,
+    pub acks: Vec<Timestamp>,
     pub p50_ms: f64,
     pub p99_ms: f64,
     pub kinds: BTreeMap<&'static str, Kept>,
@@ -253,15 +253,15 @@
     pub control: (u64, std::time::Duration),
 }
 
-fn at(seconds: f64) -> Point {
-    Point::from_micros((seconds * 1e6) as i64)
+fn at(seconds: f64) -> Timestamp {
+    Timestamp::from_micros((seconds * 1e6) as i64)
 }
 
 /// So long after all machines are back a quarter at least is served; the users' page gives 12 s.
-const RECOVERS: Span = Span::from_millis(3000);
+const RECOVERS: TimeDelta = TimeDelta::from_millis(3000);
 
 /// So long after a day's end the configuration must have been read back.
-const READ_BACK: Span = Span::from_millis(2500);
+const READ_BACK: TimeDelta = TimeDelta::from_millis(2500);
 
 /// A day with what the seed draws.
 pub fn drawn(seed: u64) -> Day {
@@ -331,7 +331,7 @@
         routers: day.routers,
         services: day.services,
         users: day.users,
-        think: Span::from_millis(day.think_ms),
+        think: TimeDelta::from_millis(day.think_ms),
         from: at(3.0),
         until: at(day.seconds - 1.5),
         changes: day.changes.iter().map(|change| at(*change)).collect(),
@@ -344,7 +344,7 @@
         shares: day.shares.clone(),
     };
     let mut system = System::new(plan);
-    let mut turns: Vec<(Point, Turn)> =
+    let mut turns: Vec<(Timestamp, Turn)> =
         day.faults.iter().map(|fault| (at(fault.at), Turn::Begin(fault.clone()))).collect();
     let end = at(day.seconds);
     loop {
@@ -413,9 +413,9 @@
     system.controls.iter().filter(|other| **other != one).map(|other| (one, *other)).collect()
 }
 
-fn take(system: &mut System, now: Point, turn: Turn) -> Vec<(Point, Turn)> {
+fn take(system: &mut System, now: Timestamp, turn: Turn) -> Vec<(Timestamp, Turn)> {
     let later = |fault: &Fault, what: usize| {
-        let ends = now + Span::from_micros((fault.for_s * 1e6) as i64);
+        let ends = now + TimeDelta::from_micros((fault.for_s * 1e6) as i64);
         vec![(ends, Turn::End(fault.clone(), what))]
     };
     match turn {
@@ -461,7 +461,7 @@
                 Trouble::RollRouter => {
                     system.shun_router(router);
                     system.world.sign(system.routers[router], Sign::Terminate);
-                    return vec![(now + Span::from_millis(6000), Turn::End(fault, router))];
+                    return vec![(now + TimeDelta::from_millis(6000), Turn::End(fault, router))];
                 }
                 Trouble::CrashPrimary | Trouble::DarkPrimary => {
                     let Some(seat) = primary else { return Vec::new() };
@@ -478,11 +478,11 @@
                     let id = system.hosts[seat].id.clone();
                     if let Some(copy) = system.shards[service].borrow_mut().copies.get_mut(&id) {
                         copy.deaf = fault.what != Trouble::LateReplica;
-                        copy.lag = Span::from_millis(if copy.deaf { 8 } else { 900 });
+                        copy.lag = TimeDelta::from_millis(if copy.deaf { 8 } else { 900 });
                     }
                     let mut turns = later(&fault, seat);
                     if fault.what == Trouble::DeafThenCrash {
-                        let crash = now + Span::from_micros((fault.for_s * 5e5) as i64);
+                        let crash = now + TimeDelta::from_micros((fault.for_s * 5e5) as i64);
                         turns.extend(primary.map(|primary| (crash, Turn::Crash(primary))));
                     }
                     return turns;
@@ -492,7 +492,7 @@
                     let Some(seat) = leaves else { return Vec::new() };
                     system.hosts[seat].faults.borrow_mut().draining = true;
                     // Told within a period, served on for the bound, and a little longer.
-                    return vec![(now + Span::from_millis(9500), Turn::Replace(seat))];
+                    return vec![(now + TimeDelta::from_millis(9500), Turn::Replace(seat))];
                 }
                 Trouble::CutPrimary => {
                     let Some(seat) = primary else { return Vec::new() };
@@ -523,7 +523,7 @@
                 Trouble::PowerOff => {
                     let all = system.controls.iter().chain(&system.routers).copied().collect::<Vec<_>>();
                     all.into_iter().for_each(|machine| system.world.darken(machine));
-                    return vec![(now + Span::from_millis(900), Turn::End(fault, 0))];
+                    return vec![(now + TimeDelta::from_millis(900), Turn::End(fault, 0))];
                 }
             }
             let what = match fault.what {
@@ -583,7 +583,7 @@
                     let (id, service) = (system.hosts[place].id.clone(), system.hosts[place].service);
                     let mut shard = system.shards[service].borrow_mut();
                     if let Some(copy) = shard.copies.get_mut(&id) {
-                        (copy.deaf, copy.lag) = (false, Span::from_millis(8));
+                        (copy.deaf, copy.lag) = (false, TimeDelta::from_millis(8));
                     }
                     shard.pass_on(now, &id);
                 }
@@ -614,7 +614,7 @@
         Turn::Crash(seat) => {
             system.stop_host(seat, false);
             let back = Fault { at: 0.0, for_s: 4.0, what: Trouble::CrashPrimary, which: 0 };
-            vec![(now + Span::from_millis(4000), Turn::End(back, seat))]
+            vec![(now + TimeDelta::from_millis(4000), Turn::End(back, seat))]
         }
         Turn::Replace(seat) => {
             // The old host is gone; its log goes to a new one at its address.
--- a/crates/arrowyard-emulator/src/departures.rs
+++ b/crates/arrowyard-emulator/src/departures.rs
@@ -1,7 +1,7 @@
 //! How long after the acknowledgement that it leaves a replica is still asked, while a control machine is in trouble: until
 //! the last router knows. Measured from outside, at the host.
 
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 use fastrand::Rng;
 
 use crate::day::{Day, Fault, Trouble, play};
@@ -31,6 +31,6 @@
 pub fn last_questions(trouble: Option<Trouble>, cases: u64, from: u64) -> Outages {
     measured(cases, from, |seed| {
         let played = play(&day(trouble, seed));
-        (Some(played.asked_after_leaving.unwrap_or(Span::ZERO)), !played.breaches.is_empty())
+        (Some(played.asked_after_leaving.unwrap_or(TimeDelta::ZERO)), !played.breaches.is_empty())
     })
 }
--- a/crates/arrowyard-emulator/src/failover.rs
+++ b/crates/arrowyard-emulator/src/failover.rs
@@ -1,7 +1,7 @@
 //! How long a service is without a primary: drawn cases by what happened to it. Measured from outside: the longest time in
 //! which no write of the service was acknowledged, around the fault.
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 use hdrhistogram::Histogram;
 
@@ -11,7 +11,7 @@
 const LONGEST: u64 = 100_000;
 
 /// A service that acknowledges nothing so long after the fault has not come back. Its clients ask for longer.
-const BACK: Span = Span::from_millis(10_000);
+const BACK: TimeDelta = TimeDelta::from_millis(10_000);
 
 /// What happens to a primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,7 +54,7 @@
     }
 
     /// A day on which it happens, and when.
-    pub fn day(self, seed: u64) -> (Day, Point) {
+    pub fn day(self, seed: u64) -> (Day, Timestamp) {
         let mut rng = Rng::with_seed(seed ^ 0xfa11);
         let at = 11.0 + 1.2 * rng.f64();
         let which = rng.usize(0..6);
@@ -72,7 +72,7 @@
         };
         let day =
             Day { seed, controls: 3, routers: 3, services: 1, users: 8, seconds: 26.0, ..Day::default() };
-        (Day { think_ms: 40, faults, ..day }, Point::from_micros((at * 1e6) as i64))
+        (Day { think_ms: 40, faults, ..day }, Timestamp::from_micros((at * 1e6) as i64))
     }
 }
 
@@ -91,7 +91,7 @@
 
 /// The longest pause between two of these moments that lasts into the time after `from`. Nothing if none came after `till`:
 /// whoever acknowledges one more at once and then none any more has not come back.
-pub fn longest_pause(acknowledged: &[Point], from: Point, till: Point) -> Option<Span> {
+pub fn longest_pause(acknowledged: &[Timestamp], from: Timestamp, till: Timestamp) -> Option<TimeDelta> {
     acknowledged.last().filter(|last| **last > till)?;
     let pairs = acknowledged.windows(2).filter(|pair| pair[1] > from);
     pairs.map(|pair| pair[1] - pair[0]).max()
@@ -102,13 +102,13 @@
     measured(cases, from, |seed| {
         let (day, at) = cause.day(seed);
         let played = play(&day);
-        let pause = |writes: &Vec<Point>| longest_pause(writes, at, at + BACK);
+        let pause = |writes: &Vec<Timestamp>| longest_pause(writes, at, at + BACK);
         (played.writes.values().filter_map(pause).max(), !played.breaches.is_empty())
     })
 }
 
 /// Plays cases that tell how long they lasted, if they ended at all, and whether a rule was broken.
-pub fn measured(cases: u64, from: u64, play: impl Fn(u64) -> (Option<Span>, bool)) -> Outages {
+pub fn measured(cases: u64, from: u64, play: impl Fn(u64) -> (Option<TimeDelta>, bool)) -> Outages {
     let mut times = Histogram::<u64>::new_with_max(LONGEST, 3).expect("three digits can be kept");
     let (mut never, mut broken) = (0, 0);
     for seed in from..from + cases {
--- a/crates/arrowyard-emulator/src/history.rs
+++ b/crates/arrowyard-emulator/src/history.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::shard::Shard;
 
@@ -12,7 +12,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Breach {
     pub rule: &'static str,
-    pub at: Point,
+    pub at: Timestamp,
     pub what: String,
 }
 
@@ -20,8 +20,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fresh {
     Primary,
-    Bounded(Span),
-    Own(Span),
+    Bounded(TimeDelta),
+    Own(TimeDelta),
 }
 
 impl Fresh {
@@ -39,9 +39,9 @@
 /// What a client asked with one id.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    pub at: Point,
+    pub at: Timestamp,
     /// Of its transaction's first byte.
-    pub since: Point,
+    pub since: Timestamp,
     pub service: String,
     pub session: u64,
     pub operation: u64,
@@ -60,13 +60,13 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fate {
     Acknowledged {
-        at: Point,
+        at: Timestamp,
         service: String,
         session: u64,
     },
     /// The client was promised that nothing is kept.
     Promised {
-        at: Point,
+        at: Timestamp,
         service: String,
     },
     Unknown,
@@ -81,7 +81,7 @@
     pub asked: u64,
     pub in_aim: u64,
     pub served: u64,
-    pub took: Vec<Span>,
+    pub took: Vec<TimeDelta>,
     /// By window in which operations began: how many, and how many of them inside their aim.
     pub windows: BTreeMap<i64, (u32, u32)>,
 }
@@ -89,7 +89,7 @@
 impl Kept {
     /// Operations that began from one time to another, and those of them inside their aim.
     #[must_use]
-    pub fn between(&self, from: Point, until: Point) -> (u64, u64) {
+    pub fn between(&self, from: Timestamp, until: Timestamp) -> (u64, u64) {
         let windows = self.windows.range(from.micros() / WINDOW..until.micros() / WINDOW);
         windows.fold((0, 0), |sum, (_, (asked, kept))| (sum.0 + u64::from(*asked), sum.1 + u64::from(*kept)))
     }
@@ -97,7 +97,7 @@
     /// Of the windows from one time to another: the share in which this part of the operations was inside its aim, and
     /// the least part in ten windows together.
     #[must_use]
-    pub fn pace(&self, from: Point, until: Point, part: f64) -> (f64, f64) {
+    pub fn pace(&self, from: Timestamp, until: Timestamp, part: f64) -> (f64, f64) {
         let (from, until) = (from.micros() / WINDOW, until.micros() / WINDOW);
         let windows: Vec<(u32, u32)> = self.windows.range(from..until).map(|(_, window)| *window).collect();
         let kept =
@@ -129,10 +129,10 @@
     /// Where each write stands in its service's log; and, by service and by session, how far the log was acknowledged
     /// when: reads are held against it.
     pub placed: BTreeMap<String, usize>,
-    acknowledged: BTreeMap<String, Vec<(Point, usize)>>,
-    own: BTreeMap<u64, Vec<(Point, usize)>>,
+    acknowledged: BTreeMap<String, Vec<(Timestamp, usize)>>,
+    own: BTreeMap<u64, Vec<(Timestamp, usize)>>,
     /// When every machine was back after a loss of power.
-    pub back: Option<Point>,
+    pub back: Option<Timestamp>,
     pub breaches: Vec<Breach>,
     pub tally: Tally,
     /// By second of the day: asked and served.
@@ -140,17 +140,17 @@
     pub runs: u64,
     pub reset_over_cap: u64,
     /// How long after the acknowledgement that it leaves a host was asked last.
-    pub asked_after_leaving: Option<Span>,
-    pub latencies: Vec<Span>,
+    pub asked_after_leaving: Option<TimeDelta>,
+    pub latencies: Vec<TimeDelta>,
     /// By kind of requests.
     pub kinds: BTreeMap<&'static str, Kept>,
     /// The revision that was acknowledged last, and the one that was read back at the end.
     pub in_place: u64,
     pub read_back: Option<u64>,
     /// Since when a sound change has waited for its acknowledgement.
-    pub unacknowledged: Option<Point>,
+    pub unacknowledged: Option<Timestamp>,
     /// When changes were acknowledged.
-    pub acks: Vec<Point>,
+    pub acks: Vec<Timestamp>,
     last: u64,
 }
 
@@ -163,14 +163,14 @@
         self.last
     }
 
-    pub fn breach(&mut self, rule: &'static str, at: Point, what: String) {
+    pub fn breach(&mut self, rule: &'static str, at: Timestamp, what: String) {
         self.breaches.push(Breach { rule, at, what });
     }
 
     /// UNASKED, PINNED: a host runs a statement. `own` is whether it runs inside a transaction, and of which operation.
     pub fn runs(
         &mut self,
-        at: Point,
+        at: Timestamp,
         id: &str,
         text: &str,
         shape: Option<&str>,
@@ -208,7 +208,7 @@
     }
 
     /// A write was acknowledged to a session.
-    pub fn acknowledges(&mut self, at: Point, service: &str, session: u64, token: &str) {
+    pub fn acknowledges(&mut self, at: Timestamp, service: &str, session: u64, token: &str) {
         let Some(&place) = self.placed.get(token) else { return };
         let service = self.acknowledged.entry(service.to_string()).or_default();
         for list in [service, self.own.entry(session).or_default()] {
@@ -218,8 +218,8 @@
     }
 
     /// When writes were acknowledged, by service.
-    pub fn acknowledged_at(&self) -> BTreeMap<String, Vec<Point>> {
-        let times = |list: &Vec<(Point, usize)>| list.iter().map(|(at, _)| *at).collect();
+    pub fn acknowledged_at(&self) -> BTreeMap<String, Vec<Timestamp>> {
+        let times = |list: &Vec<(Timestamp, usize)>| list.iter().map(|(at, _)| *at).collect();
         self.acknowledged.iter().map(|(service, list)| (service.clone(), times(list))).collect()
     }
 
@@ -231,9 +231,9 @@
 
     /// STALE: a host runs a read with so many commits of a log of this length applied. What a promote cut back does not
     /// count; that it was acknowledged is another rule's matter.
-    pub fn reads(&mut self, at: Point, id: &str, applied: usize, log: usize, host: &str) {
+    pub fn reads(&mut self, at: Timestamp, id: &str, applied: usize, log: usize, host: &str) {
         let Some(asked) = self.asked.get(id) else { return };
-        let before = |list: Option<&Vec<(Point, usize)>>, time: Point| {
+        let before = |list: Option<&Vec<(Timestamp, usize)>>, time: Timestamp| {
             let list = list.map(Vec::as_slice).unwrap_or_default();
             let place = list.partition_point(|(when, _)| *when < time);
             place.checked_sub(1).map_or(0, |last| list[last].1)
@@ -254,7 +254,14 @@
 
     /// DRAIN: a host runs a single statement, or the first of a transaction, though it said long ago that it leaves, and
     /// that was acknowledged.
-    pub fn arrives(&mut self, at: Point, id: &str, acknowledged: Option<Point>, bound: Span, host: &str) {
+    pub fn arrives(
+        &mut self,
+        at: Timestamp,
+        id: &str,
+        acknowledged: Option<Timestamp>,
+        bound: TimeDelta,
+        host: &str,
+    ) {
         let after = acknowledged.map(|when| at - when);
         self.asked_after_leaving = self.asked_after_leaving.max(after);
         if let Some(late) = acknowledged.filter(|when| at - *when > bound) {
@@ -264,9 +271,9 @@
     }
 
     /// RECOVER: less than a quarter is served once all machines are back for so long.
-    pub fn audit_recovery(&mut self, now: Point, after: Span) {
+    pub fn audit_recovery(&mut self, now: Timestamp, after: TimeDelta) {
         let Some(back) = self.back else { return };
-        let second = |at: Point| at.micros().div_euclid(1_000_000);
+        let second = |at: Timestamp| at.micros().div_euclid(1_000_000);
         let sum = |seconds: &mut dyn Iterator<Item = &(u64, u64)>| {
             seconds.fold((0, 0), |sum: (u64, u64), one| (sum.0 + one.0, sum.1 + one.1))
         };
@@ -278,7 +285,7 @@
     }
 
     /// MIXED: a client gets a success.
-    pub fn succeeds(&mut self, at: Point, id: &str, stamp: &str, rows: &str) {
+    pub fn succeeds(&mut self, at: Timestamp, id: &str, stamp: &str, rows: &str) {
         let Some(asked) = self.asked.get(id) else { return };
         if asked.stamp.as_deref() != Some(stamp) || asked.rows.as_deref() != Some(rows) {
             let what =
@@ -288,7 +295,7 @@
     }
 
     /// TWICE, REFUSED, LOST: what the logs hold at the end of a day.
-    pub fn audit_logs(&mut self, now: Point, shards: &[Rc<RefCell<Shard>>]) {
+    pub fn audit_logs(&mut self, now: Timestamp, shards: &[Rc<RefCell<Shard>>]) {
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
         for shard in shards {
             for token in shard.borrow().log().iter().flat_map(|commit| &commit.writes) {
@@ -322,7 +329,7 @@
     }
 
     /// CONFIG, LOST: what was read back at the end of a day.
-    pub fn audit_configuration(&mut self, now: Point) {
+    pub fn audit_configuration(&mut self, now: Timestamp) {
         if self.read_back.is_none_or(|revision| revision < self.in_place) {
             let what = format!("{:?} was read back, {} was acknowledged", self.read_back, self.in_place);
             self.breach("CONFIG", now, what);
@@ -334,7 +341,14 @@
     }
 
     /// An operation of a kind is over: when it began, when it ended, whether it was served inside its aim, and at all.
-    pub fn ends_of(&mut self, kind: &'static str, started: Point, took: Span, in_aim: bool, served: bool) {
+    pub fn ends_of(
+        &mut self,
+        kind: &'static str,
+        started: Timestamp,
+        took: TimeDelta,
+        in_aim: bool,
+        served: bool,
+    ) {
         let kept = self.kinds.entry(kind).or_default();
         (kept.asked, kept.served) = (kept.asked + 1, kept.served + u64::from(served));
         kept.in_aim += u64::from(in_aim);
@@ -343,7 +357,7 @@
         (window.0, window.1) = (window.0 + 1, window.1 + u32::from(in_aim));
     }
 
-    pub fn ends(&mut self, started: Point, served: bool) {
+    pub fn ends(&mut self, started: Timestamp, served: bool) {
         let second = started.micros().div_euclid(1_000_000);
         let entry = self.seconds.entry(second).or_default();
         entry.0 += 1;
--- a/crates/arrowyard-emulator/src/host.rs
+++ b/crates/arrowyard-emulator/src/host.rs
@@ -8,7 +8,7 @@
 use arrowyard_protocol::{Answer, Ask, Lines, Position, State, split};
 use arrowyard_runtime::http::{Messages, call};
 use arrowyard_runtime::{Conn, Event, Orders, Plane, Timers};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
 use crate::history::Shared;
@@ -16,14 +16,14 @@
 use crate::system::Callable;
 
 /// A call to control without an answer in so long goes to the next machine.
-const CALL: Span = Span::from_millis(1000);
+const CALL: TimeDelta = TimeDelta::from_millis(1000);
 /// Statements that run at a time; more wait, and beyond that they are refused.
 const SLOTS: usize = 5;
 /// A host that leaves serves for so long after that was acknowledged, and a little longer; then nothing may come.
-const DRAIN: Span = Span::from_millis(7000);
+const DRAIN: TimeDelta = TimeDelta::from_millis(7000);
 const QUEUE: usize = 40;
 /// A host that is started while the others run calls control after so long.
-const FIRST_CALL: Span = Span::from_millis(10);
+const FIRST_CALL: TimeDelta = TimeDelta::from_millis(10);
 /// Things that begin so take so many times the work of others.
 pub const COSTLY: char = 'w';
 const COSTS: f64 = 5.0;
@@ -91,7 +91,7 @@
     controls: Callable,
     target: Option<SocketAddrV4>,
     turn: usize,
-    period: Span,
+    period: TimeDelta,
     limit: usize,
     sessions: BTreeMap<Conn, Session>,
     calls: BTreeMap<Conn, (Messages, String)>,
@@ -102,7 +102,7 @@
     waiting: std::collections::VecDeque<(Conn, String, String)>,
     role: Option<bool>,
     /// When control acknowledged that it leaves.
-    left_at: Option<Point>,
+    left_at: Option<Timestamp>,
 }
 
 /// What one is made of.
@@ -111,7 +111,7 @@
     pub address: SocketAddrV4,
     pub zone: String,
     pub controls: Callable,
-    pub period: Span,
+    pub period: TimeDelta,
     pub limit: usize,
     pub seed: u64,
 }
@@ -152,7 +152,7 @@
         }
     }
 
-    fn beat(&mut self, now: Point, orders: &mut Orders) {
+    fn beat(&mut self, now: Timestamp, orders: &mut Orders) {
         let target = self.target.unwrap_or_else(|| {
             let controls = self.controls.borrow();
             controls[self.turn % controls.len()]
@@ -176,17 +176,17 @@
         self.timers.set(now + CALL, Due::Late(conn));
     }
 
-    fn call_failed(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn call_failed(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         if self.calls.remove(&conn).is_some() {
             orders.drop(conn);
             self.target = None;
             self.turn += 1;
-            let wait = Span::from_millis(100) * (1.0 + self.rng.f64());
+            let wait = TimeDelta::from_millis(100) * (1.0 + self.rng.f64());
             self.timers.set(now + wait, Due::Beat);
         }
     }
 
-    fn line(&mut self, now: Point, conn: Conn, line: &str, orders: &mut Orders) {
+    fn line(&mut self, now: Timestamp, conn: Conn, line: &str, orders: &mut Orders) {
         let open = self.sessions.values().filter(|session| session.open).count();
         let Some(session) = self.sessions.get_mut(&conn) else { return };
         match Ask::read(line) {
@@ -226,7 +226,7 @@
         orders.line(conn, &["IDLE ", state.letter(), " ", &applied.to_string()]);
     }
 
-    fn next(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn next(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         loop {
             let Some(session) = self.sessions.get_mut(&conn) else { return };
             if session.busy {
@@ -250,15 +250,15 @@
         }
     }
 
-    fn work(&mut self, now: Point, conn: Conn, id: String, text: String) {
+    fn work(&mut self, now: Timestamp, conn: Conn, id: String, text: String) {
         self.running += 1;
         if let Some(session) = self.sessions.get_mut(&conn) {
             session.busy = true;
         }
         let slow = self.faults.borrow().slow.max(1.0);
         let costs = if text.contains(&format!(" {COSTLY}")) { COSTS } else { 1.0 };
-        let works = Span::from_micros(1500) * (costs * slow * (0.5 + 3.0 * self.rng.f64()));
-        let takes = if self.faults.borrow().quick { Span::ZERO } else { works };
+        let works = TimeDelta::from_micros(1500) * (costs * slow * (0.5 + 3.0 * self.rng.f64()));
+        let takes = if self.faults.borrow().quick { TimeDelta::ZERO } else { works };
         self.timers.set(now + takes, Due::Done { conn, id, text });
     }
 
@@ -353,7 +353,7 @@
     }
 
     /// A statement has had its time: it runs.
-    fn done(&mut self, now: Point, conn: Conn, id: &str, text: &str, orders: &mut Orders) {
+    fn done(&mut self, now: Timestamp, conn: Conn, id: &str, text: &str, orders: &mut Orders) {
         self.running -= 1;
         if let Some((conn, id, text)) = self.waiting.pop_front() {
             self.work(now, conn, id, text);
@@ -442,7 +442,7 @@
             self.history.borrow_mut().placed.extend(writes.into_iter().map(|token| (token, number)));
             let due = Due::Safe { conn, id: id.to_string(), number, tries: 0 };
             session.busy = true;
-            self.timers.set(now + Span::from_micros(600), due);
+            self.timers.set(now + TimeDelta::from_micros(600), due);
             return;
         }
         let lost = self.rng.f64() < self.faults.borrow().lost;
@@ -456,7 +456,7 @@
     }
 
     /// A commit is answered once a replica has it; without one it waits.
-    fn safe(&mut self, now: Point, conn: Conn, id: &str, number: usize, tries: u32, orders: &mut Orders) {
+    fn safe(&mut self, now: Timestamp, conn: Conn, id: &str, number: usize, tries: u32, orders: &mut Orders) {
         let leads = self.shard.borrow().leads(&self.id);
         if !leads {
             // Whether it is kept, nobody can say any more.
@@ -469,7 +469,7 @@
                 others.iter().for_each(|other| self.shard.borrow_mut().pass_on(now, other));
             }
             let due = Due::Safe { conn, id: id.to_string(), number, tries: tries + 1 };
-            self.timers.set(now + Span::from_micros(900), due);
+            self.timers.set(now + TimeDelta::from_micros(900), due);
             return;
         }
         if let Some(session) = self.sessions.get_mut(&conn) {
@@ -485,12 +485,12 @@
 }
 
 impl Plane for DatabaseHost {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Timestamp, event: Event<'_>, orders: &mut Orders) {
         self.shard.borrow_mut().advance(now);
         match event {
             Event::Start => {
                 // At a first start calls are spread; a host that comes later calls at once.
-                let first = now == Point::from_micros(0);
+                let first = now == Timestamp::from_micros(0);
                 let wait = if first { self.period * self.rng.f64() } else { FIRST_CALL };
                 self.timers.set(now + wait, Due::Beat);
             }
@@ -568,7 +568,7 @@
         }
     }
 
-    fn due(&self) -> Option<Point> {
+    fn due(&self) -> Option<Timestamp> {
         // It looks at its role a few times between its calls.
         self.timers.due().into_iter().chain(self.shard.borrow().due()).min()
     }
--- a/crates/arrowyard-emulator/src/models/ledger.rs
+++ b/crates/arrowyard-emulator/src/models/ledger.rs
@@ -7,7 +7,7 @@
 
 use arrowyard_control::{Answer, Kept, Ledger, Output, ProposalId, Record, digest};
 use arrowyard_messages::{Entry, Frame, Matter, Revised, Voters, Word};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use prost::Message;
 use rustc_hash::FxBuildHasher;
 use stateright::{Model, Property};
@@ -121,12 +121,17 @@
 }
 
 impl World {
-    fn now(&mut self) -> Point {
+    fn now(&mut self) -> Timestamp {
         self.clock += 1;
-        Point::from_micros(0) + Span::from_millis(10_000 * self.clock)
+        Timestamp::from_micros(0) + TimeDelta::from_millis(10_000 * self.clock)
     }
 
-    fn act(&mut self, scene: &Scene, machine: usize, act: impl FnOnce(&mut Ledger, Point, &mut Vec<Output>)) {
+    fn act(
+        &mut self,
+        scene: &Scene,
+        machine: usize,
+        act: impl FnOnce(&mut Ledger, Timestamp, &mut Vec<Output>),
+    ) {
         let (now, mut out) = (self.now(), Vec::new());
         act(&mut self.machines[machine].ledger, now, &mut out);
         self.carry(scene, machine, out);
@@ -140,7 +145,7 @@
     fn propose(&mut self, scene: &Scene, machine: usize, entry: Entry) {
         let ticket = self.machines[machine].ledger.next_proposal();
         self.proposals.push((machine, ticket, entry.clone()));
-        let never = Point::from_micros(i64::MAX / 2);
+        let never = Timestamp::from_micros(i64::MAX / 2);
         self.act(scene, machine, |ledger, now, out| {
             ledger.enter(now, entry, never, out);
         });
@@ -324,7 +329,8 @@
             if !one.unsynced.is_empty() {
                 steps.push(Step::Sync(machine));
             }
-            if world.wakes > 0 && one.ledger.due().is_some_and(|at| at < Point::from_micros(i64::MAX / 2)) {
+            if world.wakes > 0 && one.ledger.due().is_some_and(|at| at < Timestamp::from_micros(i64::MAX / 2))
+            {
                 steps.push(Step::Wake(machine));
             }
             if world.crashes > 0 && self.weak == Some(machine) {
@@ -376,7 +382,7 @@
                 if self.flaw == Some(Flaw::ReadsAskNobody) {
                     world.answered(machine, ticket, Answer::Current);
                 } else {
-                    let never = Point::from_micros(i64::MAX / 2);
+                    let never = Timestamp::from_micros(i64::MAX / 2);
                     world.act(self, machine, |ledger, now, out| {
                         ledger.read_all(now, never, out);
                     });
--- a/crates/arrowyard-emulator/src/models/promotion.rs
+++ b/crates/arrowyard-emulator/src/models/promotion.rs
@@ -9,7 +9,7 @@
 use arrowyard_control::{Ask, Cell, Promotion, Reply, Sight, Stage, To, is_repeated};
 use arrowyard_messages::{DbRole, Host, Phase};
 use arrowyard_protocol::{Observed, Position};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use rustc_hash::FxBuildHasher;
 use stateright::{Model, Property};
 
@@ -70,8 +70,8 @@
     servers: Vec<Server>,
     term: u64,
     promotion: Promotion,
-    silent: BTreeMap<String, Point>,
-    crashed_at: BTreeMap<String, Point>,
+    silent: BTreeMap<String, Timestamp>,
+    crashed_at: BTreeMap<String, Timestamp>,
     acknowledged: BTreeSet<(u64, u8)>,
     calls: Vec<String>,
     late_calls: Vec<String>,
@@ -148,9 +148,9 @@
 }
 
 impl World {
-    fn now(&mut self) -> Point {
+    fn now(&mut self) -> Timestamp {
         self.clock += 1;
-        Point::from_micros(0) + Span::from_millis(10_000 * self.clock)
+        Timestamp::from_micros(0) + TimeDelta::from_millis(10_000 * self.clock)
     }
 
     fn leader(&self) -> Option<usize> {
@@ -164,7 +164,7 @@
     }
 
     /// Lets the promotion decide, with hosts as they told control of themselves.
-    fn decide(&mut self, act: impl FnOnce(&mut Promotion, Point, &Sight<'_>, &mut Vec<Ask>)) {
+    fn decide(&mut self, act: impl FnOnce(&mut Promotion, Timestamp, &Sight<'_>, &mut Vec<Ask>)) {
         let (now, mut cell, mut asks) = (self.now(), Cell::default(), Vec::new());
         for (number, server) in self.servers.iter().enumerate() {
             let (leads, draining) = server.told;
--- a/crates/arrowyard-emulator/src/operator.rs
+++ b/crates/arrowyard-emulator/src/operator.rs
@@ -4,7 +4,7 @@
 
 use arrowyard_runtime::http::{Messages, call};
 use arrowyard_runtime::{Conn, Event, Orders, Plane, Timers};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
 use crate::history::Shared;
@@ -28,19 +28,19 @@
     rng: Rng,
     timers: Timers<Due>,
     /// What is to be acknowledged next: path, base, body, and since when.
-    sending: Option<(String, u64, String, Point)>,
+    sending: Option<(String, u64, String, Timestamp)>,
     call: Option<(Conn, Messages)>,
     pub revision: u64,
-    acknowledged_at: Point,
+    acknowledged_at: Timestamp,
     /// Databases of the last change, and routers that are looked at for it.
     extra: Option<String>,
     looking: Vec<(Conn, SocketAddrV4, String)>,
-    changes: Vec<Point>,
+    changes: Vec<Timestamp>,
     services: Vec<String>,
-    apply: Span,
+    apply: TimeDelta,
     turn: usize,
     /// When it reads the configuration back, and the call that does.
-    read_at: Point,
+    read_at: Timestamp,
     reading: Option<(Conn, Messages)>,
     /// Whether all that it sent was acknowledged.
     pub done: bool,
@@ -53,7 +53,7 @@
         fronts: Vec<SocketAddrV4>,
         first: String,
         services: Vec<String>,
-        (changes, read_at): (Vec<Point>, Point),
+        (changes, read_at): (Vec<Timestamp>, Timestamp),
         history: Shared,
         seed: u64,
     ) -> Self {
@@ -63,15 +63,15 @@
             history,
             rng: Rng::with_seed(seed),
             timers: Timers::default(),
-            sending: Some(("/Config.Replace".to_string(), 0, first, Point::from_micros(0))),
+            sending: Some(("/Config.Replace".to_string(), 0, first, Timestamp::from_micros(0))),
             call: None,
             revision: 0,
-            acknowledged_at: Point::DAWN,
+            acknowledged_at: Timestamp::DISTANT_PAST,
             extra: None,
             looking: Vec::new(),
             changes,
             services,
-            apply: Span::from_millis(3000),
+            apply: TimeDelta::from_millis(3000),
             turn: seed as usize,
             read_at,
             reading: None,
@@ -85,39 +85,39 @@
     }
 
     /// Asks for the newest configuration, till it is answered.
-    fn read(&mut self, now: Point, orders: &mut Orders) {
+    fn read(&mut self, now: Timestamp, orders: &mut Orders) {
         self.turn += 1;
         let conn = orders.dial(self.control());
         self.reading = Some((conn, Messages::default()));
-        self.timers.set(now + Span::from_millis(1000), Due::Unread(conn));
+        self.timers.set(now + TimeDelta::from_millis(1000), Due::Unread(conn));
     }
 
-    fn unread(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn unread(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         if self.reading.take_if(|(reading, _)| *reading == conn).is_some() {
             orders.drop(conn);
-            self.timers.set(now + Span::from_millis(100), Due::Read);
+            self.timers.set(now + TimeDelta::from_millis(100), Due::Read);
         }
     }
 
-    fn send(&mut self, now: Point, orders: &mut Orders) {
+    fn send(&mut self, now: Timestamp, orders: &mut Orders) {
         if self.sending.is_some() && self.call.is_none() {
             self.turn += 1;
             let conn = orders.dial(self.control());
             self.call = Some((conn, Messages::default()));
-            self.timers.set(now + Span::from_millis(1000), Due::Late(conn));
+            self.timers.set(now + TimeDelta::from_millis(1000), Due::Late(conn));
         }
     }
 
-    fn failed(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn failed(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         if self.call.as_ref().is_some_and(|(call, _)| *call == conn) {
             self.call = None;
             orders.drop(conn);
-            let wait = Span::from_millis(100) * (1.0 + self.rng.f64());
+            let wait = TimeDelta::from_millis(100) * (1.0 + self.rng.f64());
             self.timers.set(now + wait, Due::Send);
         }
     }
 
-    fn answered(&mut self, now: Point, status: u16) {
+    fn answered(&mut self, now: Timestamp, status: u16) {
         let Some((path, _, body, _)) = self.sending.take() else { return };
         self.history.borrow_mut().unacknowledged = None;
         match status {
@@ -151,10 +151,10 @@
 }
 
 impl Plane for Operator {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Timestamp, event: Event<'_>, orders: &mut Orders) {
         match event {
             Event::Start => {
-                self.timers.set(now + Span::from_millis(500), Due::Send);
+                self.timers.set(now + TimeDelta::from_millis(500), Due::Send);
                 self.timers.set(self.read_at, Due::Read);
             }
             Event::Opened { conn } if self.reading.as_ref().is_some_and(|(reading, _)| *reading == conn) => {
@@ -247,7 +247,7 @@
         }
     }
 
-    fn due(&self) -> Option<Point> {
+    fn due(&self) -> Option<Timestamp> {
         self.timers.due()
     }
 }
--- a/crates/arrowyard-emulator/src/platform.rs
+++ b/crates/arrowyard-emulator/src/platform.rs
@@ -6,7 +6,7 @@
 
 use arrowyard_runtime::http::{Messages, Request, answer};
 use arrowyard_runtime::{Conn, Event, Orders, Plane, Timers};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::history::Shared;
 use crate::shard::Shard;
@@ -15,7 +15,7 @@
 pub struct Platform {
     shards: BTreeMap<String, Rc<RefCell<Shard>>>,
     history: Shared,
-    takes: Span,
+    takes: TimeDelta,
     fences: BTreeMap<String, u64>,
     calls: BTreeMap<Conn, Messages>,
     timers: Timers<Due>,
@@ -45,10 +45,15 @@
 }
 
 /// So long after it is back, calls that hung arrive.
-const HANGS: Span = Span::from_millis(6000);
+const HANGS: TimeDelta = TimeDelta::from_millis(6000);
 
 impl Platform {
-    pub fn new(shards: &[Rc<RefCell<Shard>>], history: Shared, takes: Span, away: Rc<RefCell<bool>>) -> Self {
+    pub fn new(
+        shards: &[Rc<RefCell<Shard>>],
+        history: Shared,
+        takes: TimeDelta,
+        away: Rc<RefCell<bool>>,
+    ) -> Self {
         let shards = shards.iter().map(|shard| (shard.borrow().service.clone(), shard.clone())).collect();
         let (fences, calls, timers) = (BTreeMap::new(), BTreeMap::new(), Timers::default());
         let (hung, named) = (Vec::new(), BTreeMap::new());
@@ -60,7 +65,7 @@
         Platform { checks_fences, ..self }
     }
 
-    fn status(&mut self, now: Point, wanted: &Wanted) -> u16 {
+    fn status(&mut self, now: Timestamp, wanted: &Wanted) -> u16 {
         let Wanted { fence, service, host } = wanted;
         let known = self.fences.entry(service.clone()).or_default();
         if fence < known && self.checks_fences {
@@ -90,7 +95,7 @@
     }
 
     /// A host leads from now on. LOST: what was acknowledged must be in its log.
-    fn lead(&mut self, now: Point, wanted: &Wanted) {
+    fn lead(&mut self, now: Timestamp, wanted: &Wanted) {
         let Wanted { service, host, .. } = wanted;
         let shard = self.shards[service].clone();
         let before = self.history.borrow().acknowledged_of(service);
@@ -122,7 +127,7 @@
 }
 
 impl Plane for Platform {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Timestamp, event: Event<'_>, orders: &mut Orders) {
         match event {
             Event::Accepted { conn, .. } => drop(self.calls.insert(conn, Messages::default())),
             Event::Came { conn, bytes } => {
@@ -158,7 +163,7 @@
         }
     }
 
-    fn due(&self) -> Option<Point> {
+    fn due(&self) -> Option<Timestamp> {
         self.timers.due()
     }
 }
--- a/crates/arrowyard-emulator/src/shard.rs
+++ b/crates/arrowyard-emulator/src/shard.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use arrowyard_protocol::Position;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 /// A committed transaction: its term, and the tokens of the writes in it.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -24,7 +24,7 @@
     pub deaf: bool,
     pub up: bool,
     /// How late it applies.
-    pub lag: Span,
+    pub lag: TimeDelta,
 }
 
 /// What is under way from the primary to a replica.
@@ -42,16 +42,16 @@
     pub term: u64,
     pub primary: Option<String>,
     pub copies: BTreeMap<String, Copy>,
-    passing: BTreeMap<(Point, u64), Passing>,
-    applying: BTreeMap<(Point, u64), (String, usize)>,
+    passing: BTreeMap<(Timestamp, u64), Passing>,
+    applying: BTreeMap<(Timestamp, u64), (String, usize)>,
     last: u64,
     /// Between hosts.
-    pub way: Span,
+    pub way: TimeDelta,
     pub promotions: u32,
 }
 
 impl Shard {
-    pub fn new(service: &str, ids: &[String], lag: Span) -> Self {
+    pub fn new(service: &str, ids: &[String], lag: TimeDelta) -> Self {
         let copy = Copy { log: Vec::new(), applied: 0, term: 1, paused: false, deaf: false, up: true, lag };
         Shard {
             service: service.to_string(),
@@ -61,27 +61,27 @@
             passing: BTreeMap::new(),
             applying: BTreeMap::new(),
             last: 0,
-            way: Span::from_micros(500),
+            way: TimeDelta::from_micros(500),
             promotions: 0,
         }
     }
 
     /// One more replica, with an empty log.
     pub fn join(&mut self, id: &str) {
-        let lag = self.copies.values().next().map_or(Span::ZERO, |copy| copy.lag);
+        let lag = self.copies.values().next().map_or(TimeDelta::ZERO, |copy| copy.lag);
         let copy =
             Copy { log: Vec::new(), applied: 0, term: self.term, paused: false, deaf: false, up: true, lag };
         self.copies.insert(id.to_string(), copy);
     }
 
     /// When something of it arrives next.
-    pub fn due(&self) -> Option<Point> {
-        let next = |keys: Option<&(Point, u64)>| keys.map(|(at, _)| *at);
+    pub fn due(&self) -> Option<Timestamp> {
+        let next = |keys: Option<&(Timestamp, u64)>| keys.map(|(at, _)| *at);
         next(self.passing.keys().next()).into_iter().chain(next(self.applying.keys().next())).min()
     }
 
     /// Lets arrive what has arrived by now.
-    pub fn advance(&mut self, now: Point) {
+    pub fn advance(&mut self, now: Timestamp) {
         while let Some(entry) = self.passing.first_entry().filter(|entry| entry.key().0 <= now) {
             let (at, _) = *entry.key();
             let Passing { to, upto, term } = entry.remove();
@@ -112,7 +112,7 @@
     }
 
     /// Sends a replica all that the primary has.
-    pub fn pass_on(&mut self, now: Point, to: &str) {
+    pub fn pass_on(&mut self, now: Timestamp, to: &str) {
         let Some(primary) = self.primary.clone().filter(|id| self.copies[id].up && id != to) else { return };
         let upto = self.copies[&primary].log.len();
         self.last += 1;
@@ -133,7 +133,7 @@
     }
 
     /// The primary commits; its number. The replicas hear of it.
-    pub fn commit(&mut self, now: Point, id: &str, writes: Vec<String>) -> usize {
+    pub fn commit(&mut self, now: Timestamp, id: &str, writes: Vec<String>) -> usize {
         let term = self.term;
         let copy = self.copies.get_mut(id).expect("it leads, so it is there");
         copy.log.push(Commit { term, writes });
@@ -151,7 +151,7 @@
             .any(|(other, copy)| other != id && copy.log.len() >= number && copy.term == self.term)
     }
 
-    pub fn promote(&mut self, now: Point, id: &str) {
+    pub fn promote(&mut self, now: Timestamp, id: &str) {
         if self.leads(id) || !self.copies.get(id).is_some_and(|copy| copy.up) {
             return;
         }
--- a/crates/arrowyard-emulator/src/shares.rs
+++ b/crates/arrowyard-emulator/src/shares.rs
@@ -1,6 +1,6 @@
 //! The rainy-season morning: one kind of requests comes at many times its pace, and what the others keep of theirs.
 
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 
 use crate::day::{Day, Fault, Played, Trouble, play};
 use crate::system::Surge;
@@ -58,8 +58,8 @@
     }
 }
 
-fn at(seconds: f64) -> Point {
-    Point::from_micros((seconds * 1e6) as i64)
+fn at(seconds: f64) -> Timestamp {
+    Timestamp::from_micros((seconds * 1e6) as i64)
 }
 
 /// What each kind kept while the surge lasted.
@@ -112,7 +112,7 @@
     let played = play(&back_at_once(seed, routers));
     let kept = played.kinds.get("primary")?;
     let (from, until) = ((BACK * 10.0) as i64, (UNTIL * 10.0) as i64 - 5);
-    let at = |window: i64| Point::from_micros(window * 100_000);
+    let at = |window: i64| Timestamp::from_micros(window * 100_000);
     let paced = |window: &i64| {
         let (asked, in_aim) = kept.between(at(*window), at(*window + 5));
         asked > 0 && in_aim as f64 >= 0.95 * asked as f64
--- a/crates/arrowyard-emulator/src/system.rs
+++ b/crates/arrowyard-emulator/src/system.rs
@@ -8,7 +8,7 @@
 use arrowyard_control::Control;
 use arrowyard_pooler::Sluice;
 use arrowyard_runtime::Plane;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use serde::{Deserialize, Serialize};
 
 use crate::clients::Clients;
@@ -28,10 +28,10 @@
     pub services: usize,
     /// Users of each database; there are three databases a service.
     pub users: usize,
-    pub think: Span,
-    pub from: Point,
-    pub until: Point,
-    pub changes: Vec<Point>,
+    pub think: TimeDelta,
+    pub from: Timestamp,
+    pub until: Timestamp,
+    pub changes: Vec<Timestamp>,
     pub limit: u32,
     pub zones: usize,
     /// How many control machines may be lost at once.
@@ -112,7 +112,7 @@
 fn lay_control(world: &mut World, number: usize) -> (MachineId, Rc<RefCell<Disk>>) {
     let doors = vec![SocketAddrV4::new(ip(0, number), CONTROL), SocketAddrV4::new(ip(0, number), INTERNAL)];
     let disk = Rc::new(RefCell::new(Disk::default()));
-    (world.add(&format!("core-{number}"), doors, disk.clone(), Span::from_millis(5)), disk)
+    (world.add(&format!("core-{number}"), doors, disk.clone(), TimeDelta::from_millis(5)), disk)
 }
 
 /// The settings file of one machine.
@@ -181,7 +181,7 @@
         for number in 0..plan.routers {
             let doors =
                 vec![SocketAddrV4::new(ip(1, number), FRONT), SocketAddrV4::new(ip(1, number), READINESS)];
-            routers.push(world.add(&format!("edge-{number}"), doors, nothing(), Span::ZERO));
+            routers.push(world.add(&format!("edge-{number}"), doors, nothing(), TimeDelta::ZERO));
         }
         let mut hosts = Vec::new();
         let mut shards = Vec::new();
@@ -190,11 +190,11 @@
             shards.push(Rc::new(RefCell::new(Shard::new(
                 &format!("s{service}"),
                 &ids,
-                Span::from_millis(8),
+                TimeDelta::from_millis(8),
             ))));
             for (copy, id) in ids.into_iter().enumerate() {
                 let address = SocketAddrV4::new(ip(2, service * 3 + copy), 8000);
-                let machine = world.add(&id, vec![address], nothing(), Span::ZERO);
+                let machine = world.add(&id, vec![address], nothing(), TimeDelta::ZERO);
                 hosts.push(HostSeat {
                     machine,
                     id,
@@ -240,10 +240,14 @@
         }
         let nothing = || Rc::new(RefCell::new(Disk::default()));
         let door = vec![SocketAddrV4::new(Ipv4Addr::new(10, 3, 0, 1), 8783)];
-        let platform = self.world.add("platform", door, nothing(), Span::ZERO);
-        let plane =
-            Platform::new(&self.shards, self.history.clone(), Span::from_millis(1000), self.away.clone())
-                .checks_fences(self.plan.fence_checked);
+        let platform = self.world.add("platform", door, nothing(), TimeDelta::ZERO);
+        let plane = Platform::new(
+            &self.shards,
+            self.history.clone(),
+            TimeDelta::from_millis(1000),
+            self.away.clone(),
+        )
+        .checks_fences(self.plan.fence_checked);
         self.world.start(platform, Box::new(plane));
         let services = (0..self.plan.services).map(|service| format!("s{service}")).collect();
         let operator = Operator::new(
@@ -255,10 +259,10 @@
             self.history.clone(),
             self.plan.seed,
         );
-        let machine = self.world.add("operator", Vec::new(), nothing(), Span::ZERO);
+        let machine = self.world.add("operator", Vec::new(), nothing(), TimeDelta::ZERO);
         self.world.start(machine, Box::new(operator));
         if self.plan.users > 0 {
-            let ms = Span::from_millis;
+            let ms = TimeDelta::from_millis;
             let mut databases = Vec::new();
             for service in 0..self.plan.services {
                 let name = format!("s{service}");
@@ -275,7 +279,7 @@
                 self.history.clone(),
                 self.plan.seed ^ 0x5eed,
             );
-            let machine = self.world.add("clients", Vec::new(), nothing(), Span::ZERO);
+            let machine = self.world.add("clients", Vec::new(), nothing(), TimeDelta::ZERO);
             self.world.start(machine, Box::new(clients));
         }
         for (number, surge) in self.plan.surges.clone().into_iter().enumerate() {
@@ -285,7 +289,7 @@
 
     /// More clients of one kind, on a machine of their own.
     fn surge(&mut self, number: usize, surge: &Surge) {
-        let ms = Span::from_millis;
+        let ms = TimeDelta::from_millis;
         let (letter, fresh) = match surge.kind.as_str() {
             "primary" => ('p', Fresh::Primary),
             "own" => ('o', Fresh::Own(ms(2500))),
@@ -300,7 +304,7 @@
                 Rc::new(RefCell::new(some.iter().map(front).collect()))
             }
         };
-        let at = |seconds: f64| Point::from_micros((seconds * 1e6) as i64);
+        let at = |seconds: f64| Timestamp::from_micros((seconds * 1e6) as i64);
         let clients = Clients::new(
             fronts,
             &databases,
@@ -311,7 +315,7 @@
             self.plan.seed ^ 0x5137 ^ (number as u64) << 20,
         );
         let nothing = Rc::new(RefCell::new(Disk::default()));
-        let machine = self.world.add(&format!("surge-{number}"), Vec::new(), nothing, Span::ZERO);
+        let machine = self.world.add(&format!("surge-{number}"), Vec::new(), nothing, TimeDelta::ZERO);
         self.world.start(machine, Box::new(clients.costly(surge.costly)));
     }
 
@@ -394,7 +398,7 @@
             address: seat.address,
             zone: seat.zone.clone(),
             controls,
-            period: Span::from_millis(1200),
+            period: TimeDelta::from_millis(1200),
             limit: self.plan.limit as usize,
             seed,
         };
@@ -417,7 +421,8 @@
         let (place, copy) = (self.hosts.len(), self.shards[service].borrow().copies.len());
         let id = format!("i-{service}-{copy}j{place}");
         let address = SocketAddrV4::new(ip(2, place), 8000);
-        let machine = self.world.add(&id, vec![address], Rc::new(RefCell::new(Disk::default())), Span::ZERO);
+        let machine =
+            self.world.add(&id, vec![address], Rc::new(RefCell::new(Disk::default())), TimeDelta::ZERO);
         self.shards[service].borrow_mut().join(&id);
         let zone = zone(&self.plan, copy);
         let (faults, seq) = (Rc::default(), Rc::default());
@@ -462,26 +467,26 @@
 
 /// A plane's clock begins with its start.
 struct Offset {
-    since: Point,
+    since: Timestamp,
     plane: Box<dyn Plane>,
 }
 
-fn offset(since: Point, plane: Box<dyn Plane>) -> Box<dyn Plane> {
+fn offset(since: Timestamp, plane: Box<dyn Plane>) -> Box<dyn Plane> {
     Box::new(Offset { since, plane })
 }
 
 impl Plane for Offset {
     fn handle(
         &mut self,
-        now: Point,
+        now: Timestamp,
         event: arrowyard_runtime::Event<'_>,
         orders: &mut arrowyard_runtime::Orders,
     ) {
-        self.plane.handle(Point::from_micros((now - self.since).micros()), event, orders);
+        self.plane.handle(Timestamp::from_micros((now - self.since).micros()), event, orders);
     }
 
-    fn due(&self) -> Option<Point> {
-        self.plane.due().map(|at| self.since + (at - Point::from_micros(0)))
+    fn due(&self) -> Option<Timestamp> {
+        self.plane.due().map(|at| self.since + (at - Timestamp::from_micros(0)))
     }
 
     fn snapshot(&self) -> Vec<u8> {
--- a/crates/arrowyard-emulator/src/world.rs
+++ b/crates/arrowyard-emulator/src/world.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use arrowyard_runtime::{Conn, Door, Event, Order, Orders, Plane, Sign, Why};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 use rustc_hash::FxHashMap;
 
@@ -15,7 +15,7 @@
 pub struct MachineId(pub usize);
 
 /// Peers notice so late that a machine is dark, or that a way is cut, if they have said something to it.
-const DARK: Span = Span::from_millis(2500);
+const DARK: TimeDelta = TimeDelta::from_millis(2500);
 
 /// What is wrong with a disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -75,7 +75,7 @@
 struct End {
     peer: Option<(MachineId, Conn)>,
     /// What was written arrives in order.
-    arrives: Point,
+    arrives: Timestamp,
     /// Bytes that a cut holds up.
     held: Vec<u8>,
     written: bool,
@@ -88,25 +88,25 @@
     orders: Orders,
     life: u64,
     frozen: bool,
-    wakes_at: Option<Point>,
+    wakes_at: Option<Timestamp>,
     disk: Rc<RefCell<Disk>>,
-    sync: Span,
+    sync: TimeDelta,
     stopped: bool,
     /// Bytes and messages that it sent, and time that its plane took on the real clock.
     pub sent: u64,
     pub writes: u64,
     pub events: u64,
     pub busy: std::time::Duration,
-    later: Vec<(Point, Happening)>,
+    later: Vec<(Timestamp, Happening)>,
     /// Records that a disk which hangs has not answered.
     unanswered: Vec<(u64, Vec<u8>)>,
 }
 
 /// Machines and what is under way between them.
 pub struct World {
-    pub now: Point,
+    pub now: Timestamp,
     pub rng: Rng,
-    queue: BTreeMap<(Point, u64), (MachineId, u64, Happening)>,
+    queue: BTreeMap<(Timestamp, u64), (MachineId, u64, Happening)>,
     last: u64,
     machines: Vec<Machine>,
     ends: FxHashMap<(MachineId, Conn), End>,
@@ -115,13 +115,13 @@
     /// Ways on which nothing arrives, from one machine to another.
     mutes: BTreeSet<(MachineId, MachineId)>,
     /// One way between two machines, in the least; a third more is drawn.
-    pub latency: Span,
+    pub latency: TimeDelta,
 }
 
 impl World {
     pub fn new(seed: u64) -> Self {
         World {
-            now: Point::from_micros(0),
+            now: Timestamp::from_micros(0),
             rng: Rng::with_seed(seed),
             queue: BTreeMap::new(),
             last: 0,
@@ -130,7 +130,7 @@
             doors: FxHashMap::default(),
             cuts: BTreeSet::new(),
             mutes: BTreeSet::new(),
-            latency: Span::from_micros(600),
+            latency: TimeDelta::from_micros(600),
         }
     }
 
@@ -140,7 +140,7 @@
         name: &str,
         doors: Vec<SocketAddrV4>,
         disk: Rc<RefCell<Disk>>,
-        sync: Span,
+        sync: TimeDelta,
     ) -> MachineId {
         let id = MachineId(self.machines.len());
         self.machines.push(Machine {
@@ -321,18 +321,18 @@
         true
     }
 
-    fn at(&mut self, at: Point, id: MachineId, happening: Happening) {
+    fn at(&mut self, at: Timestamp, id: MachineId, happening: Happening) {
         self.last += 1;
         let life = self.machines[id.0].life;
         self.queue.insert((at, self.last), (id, life, happening));
     }
 
-    fn way(&mut self) -> Span {
+    fn way(&mut self) -> TimeDelta {
         self.latency + self.latency * (self.rng.f64() / 3.0)
     }
 
     /// Lets time pass.
-    pub fn run(&mut self, until: Point) {
+    pub fn run(&mut self, until: Timestamp) {
         while let Some(entry) = self.queue.first_entry() {
             let (at, _) = *entry.key();
             if at > until {
@@ -427,7 +427,7 @@
             && self.machines[id.0].plane.is_some()
             && self.machines[id.0].wakes_at.is_none_or(|at| due < at)
         {
-            let at = due.max(now + Span::from_micros(50));
+            let at = due.max(now + TimeDelta::from_micros(50));
             self.machines[id.0].wakes_at = Some(at);
             self.at(at, id, Happening::Woke);
         }
--- a/crates/arrowyard-emulator/tests/auditors.rs
+++ b/crates/arrowyard-emulator/tests/auditors.rs
@@ -4,14 +4,14 @@
 use std::rc::Rc;
 
 use arrowyard_emulator::{Asked, Fate, Fresh, History, Shard};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
-fn ms(millis: i64) -> Span {
-    Span::from_millis(millis)
+fn ms(millis: i64) -> TimeDelta {
+    TimeDelta::from_millis(millis)
 }
 
 fn asked(text: &str, fresh: Fresh, since: i64) -> Asked {
--- a/crates/arrowyard-emulator/tests/control.rs
+++ b/crates/arrowyard-emulator/tests/control.rs
@@ -6,10 +6,10 @@
 use arrowyard_emulator::{CallAnswer, Day, DiskFault, Fault, Plan, System, Trouble, play};
 use arrowyard_runtime::Sign;
 use arrowyard_runtime::http::call;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
-fn ms(ms: i64) -> Span {
-    Span::from_millis(ms)
+fn ms(ms: i64) -> TimeDelta {
+    TimeDelta::from_millis(ms)
 }
 
 /// A deployment with control alone; the stand-in operator brings the first configuration, revision 3.
@@ -26,8 +26,8 @@
         services: 1,
         users: 0,
         think: ms(100),
-        from: Point::from_micros(0),
-        until: Point::from_micros(3_600_000_000),
+        from: Timestamp::from_micros(0),
+        until: Timestamp::from_micros(3_600_000_000),
         changes: Vec::new(),
         limit: 40,
         zones: 3,
@@ -213,7 +213,7 @@
         let mut fleet = Fleet::new(3, 1);
         let answer = fleet.begin(0, &text);
         while answer.borrow().is_none() {
-            fleet.system.world.run(fleet.system.world.now + Span::from_micros(200));
+            fleet.system.world.run(fleet.system.world.now + TimeDelta::from_micros(200));
         }
         assert_eq!(answer.borrow().as_ref().map(|(status, _)| *status), Some(200));
         fleet.lose_power(&[0]);
--- a/crates/arrowyard-emulator/tests/experiment.rs
+++ b/crates/arrowyard-emulator/tests/experiment.rs
@@ -8,11 +8,11 @@
 use arrowyard_emulator::failover::{Cause, longest_pause, outages};
 use arrowyard_emulator::{Day, Disk, World, chart, drawn, play};
 use arrowyard_runtime::{Event, Orders, Plane};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
 fn outcome(seed: u64, served: f64) -> Outcome {
@@ -91,8 +91,8 @@
 #[test]
 fn a_pause_counts_if_it_lasts_into_the_time_after_the_fault() {
     let times = [at(0), at(500), at(520), at(1500), at(1510)];
-    assert_eq!(longest_pause(&times, at(600), at(1505)), Some(Span::from_millis(980)));
-    assert_eq!(longest_pause(&times, at(1505), at(1505)), Some(Span::from_millis(10)));
+    assert_eq!(longest_pause(&times, at(600), at(1505)), Some(TimeDelta::from_millis(980)));
+    assert_eq!(longest_pause(&times, at(1505), at(1505)), Some(TimeDelta::from_millis(10)));
     assert_eq!(longest_pause(&times, at(510), at(1600)), None, "it never came back, whatever came at once");
     assert_eq!(longest_pause(&times, at(1510), at(1510)), None, "nothing came after it");
     assert_eq!(longest_pause(&[], at(0), at(0)), None);
@@ -121,7 +121,7 @@
 fn a_change_is_acknowledged_within_the_bound_whatever_happens_to_one_machine() {
     for trouble in TROUBLES {
         let pauses = pauses(trouble, 2, 1);
-        let worst = Span::from_millis(pauses.worst as i64);
+        let worst = TimeDelta::from_millis(pauses.worst as i64);
         assert!(worst <= BOUND && pauses.never + pauses.broken == 0, "{trouble:?}: {pauses:?}");
     }
 }
@@ -143,19 +143,19 @@
 /// Asks for a nearer time whenever it hears of something.
 struct Restless {
     woken: Rc<RefCell<u32>>,
-    due: Point,
+    due: Timestamp,
 }
 
 impl Plane for Restless {
-    fn handle(&mut self, now: Point, event: Event<'_>, _: &mut Orders) {
+    fn handle(&mut self, now: Timestamp, event: Event<'_>, _: &mut Orders) {
         if matches!(event, Event::Woke) {
             *self.woken.borrow_mut() += 1;
         }
         // Far away once it was woken, near for any other reason.
-        self.due = now + Span::from_millis(if matches!(event, Event::Woke) { 10 } else { 1 });
+        self.due = now + TimeDelta::from_millis(if matches!(event, Event::Woke) { 10 } else { 1 });
     }
 
-    fn due(&self) -> Option<Point> {
+    fn due(&self) -> Option<Timestamp> {
         Some(self.due)
     }
 
@@ -169,7 +169,7 @@
 fn a_plane_is_woken_once_for_each_time_that_it_asks_for() {
     let mut world = World::new(1);
     let woken = Rc::new(RefCell::new(0));
-    let machine = world.add("m", Vec::new(), Rc::new(RefCell::new(Disk::default())), Span::ZERO);
+    let machine = world.add("m", Vec::new(), Rc::new(RefCell::new(Disk::default())), TimeDelta::ZERO);
     world.start(machine, Box::new(Restless { woken: woken.clone(), due: at(0) }));
     for turn in 0..200 {
         world.run(at(turn * 5));
--- a/crates/arrowyard-emulator/tests/shares.rs
+++ b/crates/arrowyard-emulator/tests/shares.rs
@@ -82,7 +82,7 @@
     let day = back_at_once(3, 6);
     let played = play(&day);
     let kept = &played.kinds["primary"];
-    let at = |seconds: f64| arrowyard_types::Point::from_micros((seconds * 1e6) as i64);
+    let at = |seconds: f64| arrowyard_types::Timestamp::from_micros((seconds * 1e6) as i64);
     // Sessions open and connections are dialled in the first moment.
     let (asked, in_aim) = kept.between(at(9.7), at(10.7));
     assert!(
--- a/crates/arrowyard-fair-shares/src/allotter.rs
+++ b/crates/arrowyard-fair-shares/src/allotter.rs
@@ -7,7 +7,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::holder::LEASE;
 use crate::owed::owed;
@@ -22,16 +22,16 @@
 /// asked so often.
 const PRESSED: f64 = 0.6;
 const CALM: f64 = 0.4;
-const CALMS: Span = Span::from_millis(300);
-const ASKS: Span = Span::from_millis(500);
+const CALMS: TimeDelta = TimeDelta::from_millis(300);
+const ASKS: TimeDelta = TimeDelta::from_millis(500);
 /// A lease runs out here so much later than at its router. Danger: clocks of the two run at different speeds.
 const LONGER: f64 = 1.1;
 /// A host is divided anew so often at most; a part that moves by less than this, in thousandths of a place and as a
 /// part of itself, is not told, but so often a lease is renewed.
-const APART: Span = Span::from_millis(10);
+const APART: TimeDelta = TimeDelta::from_millis(10);
 const MOVES: Milli = 20;
 const MOVES_PART: u32 = 16;
-const RENEWS: Span = Span::from_millis(200);
+const RENEWS: TimeDelta = TimeDelta::from_millis(200);
 /// Hosts that are divided at a time, and unanswered parts of one router at one host.
 const MOST_HOSTS: usize = 4096;
 const MOST_UNANSWERED: usize = 64;
@@ -69,11 +69,11 @@
     needs: Vec<Need>,
     /// The router's last word, and when it came.
     echo: u64,
-    heard_at: Point,
+    heard_at: Timestamp,
     /// What it answered last, and all that went out since: any of it may be what it goes by.
     told: VecDeque<(u64, Vec<(ServiceId, Milli)>)>,
     answered: bool,
-    told_at: Point,
+    told_at: Timestamp,
 }
 
 impl Seat {
@@ -105,10 +105,10 @@
     group: String,
     places: Milli,
     seats: BTreeMap<Router, Seat>,
-    pressed: Option<Point>,
-    calm_since: Option<Point>,
-    divided_at: Point,
-    asked_at: Point,
+    pressed: Option<Timestamp>,
+    calm_since: Option<Timestamp>,
+    divided_at: Timestamp,
+    asked_at: Timestamp,
     /// By service: places owed, and places asked for.
     owed: Vec<(ServiceId, f64, f64)>,
 }
@@ -123,7 +123,7 @@
     pub waits: f64,
     /// Held to what it is owed, and since when the host is pressed.
     pub held: bool,
-    pub since: Point,
+    pub since: Timestamp,
 }
 
 /// What is to be said.
@@ -138,7 +138,7 @@
 pub struct Allotter {
     fence: u64,
     /// Nothing is divided before: leases of the holder before may still run.
-    from: Point,
+    from: Timestamp,
     number: u64,
     pools: BTreeMap<String, Pool>,
 }
@@ -154,8 +154,8 @@
     /// The duty is taken up under this fence. `waits` is how long the holder before may have gone on after it had
     /// lost the duty.
     #[must_use]
-    pub fn begin(now: Point, fence: u64, waits: Span) -> Self {
-        let from = if waits == Span::ZERO { now } else { now + waits + LEASE * LONGER };
+    pub fn begin(now: Timestamp, fence: u64, waits: TimeDelta) -> Self {
+        let from = if waits == TimeDelta::ZERO { now } else { now + waits + LEASE * LONGER };
         Allotter { fence, from, ..Allotter::default() }
     }
 
@@ -163,7 +163,7 @@
     /// fence, 0 for none. Whom anything is told by it: see [`Allotter::divide`].
     pub fn heard(
         &mut self,
-        now: Point,
+        now: Timestamp,
         host: &At<'_>,
         router: Router,
         (echo, answers): (u64, u64),
@@ -192,7 +192,7 @@
     /// Divides the hosts that are due: what each router is told, and the hosts of which every router is to tell its need
     /// since they are pressed. Danger: routers with little need each are not counted otherwise, and are many.
     /// `routers` is how many there are.
-    pub fn divide(&mut self, now: Point, terms: &Terms, routers: u32) -> Division {
+    pub fn divide(&mut self, now: Timestamp, terms: &Terms, routers: u32) -> Division {
         let mut division = Division::default();
         if now < self.from {
             return division;
@@ -279,7 +279,7 @@
 
 impl Pool {
     /// What each service is owed now, and whether the host is pressed.
-    fn divide(&mut self, now: Point, terms: &Terms, elsewhere: &BTreeMap<(String, ServiceId), f64>) {
+    fn divide(&mut self, now: Timestamp, terms: &Terms, elsewhere: &BTreeMap<(String, ServiceId), f64>) {
         let mut asks: BTreeMap<ServiceId, u64> = BTreeMap::new();
         for need in self.seats.values().flat_map(|seat| &seat.needs) {
             *asks.entry(need.service).or_default() += u64::from(need.runs) + u64::from(need.waits);
@@ -311,7 +311,7 @@
     }
 
     /// What each router is to be told: nothing where it goes by that already.
-    fn parts(&self, now: Point) -> Vec<(Router, Vec<(ServiceId, Milli)>)> {
+    fn parts(&self, now: Timestamp) -> Vec<(Router, Vec<(ServiceId, Milli)>)> {
         let held: Vec<(ServiceId, f64, f64)> = match self.pressed {
             Some(_) => self.owed.iter().copied().filter(|(_, owed, need)| need > owed).collect(),
             _ => Vec::new(),
--- a/crates/arrowyard-fair-shares/src/holder.rs
+++ b/crates/arrowyard-fair-shares/src/holder.rs
@@ -3,25 +3,25 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::owed::owed;
 use crate::{Allot, Milli, Need, ServiceId, Terms};
 
 /// How long a part holds from the router's word that it answers. It is whole for half of that, and then shrinks.
-pub const LEASE: Span = Span::from_millis(1000);
+pub const LEASE: TimeDelta = TimeDelta::from_millis(1000);
 /// A host is told of for so long after it was asked for last.
-const ASKED: Span = Span::from_millis(1500);
+const ASKED: TimeDelta = TimeDelta::from_millis(1500);
 /// Words of a router whose times are kept.
 const WORDS: usize = 256;
 /// A part without news for so long says nothing any more of how hosts are pressed.
-const FORGOTTEN: Span = Span::from_millis(60_000);
+const FORGOTTEN: TimeDelta = TimeDelta::from_millis(60_000);
 
 #[derive(Clone, Debug)]
 struct Part {
     allot: Allot,
     /// From when its lease runs.
-    since: Point,
+    since: Timestamp,
 }
 
 /// All parts of one router.
@@ -29,17 +29,17 @@
 pub struct Holder {
     parts: BTreeMap<String, Part>,
     /// When each of the last words was said.
-    said: BTreeMap<u64, Point>,
+    said: BTreeMap<u64, Timestamp>,
     word: u64,
     /// Of all parts: the newest number that was taken up, by host.
     taken: BTreeMap<String, (u64, u64)>,
     /// Hosts of which whoever divides wants to know the need, and since when.
-    asked: BTreeMap<String, Point>,
+    asked: BTreeMap<String, Timestamp>,
 }
 
 impl Holder {
     /// The number of the next word to whoever divides, which is said now.
-    pub fn says(&mut self, now: Point) -> u64 {
+    pub fn says(&mut self, now: Timestamp) -> u64 {
         self.word += 1;
         self.said.insert(self.word, now);
         while self.said.len() > WORDS {
@@ -56,7 +56,7 @@
 
     /// Whoever divides says what is allotted. What is older than what is known is passed over, from whoever it comes.
     /// Whether it was taken up.
-    pub fn heard(&mut self, now: Point, allot: Allot) -> bool {
+    pub fn heard(&mut self, now: Timestamp, allot: Allot) -> bool {
         let newest = self.answers(&allot.host);
         if (allot.fence, allot.number) <= newest {
             return false;
@@ -75,13 +75,13 @@
     }
 
     /// Whoever divides wants to know what is needed of a host.
-    pub fn asked(&mut self, now: Point, host: &str) {
+    pub fn asked(&mut self, now: Timestamp, host: &str) {
         self.asked.insert(host.to_string(), now);
     }
 
     /// Whether this router's need of a host is to be told, however small it is.
     #[must_use]
-    pub fn is_asked(&self, now: Point, host: &str) -> bool {
+    pub fn is_asked(&self, now: Timestamp, host: &str) -> bool {
         self.is_pressed(host) || self.asked.get(host).is_some_and(|at| now - *at < ASKED)
     }
 
@@ -96,12 +96,12 @@
     }
 
     /// The connection to control is new: parts that ran out are forgotten. It says again what is pressed.
-    pub fn renewed(&mut self, now: Point) {
+    pub fn renewed(&mut self, now: Timestamp) {
         self.parts.retain(|_, part| now - part.since < LEASE);
     }
 
     /// Parts that nobody has spoken of for a long time are forgotten.
-    pub fn sweep(&mut self, now: Point) {
+    pub fn sweep(&mut self, now: Timestamp) {
         self.parts.retain(|_, part| now - part.since < FORGOTTEN);
         self.asked.retain(|_, at| now - *at < ASKED);
         self.taken.retain(|host, _| self.parts.contains_key(host) || self.asked.contains_key(host));
@@ -110,7 +110,7 @@
     /// How many statements of each service may be under way at a host, in thousandths; services that are not named go
     /// free. `needs` is what this router needs there now.
     #[must_use]
-    pub fn caps(&self, now: Point, host: &str, needs: &[Need], terms: &Terms) -> Vec<(ServiceId, Milli)> {
+    pub fn caps(&self, now: Timestamp, host: &str, needs: &[Need], terms: &Terms) -> Vec<(ServiceId, Milli)> {
         let Some(part) = self.parts.get(host) else { return Vec::new() };
         let age = now - part.since;
         if age < LEASE * 0.5 {
--- a/crates/arrowyard-fair-shares/src/meter.rs
+++ b/crates/arrowyard-fair-shares/src/meter.rs
@@ -5,7 +5,7 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::{Milli, Need, ServiceId};
 
@@ -17,23 +17,23 @@
 struct Count {
     now: f64,
     area: f64,
-    since: Point,
-    read_at: Point,
+    since: Timestamp,
+    read_at: Timestamp,
 }
 
 impl Count {
-    fn pass(&mut self, now: Point) {
-        self.area += self.now * (now - self.since).max(Span::ZERO).as_secs_f64();
+    fn pass(&mut self, now: Timestamp) {
+        self.area += self.now * (now - self.since).max(TimeDelta::ZERO).as_secs_f64();
         self.since = now;
     }
 
-    fn add(&mut self, now: Point, more: f64) {
+    fn add(&mut self, now: Timestamp, more: f64) {
         self.pass(now);
         self.now = (self.now + more).max(0.0);
     }
 
     /// Its mean since it was read last; what it is now, if that was this moment.
-    fn read(&mut self, now: Point) -> f64 {
+    fn read(&mut self, now: Timestamp) -> f64 {
         self.pass(now);
         let span = (now - self.read_at).as_secs_f64();
         let mean = if span > 0.0 { self.area / span } else { self.now };
@@ -69,7 +69,7 @@
 }
 
 impl<P: Copy + Ord> Meter<P> {
-    fn at(&mut self, now: Point, place: P, service: ServiceId) -> &mut Counts {
+    fn at(&mut self, now: Timestamp, place: P, service: ServiceId) -> &mut Counts {
         let fresh = || {
             let count = Count { since: now, read_at: now, ..Count::default() };
             Counts { waits: count, ..Counts::default() }
@@ -78,19 +78,19 @@
     }
 
     /// A statement goes to a host.
-    pub fn began(&mut self, now: Point, place: P, service: ServiceId) {
+    pub fn began(&mut self, now: Timestamp, place: P, service: ServiceId) {
         self.at(now, place, service).out += 1;
     }
 
     /// It is there no more. `took`: what it took, if the host has answered.
-    pub fn ended(&mut self, now: Point, place: P, service: ServiceId, took: Option<Span>) {
+    pub fn ended(&mut self, now: Timestamp, place: P, service: ServiceId, took: Option<TimeDelta>) {
         let counts = self.at(now, place, service);
         counts.out = counts.out.saturating_sub(1);
-        counts.took += took.map_or(0.0, Span::as_secs_f64);
+        counts.took += took.map_or(0.0, TimeDelta::as_secs_f64);
     }
 
     /// So many statements wait for one of these hosts; more, or with a minus, fewer.
-    pub fn waits(&mut self, now: Point, places: &[P], service: ServiceId, more: f64) {
+    pub fn waits(&mut self, now: Timestamp, places: &[P], service: ServiceId, more: f64) {
         let part = more / places.len().max(1) as f64;
         places.iter().for_each(|place| self.at(now, *place, service).waits.add(now, part));
     }
@@ -103,7 +103,7 @@
     }
 
     /// The need of a host: means since this was read last.
-    pub fn read(&mut self, now: Point, place: P) -> Vec<Need> {
+    pub fn read(&mut self, now: Timestamp, place: P) -> Vec<Need> {
         let of = self.counts.range_mut((place, ServiceId(0))..=(place, ServiceId(u32::MAX)));
         of.map(|((_, service), counts)| {
             let span = (now - counts.waits.read_at).as_secs_f64();
--- a/crates/arrowyard-fair-shares/tests/allotment.rs
+++ b/crates/arrowyard-fair-shares/tests/allotment.rs
@@ -2,7 +2,7 @@
 //! than the host's places, and with news flowing the parts come to what is owed.
 
 use arrowyard_fair_shares::{Allot, Allotter, At, Holder, Need, Router, ServiceId, Terms, owed};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
 const HOST: &str = "h";
@@ -13,8 +13,8 @@
     f64::from(arrowyard_fair_shares::places(SLOTS)) / 1000.0
 }
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(1_000_000 + ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(1_000_000 + ms * 1000)
 }
 
 struct Edge {
@@ -24,13 +24,13 @@
 }
 
 impl Edge {
-    fn cap(&self, now: Point, service: ServiceId, terms: &Terms) -> Option<f64> {
+    fn cap(&self, now: Timestamp, service: ServiceId, terms: &Terms) -> Option<f64> {
         let caps = self.holder.caps(now, HOST, &[], terms);
         caps.into_iter().find(|(of, _)| *of == service).map(|(_, cap)| f64::from(cap) / 1000.0)
     }
 
     /// What it runs: what is wanted, up to its part.
-    fn needs(&self, now: Point, terms: &Terms) -> Vec<Need> {
+    fn needs(&self, now: Timestamp, terms: &Terms) -> Vec<Need> {
         let of = |(number, wants): (usize, &f64)| {
             let service = ServiceId(number as u32);
             let runs = self.cap(now, service, terms).unwrap_or(f64::INFINITY).min(*wants);
@@ -88,7 +88,7 @@
             terms.id(name);
         }
         let edge = |_| Edge { holder: Holder::default(), wants: vec![0.0; 3] };
-        let allotter = Allotter::begin(at(0), 7, Span::ZERO);
+        let allotter = Allotter::begin(at(0), 7, TimeDelta::ZERO);
         World {
             now: 0,
             terms,
@@ -248,7 +248,7 @@
     let holder = &mut world.edges[0].holder;
     assert!(holder.heard(at(0), Allot { fence: 7, number: 1, caps: vec![(ServiceId(0), 100)], ..old(1) }));
     assert!(!holder.heard(at(1), old(99)));
-    let mut new = Allotter::begin(at(0), 8, Span::from_millis(1500));
+    let mut new = Allotter::begin(at(0), 8, TimeDelta::from_millis(1500));
     let needs = vec![
         Need { service: ServiceId(0), runs: 9000, waits: 0 },
         Need { service: ServiceId(1), runs: 9000, waits: 0 },
@@ -302,7 +302,7 @@
 fn hosts_of_one_group_come_to_one_division_and_stay_there() {
     let mut terms = Terms::default();
     let services = [terms.id("a"), terms.id("b")];
-    let mut allotter = Allotter::begin(at(0), 7, Span::ZERO);
+    let mut allotter = Allotter::begin(at(0), 7, TimeDelta::ZERO);
     let hosts = ["h1", "h2"].map(|id| At { id, group: "g", slots: SLOTS });
     for round in 0..40_i64 {
         for host in &hosts {
--- a/crates/arrowyard-fair-shares/tests/meter.rs
+++ b/crates/arrowyard-fair-shares/tests/meter.rs
@@ -1,16 +1,16 @@
 //! What a router says that it needs.
 
 use arrowyard_fair_shares::{Meter, ServiceId};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 const S: ServiceId = ServiceId(0);
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
-fn ms(millis: i64) -> Span {
-    Span::from_millis(millis)
+fn ms(millis: i64) -> TimeDelta {
+    TimeDelta::from_millis(millis)
 }
 
 /// Reads every 50 ms while statements of 10 ms come each `gap` ms, and the last reading.
--- a/crates/arrowyard-fleet/examples/again.rs
+++ b/crates/arrowyard-fleet/examples/again.rs
@@ -4,10 +4,10 @@
 //!     cargo run --release -p arrowyard-fleet --example again
 
 use arrowyard_fleet::{Event, Town, World};
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 
 fn main() {
-    let ms = Span::from_millis;
+    let ms = TimeDelta::from_millis;
     println!(
         "| routers | a client comes again | trigger | in time when calm | borne again after s | worst second, sends an op |"
     );
--- a/crates/arrowyard-fleet/src/bin/fleet.rs
+++ b/crates/arrowyard-fleet/src/bin/fleet.rs
@@ -1,10 +1,10 @@
 //! Prints what a fleet's routers cost together, for 1, 30 and 300 of them over the same traffic.
 
 use arrowyard_fleet::{Event, Town, World};
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 
 fn main() {
-    let ms = Span::from_millis;
+    let ms = TimeDelta::from_millis;
     println!(
         "| day | routers | in time | busy | kept back | probes an op | dials an op | sends an op | cold, at most |"
     );
--- a/crates/arrowyard-fleet/src/bin/peers.rs
+++ b/crates/arrowyard-fleet/src/bin/peers.rs
@@ -2,7 +2,7 @@
 
 use arrowyard_fleet::peers::{Heartbeats, Node, Ours, Said, Swim, World};
 use arrowyard_testbed::plan::{Fault, Plan};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use clap::Parser;
 use comfy_table::{Table, presets};
 
@@ -24,7 +24,7 @@
     seconds: bool,
 }
 
-fn node(way: &str, now: Point, who: usize, count: usize, seed: u64) -> Box<dyn Node> {
+fn node(way: &str, now: Timestamp, who: usize, count: usize, seed: u64) -> Box<dyn Node> {
     match way {
         "swim" => Box::new(Swim::new(now, who, count, seed)),
         "heartbeats" => Box::new(Heartbeats::new(now, who, count, seed)),
@@ -96,15 +96,15 @@
                     let begin = world.now;
                     let end = plan.acts.iter().map(|act| act.at_ms + act.for_ms).max().unwrap_or(0);
                     for second in (1..=end.min(plan.span_ms) / 1000).filter(|_| line.seconds) {
-                        world.till(Span::from_millis(second as i64 * 1000));
+                        world.till(TimeDelta::from_millis(second as i64 * 1000));
                         held(&world, second * 1000);
                     }
-                    world.till(Span::from_millis(end.min(plan.span_ms) as i64));
+                    world.till(TimeDelta::from_millis(end.min(plan.span_ms) as i64));
                     let mut at = end;
                     // From the last fault's end on, till all agree.
                     while at < plan.span_ms && !world.agreed() {
                         at += 50;
-                        world.till(Span::from_millis(at as i64));
+                        world.till(TimeDelta::from_millis(at as i64));
                         if line.seconds && at.is_multiple_of(1000) {
                             held(&world, at);
                         }
@@ -114,7 +114,7 @@
                     } else {
                         never += 1
                     }
-                    world.till(Span::from_millis(plan.span_ms as i64));
+                    world.till(TimeDelta::from_millis(plan.span_ms as i64));
                     let books = &world.books;
                     wrong += books.wrong.len();
                     let routers = count as f64 * plan.span_ms as f64 / 1e3;
@@ -125,12 +125,12 @@
                         let (Fault::Kill(who) | Fault::EndUnheard(who) | Fault::End(who)) = &act.fault else {
                             continue;
                         };
-                        let from = begin + Span::from_millis(act.at_ms as i64);
-                        let till = from + Span::from_millis(act.for_ms as i64);
+                        let from = begin + TimeDelta::from_millis(act.at_ms as i64);
+                        let till = from + TimeDelta::from_millis(act.for_ms as i64);
                         for &of in who {
                             for by in (0..count).filter(|by| !who.contains(by)) {
                                 let first = |least: Said| {
-                                    let fits = |said: &&(Point, usize, usize, Said)| {
+                                    let fits = |said: &&(Timestamp, usize, usize, Said)| {
                                         said.0 >= from
                                             && said.0 < till
                                             && said.1 == by
--- a/crates/arrowyard-fleet/src/peers/mod.rs
+++ b/crates/arrowyard-fleet/src/peers/mod.rs
@@ -14,21 +14,21 @@
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 
 /// What a process does: the same for the shipped decisions and for those that are compared.
 pub trait Node {
-    fn next_at(&self) -> Point;
-    fn tick(&mut self, now: Point);
-    fn heard(&mut self, now: Point, from: SocketAddr, bytes: &[u8]);
+    fn next_at(&self) -> Timestamp;
+    fn tick(&mut self, now: Timestamp);
+    fn heard(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]);
     /// The machine there refused a datagram.
-    fn refused(&mut self, now: Point, at: SocketAddr);
-    fn leave(&mut self, now: Point);
+    fn refused(&mut self, now: Timestamp, at: SocketAddr);
+    fn leave(&mut self, now: Timestamp);
     fn take(&mut self) -> Taken;
     /// Others that it holds alive.
     fn alive(&self) -> usize;
     /// Others that it does not hold alive, and how they stand, for looking into a run.
-    fn others(&self, _now: Point) -> Vec<String> {
+    fn others(&self, _now: Timestamp) -> Vec<String> {
         Vec::new()
     }
 }
--- a/crates/arrowyard-fleet/src/peers/ours.rs
+++ b/crates/arrowyard-fleet/src/peers/ours.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use arrowyard_peers::{Deed, Event, Fleet, Me, Standing, Terms};
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 
 use super::{Node, Said, Taken, address};
 
@@ -12,7 +12,7 @@
 impl Ours {
     /// The process of this number; `start` counts its starts.
     #[must_use]
-    pub fn new(now: Point, who: usize, seeds: &[usize], settings: f64, seed: u64) -> Ours {
+    pub fn new(now: Timestamp, who: usize, seeds: &[usize], settings: f64, seed: u64) -> Ours {
         let seeds = seeds.iter().filter(|&&one| one != who).map(|&one| address(one)).collect();
         let terms = Terms { fleet: "model".to_string(), seeds, ..Terms::default() };
         let life = (now.micros() / 1000) as u64;
@@ -22,19 +22,19 @@
 }
 
 impl Node for Ours {
-    fn next_at(&self) -> Point {
+    fn next_at(&self) -> Timestamp {
         self.0.next_at()
     }
 
-    fn tick(&mut self, now: Point) {
+    fn tick(&mut self, now: Timestamp) {
         self.0.tick(now);
     }
 
-    fn heard(&mut self, now: Point, from: SocketAddr, bytes: &[u8]) {
+    fn heard(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
         self.0.heard(now, from, bytes);
     }
 
-    fn refused(&mut self, now: Point, at: SocketAddr) {
+    fn refused(&mut self, now: Timestamp, at: SocketAddr) {
         let name = format!("n{}", super::number(at));
         let view = self.0.view(now);
         if let Some(row) = view.rows.iter().find(|row| *row.name == *name) {
@@ -42,7 +42,7 @@
         }
     }
 
-    fn leave(&mut self, now: Point) {
+    fn leave(&mut self, now: Timestamp) {
         self.0.leave(now);
     }
 
@@ -75,7 +75,7 @@
         self.0.alive()
     }
 
-    fn others(&self, now: Point) -> Vec<String> {
+    fn others(&self, now: Timestamp) -> Vec<String> {
         let rows = self.0.view(now).rows.into_iter().filter(|row| row.standing != Standing::Alive);
         rows.map(|row| format!("{} {:?} life {} by {}", row.name, row.standing, row.life, row.by)).collect()
     }
--- a/crates/arrowyard-fleet/src/peers/plain.rs
+++ b/crates/arrowyard-fleet/src/peers/plain.rs
@@ -3,31 +3,31 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 use prost::Message;
 
 use super::{Node, Said, Taken, address, number};
 
-const PERIOD: Span = Span::from_millis(500);
+const PERIOD: TimeDelta = TimeDelta::from_millis(500);
 
 /// Each tells all, each period, that it lives; whoever is not heard for four periods is dead.
 pub struct Heartbeats {
     me: usize,
-    heard: Vec<Point>,
+    heard: Vec<Timestamp>,
     dead: Vec<bool>,
-    next: Point,
+    next: Timestamp,
     ended: bool,
     out: Taken,
 }
 
-const LIMIT: Span = Span::from_millis(2000);
+const LIMIT: TimeDelta = TimeDelta::from_millis(2000);
 /// What a heartbeat says: who speaks, its start, a number.
 const BEAT: [u8; 24] = [7; 24];
 
 impl Heartbeats {
     #[must_use]
-    pub fn new(now: Point, me: usize, count: usize, seed: u64) -> Heartbeats {
+    pub fn new(now: Timestamp, me: usize, count: usize, seed: u64) -> Heartbeats {
         let next = now + PERIOD * Rng::with_seed(seed).f64();
         let (heard, dead) = (vec![now; count], vec![false; count]);
         Heartbeats { me, heard, dead, next, ended: false, out: Taken::default() }
@@ -35,11 +35,11 @@
 }
 
 impl Node for Heartbeats {
-    fn next_at(&self) -> Point {
+    fn next_at(&self) -> Timestamp {
         self.next
     }
 
-    fn tick(&mut self, now: Point) {
+    fn tick(&mut self, now: Timestamp) {
         if now < self.next {
             return;
         }
@@ -55,7 +55,7 @@
         }
     }
 
-    fn heard(&mut self, now: Point, from: SocketAddr, _bytes: &[u8]) {
+    fn heard(&mut self, now: Timestamp, from: SocketAddr, _bytes: &[u8]) {
         let who = number(from);
         if who < self.heard.len() {
             self.heard[who] = now;
@@ -65,9 +65,9 @@
         }
     }
 
-    fn refused(&mut self, _now: Point, _at: SocketAddr) {}
+    fn refused(&mut self, _now: Timestamp, _at: SocketAddr) {}
 
-    fn leave(&mut self, _now: Point) {
+    fn leave(&mut self, _now: Timestamp) {
         self.ended = true;
     }
 
@@ -86,12 +86,12 @@
     me: usize,
     life: u64,
     /// By member: its life, and 0 alive, 1 suspect, 2 dead.
-    held: Vec<(u64, u8, Point)>,
+    held: Vec<(u64, u8, Timestamp)>,
     turn: Vec<usize>,
     news: Vec<(usize, u32)>,
-    asks: Vec<(u64, usize, Point, u8)>,
+    asks: Vec<(u64, usize, Timestamp, u8)>,
     relays: HashMap<u64, (SocketAddr, u64)>,
-    next: Point,
+    next: Timestamp,
     seq: u64,
     rng: Rng,
     ended: bool,
@@ -121,11 +121,11 @@
     words: Vec<Word>,
 }
 
-const WAIT: Span = Span::from_millis(150);
+const WAIT: TimeDelta = TimeDelta::from_millis(150);
 
 impl Swim {
     #[must_use]
-    pub fn new(now: Point, me: usize, count: usize, seed: u64) -> Swim {
+    pub fn new(now: Timestamp, me: usize, count: usize, seed: u64) -> Swim {
         let mut rng = Rng::with_seed(seed);
         let life = (now.micros() / 1000) as u64;
         let (turn, news, asks, relays) = Default::default();
@@ -166,7 +166,7 @@
         self.out.sends.push((to, Packet { kind, seq, about, words }.encode_to_vec()));
     }
 
-    fn set(&mut self, now: Point, who: usize, life: u64, state: u8) {
+    fn set(&mut self, now: Timestamp, who: usize, life: u64, state: u8) {
         let was = self.held[who].1;
         self.held[who] = (life, state, now);
         self.news.retain(|(of, _)| *of != who);
@@ -188,11 +188,11 @@
 }
 
 impl Node for Swim {
-    fn next_at(&self) -> Point {
-        self.asks.iter().map(|ask| ask.2).fold(self.next, Point::min)
+    fn next_at(&self) -> Timestamp {
+        self.asks.iter().map(|ask| ask.2).fold(self.next, Timestamp::min)
     }
 
-    fn tick(&mut self, now: Point) {
+    fn tick(&mut self, now: Timestamp) {
         let due: Vec<_> = self.asks.iter().filter(|ask| ask.2 <= now).copied().collect();
         self.asks.retain(|ask| ask.2 > now);
         for (seq, who, _, step) in due {
@@ -227,7 +227,7 @@
         }
     }
 
-    fn heard(&mut self, now: Point, from: SocketAddr, bytes: &[u8]) {
+    fn heard(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
         let Ok(packet) = Packet::decode(bytes) else { return };
         for word in packet.words {
             let (who, life, state) = (word.who as usize, word.life, word.state.min(2) as u8);
@@ -267,9 +267,9 @@
         }
     }
 
-    fn refused(&mut self, _now: Point, _at: SocketAddr) {}
+    fn refused(&mut self, _now: Timestamp, _at: SocketAddr) {}
 
-    fn leave(&mut self, now: Point) {
+    fn leave(&mut self, now: Timestamp) {
         self.set(now, self.me, self.life, 2);
         for to in self.others(3, self.me) {
             self.send(address(to), 1, 0, 0);
--- a/crates/arrowyard-fleet/src/peers/world.rs
+++ b/crates/arrowyard-fleet/src/peers/world.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use arrowyard_testbed::plan::{Fault, Plan};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
 use super::{Node, address, number};
@@ -23,9 +23,9 @@
 #[derive(Clone, Debug, Default)]
 pub struct Books {
     /// Who said what of whom, and when.
-    pub said: Vec<(Point, usize, usize, Said)>,
+    pub said: Vec<(Timestamp, usize, usize, Said)>,
     /// Times at which a process that ran was held dead, by whom and of whom.
-    pub wrong: Vec<(Point, usize, usize)>,
+    pub wrong: Vec<(Timestamp, usize, usize)>,
     pub datagrams: u64,
     pub bytes: u64,
     /// Time on the machine that all nodes took together.
@@ -46,19 +46,19 @@
     /// What came while it was halted.
     kept: Vec<(SocketAddr, Vec<u8>)>,
     mute: bool,
-    started: Point,
+    started: Timestamp,
 }
 
-type Maker = Box<dyn FnMut(Point, usize, u64) -> Box<dyn Node>>;
+type Maker = Box<dyn FnMut(Timestamp, usize, u64) -> Box<dyn Node>>;
 
 pub struct World {
-    pub now: Point,
-    begin: Point,
+    pub now: Timestamp,
+    begin: Timestamp,
     plan: Plan,
     rng: Rng,
     maker: Maker,
     processes: Vec<Process>,
-    due: BTreeMap<(Point, u64), Due>,
+    due: BTreeMap<(Timestamp, u64), Due>,
     count: u64,
     cuts: Vec<(usize, HashSet<(usize, usize)>)>,
     loss: f64,
@@ -73,7 +73,7 @@
 
 impl World {
     pub fn new(plan: Plan, mut maker: Maker) -> World {
-        let now = Point::from_micros(1_000_000_000_000);
+        let now = Timestamp::from_micros(1_000_000_000_000);
         let mut rng = Rng::with_seed(plan.seed);
         let processes = (0..plan.processes).map(|who| {
             let node = Some(maker(now, who, rng.u64(..)));
@@ -102,12 +102,12 @@
             world.wake(who);
         }
         for (at_ms, act, begins) in world.plan.steps() {
-            world.at(now + Span::from_millis(at_ms as i64), Due::Step(act, begins));
+            world.at(now + TimeDelta::from_millis(at_ms as i64), Due::Step(act, begins));
         }
         world
     }
 
-    fn at(&mut self, at: Point, due: Due) {
+    fn at(&mut self, at: Timestamp, due: Due) {
         self.count += 1;
         self.due.insert((at.max(self.now), self.count), due);
     }
@@ -120,12 +120,12 @@
 
     /// Plays the plan to its end.
     pub fn play(&mut self) -> &Books {
-        self.till(Span::from_millis(self.plan.span_ms as i64));
+        self.till(TimeDelta::from_millis(self.plan.span_ms as i64));
         &self.books
     }
 
     /// Plays on till so long after the begin.
-    pub fn till(&mut self, span: Span) {
+    pub fn till(&mut self, span: TimeDelta) {
         let end = self.begin + span;
         while let Some(entry) = self.due.first_entry().filter(|entry| entry.key().0 <= end) {
             let ((at, _), due) = entry.remove_entry();
@@ -185,7 +185,7 @@
             let refuses = self.processes.get(of).is_some_and(|process| process.node.is_none());
             let cut = self.cuts.iter().any(|(_, cut)| cut.contains(&(who, of)) || cut.contains(&(of, who)));
             if refuses && !cut && self.rng.f64() >= self.loss {
-                self.at(self.now + Span::from_micros(600), Due::Refused { to: who, at });
+                self.at(self.now + TimeDelta::from_micros(600), Due::Refused { to: who, at });
             }
         }
         self.wake(who);
@@ -210,7 +210,7 @@
             let delay = self.delay as i64 * 1000;
             let more = if delay > 0 { delay + self.rng.i64(0..delay) } else { 0 };
             let due = Due::Comes { to, from: address(from), bytes: bytes.clone() };
-            self.at(self.now + Span::from_micros(own + more), due);
+            self.at(self.now + TimeDelta::from_micros(own + more), due);
         }
     }
 
--- a/crates/arrowyard-fleet/src/world.rs
+++ b/crates/arrowyard-fleet/src/world.rs
@@ -22,14 +22,14 @@
     /// Whether the list names the primaries.
     pub named: bool,
     pub cold_from: f64,
-    pub cold: Span,
+    pub cold: TimeDelta,
     /// How far replicas are behind.
-    pub behind: Span,
+    pub behind: TimeDelta,
     /// How long a group is without a primary when one is lost.
-    pub switch: Span,
+    pub switch: TimeDelta,
     /// How often a client comes again with an op that was given back, errored, or lost with its router; and how soon.
     pub again: u32,
-    pub comes: Span,
+    pub comes: TimeDelta,
 }
 
 impl Default for Town {
@@ -43,11 +43,11 @@
             rate: 400.0,
             named: true,
             cold_from: 0.2,
-            cold: Span::from_millis(12_000),
-            behind: Span::from_millis(10),
-            switch: Span::from_millis(4_000),
+            cold: TimeDelta::from_millis(12_000),
+            behind: TimeDelta::from_millis(10),
+            switch: TimeDelta::from_millis(4_000),
             again: 0,
-            comes: Span::from_millis(200),
+            comes: TimeDelta::from_millis(200),
         }
     }
 }
@@ -95,16 +95,16 @@
     Happens(Event),
     /// The group has this host as its primary from now on.
     Leads(usize, usize),
-    Ring(usize, Cookie),
-    Probed(usize, HostId, Outcome, Word),
-    Ended(usize, Ended),
-    Listed(usize, Vec<Entry>),
+    Ring(usize, TimerId),
+    Probed(usize, HostId, Outcome, HostStatus),
+    Ended(usize, SendResult),
+    Listed(usize, Vec<HostEntry>),
 }
 
 struct Open {
-    asked: Point,
-    due: Point,
-    target: Span,
+    asked: Timestamp,
+    due: Timestamp,
+    target: TimeDelta,
     write: bool,
     /// Microseconds of a core.
     work: f64,
@@ -116,28 +116,28 @@
 
 pub struct World {
     town: Town,
-    pub now: Point,
+    pub now: Timestamp,
     rng: Rng,
     routers: Vec<Router>,
     pub hosts: Vec<Host>,
     /// By group: its primary, and when it was lost.
-    leads: Vec<(Option<usize>, Point)>,
-    events: BTreeMap<(Point, u64), Due>,
+    leads: Vec<(Option<usize>, Timestamp)>,
+    events: BTreeMap<(Timestamp, u64), Due>,
     number: u64,
     open: HashMap<(usize, OpId), Open>,
     /// By router and host: when its connections were last used.
-    links: HashMap<(usize, HostId), Vec<Point>>,
+    links: HashMap<(usize, HostId), Vec<Timestamp>>,
     rows: Vec<(OpType, f64, f64)>,
     pub sums: Sums,
     next: u64,
-    manifest: Manifest,
-    entries: Vec<Entry>,
+    manifest: RouterSettings,
+    entries: Vec<HostEntry>,
 }
 
-const IDLE: Span = Span::from_millis(12_000);
-const CONNECT: Span = Span::from_millis(250);
+const IDLE: TimeDelta = TimeDelta::from_millis(12_000);
+const CONNECT: TimeDelta = TimeDelta::from_millis(250);
 /// What waits longer than this at a host is turned away.
-const LONGEST: Span = Span::from_millis(1_500);
+const LONGEST: TimeDelta = TimeDelta::from_millis(1_500);
 
 /// Read, what it needs, share of ops, milliseconds of a core, latency target, op timeout, value, late value.
 type Kind = (&'static str, &'static str, f64, f64, i64, i64, f64, f64);
@@ -150,7 +150,7 @@
 
 impl World {
     pub fn new(town: Town) -> Self {
-        let now = Point::from_micros(1_000_000_000_000);
+        let now = Timestamp::from_micros(1_000_000_000_000);
         let manifest = manifest(&town);
         let rows = OpType::rows(&manifest).into_iter().zip(KINDS).map(|(row, k)| (row, k.2, k.3 * 1000.0));
         let total = town.groups * town.members;
@@ -172,12 +172,12 @@
             entries: Vec::new(),
             town,
         };
-        let entries: Vec<Entry> = (0..total).map(|at| world.entry(at, Availability::Ready)).collect();
+        let entries: Vec<HostEntry> = (0..total).map(|at| world.entry(at, Availability::Ready)).collect();
         world.entries = entries;
         for router in 0..world.town.routers {
             world.begin(router);
         }
-        world.at(Span::ZERO, Due::Ask);
+        world.at(TimeDelta::ZERO, Due::Ask);
         world
     }
 
@@ -192,7 +192,7 @@
         }
         self.carry_out(router, actions);
         let entries = self.entries.clone();
-        self.feed(router, Note::Listed { form: ListForm::Saved, entries });
+        self.feed(router, RouterEvent::HostList { kind: ListKind::Saved, entries });
     }
 
     /// Kills a router and starts it anew: what it had under way is nobody's, its clients come again, its connections are gone,
@@ -212,7 +212,7 @@
         self.begin(router);
     }
 
-    pub fn happens(&mut self, after: Span, event: Event) {
+    pub fn happens(&mut self, after: TimeDelta, event: Event) {
         self.at(after, Due::Happens(event));
     }
 
@@ -222,7 +222,7 @@
     }
 
     /// Plays on for so long.
-    pub fn play(&mut self, span: Span) -> &Sums {
+    pub fn play(&mut self, span: TimeDelta) -> &Sums {
         let end = self.now + span;
         while let Some(entry) = self.events.first_entry().filter(|entry| entry.key().0 <= end) {
             let ((at, _), due) = entry.remove_entry();
@@ -234,26 +234,26 @@
     }
 
     /// The most that any host was pushed while it warmed up, over its present capacity in such a window.
-    pub fn pushed(&self, window: Span) -> f64 {
+    pub fn pushed(&self, window: TimeDelta) -> f64 {
         self.hosts.iter().map(|host| host.pushed(window)).fold(0.0, f64::max)
     }
 
-    fn at(&mut self, after: Span, due: Due) {
+    fn at(&mut self, after: TimeDelta, due: Due) {
         self.number += 1;
         self.events.insert((self.now + after, self.number), due);
     }
 
-    fn entry(&self, at: usize, availability: Availability) -> Entry {
+    fn entry(&self, at: usize, availability: Availability) -> HostEntry {
         let group = self.hosts[at].group;
-        Entry {
+        HostEntry {
             host: HostId(at as u32),
-            tag: at as u32,
+            address_hash: at as u32,
             availability,
-            parts: [Part { group: GroupId(group as i64), guest: false }].into(),
+            memberships: [GroupMembership { group: GroupId(group as i64), primary_only: false }].into(),
             zone: ZoneId(0),
             size: 1.0,
-            primary: self.town.named && at == group * self.town.members,
-            started: None,
+            is_primary: self.town.named && at == group * self.town.members,
+            started_at: None,
         }
     }
 
@@ -261,7 +261,7 @@
         match due {
             Due::Ask => {
                 let gap = -self.rng.f64().max(1e-9).ln() / self.town.rate;
-                self.at(Span::from_micros((gap * 1e6) as i64), Due::Ask);
+                self.at(TimeDelta::from_micros((gap * 1e6) as i64), Due::Ask);
                 self.ask();
             }
             Due::Again(kind, group, tries) => {
@@ -270,12 +270,12 @@
             }
             Due::Happens(event) => self.happen(event),
             Due::Leads(group, host) => self.leads[group].0 = Some(host),
-            Due::Ring(router, cookie) => self.feed(router, Note::Rang { cookie }),
+            Due::Ring(router, cookie) => self.feed(router, RouterEvent::TimerFired { timer: cookie }),
             Due::Probed(router, host, outcome, word) => {
-                self.feed(router, Note::Probed { host, outcome, word })
+                self.feed(router, RouterEvent::ProbeEnded { host, outcome, status: word })
             }
             Due::Listed(router, entries) => {
-                self.feed(router, Note::Listed { form: ListForm::Changes, entries })
+                self.feed(router, RouterEvent::HostList { kind: ListKind::Incremental, entries })
             }
             Due::Ended(router, mut end) => {
                 if let Some(open) = self.open.get(&(router, end.op)).filter(|_| end.outcome == Outcome::Acked)
@@ -286,8 +286,8 @@
                     self.sums.writes_acked += u64::from(open.write);
                     self.open.remove(&(router, end.op));
                 }
-                end.finished = !self.open.contains_key(&(router, end.op));
-                self.feed(router, Note::SendEnded(end));
+                end.op_finished = !self.open.contains_key(&(router, end.op));
+                self.feed(router, RouterEvent::SendEnded(end));
             }
         }
     }
@@ -312,7 +312,7 @@
     fn ask_at(&mut self, router: usize, kind: usize, group: Option<GroupId>, tries: u32) {
         let row = &self.rows[kind].0;
         let (op, due) = (OpId(self.next), self.now + row.op_timeout);
-        let write = row.need == Need::Write;
+        let write = row.consistency == Consistency::Write;
         // An exponential draw around the mean.
         let work = -self.rng.f64().max(1e-9).ln() * self.rows[kind].2;
         self.next += 1;
@@ -333,8 +333,15 @@
         };
         self.open.insert((router, op), open);
         let session = Some(SessionId(self.rng.u64(..20) * 1000 + group.0 as u64));
-        let ask = Ask { op, op_type: OpTypeId(kind as u32), group, session, due, ..Ask::default() };
-        self.feed(router, Note::Asked(ask));
+        let ask = OpRequest {
+            op,
+            op_type: OpTypeId(kind as u32),
+            group,
+            session,
+            deadline: due,
+            ..OpRequest::default()
+        };
+        self.feed(router, RouterEvent::OpRequested(ask));
     }
 
     fn happen(&mut self, event: Event) {
@@ -355,13 +362,16 @@
             }
             Event::Replace(group) => {
                 let old = members(self, group);
-                let mut told: Vec<Entry> = Vec::new();
+                let mut told: Vec<HostEntry> = Vec::new();
                 for at in old {
                     told.push(self.entry(at, Availability::Gone));
                     let (cores, cold, from) = (self.town.cores, self.town.cold, self.town.cold_from);
                     self.hosts.push(Host::new(group, cores, Some(self.now), cold, from));
                     let new = self.hosts.len() - 1;
-                    told.push(Entry { started: Some(self.now), ..self.entry(new, Availability::Ready) });
+                    told.push(HostEntry {
+                        started_at: Some(self.now),
+                        ..self.entry(new, Availability::Ready)
+                    });
                     self.leads[group].0 = Some(new);
                 }
                 self.tell(told);
@@ -377,24 +387,24 @@
     }
 
     /// Lists reach each router within a second.
-    fn tell(&mut self, told: Vec<Entry>) {
+    fn tell(&mut self, told: Vec<HostEntry>) {
         for router in 0..self.routers.len() {
-            let after = Span::from_micros(self.rng.i64(0..1_000_000));
+            let after = TimeDelta::from_micros(self.rng.i64(0..1_000_000));
             self.at(after, Due::Listed(router, told.clone()));
         }
     }
 
-    fn feed(&mut self, router: usize, note: Note) {
+    fn feed(&mut self, router: usize, note: RouterEvent) {
         let mut actions = Vec::new();
-        self.routers[router].take(self.now, note, &mut actions);
+        self.routers[router].handle(self.now, note, &mut actions);
         self.carry_out(router, actions);
     }
 
     fn carry_out(&mut self, router: usize, actions: Vec<Action>) {
         for action in actions {
             match action {
-                Action::Ring { after, cookie } => self.at(after, Due::Ring(router, cookie)),
-                Action::Send { op, host, until } => self.send(router, op, host, until),
+                Action::SetTimer { after, timer: cookie } => self.at(after, Due::Ring(router, cookie)),
+                Action::Send { op, host, deadline: until } => self.send(router, op, host, until),
                 Action::Probe { host } => self.probe(router, host),
                 Action::BusyReply { op, .. } => self.given_up(router, op, true),
                 Action::ErrorReply { op } => self.given_up(router, op, false),
@@ -416,7 +426,7 @@
     }
 
     /// A connection for a command till it ends at that point; when the command begins.
-    fn connect(&mut self, router: usize, host: HostId) -> Point {
+    fn connect(&mut self, router: usize, host: HostId) -> Timestamp {
         let links = self.links.entry((router, host)).or_default();
         links.retain(|free| self.now - *free < IDLE);
         let idle = links.iter().position(|free| *free <= self.now);
@@ -426,42 +436,43 @@
         }
         self.sums.dials += 1;
         self.hosts[host.0 as usize].dialed(self.now);
-        self.now + Span::from_millis(2)
+        self.now + TimeDelta::from_millis(2)
     }
 
-    fn word(&self, host: HostId, as_of: Point) -> Word {
+    fn word(&self, host: HostId, as_of: Timestamp) -> HostStatus {
         let (lead, lost) = self.leads[self.hosts[host.0 as usize].group];
         let primary = lead == Some(host.0 as usize);
         // Without a primary positions stand still.
         let stands = if lead.is_none() { as_of.min(lost) } else { as_of };
         let position = if primary { as_of } else { stands - self.town.behind };
         let role = if primary { Role::Primary } else { Role::Replica };
-        Word { role: Some(role), position: Some(position), ..Word::default() }
+        HostStatus { role: Some(role), position: Some(position), ..HostStatus::default() }
     }
 
-    fn send(&mut self, router: usize, op: OpId, host: HostId, until: Point) {
+    fn send(&mut self, router: usize, op: OpId, host: HostId, until: Timestamp) {
         self.sums.sends += 1;
         let Some(open) = self.open.get_mut(&(router, op)) else { return };
-        let (send, work, write) = (SendNo(open.sent), open.work, open.write);
+        let (send, work, write) = (SendIndex(open.sent), open.work, open.write);
         open.sent += 1;
         let begins = self.connect(router, host);
         let one = &mut self.hosts[host.0 as usize];
         let leads = self.leads[one.group].0 == Some(host.0 as usize);
         let (outcome, at) = match one.up {
             false => (Outcome::TimedOut, until),
-            true if write && !leads => (Outcome::Miss, begins + Span::from_millis(1)),
+            true if write && !leads => (Outcome::Misrouted, begins + TimeDelta::from_millis(1)),
             true => match one.serve(begins, work, LONGEST) {
                 Some(done) if done <= until => (Outcome::Acked, done),
                 Some(_) => (Outcome::TimedOut, until),
-                None => (Outcome::Full, begins + Span::from_millis(1)),
+                None => (Outcome::Overloaded, begins + TimeDelta::from_millis(1)),
             },
         };
         let at = at.max(self.now);
         if outcome.is_answer() {
             self.links.entry((router, host)).or_default().push(at);
         }
-        let word = if outcome.is_answer() { self.word(host, at) } else { Word::default() };
-        let end = Ended { op, send, host, outcome, took: at - self.now, finished: false, word };
+        let word = if outcome.is_answer() { self.word(host, at) } else { HostStatus::default() };
+        let end =
+            SendResult { op, send, host, outcome, elapsed: at - self.now, op_finished: false, status: word };
         self.at(at - self.now, Due::Ended(router, end));
     }
 
@@ -469,9 +480,10 @@
         self.sums.probes += 1;
         if !self.hosts[host.0 as usize].up {
             self.hosts[host.0 as usize].probes += 1;
-            return self.at(CONNECT, Due::Probed(router, host, Outcome::ConnectFailed, Word::default()));
+            return self
+                .at(CONNECT, Due::Probed(router, host, Outcome::ConnectFailed, HostStatus::default()));
         }
-        let done = self.connect(router, host) + Span::from_millis(1);
+        let done = self.connect(router, host) + TimeDelta::from_millis(1);
         let as_of = self.hosts[host.0 as usize].probed(self.now);
         self.links.entry((router, host)).or_default().push(done);
         let word = self.word(host, as_of);
@@ -479,31 +491,33 @@
     }
 }
 
-fn manifest(town: &Town) -> Manifest {
-    let mut told = Manifest::new();
-    let mut put = |name: &str, fact: Fact| told.insert(name.to_string(), fact);
-    let ms = |millis: i64| Fact::Span(Span::from_millis(millis));
+fn manifest(town: &Town) -> RouterSettings {
+    let mut told = RouterSettings::new();
+    let mut put = |name: &str, fact: SettingValue| told.insert(name.to_string(), fact);
+    let ms = |millis: i64| SettingValue::TimeDelta(TimeDelta::from_millis(millis));
     for (row, (read, effect, _, _, target, timeout, value, late)) in KINDS.into_iter().enumerate() {
-        let mut row = |field: &str, fact: Fact| put(&format!("op_type.{row}.{field}"), fact);
+        let mut row = |field: &str, fact: SettingValue| put(&format!("op_type.{row}.{field}"), fact);
         row("latency_target", ms(target));
         row("op_timeout", ms(timeout));
-        row("read", Fact::Text(read.to_string()));
-        row("effect", Fact::Text(effect.to_string()));
-        row("scope", Fact::Text("group".to_string()));
-        row("value", Fact::Number(value));
-        row("late_value", Fact::Number(late));
+        row("read", SettingValue::Text(read.to_string()));
+        row("effect", SettingValue::Text(effect.to_string()));
+        row("scope", SettingValue::Text("group".to_string()));
+        row("value", SettingValue::Number(value));
+        row("late_value", SettingValue::Number(late));
         row("memory", ms(1200));
         row("bound", ms(300));
     }
-    ["cancel", "probes", "retry_after"].into_iter().for_each(|flag| drop(put(flag, Fact::Flag(true))));
+    ["cancel", "probes", "retry_after"]
+        .into_iter()
+        .for_each(|flag| drop(put(flag, SettingValue::Flag(true))));
     let spans = [("tick", 5), ("connect_timeout", 250), ("max_retry_after", 2000), ("fall", 1500)];
     spans.into_iter().for_each(|(name, millis)| drop(put(name, ms(millis))));
-    put("idle_close", Fact::Span(IDLE * 1.25));
-    put("cold", Fact::Span(town.cold));
+    put("idle_close", SettingValue::TimeDelta(IDLE * 1.25));
+    put("cold", SettingValue::TimeDelta(town.cold));
     let numbers = [("max_sends", 8.0), ("cold_from", town.cold_from), ("fall_multiple", 2.0)];
-    numbers.into_iter().for_each(|(name, number)| drop(put(name, Fact::Number(number))));
-    put("routers", Fact::Number(town.routers as f64));
+    numbers.into_iter().for_each(|(name, number)| drop(put(name, SettingValue::Number(number))));
+    put("routers", SettingValue::Number(town.routers as f64));
     let texts = [("reports", "probe"), ("tokens", "remembered"), ("host_checks", "none")];
-    texts.into_iter().for_each(|(name, text)| drop(put(name, Fact::Text(text.to_string()))));
+    texts.into_iter().for_each(|(name, text)| drop(put(name, SettingValue::Text(text.to_string()))));
     told
 }
--- a/crates/arrowyard-fleet/tests/fleet.rs
+++ b/crates/arrowyard-fleet/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! What is harmless in one router and harmful in all, each cause as a small run that is the same each time.
 
 use arrowyard_fleet::{Event, Sums, Town, World};
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 
-fn ms(millis: i64) -> Span {
-    Span::from_millis(millis)
+fn ms(millis: i64) -> TimeDelta {
+    TimeDelta::from_millis(millis)
 }
 
 fn share(part: u64, whole: u64) -> f64 {
--- a/crates/arrowyard-fleet/tests/peers.rs
+++ b/crates/arrowyard-fleet/tests/peers.rs
@@ -2,7 +2,7 @@
 
 use arrowyard_fleet::peers::{Ours, Said, World};
 use arrowyard_testbed::plan::{Fault, Plan};
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 
 fn world(plan: Plan) -> World {
     let count = plan.processes;
@@ -48,8 +48,8 @@
             let plan = Plan { seed, ..Plan::named("crash", count).expect("it has a name") };
             let mut world = world(plan.clone());
             let begin = world.now;
-            world.till(Span::from_millis(11_000));
-            let killed = begin + Span::from_millis(8_000);
+            world.till(TimeDelta::from_millis(11_000));
+            let killed = begin + TimeDelta::from_millis(8_000);
             let known =
                 (0..count).filter(|&by| {
                     world.books.said.iter().any(|&(at, who, of, said)| {
@@ -71,7 +71,7 @@
         .act(900_000, 1_000, Fault::End(vec![6]))
         .act(1_200_000, 2 * hour, Fault::Kill(vec![7]));
     let mut world = world(plan);
-    world.till(Span::from_millis(8_000 + hour as i64 + 5_000));
+    world.till(TimeDelta::from_millis(8_000 + hour as i64 + 5_000));
     assert!(world.agreed(), "{:?}", world.held());
 }
 
@@ -82,7 +82,7 @@
         plan,
         Box::new(|now, who, seed| Box::new(Ours::new(now, who, &[0, 1, 4000], 100.0, seed))),
     );
-    world.till(Span::from_millis(10_000));
+    world.till(TimeDelta::from_millis(10_000));
     assert!(world.agreed(), "{:?}", world.held());
     assert!(world.books.largest <= 1200);
 }
--- a/crates/arrowyard-flight/src/conduct.rs
+++ b/crates/arrowyard-flight/src/conduct.rs
@@ -3,7 +3,7 @@
 
 use std::collections::HashMap;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 /// A client's connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -23,11 +23,11 @@
 struct Line {
     open: usize,
     /// Calls that were taken back, in the slice of time that begins here and in the one before it.
-    slice: Point,
+    slice: Timestamp,
     now: u32,
     before: u32,
     /// When a call last came or ended.
-    used: Point,
+    used: Timestamp,
 }
 
 #[derive(Debug)]
@@ -37,14 +37,14 @@
     lines: usize,
     /// Calls taken back in this span at most.
     most: u32,
-    span: Span,
-    idle: Span,
+    span: TimeDelta,
+    idle: TimeDelta,
     known: HashMap<LineId, Line>,
     next: u64,
 }
 
 impl Conduct {
-    pub fn new(lines: usize, calls: usize, most: u32, span: Span, idle: Span) -> Self {
+    pub fn new(lines: usize, calls: usize, most: u32, span: TimeDelta, idle: TimeDelta) -> Self {
         Conduct { calls, lines, most, span, idle, known: HashMap::new(), next: 0 }
     }
 
@@ -53,7 +53,7 @@
     }
 
     /// A connection came; nothing where there are as many as there may be.
-    pub fn came(&mut self, now: Point) -> Option<LineId> {
+    pub fn came(&mut self, now: Timestamp) -> Option<LineId> {
         if self.known.len() >= self.lines {
             return None;
         }
@@ -69,7 +69,7 @@
 
     /// The connections that have no call open and had none for too long, or, where there is no room for more, the one
     /// that was idle for longest. Danger: connections that say nothing leave no room for those that ask.
-    pub fn idlers(&self, now: Point) -> Vec<LineId> {
+    pub fn idlers(&self, now: Timestamp) -> Vec<LineId> {
         let idle = || self.known.iter().filter(|(_, line)| line.open == 0);
         let mut gone: Vec<LineId> =
             idle().filter(|(_, line)| now - line.used >= self.idle).map(|(id, _)| *id).collect();
@@ -80,7 +80,7 @@
         gone
     }
 
-    pub fn call(&mut self, now: Point, id: LineId) -> Verdict {
+    pub fn call(&mut self, now: Timestamp, id: LineId) -> Verdict {
         let (most, calls, span) = (self.most, self.calls, self.span);
         let Some(line) = self.known.get_mut(&id) else { return Verdict::Abuse };
         line.turn(now, span);
@@ -96,7 +96,7 @@
     }
 
     /// A call ended; `taken_back` if its client left it before it was answered. Whether the connection is to end.
-    pub fn ended(&mut self, now: Point, id: LineId, taken_back: bool) -> bool {
+    pub fn ended(&mut self, now: Timestamp, id: LineId, taken_back: bool) -> bool {
         let (most, span) = (self.most, self.span);
         let Some(line) = self.known.get_mut(&id) else { return false };
         line.turn(now, span);
@@ -109,7 +109,7 @@
 }
 
 impl Line {
-    fn turn(&mut self, now: Point, span: Span) {
+    fn turn(&mut self, now: Timestamp, span: TimeDelta) {
         if now - self.slice >= span {
             let next = now - self.slice < span * 2.0;
             (self.before, self.now) = (if next { self.now } else { 0 }, 0);
@@ -118,7 +118,7 @@
     }
 
     /// What was taken back in the span before now, as the part of the slice before that it still covers tells.
-    fn recent(&self, now: Point, span: Span) -> u32 {
+    fn recent(&self, now: Timestamp, span: TimeDelta) -> u32 {
         let past = ((now - self.slice) / span).clamp(0.0, 1.0);
         self.now + (f64::from(self.before) * (1.0 - past)) as u32
     }
--- a/crates/arrowyard-flight/src/handles.rs
+++ b/crates/arrowyard-flight/src/handles.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, HashMap};
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use bytes::{BufMut, Bytes, BytesMut};
 
 use crate::bind::{self, Literal};
@@ -17,7 +17,7 @@
 #[derive(Debug)]
 struct Row {
     text: String,
-    used: Point,
+    used: Timestamp,
     /// Its place in the order of use.
     turn: u64,
 }
@@ -26,7 +26,7 @@
 pub struct Handles {
     key: Key,
     most: usize,
-    idle: Span,
+    idle: TimeDelta,
     longest: usize,
     rows: HashMap<u64, Row>,
     /// The longest unused first.
@@ -37,7 +37,7 @@
 
 impl Handles {
     /// `most` are kept, each till it was not used for `idle`; a statement has `longest` bytes at most.
-    pub fn new(key: Key, most: usize, idle: Span, longest: usize) -> Self {
+    pub fn new(key: Key, most: usize, idle: TimeDelta, longest: usize) -> Self {
         let (rows, order) = Default::default();
         Handles { key, most, idle, longest, rows, order, next: 0, turn: 0 }
     }
@@ -50,7 +50,7 @@
     ///
     /// # Errors
     /// It is too long, its parameters make no sense, or all handles are in use.
-    pub fn prepare(&mut self, now: Point, text: &str) -> Result<(Bytes, usize), Fault> {
+    pub fn prepare(&mut self, now: Timestamp, text: &str) -> Result<(Bytes, usize), Fault> {
         if text.len() > self.longest {
             return Err(Fault::TooLarge("the statement"));
         }
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// There is no such statement, they are not as many as it has, or take more bytes than a statement may.
-    pub fn bind(&mut self, now: Point, handle: &[u8], values: &[Literal]) -> Result<Bytes, Fault> {
+    pub fn bind(&mut self, now: Timestamp, handle: &[u8], values: &[Literal]) -> Result<Bytes, Fault> {
         let (number, _) = self.read(handle)?;
         self.sweep(now);
         let row = self.rows.get(&number).ok_or(Fault::Handle)?;
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// There is no such statement, or its parameters were not bound.
-    pub fn statement(&mut self, now: Point, handle: &[u8]) -> Result<String, Fault> {
+    pub fn statement(&mut self, now: Timestamp, handle: &[u8]) -> Result<String, Fault> {
         let (number, values) = self.read(handle)?;
         self.sweep(now);
         let row = self.rows.get(&number).ok_or(Fault::Handle)?;
@@ -110,7 +110,7 @@
         Ok(())
     }
 
-    fn touch(&mut self, now: Point, number: u64) {
+    fn touch(&mut self, now: Timestamp, number: u64) {
         self.turn += 1;
         let Some(row) = self.rows.get_mut(&number) else { return };
         self.order.remove(&row.turn);
@@ -119,7 +119,7 @@
     }
 
     /// Forgets what was not used for too long.
-    fn sweep(&mut self, now: Point) {
+    fn sweep(&mut self, now: Timestamp) {
         while let Some((&turn, &number)) = self.order.first_key_value() {
             if self.rows.get(&number).is_some_and(|row| now - row.used < self.idle) {
                 return;
--- a/crates/arrowyard-flight/src/status.rs
+++ b/crates/arrowyard-flight/src/status.rs
@@ -1,7 +1,7 @@
 //! What a client is told, as gRPC's statuses, and what a host's status means for a send. One table each; the pages for
 //! operators show the same.
 
-use arrowyard_types::{Outcome, Span};
+use arrowyard_types::{Outcome, TimeDelta};
 
 /// The codes of gRPC that are used here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -40,7 +40,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Fault {
     /// Nothing of it ran; come back after this span, if one is named.
-    Busy(Option<Span>),
+    Busy(Option<TimeDelta>),
     /// It may have run.
     Errored,
     /// The client's time is up; it may have run.
@@ -99,7 +99,7 @@
     }
 
     /// When to come back, if that is told.
-    pub const fn after(&self) -> Option<Span> {
+    pub const fn after(&self) -> Option<TimeDelta> {
         if let Fault::Busy(after) = self { *after } else { None }
     }
 }
@@ -113,8 +113,8 @@
 pub fn outcome(code: i32, never: Option<&str>) -> Outcome {
     match (code, never) {
         (0, _) => Outcome::Acked,
-        (_, Some("full")) => Outcome::Full,
-        (_, Some("miss")) => Outcome::Miss,
+        (_, Some("full")) => Outcome::Overloaded,
+        (_, Some("miss")) => Outcome::Misrouted,
         _ => Outcome::Errored,
     }
 }
