--- a/crates/arrowyard-flight/src/ticket.rs
+++ b/crates/arrowyard-flight/src/ticket.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::hash::Hasher;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use bytes::{BufMut, Bytes, BytesMut};
 use siphasher::sip128::{Hasher128, SipHasher24};
 
@@ -38,7 +38,7 @@
 /// A ticket that was redeemed, so that it may be given back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Stub {
-    expires: Point,
+    expires: Timestamp,
     number: u64,
 }
 
@@ -48,7 +48,7 @@
     key: Key,
     next: u64,
     /// How long a ticket holds.
-    span: Span,
+    span: TimeDelta,
     /// Redeemed ones that are remembered at most, and bytes of a statement at most.
     most: usize,
     longest: usize,
@@ -56,7 +56,7 @@
 }
 
 impl Tickets {
-    pub fn new(key: Key, span: Span, most: usize, longest: usize) -> Self {
+    pub fn new(key: Key, span: TimeDelta, most: usize, longest: usize) -> Self {
         Tickets { key, next: 0, span, most, longest, redeemed: BTreeSet::new() }
     }
 
@@ -64,7 +64,7 @@
     ///
     /// # Errors
     /// The statement is longer than any that is taken.
-    pub fn plan(&mut self, now: Point, text: &str) -> Result<(Bytes, Point), Fault> {
+    pub fn plan(&mut self, now: Timestamp, text: &str) -> Result<(Bytes, Timestamp), Fault> {
         if text.len() > self.longest {
             return Err(Fault::TooLarge("the statement"));
         }
@@ -84,7 +84,7 @@
     ///
     /// # Errors
     /// It is none of this router's, is too old, or was redeemed; or more are remembered than there is room for.
-    pub fn redeem<'a>(&mut self, now: Point, ticket: &'a [u8]) -> Result<(&'a str, Stub), Fault> {
+    pub fn redeem<'a>(&mut self, now: Timestamp, ticket: &'a [u8]) -> Result<(&'a str, Stub), Fault> {
         let foreign = Fault::Ticket("not a ticket of this router, or spoilt on its way");
         if ticket.len() < HEAD + SEAL || ticket.len() > HEAD + self.longest + SEAL {
             return Err(foreign);
@@ -96,7 +96,7 @@
             return Err(foreign);
         }
         let word = |at: usize| sealed[at..at + 8].try_into().map(u64::from_be_bytes).unwrap_or_default();
-        let expires = Point::from_micros(word(1) as i64);
+        let expires = Timestamp::from_micros(word(1) as i64);
         let Ok(text) = std::str::from_utf8(&sealed[HEAD..]) else { return Err(foreign) };
         if now >= expires {
             return Err(Fault::Spent("the ticket has expired; plan again"));
--- a/crates/arrowyard-flight/tests/kept.rs
+++ b/crates/arrowyard-flight/tests/kept.rs
@@ -9,17 +9,17 @@
 use arrowyard_flight::hold::{Cut, Hold, Holds, Next};
 use arrowyard_flight::ticket::{Key, Tickets};
 use arrowyard_flight::{Code, Fault};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
-fn ms(millis: i64) -> Point {
-    Point::from_micros(millis * 1000)
+fn ms(millis: i64) -> Timestamp {
+    Timestamp::from_micros(millis * 1000)
 }
 
 const KEY: Key = Key(7, 11);
 
 fn tickets(most: usize) -> Tickets {
-    Tickets::new(KEY, Span::from_millis(1000), most, 200)
+    Tickets::new(KEY, TimeDelta::from_millis(1000), most, 200)
 }
 
 #[test]
@@ -27,7 +27,7 @@
     let mut router = tickets(8);
     let (ticket, expires) = router.plan(ms(0), "SELECT 1").expect("it is short");
     assert_eq!(expires, ms(1000));
-    let mut other = Tickets::new(Key(7, 12), Span::from_millis(1000), 8, 200);
+    let mut other = Tickets::new(Key(7, 12), TimeDelta::from_millis(1000), 8, 200);
     assert!(matches!(other.redeem(ms(1), &ticket), Err(Fault::Ticket(_))));
     let (text, stub) = router.redeem(ms(400), &ticket).expect("it is good");
     assert_eq!(text, "SELECT 1");
@@ -76,7 +76,7 @@
         prop_assert!(matches!(router.redeem(ms(1), &spoilt), Err(Fault::Ticket(_))));
         let short = ticket.len().saturating_sub(cut + 1);
         prop_assert!(matches!(router.redeem(ms(1), &ticket[..short]), Err(Fault::Ticket(_))));
-        let mut handles = Handles::new(KEY, 4, Span::from_millis(100), 200);
+        let mut handles = Handles::new(KEY, 4, TimeDelta::from_millis(100), 200);
         let (handle, _) = handles.prepare(ms(0), &text).expect("it is short");
         let mut spoilt = handle.to_vec();
         let place = at % spoilt.len();
@@ -88,7 +88,7 @@
     #[test]
     fn arbitrary_bytes_are_no_ticket_and_no_handle(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         prop_assert!(tickets(8).redeem(ms(1), &bytes).is_err());
-        let mut handles = Handles::new(KEY, 4, Span::from_millis(100), 200);
+        let mut handles = Handles::new(KEY, 4, TimeDelta::from_millis(100), 200);
         prop_assert!(handles.statement(ms(1), &bytes).is_err() && handles.close(&bytes).is_err());
     }
 
@@ -97,7 +97,7 @@
     fn prepared_statements_are_kept_while_they_are_used_and_as_many_as_there_may_be(
         steps in prop::collection::vec((0_u8..4, 0_usize..6, 1_i64..40), 1..60),
     ) {
-        let mut handles = Handles::new(KEY, 3, Span::from_millis(100), 200);
+        let mut handles = Handles::new(KEY, 3, TimeDelta::from_millis(100), 200);
         let mut all: Vec<(bytes::Bytes, Option<i64>, String)> = Vec::new();
         let mut now = 0;
         for (what, which, pause) in steps {
@@ -193,7 +193,7 @@
 
 #[test]
 fn bound_parameters_stay_with_the_handle_that_holds_them() {
-    let mut handles = Handles::new(KEY, 4, Span::from_millis(100), 200);
+    let mut handles = Handles::new(KEY, 4, TimeDelta::from_millis(100), 200);
     let (handle, parameters) = handles.prepare(ms(0), "SELECT $1").expect("it is short");
     assert_eq!(parameters, 1);
     let one = handles.bind(ms(1), &handle, &[Literal::Int(1)]).expect("one for one");
@@ -224,8 +224,8 @@
         Fault::NotHere(""),
     ];
     assert!(faults.iter().all(|fault| fault.code() != Code::Unavailable && fault.after().is_none()));
-    let busy = Fault::Busy(Some(Span::from_millis(70)));
-    assert_eq!((busy.code(), busy.after()), (Code::Unavailable, Some(Span::from_millis(70))));
+    let busy = Fault::Busy(Some(TimeDelta::from_millis(70)));
+    assert_eq!((busy.code(), busy.after()), (Code::Unavailable, Some(TimeDelta::from_millis(70))));
     let may_have_run = [Fault::Errored, Fault::OutOfTime, Fault::Spoilt].map(|fault| fault.text());
     assert!(may_have_run.iter().all(|text| text.contains("may have run")));
     let numbers: HashSet<i32> = faults.iter().map(|fault| fault.code().number()).collect();
@@ -234,7 +234,7 @@
 
 #[test]
 fn a_connection_that_takes_back_what_it_asked_ends_and_others_go_on() {
-    let mut conduct = Conduct::new(2, 3, 4, Span::from_millis(1000), Span::from_millis(5000));
+    let mut conduct = Conduct::new(2, 3, 4, TimeDelta::from_millis(1000), TimeDelta::from_millis(5000));
     let (good, bad) = (conduct.came(ms(0)).expect("a place"), conduct.came(ms(0)).expect("a place"));
     assert_eq!(conduct.came(ms(0)), None);
     for _ in 0..3 {
--- a/crates/arrowyard-front-flight/src/back.rs
+++ b/crates/arrowyard-front-flight/src/back.rs
@@ -16,7 +16,7 @@
 use arrowyard_flight::hold::{Holds, Next as Held};
 use arrowyard_flight::status::{NEVER, outcome};
 use arrowyard_pg::{Statement, report};
-use arrowyard_types::{HostId, Outcome, Point, Role, Word};
+use arrowyard_types::{HostId, HostStatus, Outcome, Role, Timestamp};
 use bytes::Bytes;
 use http::{HeaderMap, Request};
 use prost::Message;
@@ -74,7 +74,7 @@
 /// How a call ended that is no answer.
 enum Fail {
     /// With this outcome, and what the host said of itself.
-    Told(Outcome, Word),
+    Told(Outcome, HostStatus),
     Broken(String),
     /// What came makes no sense: the call is given up, and may have run.
     Spoilt(&'static str),
@@ -168,7 +168,7 @@
             Err(Broken(why)) => {
                 let proven = call.never_ran();
                 return Err(if proven {
-                    Fail::Told(Outcome::ConnectFailed, Word::default())
+                    Fail::Told(Outcome::ConnectFailed, HostStatus::default())
                 } else {
                     Fail::Broken(why)
                 });
@@ -180,7 +180,7 @@
     }
 
     /// The one message of an answer, and the word with its end.
-    async fn only(&self, mut word: Word, body: &mut Body) -> Result<(Bytes, Word), Fail> {
+    async fn only(&self, mut word: HostStatus, body: &mut Body) -> Result<(Bytes, HostStatus), Fail> {
         let mut only = None;
         loop {
             match body.next(self.limits.message, (self.limits.message, &self.large), |_| ()).await? {
@@ -204,7 +204,7 @@
         statement: &Statement,
         wait: u64,
         queued: impl FnOnce(),
-    ) -> Result<(i64, Word), Fail> {
+    ) -> Result<(i64, HostStatus), Fail> {
         let command = CommandStatementUpdate { query: statement.timed(wait), transaction_id: None };
         let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
         let data = FlightData { flight_descriptor: Some(descriptor), ..FlightData::default() };
@@ -223,7 +223,7 @@
         statement: &Statement,
         wait: u64,
         progress: &Progress<Answer>,
-    ) -> Result<(Option<Answer>, Word), Fail> {
+    ) -> Result<(Option<Answer>, HostStatus), Fail> {
         let command = CommandStatementQuery { query: statement.timed(wait), transaction_id: None };
         let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
         // Danger: nothing keeps a host from running a statement as it plans it. So it may have run from here on.
@@ -252,7 +252,7 @@
     /// Takes a result's messages: held up to a bound, then passed on as they come. `word` is as of its begin.
     async fn flow(
         &self,
-        word: Word,
+        word: HostStatus,
         body: &mut Body,
         progress: &Progress<Answer>,
     ) -> Result<Option<Answer>, Fail> {
@@ -325,9 +325,11 @@
         }
     }
 
-    async fn report(&self, host: HostId, dial: SocketAddr) -> Result<Word, Fail> {
-        let line =
-            self.line(host, dial).await.map_err(|_| Fail::Told(Outcome::ConnectFailed, Word::default()))?;
+    async fn report(&self, host: HostId, dial: SocketAddr) -> Result<HostStatus, Fail> {
+        let line = self
+            .line(host, dial)
+            .await
+            .map_err(|_| Fail::Told(Outcome::ConnectFailed, HostStatus::default()))?;
         let action = Action { r#type: REPORT.to_string(), body: Bytes::new() };
         let wait = self.limits.connect.as_millis() as u64;
         let (_call, head, mut body) = self.call(&line, "DoAction", &action, wait, || ()).await?;
@@ -339,10 +341,10 @@
         let told = text.as_deref().and_then(report).ok_or(Fail::Spoilt("a report that cannot be read"))?;
         for (name, number) in told {
             match name.as_str() {
-                "position" => word.position = Some(Point::from_micros((number * 1000.0) as i64)),
+                "position" => word.position = Some(Timestamp::from_micros((number * 1000.0) as i64)),
                 "primary" => word.role = Some(if number == 1.0 { Role::Primary } else { Role::Replica }),
-                "util" => word.util = Some(number),
-                "queue" => word.queue = Some(number),
+                "util" => word.cpu_utilization = Some(number),
+                "queue" => word.queued_ops = Some(number),
                 _ => {}
             }
         }
@@ -360,13 +362,13 @@
 }
 
 /// What a host says of itself in metadata.
-fn word(head: &HeaderMap) -> Word {
-    let mut word = Word::default();
+fn word(head: &HeaderMap) -> HostStatus {
+    let mut word = HostStatus::default();
     learn(&mut word, head);
     word
 }
 
-fn learn(word: &mut Word, head: &HeaderMap) {
+fn learn(word: &mut HostStatus, head: &HeaderMap) {
     let text = |name| head.get(name).and_then(|value| value.to_str().ok());
     word.role = match text(ROLE) {
         Some("primary") => Some(Role::Primary),
@@ -374,11 +376,12 @@
         _ => word.role,
     };
     let position = text(POSITION).and_then(|millis| millis.parse::<i64>().ok());
-    word.position = position.map(|millis| Point::from_micros(millis.saturating_mul(1000))).or(word.position);
+    word.position =
+        position.map(|millis| Timestamp::from_micros(millis.saturating_mul(1000))).or(word.position);
 }
 
 /// Whether a status stands there that is no success.
-fn ended(head: &HeaderMap, mut word: Word) -> Result<(), Fail> {
+fn ended(head: &HeaderMap, mut word: HostStatus) -> Result<(), Fail> {
     let Some(status) = head.get("grpc-status") else { return Ok(()) };
     let code = status.to_str().ok().and_then(|code| code.parse().ok()).unwrap_or(2);
     let never = head.get(NEVER).and_then(|never| never.to_str().ok());
@@ -409,7 +412,7 @@
         host: HostId,
         dial: SocketAddr,
         errand: &Errand,
-        until: Point,
+        until: Timestamp,
         clock: Clock,
         progress: &Progress<Answer>,
     ) -> Told<Answer> {
@@ -417,7 +420,7 @@
             Ok(line) => line,
             Err(Broken(why)) => {
                 tracing::debug!(%dial, "not connected: {why}");
-                return (Outcome::ConnectFailed, Word::default(), None);
+                return (Outcome::ConnectFailed, HostStatus::default(), None);
             }
         };
         // Whole milliseconds, and the host must not give up before the router does.
@@ -436,26 +439,26 @@
         match done {
             Ok((answer, word)) => (Outcome::Acked, word, answer),
             Err(Fail::Told(outcome, word)) => (outcome, word, None),
-            Err(Fail::Left) => (Outcome::Cancelled, Word::default(), None),
+            Err(Fail::Left) => (Outcome::Cancelled, HostStatus::default(), None),
             Err(Fail::Spoilt(why)) => {
                 tracing::warn!(%dial, "a spoilt result: {why}");
-                (Outcome::Reset, Word::default(), None)
+                (Outcome::Reset, HostStatus::default(), None)
             }
             Err(Fail::Broken(why)) => {
                 tracing::debug!(%dial, "broken: {why}");
                 let outcome = if progress.is_written() { Outcome::Reset } else { Outcome::ConnectFailed };
-                (outcome, Word::default(), None)
+                (outcome, HostStatus::default(), None)
             }
         }
     }
 
-    async fn probe(&self, host: HostId, dial: SocketAddr) -> (Outcome, Word) {
+    async fn probe(&self, host: HostId, dial: SocketAddr) -> (Outcome, HostStatus) {
         match timeout(self.limits.connect, self.report(host, dial)).await {
             Ok(Ok(word)) => (Outcome::Acked, word),
             Ok(Err(Fail::Told(outcome, word))) => (outcome, word),
-            Ok(Err(Fail::Spoilt(_))) => (Outcome::Errored, Word::default()),
-            Ok(Err(_)) => (Outcome::Reset, Word::default()),
-            Err(_) => (Outcome::TimedOut, Word::default()),
+            Ok(Err(Fail::Spoilt(_))) => (Outcome::Errored, HostStatus::default()),
+            Ok(Err(_)) => (Outcome::Reset, HostStatus::default()),
+            Err(_) => (Outcome::TimedOut, HostStatus::default()),
         }
     }
 
--- a/crates/arrowyard-front-flight/src/clerk.rs
+++ b/crates/arrowyard-front-flight/src/clerk.rs
@@ -10,7 +10,7 @@
 use arrowyard_flight::conduct::{Conduct, LineId, Verdict};
 use arrowyard_flight::handles::Handles;
 use arrowyard_flight::ticket::{Key, Stub, Tickets};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use bytes::Bytes;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{MissedTickBehavior, interval};
@@ -24,7 +24,7 @@
     Left(LineId),
     Call(LineId, Counter, Asker<Result<Open, Verdict>>),
     Ended { line: LineId, taken_back: bool },
-    Plan(String, Asker<Result<(Bytes, Point), Fault>>),
+    Plan(String, Asker<Result<(Bytes, Timestamp), Fault>>),
     Redeem(Bytes, Asker<Result<(String, Stub), Fault>>),
     GiveBack(Stub),
     Prepare(String, Asker<Result<(Bytes, usize), Fault>>),
@@ -57,8 +57,8 @@
     limits: FlightLimits,
 }
 
-fn span(duration: std::time::Duration) -> Span {
-    Span::from_micros(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
+fn span(duration: std::time::Duration) -> TimeDelta {
+    TimeDelta::from_micros(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
 }
 
 impl Clerk {
@@ -163,7 +163,7 @@
         }
     }
 
-    fn ended(&mut self, now: Point, line: LineId, taken_back: bool) {
+    fn ended(&mut self, now: Timestamp, line: LineId, taken_back: bool) {
         if self.conduct.ended(now, line, taken_back) {
             tracing::warn!(line = line.0, "a client takes back more calls than it may; its connection ends");
             self.kick(line);
--- a/crates/arrowyard-front-flight/src/service.rs
+++ b/crates/arrowyard-front-flight/src/service.rs
@@ -36,7 +36,7 @@
 use arrowyard_flight::brief::{self, Notes};
 use arrowyard_flight::conduct::LineId;
 use arrowyard_flight::ticket::Stub;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use bytes::Bytes;
 use futures::{Stream, StreamExt, TryStreamExt, stream};
 use prost::Message;
@@ -145,7 +145,7 @@
     async fn op(&self, text: &str, asked: &Asked, update: bool) -> Result<Served, Fault> {
         let came = self.clock.now();
         let statement = brief::op(text, &asked.notes, || fastrand::u64(1..))?;
-        let due = came + Span::from_millis(statement.wait_ms.into());
+        let due = came + TimeDelta::from_millis(statement.wait_ms.into());
         let errand = Errand { statement, update, address: Some(asked.peer.address.ip()) };
         match self.hatch.ask(errand).await {
             Ok(Reply::Acked(served)) => Ok(served),
@@ -159,8 +159,8 @@
     }
 
     /// Whether the op's time is up, but for the tick by which an answer is early.
-    fn is_over(&self, due: Point) -> bool {
-        due - self.clock.now() <= Span::from_millis(50)
+    fn is_over(&self, due: Timestamp) -> bool {
+        due - self.clock.now() <= TimeDelta::from_millis(50)
     }
 
     async fn update(&self, text: &str, asked: &Asked) -> Result<i64, Fault> {
@@ -180,7 +180,7 @@
         served
     }
 
-    fn plan_info(&self, descriptor: FlightDescriptor, ticket: Bytes, expires: Point) -> FlightInfo {
+    fn plan_info(&self, descriptor: FlightDescriptor, ticket: Bytes, expires: Timestamp) -> FlightInfo {
         let any = TicketStatementQuery { statement_handle: ticket }.as_any();
         let expires = prost_types::Timestamp {
             seconds: expires.micros().div_euclid(1_000_000),
--- a/crates/arrowyard-front-pg/src/back.rs
+++ b/crates/arrowyard-front-pg/src/back.rs
@@ -8,7 +8,7 @@
 use arrowyard_core::clock::Clock;
 use arrowyard_core::pool::Pool;
 use arrowyard_pg::Statement;
-use arrowyard_types::{HostId, Outcome, Point, Word};
+use arrowyard_types::{HostId, HostStatus, Outcome, Timestamp};
 use bytes::BytesMut;
 use tokio::time::Instant;
 
@@ -39,13 +39,13 @@
         host: HostId,
         dial: SocketAddr,
         statement: &Statement,
-        until: Point,
+        until: Timestamp,
         clock: Clock,
         progress: &Progress<Parcel>,
     ) -> Told<Parcel> {
         let mut link = match self.pool.take(host, dial).await {
             Ok(link) => link,
-            Err(outcome) => return (outcome, Word::default(), None),
+            Err(outcome) => return (outcome, HostStatus::default(), None),
         };
         let mut out = BytesMut::new();
         // Whole milliseconds, and the host must not give up before the router does.
@@ -53,7 +53,7 @@
         statement.put(&mut out, wait.div_ceil(1000));
         if let Err(broken) = link.write(&out).await {
             tracing::debug!(%dial, "not written: {}", broken.0);
-            return (Outcome::ConnectFailed, Word::default(), None);
+            return (Outcome::ConnectFailed, HostStatus::default(), None);
         }
         progress.written();
         match link.answer().await {
@@ -66,12 +66,12 @@
             }
             Err(broken) => {
                 tracing::debug!(%dial, "broken: {}", broken.0);
-                (Outcome::Reset, Word::default(), None)
+                (Outcome::Reset, HostStatus::default(), None)
             }
         }
     }
 
-    async fn probe(&self, host: HostId, dial: SocketAddr) -> (Outcome, Word) {
+    async fn probe(&self, host: HostId, dial: SocketAddr) -> (Outcome, HostStatus) {
         probe::run(host, dial, &self.pool, &self.limits).await
     }
 
--- a/crates/arrowyard-front-pg/src/link.rs
+++ b/crates/arrowyard-front-pg/src/link.rs
@@ -10,7 +10,7 @@
 use arrowyard_core::count::Count;
 use arrowyard_core::pool::Link;
 use arrowyard_pg::{Answer, Heard, Malformed, Mode, Status, code, promised, put_startup};
-use arrowyard_types::{Outcome, Point, Role, Word};
+use arrowyard_types::{HostStatus, Outcome, Role, Timestamp};
 use bytes::BytesMut;
 use socket2::SockRef;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -42,7 +42,7 @@
     pub answer: Option<Parcel>,
     /// The code of an error.
     pub error: Option<String>,
-    pub word: Word,
+    pub word: HostStatus,
     /// The host is ready for another command.
     pub ready: bool,
 }
@@ -68,8 +68,8 @@
     pub fn outcome(&self) -> Outcome {
         match (self.error.as_deref(), &self.answer) {
             (None, Some(_)) => Outcome::Acked,
-            (Some(code::READ_ONLY | code::SNAPSHOT_TOO_OLD), _) => Outcome::Miss,
-            (Some(code::TOO_MANY_CONNECTIONS), _) => Outcome::Full,
+            (Some(code::READ_ONLY | code::SNAPSHOT_TOO_OLD), _) => Outcome::Misrouted,
+            (Some(code::TOO_MANY_CONNECTIONS), _) => Outcome::Overloaded,
             _ => Outcome::Errored,
         }
     }
@@ -108,7 +108,7 @@
         });
         match opened.await {
             Ok(Ok((link, Told { ready: true, error: None, .. }))) => Ok(link),
-            Ok(Ok((_, told))) if told.outcome() == Outcome::Full => Err(Outcome::Full),
+            Ok(Ok((_, told))) if told.outcome() == Outcome::Overloaded => Err(Outcome::Overloaded),
             Ok(Ok((_, told))) => Err(failed(Broken(format!("error {:?}", told.error)))),
             Ok(Err(why)) => Err(failed(why)),
             Err(_) => Err(failed(Broken("no answer in time".to_string()))),
@@ -171,7 +171,7 @@
                     told.word.role = Some(role);
                 }
                 Ok(Heard::Status(Status::Position(millis))) => {
-                    told.word.position = Some(Point::from_micros(millis.saturating_mul(1000)))
+                    told.word.position = Some(Timestamp::from_micros(millis.saturating_mul(1000)))
                 }
                 Ok(Heard::Status(Status::Stats(report))) => learn(&mut told.word, &report),
                 // Danger: what follows a whole answer by mistake, taken for a word on it: what ran would run again.
@@ -234,14 +234,14 @@
 
 /// Adds what a load report tells. Danger: its positions are Unix times in seconds, those of answers in
 /// milliseconds; one taken for the other lies decades back, and every replica seems behind.
-pub fn learn(word: &mut Word, report: &[(String, f64)]) {
+pub fn learn(word: &mut HostStatus, report: &[(String, f64)]) {
     for (name, number) in report {
         match name.as_str() {
-            "x0" => word.position = Some(Point::from_micros((number * 1e6).floor() as i64)),
+            "x0" => word.position = Some(Timestamp::from_micros((number * 1e6).floor() as i64)),
             "x1" if *number == 0.0 => word.role = Some(Role::Replica),
             "x1" if *number == 1.0 => word.role = Some(Role::Primary),
-            "util" | "busy" => word.util = Some(*number),
-            "queue" | "q" => word.queue = Some(*number),
+            "util" | "busy" => word.cpu_utilization = Some(*number),
+            "queue" | "q" => word.queued_ops = Some(*number),
             _ => {}
         }
     }
@@ -312,10 +312,10 @@
 
     #[test]
     fn a_report_tells_positions_in_seconds() {
-        let mut word = Word::default();
+        let mut word = HostStatus::default();
         learn(&mut word, &arrowyard_pg::report("x0=1767225600.123,x1=0").expect("it can be read"));
         let told = word.position.expect("the report holds a position");
-        let early = Point::from_micros(1_767_225_600_123_000) - told;
+        let early = Timestamp::from_micros(1_767_225_600_123_000) - told;
         assert!((0..=1).contains(&early.micros()), "{told:?}");
         assert_eq!(word.role, Some(Role::Replica));
     }
--- a/crates/arrowyard-front-pg/src/probe.rs
+++ b/crates/arrowyard-front-pg/src/probe.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use arrowyard_pg::{put_plain, report, value};
-use arrowyard_types::{HostId, Outcome, Word};
+use arrowyard_types::{HostId, HostStatus, Outcome};
 use bytes::BytesMut;
 use tokio::time::timeout;
 
@@ -12,8 +12,13 @@
 
 use crate::link::{PgLink, learn};
 
-pub async fn run(host: HostId, dial: SocketAddr, pool: &Pool<PgLink>, limits: &Limits) -> (Outcome, Word) {
-    let none = Word::default();
+pub async fn run(
+    host: HostId,
+    dial: SocketAddr,
+    pool: &Pool<PgLink>,
+    limits: &Limits,
+) -> (Outcome, HostStatus) {
+    let none = HostStatus::default();
     let asked = timeout(limits.connect, async {
         let mut link = match pool.take(host, dial).await {
             Ok(link) => link,
--- a/crates/arrowyard-front-pg/src/take_in.rs
+++ b/crates/arrowyard-front-pg/src/take_in.rs
@@ -15,7 +15,7 @@
 use arrowyard_pg::{
     Asked, Malformed, Opening, Statement, code, greet, put_done, put_empty, put_fatal, put_ready, put_value,
 };
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 use bytes::BytesMut;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -277,7 +277,7 @@
     }
 
     /// One op, from its admission to its final answer.
-    async fn op(&mut self, statement: Statement, arrived: Point) -> Result<Reply<Parcel>, Ended> {
+    async fn op(&mut self, statement: Statement, arrived: Timestamp) -> Result<Reply<Parcel>, Ended> {
         let Admitted { ask, claim, place: _open } =
             match self.front.gate.admit(call(&statement, self.address), arrived) {
                 Ok(admitted) => admitted,
--- a/crates/arrowyard-leases/examples/cost.rs
+++ b/crates/arrowyard-leases/examples/cost.rs
@@ -7,11 +7,11 @@
 
 use arrowyard_leases::message::write;
 use arrowyard_leases::{Candidate, CandidateId, Image, LeaseId, Terms, To, Voter, VoterId, Word, lease};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
-fn at(us: i64) -> Point {
-    Point::from_micros(us)
+fn at(us: i64) -> Timestamp {
+    Timestamp::from_micros(us)
 }
 
 struct World {
@@ -72,7 +72,7 @@
         for count in [3_usize, 8, 30] {
             let mut rng = Rng::with_seed(5);
             let image = Image { whole: true, ..Image::default() };
-            let long_ago = at(0) - Span::from_millis(10_000);
+            let long_ago = at(0) - TimeDelta::from_millis(10_000);
             let voter =
                 |of| (Voter::start(long_ago, terms, VoterId(of), Some(image.clone()), 1), Duration::ZERO);
             let names: Vec<LeaseId> = (0..leases).map(|n| lease(&format!("task-{n}"))).collect();
--- a/crates/arrowyard-leases/src/candidate.rs
+++ b/crates/arrowyard-leases/src/candidate.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::guard::Permit;
 #[cfg(any(test, feature = "flaws"))]
@@ -55,7 +55,7 @@
 struct Round {
     number: u64,
     /// From before anything was sent.
-    asked: Point,
+    asked: Timestamp,
     votes: Votes,
 }
 
@@ -63,7 +63,7 @@
 enum State {
     Idle,
     Asks { epoch: Epoch, tries: u8, round: Round },
-    Holds { epoch: Epoch, end: Point, last: u64, round: Option<Round> },
+    Holds { epoch: Epoch, end: Timestamp, last: u64, round: Option<Round> },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -75,17 +75,17 @@
     /// The newest epoch that was heard of.
     known: Epoch,
     /// When it does something next.
-    next: Point,
+    next: Timestamp,
     conflicts: u8,
     /// The epoch whose end it was told of last.
     vacant: Option<Epoch>,
     /// Under which time it stands among those that are due.
-    filed: Option<Point>,
+    filed: Option<Timestamp>,
 }
 
 impl Task {
     /// When it does something next, or loses what it holds.
-    fn due(&self) -> Option<Point> {
+    fn due(&self) -> Option<Timestamp> {
         match self.state {
             State::Idle if !self.wanted => None,
             State::Holds { end, .. } => Some(self.next.min(end)),
@@ -122,7 +122,7 @@
     pub lease: LeaseId,
     pub wanted: bool,
     /// Held by this one, and for how long still.
-    pub left: Option<Span>,
+    pub left: Option<TimeDelta>,
     pub epoch: Epoch,
 }
 
@@ -133,7 +133,7 @@
     round: u64,
     tasks: BTreeMap<LeaseId, Task>,
     /// All tasks that do something some time, by when. Danger: thousands of leases, and a look at each whenever one is due.
-    due: BTreeSet<(Point, LeaseId)>,
+    due: BTreeSet<(Timestamp, LeaseId)>,
     unfit: bool,
     /// What is sent, and what happened; taken by the caller.
     pub out: Vec<(To, Word)>,
@@ -176,7 +176,7 @@
     }
 
     /// It wants this lease from now on; `rank`: those with a smaller one try sooner. `draw` is drawn evenly from 0 to 1.
-    pub fn want(&mut self, now: Point, lease: LeaseId, rank: u32, draw: f64) {
+    pub fn want(&mut self, now: Timestamp, lease: LeaseId, rank: u32, draw: f64) {
         let next = now + self.terms.spread * (f64::from(rank) + draw);
         let (state, known) = (State::Idle, Epoch::default());
         let rank = if self.unfit { rank.saturating_add(UNFIT) } else { rank };
@@ -190,7 +190,7 @@
 
     /// Whether this one is fit to do tasks: one that serves nobody, or doubts itself, gives back what it has, and tries for it
     /// again only after all that are fit had their time. Nothing here decides who may hold: it may be the last one there is.
-    pub fn fit(&mut self, now: Point, fit: bool, mut draw: impl FnMut() -> f64) {
+    pub fn fit(&mut self, now: Timestamp, fit: bool, mut draw: impl FnMut() -> f64) {
         if self.unfit != fit {
             return;
         }
@@ -210,7 +210,7 @@
                 (task.wanted, task.rank) = (true, rank);
                 if task.state == State::Idle {
                     // Beyond the words that tell the others of the vacancy, and beyond their first rounds.
-                    let wait = if fit { Span::ZERO } else { self.terms.retry * 2.0 };
+                    let wait = if fit { TimeDelta::ZERO } else { self.terms.retry * 2.0 };
                     task.next = now + wait + self.terms.spread * (f64::from(rank) + draw());
                     // It is not told of its own vacancy.
                     task.vacant = Some(task.known);
@@ -265,12 +265,12 @@
 
     /// When time has something to do next.
     #[must_use]
-    pub fn next_at(&self) -> Option<Point> {
+    pub fn next_at(&self) -> Option<Timestamp> {
         self.due.first().map(|(at, _)| *at)
     }
 
     /// Time has passed: what is over is lost, what is due is asked for. `draw` gives even draws from 0 to 1.
-    pub fn tick(&mut self, now: Point, mut draw: impl FnMut() -> f64) {
+    pub fn tick(&mut self, now: Timestamp, mut draw: impl FnMut() -> f64) {
         let terms = self.terms;
         if self.next_at().is_none_or(|at| at > now) {
             return;
@@ -320,7 +320,7 @@
         }
     }
 
-    fn ask(&mut self, now: Point, batch: &[(LeaseId, Epoch)]) {
+    fn ask(&mut self, now: Timestamp, batch: &[(LeaseId, Epoch)]) {
         self.round += 1;
         let number = self.round;
         for (lease, epoch) in batch {
@@ -344,7 +344,7 @@
     }
 
     /// A word came.
-    pub fn heard(&mut self, now: Point, word: &Word, mut draw: impl FnMut() -> f64) {
+    pub fn heard(&mut self, now: Timestamp, word: &Word, mut draw: impl FnMut() -> f64) {
         match word {
             Word::Answer { from, round, verdicts, .. } if from.0 < self.terms.voters => {
                 // One draw for all: what was refused together is asked for together.
@@ -380,7 +380,7 @@
     /// What comes of a voter's word; what is to be given back, as no majority is left.
     fn verdict(
         &mut self,
-        now: Point,
+        now: Timestamp,
         voter: VoterId,
         number: u64,
         lease: LeaseId,
@@ -460,7 +460,7 @@
 
     /// The right to act under this lease, if it is held now.
     #[must_use]
-    pub fn permit(&self, now: Point, lease: LeaseId) -> Option<Permit> {
+    pub fn permit(&self, now: Timestamp, lease: LeaseId) -> Option<Permit> {
         match self.tasks.get(&lease)?.state {
             State::Holds { epoch, end, .. } => {
                 #[cfg(any(test, feature = "flaws"))]
@@ -482,7 +482,7 @@
     }
 
     /// All leases that it wants or has.
-    pub fn seen(&self, now: Point) -> impl Iterator<Item = Seen> {
+    pub fn seen(&self, now: Timestamp) -> impl Iterator<Item = Seen> {
         self.tasks.iter().map(move |(&lease, task)| {
             let left = match task.state {
                 State::Holds { end, .. } if now < end => Some(end - now),
@@ -498,7 +498,7 @@
 }
 
 /// How long one waits after a conflict: full jitter in a window that doubles.
-fn pause(terms: &Terms, task: &Task, draw: f64) -> Span {
+fn pause(terms: &Terms, task: &Task, draw: f64) -> TimeDelta {
     let window = terms.spread * f64::from(1_u32 << task.conflicts.min(12));
     terms.spread * f64::from(task.rank) + window.min(terms.most_spread) * draw
 }
--- a/crates/arrowyard-leases/src/drift.rs
+++ b/crates/arrowyard-leases/src/drift.rs
@@ -4,7 +4,7 @@
 
 use std::collections::VecDeque;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::Word;
 use crate::terms::VoterId;
@@ -12,9 +12,9 @@
 /// An answer: asked and received by the own clock, and what the other one showed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Sample {
-    asked: Point,
-    came: Point,
-    showed: Point,
+    asked: Timestamp,
+    came: Timestamp,
+    showed: Timestamp,
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
@@ -28,7 +28,7 @@
     bound_ppm: u32,
     drifts: Vec<Drift>,
     /// The last rounds, and when each was begun.
-    asked: VecDeque<(u64, Point)>,
+    asked: VecDeque<(u64, Timestamp)>,
 }
 
 /// Rounds whose begin is remembered.
@@ -42,7 +42,7 @@
     }
 
     /// A word goes out, or has come; by how much a voter's clock surely runs away, if it does.
-    pub fn saw(&mut self, now: Point, word: &Word) -> Option<(VoterId, i64)> {
+    pub fn saw(&mut self, now: Timestamp, word: &Word) -> Option<(VoterId, i64)> {
         match word {
             Word::Ask { round, .. } => {
                 if self.asked.len() == ASKED {
@@ -64,13 +64,19 @@
 }
 
 /// Samples nearer to each other than this tell nothing, and farther ones are begun anew.
-const NEAR: Span = Span::from_millis(5_000);
-const FAR: Span = Span::from_millis(600_000);
+const NEAR: TimeDelta = TimeDelta::from_millis(5_000);
+const FAR: TimeDelta = TimeDelta::from_millis(600_000);
 
 impl Drift {
     /// One more answer; by how many millionths the clocks surely run apart, if that is more than twice the bound (each of the
     /// two may be off by it).
-    pub fn sample(&mut self, asked: Point, came: Point, showed: Point, bound_ppm: u32) -> Option<i64> {
+    pub fn sample(
+        &mut self,
+        asked: Timestamp,
+        came: Timestamp,
+        showed: Timestamp,
+        bound_ppm: u32,
+    ) -> Option<i64> {
         let sample = Sample { asked, came, showed };
         let first = *self.first.get_or_insert(sample);
         let least = (asked - first.came).micros();
--- a/crates/arrowyard-leases/src/guard.rs
+++ b/crates/arrowyard-leases/src/guard.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::terms::{CandidateId, Epoch, LeaseId};
 
@@ -14,20 +14,20 @@
     pub lease: LeaseId,
     pub epoch: Epoch,
     pub holder: CandidateId,
-    pub end: Point,
+    pub end: Timestamp,
 }
 
 impl Permit {
     /// Whether an act that takes so long may begin now.
     #[must_use]
-    pub fn allows(&self, now: Point, takes: Span) -> bool {
+    pub fn allows(&self, now: Timestamp, takes: TimeDelta) -> bool {
         now + takes < self.end
     }
 
     /// How long an act may still take.
     #[must_use]
-    pub fn left(&self, now: Point) -> Span {
-        (self.end - now).max(Span::ZERO)
+    pub fn left(&self, now: Timestamp) -> TimeDelta {
+        (self.end - now).max(TimeDelta::ZERO)
     }
 }
 
--- a/crates/arrowyard-leases/src/lib.rs
+++ b/crates/arrowyard-leases/src/lib.rs
@@ -25,7 +25,7 @@
 pub use terms::{CandidateId, Duty, Epoch, Joins, LeaseId, Terms, VoterId, lease};
 pub use voter::{Image, Stage, Vote, Voter};
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 /// One lease that is asked for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -41,7 +41,7 @@
     /// Another has it for so long at most.
     Held {
         epoch: Epoch,
-        left: Span,
+        left: TimeDelta,
     },
     /// The epoch has been given away already; the newest that is known.
     Old(Epoch),
@@ -60,7 +60,7 @@
     /// majority: then others are told of the vacancy.
     Free { from: CandidateId, round: u64, held: bool, wants: Vec<Want> },
     /// A voter's answer, and its clock as it answered.
-    Answer { from: VoterId, round: u64, clock: Point, verdicts: Vec<(LeaseId, Verdict)> },
+    Answer { from: VoterId, round: u64, clock: Timestamp, verdicts: Vec<(LeaseId, Verdict)> },
     /// A lease was given back: a hint for those that were refused it.
     Vacant { from: VoterId, lease: LeaseId, epoch: Epoch },
     /// A voter has started, in this life of its store; `start` is drawn at each start.
--- a/crates/arrowyard-leases/src/message.rs
+++ b/crates/arrowyard-leases/src/message.rs
@@ -2,7 +2,7 @@
 //! other voters or another term is dropped: voters are not changed while routers run (see the note), and two that count with
 //! different terms would not keep each other's promises.
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use prost::Message;
 
 use crate::terms::{CandidateId, Epoch, LeaseId, VoterId};
@@ -68,7 +68,7 @@
 
 /// What a fleet's datagrams are marked with: its name, its voters and the term that they count with.
 #[must_use]
-pub fn group(fleet: &str, voters: &[String], term: Span, drift_ppm: u32) -> u64 {
+pub fn group(fleet: &str, voters: &[String], term: TimeDelta, drift_ppm: u32) -> u64 {
     let text = format!("{fleet}\n{}\n{}\n{drift_ppm}", voters.join("\n"), term.micros());
     crate::lease(&text).0
 }
@@ -97,11 +97,11 @@
                 .iter()
                 .map(|(lease, verdict)| {
                     let (kind, epoch, left) = match *verdict {
-                        Verdict::Granted(epoch) => (1, epoch, Span::ZERO),
+                        Verdict::Granted(epoch) => (1, epoch, TimeDelta::ZERO),
                         Verdict::Held { epoch, left } => (2, epoch, left),
-                        Verdict::Old(epoch) => (3, epoch, Span::ZERO),
-                        Verdict::Abstains => (4, Epoch(0), Span::ZERO),
-                        Verdict::Full => (5, Epoch(0), Span::ZERO),
+                        Verdict::Old(epoch) => (3, epoch, TimeDelta::ZERO),
+                        Verdict::Abstains => (4, Epoch(0), TimeDelta::ZERO),
+                        Verdict::Full => (5, Epoch(0), TimeDelta::ZERO),
                     };
                     let left_us = left.micros().max(0) as u64;
                     Row { lease: lease.0, epoch: epoch.0, verdict: kind, left_us }
@@ -152,7 +152,7 @@
         3 => {
             let verdict = |row: &Row| {
                 let epoch = Epoch(row.epoch);
-                let left = Span::from_micros(i64::try_from(row.left_us).unwrap_or(i64::MAX));
+                let left = TimeDelta::from_micros(i64::try_from(row.left_us).unwrap_or(i64::MAX));
                 let verdict = match row.verdict {
                     1 => Verdict::Granted(epoch),
                     2 => Verdict::Held { epoch, left },
@@ -164,7 +164,7 @@
                 Some((LeaseId(row.lease), verdict))
             };
             let verdicts = form.rows.iter().filter_map(verdict).collect();
-            Word::Answer { from: voter, round, clock: Point::from_micros(form.clock_us), verdicts }
+            Word::Answer { from: voter, round, clock: Timestamp::from_micros(form.clock_us), verdicts }
         }
         4 => {
             let row = form.rows.first().ok_or(Dropped::Garbled)?;
--- a/crates/arrowyard-leases/src/terms.rs
+++ b/crates/arrowyard-leases/src/terms.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 
 /// A task that one does for all, by the mark of its name.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -41,18 +41,18 @@
     /// How many vote.
     pub voters: u8,
     /// How long a grant holds, by the voter's clock; the same at all voters and candidates of a fleet.
-    pub term: Span,
+    pub term: TimeDelta,
     /// How much a clock may run too fast or too slow, in millionths.
     pub drift_ppm: u32,
     /// A holder asks for more once this much of the term has passed, in hundredths.
     pub renew_percent: u8,
     /// A round that brought no majority is followed by another after this.
-    pub retry: Span,
+    pub retry: TimeDelta,
     /// So many rounds without a majority, and what was granted is given back.
     pub tries: u8,
     /// Those that want the same lease spread over this, each by its preference and a draw; doubled with each conflict.
-    pub spread: Span,
-    pub most_spread: Span,
+    pub spread: TimeDelta,
+    pub most_spread: TimeDelta,
     /// Leases that a voter knows at most.
     pub leases: usize,
     /// Leases in one round at most, so that it fits into a datagram.
@@ -63,7 +63,7 @@
 
 impl Default for Terms {
     fn default() -> Self {
-        let ms = Span::from_millis;
+        let ms = TimeDelta::from_millis;
         Terms {
             voters: 3,
             term: ms(3000),
@@ -91,14 +91,14 @@
     /// How long a holder may act from before it asked, by its own clock. A voter's clock that runs too fast ends the
     /// grant after term / (1 + drift) of true time; the holder's own, if it runs too slow, shows (1 - drift) of that.
     #[must_use]
-    pub fn held(&self) -> Span {
+    pub fn held(&self) -> TimeDelta {
         #[cfg(any(test, feature = "flaws"))]
         if self.flaw == Some(Flaw::NoDrift) {
             return self.term;
         }
         let drift = i64::from(self.drift_ppm);
         let micros = self.term.micros();
-        Span::from_micros(micros * (1_000_000 - drift) / (1_000_000 + drift))
+        TimeDelta::from_micros(micros * (1_000_000 - drift) / (1_000_000 + drift))
     }
 }
 
@@ -108,9 +108,9 @@
     pub name: String,
     pub at: SocketAddr,
     pub path: String,
-    pub every: Span,
+    pub every: TimeDelta,
     /// How long a call may take: it is begun only where the lease lasts longer.
-    pub takes: Span,
+    pub takes: TimeDelta,
     /// Those with a smaller number try for it sooner.
     pub rank: u32,
 }
--- a/crates/arrowyard-leases/src/voter.rs
+++ b/crates/arrowyard-leases/src/voter.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use smallvec::SmallVec;
 
 #[cfg(any(test, feature = "flaws"))]
@@ -18,7 +18,7 @@
     pub holder: CandidateId,
     /// The holder's round in which it was granted last, or given back.
     pub round: u64,
-    pub until: Point,
+    pub until: Timestamp,
     /// Those that were refused it lately: they are told when it is given back.
     waits: SmallVec<[CandidateId; WAITS]>,
 }
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
     /// What it granted before its start may still be held, and it does not know by whom.
-    Waits(Point),
+    Waits(Timestamp),
     /// It has lost what it granted: these others have told it what they know.
     Learns(BTreeSet<VoterId>),
     Votes,
@@ -67,7 +67,7 @@
     kept: u64,
     writing: bool,
     /// When the others are asked next what they know.
-    asks_at: Point,
+    asks_at: Timestamp,
 }
 
 impl Voter {
@@ -79,7 +79,7 @@
     /// longest that any grant holds, even to the holder that it remembers: an image may be an older copy, and then the one
     /// that it remembers is not the one that holds.
     #[must_use]
-    pub fn start(now: Point, terms: Terms, me: VoterId, image: Option<Image>, drawn: u64) -> Voter {
+    pub fn start(now: Timestamp, terms: Terms, me: VoterId, image: Option<Image>, drawn: u64) -> Voter {
         let whole = image.as_ref().is_some_and(|image| image.whole);
         let image = image.unwrap_or_default();
         let vote = |(lease, epoch, holder): (LeaseId, Epoch, CandidateId)| {
@@ -124,7 +124,7 @@
 
     /// When time has something to do next; nothing while it just votes.
     #[must_use]
-    pub fn next_at(&self) -> Option<Point> {
+    pub fn next_at(&self) -> Option<Timestamp> {
         match &self.stage {
             Stage::Waits(till) => Some((*till).min(self.asks_at)),
             Stage::Learns(_) => Some(self.asks_at),
@@ -138,7 +138,7 @@
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: Point) {
+    pub fn tick(&mut self, now: Timestamp) {
         if let Stage::Waits(till) = self.stage
             && now >= till
         {
@@ -179,7 +179,7 @@
     }
 
     /// A word came.
-    pub fn heard(&mut self, now: Point, word: &Word) {
+    pub fn heard(&mut self, now: Timestamp, word: &Word) {
         self.tick(now);
         match word {
             Word::Ask { from, round, wants } => self.asked(now, *from, *round, wants),
@@ -208,7 +208,7 @@
         self.votes.values().map(|vote| vote.epoch).max().unwrap_or_default().max(self.floor)
     }
 
-    fn asked(&mut self, now: Point, from: CandidateId, round: u64, wants: &[Want]) {
+    fn asked(&mut self, now: Timestamp, from: CandidateId, round: u64, wants: &[Want]) {
         let verdicts: Vec<(LeaseId, Verdict)> = wants
             .iter()
             .take(self.terms.batch)
@@ -221,7 +221,7 @@
     }
 
     /// What it says to one that wants a lease; nothing to a word that is overtaken.
-    fn decide(&mut self, now: Point, from: CandidateId, round: u64, want: Want) -> Option<Verdict> {
+    fn decide(&mut self, now: Timestamp, from: CandidateId, round: u64, want: Want) -> Option<Verdict> {
         if self.stage != Stage::Votes {
             return Some(Verdict::Abstains);
         }
@@ -269,7 +269,7 @@
         Some(Verdict::Granted(want.epoch))
     }
 
-    fn freed(&mut self, now: Point, from: CandidateId, round: u64, held: bool, wants: &[Want]) {
+    fn freed(&mut self, now: Timestamp, from: CandidateId, round: u64, held: bool, wants: &[Want]) {
         for want in wants.iter().take(self.terms.batch) {
             let Some(vote) = self.votes.get_mut(&want.lease) else { continue };
             let of = vote.holder == from && vote.epoch == want.epoch;
@@ -355,7 +355,7 @@
 
     /// How long until the lease is free here, if it is held.
     #[must_use]
-    pub fn left(&self, now: Point, lease: LeaseId) -> Option<Span> {
+    pub fn left(&self, now: Timestamp, lease: LeaseId) -> Option<TimeDelta> {
         let vote = self.votes.get(&lease)?;
         (vote.until > now).then(|| vote.until - now)
     }
--- a/crates/arrowyard-leases/tests/checked.rs
+++ b/crates/arrowyard-leases/tests/checked.rs
@@ -7,7 +7,7 @@
 use arrowyard_leases::{
     Candidate, CandidateId, Epoch, Flaw, Image, Permit, Stage, Taker, Terms, To, Voter, Word, lease,
 };
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 
 /// Which store a voter starts anew with.
@@ -40,7 +40,7 @@
 
 impl Scene {
     fn of(flaw: Option<Flaw>) -> Scene {
-        let ms = Span::from_millis;
+        let ms = TimeDelta::from_millis;
         let terms = Terms {
             term: ms(3),
             // A quarter: clocks that differ so much show in few ticks.
@@ -134,12 +134,12 @@
 const NAME: &str = "task";
 
 impl Scene {
-    fn voter_now(&self, tick: u8, of: usize) -> Point {
-        Point::from_micros(1_000_000 + i64::from(tick) * 10 * self.voter_clocks[of])
+    fn voter_now(&self, tick: u8, of: usize) -> Timestamp {
+        Timestamp::from_micros(1_000_000 + i64::from(tick) * 10 * self.voter_clocks[of])
     }
 
-    fn candidate_now(&self, tick: u8, of: usize) -> Point {
-        Point::from_micros(2_000_000 + i64::from(tick) * 10 * self.candidate_clocks[of])
+    fn candidate_now(&self, tick: u8, of: usize) -> Timestamp {
+        Timestamp::from_micros(2_000_000 + i64::from(tick) * 10 * self.candidate_clocks[of])
     }
 
     fn kept(&self, world: &mut World, of: usize) -> Vec<(To, Word)> {
@@ -225,7 +225,7 @@
     fn init_states(&self) -> Vec<World> {
         let term = self.terms;
         // Voters have stood for long: they vote from the start.
-        let long_ago = |of: usize| self.voter_now(0, of) - Span::from_millis(1000);
+        let long_ago = |of: usize| self.voter_now(0, of) - TimeDelta::from_millis(1000);
         let image = Image { whole: true, ..Image::default() };
         let voters = (0..3_u8).map(|of| {
             let me = arrowyard_leases::VoterId(of);
--- a/crates/arrowyard-leases/tests/parts.rs
+++ b/crates/arrowyard-leases/tests/parts.rs
@@ -7,15 +7,15 @@
     Candidate, CandidateId, Clocks, Epoch, Event, Image, LeaseId, Stage, Taker, Terms, To, Verdict, Voter,
     VoterId, Want, Word, keep, lease,
 };
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
-fn ms(millis: i64) -> Span {
-    Span::from_millis(millis)
+fn ms(millis: i64) -> TimeDelta {
+    TimeDelta::from_millis(millis)
 }
 
 const TERM: i64 = 3000;
@@ -116,7 +116,7 @@
         let words = [
             Word::Ask { from: CandidateId(round), round, wants: wants.clone() },
             Word::Free { from: CandidateId(round), round, held: true, wants },
-            Word::Answer { from: VoterId(2), round, clock: Point::from_micros(-5), verdicts },
+            Word::Answer { from: VoterId(2), round, clock: Timestamp::from_micros(-5), verdicts },
             Word::Vacant { from: VoterId(1), lease: lease("a"), epoch: Epoch(epoch) },
             Word::Learn { from: VoterId(1), life: round, start: epoch },
             Word::Learnt { from: VoterId(1), asked: epoch, highest: Epoch(epoch), life: round, whole: true },
@@ -312,7 +312,7 @@
     let answer = |round, clock: i64| Word::Answer {
         from: VoterId(1),
         round,
-        clock: Point::from_micros(clock),
+        clock: Timestamp::from_micros(clock),
         verdicts: Vec::new(),
     };
     // By how many millionths the voter's clock is off, and how long its answers take.
--- a/crates/arrowyard-operator-config/examples/size.rs
+++ b/crates/arrowyard-operator-config/examples/size.rs
@@ -11,7 +11,7 @@
 use arrowyard_cells::moving::Terms;
 use arrowyard_cells::{Cells, Layout};
 use arrowyard_operator_config::{layout, read};
-use arrowyard_types::{GroupId, Point, Span};
+use arrowyard_types::{GroupId, TimeDelta, Timestamp};
 
 fn text(tenants: usize, cells: usize, groups: usize) -> String {
     let mut text = String::from("epoch: 1\ncells {\n");
@@ -70,12 +70,16 @@
     let host = each(hosts, |n| {
         black_box(index.parts(GroupId((n % groups) as i64), "host-12345").count());
     });
-    let terms = Terms { marks: true, settle: Span::ZERO, skew: Span::ZERO };
-    let mut desk =
-        Cells::new(Point::DAWN, taken.clone(), Totals { ops: 1000, bytes: 1 << 20, probes: 8 }, terms);
+    let terms = Terms { marks: true, settle: TimeDelta::ZERO, skew: TimeDelta::ZERO };
+    let mut desk = Cells::new(
+        Timestamp::DISTANT_PAST,
+        taken.clone(),
+        Totals { ops: 1000, bytes: 1 << 20, probes: 8 },
+        terms,
+    );
     let mut next = Layout { epoch: 2, ..taken.clone() };
     next.cells[0].weight = 2.0;
-    let (held_up, again) = timed(|| desk.relayout(Point::DAWN, next));
+    let (held_up, again) = timed(|| desk.relayout(Timestamp::DISTANT_PAST, next));
     assert_eq!(held_up, Ok(()));
     println!(
         "{tenants:>7} tenants {cells:>5} cells {hosts:>6} hosts: check {:.3} s, take in {:.3} s, taken anew on the \
--- a/crates/arrowyard-operator-config/src/layout.rs
+++ b/crates/arrowyard-operator-config/src/layout.rs
@@ -5,17 +5,17 @@
 use arrowyard_leases::{Duty, Joins};
 use arrowyard_peers::{Belongs, Terms};
 use arrowyard_startup::{Comes, Pace as Calls, Trust};
-use arrowyard_types::{CellId, GroupId, Point, Span};
+use arrowyard_types::{CellId, GroupId, TimeDelta, Timestamp};
 use ipnet::IpNet;
 
 use crate::schema;
 
-fn millis(millis: u64) -> Point {
-    Point::from_micros(millis as i64 * 1000)
+fn millis(millis: u64) -> Timestamp {
+    Timestamp::from_micros(millis as i64 * 1000)
 }
 
-fn span(millis: Option<u32>, otherwise: u32) -> Span {
-    Span::from_millis(millis.unwrap_or(otherwise).into())
+fn span(millis: Option<u32>, otherwise: u32) -> TimeDelta {
+    TimeDelta::from_millis(millis.unwrap_or(otherwise).into())
 }
 
 fn cell(told: &schema::Cell) -> Cell {
@@ -128,7 +128,7 @@
 pub fn returns(book: &schema::Yardbook) -> Option<Comes> {
     let told = book.returns.as_ref()?;
     let usual = Trust::default();
-    let life = told.host_life_ms.map_or(usual.life, |life| Span::from_millis(life as i64));
+    let life = told.host_life_ms.map_or(usual.life, |life| TimeDelta::from_millis(life as i64));
     Some(Comes {
         store: told.store.as_ref().map(std::path::PathBuf::from),
         trust: Trust { life, ..usual },
--- a/crates/arrowyard-peers/examples/cost.rs
+++ b/crates/arrowyard-peers/examples/cost.rs
@@ -7,7 +7,7 @@
 
 use arrowyard_peers::message::{Datagram, FORM, Kind, mark, read, write};
 use arrowyard_peers::{Deed, Fleet, Me, Terms};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 fn at(of: usize) -> SocketAddr {
     ([10, 0, (of >> 8) as u8, of as u8], 7400).into()
@@ -18,11 +18,11 @@
     for members in [30, 300, 1000] {
         let terms = Terms { fleet: "f".to_string(), seeds: vec![at(1)], ..Terms::default() };
         let of = mark(&terms.fleet);
-        let mut now = Point::from_micros(1_000_000);
+        let mut now = Timestamp::from_micros(1_000_000);
         let me = Me { name: "n0".into(), at: at(0), life: 1, nonce: 1 };
         let mut fleet = Fleet::start(now, terms, me, members as f64, 7);
         let whom: HashMap<SocketAddr, usize> = (1..members).map(|one| (at(one), one)).collect();
-        let head = |one: usize, kind: Kind, seq: u64, now: Point| Datagram {
+        let head = |one: usize, kind: Kind, seq: u64, now: Timestamp| Datagram {
             form: FORM,
             least: 1,
             fleet: of,
@@ -38,7 +38,7 @@
         let (mut spent, mut datagrams, mut seconds) = (Duration::ZERO, 0_u64, 0.0);
         let mut next = 1;
         for step in 0..40_000_u64 {
-            now = now + Span::from_millis(10);
+            now = now + TimeDelta::from_millis(10);
             // Each member is asked by three a period; and from the start on all make themselves known.
             let asks = if step < 2 * members as u64 { 1 } else { u64::from(step % 17 == 0) };
             for _ in 0..asks {
@@ -58,10 +58,10 @@
                 datagrams += 1;
                 let Ok(told) = read(&bytes, 1200, of) else { continue };
                 let Some(&one) = whom.get(&to).filter(|_| told.kind() == Kind::Ping) else { continue };
-                let bytes = write(&head(one, Kind::Ack, told.seq, now + Span::from_micros(50)));
+                let bytes = write(&head(one, Kind::Ack, told.seq, now + TimeDelta::from_micros(50)));
                 datagrams += 1;
                 let began = Instant::now();
-                fleet.heard(now + Span::from_micros(50), to, &bytes);
+                fleet.heard(now + TimeDelta::from_micros(50), to, &bytes);
                 spent += began.elapsed();
             }
             fleet.events.clear();
--- a/crates/arrowyard-peers/src/exchange.rs
+++ b/crates/arrowyard-peers/src/exchange.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 use prost::Message;
 
 use crate::fleet::Fleet;
@@ -15,7 +15,7 @@
 const PAGES: usize = 3;
 
 impl Fleet {
-    pub(crate) fn send_digest(&mut self, now: Point, slot: Slot, echo: bool) {
+    pub(crate) fn send_digest(&mut self, now: Timestamp, slot: Slot, echo: bool) {
         if !self.exchanges.take(now) {
             return;
         }
@@ -26,7 +26,7 @@
     }
 
     /// A digest came: what differs is sent, and asked for.
-    pub(crate) fn compare(&mut self, now: Point, from: SocketAddr, told: &Datagram) {
+    pub(crate) fn compare(&mut self, now: Timestamp, from: SocketAddr, told: &Datagram) {
         if told.digest.len() != PARTS {
             return;
         }
@@ -54,7 +54,7 @@
     }
 
     /// Rows of these parts, from a drawn one on.
-    fn send_pages(&mut self, now: Point, to: SocketAddr, parts: &[usize]) {
+    fn send_pages(&mut self, now: Timestamp, to: SocketAddr, parts: &[usize]) {
         let mut rows: Vec<Slot> =
             parts.iter().flat_map(|&part| self.table.in_part(part).map(|(slot, _)| slot)).collect();
         let count = rows.len();
@@ -83,7 +83,7 @@
 
     /// Rows came, and were taken as rumors are. One that is new here brings the next comparison at once, as far as the
     /// bucket goes, so that who joins need not wait for many rounds.
-    pub(crate) fn paged(&mut self, now: Point, _from: SocketAddr, told: &Datagram) {
+    pub(crate) fn paged(&mut self, now: Timestamp, _from: SocketAddr, told: &Datagram) {
         let new = told.rumors.iter().any(|rumor| self.table.slot(&rumor.name).is_none());
         if new && let Some(slot) = self.table.slot(&told.from) {
             self.next_exchange = self.next_exchange.min(now + self.terms.period);
--- a/crates/arrowyard-peers/src/fleet.rs
+++ b/crates/arrowyard-peers/src/fleet.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowyard_types::{PeerId, Point, Span};
+use arrowyard_types::{PeerId, TimeDelta, Timestamp};
 use fastrand::Rng;
 use prost::Message;
 
@@ -54,7 +54,7 @@
         by: Rc<str>,
     },
     /// This router was away for so long: all that it held true is in doubt.
-    Away(Span),
+    Away(TimeDelta),
     /// Its life was raised: somebody doubted it, or it was away.
     Renewed(u64),
     /// Another process has the same name, and this one gives way.
@@ -93,15 +93,15 @@
     level: f64,
     rate: f64,
     most: f64,
-    at: Point,
+    at: Timestamp,
 }
 
 impl Bucket {
-    pub fn new(rate: f64, most: f64, at: Point) -> Bucket {
+    pub fn new(rate: f64, most: f64, at: Timestamp) -> Bucket {
         Bucket { level: most, rate, most, at }
     }
 
-    pub fn take(&mut self, now: Point) -> bool {
+    pub fn take(&mut self, now: Timestamp) -> bool {
         self.level = (self.level + (now - self.at).as_secs_f64().max(0.0) * self.rate).min(self.most);
         self.at = now;
         let there = self.level >= 1.0;
@@ -124,20 +124,20 @@
     pub(crate) turn: Vec<Slot>,
     /// Those that this router observes, and when the table was looked at for that.
     pub(crate) observed: (u64, Vec<Slot>),
-    pub(crate) next_period: Point,
+    pub(crate) next_period: Timestamp,
     pub(crate) periods: u64,
-    pub(crate) next_exchange: Point,
+    pub(crate) next_exchange: Timestamp,
     pub(crate) reads: Bucket,
     pub(crate) pushes: Bucket,
     /// Of digests and pages. Danger: with urgent news they share nothing, since a start of many is full of news, and
     /// whoever missed some has only the exchange to learn it by.
     pub(crate) exchanges: Bucket,
-    pub(crate) heard_any: Point,
+    pub(crate) heard_any: Timestamp,
     pub(crate) idle: bool,
     pub(crate) leaves: bool,
     /// Raised against another process of its name: how often lately, and when last.
-    pub(crate) raised: (u32, Point),
-    pub(crate) withdrawn_till: Point,
+    pub(crate) raised: (u32, Timestamp),
+    pub(crate) withdrawn_till: Timestamp,
     pub(crate) doubled: bool,
     pub(crate) reckoner: Reckoner,
     pub(crate) part: Option<(usize, usize)>,
@@ -152,7 +152,7 @@
 impl Fleet {
     /// `settings` is the number of routers that the platform names.
     #[must_use]
-    pub fn start(now: Point, terms: Terms, me: Me, settings: f64, seed: u64) -> Fleet {
+    pub fn start(now: Timestamp, terms: Terms, me: Me, settings: f64, seed: u64) -> Fleet {
         let mut rng = Rng::with_seed(seed);
         let first = now + terms.period * (0.2 * rng.f64());
         let reckoner = Reckoner::new(now, settings, terms.settle);
@@ -175,7 +175,7 @@
             idle: false,
             leaves: false,
             raised: (0, now),
-            withdrawn_till: Point::DAWN,
+            withdrawn_till: Timestamp::DISTANT_PAST,
             doubled: false,
             reckoner,
             part: None,
@@ -197,14 +197,14 @@
 
     /// When time has something to do next.
     #[must_use]
-    pub fn next_at(&self) -> Point {
+    pub fn next_at(&self) -> Timestamp {
         let asks = self.asks.iter().map(|ask| ask.next);
         let relays = self.relays.iter().map(|relay| relay.until);
-        asks.chain(relays).fold(self.next_period, Point::min)
+        asks.chain(relays).fold(self.next_period, Timestamp::min)
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: Point) {
+    pub fn tick(&mut self, now: Timestamp) {
         let late = now - self.next_at();
         let (away, period) = (self.terms.away, self.terms.period);
         if self.health.late(now, late, away, period) {
@@ -222,7 +222,7 @@
     /// The thread was away. Danger: what it asked before went unanswered because of itself, and what it held of the
     /// others is old. So all open questions are void, it declares nobody silent for a while, and it tells at once that it
     /// lives, by a later life than any that somebody gave up meanwhile.
-    fn woke(&mut self, now: Point, late: Span) {
+    fn woke(&mut self, now: Timestamp, late: TimeDelta) {
         self.asks.clear();
         self.relays.clear();
         self.heard_any = now;
@@ -240,7 +240,7 @@
     }
 
     /// This router lives, and serves nobody; or serves again.
-    pub fn set_idle(&mut self, now: Point, idle: bool) {
+    pub fn set_idle(&mut self, now: Timestamp, idle: bool) {
         if self.idle != idle {
             self.idle = idle;
             self.renew();
@@ -249,7 +249,7 @@
     }
 
     /// It ends as planned. Said to several, since each datagram may be lost.
-    pub fn leave(&mut self, now: Point) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.leaves = true;
         for slot in self.table.draw(&mut self.rng, 8, &[], |one| one.standing == Standing::Alive) {
             self.send_to(now, slot, Kind::Gossip, 0, "", None);
@@ -257,7 +257,7 @@
     }
 
     /// What the decision module wants all to know: passed to some members, who do not pass it on.
-    pub fn tell(&mut self, now: Point, bytes: &[u8]) {
+    pub fn tell(&mut self, now: Timestamp, bytes: &[u8]) {
         if bytes.len() > crate::message::TELL {
             return;
         }
@@ -272,7 +272,7 @@
     }
 
     /// A datagram came from there.
-    pub fn heard(&mut self, now: Point, from: SocketAddr, bytes: &[u8]) {
+    pub fn heard(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
         // Danger: a flood takes the thread from the ops. What is beyond the rate is not even read.
         if !self.reads.take(now) {
             self.counts.flood += 1;
@@ -346,7 +346,7 @@
     }
 
     /// The head of a datagram.
-    pub(crate) fn head(&mut self, now: Point, kind: Kind) -> Datagram {
+    pub(crate) fn head(&mut self, now: Timestamp, kind: Kind) -> Datagram {
         self.last_sent = (now.micros().max(1) as u64).max(self.last_sent + 1);
         Datagram {
             form: FORM,
@@ -389,7 +389,7 @@
     }
 
     pub(crate) fn emit(&mut self, to: SocketAddr, datagram: &Datagram) {
-        if self.withdrawn_till > Point::from_micros(datagram.sent as i64) {
+        if self.withdrawn_till > Timestamp::from_micros(datagram.sent as i64) {
             return;
         }
         let bytes = write(datagram);
@@ -411,7 +411,7 @@
     /// A datagram to a member, filled with news; what is held against it goes first, so that it can speak for itself.
     pub(crate) fn send_to(
         &mut self,
-        now: Point,
+        now: Timestamp,
         slot: Slot,
         kind: Kind,
         seq: u64,
@@ -434,7 +434,7 @@
 
     /// News that others should hear at once. Each member passes it on when it first hears of it, so that it is everywhere
     /// after a few steps; a bucket bounds what that costs.
-    pub(crate) fn push_to_some(&mut self, now: Point, of: Option<Slot>) {
+    pub(crate) fn push_to_some(&mut self, now: Timestamp, of: Option<Slot>) {
         let but: Vec<Slot> = of.into_iter().collect();
         for slot in
             self.table.draw(&mut self.rng, self.terms.urgent, &but, |one| one.standing == Standing::Alive)
@@ -453,7 +453,7 @@
     }
 
     /// A member stands differently from now on.
-    pub(crate) fn stands(&mut self, now: Point, slot: Slot, standing: Standing, by: &Rc<str>) {
+    pub(crate) fn stands(&mut self, now: Timestamp, slot: Slot, standing: Standing, by: &Rc<str>) {
         let changed = self.table.change(slot, |one| {
             let was = one.standing;
             one.fell += u32::from(was == Standing::Alive && standing != Standing::Left);
--- a/crates/arrowyard-peers/src/health.rs
+++ b/crates/arrowyard-peers/src/health.rs
@@ -1,7 +1,7 @@
 //! How well this router itself is, as far as it can tell (after Lifeguard's local health): one that is starved of its
 //! core, or cut off, finds others silent, and has to doubt itself first.
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 /// The worst score; times are stretched by one more than the score.
 const WORST: u32 = 6;
@@ -10,7 +10,7 @@
 pub struct Health {
     score: u32,
     /// Till then this router declares nobody silent.
-    doubts_till: Point,
+    doubts_till: Timestamp,
 }
 
 impl Health {
@@ -24,7 +24,7 @@
     }
 
     /// The thread came round late. Danger: all that waited for it looks as if others had been silent.
-    pub fn late(&mut self, now: Point, by: Span, away: Span, period: Span) -> bool {
+    pub fn late(&mut self, now: Timestamp, by: TimeDelta, away: TimeDelta, period: TimeDelta) -> bool {
         if by >= away {
             self.score = WORST / 2;
             self.doubts_till = now + period * 2.0;
@@ -37,18 +37,18 @@
     }
 
     /// Nobody is heard at all.
-    pub fn cut_off(&mut self, now: Point, period: Span) {
+    pub fn cut_off(&mut self, now: Timestamp, period: TimeDelta) {
         self.doubts_till = self.doubts_till.max(now + period);
     }
 
     /// An answer came that proves that this router is in touch.
     #[must_use]
-    pub fn doubts(&self, now: Point) -> bool {
+    pub fn doubts(&self, now: Timestamp) -> bool {
         now < self.doubts_till
     }
 
     #[must_use]
-    pub fn stretch(&self, span: Span) -> Span {
+    pub fn stretch(&self, span: TimeDelta) -> TimeDelta {
         span * (1.0 + f64::from(self.score) * 0.5)
     }
 
--- a/crates/arrowyard-peers/src/member.rs
+++ b/crates/arrowyard-peers/src/member.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use smallvec::SmallVec;
 
 use crate::message::{Claim, Rumor, mark, scatter};
@@ -73,13 +73,13 @@
     pub nonce: u64,
     pub standing: Standing,
     /// Since when it stands so.
-    pub since: Point,
+    pub since: Timestamp,
     /// When this router last got a datagram of this life from it, one of its answers, and one by way of a helper.
-    pub heard: Point,
-    pub acked: Point,
-    pub by_others: Point,
+    pub heard: Timestamp,
+    pub acked: Timestamp,
+    pub by_others: Timestamp,
     /// When this router's own questions to it were last given up.
-    pub failed: Point,
+    pub failed: Timestamp,
     /// Who says that it is silent: marks of their names, and the names.
     pub accusers: SmallVec<[Rc<str>; ACCUSERS]>,
     /// Who got word that nobody listens there, and when this router did.
@@ -95,12 +95,12 @@
     pub left: u8,
     /// The latest datagram of this life, by its sender's clock, and the least that one ever took, by both clocks.
     pub sent: u64,
-    pub offset: Option<Span>,
+    pub offset: Option<TimeDelta>,
 }
 
 impl Member {
     #[must_use]
-    pub fn new(name: Rc<str>, at: SocketAddr, life: u64, nonce: u64, now: Point) -> Member {
+    pub fn new(name: Rc<str>, at: SocketAddr, life: u64, nonce: u64, now: Timestamp) -> Member {
         let of = mark(&name);
         Member {
             by: name.clone(),
@@ -110,10 +110,10 @@
             nonce,
             standing: Standing::Alive,
             since: now,
-            heard: Point::DAWN,
-            acked: Point::DAWN,
-            by_others: Point::DAWN,
-            failed: Point::DAWN,
+            heard: Timestamp::DISTANT_PAST,
+            acked: Timestamp::DISTANT_PAST,
+            by_others: Timestamp::DISTANT_PAST,
+            failed: Timestamp::DISTANT_PAST,
             accusers: SmallVec::new(),
             refused_by: SmallVec::new(),
             idle: false,
@@ -127,11 +127,11 @@
 
     /// A datagram of this life came; how late it is, or nothing if one like it came before. Danger: one that was replayed,
     /// doubled or held up looks like a sign of life. Both clocks run at their own rate, so what was least is let rise.
-    pub fn fresh(&mut self, sent: u64, now: Point, since: Span) -> Option<Span> {
+    pub fn fresh(&mut self, sent: u64, now: Timestamp, since: TimeDelta) -> Option<TimeDelta> {
         if sent <= self.sent {
             return None;
         }
-        let took = now - Point::from_micros(sent as i64);
+        let took = now - Timestamp::from_micros(sent as i64);
         let least = self.offset.map_or(took, |least| took.min(least + since * DRIFT));
         (self.sent, self.offset) = (sent, Some(least));
         Some(took - least)
@@ -139,18 +139,18 @@
 
     /// The latest proof of this life that this router has of its own.
     #[must_use]
-    pub fn proof(&self) -> Point {
+    pub fn proof(&self) -> Timestamp {
         self.heard.max(self.acked).max(self.by_others)
     }
 
     /// The latest that it said to this router itself.
     #[must_use]
-    pub fn own_proof(&self) -> Point {
+    pub fn own_proof(&self) -> Timestamp {
         self.heard.max(self.acked)
     }
 
     #[must_use]
-    pub fn silent_for(&self, now: Point) -> Span {
+    pub fn silent_for(&self, now: Timestamp) -> TimeDelta {
         now - self.since.max(self.proof())
     }
 
--- a/crates/arrowyard-peers/src/probe.rs
+++ b/crates/arrowyard-peers/src/probe.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 
 use crate::fleet::{Deed, Fleet};
 use crate::member::{Member, Slot, Standing};
@@ -29,9 +29,9 @@
     pub life: u64,
     pub to: SocketAddr,
     pub seq: u64,
-    pub began: Point,
+    pub began: Timestamp,
     pub step: u8,
-    pub next: Point,
+    pub next: Timestamp,
     pub why: Why,
     /// A helper said that it could not reach it either.
     pub nacked: bool,
@@ -44,7 +44,7 @@
     pub of: SocketAddr,
     pub their: u64,
     pub about: String,
-    pub until: Point,
+    pub until: Timestamp,
 }
 
 /// Somebody who was heard of and not met.
@@ -53,7 +53,7 @@
     pub at: SocketAddr,
     pub life: u64,
     pub tries: u8,
-    pub next: Point,
+    pub next: Timestamp,
 }
 
 /// Questions open at once at most, those on behalf of others, and those that check others' words.
@@ -66,7 +66,7 @@
 const TRIES: u8 = 3;
 
 impl Fleet {
-    fn ask(&mut self, now: Point, slot: Slot, why: Why, after: f64) {
+    fn ask(&mut self, now: Timestamp, slot: Slot, why: Why, after: f64) {
         let open = |ask: &Ask| ask.slot == Some(slot) && ask.why == why;
         if self.asks.len() >= ASKS || self.asks.iter().any(open) {
             return;
@@ -94,7 +94,7 @@
         }
     }
 
-    pub(crate) fn ask_address(&mut self, now: Point, to: SocketAddr) {
+    pub(crate) fn ask_address(&mut self, now: Timestamp, to: SocketAddr) {
         if self.asks.len() >= ASKS || self.asks.iter().any(|ask| ask.slot.is_none() && ask.to == to) {
             return;
         }
@@ -120,7 +120,7 @@
     /// as many questions as there are routers; so each waits a drawn part of a retry.
     pub(crate) fn verify(
         &mut self,
-        now: Point,
+        now: Timestamp,
         slot: Slot,
         claim: Claim,
         by: &Rc<str>,
@@ -139,7 +139,7 @@
     }
 
     /// What open questions do next.
-    pub(crate) fn asked(&mut self, now: Point) {
+    pub(crate) fn asked(&mut self, now: Timestamp) {
         let mut at = 0;
         while at < self.asks.len() {
             if self.asks[at].next > now || self.step(now, at) {
@@ -149,7 +149,7 @@
     }
 
     /// One step of an open question; whether it stays open.
-    fn step(&mut self, now: Point, at: usize) -> bool {
+    fn step(&mut self, now: Timestamp, at: usize) -> bool {
         let (retry, verdict) =
             (self.health.stretch(self.terms.retry), self.health.stretch(self.terms.verdict));
         let ask = &mut self.asks[at];
@@ -197,7 +197,7 @@
     }
 
     /// Asks by way of helpers: what is cut between two may be open between others.
-    fn by_others(&mut self, now: Point, slot: Slot, name: &str, seq: u64) {
+    fn by_others(&mut self, now: Timestamp, slot: Slot, name: &str, seq: u64) {
         let fit =
             |one: &Member| one.standing == Standing::Alive && one.proof() > now - self.terms.period * 20.0;
         for helper in self.table.draw(&mut self.rng, self.terms.helpers, &[slot], fit) {
@@ -206,7 +206,7 @@
     }
 
     /// A question was given up.
-    fn unanswered(&mut self, now: Point, ask: &Ask) {
+    fn unanswered(&mut self, now: Timestamp, ask: &Ask) {
         let Some(slot) = ask.slot else { return };
         let Some(one) = self.table.get(slot).filter(|one| one.life == ask.life) else { return };
         // It was heard meanwhile by itself: a cut of one side, and no silence.
@@ -257,7 +257,7 @@
     }
 
     /// This router itself finds a member silent.
-    fn accuse(&mut self, now: Point, slot: Slot, refused: bool) {
+    fn accuse(&mut self, now: Timestamp, slot: Slot, refused: bool) {
         let me = self.me.name.clone();
         let (live, doubts) = (self.table.live().len(), self.health.doubts(now));
         let lost_after = self.health.stretch(self.terms.lost_after);
@@ -294,7 +294,7 @@
     }
 
     /// Whether anybody else was heard in these periods.
-    fn hears_others(&self, now: Point, slot: Slot) -> bool {
+    fn hears_others(&self, now: Timestamp, slot: Slot) -> bool {
         let since = now - self.terms.period * 6.0;
         let heard = |one: &Member| one.own_proof() >= since;
         self.table.live().iter().any(|&other| other != slot && self.table.get(other).is_some_and(heard))
@@ -308,7 +308,7 @@
     }
 
     /// An answer to a question.
-    pub(crate) fn acked(&mut self, now: Point, at: usize, datagram: &Datagram) {
+    pub(crate) fn acked(&mut self, now: Timestamp, at: usize, datagram: &Datagram) {
         let ask = &self.asks[at];
         let (slot, why, seq) = (ask.slot, ask.why.clone(), ask.seq);
         if !datagram.about.is_empty() {
@@ -341,7 +341,7 @@
 
     /// This router has proof of its own that a member lives. What was said against it is told to it, so that it raises its
     /// life and all others hear of it.
-    pub(crate) fn lives(&mut self, now: Point, slot: Slot) {
+    pub(crate) fn lives(&mut self, now: Timestamp, slot: Slot) {
         let Some(one) = self.table.get(slot) else { return };
         if one.standing == Standing::Left || one.standing == Standing::Alive && one.accusers.is_empty() {
             return;
@@ -364,7 +364,7 @@
         }
     }
 
-    pub(crate) fn answer(&mut self, now: Point, from: SocketAddr, ping: &Datagram) {
+    pub(crate) fn answer(&mut self, now: Timestamp, from: SocketAddr, ping: &Datagram) {
         let mut ack = Datagram { seq: ping.seq, ..self.head(now, Kind::Ack) };
         // What is held against the one that asks, so that it can speak for itself.
         let against =
@@ -374,7 +374,7 @@
         self.emit(from, &ack);
     }
 
-    pub(crate) fn help(&mut self, now: Point, of: SocketAddr, asked: &Datagram) {
+    pub(crate) fn help(&mut self, now: Timestamp, of: SocketAddr, asked: &Datagram) {
         let Some(slot) = self.table.slot(&asked.about) else { return };
         if self.relays.len() >= RELAYS {
             return;
@@ -390,7 +390,7 @@
         self.send_to(now, slot, Kind::Ping, seq, "", None);
     }
 
-    pub(crate) fn relay_acked(&mut self, now: Point, datagram: &Datagram) {
+    pub(crate) fn relay_acked(&mut self, now: Timestamp, datagram: &Datagram) {
         let Some(at) = self.relays.iter().position(|relay| relay.seq == datagram.seq) else {
             self.counts.stale += 1;
             return;
@@ -401,7 +401,7 @@
     }
 
     /// Members that did not answer this router on behalf of another: that it tried and failed is worth a word.
-    pub(crate) fn relayed(&mut self, now: Point) {
+    pub(crate) fn relayed(&mut self, now: Timestamp) {
         while let Some(at) = self.relays.iter().position(|relay| relay.until <= now) {
             let relay = self.relays.swap_remove(at);
             let nack = Datagram { seq: relay.their, about: relay.about, ..self.head(now, Kind::Nack) };
@@ -410,7 +410,7 @@
     }
 
     /// What each period begins with.
-    pub(crate) fn period(&mut self, now: Point) {
+    pub(crate) fn period(&mut self, now: Timestamp) {
         self.table.expire(now - self.terms.remember);
         if !self.table.live().is_empty() && now - self.heard_any > self.terms.period * 2.5 {
             // Danger: whoever hears nobody is cut off itself, and would find all others dead.
@@ -447,7 +447,7 @@
     /// Those whose places on the rings follow this router's: each member has as many observers as there are rings.
     fn observed(&mut self) -> Vec<Slot> {
         if self.observed.0 != self.table.changes {
-            let mine = Member::new(self.me.name.clone(), self.me.at, 1, 0, Point::DAWN).rings;
+            let mine = Member::new(self.me.name.clone(), self.me.at, 1, 0, Timestamp::DISTANT_PAST).rings;
             let mut slots: Vec<Slot> = Vec::new();
             for (ring, place) in mine.iter().enumerate().take(self.terms.observed) {
                 let new = |one: &Member| {
@@ -471,7 +471,7 @@
     }
 
     /// Silent members are asked again, and those that this router itself accuses are lost in the end.
-    fn go_on(&mut self, now: Point) {
+    fn go_on(&mut self, now: Timestamp) {
         let me = self.me.name.clone();
         if self.table.count(Standing::Silent) == 0 {
             return;
@@ -503,7 +503,7 @@
 
     /// Candidates are asked whether they live; seeds where nobody is known, and one from time to time, since both sides of
     /// a cut may have forgotten each other.
-    fn meet(&mut self, now: Point) {
+    fn meet(&mut self, now: Timestamp) {
         let mut asked = 0;
         let mut at = 0;
         while at < self.candidates.len() && asked < self.terms.meetings {
--- a/crates/arrowyard-peers/src/reckon.rs
+++ b/crates/arrowyard-peers/src/reckon.rs
@@ -2,7 +2,7 @@
 //! and all together push a cold host over. So when it is unsure the larger number counts: the count rises at once and
 //! falls only where it was settled for a while, this router is in the larger part, and what is missing is missing for long.
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 /// The count is at most so many times what the settings say: one that invents members starves the others.
 const MOST: f64 = 4.0;
@@ -10,10 +10,10 @@
 #[derive(Clone, Debug)]
 pub struct Reckoner {
     settings: f64,
-    settle: Span,
+    settle: TimeDelta,
     routers: f64,
     /// The largest count since it last could fall.
-    since: Point,
+    since: Timestamp,
     seen: f64,
 }
 
@@ -31,19 +31,19 @@
 
 impl Reckoner {
     #[must_use]
-    pub fn new(now: Point, settings: f64, settle: Span) -> Reckoner {
+    pub fn new(now: Timestamp, settings: f64, settle: TimeDelta) -> Reckoner {
         let settings = settings.max(1.0);
         Reckoner { settings, settle, routers: settings, since: now, seen: settings }
     }
 
     /// What was counted is in doubt.
-    pub fn unsettle(&mut self, now: Point) {
+    pub fn unsettle(&mut self, now: Timestamp) {
         self.since = now;
         self.seen = self.seen.max(self.routers).max(self.settings);
     }
 
     /// The count from now on; whether it changed.
-    pub fn count(&mut self, now: Point, sight: Sight) -> bool {
+    pub fn count(&mut self, now: Timestamp, sight: Sight) -> bool {
         let Sight { reach, missing, forgiven, sure } = sight;
         let whole = reach + missing + forgiven;
         let larger = reach * 2 > whole;
--- a/crates/arrowyard-peers/src/table.rs
+++ b/crates/arrowyard-peers/src/table.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 use fastrand::Rng;
 use rustc_hash::FxHashMap;
 
@@ -220,7 +220,7 @@
     }
 
     /// Forgets those that are over for longer than they are remembered.
-    pub fn expire(&mut self, before: Point) {
+    pub fn expire(&mut self, before: Timestamp) {
         let old: Vec<Slot> = self
             .over
             .iter()
--- a/crates/arrowyard-peers/src/terms.rs
+++ b/crates/arrowyard-peers/src/terms.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 use ipnet::IpNet;
 use rustc_hash::FxHashMap;
 
@@ -17,21 +17,21 @@
     /// Members that are reached at another address than the one they tell.
     pub via: FxHashMap<String, SocketAddr>,
     /// Each period a router asks its observed members and one more.
-    pub period: Span,
+    pub period: TimeDelta,
     /// A question is repeated so soon, the second time by way of helpers, too.
-    pub retry: Span,
+    pub retry: TimeDelta,
     /// So long after the first question it counts as unanswered.
-    pub verdict: Span,
+    pub verdict: TimeDelta,
     /// How long a silent member is silent till it counts as lost, where two at least say so; twice that where one does.
-    pub lost_after: Span,
+    pub lost_after: TimeDelta,
     /// A member that this router heard from within this time is not silent, whoever says so.
-    pub fresh: Span,
+    pub fresh: TimeDelta,
     /// How long lost and dead members are remembered and looked for.
-    pub remember: Span,
+    pub remember: TimeDelta,
     /// A thread that comes round later than this was away.
-    pub away: Span,
+    pub away: TimeDelta,
     /// How often the whole view is compared with another member's.
-    pub exchange: Span,
+    pub exchange: TimeDelta,
     /// Members that each one observes by the rings, beside one in turn.
     pub observed: usize,
     /// Helpers of an indirect question, and members that hear of urgent news at once.
@@ -51,13 +51,13 @@
     pub pushes: f64,
     pub exchanges: f64,
     /// Shares: the fleet's size may fall only after it was settled for so long; what is lost for longer counts no more.
-    pub settle: Span,
-    pub forgive: Span,
+    pub settle: TimeDelta,
+    pub forgive: TimeDelta,
 }
 
 impl Default for Terms {
     fn default() -> Self {
-        let ms = Span::from_millis;
+        let ms = TimeDelta::from_millis;
         Terms {
             fleet: String::new(),
             seeds: Vec::new(),
@@ -91,7 +91,7 @@
 impl Terms {
     /// The times of a period other than the usual one, in its proportions.
     #[must_use]
-    pub fn paced(period: Span) -> Terms {
+    pub fn paced(period: TimeDelta) -> Terms {
         let usual = Terms::default();
         let times = period / usual.period;
         Terms {
--- a/crates/arrowyard-peers/src/view.rs
+++ b/crates/arrowyard-peers/src/view.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::fleet::{Event, Fleet};
 use crate::member::{Member, Standing};
@@ -29,7 +29,7 @@
     pub reach: Reach,
     pub life: u64,
     /// How long it stands so, and by whose word.
-    pub for_span: Span,
+    pub for_span: TimeDelta,
     pub by: Rc<str>,
     /// How many say that it is silent.
     pub accusers: usize,
@@ -59,7 +59,7 @@
 }
 
 impl Fleet {
-    fn reach(&self, now: Point, one: &Member) -> Reach {
+    fn reach(&self, now: Timestamp, one: &Member) -> Reach {
         // Each member is asked in turn, so that a router with many of them asks one seldom.
         let lately = self.terms.period * (self.table.live().len() as f64 + 6.0);
         if one.standing != Standing::Alive {
@@ -75,13 +75,15 @@
         Reach::Answers
     }
 
-    fn row(&self, now: Point, one: &Member) -> Row {
+    fn row(&self, now: Timestamp, one: &Member) -> Row {
         let standing = one.standing;
         let own = match standing {
             Standing::Alive => now - one.proof() <= self.terms.period * 6.0,
             Standing::Left => one.by == one.name,
             Standing::Dead => one.refused_by.contains(&self.me.name),
-            Standing::Silent | Standing::Lost => one.failed >= one.proof() && one.failed > Point::DAWN,
+            Standing::Silent | Standing::Lost => {
+                one.failed >= one.proof() && one.failed > Timestamp::DISTANT_PAST
+            }
         };
         Row {
             name: one.name.clone(),
@@ -98,7 +100,7 @@
     }
 
     #[must_use]
-    pub fn view(&self, now: Point) -> View {
+    pub fn view(&self, now: Timestamp) -> View {
         let mut rows: Vec<Row> = self.table.iter().map(|(_, one)| self.row(now, one)).collect();
         rows.sort_by(|a, b| a.name.cmp(&b.name));
         let sight = self.sight(now);
@@ -139,7 +141,7 @@
         self.reckoner.routers()
     }
 
-    fn sight(&self, now: Point) -> Sight {
+    fn sight(&self, now: Timestamp) -> Sight {
         let (mut missing, mut forgiven) = (0, 0);
         let any = self.table.count(Standing::Silent) + self.table.count(Standing::Lost) > 0;
         for (_, one) in self.table.iter().filter(|_| any) {
@@ -158,7 +160,7 @@
         }
     }
 
-    pub(crate) fn reckon(&mut self, now: Point) {
+    pub(crate) fn reckon(&mut self, now: Timestamp) {
         let sight = self.sight(now);
         self.reckoner.count(now, sight);
         let lost = self.table.count(Standing::Lost);
--- a/crates/arrowyard-peers/src/words.rs
+++ b/crates/arrowyard-peers/src/words.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::fleet::{Event, Fleet};
 use crate::member::{Member, Slot, Standing, supersedes};
@@ -22,7 +22,7 @@
     /// The sender of a datagram. `answers`: it repeats a question of this router's that is open, which proves that it lives.
     pub(crate) fn sender(
         &mut self,
-        now: Point,
+        now: Timestamp,
         told: &Datagram,
         at: SocketAddr,
         from: SocketAddr,
@@ -76,7 +76,7 @@
     }
 
     /// A member has a new life: it started anew, or spoke against what was said of it.
-    fn renewed(&mut self, now: Point, slot: Slot, life: u64, nonce: u64, at: SocketAddr, by: &str) {
+    fn renewed(&mut self, now: Timestamp, slot: Slot, life: u64, nonce: u64, at: SocketAddr, by: &str) {
         let by: Rc<str> = self.table.of(by).map_or_else(|| by.into(), |one| one.name.clone());
         self.asks.retain(|ask| ask.slot != Some(slot));
         let changed = self.table.change(slot, |one| {
@@ -105,12 +105,12 @@
         }
     }
 
-    fn met(&mut self, now: Point, told: &Datagram, at: SocketAddr) {
+    fn met(&mut self, now: Timestamp, told: &Datagram, at: SocketAddr) {
         self.heard_any = now;
         let name: Rc<str> = (&*told.from).into();
         let mut member = Member::new(name.clone(), at, told.life, told.nonce, now);
         (member.heard, member.acked, member.idle) = (now, now, told.idle);
-        let _ = member.fresh(told.sent, now, Span::ZERO);
+        let _ = member.fresh(told.sent, now, TimeDelta::ZERO);
         if told.leaves {
             return;
         }
@@ -133,7 +133,7 @@
     }
 
     /// Somebody was heard of.
-    pub(crate) fn candidate(&mut self, now: Point, name: &str, at: SocketAddr, life: u64) {
+    pub(crate) fn candidate(&mut self, now: Timestamp, name: &str, at: SocketAddr, life: u64) {
         let known = self.candidates.iter_mut().find(|one| *one.name == *name);
         if let Some(one) = known {
             if life > one.life {
@@ -150,7 +150,7 @@
     }
 
     /// A word about a member.
-    pub(crate) fn rumor(&mut self, now: Point, rumor: &Rumor, by: &Rc<str>) {
+    pub(crate) fn rumor(&mut self, now: Timestamp, rumor: &Rumor, by: &Rc<str>) {
         if *rumor.name == *self.me.name {
             return self.of_me(now, rumor);
         }
@@ -208,7 +208,7 @@
     }
 
     /// This router heard from a member that others find silent: those that were told so are told that, too.
-    fn vouch(&mut self, now: Point, slot: Slot, to: &Rc<str>) {
+    fn vouch(&mut self, now: Timestamp, slot: Slot, to: &Rc<str>) {
         let Some(one) = self.table.get(slot) else { return };
         let age_ms = ((now - one.own_proof()).micros() / 1000) as u32;
         let by = vec![self.me.name.to_string()];
@@ -222,7 +222,7 @@
     }
 
     /// A word about a member goes to some others at once.
-    pub(crate) fn pass_on(&mut self, now: Point, of: Slot, rumor: &Rumor) {
+    pub(crate) fn pass_on(&mut self, now: Timestamp, of: Slot, rumor: &Rumor) {
         let fit = |one: &Member| one.standing == Standing::Alive;
         for to in self.table.draw(&mut self.rng, self.terms.urgent, &[of], fit) {
             if self.pushes.take(now) {
@@ -233,11 +233,11 @@
 
     /// Others say that they hear a member that this router does not. Danger: a liar keeps the dead alive. So the word
     /// lifts silence only, no refusal and no loss, and counts for as long as that of a helper who reached it.
-    fn vouched(&mut self, now: Point, slot: Slot, rumor: &Rumor, by: &Rc<str>) {
+    fn vouched(&mut self, now: Timestamp, slot: Slot, rumor: &Rumor, by: &Rc<str>) {
         let lives = |name: &String| self.table.of(name).is_some_and(|one| one.standing == Standing::Alive);
         let voucher = rumor.by.iter().find(|name| **name != rumor.name && lives(name)).cloned();
         // Each that passes the word on adds the way's time to its age, so that it fades and does not go round for ever.
-        let heard = now - Span::from_millis(i64::from(rumor.age_ms)) - self.terms.retry * 0.1;
+        let heard = now - TimeDelta::from_millis(i64::from(rumor.age_ms)) - self.terms.retry * 0.1;
         let Some(one) = self.table.touch(slot) else { return };
         let old = now - heard > self.terms.fresh || heard <= one.by_others + self.terms.fresh;
         if voucher.is_none() || old || !one.refused_by.is_empty() || one.standing.is_over() {
@@ -270,7 +270,7 @@
     }
 
     /// Somebody finds a member silent: one word is kept, two are checked here.
-    fn suspected(&mut self, now: Point, slot: Slot, rumor: &Rumor, by: &Rc<str>) {
+    fn suspected(&mut self, now: Timestamp, slot: Slot, rumor: &Rumor, by: &Rc<str>) {
         // Only members accuse, and only such as live.
         let accusers: Vec<Rc<str>> = rumor
             .by
@@ -300,7 +300,7 @@
     }
 
     /// Others speak of this router itself.
-    fn of_me(&mut self, now: Point, rumor: &Rumor) {
+    fn of_me(&mut self, now: Timestamp, rumor: &Rumor) {
         if rumor.nonce != self.me.nonce {
             // A former life of this name, or another process that has it.
             if rumor.claim() == Claim::Alive {
@@ -321,7 +321,7 @@
 
     /// Another process claims this name with a life that is not before this one's: a former self that is remembered, or
     /// one that runs. The first is outbid once; the second bids again, and the later one of the two gives way.
-    pub(crate) fn claimed(&mut self, now: Point, life: u64, nonce: u64) {
+    pub(crate) fn claimed(&mut self, now: Timestamp, life: u64, nonce: u64) {
         if life < self.me.life {
             return;
         }
--- a/crates/arrowyard-peers/tests/cases.rs
+++ b/crates/arrowyard-peers/tests/cases.rs
@@ -4,14 +4,14 @@
 
 use arrowyard_peers::message::{Claim, Datagram, FORM, Kind, Rumor, mark, write};
 use arrowyard_peers::{Deed, Event, Fleet, Me, Standing, Terms};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use prost::Message;
 
-fn ms(millis: i64) -> Span {
-    Span::from_millis(millis)
+fn ms(millis: i64) -> TimeDelta {
+    TimeDelta::from_millis(millis)
 }
 
-const BEGIN: Point = Point::from_micros(1_000_000_000_000);
+const BEGIN: Timestamp = Timestamp::from_micros(1_000_000_000_000);
 
 fn at(number: u16) -> SocketAddr {
     ([127, 0, 0, 1], 7000 + number).into()
@@ -58,7 +58,7 @@
 
 /// Datagrams that are on their way between a few, each delivered at once; what is not among them is lost.
 struct Few {
-    now: Point,
+    now: Timestamp,
     all: Vec<Fleet>,
     /// Those that take part: the others neither send nor hear.
     up: Vec<bool>,
@@ -77,7 +77,7 @@
         usize::from(to.port().wrapping_sub(7000))
     }
 
-    fn play(&mut self, span: Span) {
+    fn play(&mut self, span: TimeDelta) {
         let end = self.now + span;
         while self.now < end {
             self.now = self.now + ms(10);
@@ -422,11 +422,11 @@
     let sent = |ms: u64| 5_000_000 + ms * 1000;
     assert_eq!(
         one.fresh(sent(0), BEGIN + ms(2), ms(0)),
-        Some(Span::ZERO),
+        Some(TimeDelta::ZERO),
         "the first one says what is usual"
     );
     assert_eq!(one.fresh(sent(0), BEGIN + ms(3), ms(1)), None, "the same again");
-    assert_eq!(one.fresh(sent(500), BEGIN + ms(502), ms(0)), Some(Span::ZERO));
+    assert_eq!(one.fresh(sent(500), BEGIN + ms(502), ms(0)), Some(TimeDelta::ZERO));
     assert_eq!(one.fresh(sent(400), BEGIN + ms(503), ms(0)), None, "overtaken");
     assert_eq!(one.fresh(sent(600), BEGIN + ms(3602), ms(0)), Some(ms(3000)), "three seconds late");
 }
--- a/crates/arrowyard-peers/tests/model.rs
+++ b/crates/arrowyard-peers/tests/model.rs
@@ -5,7 +5,7 @@
 use std::net::SocketAddr;
 
 use arrowyard_peers::{Deed, Fleet, Me, Standing, Terms};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
 const COUNT: usize = 4;
@@ -53,7 +53,7 @@
 }
 
 struct World {
-    now: Point,
+    now: Timestamp,
     fleets: Vec<Option<Fleet>>,
     plain: Vec<Plain>,
     kept: Vec<(usize, SocketAddr, Vec<u8>)>,
@@ -68,7 +68,7 @@
     fn new(seed: u64) -> World {
         let (kept, held_up, held) = Default::default();
         let mut world = World {
-            now: Point::from_micros(1_000_000_000_000),
+            now: Timestamp::from_micros(1_000_000_000_000),
             fleets: (0..COUNT).map(|_| None).collect(),
             plain: (0..COUNT).map(|_| Plain::default()).collect(),
             kept,
@@ -96,7 +96,7 @@
 
     fn pass(&mut self, ms: u16, lost: u8, copied: u8, held: u8) -> Result<(), TestCaseError> {
         for _ in 0..ms / 20 {
-            self.now = self.now + Span::from_millis(20);
+            self.now = self.now + TimeDelta::from_millis(20);
             for who in 0..COUNT {
                 if self.plain[who].halted {
                     continue;
--- a/crates/arrowyard-peers/tests/reckon.rs
+++ b/crates/arrowyard-peers/tests/reckon.rs
@@ -1,13 +1,13 @@
 //! How many routers shares are reckoned by, beside a plain rule worked out over the whole past.
 
 use arrowyard_peers::Reckoner;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
-const SETTLE: Span = Span::from_millis(10_000);
+const SETTLE: TimeDelta = TimeDelta::from_millis(10_000);
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(1_000_000_000 + ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(1_000_000_000 + ms * 1000)
 }
 
 fn sight(reach: usize, missing: usize, forgiven: usize, sure: bool) -> arrowyard_peers::Sight {
--- a/crates/arrowyard-platform-settings/src/lib.rs
+++ b/crates/arrowyard-platform-settings/src/lib.rs
@@ -1,7 +1,7 @@
 //! The settings that a router is told, under our names. The simulator's first message and the real router's
 //! file hold the same object, so that both callers of the decision module translate it here.
 
-use arrowyard_types::{Fact, Manifest, Point, Span as Time};
+use arrowyard_types::{RouterSettings, SettingValue, TimeDelta as Time, Timestamp};
 use serde_json::{Map, Value};
 
 enum As {
@@ -92,8 +92,8 @@
     (millis * 1000.0).round() as i64
 }
 
-pub fn point(millis: f64) -> Point {
-    Point::from_micros(micros(millis))
+pub fn point(millis: f64) -> Timestamp {
+    Timestamp::from_micros(micros(millis))
 }
 
 pub fn span(millis: f64) -> Time {
@@ -105,8 +105,8 @@
     name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
-pub fn manifest(info: &Map<String, Value>) -> Result<Manifest, String> {
-    let mut manifest = Manifest::new();
+pub fn manifest(info: &Map<String, Value>) -> Result<RouterSettings, String> {
+    let mut manifest = RouterSettings::new();
     for (path, name, kind) in NAMES {
         let (mut found, mut rest) = (None, info);
         let mut steps = path.split('.').peekable();
@@ -135,7 +135,7 @@
 }
 
 fn put(
-    manifest: &mut Manifest,
+    manifest: &mut RouterSettings,
     path: &str,
     name: String,
     kind: &As,
@@ -143,12 +143,12 @@
 ) -> Result<(), String> {
     let Some(value) = value.filter(|value| !value.is_null()) else { return Ok(()) };
     let fact = match kind {
-        Flag => value.as_bool().map(Fact::Flag),
-        Number => value.as_f64().map(Fact::Number),
-        Span => value.as_f64().map(|millis| Fact::Span(span(millis))),
+        Flag => value.as_bool().map(SettingValue::Flag),
+        Number => value.as_f64().map(SettingValue::Number),
+        Span => value.as_f64().map(|millis| SettingValue::TimeDelta(span(millis))),
         Text => value.as_str().map(|word| {
             let ours = WORDS.iter().find(|(wire, _)| *wire == word).map_or(word, |(_, ours)| ours);
-            Fact::Text(ours.to_string())
+            SettingValue::Text(ours.to_string())
         }),
     };
     manifest.insert(name, fact.ok_or_else(|| format!("settings: {path} has the wrong type"))?);
--- a/crates/arrowyard-pooler/src/fresh.rs
+++ b/crates/arrowyard-pooler/src/fresh.rs
@@ -5,23 +5,23 @@
 use std::collections::VecDeque;
 
 use arrowyard_protocol::Position;
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 /// Pairs closer than this to the one before are left out, and older ones than this are forgotten.
-const STEP: Span = Span::from_millis(10);
-const OLD: Span = Span::from_millis(30_000);
+const STEP: TimeDelta = TimeDelta::from_millis(10);
+const OLD: TimeDelta = TimeDelta::from_millis(30_000);
 const MOST: usize = 512;
 
 /// What one service's primary told, oldest first; both times and positions rise.
 #[derive(Clone, Debug, Default)]
 pub struct Timeline {
-    pairs: VecDeque<(Point, Position)>,
+    pairs: VecDeque<(Timestamp, Position)>,
 }
 
 impl Timeline {
     /// The primary answered a statement that was sent then. Danger: only an answer that proves that it led as it ran
     /// the statement may be told here; a host that led once tells positions that lack what its successor committed.
-    pub fn learn(&mut self, sent: Point, position: Position) {
+    pub fn learn(&mut self, sent: Timestamp, position: Position) {
         if let Some((last, known)) = self.pairs.back_mut() {
             if sent < *last {
                 return;
@@ -43,13 +43,13 @@
     }
 
     /// A position that has all that was acknowledged before `since`; the least that is known.
-    pub fn after(&self, since: Point) -> Option<Position> {
+    pub fn after(&self, since: Timestamp) -> Option<Position> {
         let place = self.pairs.partition_point(|(at, _)| *at < since);
         self.pairs.get(place).map(|(_, position)| *position)
     }
 
     /// Up to when a host has all that was acknowledged, if it has this position.
-    pub fn time(&self, position: Position) -> Option<Point> {
+    pub fn time(&self, position: Position) -> Option<Timestamp> {
         let place = self.pairs.partition_point(|(_, known)| *known <= position);
         place.checked_sub(1).map(|place| self.pairs[place].0)
     }
--- a/crates/arrowyard-pooler/src/link.rs
+++ b/crates/arrowyard-pooler/src/link.rs
@@ -7,7 +7,7 @@
 use arrowyard_messages::{HostRequest, RelayedQuestion};
 use arrowyard_protocol::{Code, Lines, Mode, Observed, Position};
 use arrowyard_runtime::Conn;
-use arrowyard_types::{HostId, OpId, Point, SendNo};
+use arrowyard_types::{HostId, OpId, SendIndex, Timestamp};
 use rustc_hash::FxHashSet;
 
 /// A session's values, by name. Sessions and connections that have the same ones share them.
@@ -33,7 +33,7 @@
     /// It is replaced as primary, and yields to this term.
     Yield(u64),
     /// Control does not reach it. After the time, control does not wait for the answer any more.
-    Relayed(RelayedQuestion, Point),
+    Relayed(RelayedQuestion, Timestamp),
 }
 
 impl HostQuestion {
@@ -66,10 +66,10 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Sent {
     pub op: OpId,
-    pub number: SendNo,
+    pub number: SendIndex,
     /// When the module sent it, and when its bytes went out.
-    pub at: Point,
-    pub wired: Option<Point>,
+    pub at: Timestamp,
+    pub wired: Option<Timestamp>,
     /// What it counts as.
     pub service: ServiceId,
 }
@@ -94,14 +94,14 @@
     pub rows: Vec<u8>,
     pub stamp: Option<String>,
     pub fault: Option<(Code, String)>,
-    pub opened_at: Point,
-    pub since: Point,
+    pub opened_at: Timestamp,
+    pub since: Timestamp,
     /// The question that is to be asked on it, or is being asked.
     pub aside: Option<HostQuestion>,
 }
 
 impl Link {
-    pub fn new(conn: Conn, host: HostId, now: Point) -> Self {
+    pub fn new(conn: Conn, host: HostId, now: Timestamp) -> Self {
         Link {
             conn,
             host,
@@ -124,7 +124,7 @@
     }
 
     /// Every change of stage.
-    pub fn shift(&mut self, now: Point, stage: Stage) {
+    pub fn shift(&mut self, now: Timestamp, stage: Stage) {
         (self.stage, self.since) = (stage, now);
     }
 
--- a/crates/arrowyard-pooler/src/pace.rs
+++ b/crates/arrowyard-pooler/src/pace.rs
@@ -1,6 +1,6 @@
 //! How long statements of a kind take, by which an answer that is lost is told from one that is late.
 
-use arrowyard_types::{OpTypeId, Span};
+use arrowyard_types::{OpTypeId, TimeDelta};
 use rustc_hash::FxHashMap;
 
 /// The share of statements that are quicker than what is kept.
@@ -8,17 +8,17 @@
 /// How far one statement moves it, as a share of itself.
 const STEP: f64 = 0.05;
 /// What is taken before any is known, and the least.
-const FIRST: Span = Span::from_millis(250);
-const LEAST: Span = Span::from_millis(20);
+const FIRST: TimeDelta = TimeDelta::from_millis(250);
+const LEAST: TimeDelta = TimeDelta::from_millis(20);
 
 /// A running quantile for each kind, moved by each statement (Robbins and Monro).
 #[derive(Debug, Default)]
 pub struct Paces {
-    by_kind: FxHashMap<OpTypeId, Span>,
+    by_kind: FxHashMap<OpTypeId, TimeDelta>,
 }
 
 impl Paces {
-    pub fn took(&mut self, kind: OpTypeId, took: Span) {
+    pub fn took(&mut self, kind: OpTypeId, took: TimeDelta) {
         let known = self.by_kind.entry(kind).or_insert(FIRST);
         let step = *known * STEP;
         *known = if took > *known { *known + step * SHARE } else { *known - step * (1.0 - SHARE) };
@@ -26,7 +26,7 @@
     }
 
     /// What all but a few of a kind are quicker than.
-    pub fn slowest(&self, kind: OpTypeId) -> Span {
+    pub fn slowest(&self, kind: OpTypeId) -> TimeDelta {
         self.by_kind.get(&kind).copied().unwrap_or(FIRST)
     }
 }
--- a/crates/arrowyard-pooler/src/plane.rs
+++ b/crates/arrowyard-pooler/src/plane.rs
@@ -14,7 +14,7 @@
 use arrowyard_messages::{Known, number};
 use arrowyard_runtime::http::{Messages, answer};
 use arrowyard_runtime::{Conn, Door, Event, Orders, Plane, Sign, Timers};
-use arrowyard_types::{Action, Cookie, HostId, Note, OpId, Point, Span};
+use arrowyard_types::{Action, HostId, OpId, RouterEvent, TimeDelta, TimerId, Timestamp};
 use rustc_hash::FxHashMap;
 
 use crate::fresh::Timeline;
@@ -33,15 +33,15 @@
 pub const DOORS: [Door; 2] = [Door(0), Door(1)];
 
 /// The settings file is read again so often, since it may change without a signal.
-const REREAD: Span = Span::from_millis(2000);
+const REREAD: TimeDelta = TimeDelta::from_millis(2000);
 /// Idle connections to hosts are looked at so often.
-const RESTED: Span = Span::from_millis(1000);
+const RESTED: TimeDelta = TimeDelta::from_millis(1000);
 /// The platform has noticed by then that a router is no more ready.
-const NOTICED: Span = Span::from_millis(2200);
+const NOTICED: TimeDelta = TimeDelta::from_millis(2200);
 /// A process ends so long before it would be ended.
-const BEFORE_END: Span = Span::from_millis(700);
+const BEFORE_END: TimeDelta = TimeDelta::from_millis(700);
 /// A session that says nothing at first is closed after so long where the configuration does not say.
-const IDLE: Span = Span::from_millis(2000);
+const IDLE: TimeDelta = TimeDelta::from_millis(2000);
 
 /// So many routers share the hosts' connections as long as nobody told. Danger: routers that all start at once, each as
 /// if it were alone, together go over every host's limit.
@@ -53,7 +53,7 @@
 /// What is to be done at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Alarm {
-    Module(Cookie),
+    Module(TimerId),
     /// A statement's time is up.
     Statement(Conn),
     /// A session says nothing: at first, or inside a transaction.
@@ -97,7 +97,7 @@
     timelines: FxHashMap<String, Timeline>,
     ops: FxHashMap<OpId, Conn>,
     paces: Paces,
-    probing: FxHashMap<HostId, Point>,
+    probing: FxHashMap<HostId, Timestamp>,
     last_op: u64,
     shapes: FxHashMap<(arrowyard_protocol::Mode, Rc<str>), u32>,
     timers: Timers<Alarm>,
@@ -107,7 +107,7 @@
     /// How many routers share the hosts' connections.
     routers: u32,
     controls: Vec<Known>,
-    draining: Option<Point>,
+    draining: Option<Timestamp>,
     closed_idle: bool,
     pending: VecDeque<Action>,
     sessions: usize,
@@ -115,9 +115,9 @@
 
 impl Sluice {
     pub fn new(settings: Settings, life: u64, reread: Reread) -> Self {
-        let now = Point::from_micros(0);
+        let now = Timestamp::from_micros(0);
         let mut actions = Vec::new();
-        let drain = Span::from_millis((settings.envelope.drain_bound_ms - 2000.0).max(0.0) as i64);
+        let drain = TimeDelta::from_millis((settings.envelope.drain_bound_ms - 2000.0).max(0.0) as i64);
         let module = Module::start(now, life, drain, &mut actions);
         let controls = settings
             .seeds
@@ -169,35 +169,35 @@
     }
 
     /// Hands a note to the module. What it wants is carried out before the event is over.
-    fn note(&mut self, now: Point, note: Note) {
+    fn note(&mut self, now: Timestamp, note: RouterEvent) {
         self.module.take(now, note, &mut self.actions);
     }
 
     /// Carries out what the module wants, in order, until it wants no more.
-    fn carry(&mut self, now: Point, orders: &mut Orders) {
+    fn carry(&mut self, now: Timestamp, orders: &mut Orders) {
         loop {
             self.pending.extend(self.actions.drain(..));
             let Some(action) = self.pending.pop_front() else { return };
             match action {
-                Action::Send { op, host, until } => self.send(now, op, host, until, orders),
+                Action::Send { op, host, deadline: until } => self.send(now, op, host, until, orders),
                 Action::BusyReply { op, retry_after } => self.give_up(now, op, retry_after, orders),
                 Action::ErrorReply { op } => self.fail(now, op, orders),
                 Action::Probe { host } => self.probe(now, host, orders),
-                Action::Ring { after, cookie } => drop(self.timers.set(now + after, Alarm::Module(cookie))),
+                Action::SetTimer { after, timer } => drop(self.timers.set(now + after, Alarm::Module(timer))),
                 Action::Log { text } => log::info!("module: {text}."),
                 // Nothing of the kind is told to this module.
                 Action::Cancel { .. }
-                | Action::Subscribe { .. }
-                | Action::FetchList
-                | Action::CloseIdle { .. }
-                | Action::Tell { .. } => {}
+                | Action::SubscribeHostList { .. }
+                | Action::FetchHostList
+                | Action::CloseIdleConnections { .. }
+                | Action::SendPeerMessage { .. } => {}
             }
         }
     }
 
-    fn rang(&mut self, now: Point, alarm: Alarm, orders: &mut Orders) {
+    fn rang(&mut self, now: Timestamp, alarm: Alarm, orders: &mut Orders) {
         match alarm {
-            Alarm::Module(cookie) => self.note(now, Note::Rang { cookie }),
+            Alarm::Module(cookie) => self.note(now, RouterEvent::TimerFired { timer: cookie }),
             Alarm::Statement(conn) => self.statement_late(now, conn, orders),
             Alarm::Silence(conn) => self.silent(now, conn, orders),
             Alarm::Waits(conn, op) => self.waits_too_long(now, conn, op, orders),
@@ -258,7 +258,7 @@
     }
 
     /// Told to end: no longer ready at once, at rest when the platform has noticed, gone before it would be ended.
-    fn drain(&mut self, now: Point) {
+    fn drain(&mut self, now: Timestamp) {
         if self.draining.is_none() {
             log::info!("drain: {} sessions are to end.", self.sessions);
             self.draining = Some(now);
@@ -266,9 +266,9 @@
         }
     }
 
-    fn sweep(&mut self, now: Point, orders: &mut Orders) {
+    fn sweep(&mut self, now: Timestamp, orders: &mut Orders) {
         let Some(since) = self.draining else { return };
-        let grace = Span::from_micros((self.settings.envelope.grace_s * 1e6) as i64);
+        let grace = TimeDelta::from_micros((self.settings.envelope.grace_s * 1e6) as i64);
         let conns: Vec<Conn> = self
             .lines
             .iter()
@@ -292,12 +292,12 @@
             log::info!("drain: {} sessions are left.", self.sessions);
             return orders.stop();
         }
-        self.timers.set(now + Span::from_millis(50), Alarm::Sweep);
+        self.timers.set(now + TimeDelta::from_millis(50), Alarm::Sweep);
     }
 }
 
 impl Plane for Sluice {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Timestamp, event: Event<'_>, orders: &mut Orders) {
         match event {
             Event::Start => {
                 self.timers.set(now, Alarm::Feed);
@@ -335,7 +335,7 @@
         self.carry(now, orders);
     }
 
-    fn due(&self) -> Option<Point> {
+    fn due(&self) -> Option<Timestamp> {
         self.timers.due().into_iter().chain(self.module.due()).min()
     }
 }
--- a/crates/arrowyard-pooler/src/plane/clients.rs
+++ b/crates/arrowyard-pooler/src/plane/clients.rs
@@ -5,7 +5,7 @@
 use arrowyard_config::Channel;
 use arrowyard_protocol::{Ask as Said, Code, Mode, State, Text};
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::{Note, Point, Span};
+use arrowyard_types::{RouterEvent, TimeDelta, Timestamp};
 use bytes::Bytes;
 
 use super::{Alarm, IDLE, Line, Sluice};
@@ -15,15 +15,15 @@
 /// Statements of one session that may wait behind the one under way.
 const MOST_QUEUED: usize = 256;
 /// A session that came before the first configuration waits for it this long.
-const FOR_CONFIGURATION: Span = Span::from_millis(1500);
+const FOR_CONFIGURATION: TimeDelta = TimeDelta::from_millis(1500);
 /// Names and values that one session may hold, and their bytes.
 const MOST_NAMES: usize = 1024;
 
 impl Sluice {
-    pub(super) fn welcome(&mut self, now: Point, conn: Conn) {
+    pub(super) fn welcome(&mut self, now: Timestamp, conn: Conn) {
         let mut session = Session::new();
         let wait = self.configured.routes.limits.header_wait_ms as i64;
-        let wait = if wait > 0 { Span::from_millis(wait) } else { IDLE };
+        let wait = if wait > 0 { TimeDelta::from_millis(wait) } else { IDLE };
         session.timer = Some(self.timers.set(now + wait, Alarm::Silence(conn)));
         self.lines.insert(conn, Line::Client(Box::new(session)));
         self.sessions += 1;
@@ -43,13 +43,13 @@
     }
 
     /// Closes a session. What it has at a host is rolled back.
-    pub(super) fn end_session(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn end_session(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         orders.close(conn);
         self.client_left(now, conn, orders);
     }
 
     /// The client is gone, or the session was closed: whatever it had is given back.
-    pub(super) fn client_left(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn client_left(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         self.abandon(now, conn, orders);
         let transaction = self.session(conn).and_then(|session| session.transaction.take());
         if let Some(link) = transaction.and_then(|transaction| transaction.link) {
@@ -58,7 +58,7 @@
         self.forget_session(conn);
     }
 
-    pub(super) fn client_came(&mut self, now: Point, conn: Conn, bytes: &[u8], orders: &mut Orders) {
+    pub(super) fn client_came(&mut self, now: Timestamp, conn: Conn, bytes: &[u8], orders: &mut Orders) {
         if let Some(session) = self.session(conn) {
             session.lines.put(bytes);
         }
@@ -92,7 +92,7 @@
     }
 
     /// What waits in a session's queue, once it rests.
-    pub(super) fn next_line(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn next_line(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         while let Some(session) = self.session(conn) {
             if !matches!(session.stage, Stage::Rests) {
                 return;
@@ -105,12 +105,12 @@
         }
     }
 
-    fn refuse_session(&mut self, now: Point, conn: Conn, code: Code, text: &str, orders: &mut Orders) {
+    fn refuse_session(&mut self, now: Timestamp, conn: Conn, code: Code, text: &str, orders: &mut Orders) {
         orders.line(conn, &["FAULT ", code.word(), " ", text]);
         self.end_session(now, conn, orders);
     }
 
-    fn line(&mut self, now: Point, conn: Conn, line: &Bytes, orders: &mut Orders) {
+    fn line(&mut self, now: Timestamp, conn: Conn, line: &Bytes, orders: &mut Orders) {
         let said = std::str::from_utf8(line).ok().and_then(Said::read);
         let Some(session) = self.session(conn) else { return };
         match (said, &session.stage) {
@@ -130,7 +130,7 @@
         }
     }
 
-    fn open(&mut self, now: Point, conn: Conn, database: String, orders: &mut Orders) {
+    fn open(&mut self, now: Timestamp, conn: Conn, database: String, orders: &mut Orders) {
         self.hush(conn);
         let known = self.configured.routes.of(&database).is_some();
         if known {
@@ -151,7 +151,7 @@
     }
 
     /// A configuration is there: sessions that waited for it go on.
-    pub(super) fn greet_waiting(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn greet_waiting(&mut self, now: Timestamp, orders: &mut Orders) {
         let waits = |(conn, line): (&Conn, &Line)| match line {
             Line::Client(session) => match &session.stage {
                 Stage::Waits(database) => Some((*conn, database.clone())),
@@ -167,7 +167,7 @@
     }
 
     /// A session said nothing for too long: at first, or inside a transaction.
-    pub(super) fn silent(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn silent(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         let Some(session) = self.session(conn) else { return };
         session.timer = None;
         match session.stage {
@@ -180,7 +180,7 @@
     }
 
     /// Ends a transaction that rests: nothing of it is kept, as its next statement is told.
-    pub(super) fn break_transaction(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn break_transaction(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         let Some(session) = self.session(conn) else { return };
         if session.state == State::InTransaction && matches!(session.stage, Stage::Rests) {
             (session.state, session.untold) = (State::Failed, true);
@@ -202,14 +202,14 @@
     }
 
     /// A statement that is refused here; inside a transaction that fails it.
-    fn refuse(&mut self, now: Point, conn: Conn, code: Code, text: &str, orders: &mut Orders) {
+    fn refuse(&mut self, now: Timestamp, conn: Conn, code: Code, text: &str, orders: &mut Orders) {
         orders.line(conn, &["FAULT ", code.word(), " ", text]);
         self.fail_transaction(now, conn, orders);
         self.idle(conn, orders);
     }
 
     /// A transaction failed: whatever holds it is given back, to be rolled back.
-    pub(super) fn fail_transaction(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn fail_transaction(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         let Some(session) = self.session(conn) else { return };
         if session.state == State::InTransaction {
             session.state = State::Failed;
@@ -219,7 +219,7 @@
         }
     }
 
-    fn query(&mut self, now: Point, conn: Conn, id: &str, text: &str, orders: &mut Orders) {
+    fn query(&mut self, now: Timestamp, conn: Conn, id: &str, text: &str, orders: &mut Orders) {
         self.hush(conn);
         let Some(session) = self.session(conn) else { return };
         let state = session.state;
@@ -315,20 +315,21 @@
     }
 
     /// A transaction that says nothing for too long is ended.
-    pub(super) fn rest_inside(&mut self, now: Point, conn: Conn) {
+    pub(super) fn rest_inside(&mut self, now: Timestamp, conn: Conn) {
         let wait = self.configured.routes.limits.tx_idle_ms;
         if self.session(conn).is_none_or(|session| session.state != State::InTransaction) || wait <= 0.0 {
             return;
         }
         self.hush(conn);
-        let timer = self.timers.set(now + Span::from_micros((wait * 1000.0) as i64), Alarm::Silence(conn));
+        let timer =
+            self.timers.set(now + TimeDelta::from_micros((wait * 1000.0) as i64), Alarm::Silence(conn));
         if let Some(session) = self.session(conn) {
             session.timer = Some(timer);
         }
     }
 
     /// An operation is over. A router that is to end lets its sessions go here.
-    pub(super) fn after_operation(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn after_operation(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         if self.closed_idle && self.session(conn).is_some_and(|s| s.is_at_rest() && s.queue.is_empty()) {
             self.end_session(now, conn, orders);
         }
@@ -337,7 +338,7 @@
     /// A statement that a host has to run: it is handed to the module.
     fn ask(
         &mut self,
-        now: Point,
+        now: Timestamp,
         conn: Conn,
         channel: &Rc<Channel>,
         id: &str,
@@ -383,9 +384,9 @@
         *self.shapes.entry((mode, shape.clone())).or_insert(next)
     }
 
-    pub(super) fn hang_up(&mut self, now: Point, op: arrowyard_types::OpId) {
+    pub(super) fn hang_up(&mut self, now: Timestamp, op: arrowyard_types::OpId) {
         self.ops.remove(&op);
-        self.note(now, Note::HungUp { op });
+        self.note(now, RouterEvent::ClientCancelled { op });
     }
 }
 
--- a/crates/arrowyard-pooler/src/plane/feed.rs
+++ b/crates/arrowyard-pooler/src/plane/feed.rs
@@ -10,22 +10,22 @@
     Word, number, said,
 };
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::{Note, Point, Span};
+use arrowyard_types::{RouterEvent, TimeDelta, Timestamp};
 
 use super::{Alarm, Line, Sluice};
 use crate::module::Known;
 use crate::routes::Routes;
 
 /// A control machine that does not answer a dial in so long is passed over; then the next one is tried.
-const DIAL: Span = Span::from_millis(700);
+const DIAL: TimeDelta = TimeDelta::from_millis(700);
 /// So often a router says what it has, so that either end notices when the other is gone.
-const SEEN: Span = Span::from_millis(1000);
+const SEEN: TimeDelta = TimeDelta::from_millis(1000);
 /// Control that says nothing for so long is away; it says that it is here twice a second.
-const QUIET: Span = Span::from_millis(1600);
+const QUIET: TimeDelta = TimeDelta::from_millis(1600);
 /// So often that is looked at.
-const LOOK: Span = Span::from_millis(500);
+const LOOK: TimeDelta = TimeDelta::from_millis(500);
 /// A host whose primary was told of is not told of again for so long.
-const TOLD: Span = Span::from_millis(300);
+const TOLD: TimeDelta = TimeDelta::from_millis(300);
 
 /// The connection, and what came over it.
 #[derive(Default)]
@@ -35,10 +35,10 @@
     frames: Frames,
     number: u64,
     tried: usize,
-    since: Point,
-    told_at: Point,
-    heard_at: Point,
-    said_at: Point,
+    since: Timestamp,
+    told_at: Timestamp,
+    heard_at: Timestamp,
+    said_at: Timestamp,
     /// Whom the connection is to; and who went silent last, who is tried last.
     ip: u32,
     failed: Option<u32>,
@@ -51,7 +51,7 @@
 }
 
 impl Sluice {
-    pub(super) fn feed_due(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn feed_due(&mut self, now: Timestamp, orders: &mut Orders) {
         match self.feed.conn {
             Some(conn) if self.feed.open && now - self.feed.heard_at >= QUIET => {
                 orders.drop(conn);
@@ -78,7 +78,7 @@
     }
 
     /// Dials the next control machine: those of the own zone come first, then the others by turns.
-    fn dial_control(&mut self, now: Point, orders: &mut Orders) {
+    fn dial_control(&mut self, now: Timestamp, orders: &mut Orders) {
         let seeds = self.settings.seeds.iter().map(|seed| (number(*seed.ip()), String::new()));
         let mut all: Vec<(u32, String)> =
             self.controls.iter().map(|known| (known.ip, known.zone.clone())).collect();
@@ -105,7 +105,7 @@
         self.feed = Feed { conn: Some(conn), since: now, tried, told_at, failed, ip, ..Feed::default() };
     }
 
-    pub(super) fn feed_opened(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn feed_opened(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         (self.feed.open, self.feed.since, self.feed.heard_at) = (true, now, now);
         let hello = Hello {
             node: self.settings.node.clone(),
@@ -118,12 +118,12 @@
         orders.write(conn, &[&said(Word::Hello(hello))]);
     }
 
-    pub(super) fn feed_broke(&mut self, now: Point, conn: Conn) {
+    pub(super) fn feed_broke(&mut self, now: Timestamp, conn: Conn) {
         self.lines.remove(&conn);
         if self.feed.conn == Some(conn) {
             log::info!("feed: Control is away.");
             self.lose_feed();
-            let wait = Span::from_millis(20) + Span::from_millis(150) * self.rng.f64();
+            let wait = TimeDelta::from_millis(20) + TimeDelta::from_millis(150) * self.rng.f64();
             self.timers.set(now + wait, Alarm::Feed);
         }
     }
@@ -137,13 +137,13 @@
         }
     }
 
-    fn say_seen(&mut self, now: Point, conn: Conn, lost: bool, orders: &mut Orders) {
+    fn say_seen(&mut self, now: Timestamp, conn: Conn, lost: bool, orders: &mut Orders) {
         self.feed.said_at = now;
         let seen = Seen { number: self.feed.number, lost, revision: self.configured.configuration.revision };
         orders.write(conn, &[&said(Word::Seen(seen))]);
     }
 
-    pub(super) fn feed_came(&mut self, now: Point, conn: Conn, bytes: &[u8], orders: &mut Orders) {
+    pub(super) fn feed_came(&mut self, now: Timestamp, conn: Conn, bytes: &[u8], orders: &mut Orders) {
         self.feed.heard_at = now;
         self.feed.frames.put(bytes);
         loop {
@@ -167,7 +167,7 @@
         }
     }
 
-    fn take_whole(&mut self, now: Point, conn: Conn, whole: &Whole, orders: &mut Orders) {
+    fn take_whole(&mut self, now: Timestamp, conn: Conn, whole: &Whole, orders: &mut Orders) {
         self.feed.number = whole.number;
         // It came through: the next time the nearest are tried first again.
         self.feed.tried = 0;
@@ -184,7 +184,7 @@
         self.say_seen(now, conn, false, orders);
     }
 
-    fn take_change(&mut self, now: Point, conn: Conn, change: &Change, orders: &mut Orders) {
+    fn take_change(&mut self, now: Timestamp, conn: Conn, change: &Change, orders: &mut Orders) {
         if change.number != self.feed.number + 1 {
             return self.say_seen(now, conn, true, orders);
         }
@@ -213,7 +213,7 @@
         self.say_seen(now, conn, false, orders);
     }
 
-    fn put_in_force(&mut self, now: Point, configuration: Configuration, slot: u64, orders: &mut Orders) {
+    fn put_in_force(&mut self, now: Timestamp, configuration: Configuration, slot: u64, orders: &mut Orders) {
         log::info!("configuration: Revision {} is in force.", configuration.revision);
         self.configured.routes = Rc::new(Routes::new(&configuration));
         self.shares.terms.configure(&configuration);
@@ -221,22 +221,22 @@
         self.greet_waiting(now, orders);
     }
 
-    fn take_hosts(&mut self, now: Point, hosts: &[Host]) {
+    fn take_hosts(&mut self, now: Timestamp, hosts: &[Host]) {
         self.module.learn(now, hosts, &mut self.actions);
         let count = self.module.hosts().count();
         self.pools.resize_with(count.max(self.pools.len()), super::hosts::Pool::default);
     }
 
-    fn take_routers(&mut self, now: Point, routers: u32, orders: &mut Orders) {
+    fn take_routers(&mut self, now: Timestamp, routers: u32, orders: &mut Orders) {
         let routers = routers.max(1);
         if routers != self.routers {
             self.routers = routers;
-            self.note(now, Note::Fleet { routers: f64::from(routers) });
+            self.note(now, RouterEvent::RouterCount { routers: f64::from(routers) });
             self.trim_pools(now, orders);
         }
     }
 
-    fn take_replacements(&mut self, now: Point, told: Replacements, orders: &mut Orders) {
+    fn take_replacements(&mut self, now: Timestamp, told: Replacements, orders: &mut Orders) {
         for change in self.replacements.take(now, told) {
             let is_replaced = |known: &&Known| {
                 known.host.service == change.service
@@ -258,7 +258,7 @@
     }
 
     /// A primary does not answer: control hears of it.
-    pub(super) fn suspect(&mut self, now: Point, host: &Host, orders: &mut Orders) {
+    pub(super) fn suspect(&mut self, now: Timestamp, host: &Host, orders: &mut Orders) {
         if now - self.feed.told_at < TOLD {
             return;
         }
--- a/crates/arrowyard-pooler/src/plane/hosts.rs
+++ b/crates/arrowyard-pooler/src/plane/hosts.rs
@@ -4,20 +4,20 @@
 
 use arrowyard_protocol::{Answer, Code, OWN, Position, State};
 use arrowyard_runtime::{Conn, Orders, Why};
-use arrowyard_types::{HostId, Note, OpId, Outcome, Point, Role, Span, Word};
+use arrowyard_types::{HostId, HostStatus, OpId, Outcome, Role, RouterEvent, TimeDelta, Timestamp};
 
 use super::ops::{Floor, MUTE};
 use super::{Alarm, Line, Sluice};
 use crate::link::{Answered, Expect, Link, Sent, Stage};
 
 /// A connection that is not open by then is given up; so is an orphan that is not answered by then.
-const OPENS: Span = Span::from_millis(1000);
-pub(super) const ORPHAN: Span = Span::from_millis(3000);
+const OPENS: TimeDelta = TimeDelta::from_millis(1000);
+pub(super) const ORPHAN: TimeDelta = TimeDelta::from_millis(3000);
 /// So many idle connections to a host are kept however long they rest; more are closed after so long.
 const SPARE: usize = 2;
-const RESTED: Span = Span::from_millis(3000);
+const RESTED: TimeDelta = TimeDelta::from_millis(3000);
 /// For so long a host that lost an answer is taken to lose more.
-const LOSING: Span = Span::from_millis(4000);
+const LOSING: TimeDelta = TimeDelta::from_millis(4000);
 /// The part of a host's connections that routers share; the rest is for control's questions, and for routers that
 /// come and have not been counted.
 const SHARED: f64 = 0.85;
@@ -31,8 +31,8 @@
 const AT_ONCE: usize = 2;
 /// How often a host is asked of is averaged over so many times; the rest of a connection is in these bounds.
 const RATE: f64 = 0.125;
-const REST_LEAST: Span = Span::from_millis(40);
-const REST_MOST: Span = Span::from_millis(10_000);
+const REST_LEAST: TimeDelta = TimeDelta::from_millis(40);
+const REST_MOST: TimeDelta = TimeDelta::from_millis(10_000);
 /// A longer row of answers than this is no answer of a host.
 const MOST_ROWS: usize = 8 << 20;
 
@@ -45,13 +45,13 @@
     opening: usize,
     pub(super) waiting: VecDeque<(Conn, Sent)>,
     /// Since when something is asked of it and nothing is heard.
-    mute_since: Option<Point>,
+    mute_since: Option<Timestamp>,
     failures: u32,
     /// When an answer of it was lost last.
-    lost_at: Point,
+    lost_at: Timestamp,
     /// When a connection to it was asked for last, and the mean time between.
-    asked_at: Point,
-    gap: Span,
+    asked_at: Timestamp,
+    gap: TimeDelta,
 }
 
 impl Sluice {
@@ -71,19 +71,26 @@
     /// How long an idle connection to a host is kept; nothing: for good. Danger: of 83 routers that each keep one of 57
     /// connections for good, those that come last are never let in. A router that asks once in `gap` and keeps a
     /// connection for `rest` holds it for 1 - exp(-rest / gap) of the time; that is set to `HELD` of its part.
-    fn rest_of(&self, host: HostId) -> Option<Span> {
+    fn rest_of(&self, host: HostId) -> Option<TimeDelta> {
         let part = self.part(host);
         let gap = self.pools[host.0 as usize].gap;
         (part < 1.0).then(|| (gap * -(1.0 - part * HELD).ln()).clamp(REST_LEAST, REST_MOST))
     }
 
     /// Finds a connection for a statement, or opens one, or lets it wait for one.
-    pub(super) fn acquire(&mut self, now: Point, conn: Conn, host: HostId, sent: Sent, orders: &mut Orders) {
+    pub(super) fn acquire(
+        &mut self,
+        now: Timestamp,
+        conn: Conn,
+        host: HostId,
+        sent: Sent,
+        orders: &mut Orders,
+    ) {
         let values = self.session(conn).map(|session| session.values.clone()).unwrap_or_default();
         let share = self.share(host);
         let pool = &mut self.pools[host.0 as usize];
         let gap = (now - pool.asked_at).min(REST_MOST);
-        pool.gap = if pool.gap == Span::ZERO { gap } else { pool.gap + (gap - pool.gap) * RATE };
+        pool.gap = if pool.gap == TimeDelta::ZERO { gap } else { pool.gap + (gap - pool.gap) * RATE };
         pool.asked_at = now;
         let idle = std::mem::take(&mut pool.idle);
         // Of several, one that holds the session's values already; else the one that was used last.
@@ -111,7 +118,7 @@
 
     /// A statement has waited for a connection for as long as it may. A read may have another host; all else is given
     /// up, while its client can still ask elsewhere.
-    pub(super) fn waits_too_long(&mut self, now: Point, conn: Conn, op: OpId, orders: &mut Orders) {
+    pub(super) fn waits_too_long(&mut self, now: Timestamp, conn: Conn, op: OpId, orders: &mut Orders) {
         let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
         let (host, reads) = (statement.host, statement.kind == crate::routes::Statement::Read);
         let Some(host) = host else { return };
@@ -120,7 +127,7 @@
         if let Some(place) = pool.waiting.iter().position(|(_, sent)| sent.op == op)
             && let Some((_, sent)) = pool.waiting.remove(place)
         {
-            self.ended(now, sent, host, Outcome::Full, Word::default(), !elsewhere);
+            self.ended(now, sent, host, Outcome::Overloaded, HostStatus::default(), !elsewhere);
             if !elsewhere {
                 self.give_up(now, op, None, orders);
             }
@@ -132,7 +139,7 @@
         self.pools[host.0 as usize].idle.pop()
     }
 
-    pub(super) fn dial(&mut self, now: Point, host: HostId, orders: &mut Orders) -> Conn {
+    pub(super) fn dial(&mut self, now: Timestamp, host: HostId, orders: &mut Orders) -> Conn {
         let conn = orders.dial(self.module.host(host).address);
         self.lines.insert(conn, Line::Link(Box::new(Link::new(conn, host, now))));
         self.timers.set(now + OPENS, Alarm::Link(conn));
@@ -142,7 +149,7 @@
         conn
     }
 
-    pub(super) fn opened(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn opened(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         match self.lines.get(&conn) {
             Some(Line::Feed) => self.feed_opened(now, conn, orders),
             Some(Line::Link(link)) => {
@@ -154,7 +161,14 @@
     }
 
     /// Gives a session a connection, which is made to hold the session's values first.
-    pub(super) fn hand_over(&mut self, now: Point, conn: Conn, link: Conn, sent: Sent, orders: &mut Orders) {
+    pub(super) fn hand_over(
+        &mut self,
+        now: Timestamp,
+        conn: Conn,
+        link: Conn,
+        sent: Sent,
+        orders: &mut Orders,
+    ) {
         let floor = self.floor_of(conn);
         let Some(session) = self.session(conn) else { return };
         let values = session.values.clone();
@@ -192,7 +206,7 @@
     }
 
     /// Sends the statement itself, once all that has to come before it is answered.
-    fn put_out(&mut self, now: Point, conn: Conn, link: Conn, orders: &mut Orders) {
+    fn put_out(&mut self, now: Timestamp, conn: Conn, link: Conn, orders: &mut Orders) {
         let floor = self.floor_of(conn);
         let Some(session) = self.session(conn) else { return };
         let inside = session.transaction.is_some();
@@ -217,7 +231,7 @@
     }
 
     /// Something is asked of a host. If nothing was heard of it for too long, and it leads, control hears of it.
-    fn mute(&mut self, now: Point, link: Conn, orders: &mut Orders) {
+    fn mute(&mut self, now: Timestamp, link: Conn, orders: &mut Orders) {
         let Some(host) = self.link(link).map(|link| link.host) else { return };
         let pool = &mut self.pools[host.0 as usize];
         let since = *pool.mute_since.get_or_insert(now);
@@ -226,14 +240,14 @@
         }
     }
 
-    fn suspect_primary(&mut self, now: Point, host: HostId, orders: &mut Orders) {
+    fn suspect_primary(&mut self, now: Timestamp, host: HostId, orders: &mut Orders) {
         let known = self.module.host(host).host.clone();
         if known.role() == arrowyard_messages::DbRole::Primary {
             self.suspect(now, &known, orders);
         }
     }
 
-    pub(super) fn link_came(&mut self, now: Point, conn: Conn, bytes: &[u8], orders: &mut Orders) {
+    pub(super) fn link_came(&mut self, now: Timestamp, conn: Conn, bytes: &[u8], orders: &mut Orders) {
         if let Some(link) = self.link(conn) {
             link.lines.put(bytes);
             let host = link.host;
@@ -271,31 +285,31 @@
     }
 
     /// A host that does not let a connection in.
-    fn not_let_in(&mut self, now: Point, conn: Conn, code: Code, orders: &mut Orders) {
+    fn not_let_in(&mut self, now: Timestamp, conn: Conn, code: Code, orders: &mut Orders) {
         let Some(host) = self.link(conn).map(|link| link.host) else { return };
         self.forget_link(conn);
         orders.drop(conn);
         let full = matches!(code, Code::Overload | Code::Saturated);
-        let outcome = if full { Outcome::Full } else { Outcome::Miss };
+        let outcome = if full { Outcome::Overloaded } else { Outcome::Misrouted };
         if let Some((session, sent)) = self.pools[host.0 as usize].waiting.pop_front() {
-            self.ended(now, sent, host, outcome, Word::default(), false);
+            self.ended(now, sent, host, outcome, HostStatus::default(), false);
             let _ = session;
         }
         self.fail_stranded(now, host, outcome);
     }
 
     /// Without a connection, open or under way, nobody waits for one.
-    fn fail_stranded(&mut self, now: Point, host: HostId, outcome: Outcome) {
+    fn fail_stranded(&mut self, now: Timestamp, host: HostId, outcome: Outcome) {
         while self.pools[host.0 as usize].all == 0 {
             let Some((_, sent)) = self.pools[host.0 as usize].waiting.pop_front() else { return };
-            self.ended(now, sent, host, outcome, Word::default(), false);
+            self.ended(now, sent, host, outcome, HostStatus::default(), false);
         }
     }
 
     /// A host is done with one statement on a connection.
     fn link_idle(
         &mut self,
-        now: Point,
+        now: Timestamp,
         conn: Conn,
         state: State,
         position: Option<Position>,
@@ -360,18 +374,18 @@
         }
     }
 
-    pub(super) fn lost_answer(&mut self, now: Point, link: Conn) {
+    pub(super) fn lost_answer(&mut self, now: Timestamp, link: Conn) {
         if let Some(host) = self.link(link).map(|link| link.host) {
             self.pools[host.0 as usize].lost_at = now;
         }
     }
 
-    pub(super) fn loses_answers(&self, now: Point, host: HostId) -> bool {
+    pub(super) fn loses_answers(&self, now: Timestamp, host: HostId) -> bool {
         now - self.pools[host.0 as usize].lost_at < LOSING
     }
 
     /// One of the things that come before a statement is done.
-    fn dressed(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn dressed(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         let Some(link) = self.link(conn) else { return };
         match link.stage {
             Stage::Held(session) if link.expect.is_empty() => self.put_out(now, session, conn, orders),
@@ -382,14 +396,14 @@
 
     /// A session needs its connection no more. Danger: one that gives it back twice takes it from whoever has it by then,
     /// and two sessions speak on it; so only its holder can.
-    pub(super) fn release(&mut self, now: Point, session: Conn, conn: Conn, orders: &mut Orders) {
+    pub(super) fn release(&mut self, now: Timestamp, session: Conn, conn: Conn, orders: &mut Orders) {
         if self.orphan(now, session, conn) {
             self.tidy(now, conn, orders);
         }
     }
 
     /// Nobody waits for what a session's connection still answers; whether it had it.
-    pub(super) fn orphan(&mut self, now: Point, session: Conn, conn: Conn) -> bool {
+    pub(super) fn orphan(&mut self, now: Timestamp, session: Conn, conn: Conn) -> bool {
         let Some(link) = self.link(conn).filter(|link| link.stage == Stage::Held(session)) else {
             return false;
         };
@@ -401,7 +415,7 @@
     }
 
     /// Rolls back what is left on an orphan, and lets it rest once all is answered.
-    fn tidy(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn tidy(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         let Some(link) = self.link(conn) else { return };
         if link.stage != Stage::Orphan || !link.expect.is_empty() {
             return;
@@ -416,7 +430,7 @@
     }
 
     /// A connection is free: whoever waits longest gets it.
-    pub(super) fn rest(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn rest(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         let Some(link) = self.link(conn) else { return };
         link.shift(now, Stage::Idle);
         let host = link.host;
@@ -454,7 +468,7 @@
     }
 
     /// Fewer connections are this router's share: idle ones go first, the others as they are given back.
-    pub(super) fn trim_pools(&mut self, _now: Point, orders: &mut Orders) {
+    pub(super) fn trim_pools(&mut self, _now: Timestamp, orders: &mut Orders) {
         for host in 0..self.pools.len() {
             let share = self.share(HostId(host as u32));
             while self.pools[host].all > share && !self.pools[host].idle.is_empty() {
@@ -466,11 +480,11 @@
 
     /// Connections that were of use in a rush are closed when it is over. Danger: a host counts the connections of
     /// routers that lost power for seconds more; if those are all that it takes, nobody gets in meanwhile.
-    pub(super) fn close_rested(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn close_rested(&mut self, now: Timestamp, orders: &mut Orders) {
         (0..self.pools.len()).for_each(|host| self.close_rested_of(now, HostId(host as u32), orders));
     }
 
-    pub(super) fn close_rested_of(&mut self, now: Point, host: HostId, orders: &mut Orders) {
+    pub(super) fn close_rested_of(&mut self, now: Timestamp, host: HostId, orders: &mut Orders) {
         let (spare, rest) = self.rest_of(host).map_or((SPARE, RESTED), |rest| (0, rest));
         while self.pools[host.0 as usize].idle.len() > spare {
             let conn = self.pools[host.0 as usize].idle[0];
@@ -482,12 +496,12 @@
     }
 
     /// A connection is of no use any more.
-    pub(super) fn drop_link(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn drop_link(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         orders.drop(conn);
         self.link_broke(now, conn, Why::Broken, orders);
     }
 
-    pub(super) fn link_broke(&mut self, now: Point, conn: Conn, why: Why, orders: &mut Orders) {
+    pub(super) fn link_broke(&mut self, now: Timestamp, conn: Conn, why: Why, orders: &mut Orders) {
         let Some(link) = self.forget_link(conn) else { return };
         let host = link.host;
         let opening = link.expect.front() == Some(&Expect::Open);
@@ -502,12 +516,15 @@
         }
         if link.expect.contains(&Expect::Observe) {
             self.probing.remove(&host);
-            self.note(now, Note::Probed { host, outcome: Outcome::Reset, word: Word::default() });
+            self.note(
+                now,
+                RouterEvent::ProbeEnded { host, outcome: Outcome::Reset, status: HostStatus::default() },
+            );
         }
         match (link.stage, link.sent) {
             (Stage::Held(session), Some(sent)) => self.broke(now, session, sent, host, false, orders),
             (Stage::Held(session), None) => self.lost_transaction(session, conn),
-            (_, Some(sent)) => self.ended(now, sent, host, Outcome::Reset, Word::default(), true),
+            (_, Some(sent)) => self.ended(now, sent, host, Outcome::Reset, HostStatus::default(), true),
             (_, None) => {}
         }
         let pool = &mut self.pools[host.0 as usize];
@@ -529,7 +546,7 @@
         }
     }
 
-    fn redial(&mut self, now: Point, host: HostId, orders: &mut Orders) {
+    fn redial(&mut self, now: Timestamp, host: HostId, orders: &mut Orders) {
         let share = self.share(host);
         let pool = &self.pools[host.0 as usize];
         if pool.opening < pool.waiting.len() && pool.all < share {
@@ -540,7 +557,7 @@
     /// Takes back a statement that has not gone out.
     pub(super) fn withdraw(
         &mut self,
-        now: Point,
+        now: Timestamp,
         conn: Conn,
         host: HostId,
         op: OpId,
@@ -564,7 +581,7 @@
     }
 
     /// A connection that did not open, or an orphan that was not answered.
-    pub(super) fn link_late(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn link_late(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         let Some(link) = self.link(conn) else { return };
         let late = match link.stage {
             Stage::Opening => now - link.opened_at >= OPENS,
@@ -577,7 +594,7 @@
     }
 
     /// The module asks a host where it is.
-    pub(super) fn probe(&mut self, now: Point, host: HostId, orders: &mut Orders) {
+    pub(super) fn probe(&mut self, now: Timestamp, host: HostId, orders: &mut Orders) {
         let idle = self.pools.get(host.0 as usize).and_then(|pool| pool.idle.last().copied());
         match idle {
             Some(conn) => {
@@ -598,12 +615,19 @@
                 if pool.all < share && pool.opening == 0 && self.part(host) >= 1.0 {
                     self.dial(now, host, orders);
                 }
-                self.note(now, Note::Probed { host, outcome: Outcome::Moot, word: Word::default() });
+                self.note(
+                    now,
+                    RouterEvent::ProbeEnded {
+                        host,
+                        outcome: Outcome::NotSent,
+                        status: HostStatus::default(),
+                    },
+                );
             }
         }
     }
 
-    fn observed(&mut self, now: Point, host: HostId, answer: &Answered) {
+    fn observed(&mut self, now: Timestamp, host: HostId, answer: &Answered) {
         let sent = self.probing.remove(&host).unwrap_or(now);
         let row = answer.observed();
         let service = self.module.host(host).host.service.clone();
@@ -612,10 +636,10 @@
                 let time = answer.position.and_then(|position| self.timelines.get(&service)?.time(position));
                 let role = Some(if row.primary { Role::Primary } else { Role::Replica });
                 let position = if row.primary { Some(sent) } else { time };
-                (Outcome::Acked, Word { role, position, ..Word::default() })
+                (Outcome::Acked, HostStatus { role, position, ..HostStatus::default() })
             }
-            None => (Outcome::Full, Word::default()),
+            None => (Outcome::Overloaded, HostStatus::default()),
         };
-        self.note(now, Note::Probed { host, outcome, word });
+        self.note(now, RouterEvent::ProbeEnded { host, outcome, status: word });
     }
 }
--- a/crates/arrowyard-pooler/src/plane/ops.rs
+++ b/crates/arrowyard-pooler/src/plane/ops.rs
@@ -6,7 +6,8 @@
 use arrowyard_protocol::{Code, State, Verdict};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{
-    Ask as Asked, Ended, HostId, Note, OpId, Outcome, Point, Role, SendNo, SessionId, Span, TenantId, Word,
+    HostId, HostStatus, OpId, OpRequest as Asked, Outcome, Role, RouterEvent, SendIndex, SendResult,
+    SessionId, TenantId, TimeDelta, Timestamp,
 };
 use smallvec::SmallVec;
 
@@ -17,7 +18,7 @@
 use crate::session::{Stage, Statement};
 
 /// A statement is answered so long before its client or its route gives up.
-const BEFORE: Span = Span::from_millis(8);
+const BEFORE: TimeDelta = TimeDelta::from_millis(8);
 /// A statement waits for a connection for this part of its latency target; then it is given up while its client can
 /// still come back.
 const WAITS: f64 = 0.24;
@@ -27,13 +28,13 @@
 /// A transaction's statement is given so many times what its kind takes at most.
 const INSIDE: f64 = 3.0;
 /// Without an answer for so long, a primary is said not to answer.
-pub const MUTE: Span = Span::from_millis(450);
+pub const MUTE: TimeDelta = TimeDelta::from_millis(450);
 
 impl Sluice {
     /// Hands a statement to the module.
     pub(super) fn start(
         &mut self,
-        now: Point,
+        now: Timestamp,
         conn: Conn,
         channel: &Rc<Channel>,
         ask: Ask<'_>,
@@ -43,12 +44,12 @@
         let service = self.service_of(channel);
         let row = self.op_types.row(channel, ask.kind);
         if let Some(rows) = self.op_types.news() {
-            self.note(now, Note::OpTypes(rows));
+            self.note(now, RouterEvent::OpTypes(rows));
         }
         self.last_op += 1;
         let op = OpId(self.last_op);
         let group = self.module.want(now, &channel.service, &mut self.actions);
-        let deadline = Span::from_micros((channel.deadline_ms * 1000.0) as i64);
+        let deadline = TimeDelta::from_micros((channel.deadline_ms * 1000.0) as i64);
         let Some(session) = self.session(conn) else { return };
         let link = session.transaction.as_ref().and_then(|transaction| transaction.link);
         let floor = session.token.map(|(_, sent)| sent).filter(|_| channel.kind == Freshness::OwnRegion);
@@ -71,29 +72,45 @@
             link,
             fenced: false,
             timer: None,
-            patience: Span::from_micros((channel.setpoint_ms * 1000.0) as i64) * WAITS,
+            patience: TimeDelta::from_micros((channel.setpoint_ms * 1000.0) as i64) * WAITS,
             fault: None,
         };
         if let Some(session) = self.session(conn) {
             session.shift(Stage::Asks(Box::new(statement)));
         }
         self.ops.insert(op, conn);
-        let due = now + (deadline - BEFORE).max(Span::from_millis(1));
+        let due = now + (deadline - BEFORE).max(TimeDelta::from_millis(1));
         let session = Some(SessionId(conn.0));
         self.awaits(now, conn, channel);
         let tenant = Some(TenantId(service.0));
-        let asked =
-            Asked { op, op_type: row, tenant, group, session, floor, due, pinned, ..Asked::default() };
-        self.note(now, Note::Asked(asked));
+        let asked = Asked {
+            op,
+            op_type: row,
+            tenant,
+            group,
+            session,
+            min_position: floor,
+            deadline: due,
+            pinned_host: pinned,
+            ..Asked::default()
+        };
+        self.note(now, RouterEvent::OpRequested(asked));
     }
 
     /// The module sends a statement to a host, until then.
-    pub(super) fn send(&mut self, now: Point, op: OpId, host: HostId, until: Point, orders: &mut Orders) {
+    pub(super) fn send(
+        &mut self,
+        now: Timestamp,
+        op: OpId,
+        host: HostId,
+        until: Timestamp,
+        orders: &mut Orders,
+    ) {
         let Some(&conn) = self.ops.get(&op) else { return self.moot(now, op, host) };
         let timer = self.timers.set(until, Alarm::Statement(conn));
         self.awaits_no_more(now, conn);
         let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
-        let number = SendNo(statement.sends);
+        let number = SendIndex(statement.sends);
         statement.sends += 1;
         statement.host = Some(host);
         let old = statement.timer.replace(timer);
@@ -112,38 +129,38 @@
 
     /// The connection of the statement's transaction is no more, and the statement has not run. Danger: on another
     /// connection it would run outside its transaction, and what came before it would be missing from the commit.
-    fn revert(&mut self, now: Point, conn: Conn, sent: Sent, host: HostId, orders: &mut Orders) {
+    fn revert(&mut self, now: Timestamp, conn: Conn, sent: Sent, host: HostId, orders: &mut Orders) {
         if let Some(transaction) = self.session(conn).and_then(|session| session.transaction.as_mut()) {
             transaction.link = None;
         }
-        self.ended(now, sent, host, Outcome::Moot, Word::default(), true);
+        self.ended(now, sent, host, Outcome::NotSent, HostStatus::default(), true);
         let Some(statement) = self.finish(now, conn) else { return };
         self.answer(now, conn, &statement, Code::Reverted, "the transaction was ended", orders);
         self.next_line(now, conn, orders);
     }
 
     /// A send that nobody waits for any more.
-    fn moot(&mut self, now: Point, op: OpId, host: HostId) {
-        let ended = Ended {
+    fn moot(&mut self, now: Timestamp, op: OpId, host: HostId) {
+        let ended = SendResult {
             op,
-            send: SendNo(0),
+            send: SendIndex(0),
             host,
-            outcome: Outcome::Moot,
-            took: Span::ZERO,
-            finished: true,
-            word: Word::default(),
+            outcome: Outcome::NotSent,
+            elapsed: TimeDelta::ZERO,
+            op_finished: true,
+            status: HostStatus::default(),
         };
-        self.note(now, Note::SendEnded(ended));
+        self.note(now, RouterEvent::SendEnded(ended));
     }
 
     /// Tells the module how a send ended.
     pub(super) fn ended(
         &mut self,
-        now: Point,
+        now: Timestamp,
         sent: Sent,
         host: HostId,
         outcome: Outcome,
-        word: Word,
+        word: HostStatus,
         finished: bool,
     ) {
         let took = now - sent.at;
@@ -151,14 +168,22 @@
         if !finished && let Some(&conn) = self.ops.get(&sent.op) {
             self.waits_again(now, conn);
         }
-        let ended = Ended { op: sent.op, send: sent.number, host, outcome, took, finished, word };
-        self.note(now, Note::SendEnded(ended));
+        let ended = SendResult {
+            op: sent.op,
+            send: sent.number,
+            host,
+            outcome,
+            elapsed: took,
+            op_finished: finished,
+            status: word,
+        };
+        self.note(now, RouterEvent::SendEnded(ended));
     }
 
     /// A host has answered the statement that a session waits for.
     pub(super) fn answered(
         &mut self,
-        now: Point,
+        now: Timestamp,
         link: Conn,
         sent: Sent,
         answer: Answered,
@@ -207,7 +232,7 @@
                     sent,
                     host,
                     Outcome::Acked,
-                    Word { role, position: time, ..Word::default() },
+                    HostStatus { role, position: time, ..HostStatus::default() },
                     true,
                 );
                 if commits
@@ -223,10 +248,14 @@
             Some((code, text)) => {
                 let role = (code == Code::ReadOnly).then_some(Role::Replica);
                 let time = answer.position.and_then(|position| self.timelines.get(&service)?.time(position));
-                let word = Word { role, position: time.filter(|_| code == Code::Lagging), ..Word::default() };
+                let word = HostStatus {
+                    role,
+                    position: time.filter(|_| code == Code::Lagging),
+                    ..HostStatus::default()
+                };
                 let outcome = match code {
-                    Code::Saturated | Code::Overload => Outcome::Full,
-                    code if code.verdict() == Verdict::NotRun => Outcome::Miss,
+                    Code::Saturated | Code::Overload => Outcome::Overloaded,
+                    code if code.verdict() == Verdict::NotRun => Outcome::Misrouted,
                     _ => Outcome::Errored,
                 };
                 let again = kind != Kind::Later && !(code == Code::Failed && kind == Kind::Write);
@@ -248,7 +277,7 @@
     }
 
     /// A statement that went out then is answered: those that went out earlier are one further behind.
-    fn overtake(&mut self, now: Point, host: HostId, wired: Point, orders: &mut Orders) {
+    fn overtake(&mut self, now: Timestamp, host: HostId, wired: Timestamp, orders: &mut Orders) {
         let mut behind = Vec::new();
         for (conn, line) in &mut self.lines {
             if let super::Line::Link(link) = line
@@ -268,7 +297,7 @@
 
     /// Whether an answer is lost: many that were asked later are there, and it takes longer than its kind ever does.
     /// What can be asked again is; a transaction whose commit was not sent is broken off, and nothing of it is kept.
-    pub(super) fn look_for_lost(&mut self, now: Point, link: Conn, orders: &mut Orders) {
+    pub(super) fn look_for_lost(&mut self, now: Timestamp, link: Conn, orders: &mut Orders) {
         let Some(held) = self.link(link) else { return };
         let (Some(sent), overtaken) = (held.sent, held.overtaken) else { return };
         let Some(wired) = sent.wired else { return };
@@ -293,15 +322,15 @@
     }
 
     /// The answer of a host to somebody who is gone.
-    pub(super) fn answered_nobody(&mut self, now: Point, link: Conn, sent: Sent, answer: &Answered) {
+    pub(super) fn answered_nobody(&mut self, now: Timestamp, link: Conn, sent: Sent, answer: &Answered) {
         if let Some(host) = self.link(link).map(|link| link.host) {
             let outcome = if answer.fault.is_some() { Outcome::Errored } else { Outcome::Acked };
-            self.ended(now, sent, host, outcome, Word::default(), true);
+            self.ended(now, sent, host, outcome, HostStatus::default(), true);
         }
     }
 
     /// Takes the statement that a session waits for; its timer and its number are given back.
-    pub(super) fn finish(&mut self, now: Point, conn: Conn) -> Option<Box<Statement>> {
+    pub(super) fn finish(&mut self, now: Timestamp, conn: Conn) -> Option<Box<Statement>> {
         let session = self.session(conn)?;
         if !matches!(session.stage, Stage::Asks(_)) {
             return None;
@@ -314,7 +343,7 @@
         Some(statement)
     }
 
-    fn succeed(&mut self, now: Point, conn: Conn, link: Conn, answer: &Answered, orders: &mut Orders) {
+    fn succeed(&mut self, now: Timestamp, conn: Conn, link: Conn, answer: &Answered, orders: &mut Orders) {
         let Some(statement) = self.finish(now, conn) else { return };
         let Some(session) = self.session(conn) else { return };
         let mut over = true;
@@ -341,7 +370,7 @@
     }
 
     /// Answers with the fault that a host gave last. The transaction that it happened in has failed.
-    fn answer_fault(&mut self, now: Point, conn: Conn, link: Option<Conn>, orders: &mut Orders) {
+    fn answer_fault(&mut self, now: Timestamp, conn: Conn, link: Option<Conn>, orders: &mut Orders) {
         let Some(statement) = self.finish(now, conn) else { return };
         let (code, text) =
             statement.fault.clone().unwrap_or((Code::Unknown, "no answer of the host".to_string()));
@@ -354,7 +383,7 @@
     /// A fault as the answer to a statement; a transaction has failed with it, or ended if it was its commit.
     fn answer(
         &mut self,
-        now: Point,
+        now: Timestamp,
         conn: Conn,
         statement: &Statement,
         code: Code,
@@ -379,7 +408,13 @@
     }
 
     /// The module gives a statement up that has not run: its client hears when to come back.
-    pub(super) fn give_up(&mut self, now: Point, op: OpId, after: Option<Span>, orders: &mut Orders) {
+    pub(super) fn give_up(
+        &mut self,
+        now: Timestamp,
+        op: OpId,
+        after: Option<TimeDelta>,
+        orders: &mut Orders,
+    ) {
         let Some(&conn) = self.ops.get(&op) else { return };
         let Some(statement) = self.finish(now, conn) else { return };
         // Danger: a commit that stays behind on its connection is rolled back, or it is no promise.
@@ -390,13 +425,13 @@
     }
 
     /// The module has no more to try, and the statement may have run.
-    pub(super) fn fail(&mut self, now: Point, op: OpId, orders: &mut Orders) {
+    pub(super) fn fail(&mut self, now: Timestamp, op: OpId, orders: &mut Orders) {
         let Some(&conn) = self.ops.get(&op) else { return };
         self.answer_fault(now, conn, None, orders);
     }
 
     /// A statement's time is up.
-    pub(super) fn statement_late(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn statement_late(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
         statement.timer = None;
         let (op, host, link, kind) = (statement.op, statement.host, statement.link, statement.kind);
@@ -410,7 +445,7 @@
                 if let Some(link) = self.link(link) {
                     link.sent = None;
                 }
-                self.ended(now, sent, host, Outcome::TimedOut, Word::default(), true);
+                self.ended(now, sent, host, Outcome::TimedOut, HostStatus::default(), true);
                 let Some(statement) = self.finish(now, conn) else { return };
                 let writes = kind == Kind::Write || statement.ends;
                 let code = if writes { Code::Unknown } else { Code::Expired };
@@ -432,7 +467,7 @@
                 let sent = self.withdraw(now, conn, host, op, link, orders);
                 match sent {
                     Some(sent) if kind == Kind::Later => self.revert(now, conn, sent, host, orders),
-                    Some(sent) => self.ended(now, sent, host, Outcome::Moot, Word::default(), false),
+                    Some(sent) => self.ended(now, sent, host, Outcome::NotSent, HostStatus::default(), false),
                     None => {}
                 }
             }
@@ -440,7 +475,7 @@
     }
 
     /// Whoever asked is gone. A statement that has not gone out does not run; one that has is let run.
-    pub(super) fn abandon(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn abandon(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         let Some(statement) = self.finish(now, conn) else { return };
         self.hang_up(now, statement.op);
         let Some(host) = statement.host else { return };
@@ -458,7 +493,7 @@
             None => {
                 let sent = self.withdraw(now, conn, host, statement.op, statement.link, orders);
                 if let Some(sent) = sent {
-                    self.ended(now, sent, host, Outcome::Moot, Word::default(), true);
+                    self.ended(now, sent, host, Outcome::NotSent, HostStatus::default(), true);
                 }
             }
         }
@@ -467,7 +502,7 @@
     /// The connection that a statement was on, or was to go on, is no more.
     pub(super) fn broke(
         &mut self,
-        now: Point,
+        now: Timestamp,
         conn: Conn,
         sent: Sent,
         host: HostId,
@@ -481,7 +516,7 @@
         let outcome = match (ran, never) {
             (true, _) => Outcome::Reset,
             (false, true) => Outcome::ConnectFailed,
-            (false, false) => Outcome::Moot,
+            (false, false) => Outcome::NotSent,
         };
         if kind == Kind::Later {
             // The transaction is gone with its connection, and nothing of it is kept, unless its commit was on it.
@@ -493,7 +528,7 @@
             if let Some(transaction) = self.session(conn).and_then(|session| session.transaction.as_mut()) {
                 transaction.link = None;
             }
-            self.ended(now, sent, host, outcome, Word::default(), true);
+            self.ended(now, sent, host, outcome, HostStatus::default(), true);
             let Some(statement) = self.finish(now, conn) else { return };
             self.answer(now, conn, &statement, code, text, orders);
             return self.next_line(now, conn, orders);
@@ -506,7 +541,7 @@
         } else if ran {
             statement.fault = Some((Code::Unknown, "the connection broke".to_string()));
         }
-        self.ended(now, sent, host, outcome, Word::default(), commit);
+        self.ended(now, sent, host, outcome, HostStatus::default(), commit);
         if commit {
             self.answer_fault(now, conn, None, orders);
         }
@@ -524,7 +559,7 @@
         if !reads || channel.kind == Freshness::Primary {
             return Some(Floor::Lead);
         }
-        let bound = Span::from_micros((channel.staleness_bound_ms * 1000.0) as i64);
+        let bound = TimeDelta::from_micros((channel.staleness_bound_ms * 1000.0) as i64);
         let known = self.timelines.get(&channel.service).and_then(|timeline| timeline.after(began - bound));
         let own =
             session.token.map(|(position, _)| position).filter(|_| channel.kind == Freshness::OwnRegion);
--- a/crates/arrowyard-pooler/src/plane/questions.rs
+++ b/crates/arrowyard-pooler/src/plane/questions.rs
@@ -4,7 +4,7 @@
 use arrowyard_messages::{Host, HostRow, RelayedAnswer, RelayedQuestion, Word, Yielded, said};
 use arrowyard_protocol::{OWN, Observed};
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::{HostId, Point, Span};
+use arrowyard_types::{HostId, TimeDelta, Timestamp};
 
 use super::hosts::ORPHAN;
 use super::{Alarm, Sluice};
@@ -12,17 +12,17 @@
 
 /// Control waits so long for the answer to a relayed question. Safety: one that is sent later could reach the host after
 /// control has asked for the opposite.
-const RELAY_TIMEOUT: Span = Span::from_millis(300);
+const RELAY_TIMEOUT: TimeDelta = TimeDelta::from_millis(300);
 
 impl Sluice {
     /// A primary that is replaced is told to yield.
-    pub(super) fn tell_to_yield(&mut self, now: Point, host: HostId, term: u64, orders: &mut Orders) {
+    pub(super) fn tell_to_yield(&mut self, now: Timestamp, host: HostId, term: u64, orders: &mut Orders) {
         log::info!("hosts: {} is replaced and told to yield to term {term}.", self.module.host(host).host.id);
         self.ask_aside(now, host, HostQuestion::Yield(term), orders);
     }
 
     /// Asks a host what control cannot ask it.
-    pub(super) fn relay_question(&mut self, now: Point, question: RelayedQuestion, orders: &mut Orders) {
+    pub(super) fn relay_question(&mut self, now: Timestamp, question: RelayedQuestion, orders: &mut Orders) {
         match self.module.id_of(&question.host) {
             Some(host) => {
                 let question = HostQuestion::Relayed(question, now + RELAY_TIMEOUT);
@@ -34,7 +34,7 @@
 
     /// Asks on a connection that rests, or on one more than the share: all others may wait for a host that answers
     /// nothing else.
-    fn ask_aside(&mut self, now: Point, host: HostId, question: HostQuestion, orders: &mut Orders) {
+    fn ask_aside(&mut self, now: Timestamp, host: HostId, question: HostQuestion, orders: &mut Orders) {
         let idle = self.take_idle(host);
         let conn = idle.unwrap_or_else(|| self.dial(now, host, orders));
         if let Some(link) = self.link(conn) {
@@ -46,7 +46,7 @@
     }
 
     /// Sends the question that a connection was taken for.
-    pub(super) fn send_aside(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    pub(super) fn send_aside(&mut self, now: Timestamp, conn: Conn, orders: &mut Orders) {
         let Some(link) = self.link(conn) else { return };
         let is_late = matches!(&link.aside, Some(HostQuestion::Relayed(_, until)) if now > *until);
         let words = link.aside.as_ref().filter(|_| !is_late).and_then(HostQuestion::words);
--- a/crates/arrowyard-pooler/src/plane/shares.rs
+++ b/crates/arrowyard-pooler/src/plane/shares.rs
@@ -7,15 +7,15 @@
 use arrowyard_fair_shares::{Allot, Holder, Meter, Milli, Need, ServiceId, Terms, places};
 use arrowyard_messages::{Allots, HostNeeds, Needs, Phase, Word, said};
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::{HostId, Note, Point, Span, TenantId};
+use arrowyard_types::{HostId, RouterEvent, TenantId, TimeDelta, Timestamp};
 
 use super::{Alarm, Line, Sluice};
 use crate::link::Stage;
 use crate::routes::Statement as Kind;
 
 /// Needs are looked at so often at most, and told again after so long where nothing moved.
-const LOOK: Span = Span::from_millis(50);
-const AGAIN: Span = Span::from_millis(250);
+const LOOK: TimeDelta = TimeDelta::from_millis(50);
+const AGAIN: TimeDelta = TimeDelta::from_millis(250);
 /// What moved by less, in thousandths of a place and as a part of itself, is not told.
 const MOVES: Milli = 100;
 const MOVES_PART: Milli = 8;
@@ -31,11 +31,11 @@
     pub terms: Terms,
     pub meter: Meter<HostId>,
     holder: Holder,
-    looked_at: Point,
+    looked_at: Timestamp,
     /// An alarm for the next look is set.
     looks: bool,
     /// What control was told last of each host, and when.
-    told: BTreeMap<HostId, (Point, Vec<Need>)>,
+    told: BTreeMap<HostId, (Timestamp, Vec<Need>)>,
     /// What was read of each host at the last look.
     needs: BTreeMap<HostId, Vec<Need>>,
     /// What the module goes by.
@@ -61,7 +61,7 @@
     }
 
     /// A session's statement waits for a host.
-    pub(super) fn awaits(&mut self, now: Point, conn: Conn, channel: &Channel) {
+    pub(super) fn awaits(&mut self, now: Timestamp, conn: Conn, channel: &Channel) {
         let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
         let (kind, service) = (statement.kind, statement.service);
         if kind == Kind::Later {
@@ -76,7 +76,7 @@
     }
 
     /// It waits no more.
-    pub(super) fn awaits_no_more(&mut self, now: Point, conn: Conn) {
+    pub(super) fn awaits_no_more(&mut self, now: Timestamp, conn: Conn) {
         let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
         let (service, hosts) = (statement.service, std::mem::take(&mut statement.waits));
         if !hosts.is_empty() {
@@ -85,7 +85,7 @@
     }
 
     /// Needs are looked at where that was not done for a while.
-    pub(super) fn look_now_and_then(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn look_now_and_then(&mut self, now: Timestamp, orders: &mut Orders) {
         if now - self.shares.looked_at >= LOOK {
             self.look_at_needs(now, orders);
         }
@@ -93,7 +93,7 @@
 
     /// Tells control what is needed of hosts of which this router alone needs its even part, and of those that control
     /// asks for. Where all need more than there is, one of them needs more than its even part.
-    pub(super) fn look_at_needs(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn look_at_needs(&mut self, now: Timestamp, orders: &mut Orders) {
         self.shares.looked_at = now;
         self.shares.needs.clear();
         if !self.configured.configuration.divides() {
@@ -149,7 +149,7 @@
     }
 
     /// While anything was told or is held, needs are looked at though nothing comes.
-    fn look_again(&mut self, now: Point) {
+    fn look_again(&mut self, now: Timestamp) {
         let busy = !self.shares.told.is_empty() || self.shares.holder.pressed().next().is_some();
         if busy && !self.shares.looks {
             self.shares.looks = true;
@@ -157,20 +157,20 @@
         }
     }
 
-    pub(super) fn shares_due(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn shares_due(&mut self, now: Timestamp, orders: &mut Orders) {
         self.shares.looks = false;
         self.look_at_needs(now, orders);
     }
 
     /// Control asks what is needed of hosts.
-    pub(super) fn hosts_pressed(&mut self, now: Point, hosts: &[String], orders: &mut Orders) {
+    pub(super) fn hosts_pressed(&mut self, now: Timestamp, hosts: &[String], orders: &mut Orders) {
         hosts.iter().for_each(|host| self.shares.holder.asked(now, host));
         self.look_now_and_then(now, orders);
         self.look_again(now);
     }
 
     /// Whoever divides says what this router may have of hosts.
-    pub(super) fn take_allots(&mut self, now: Point, allots: Allots, orders: &mut Orders) {
+    pub(super) fn take_allots(&mut self, now: Timestamp, allots: Allots, orders: &mut Orders) {
         if allots.router != self.life {
             return;
         }
@@ -194,13 +194,13 @@
     }
 
     /// The feed is new.
-    pub(super) fn renew_shares(&mut self, now: Point) {
+    pub(super) fn renew_shares(&mut self, now: Timestamp) {
         self.shares.holder.renewed(now);
         self.hold_to_parts(now);
     }
 
     /// Tells the module what of the parts is new to it.
-    fn hold_to_parts(&mut self, now: Point) {
+    fn hold_to_parts(&mut self, now: Timestamp) {
         let mut held = BTreeMap::new();
         for name in self.shares.holder.pressed() {
             let Some(host) = self.module.id_of(name) else { continue };
@@ -214,11 +214,21 @@
         for ((host, service), cap) in &new {
             if old.get(&(*host, *service)) != Some(cap) {
                 let most = Some(f64::from(*cap) / 1000.0);
-                self.note(now, Note::Held { host: *host, tenant: TenantId(service.0), most });
+                self.note(
+                    now,
+                    RouterEvent::TenantLimit {
+                        host: *host,
+                        tenant: TenantId(service.0),
+                        max_in_flight: most,
+                    },
+                );
             }
         }
         for (host, service) in old.keys().filter(|key| !new.contains_key(key)) {
-            self.note(now, Note::Held { host: *host, tenant: TenantId(service.0), most: None });
+            self.note(
+                now,
+                RouterEvent::TenantLimit { host: *host, tenant: TenantId(service.0), max_in_flight: None },
+            );
         }
     }
 
@@ -247,7 +257,7 @@
     }
 
     /// A send of a statement has ended, and the statement has not: it waits for a host again.
-    pub(super) fn waits_again(&mut self, now: Point, conn: Conn) {
+    pub(super) fn waits_again(&mut self, now: Timestamp, conn: Conn) {
         let Some(Line::Client(session)) = self.lines.get(&conn) else { return };
         let inside = session.transaction.as_ref().map(|transaction| transaction.channel.clone());
         let channel = inside.or_else(|| self.configured.routes.of(&session.database).cloned());
--- a/crates/arrowyard-pooler/src/replacements.rs
+++ b/crates/arrowyard-pooler/src/replacements.rs
@@ -5,24 +5,24 @@
 //! unknown. The old primary is told to yield, since other routers may not have heard of the change.
 
 use arrowyard_messages::{Replacement, Replacements as Told};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use rustc_hash::FxHashMap;
 
 /// What control does not say again in so long is over; it says it four times a second.
-const LEASE: Span = Span::from_millis(1000);
+const LEASE: TimeDelta = TimeDelta::from_millis(1000);
 
 /// The replacements that are under way.
 #[derive(Debug, Default)]
 pub struct Replacements {
     fence: u64,
     by_service: FxHashMap<String, Replacement>,
-    until: Point,
+    until: Timestamp,
 }
 
 impl Replacements {
     /// Control tells all that are under way; those that are new are returned. A holder of the duty that was replaced
     /// itself is not listened to.
-    pub fn take(&mut self, now: Point, told: Told) -> Vec<Replacement> {
+    pub fn take(&mut self, now: Timestamp, told: Told) -> Vec<Replacement> {
         if told.fence < self.fence {
             return Vec::new();
         }
@@ -35,7 +35,7 @@
     }
 
     /// Whether a commit of this host must not be acknowledged.
-    pub fn forbids(&self, now: Point, service: &str, host: &str) -> bool {
+    pub fn forbids(&self, now: Timestamp, service: &str, host: &str) -> bool {
         now < self.until && self.by_service.get(service).is_some_and(|change| change.candidate != host)
     }
 }
--- a/crates/arrowyard-pooler/src/routes.rs
+++ b/crates/arrowyard-pooler/src/routes.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use arrowyard_config::{Channel, Configuration, Kind, Limits, Service};
-use arrowyard_types::{Effect, GroupId, Need, OpType, OpTypeId, Span};
+use arrowyard_types::{Consistency, GroupId, OpType, OpTypeId, RetrySafety, TimeDelta};
 use rustc_hash::FxHashMap;
 
 /// What a statement is to the module.
@@ -29,8 +29,8 @@
     told: usize,
 }
 
-fn millis(ms: f64) -> Span {
-    Span::from_micros((ms * 1000.0) as i64)
+fn millis(ms: f64) -> TimeDelta {
+    TimeDelta::from_micros((ms * 1000.0) as i64)
 }
 
 impl OpTypes {
@@ -48,15 +48,15 @@
         }
         let need = match (statement, channel.kind) {
             (Statement::Read, Kind::BoundedStaleness | Kind::OwnRegion) => {
-                Need::Bounded(millis(channel.staleness_bound_ms))
+                Consistency::Bounded(millis(channel.staleness_bound_ms))
             }
-            (Statement::Read, Kind::Primary) => Need::Fresh,
-            (Statement::Write | Statement::First, _) => Need::Write,
-            (Statement::Later, _) => Need::Fresh,
+            (Statement::Read, Kind::Primary) => Consistency::Fresh,
+            (Statement::Write | Statement::First, _) => Consistency::Write,
+            (Statement::Later, _) => Consistency::Fresh,
         };
         let effect = match statement {
-            Statement::Read | Statement::First => Effect::Retryable,
-            Statement::Write | Statement::Later => Effect::NonRetryable,
+            Statement::Read | Statement::First => RetrySafety::Retryable,
+            Statement::Write | Statement::Later => RetrySafety::NonRetryable,
         };
         let row = OpTypeId(self.rows.len() as u32);
         self.rows.push(OpType {
@@ -65,8 +65,8 @@
             value: 4.0 / f64::from(channel.priority + 1),
             // What comes late still earns something.
             late_value: 0.3,
-            effect,
-            need,
+            retry_safety: effect,
+            consistency: need,
         });
         self.known.insert(key, row);
         row
--- a/crates/arrowyard-pooler/src/session.rs
+++ b/crates/arrowyard-pooler/src/session.rs
@@ -7,7 +7,7 @@
 use arrowyard_fair_shares::ServiceId;
 use arrowyard_protocol::{Lines, Mode, Position, State};
 use arrowyard_runtime::Conn;
-use arrowyard_types::{HostId, OpId, OpTypeId, Point, Span};
+use arrowyard_types::{HostId, OpId, OpTypeId, TimeDelta, Timestamp};
 use bytes::Bytes;
 use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
@@ -46,16 +46,16 @@
     pub writes: bool,
     /// What has to be prepared before it.
     pub define: Option<(u32, Mode, Rc<str>)>,
-    pub arrived: Point,
+    pub arrived: Timestamp,
     /// Where the module sent it, how often so far, and on which connection it is.
     pub sends: u32,
     pub host: Option<HostId>,
     pub link: Option<Conn>,
     /// It stands alone and is read from a host that must prove that it leads: in a transaction of our own.
     pub fenced: bool,
-    pub timer: Option<(Point, u64)>,
+    pub timer: Option<(Timestamp, u64)>,
     /// How long it may wait for a connection before it is given up.
-    pub patience: Span,
+    pub patience: TimeDelta,
     /// The last fault that a host gave for it.
     pub fault: Option<(arrowyard_protocol::Code, String)>,
 }
@@ -65,7 +65,7 @@
 pub struct Transaction {
     pub channel: Rc<Channel>,
     pub reads: bool,
-    pub began: Point,
+    pub began: Timestamp,
     /// Whether a write of it was answered.
     pub wrote: bool,
     /// The connection that holds it, once its first statement ran.
@@ -84,10 +84,10 @@
     /// Its transaction was ended while it rested, and its client has not been told.
     pub untold: bool,
     /// The last commit that it was told of, and when that was sent: what its own reads must see.
-    pub token: Option<(Position, Point)>,
+    pub token: Option<(Position, Timestamp)>,
     /// Statements that came before the one under way was answered.
     pub queue: VecDeque<Bytes>,
-    pub timer: Option<(Point, u64)>,
+    pub timer: Option<(Timestamp, u64)>,
 }
 
 impl Session {
--- a/crates/arrowyard-pooler/tests/helpers/mod.rs
+++ b/crates/arrowyard-pooler/tests/helpers/mod.rs
@@ -7,7 +7,7 @@
 use arrowyard_messages::{DbRole, Frames, Host, Phase, Whole, Word, said};
 use arrowyard_pooler::{DOORS, Sluice};
 use arrowyard_runtime::{Conn, Event, Order, Orders, Plane};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 const SETTINGS: &str = "node: \"edge\"\nip: \"10.0.0.9\"\nzone: \"z\"\nbind-addrs: {}\ninternal-ports:\n  - 7440\n  - 7455\n\
                         seeds:\n  - \"10.0.0.1:8782\"\n";
@@ -21,7 +21,7 @@
 pub struct Hand {
     sluice: Sluice,
     orders: Orders,
-    pub now: Point,
+    pub now: Timestamp,
     /// Lines that were written and not yet looked at, by connection.
     said: BTreeMap<Conn, VecDeque<String>>,
     /// Dials in their order, and connections that the router gave up.
@@ -58,7 +58,7 @@
         let mut hand = Hand {
             sluice: Sluice::new(settings, 1, Box::new(|| None)),
             orders: Orders::default(),
-            now: Point::from_micros(0),
+            now: Timestamp::from_micros(0),
             said: BTreeMap::new(),
             dialled: Vec::new(),
             dropped: Vec::new(),
@@ -74,7 +74,7 @@
 
     /// Control tells how the host sees itself, again and again for so long, as it feeds routers.
     pub fn hosts_say(&mut self, host: &Host, ms: i64) {
-        let end = self.now + Span::from_millis(ms);
+        let end = self.now + TimeDelta::from_millis(ms);
         while self.now < end {
             self.configures(1, CONFIGURATION, vec![host.clone()], 1);
             self.pass(250);
@@ -132,7 +132,7 @@
 
     /// Lets time pass, and the router do what is due in it.
     pub fn pass(&mut self, ms: i64) {
-        let end = self.now + Span::from_millis(ms);
+        let end = self.now + TimeDelta::from_millis(ms);
         while let Some(due) = self.sluice.due().filter(|due| *due <= end) {
             self.now = due.max(self.now);
             self.event(Event::Woke);
--- a/crates/arrowyard-pooler/tests/units.rs
+++ b/crates/arrowyard-pooler/tests/units.rs
@@ -6,11 +6,11 @@
 use arrowyard_pooler::{Link, Paces, Timeline, Values};
 use arrowyard_protocol::{Mode, Position};
 use arrowyard_runtime::Conn;
-use arrowyard_types::{HostId, OpTypeId, Point, Span};
+use arrowyard_types::{HostId, OpTypeId, TimeDelta, Timestamp};
 use fastrand::Rng;
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
 /// A primary whose commits are acknowledged at known times: whatever a read is told to wait for holds all that it must
@@ -127,10 +127,10 @@
     let (mut paces, mut rng, kind) = (Paces::default(), Rng::with_seed(1), OpTypeId(0));
     let mut slower = 0;
     for round in 0..40_000 {
-        let took = Span::from_micros(30_000 + rng.i64(0..60_000));
+        let took = TimeDelta::from_micros(30_000 + rng.i64(0..60_000));
         slower += u32::from(round >= 20_000 && took > paces.slowest(kind));
         paces.took(kind, took);
     }
     assert!((20..400).contains(&slower), "{slower} of 20,000 were slower");
-    assert!(paces.slowest(OpTypeId(9)) >= Span::from_millis(100), "what is not known is not hurried");
+    assert!(paces.slowest(OpTypeId(9)) >= TimeDelta::from_millis(100), "what is not known is not hurried");
 }
--- a/crates/arrowyard-runtime/src/lib.rs
+++ b/crates/arrowyard-runtime/src/lib.rs
@@ -17,14 +17,14 @@
 pub use store::{Recovered, Store, Stored, open as open_store};
 pub use timers::Timers;
 
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 
 /// What decides: one function for every change of its state.
 pub trait Plane {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders);
+    fn handle(&mut self, now: Timestamp, event: Event<'_>, orders: &mut Orders);
 
     /// When it wants to be woken; nothing: not before the next event.
-    fn due(&self) -> Option<Point>;
+    fn due(&self) -> Option<Timestamp>;
 
     /// All that its disk must know, as one record that stands for every record before it.
     fn snapshot(&self) -> Vec<u8> {
--- a/crates/arrowyard-runtime/src/run.rs
+++ b/crates/arrowyard-runtime/src/run.rs
@@ -4,7 +4,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::{Duration, Instant};
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use log::{error, info};
 use mio::net::{TcpListener, TcpStream};
 use mio::{Events, Interest, Poll, Token, Waker};
@@ -23,7 +23,7 @@
 const READ: usize = 64 * 1024;
 const TURN: usize = 4;
 /// How long a socket whose end was sent is kept for the far end's.
-const LINGER: Span = Span::from_millis(1000);
+const LINGER: TimeDelta = TimeDelta::from_millis(1000);
 /// Bytes that may wait for one peer that does not read them.
 const MOST_WAITING: usize = 16 << 20;
 
@@ -105,8 +105,8 @@
 }
 
 impl Loop {
-    fn now(&self) -> Point {
-        Point::from_micros(self.start.elapsed().as_micros() as i64)
+    fn now(&self) -> Timestamp {
+        Timestamp::from_micros(self.start.elapsed().as_micros() as i64)
     }
 
     fn work(&mut self, plane: &mut dyn Plane, signs: &[(Arc<AtomicBool>, Sign)]) -> io::Result<()> {
@@ -202,7 +202,7 @@
                             _ => Stage::Ending,
                         };
                         self.dirty.push(*conn);
-                        let until = Point::from_micros(self.start.elapsed().as_micros() as i64) + LINGER;
+                        let until = Timestamp::from_micros(self.start.elapsed().as_micros() as i64) + LINGER;
                         self.lingering.set(until, *conn);
                     }
                 }
--- a/crates/arrowyard-runtime/src/timers.rs
+++ b/crates/arrowyard-runtime/src/timers.rs
@@ -1,11 +1,11 @@
 use std::collections::BTreeMap;
 
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 
 /// What is to be done when. Equal times keep their order.
 #[derive(Debug)]
 pub struct Timers<T> {
-    by_time: BTreeMap<(Point, u64), T>,
+    by_time: BTreeMap<(Timestamp, u64), T>,
     last: u64,
 }
 
@@ -16,10 +16,10 @@
 }
 
 /// What a timer is taken back by.
-pub type Key = (Point, u64);
+pub type Key = (Timestamp, u64);
 
 impl<T> Timers<T> {
-    pub fn set(&mut self, at: Point, what: T) -> Key {
+    pub fn set(&mut self, at: Timestamp, what: T) -> Key {
         self.last += 1;
         let key = (at, self.last);
         self.by_time.insert(key, what);
@@ -30,12 +30,12 @@
         self.by_time.remove(&key);
     }
 
-    pub fn due(&self) -> Option<Point> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.by_time.keys().next().map(|(at, _)| *at)
     }
 
     /// The next one whose time has come.
-    pub fn take(&mut self, now: Point) -> Option<T> {
+    pub fn take(&mut self, now: Timestamp) -> Option<T> {
         let first = self.by_time.first_entry()?;
         (first.key().0 <= now).then(|| first.remove())
     }
--- a/crates/arrowyard-runtime/tests/parts.rs
+++ b/crates/arrowyard-runtime/tests/parts.rs
@@ -6,7 +6,7 @@
 
 use arrowyard_runtime::http::{Messages, answer, call};
 use arrowyard_runtime::{Event, JournalError, Orders, Plane, Plumbing, Recovered, Timers, open_store, run};
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 use proptest::prelude::*;
 
 proptest! {
@@ -54,7 +54,7 @@
 
 #[test]
 fn timers_go_off_in_order_and_not_before() {
-    let (mut timers, at) = (Timers::default(), |ms| Point::from_micros(ms));
+    let (mut timers, at) = (Timers::default(), |ms| Timestamp::from_micros(ms));
     timers.set(at(30), 'c');
     let key = timers.set(at(20), 'x');
     timers.set(at(10), 'a');
@@ -79,7 +79,7 @@
 }
 
 impl Plane for Keeper {
-    fn handle(&mut self, _: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, _: Timestamp, event: Event<'_>, orders: &mut Orders) {
         match event {
             Event::Start => {}
             Event::Stored { ticket, kept } => {
@@ -95,7 +95,7 @@
         }
     }
 
-    fn due(&self) -> Option<Point> {
+    fn due(&self) -> Option<Timestamp> {
         None
     }
 
--- a/crates/arrowyard-startup/src/credence.rs
+++ b/crates/arrowyard-startup/src/credence.rs
@@ -3,7 +3,7 @@
 //! list has a number that only rises, so an older one holds nothing that is not known; but a discovery that lost its state
 //! counts from the beginning, and its lists are older by their number for ever.
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 /// What is done with a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -21,11 +21,11 @@
     /// The number of the newest list that was taken.
     held: Option<i64>,
     /// When that one, or a newer one, was last told; older ones since then, and the number of the last of them.
-    heard: Point,
+    heard: Timestamp,
     older: u32,
     last: i64,
     /// For so long only older ones have to come till they are believed.
-    doubt: Span,
+    doubt: TimeDelta,
     /// It was moved to another address, where numbers may be others.
     moved: bool,
 }
@@ -36,7 +36,7 @@
 impl Credence {
     /// `held` is the number of the list that a router starts with, if any.
     #[must_use]
-    pub fn new(now: Point, held: Option<i64>, doubt: Span) -> Credence {
+    pub fn new(now: Timestamp, held: Option<i64>, doubt: TimeDelta) -> Credence {
         Credence { held, heard: now, older: 0, last: i64::MIN, doubt, moved: false }
     }
 
@@ -46,7 +46,7 @@
     }
 
     /// A list of this number came.
-    pub fn weigh(&mut self, now: Point, number: i64, whole: bool) -> Verdict {
+    pub fn weigh(&mut self, now: Timestamp, number: i64, whole: bool) -> Verdict {
         let Some(held) = self.held else { return self.take(now, number, Verdict::Take) };
         if number >= held {
             return self.take(now, number, Verdict::Take);
@@ -67,7 +67,7 @@
         Verdict::Pass
     }
 
-    fn take(&mut self, now: Point, number: i64, verdict: Verdict) -> Verdict {
+    fn take(&mut self, now: Timestamp, number: i64, verdict: Verdict) -> Verdict {
         (self.held, self.heard, self.older, self.last) = (Some(number), now, 0, i64::MIN);
         self.moved = false;
         verdict
--- a/crates/arrowyard-startup/src/herd.rs
+++ b/crates/arrowyard-startup/src/herd.rs
@@ -1,7 +1,7 @@
 //! How a router that starts asks discovery, when all others start with it. Discovery bears so many calls a second from the
 //! whole fleet; each router knows how many there are, and draws its moment in the time that all of them need together.
 
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 use fastrand::Rng;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -9,15 +9,15 @@
     /// Calls a second that discovery bears from all routers together.
     pub calls: f64,
     /// A router that knows no host waits no longer than this for its first call: all its ops wait, too.
-    pub patience: Span,
+    pub patience: TimeDelta,
     /// The longest pause after calls that failed, and the shortest.
-    pub most: Span,
-    pub least: Span,
+    pub most: TimeDelta,
+    pub least: TimeDelta,
 }
 
 impl Default for Pace {
     fn default() -> Self {
-        let ms = Span::from_millis;
+        let ms = TimeDelta::from_millis;
         Pace { calls: 100.0, patience: ms(1000), most: ms(10_000), least: ms(100) }
     }
 }
@@ -48,15 +48,15 @@
 
     /// The time that all routers together need for a call each.
     #[must_use]
-    pub fn window(&self) -> Span {
-        Span::from_micros((self.routers / self.pace.calls.max(1e-3) * 1e6) as i64)
+    pub fn window(&self) -> TimeDelta {
+        TimeDelta::from_micros((self.routers / self.pace.calls.max(1e-3) * 1e6) as i64)
     }
 
     /// How long to wait before the next call. `listed`: a list is there that is used meanwhile. Danger: a fleet that starts
     /// at once, or loses its discovery at once, calls at one moment; whoever is refused calls again, all at one moment, and
     /// a discovery that is just up falls under calls that are not served before their callers give up. So the moment is
     /// drawn in the whole of a window (full jitter), and the window doubles with each call in a row that fails.
-    pub fn wait(&mut self, listed: bool) -> Span {
+    pub fn wait(&mut self, listed: bool) -> TimeDelta {
         let window = self.window();
         if self.failed == 0 {
             let window = if listed { window } else { window.min(self.pace.patience) };
--- a/crates/arrowyard-startup/src/stage.rs
+++ b/crates/arrowyard-startup/src/stage.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_types::{GroupId, Point, Span};
+use arrowyard_types::{GroupId, TimeDelta, Timestamp};
 use fastrand::Rng;
 
 /// How far a start has come.
@@ -24,22 +24,22 @@
 pub struct Terms {
     /// Full service: this share of the ops that are answered in each of so many slices of time in a row is acked.
     pub share: f64,
-    pub slice: Span,
+    pub slice: TimeDelta,
     pub slices: u32,
     /// A slice with fewer answers says nothing and is joined to the next.
     pub ops: u32,
     /// After this long a start is over, whatever is served: what is missing then is no matter of the start.
-    pub over: Span,
+    pub over: TimeDelta,
 }
 
 impl Default for Terms {
     fn default() -> Self {
         Terms {
             share: 0.95,
-            slice: Span::from_millis(250),
+            slice: TimeDelta::from_millis(250),
             slices: 8,
             ops: 4,
-            over: Span::from_millis(60_000),
+            over: TimeDelta::from_millis(60_000),
         }
     }
 }
@@ -48,10 +48,10 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Full {
     /// From the start to the begin of the slices that were served.
-    pub took: Span,
+    pub took: TimeDelta,
     /// The stage that took longest, and how long.
     pub waited_for: Stage,
-    pub waited: Span,
+    pub waited: TimeDelta,
     /// Whether service is full, or time was up.
     pub full: bool,
 }
@@ -68,24 +68,24 @@
 /// One router's start.
 pub struct Return {
     terms: Terms,
-    began: Point,
+    began: Timestamp,
     stage: Stage,
     /// When each stage was reached.
-    reached: BTreeMap<Stage, Point>,
+    reached: BTreeMap<Stage, Timestamp>,
     groups: BTreeMap<GroupId, Group>,
-    slice: Point,
+    slice: Timestamp,
     acked: u32,
     failed: u32,
     good: u32,
     /// When the slices in a row that are served began.
-    since: Option<Point>,
+    since: Option<Timestamp>,
     over: bool,
 }
 
 impl Return {
     /// `listed`: a list is there already, which nobody has confirmed.
     #[must_use]
-    pub fn start(now: Point, terms: Terms, listed: bool) -> Return {
+    pub fn start(now: Timestamp, terms: Terms, listed: bool) -> Return {
         let stage = if listed { Stage::Guess } else { Stage::Blank };
         let reached = BTreeMap::from([(Stage::Blank, now), (stage, now)]);
         Return {
@@ -114,7 +114,7 @@
         self.over
     }
 
-    fn reach(&mut self, now: Point, stage: Stage) {
+    fn reach(&mut self, now: Timestamp, stage: Stage) {
         if stage > self.stage {
             self.stage = stage;
             self.reached.insert(stage, now);
@@ -122,12 +122,12 @@
     }
 
     /// A list came from a store or from the platform after the start.
-    pub fn guessed(&mut self, now: Point) {
+    pub fn guessed(&mut self, now: Timestamp) {
         self.reach(now, Stage::Guess);
     }
 
     /// Discovery has spoken.
-    pub fn listed(&mut self, now: Point) {
+    pub fn listed(&mut self, now: Timestamp) {
         self.reach(now, Stage::Listed);
     }
 
@@ -141,7 +141,7 @@
     }
 
     /// An op was acked.
-    pub fn acked(&mut self, now: Point, group: GroupId, write: bool) {
+    pub fn acked(&mut self, now: Timestamp, group: GroupId, write: bool) {
         if self.over {
             return;
         }
@@ -161,7 +161,7 @@
     }
 
     /// Time has passed; once, what the start took.
-    pub fn tick(&mut self, now: Point) -> Option<Full> {
+    pub fn tick(&mut self, now: Timestamp) -> Option<Full> {
         if self.over {
             return None;
         }
@@ -191,7 +191,7 @@
         }
         // What each stage took: from the one before it.
         let mut before = self.began;
-        let mut longest = (Span::ZERO, self.stage);
+        let mut longest = (TimeDelta::ZERO, self.stage);
         for (&stage, &at) in &self.reached {
             longest = longest.max((at - before, stage));
             before = before.max(at);
@@ -205,7 +205,7 @@
     /// When a client that is given back should come again. Danger: a whole fleet starts at once, gives its clients back at
     /// once, and all of them come again at the same moment, for which nobody is ready either.
     #[must_use]
-    pub fn after(&self, told: Option<Span>, most: Span, rng: &mut Rng) -> Option<Span> {
+    pub fn after(&self, told: Option<TimeDelta>, most: TimeDelta, rng: &mut Rng) -> Option<TimeDelta> {
         if self.over {
             return told;
         }
@@ -215,7 +215,7 @@
 
 /// A time between what was told and the most that a client may be told, drawn evenly: full jitter.
 #[must_use]
-pub fn spread(told: Option<Span>, most: Span, rng: &mut Rng) -> Span {
+pub fn spread(told: Option<TimeDelta>, most: TimeDelta, rng: &mut Rng) -> TimeDelta {
     let from = told.unwrap_or_default().min(most);
     from + (most - from) * rng.f64()
 }
