--- a/crates/arrowyard-startup/src/weigh.rs
+++ b/crates/arrowyard-startup/src/weigh.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 
 use arrowyard_store::{Host, Snapshot};
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 
 use crate::herd::Pace;
 
@@ -13,14 +13,14 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Trust {
     /// How long a host stays, on average.
-    pub life: Span,
+    pub life: TimeDelta,
     /// Below this confidence an entry is left out.
     pub least: f64,
 }
 
 impl Default for Trust {
     fn default() -> Self {
-        Trust { life: Span::from_millis(6 * 3_600_000), least: 0.05 }
+        Trust { life: TimeDelta::from_millis(6 * 3_600_000), least: 0.05 }
     }
 }
 
@@ -31,16 +31,16 @@
     pub store: Option<PathBuf>,
     pub trust: Trust,
     /// The list is written at most so often.
-    pub save: Span,
+    pub save: TimeDelta,
     /// How discovery is asked, by all routers together.
     pub pace: Pace,
     /// For so long older lists than the one held have to come, and no newer one, till they are believed.
-    pub doubt: Span,
+    pub doubt: TimeDelta,
 }
 
 /// The chance that a host which was there so long ago is there now.
 #[must_use]
-pub fn confidence(age: Span, life: Span) -> f64 {
+pub fn confidence(age: TimeDelta, life: TimeDelta) -> f64 {
     (-(age.as_secs_f64().max(0.0) / life.as_secs_f64().max(1e-3))).exp()
 }
 
@@ -56,7 +56,7 @@
 /// changed since. A primary is taken for none: the group is asked. A host that had begun to drain stays closed till
 /// discovery says otherwise. One that is new to the platform's own list and not in it is left to that list, where there is one.
 #[must_use]
-pub fn weigh(stored: &Snapshot, age: Span, trust: Trust, known: &[String]) -> Vec<Weighed> {
+pub fn weigh(stored: &Snapshot, age: TimeDelta, trust: Trust, known: &[String]) -> Vec<Weighed> {
     let confidence = confidence(age, trust.life);
     if confidence < trust.least {
         return Vec::new();
--- a/crates/arrowyard-startup/tests/asking.rs
+++ b/crates/arrowyard-startup/tests/asking.rs
@@ -1,15 +1,15 @@
 //! Which lists are believed, and when discovery is called, beside plain models of both.
 
 use arrowyard_startup::{Credence, Herd, Pace, Verdict};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
-fn ms(millis: i64) -> Span {
-    Span::from_millis(millis)
+fn ms(millis: i64) -> TimeDelta {
+    TimeDelta::from_millis(millis)
 }
 
 #[test]
--- a/crates/arrowyard-startup/tests/start.rs
+++ b/crates/arrowyard-startup/tests/start.rs
@@ -2,15 +2,15 @@
 
 use arrowyard_startup::{Return, Stage, Terms, Trust, confidence, spread, weigh};
 use arrowyard_store::{Host, Snapshot};
-use arrowyard_types::{GroupId, Point, Span};
+use arrowyard_types::{GroupId, TimeDelta, Timestamp};
 use proptest::prelude::*;
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(1_000_000_000_000 + ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(1_000_000_000_000 + ms * 1000)
 }
 
-fn ms(millis: i64) -> Span {
-    Span::from_millis(millis)
+fn ms(millis: i64) -> TimeDelta {
+    TimeDelta::from_millis(millis)
 }
 
 fn host(name: &str) -> Host {
@@ -36,7 +36,7 @@
 #[test]
 fn an_old_list_is_used_less_and_a_very_old_one_not_at_all() {
     let trust = Trust { life: ms(3_600_000), least: 0.05 };
-    let names = |age: Span| {
+    let names = |age: TimeDelta| {
         weigh(&stored(), age, trust, &[]).iter().map(|one| one.host.name.clone()).collect::<Vec<_>>()
     };
     assert_eq!(names(ms(0)), ["p", "r"], "neither the one that drains nor the one without an address");
--- a/crates/arrowyard-system/tests/helpers/mod.rs
+++ b/crates/arrowyard-system/tests/helpers/mod.rs
@@ -14,7 +14,7 @@
 use arrowyard_emulator::{DatabaseHost, HostFaults, HostPlan, Platform, Shard};
 use arrowyard_runtime::{Plumbing, run};
 use arrowyard_testbed::rig::memory;
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 
 pub const LONG: Duration = Duration::from_secs(30);
 /// Lines of a log that nobody has waited for yet; a process that says more waits, and the test fails in time. These tests
@@ -130,7 +130,7 @@
         // Hosts of one service share their logs, so they share a thread: one plane that holds all of them.
         thread::spawn(move || {
             let history = Rc::default();
-            let shard = Rc::new(RefCell::new(Shard::new("s0", &ids, Span::from_millis(5))));
+            let shard = Rc::new(RefCell::new(Shard::new("s0", &ids, TimeDelta::from_millis(5))));
             let mut planes: Vec<Box<dyn arrowyard_runtime::Plane>> = Vec::new();
             let mut doors = Vec::new();
             for (copy, id) in ids.iter().enumerate() {
@@ -144,7 +144,7 @@
                     address,
                     zone: format!("zone{copy}"),
                     controls,
-                    period: Span::from_millis(300),
+                    period: TimeDelta::from_millis(300),
                     limit: 50,
                     seed: copy as u64 + 1,
                 };
@@ -153,7 +153,7 @@
                 planes.push(Box::new(host));
             }
             doors.push(platform);
-            let takes = Span::from_millis(300);
+            let takes = TimeDelta::from_millis(300);
             planes.push(Box::new(Platform::new(&[shard], history, takes, Rc::default())));
             let mut together = Together { planes, of: Default::default() };
             drop(run(Plumbing { doors, store: None, most: 1000 }, &mut together));
@@ -234,7 +234,7 @@
 impl arrowyard_runtime::Plane for Together {
     fn handle(
         &mut self,
-        now: arrowyard_types::Point,
+        now: arrowyard_types::Timestamp,
         event: arrowyard_runtime::Event<'_>,
         orders: &mut arrowyard_runtime::Orders,
     ) {
@@ -264,7 +264,7 @@
         }
     }
 
-    fn due(&self) -> Option<arrowyard_types::Point> {
+    fn due(&self) -> Option<arrowyard_types::Timestamp> {
         self.planes.iter().filter_map(|plane| plane.due()).min()
     }
 }
--- a/crates/arrowyard-types/src/interface.rs
+++ b/crates/arrowyard-types/src/interface.rs
@@ -3,45 +3,45 @@
 use smallvec::SmallVec;
 
 use crate::{
-    CellId, Cookie, GroupId, HostId, OpId, OpType, OpTypeId, PeerId, Point, SendNo, SessionId, Span,
-    TenantId, ZoneId,
+    CellId, GroupId, HostId, OpId, OpType, OpTypeId, PeerId, SendIndex, SessionId, TenantId, TimeDelta,
+    TimerId, Timestamp, ZoneId,
 };
 
 /// What a router is told when it starts: names to values. Rows carry their number in the name, as in
 /// `op_type.0.latency_target`; a name that was not told is absent.
-pub type Manifest = BTreeMap<String, Fact>;
+pub type RouterSettings = BTreeMap<String, SettingValue>;
 
 #[derive(Clone, Debug, PartialEq)]
-pub enum Fact {
+pub enum SettingValue {
     Flag(bool),
     Number(f64),
-    Span(Span),
+    TimeDelta(TimeDelta),
     Text(String),
 }
 
 /// Reading a manifest by name; what was not told is false, zero, empty or the given value.
-pub trait Facts {
+pub trait RouterSettingsExt {
     fn flag(&self, name: &str) -> bool;
     fn number_or(&self, name: &str, otherwise: f64) -> f64;
-    fn span(&self, name: &str) -> Span;
+    fn time_delta(&self, name: &str) -> TimeDelta;
     fn text(&self, name: &str) -> &str;
 }
 
-impl Facts for Manifest {
+impl RouterSettingsExt for RouterSettings {
     fn flag(&self, name: &str) -> bool {
-        self.get(name) == Some(&Fact::Flag(true))
+        self.get(name) == Some(&SettingValue::Flag(true))
     }
 
     fn number_or(&self, name: &str, otherwise: f64) -> f64 {
-        if let Some(Fact::Number(number)) = self.get(name) { *number } else { otherwise }
+        if let Some(SettingValue::Number(number)) = self.get(name) { *number } else { otherwise }
     }
 
-    fn span(&self, name: &str) -> Span {
-        if let Some(Fact::Span(span)) = self.get(name) { *span } else { Span::ZERO }
+    fn time_delta(&self, name: &str) -> TimeDelta {
+        if let Some(SettingValue::TimeDelta(span)) = self.get(name) { *span } else { TimeDelta::ZERO }
     }
 
     fn text(&self, name: &str) -> &str {
-        if let Some(Fact::Text(text)) = self.get(name) { text } else { "" }
+        if let Some(SettingValue::Text(text)) = self.get(name) { text } else { "" }
     }
 }
 
@@ -61,35 +61,35 @@
 
 /// A group that a host takes part in.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Part {
+pub struct GroupMembership {
     pub group: GroupId,
     /// It takes part as the group's primary only, and never as one of the replicas that take its reads.
-    pub guest: bool,
+    pub primary_only: bool,
 }
 
 /// One group, but where cells divide hosts.
-pub type Parts = SmallVec<[Part; 1]>;
+pub type GroupMemberships = SmallVec<[GroupMembership; 1]>;
 
 /// One line of the list of database hosts.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Entry {
+pub struct HostEntry {
     pub host: HostId,
     /// What all routers call it; a `HostId` is this router's own number.
-    pub tag: u32,
+    pub address_hash: u32,
     pub availability: Availability,
-    pub parts: Parts,
+    pub memberships: GroupMemberships,
     pub zone: ZoneId,
     pub size: f64,
-    pub primary: bool,
-    pub started: Option<Point>,
+    pub is_primary: bool,
+    pub started_at: Option<Timestamp>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ListForm {
+pub enum ListKind {
     /// Changed entries only.
-    Changes,
+    Incremental,
     /// The whole list.
-    Whole,
+    Full,
     /// The whole list as this router last had it, perhaps old.
     Saved,
 }
@@ -99,42 +99,42 @@
 pub enum Outcome {
     Acked,
     Errored,
-    Full,
+    Overloaded,
     TimedOut,
     ConnectFailed,
     Reset,
     Cancelled,
-    Moot,
-    Miss,
+    NotSent,
+    Misrouted,
 }
 
 impl Outcome {
     /// Whether the host answered at all.
     pub const fn is_answer(self) -> bool {
-        matches!(self, Outcome::Acked | Outcome::Errored | Outcome::Full | Outcome::Miss)
+        matches!(self, Outcome::Acked | Outcome::Errored | Outcome::Overloaded | Outcome::Misrouted)
     }
 
     /// Whether the outcome proves that the send never ran.
     pub const fn never_ran(self) -> bool {
-        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot | Outcome::Miss)
+        matches!(self, Outcome::Overloaded | Outcome::ConnectFailed | Outcome::NotSent | Outcome::Misrouted)
     }
 }
 
 /// What a host said of itself: with an answer as of that answer, in a report as of some time before.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Word {
+pub struct HostStatus {
     pub role: Option<Role>,
     /// It has applied every commit up to here.
-    pub position: Option<Point>,
+    pub position: Option<Timestamp>,
     /// Share of its cores that are busy.
-    pub util: Option<f64>,
+    pub cpu_utilization: Option<f64>,
     /// Ops that wait in it.
-    pub queue: Option<f64>,
+    pub queued_ops: Option<f64>,
 }
 
 /// A new op, as a client asked for it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Ask {
+pub struct OpRequest {
     pub op: OpId,
     pub op_type: OpTypeId,
     pub tenant: Option<TenantId>,
@@ -143,77 +143,77 @@
     pub group: GroupId,
     pub session: Option<SessionId>,
     /// How long ago the session's last write was committed; zero for none, absent where it is not told.
-    pub token_age: Option<Span>,
+    pub token_age: Option<TimeDelta>,
     /// What a read must see at least, whatever its session; nothing but for a tenant that moved.
-    pub floor: Option<Point>,
+    pub min_position: Option<Timestamp>,
     /// Whether the client said that it asks again.
-    pub again: bool,
+    pub is_retry: bool,
     /// When the client gives up.
-    pub due: Point,
+    pub deadline: Timestamp,
     /// The only host that it may go to: the one that holds the transaction which it is part of.
-    pub pinned: Option<HostId>,
+    pub pinned_host: Option<HostId>,
 }
 
 /// The end of a send.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Ended {
+pub struct SendResult {
     pub op: OpId,
-    pub send: SendNo,
+    pub send: SendIndex,
     pub host: HostId,
     pub outcome: Outcome,
     /// How long ago it was sent.
-    pub took: Span,
+    pub elapsed: TimeDelta,
     /// Whether the op is over, by this outcome or before it.
-    pub finished: bool,
-    pub word: Word,
+    pub op_finished: bool,
+    pub status: HostStatus,
 }
 
 /// What reaches a router.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Note {
-    Listed {
-        form: ListForm,
-        entries: Vec<Entry>,
+pub enum RouterEvent {
+    HostList {
+        kind: ListKind,
+        entries: Vec<HostEntry>,
     },
     ListFailed,
     /// How many further sends a cell may make from now on; none: as many as it likes.
-    Spare {
+    RetryBudget {
         cell: CellId,
-        sends: Option<u32>,
+        retries: Option<u32>,
     },
-    Asked(Ask),
-    SendEnded(Ended),
-    HungUp {
+    OpRequested(OpRequest),
+    SendEnded(SendResult),
+    ClientCancelled {
         op: OpId,
     },
-    Rang {
-        cookie: Cookie,
+    TimerFired {
+        timer: TimerId,
     },
-    Probed {
+    ProbeEnded {
         host: HostId,
         outcome: Outcome,
-        word: Word,
+        status: HostStatus,
     },
-    Told {
+    PeerMessage {
         from: PeerId,
         bytes: Vec<u8>,
     },
     /// From now on these are the op types. A row that was told before still says the same.
     OpTypes(Vec<OpType>),
     /// Whoever knows which host is primary says so, as of now.
-    Named {
+    RoleAssigned {
         host: HostId,
         role: Role,
     },
     /// So many ops of a tenant may be unfinished at a host from now on; with nothing, as many as the host bears. With a
     /// broken number one more is out for that part of the time.
-    Held {
+    TenantLimit {
         host: HostId,
         tenant: TenantId,
-        most: Option<f64>,
+        max_in_flight: Option<f64>,
     },
     /// Shares are reckoned by this number of routers from now on.
-    Fleet {
+    RouterCount {
         routers: f64,
     },
 }
@@ -221,15 +221,15 @@
 /// What a router wants done; in this order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Send { op: OpId, host: HostId, until: Point },
-    Cancel { op: OpId, send: SendNo },
-    BusyReply { op: OpId, retry_after: Option<Span> },
+    Send { op: OpId, host: HostId, deadline: Timestamp },
+    Cancel { op: OpId, send: SendIndex },
+    BusyReply { op: OpId, retry_after: Option<TimeDelta> },
     ErrorReply { op: OpId },
     Probe { host: HostId },
-    Ring { after: Span, cookie: Cookie },
-    Subscribe { on: bool },
-    FetchList,
-    CloseIdle { host: HostId },
-    Tell { to: Option<PeerId>, bytes: Vec<u8> },
+    SetTimer { after: TimeDelta, timer: TimerId },
+    SubscribeHostList { on: bool },
+    FetchHostList,
+    CloseIdleConnections { host: HostId },
+    SendPeerMessage { to: Option<PeerId>, bytes: Vec<u8> },
     Log { text: String },
 }
--- a/crates/arrowyard-types/src/lib.rs
+++ b/crates/arrowyard-types/src/lib.rs
@@ -6,7 +6,7 @@
 
 pub use interface::*;
 pub use op_type::*;
-pub use time::{Point, Span};
+pub use time::{TimeDelta, Timestamp};
 
 /// Declares a type of id of its own.
 macro_rules! id {
@@ -23,7 +23,7 @@
     /// An op; never used twice.
     OpId(u64);
     /// The number of a send within its op, from 0.
-    SendNo(u32);
+    SendIndex(u32);
     /// A row of the op types.
     OpTypeId(u32);
     /// A row of the tenants.
@@ -39,5 +39,5 @@
     /// Another router of the deployment.
     PeerId(u32);
     /// What an alarm hands back when it rings.
-    Cookie(u64);
+    TimerId(u64);
 }
--- a/crates/arrowyard-types/src/time.rs
+++ b/crates/arrowyard-types/src/time.rs
@@ -2,18 +2,18 @@
 
 /// A point in time, in microseconds on the caller's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Point(i64);
+pub struct Timestamp(i64);
 
 /// A span between two points, in microseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Span(i64);
+pub struct TimeDelta(i64);
 
-impl Point {
+impl Timestamp {
     /// Before anything that happens.
-    pub const DAWN: Point = Point(i64::MIN / 4);
+    pub const DISTANT_PAST: Timestamp = Timestamp(i64::MIN / 4);
 
     pub const fn from_micros(micros: i64) -> Self {
-        Point(micros)
+        Timestamp(micros)
     }
 
     pub const fn micros(self) -> i64 {
@@ -21,21 +21,21 @@
     }
 }
 
-impl Default for Point {
+impl Default for Timestamp {
     fn default() -> Self {
-        Point::DAWN
+        Timestamp::DISTANT_PAST
     }
 }
 
-impl Span {
-    pub const ZERO: Span = Span(0);
+impl TimeDelta {
+    pub const ZERO: TimeDelta = TimeDelta(0);
 
     pub const fn from_micros(micros: i64) -> Self {
-        Span(micros)
+        TimeDelta(micros)
     }
 
     pub const fn from_millis(millis: i64) -> Self {
-        Span(millis * 1000)
+        TimeDelta(millis * 1000)
     }
 
     pub const fn micros(self) -> i64 {
@@ -47,64 +47,64 @@
     }
 }
 
-impl Sub for Point {
-    type Output = Span;
+impl Sub for Timestamp {
+    type Output = TimeDelta;
 
-    fn sub(self, earlier: Point) -> Span {
-        Span(self.0.saturating_sub(earlier.0))
+    fn sub(self, earlier: Timestamp) -> TimeDelta {
+        TimeDelta(self.0.saturating_sub(earlier.0))
     }
 }
 
-impl Add<Span> for Point {
-    type Output = Point;
+impl Add<TimeDelta> for Timestamp {
+    type Output = Timestamp;
 
-    fn add(self, span: Span) -> Point {
-        Point(self.0.saturating_add(span.0))
+    fn add(self, span: TimeDelta) -> Timestamp {
+        Timestamp(self.0.saturating_add(span.0))
     }
 }
 
-impl Sub<Span> for Point {
-    type Output = Point;
+impl Sub<TimeDelta> for Timestamp {
+    type Output = Timestamp;
 
-    fn sub(self, span: Span) -> Point {
-        Point(self.0.saturating_sub(span.0))
+    fn sub(self, span: TimeDelta) -> Timestamp {
+        Timestamp(self.0.saturating_sub(span.0))
     }
 }
 
-impl Add for Span {
-    type Output = Span;
+impl Add for TimeDelta {
+    type Output = TimeDelta;
 
-    fn add(self, other: Span) -> Span {
-        Span(self.0.saturating_add(other.0))
+    fn add(self, other: TimeDelta) -> TimeDelta {
+        TimeDelta(self.0.saturating_add(other.0))
     }
 }
 
-impl AddAssign for Span {
-    fn add_assign(&mut self, other: Span) {
+impl AddAssign for TimeDelta {
+    fn add_assign(&mut self, other: TimeDelta) {
         *self = *self + other;
     }
 }
 
-impl Sub for Span {
-    type Output = Span;
+impl Sub for TimeDelta {
+    type Output = TimeDelta;
 
-    fn sub(self, other: Span) -> Span {
-        Span(self.0.saturating_sub(other.0))
+    fn sub(self, other: TimeDelta) -> TimeDelta {
+        TimeDelta(self.0.saturating_sub(other.0))
     }
 }
 
-impl Mul<f64> for Span {
-    type Output = Span;
+impl Mul<f64> for TimeDelta {
+    type Output = TimeDelta;
 
-    fn mul(self, factor: f64) -> Span {
-        Span((self.0 as f64 * factor) as i64)
+    fn mul(self, factor: f64) -> TimeDelta {
+        TimeDelta((self.0 as f64 * factor) as i64)
     }
 }
 
-impl Div for Span {
+impl Div for TimeDelta {
     type Output = f64;
 
-    fn div(self, other: Span) -> f64 {
+    fn div(self, other: TimeDelta) -> f64 {
         self.0 as f64 / other.0 as f64
     }
 }
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -22,7 +22,7 @@
     /// The host for the next send of this op; none while it should wait.
     pub fn choose(&mut self, place: usize, post: &mut Post) -> Option<HostId> {
         // What is part of a transaction has one place to go, and its session holds a connection there already.
-        if let Some(pinned) = self.ops[place].ask.pinned {
+        if let Some(pinned) = self.ops[place].ask.pinned_host {
             return Some(pinned);
         }
         let id = self.ops[place].ask.group;
@@ -48,20 +48,21 @@
         let checks = self.charter.text("host_checks") != "none";
         let half = self.charter.number_or("max_sends", 1.0) * 0.5;
         let mut among = Hosts::new();
-        let writes = matches!(kind.need, Need::Write | Need::Fresh);
+        let writes = matches!(kind.consistency, Consistency::Write | Consistency::Fresh);
         match primary {
             Some(_) => group.led_at.set(self.now),
             None => group.wanted.set(group.wanted.get() || writes),
         }
         let named = primary.is_some_and(|host| self.face(host).role.is_some());
-        let fresh = group.asked_at.is_some_and(|at| self.now - at < self.charter.span("connect_timeout"));
+        let fresh =
+            group.asked_at.is_some_and(|at| self.now - at < self.charter.time_delta("connect_timeout"));
         if !named && fresh && group.members.iter().any(|&host| self.face(host).probing) {
             return among;
         }
         if writes {
             if primary.is_some() {
                 among.extend(primary.filter(|&host| self.bears(host, 1.0) && self.has_room(op, host)));
-            } else if (kind.need == Need::Write || checks) && (op.sends.len() as f64) < half {
+            } else if (kind.consistency == Consistency::Write || checks) && (op.sends.len() as f64) < half {
                 // None known: members in turn, the most advanced first; of known replicas that one alone,
                 // which takes over if any does. Danger: a fresh read answered by one that checks no reads.
                 let blank = |f: &Face| (f.role.is_none() || op.sends.len() == 0) && !f.probing && f.sound();
@@ -127,11 +128,11 @@
         if op.floor.is_some_and(|floor| position < floor) {
             return false;
         }
-        match self.op_type(op).need {
-            Need::Any => true,
-            Need::Bounded(bound) => position >= self.now - bound,
-            Need::Session => true,
-            Need::Fresh | Need::Write => false,
+        match self.op_type(op).consistency {
+            Consistency::Any => true,
+            Consistency::Bounded(bound) => position >= self.now - bound,
+            Consistency::Session => true,
+            Consistency::Fresh | Consistency::Write => false,
         }
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,5 +11,5 @@
 mod sends;
 mod state;
 
-pub use post::careful;
+pub use post::clear_primary_claim;
 pub use router::Router;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -24,22 +24,22 @@
 pub const STEP: f64 = 0.4;
 
 /// What alarms are for: none names a place that could be reused.
-pub const PULSE: Cookie = Cookie(0);
-pub const ASK_LIST: Cookie = Cookie(1);
-pub const TRY_HELD: Cookie = Cookie(2);
+pub const PULSE: TimerId = TimerId(0);
+pub const ASK_LIST: TimerId = TimerId(1);
+pub const TRY_HELD: TimerId = TimerId(2);
 
 pub type Hosts = SmallVec<[HostId; 16]>;
 
 impl Desk {
-    pub fn new(now: Point, seed: u64, charter: Manifest, actions: &mut Vec<Action>) -> Self {
+    pub fn new(now: Timestamp, seed: u64, charter: RouterSettings, actions: &mut Vec<Action>) -> Self {
         let op_types = OpType::rows(&charter);
         let share = |row: usize| charter.number_or(&format!("tenant.{row}.share"), 0.0);
         let rng = RefCell::new(Rng::with_seed(seed));
         if charter.text("list") == "ask" {
-            actions.push(Action::Subscribe { on: true });
+            actions.push(Action::SubscribeHostList { on: true });
         }
-        let first = charter.span("connect_timeout") * (STEP * rng.borrow_mut().f64());
-        actions.push(Action::Ring { after: first, cookie: PULSE });
+        let first = charter.time_delta("connect_timeout") * (STEP * rng.borrow_mut().f64());
+        actions.push(Action::SetTimer { after: first, timer: PULSE });
         let mut desk = Desk {
             tenants: (0..).map(|row| (share(row), 0.0)).take_while(|(share, _)| *share > 0.0).collect(),
             now,
@@ -53,8 +53,8 @@
     }
 
     pub fn learn_op_types(&mut self, rows: Vec<OpType>) {
-        let bounds = rows.iter().filter_map(|kind| kind.need.bound());
-        self.bound = bounds.min().unwrap_or(self.charter.span("connect_timeout"));
+        let bounds = rows.iter().filter_map(|kind| kind.consistency.staleness_bound());
+        self.bound = bounds.min().unwrap_or(self.charter.time_delta("connect_timeout"));
         self.least_target = rows.iter().map(|kind| kind.latency_target).min().unwrap_or_default();
         self.op_types = rows;
     }
@@ -74,7 +74,7 @@
     /// Whether a connection to it stands idle, as far as one can tell.
     pub fn connected(&self, host: HostId) -> bool {
         let face = self.face(host);
-        face.unfinished == 0 && self.now - face.heard_at < self.charter.span("idle_close")
+        face.unfinished == 0 && self.now - face.heard_at < self.charter.time_delta("idle_close")
     }
 
     pub fn op_type(&self, op: &Op) -> &OpType {
@@ -90,47 +90,49 @@
         self.op_types.iter().map(|kind| self.weight(kind)).sum::<f64>() / self.op_types.len().max(1) as f64
     }
 
-    pub fn take(&mut self, note: Note, post: &mut Post) {
+    pub fn take(&mut self, note: RouterEvent, post: &mut Post) {
         match note {
-            Note::Listed { form, entries } => self.listed(form, entries, post),
-            Note::Spare { cell, sends: Some(sends) } => drop(self.spares.insert(cell, sends)),
-            Note::Spare { cell, sends: None } => drop(self.spares.remove(&cell)),
-            Note::ListFailed => {
-                let wait = self.charter.span("ask_within") * (0.1 + 0.2 * self.rng.borrow_mut().f64());
-                post.actions.push(Action::Ring { after: wait, cookie: ASK_LIST });
+            RouterEvent::HostList { kind: form, entries } => self.listed(form, entries, post),
+            RouterEvent::RetryBudget { cell, retries: Some(sends) } => drop(self.spares.insert(cell, sends)),
+            RouterEvent::RetryBudget { cell, retries: None } => drop(self.spares.remove(&cell)),
+            RouterEvent::ListFailed => {
+                let wait = self.charter.time_delta("ask_within") * (0.1 + 0.2 * self.rng.borrow_mut().f64());
+                post.actions.push(Action::SetTimer { after: wait, timer: ASK_LIST });
             }
-            Note::Asked(ask) => self.asked(ask, post),
-            Note::SendEnded(end) => self.ended(end, post),
-            Note::HungUp { op } => {
+            RouterEvent::OpRequested(ask) => self.asked(ask, post),
+            RouterEvent::SendEnded(end) => self.ended(end, post),
+            RouterEvent::ClientCancelled { op } => {
                 if let Some(&place) = self.places.get(&op) {
                     self.finish(place, post);
                 }
             }
-            Note::Rang { cookie: ASK_LIST } => post.actions.push(Action::Subscribe { on: true }),
-            Note::Rang { cookie: TRY_HELD } => {
+            RouterEvent::TimerFired { timer: ASK_LIST } => {
+                post.actions.push(Action::SubscribeHostList { on: true })
+            }
+            RouterEvent::TimerFired { timer: TRY_HELD } => {
                 self.trying = false;
                 self.try_held(post);
             }
-            Note::Rang { .. } => self.pulse(post),
-            Note::Probed { host, outcome, word } => {
+            RouterEvent::TimerFired { .. } => self.pulse(post),
+            RouterEvent::ProbeEnded { host, outcome, status: word } => {
                 let word = (outcome == Outcome::Acked).then_some(word);
                 word.into_iter().for_each(|word| self.tell(host, &word, post));
                 post.hosts.put(host, HostNote::Probed(word));
                 self.try_held(post);
             }
-            Note::OpTypes(rows) => self.learn_op_types(rows),
-            Note::Named { host, role } => {
+            RouterEvent::OpTypes(rows) => self.learn_op_types(rows),
+            RouterEvent::RoleAssigned { host, role } => {
                 post.hosts.put(host, HostNote::Named(role));
                 self.try_held(post);
             }
-            Note::Held { host, tenant, most } => {
+            RouterEvent::TenantLimit { host, tenant, max_in_flight: most } => {
                 self.hold(host, tenant, most);
                 self.try_held(post);
             }
-            Note::Fleet { routers } => {
-                drop(self.charter.insert("routers".to_string(), Fact::Number(routers)))
+            RouterEvent::RouterCount { routers } => {
+                drop(self.charter.insert("routers".to_string(), SettingValue::Number(routers)))
             }
-            Note::Told { bytes, .. } => {
+            RouterEvent::PeerMessage { bytes, .. } => {
                 if let Some((tag, word)) = news_from(&bytes, self.now) {
                     let meant = self.hosts().filter(|&host| self.face(host).tag == tag);
                     meant.for_each(|host| post.hosts.put(host, HostNote::Told(word)));
@@ -140,9 +142,9 @@
         }
     }
 
-    pub fn listed(&mut self, form: ListForm, entries: Vec<Entry>, post: &mut Post) {
+    pub fn listed(&mut self, form: ListKind, entries: Vec<HostEntry>, post: &mut Post) {
         // One look at each entry, not one for each host: lists of thousands come while ops wait.
-        let mut named = vec![form == ListForm::Changes; self.faces.len()];
+        let mut named = vec![form == ListKind::Incremental; self.faces.len()];
         for entry in &entries {
             named.get_mut(entry.host.0 as usize).into_iter().for_each(|named| *named = true);
         }
@@ -150,17 +152,17 @@
         missing.for_each(|host| post.hosts.put(host, HostNote::Dropped));
         for entry in entries {
             let place = entry.host.0 as usize;
-            self.parts.resize_with(self.parts.len().max(place + 1), Parts::new);
-            for part in std::mem::replace(&mut self.parts[place], entry.parts.clone()) {
+            self.parts.resize_with(self.parts.len().max(place + 1), GroupMemberships::new);
+            for part in std::mem::replace(&mut self.parts[place], entry.memberships.clone()) {
                 let group = self.groups.entry(part.group).or_default();
                 group.members.retain(|&host| host != entry.host);
                 group.guests.retain(|&host| host != entry.host);
             }
-            for part in &entry.parts {
+            for part in &entry.memberships {
                 let group = self.groups.entry(part.group).or_default();
                 group.members.push(entry.host);
                 group.members.sort_unstable();
-                group.guests.extend(part.guest.then_some(entry.host));
+                group.guests.extend(part.primary_only.then_some(entry.host));
             }
             let debt = self.mean_weight() * self.rng.borrow_mut().f64();
             post.hosts.put(entry.host, HostNote::Listed(entry, debt));
--- a/src/pressure.rs
+++ b/src/pressure.rs
@@ -26,7 +26,7 @@
 
 impl Room {
     /// Time has passed with so many ops unfinished.
-    pub fn pass(&mut self, now: Point, running: f64) {
+    pub fn pass(&mut self, now: Timestamp, running: f64) {
         let passed = (now - self.as_of).as_secs_f64();
         self.credit = (self.credit + (self.most - running) * passed).clamp(-OWES, self.most * SAVES);
         self.as_of = now;
@@ -39,7 +39,7 @@
     /// their limits. Harms where most hosts are slow for other reasons.
     pub fn throttle(&mut self, group: GroupId, outcome: Outcome, used: f64) {
         let acked = outcome == Outcome::Acked;
-        let tells = acked || matches!(outcome, Outcome::TimedOut | Outcome::Full);
+        let tells = acked || matches!(outcome, Outcome::TimedOut | Outcome::Overloaded);
         let Some(group) = self.groups.get_mut(&group).filter(|_| tells) else { return };
         let slow = (EASY + 1.0) * 0.5;
         let own = group.members.iter().filter(|host| !group.guests.contains(host));
@@ -56,14 +56,14 @@
     pub fn pulse(&mut self, post: &mut Post) {
         let (now, passed, pace) = (self.now, self.now - self.pulsed_at, self.least_target);
         self.pulsed_at = now;
-        let poll = self.charter.span("connect_timeout") * STEP;
-        post.actions.push(Action::Ring { after: poll, cookie: PULSE });
+        let poll = self.charter.time_delta("connect_timeout") * STEP;
+        post.actions.push(Action::SetTimer { after: poll, timer: PULSE });
         let warm = self.faces.iter().filter(|face| face.warmth >= 1.0 && face.sound());
         let acks: SmallVec<[f64; 16]> = warm.map(|face| face.rate / face.size).collect();
         self.peers = if acks.is_empty() { self.peers } else { acks.iter().sum::<f64>() / acks.len() as f64 };
         // Danger: a router that has less than a send for a host in the rule's window loses most of its budgets between
         // its ops. It takes more, while most hosts answer quickly, so that what they acked is less than they can do.
-        let few = 1.0 - self.peers * self.charter.span("fall").as_secs_f64() / self.mean_weight();
+        let few = 1.0 - self.peers * self.charter.time_delta("fall").as_secs_f64() / self.mean_weight();
         let paces = self.faces.iter().filter(|face| face.open).filter_map(|face| face.pace);
         let (all, easy) = (paces.clone().count(), paces.filter(|&pace| pace < EASY).count());
         let spare = (2.0 * easy as f64 / all.max(1) as f64 - 1.0).clamp(0.0, MOST_ROOM);
@@ -72,7 +72,7 @@
         // Danger: writes come faster than replicas apply them; bounded reads lose all. Some go back while
         // the primary has no room for reads, but where long reads hold up the log. Harms if reports lag.
         let long = self.op_types.iter().any(|kind| self.weight(kind) >= LONG);
-        let step = if long { 0.0 } else { passed / self.charter.span("connect_timeout") * CATCH_UP };
+        let step = if long { 0.0 } else { passed / self.charter.time_delta("connect_timeout") * CATCH_UP };
         for group in self.groups.values_mut() {
             let faces = group.members.iter().map(|host| &self.faces[host.0 as usize]);
             let mut standing = faces.clone().filter(|f| f.role == Some(Role::Primary) && f.open && !f.quiet);
@@ -83,7 +83,7 @@
             group.held_back = group.held_back.clamp(0.0, MOST_BACK);
             // Danger: the share given back falls by quick answers alone; a router that gives nine in ten back, and has
             // an op in two seconds, hears of none, and goes on long after the jam.
-            group.back *= 1.0 - (passed / (self.charter.span("connect_timeout") * REST)).min(1.0);
+            group.back *= 1.0 - (passed / (self.charter.time_delta("connect_timeout") * REST)).min(1.0);
         }
         for group in self.groups.values().filter(|group| group.wanted.replace(false)) {
             // Danger: all routers ask all members for as long as a switch takes. After a first round the most
@@ -152,7 +152,7 @@
 
     pub fn try_soon(&mut self, post: &mut Post) {
         if !self.held.is_empty() && !std::mem::replace(&mut self.trying, true) {
-            post.actions.push(Action::Ring { after: self.charter.span("tick"), cookie: TRY_HELD });
+            post.actions.push(Action::SetTimer { after: self.charter.time_delta("tick"), timer: TRY_HELD });
         }
     }
 }
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -25,7 +25,7 @@
 
     /// Asks one more replica for its position; whether the read should wait for what comes back.
     pub fn ask(&self, op: &Op, replicas: &[HostId], post: &mut Post) -> bool {
-        if !matches!(self.op_type(op).need, Need::Bounded(_) | Need::Session) {
+        if !matches!(self.op_type(op).consistency, Consistency::Bounded(_) | Consistency::Session) {
             return false;
         }
         let patience = self.least_target * PATIENCE;
@@ -37,7 +37,8 @@
         let due = |host: &HostId| {
             let face = self.face(*host);
             // A copy far behind cannot be back within the bound before it has applied what it lacks.
-            let gap = ((face.behind - self.bound) * 0.5).min(self.charter.span("connect_timeout") * REST);
+            let gap =
+                ((face.behind - self.bound) * 0.5).min(self.charter.time_delta("connect_timeout") * REST);
             let rested = self.now - face.probed_at >= gap.max(self.bound * PROBE_GAP);
             face.sound() && self.bears(*host, 1.0) && !face.probing && face.probed_at < op.arrived && rested
         };
@@ -52,12 +53,13 @@
 
     /// Danger: probes fail, or cost too much where routers are many. What a read had to ask for, the others
     /// need not ask again. A router tells so seldom that all together never flood each other.
-    pub fn tell(&mut self, host: HostId, word: &Word, post: &mut Post) {
-        let gap = self.charter.span("connect_timeout") * (TELL_GAP * self.charter.number_or("routers", 1.0));
+    pub fn tell(&mut self, host: HostId, word: &HostStatus, post: &mut Post) {
+        let gap =
+            self.charter.time_delta("connect_timeout") * (TELL_GAP * self.charter.number_or("routers", 1.0));
         let face = *self.face(host);
         if face.spread && word.position > Some(face.position) && self.now - self.told_at >= gap {
             self.told_at = self.now;
-            post.actions.push(Action::Tell { to: None, bytes: news_of(face.tag, word) });
+            post.actions.push(Action::SendPeerMessage { to: None, bytes: news_of(face.tag, word) });
         }
     }
 }
--- a/src/router.rs
+++ b/src/router.rs
@@ -13,12 +13,12 @@
 }
 
 impl Router {
-    pub fn start(now: Point, seed: u64, charter: Manifest, actions: &mut Vec<Action>) -> Self {
+    pub fn start(now: Timestamp, seed: u64, charter: RouterSettings, actions: &mut Vec<Action>) -> Self {
         let desk = Desk::new(now, seed, charter, actions);
         Router { desk, hosts: Vec::new(), post: Post::default() }
     }
 
-    pub fn take(&mut self, now: Point, note: Note, actions: &mut Vec<Action>) {
+    pub fn handle(&mut self, now: Timestamp, note: RouterEvent, actions: &mut Vec<Action>) {
         let Router { desk, hosts, post } = self;
         desk.now = now;
         desk.take(note, post);
--- a/src/sending.rs
+++ b/src/sending.rs
@@ -17,34 +17,34 @@
 const SESSIONS: usize = 65_536;
 
 impl Desk {
-    pub fn asked(&mut self, ask: Ask, post: &mut Post) {
-        let need = self.op_types[ask.op_type.0 as usize].need;
-        let floor = if need != Need::Session {
+    pub fn asked(&mut self, ask: OpRequest, post: &mut Post) {
+        let need = self.op_types[ask.op_type.0 as usize].consistency;
+        let floor = if need != Consistency::Session {
             None
         } else if self.charter.text("tokens") == "carried" {
             let age = ask.token_age.unwrap_or_default();
-            (age > Span::ZERO || ask.token_age.is_none()).then(|| self.now - age)
+            (age > TimeDelta::ZERO || ask.token_age.is_none()).then(|| self.now - age)
         } else {
             self.commits.last(ask.session)
         };
-        let floor = floor.max(ask.floor);
+        let floor = floor.max(ask.min_position);
         let back = self.groups.get(&ask.group).map_or(0.0, |group| match need {
-            Need::Write => group.held_back,
+            Consistency::Write => group.held_back,
             _ => (group.back * if self.over_share(&ask) { OVER_FIRST } else { 1.0 }).min(MOST_BACK),
         });
         let place = self.ops.insert(Op { ask, arrived: self.now, floor, ..Op::default() });
         self.places.insert(ask.op, place);
-        if ask.pinned.is_none() && self.rng.borrow_mut().f64() < back {
+        if ask.pinned_host.is_none() && self.rng.borrow_mut().f64() < back {
             return self.give_up(place, post);
         }
         post.ops.push_back(place);
     }
 
     /// Until when an answer is worth anything, and is sure to come before the client's time is up.
-    pub fn pays_until(&self, op: &Op) -> Point {
-        let (kind, tick) = (self.op_type(op), self.charter.span("tick"));
+    pub fn pays_until(&self, op: &Op) -> Timestamp {
+        let (kind, tick) = (self.op_type(op), self.charter.time_delta("tick"));
         let target = op.arrived + kind.latency_target - tick * 2.0;
-        if kind.late_value > 0.0 { op.ask.due - tick } else { target.min(op.ask.due - tick) }
+        if kind.late_value > 0.0 { op.ask.deadline - tick } else { target.min(op.ask.deadline - tick) }
     }
 
     /// Rule 2: whether the op may go out again, to this host if one is named.
@@ -55,13 +55,14 @@
         if op.sends.len() >= most || spent {
             return false;
         }
-        match (self.op_type(op).effect, op.sends.may_have_run()) {
-            (Effect::Retryable, _) | (_, None) => true,
-            (Effect::Tokened { memory, scope }, Some(first)) => {
+        match (self.op_type(op).retry_safety, op.sends.may_have_run()) {
+            (RetrySafety::Retryable, _) | (_, None) => true,
+            (RetrySafety::Deduplicated { window: memory, scope }, Some(first)) => {
                 let far = host.is_some_and(|h| self.face(h).zone != self.face(first.host).zone);
-                !(far && scope == Scope::Zone) && self.now + self.charter.span("tick") < first.at + memory
+                !(far && scope == DedupScope::Zone)
+                    && self.now + self.charter.time_delta("tick") < first.at + memory
             }
-            (Effect::NonRetryable, Some(_)) => false,
+            (RetrySafety::NonRetryable, Some(_)) => false,
         }
     }
 
@@ -69,7 +70,7 @@
     pub fn route(&mut self, place: usize, post: &mut Post) {
         let Some(op) = self.ops.get(place).filter(|op| !op.over && !op.sends.is_out()) else { return };
         // Danger: what is held for most of its time and then given back keeps its client from coming back in time.
-        let half = op.arrived + (op.ask.due - op.arrived) * 0.5 - self.charter.span("tick") * 2.0;
+        let half = op.arrived + (op.ask.deadline - op.arrived) * 0.5 - self.charter.time_delta("tick") * 2.0;
         let held = op.sends.len() == 0 && self.now >= half;
         if held || self.now >= self.pays_until(op) || !self.may_send(op, None) {
             self.give_up(place, post);
@@ -120,7 +121,7 @@
         let told = self.charter.number_or("held", 0.0);
         let until = op.arrived + self.op_type(op).latency_target * told;
         // It is looked at again a tick from now: by then it would be late.
-        told > 0.0 && self.now + self.charter.span("tick") > until && op.sends.may_have_run().is_none()
+        told > 0.0 && self.now + self.charter.time_delta("tick") > until && op.sends.may_have_run().is_none()
     }
 
     /// Danger: hosts that fail at once draw a storm of further sends. Each pause is twice the last.
@@ -142,12 +143,12 @@
             *used = *used * 0.99 + f64::from(op.ask.tenant.is_some_and(|tenant| tenant.0 as usize == row));
         }
         let (tenant, op) = (op.ask.tenant, op.ask.op);
-        post.actions.push(Action::Send { op, host, until });
+        post.actions.push(Action::Send { op, host, deadline: until });
         post.hosts.put(host, HostNote::Took(weight));
         self.count(tenant, host, false);
     }
 
-    pub fn over_share(&self, ask: &Ask) -> bool {
+    pub fn over_share(&self, ask: &OpRequest) -> bool {
         let row = ask.tenant.and_then(|tenant| self.tenants.get(tenant.0 as usize));
         let all: f64 = self.tenants.iter().map(|(_, used)| used).sum();
         row.is_some_and(|(share, used)| *used > all * share * OVER)
@@ -164,12 +165,13 @@
 
     pub fn give_up(&mut self, place: usize, post: &mut Post) {
         let op = &self.ops[place];
-        let harmless = match self.op_type(op).effect {
-            Effect::Retryable | Effect::Tokened { scope: Scope::All, .. } => true,
+        let harmless = match self.op_type(op).retry_safety {
+            RetrySafety::Retryable | RetrySafety::Deduplicated { scope: DedupScope::All, .. } => true,
             _ => op.sends.may_have_run().is_none(),
         };
         let op = op.ask.op;
-        let retry_after = self.charter.flag("retry_after").then(|| self.charter.span("max_retry_after"));
+        let retry_after =
+            self.charter.flag("retry_after").then(|| self.charter.time_delta("max_retry_after"));
         post.actions.push(match harmless {
             true => Action::BusyReply { op, retry_after },
             false => Action::ErrorReply { op },
@@ -190,21 +192,21 @@
         }
     }
 
-    pub fn ended(&mut self, end: Ended, post: &mut Post) {
+    pub fn ended(&mut self, end: SendResult, post: &mut Post) {
         let Some(&place) = self.places.get(&end.op) else { return };
         let kind = self.op_type(&self.ops[place]);
         let (used, weight, writes) =
-            (end.took / kind.latency_target, self.weight(kind), kind.need == Need::Write);
+            (end.elapsed / kind.latency_target, self.weight(kind), kind.consistency == Consistency::Write);
         let op = &mut self.ops[place];
         let Some(one) = op.sends.end(end.send, end.outcome) else { return };
         if let Some(session) = op.ask.session.filter(|_| writes && end.outcome == Outcome::Acked) {
-            self.commits.keep(session, end.word.position.unwrap_or(self.now), SESSIONS);
+            self.commits.keep(session, end.status.position.unwrap_or(self.now), SESSIONS);
         }
-        let (group, tenant, over) = (op.ask.group, op.ask.tenant, op.over || end.finished);
+        let (group, tenant, over) = (op.ask.group, op.ask.tenant, op.over || end.op_finished);
         self.count(tenant, one.host, true);
         if let (Some(tenant), Outcome::Acked, false) = (tenant, end.outcome, self.rooms.is_empty()) {
-            let out = self.outs.entry(tenant).or_insert(end.took.as_secs_f64());
-            *out += (end.took.as_secs_f64() - *out) * OUT_RATE;
+            let out = self.outs.entry(tenant).or_insert(end.elapsed.as_secs_f64());
+            *out += (end.elapsed.as_secs_f64() - *out) * OUT_RATE;
         }
         if over {
             self.finish(place, post);
--- a/src/sends.rs
+++ b/src/sends.rs
@@ -1,6 +1,6 @@
 //! The sends of one op: where and when, and what is proven of each; and the commits of sessions' writes.
 
-use arrowyard_types::{HostId, Outcome, Point, SendNo, SessionId};
+use arrowyard_types::{HostId, Outcome, SendIndex, SessionId, Timestamp};
 use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
 
@@ -16,7 +16,7 @@
 #[derive(Clone, Copy)]
 pub struct Sent {
     pub host: HostId,
-    pub at: Point,
+    pub at: Timestamp,
     pub fate: Fate,
 }
 
@@ -24,11 +24,11 @@
 pub struct Sends(SmallVec<[Sent; 4]>);
 
 impl Sends {
-    pub fn begin(&mut self, host: HostId, at: Point) {
+    pub fn begin(&mut self, host: HostId, at: Timestamp) {
         self.0.push(Sent { host, at, fate: Fate::Out });
     }
 
-    pub fn end(&mut self, number: SendNo, outcome: Outcome) -> Option<Sent> {
+    pub fn end(&mut self, number: SendIndex, outcome: Outcome) -> Option<Sent> {
         let one = self.0.get_mut(number.0 as usize)?;
         one.fate = if outcome.never_ran() { Fate::Never } else { Fate::Maybe };
         Some(*one)
@@ -42,8 +42,8 @@
         self.0.len()
     }
 
-    pub fn out(&self) -> impl Iterator<Item = (SendNo, &Sent)> {
-        let all = self.0.iter().enumerate().map(|(number, one)| (SendNo(number as u32), one));
+    pub fn out(&self) -> impl Iterator<Item = (SendIndex, &Sent)> {
+        let all = self.0.iter().enumerate().map(|(number, one)| (SendIndex(number as u32), one));
         all.filter(|(_, one)| one.fate == Fate::Out)
     }
 
@@ -64,12 +64,12 @@
 /// The last commit of each session; those that were dropped are no newer than the floor.
 #[derive(Default)]
 pub struct Commits {
-    of: FxHashMap<SessionId, Point>,
-    floor: Option<Point>,
+    of: FxHashMap<SessionId, Timestamp>,
+    floor: Option<Timestamp>,
 }
 
 impl Commits {
-    pub fn keep(&mut self, session: SessionId, commit: Point, most: usize) {
+    pub fn keep(&mut self, session: SessionId, commit: Timestamp, most: usize) {
         if self.of.len() >= most {
             self.floor = self.of.drain().map(|(_, commit)| commit).max().max(self.floor);
         }
@@ -77,7 +77,7 @@
         *known = commit.max(*known);
     }
 
-    pub fn last(&self, session: Option<SessionId>) -> Option<Point> {
+    pub fn last(&self, session: Option<SessionId>) -> Option<Timestamp> {
         session.and_then(|session| self.of.get(&session).copied()).max(self.floor)
     }
 }
--- a/src/state.rs
+++ b/src/state.rs
@@ -19,9 +19,9 @@
     pub open: bool,
     pub listed_primary: bool,
     pub role: Option<Role>,
-    pub role_at: Point,
-    pub position: Point,
-    pub behind: Span,
+    pub role_at: Timestamp,
+    pub position: Timestamp,
+    pub behind: TimeDelta,
     /// Weight of this router's unfinished sends, and of those that ended unanswered a while ago.
     pub load: f64,
     pub unfinished: u32,
@@ -34,13 +34,13 @@
     pub trial: bool,
     pub quiet: bool,
     pub probing: bool,
-    pub probed_at: Point,
+    pub probed_at: Timestamp,
     /// The other routers are told what the probe under way brings.
     pub spread: bool,
-    pub sent_at: Point,
+    pub sent_at: Timestamp,
     /// The share of its latency target that its last acked send took; 1 for a time-out.
     pub pace: Option<f64>,
-    pub heard_at: Point,
+    pub heard_at: Timestamp,
     /// Probes without answer since the last one with.
     pub lost: u32,
 }
@@ -49,23 +49,23 @@
 pub struct Host {
     pub face: Face,
     pub known: bool,
-    pub started: Option<Point>,
+    pub started: Option<Timestamp>,
     pub draining: bool,
     pub live: f64,
     pub kept: f64,
     pub done: f64,
     pub evidence: f64,
-    pub rest_until: Point,
+    pub rest_until: Timestamp,
     pub mute: u32,
-    pub cut_at: Point,
+    pub cut_at: Timestamp,
 }
 
 #[derive(Default)]
 pub struct Op {
-    pub ask: Ask,
-    pub arrived: Point,
+    pub ask: OpRequest,
+    pub arrived: Timestamp,
     /// What a read must see at least: of its session, or of a tenant that moved.
-    pub floor: Option<Point>,
+    pub floor: Option<Timestamp>,
     pub sends: Sends,
     pub over: bool,
 }
@@ -76,7 +76,7 @@
 pub struct Room {
     pub most: f64,
     pub credit: f64,
-    pub as_of: Point,
+    pub as_of: Timestamp,
 }
 
 #[derive(Default)]
@@ -85,10 +85,10 @@
     /// Those of them that belong to it as its primary only.
     pub guests: Vec<HostId>,
     /// When the first op came, and all members were asked who they are if the list named no primary.
-    pub asked_at: Option<Point>,
+    pub asked_at: Option<Timestamp>,
     /// Some op waits for a primary; and when one was known last.
     pub wanted: Cell<bool>,
-    pub led_at: Cell<Point>,
+    pub led_at: Cell<Timestamp>,
     /// The share of its writes that are sent back so that its replicas catch up.
     pub held_back: f64,
     /// The share of its reads that is given back while most hosts are slow.
@@ -97,18 +97,18 @@
 
 #[derive(Default)]
 pub struct Desk {
-    pub charter: Manifest,
+    pub charter: RouterSettings,
     pub op_types: Vec<OpType>,
-    pub bound: Span,
-    pub least_target: Span,
-    pub now: Point,
+    pub bound: TimeDelta,
+    pub least_target: TimeDelta,
+    pub now: Timestamp,
     pub rng: RefCell<Rng>,
     /// By tenant: its share, and its part of the latest sends.
     pub tenants: Vec<(f64, f64)>,
     pub faces: Vec<Face>,
     pub groups: FxHashMap<GroupId, Group>,
     /// By host: the groups that it takes part in.
-    pub parts: Vec<Parts>,
+    pub parts: Vec<GroupMemberships>,
     /// By cell: how many further sends it may make.
     pub spares: FxHashMap<CellId, u32>,
     pub ops: Slab<Op>,
@@ -121,9 +121,9 @@
     pub outs: FxHashMap<TenantId, f64>,
     /// An alarm is set to try the held ops again.
     pub trying: bool,
-    pub told_at: Point,
+    pub told_at: Timestamp,
     pub commits: Commits,
-    pub pulsed_at: Point,
+    pub pulsed_at: Timestamp,
     /// Weight that a warm host gets a second, by its size.
     pub peers: f64,
 }
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -16,81 +16,84 @@
 pub const TOKENED: u32 = 4;
 pub const NON_RETRYABLE: u32 = 5;
 
-pub const RESTARTED: Note = Note::Rang { cookie: Cookie(u64::MAX) };
+pub const RESTARTED: RouterEvent = RouterEvent::TimerFired { timer: TimerId(u64::MAX) };
 
-pub fn ms(millis: i64) -> Span {
-    Span::from_millis(millis)
+pub fn ms(millis: i64) -> TimeDelta {
+    TimeDelta::from_millis(millis)
 }
 
-pub fn charter(parallel: bool, carried: bool, checks: bool) -> Manifest {
-    let mut charter = Manifest::new();
-    let mut put = |name: &str, fact: Fact| charter.insert(name.to_string(), fact);
+pub fn charter(parallel: bool, carried: bool, checks: bool) -> RouterSettings {
+    let mut charter = RouterSettings::new();
+    let mut put = |name: &str, fact: SettingValue| charter.insert(name.to_string(), fact);
     let reads = ["any", "bounded", "session", "fresh", "write", "write"];
     let effects = ["retryable", "retryable", "retryable", "retryable", "tokened", "non-retryable"];
     for (row, (read, effect)) in reads.iter().zip(effects).enumerate() {
-        put(&format!("op_type.{row}.latency_target"), Fact::Span(ms(TARGET)));
-        put(&format!("op_type.{row}.op_timeout"), Fact::Span(ms(TIMEOUT)));
-        put(&format!("op_type.{row}.read"), Fact::Text(read.to_string()));
-        put(&format!("op_type.{row}.effect"), Fact::Text(effect.to_string()));
-        put(&format!("op_type.{row}.scope"), Fact::Text("zone".to_string()));
-        put(&format!("op_type.{row}.late_value"), Fact::Number(if *read == "write" { 0.5 } else { 0.0 }));
-        put(&format!("op_type.{row}.memory"), Fact::Span(ms(MEMORY)));
-        put(&format!("op_type.{row}.bound"), Fact::Span(ms(BOUND)));
-    }
-    put("parallel_sends", Fact::Flag(parallel));
-    put("cancel", Fact::Flag(true));
-    put("probes", Fact::Flag(true));
-    put("retry_after", Fact::Flag(true));
-    put("max_sends", Fact::Number(6.0));
-    put("cold_from", Fact::Number(0.25));
-    put("fall_multiple", Fact::Number(2.0));
+        put(&format!("op_type.{row}.latency_target"), SettingValue::TimeDelta(ms(TARGET)));
+        put(&format!("op_type.{row}.op_timeout"), SettingValue::TimeDelta(ms(TIMEOUT)));
+        put(&format!("op_type.{row}.read"), SettingValue::Text(read.to_string()));
+        put(&format!("op_type.{row}.effect"), SettingValue::Text(effect.to_string()));
+        put(&format!("op_type.{row}.scope"), SettingValue::Text("zone".to_string()));
+        put(
+            &format!("op_type.{row}.late_value"),
+            SettingValue::Number(if *read == "write" { 0.5 } else { 0.0 }),
+        );
+        put(&format!("op_type.{row}.memory"), SettingValue::TimeDelta(ms(MEMORY)));
+        put(&format!("op_type.{row}.bound"), SettingValue::TimeDelta(ms(BOUND)));
+    }
+    put("parallel_sends", SettingValue::Flag(parallel));
+    put("cancel", SettingValue::Flag(true));
+    put("probes", SettingValue::Flag(true));
+    put("retry_after", SettingValue::Flag(true));
+    put("max_sends", SettingValue::Number(6.0));
+    put("cold_from", SettingValue::Number(0.25));
+    put("fall_multiple", SettingValue::Number(2.0));
     let spans =
         [("tick", 5), ("connect_timeout", 250), ("max_retry_after", 500), ("cold", 8000), ("fall", 1500)];
     for (name, span) in spans {
-        put(name, Fact::Span(ms(span)));
+        put(name, SettingValue::TimeDelta(ms(span)));
     }
-    put("reports", Fact::Text("probe".to_string()));
-    put("tokens", Fact::Text(if carried { "carried" } else { "remembered" }.to_string()));
-    put("host_checks", Fact::Text(if checks { "wait" } else { "none" }.to_string()));
+    put("reports", SettingValue::Text("probe".to_string()));
+    put("tokens", SettingValue::Text(if carried { "carried" } else { "remembered" }.to_string()));
+    put("host_checks", SettingValue::Text(if checks { "wait" } else { "none" }.to_string()));
     charter
 }
 
-pub fn entry(host: u32, availability: Availability, primary: bool, started: Option<Point>) -> Entry {
+pub fn entry(host: u32, availability: Availability, primary: bool, started: Option<Timestamp>) -> HostEntry {
     let group = GroupId(i64::from(host / 4));
-    Entry {
+    HostEntry {
         host: HostId(host),
-        tag: host,
+        address_hash: host,
         availability,
-        parts: [Part { group, guest: false }].into(),
+        memberships: [GroupMembership { group, primary_only: false }].into(),
         zone: ZoneId(host % 2),
         size: 1.0,
-        primary,
-        started,
+        is_primary: primary,
+        started_at: started,
     }
 }
 
 #[derive(Clone, Copy, Debug)]
 pub struct Sent {
     pub op: OpId,
-    pub no: SendNo,
+    pub no: SendIndex,
     pub host: HostId,
-    pub at: Point,
-    pub until: Point,
+    pub at: Timestamp,
+    pub until: Timestamp,
 }
 
 pub struct World {
-    pub now: Point,
+    pub now: Timestamp,
     pub router: Router,
     pub sends: Vec<Sent>,
     pub probes: Vec<HostId>,
-    rings: Vec<(Point, Cookie)>,
+    rings: Vec<(Timestamp, TimerId)>,
     numbers: Vec<OpId>,
-    pub trace: Vec<(Point, Result<Action, Note>)>,
+    pub trace: Vec<(Timestamp, Result<Action, RouterEvent>)>,
 }
 
 impl World {
-    pub fn new(charter: Manifest) -> Self {
-        let now = Point::from_micros(1_000_000_000);
+    pub fn new(charter: RouterSettings) -> Self {
+        let now = Timestamp::from_micros(1_000_000_000);
         let mut actions = Vec::new();
         let router = Router::start(now, 7, charter, &mut actions);
         let (sends, probes, rings, numbers, trace) = Default::default();
@@ -99,16 +102,16 @@
         world
     }
 
-    pub fn restart(&mut self, charter: Manifest, entries: Vec<Entry>) {
+    pub fn restart(&mut self, charter: RouterSettings, entries: Vec<HostEntry>) {
         let (trace, now) = (std::mem::take(&mut self.trace), self.now);
         *self = World { trace, now, ..World::new(charter) };
         self.trace.push((now, Err(RESTARTED)));
-        self.rings = vec![(now + ms(5), Cookie(0))];
-        self.feed(Note::Listed { form: ListForm::Saved, entries });
+        self.rings = vec![(now + ms(5), TimerId(0))];
+        self.feed(RouterEvent::HostList { kind: ListKind::Saved, entries });
     }
 
     /// A world with one group of four whose first member is known first-hand to be primary, all fresh.
-    pub fn settled(charter: Manifest) -> Self {
+    pub fn settled(charter: RouterSettings) -> Self {
         let mut world = World::new(charter);
         // The list names no primary at first, so that all members are asked.
         world.list((0..4).map(|host| entry(host, Availability::Ready, false, None)).collect());
@@ -122,26 +125,26 @@
         world
     }
 
-    pub fn list(&mut self, entries: Vec<Entry>) {
-        self.feed(Note::Listed { form: ListForm::Changes, entries });
+    pub fn list(&mut self, entries: Vec<HostEntry>) {
+        self.feed(RouterEvent::HostList { kind: ListKind::Incremental, entries });
     }
 
-    pub fn feed(&mut self, note: Note) {
+    pub fn feed(&mut self, note: RouterEvent) {
         let mut actions = Vec::new();
         self.trace.push((self.now, Err(note.clone())));
-        self.router.take(self.now, note, &mut actions);
+        self.router.handle(self.now, note, &mut actions);
         actions.into_iter().for_each(|action| self.carry_out(action));
     }
 
     fn carry_out(&mut self, action: Action) {
         match action {
-            Action::Send { op, host, until } => {
+            Action::Send { op, host, deadline: until } => {
                 let number = self.numbers.iter().filter(|known| **known == op).count() as u32;
                 self.numbers.push(op);
-                self.sends.push(Sent { op, no: SendNo(number), host, at: self.now, until });
+                self.sends.push(Sent { op, no: SendIndex(number), host, at: self.now, until });
             }
             Action::Probe { host } => self.probes.push(host),
-            Action::Ring { after, cookie } => self.rings.push((self.now + after, cookie)),
+            Action::SetTimer { after, timer: cookie } => self.rings.push((self.now + after, cookie)),
             _ => {}
         }
         self.trace.push((self.now, Ok(action)));
@@ -152,10 +155,10 @@
             self.now = self.now + ms(1);
             while let Some(place) = self.rings.iter().position(|(at, _)| *at <= self.now) {
                 let (_, cookie) = self.rings.swap_remove(place);
-                self.feed(Note::Rang { cookie });
+                self.feed(RouterEvent::TimerFired { timer: cookie });
             }
             while let Some(place) = self.sends.iter().position(|sent| sent.until <= self.now) {
-                self.end(place, Outcome::TimedOut, Word::default());
+                self.end(place, Outcome::TimedOut, HostStatus::default());
             }
         }
     }
@@ -163,48 +166,57 @@
     pub fn ask(&mut self, op: u64, op_type: u32, session: Option<u64>) -> OpId {
         let due = self.now + ms(TIMEOUT);
         let (op, session) = (OpId(op), session.map(SessionId));
-        let ask = Ask { op, op_type: OpTypeId(op_type), session, due, ..Ask::default() };
-        self.feed(Note::Asked(ask));
+        let ask =
+            OpRequest { op, op_type: OpTypeId(op_type), session, deadline: due, ..OpRequest::default() };
+        self.feed(RouterEvent::OpRequested(ask));
         op
     }
 
-    pub fn end(&mut self, place: usize, outcome: Outcome, word: Word) {
+    pub fn end(&mut self, place: usize, outcome: Outcome, word: HostStatus) {
         let Sent { op, no, host, at, .. } = self.sends.remove(place);
         let finished = outcome == Outcome::Acked || self.answered(op);
         let took = self.now - at;
-        self.feed(Note::SendEnded(Ended { op, send: no, host, outcome, took, finished, word }));
+        self.feed(RouterEvent::SendEnded(SendResult {
+            op,
+            send: no,
+            host,
+            outcome,
+            elapsed: took,
+            op_finished: finished,
+            status: word,
+        }));
     }
 
     pub fn end_all(&mut self, outcome: Outcome) {
-        (0..self.sends.len()).for_each(|_| self.end(0, outcome, Word::default()));
+        (0..self.sends.len()).for_each(|_| self.end(0, outcome, HostStatus::default()));
     }
 
     pub fn answer_probes(&mut self, primary: u32) {
         for host in std::mem::take(&mut self.probes) {
             let role = if host.0 == primary { Role::Primary } else { Role::Replica };
-            let word = Word { role: Some(role), position: Some(self.now), ..Word::default() };
-            self.feed(Note::Probed { host, outcome: Outcome::Acked, word });
+            let word = HostStatus { role: Some(role), position: Some(self.now), ..HostStatus::default() };
+            self.feed(RouterEvent::ProbeEnded { host, outcome: Outcome::Acked, status: word });
         }
     }
 
     /// Reports of the first group's replicas, so many milliseconds behind.
     pub fn report_replicas(&mut self, behind: i64) {
-        let word = Word { position: Some(self.now - ms(behind)), ..Word::default() };
+        let word = HostStatus { position: Some(self.now - ms(behind)), ..HostStatus::default() };
         for host in 1..4 {
-            self.feed(Note::Probed { host: HostId(host), outcome: Outcome::Acked, word });
+            self.feed(RouterEvent::ProbeEnded { host: HostId(host), outcome: Outcome::Acked, status: word });
         }
     }
 
     pub fn answered(&self, op: OpId) -> bool {
         self.trace.iter().any(|(_, event)| match event {
             Ok(Action::BusyReply { op: id, .. } | Action::ErrorReply { op: id }) => *id == op,
-            Err(Note::SendEnded(end)) => end.op == op && end.outcome == Outcome::Acked,
+            Err(RouterEvent::SendEnded(end)) => end.op == op && end.outcome == Outcome::Acked,
             _ => false,
         })
     }
 
     pub fn hosts_of(&self, op: OpId) -> Vec<u32> {
-        let host = |event: &Result<Action, Note>| match event {
+        let host = |event: &Result<Action, RouterEvent>| match event {
             Ok(Action::Send { op: id, host, .. }) if *id == op => Some(host.0),
             _ => None,
         };
--- a/tests/mechanism.rs
+++ b/tests/mechanism.rs
@@ -54,7 +54,7 @@
 fn a_place_that_names_another_host_starts_anew() {
     let mut world = World::settled(charter(true, false, false));
     world.list(vec![entry(1, Availability::Gone, false, None)]);
-    world.list(vec![Entry { tag: 99, ..entry(1, Availability::Ready, false, None) }]);
+    world.list(vec![HostEntry { address_hash: 99, ..entry(1, Availability::Ready, false, None) }]);
     let hosts: Vec<_> = (10..30)
         .map(|op| {
             let op = world.ask(op, BOUNDED, None);
@@ -71,7 +71,7 @@
     let mut world = World::settled(charter(true, false, false));
     world.wait(20);
     let op = world.ask(10, NON_RETRYABLE, Some(1));
-    world.end(0, Outcome::Miss, Word { role: Some(Role::Replica), ..Word::default() });
+    world.end(0, Outcome::Misrouted, HostStatus { role: Some(Role::Replica), ..HostStatus::default() });
     world.wait(10);
     assert_eq!(world.hosts_of(op), [0], "held until a primary is named");
     world.wait(300);
@@ -85,12 +85,12 @@
 fn without_a_primary_a_write_tries_the_most_advanced_member_once() {
     let mut world = World::settled(charter(true, false, false));
     world.wait(50);
-    let word = Word { role: Some(Role::Replica), position: Some(world.now), ..Word::default() };
-    world.feed(Note::Probed { host: HostId(2), outcome: Outcome::Acked, word });
+    let word = HostStatus { role: Some(Role::Replica), position: Some(world.now), ..HostStatus::default() };
+    world.feed(RouterEvent::ProbeEnded { host: HostId(2), outcome: Outcome::Acked, status: word });
     world.list(vec![entry(0, Availability::Gone, true, None)]);
     let op = world.ask(10, NON_RETRYABLE, Some(1));
     assert_eq!(world.hosts_of(op), [2]);
-    world.end(0, Outcome::Miss, word);
+    world.end(0, Outcome::Misrouted, word);
     world.wait(100);
     assert_eq!(world.hosts_of(op), [2], "other known replicas count as a miss");
 }
@@ -104,7 +104,7 @@
         let op = world.ask(10 + op, ANY, None);
         sent += u32::from(world.hosts_of(op) == [1]);
         while let Some(place) = world.sends.iter().position(|send| send.host.0 != 1) {
-            world.end(place, Outcome::Acked, Word::default());
+            world.end(place, Outcome::Acked, HostStatus::default());
         }
         world.wait(10);
     }
@@ -121,7 +121,7 @@
             sent += u32::from(world.hosts_of(op).contains(&1));
             while !world.sends.is_empty() {
                 let fails = errors && world.sends[0].host.0 == 1;
-                world.end(0, if fails { Outcome::Errored } else { Outcome::Acked }, Word::default());
+                world.end(0, if fails { Outcome::Errored } else { Outcome::Acked }, HostStatus::default());
             }
             world.wait(10);
         }
@@ -149,12 +149,15 @@
 #[test]
 fn long_reads_go_where_the_copy_is_behind() {
     let mut long = charter(true, false, false);
-    long.insert("op_type.0.latency_target".to_string(), Fact::Span(ms(TARGET * 10)));
+    long.insert("op_type.0.latency_target".to_string(), SettingValue::TimeDelta(ms(TARGET * 10)));
     let mut world = World::settled(long);
-    let word =
-        Word { role: Some(Role::Replica), position: Some(world.now - ms(2 * BOUND)), ..Word::default() };
+    let word = HostStatus {
+        role: Some(Role::Replica),
+        position: Some(world.now - ms(2 * BOUND)),
+        ..HostStatus::default()
+    };
     world.wait(3 * BOUND);
-    world.feed(Note::Probed { host: HostId(3), outcome: Outcome::Acked, word });
+    world.feed(RouterEvent::ProbeEnded { host: HostId(3), outcome: Outcome::Acked, status: word });
     for op in 10..13 {
         let op = world.ask(op, ANY, None);
         assert_eq!(world.hosts_of(op), [3]);
@@ -182,12 +185,12 @@
 fn a_late_outcome_does_not_hit_a_reused_place() {
     let mut world = World::settled(charter(true, false, false));
     let old = world.ask(10, ANY, None);
-    world.feed(Note::HungUp { op: old });
+    world.feed(RouterEvent::ClientCancelled { op: old });
     let new = world.ask(11, ANY, None);
-    world.end(0, Outcome::TimedOut, Word::default());
+    world.end(0, Outcome::TimedOut, HostStatus::default());
     assert!(!world.answered(new));
-    world.feed(Note::HungUp { op: old });
-    world.end(0, Outcome::Acked, Word::default());
+    world.feed(RouterEvent::ClientCancelled { op: old });
+    world.end(0, Outcome::Acked, HostStatus::default());
     assert!(world.answered(new) && world.sends.is_empty());
 }
 
@@ -197,7 +200,11 @@
     world.list((0..4).map(|host| entry(host, Availability::Ready, false, None)).collect());
     let (read, write) = (world.ask(10, FRESH, None), world.ask(11, TOKENED, Some(1)));
     for host in std::mem::take(&mut world.probes) {
-        world.feed(Note::Probed { host, outcome: Outcome::ConnectFailed, word: Word::default() });
+        world.feed(RouterEvent::ProbeEnded {
+            host,
+            outcome: Outcome::ConnectFailed,
+            status: HostStatus::default(),
+        });
     }
     world.wait(10);
     assert!(world.hosts_of(read).is_empty(), "a replica that does not check reads would answer it");
@@ -211,10 +218,11 @@
     world.ask(10, FRESH, None);
     world.ask(11, FRESH, None);
     for role in [Role::Primary, Role::Replica] {
-        world.end(0, Outcome::Acked, Word { role: Some(role), ..Word::default() });
+        world.end(0, Outcome::Acked, HostStatus { role: Some(role), ..HostStatus::default() });
     }
-    let old = Word { role: Some(Role::Primary), position: Some(world.now - ms(50)), ..Word::default() };
-    world.feed(Note::Probed { host: HostId(0), outcome: Outcome::Acked, word: old });
+    let old =
+        HostStatus { role: Some(Role::Primary), position: Some(world.now - ms(50)), ..HostStatus::default() };
+    world.feed(RouterEvent::ProbeEnded { host: HostId(0), outcome: Outcome::Acked, status: old });
     let op = world.ask(12, FRESH, None);
     assert!(world.hosts_of(op).is_empty());
 }
@@ -262,18 +270,19 @@
     world.list(vec![entry(0, Availability::Gone, true, None)]);
     world.wait(1000);
     // Positions stand still without a primary; the third has most of the log.
-    let stands = |host: HostId| Some(Point::from_micros(1_001_000_000 + i64::from(host.0 == 2)));
+    let stands = |host: HostId| Some(Timestamp::from_micros(1_001_000_000 + i64::from(host.0 == 2)));
     let mut probes = [0; 4];
     for step in 0..200 {
         if step % 20 == 0 {
             world.ask(100 + step, TOKENED, Some(step));
         }
-        world.end_all(Outcome::Miss);
+        world.end_all(Outcome::Misrouted);
         world.wait(10);
         for host in std::mem::take(&mut world.probes) {
             probes[host.0 as usize] += 1;
-            let word = Word { role: Some(Role::Replica), position: stands(host), ..Word::default() };
-            world.feed(Note::Probed { host, outcome: Outcome::Acked, word });
+            let word =
+                HostStatus { role: Some(Role::Replica), position: stands(host), ..HostStatus::default() };
+            world.feed(RouterEvent::ProbeEnded { host, outcome: Outcome::Acked, status: word });
         }
     }
     assert!((7..=11).contains(&probes[2]), "{probes:?} in 2 s, which is eight connect time-outs");
@@ -302,7 +311,11 @@
         world.probes.clear();
     }
     for host in 0..4 {
-        world.feed(Note::Probed { host: HostId(host), outcome: Outcome::TimedOut, word: Word::default() });
+        world.feed(RouterEvent::ProbeEnded {
+            host: HostId(host),
+            outcome: Outcome::TimedOut,
+            status: HostStatus::default(),
+        });
     }
     world.ask(200, ANY, None);
     world.wait(300);
@@ -315,13 +328,14 @@
 #[test]
 fn one_of_many_routers_spaces_its_sends_to_a_slow_primary() {
     let mut many = charter(true, false, false);
-    many.insert("routers".to_string(), Fact::Number(400.0));
+    many.insert("routers".to_string(), SettingValue::Number(400.0));
     let mut world = World::settled(many);
     for op in 10..13 {
         world.ask(op, TOKENED, Some(op));
         world.wait(TIMEOUT);
-        let word = Word { role: Some(Role::Primary), position: Some(world.now), ..Word::default() };
-        world.feed(Note::Probed { host: HostId(0), outcome: Outcome::Acked, word });
+        let word =
+            HostStatus { role: Some(Role::Primary), position: Some(world.now), ..HostStatus::default() };
+        world.feed(RouterEvent::ProbeEnded { host: HostId(0), outcome: Outcome::Acked, status: word });
     }
     let op = world.ask(20, TOKENED, Some(20));
     world.wait(100);
@@ -342,7 +356,7 @@
 #[test]
 fn what_one_router_had_to_ask_others_need_not_ask() {
     let mut peers = charter(true, false, false);
-    peers.insert("peers".to_string(), Fact::Flag(true));
+    peers.insert("peers".to_string(), SettingValue::Flag(true));
     let (mut world, mut other) = (World::settled(peers.clone()), World::settled(peers));
     for world in [&mut world, &mut other] {
         world.wait(2 * BOUND);
@@ -351,16 +365,16 @@
     let asked = world.probes[0].0;
     world.answer_probes(0);
     let mut tells = world.trace.iter().filter_map(|(_, event)| match event {
-        Ok(Action::Tell { to: None, bytes }) => Some(bytes.clone()),
+        Ok(Action::SendPeerMessage { to: None, bytes }) => Some(bytes.clone()),
         _ => None,
     });
     let bytes = tells.next_back().expect("news");
     for cut in [&bytes[..8], &[], &[&bytes[..], &[0]].concat()] {
-        other.feed(Note::Told { from: PeerId(1), bytes: cut.to_vec() });
+        other.feed(RouterEvent::PeerMessage { from: PeerId(1), bytes: cut.to_vec() });
         let op = other.ask(20 + cut.len() as u64, BOUNDED, None);
         assert!(other.hosts_of(op).is_empty(), "news of another form tells nothing");
     }
-    other.feed(Note::Told { from: PeerId(1), bytes });
+    other.feed(RouterEvent::PeerMessage { from: PeerId(1), bytes });
     let op = other.ask(10, BOUNDED, None);
     assert_eq!((other.hosts_of(op), other.probes.len()), (vec![asked], 1));
 }
@@ -382,7 +396,7 @@
         world.ask(op, ANY, None);
     }
     while let Some(place) = world.sends.iter().position(|send| send.host.0 != 1) {
-        world.end(place, Outcome::Acked, Word::default());
+        world.end(place, Outcome::Acked, HostStatus::default());
     }
     world.wait(TIMEOUT + 1);
     assert!(world.sends.is_empty());
@@ -403,8 +417,8 @@
 fn a_primary_that_started_again_is_a_replica_whatever_the_list_calls_it() {
     let mut world = World::settled(charter(true, false, false));
     world.wait(50);
-    let word = Word { role: Some(Role::Replica), position: Some(world.now), ..Word::default() };
-    world.feed(Note::Probed { host: HostId(2), outcome: Outcome::Acked, word });
+    let word = HostStatus { role: Some(Role::Replica), position: Some(world.now), ..HostStatus::default() };
+    world.feed(RouterEvent::ProbeEnded { host: HostId(2), outcome: Outcome::Acked, status: word });
     world.list(vec![entry(0, Availability::Ready, true, Some(world.now))]);
     let op = world.ask(10, NON_RETRYABLE, Some(1));
     assert_eq!(world.hosts_of(op), [2], "the most advanced member, which takes over if any does");
@@ -415,14 +429,24 @@
     let mut world = World::settled(charter(true, false, false));
     // Hosts 0 and 1 in a group of their own with 3, of which 3 is a guest; and 0, the primary, a guest as well.
     let view = |host, guest| {
-        let parts = [GroupId(0), GroupId(9)].map(|group| Part { group, guest: guest && group == GroupId(9) });
-        Entry { parts: parts.as_slice().into(), ..entry(host, Availability::Ready, host == 0, None) }
+        let parts = [GroupId(0), GroupId(9)]
+            .map(|group| GroupMembership { group, primary_only: guest && group == GroupId(9) });
+        HostEntry {
+            memberships: parts.as_slice().into(),
+            ..entry(host, Availability::Ready, host == 0, None)
+        }
     };
     world.list(vec![view(0, true), view(1, false), view(3, true)]);
     let ask = |world: &mut World, op: u64, op_type: u32| {
         let (op, due) = (OpId(op), world.now + ms(TIMEOUT));
         let group = GroupId(9);
-        world.feed(Note::Asked(Ask { op, op_type: OpTypeId(op_type), group, due, ..Ask::default() }));
+        world.feed(RouterEvent::OpRequested(OpRequest {
+            op,
+            op_type: OpTypeId(op_type),
+            group,
+            deadline: due,
+            ..OpRequest::default()
+        }));
         world.answer_probes(0);
         world.wait(5);
         op
@@ -437,8 +461,8 @@
     world.end_all(Outcome::Acked);
     // One that takes over is the primary as any other.
     world.wait(50);
-    let word = Word { role: Some(Role::Primary), position: Some(world.now), ..Word::default() };
-    world.feed(Note::Probed { host: HostId(3), outcome: Outcome::Acked, word });
+    let word = HostStatus { role: Some(Role::Primary), position: Some(world.now), ..HostStatus::default() };
+    world.feed(RouterEvent::ProbeEnded { host: HostId(3), outcome: Outcome::Acked, status: word });
     let write = ask(&mut world, 101, NON_RETRYABLE);
     assert_eq!(world.hosts_of(write), [3]);
     // A host that leaves the group takes nothing of it any more.
@@ -452,11 +476,21 @@
 fn a_read_with_a_floor_sees_that_much_whatever_its_op_type() {
     for op_type in [ANY, BOUNDED, SESSION] {
         let mut world = World::settled(charter(true, false, false));
-        let word = Word { role: Some(Role::Replica), position: Some(world.now + ms(500)), ..Word::default() };
-        world.feed(Note::Probed { host: HostId(3), outcome: Outcome::Acked, word });
+        let word = HostStatus {
+            role: Some(Role::Replica),
+            position: Some(world.now + ms(500)),
+            ..HostStatus::default()
+        };
+        world.feed(RouterEvent::ProbeEnded { host: HostId(3), outcome: Outcome::Acked, status: word });
         let (op, due) = (OpId(10), world.now + ms(TIMEOUT));
         let floor = Some(world.now + ms(400));
-        world.feed(Note::Asked(Ask { op, op_type: OpTypeId(op_type), due, floor, ..Ask::default() }));
+        world.feed(RouterEvent::OpRequested(OpRequest {
+            op,
+            op_type: OpTypeId(op_type),
+            deadline: due,
+            min_position: floor,
+            ..OpRequest::default()
+        }));
         assert_eq!(world.hosts_of(op), [3], "{op_type}");
     }
 }
@@ -466,12 +500,18 @@
     let tries = |ops: &[u32]| {
         let mut world = World::settled(charter(true, false, false));
         for (cell, sends) in [(1, Some(1)), (2, Some(5)), (3, None)] {
-            world.feed(Note::Spare { cell: CellId(cell), sends });
+            world.feed(RouterEvent::RetryBudget { cell: CellId(cell), retries: sends });
         }
         let mut sends = Vec::new();
         for (op, &cell) in (10..).map(OpId).zip(ops) {
             let (cell, due) = (CellId(cell), world.now + ms(TIMEOUT));
-            world.feed(Note::Asked(Ask { op, op_type: OpTypeId(ANY), cell, due, ..Ask::default() }));
+            world.feed(RouterEvent::OpRequested(OpRequest {
+                op,
+                op_type: OpTypeId(ANY),
+                cell,
+                deadline: due,
+                ..OpRequest::default()
+            }));
             for _ in 0..200 {
                 world.end_all(Outcome::ConnectFailed);
                 world.wait(1);
@@ -490,7 +530,7 @@
 fn where_being_gone_does_not_bind_only_a_drain_closes_a_host() {
     let mut charter = charter(true, false, false);
     for (binds, then) in [(true, false), (false, true)] {
-        charter.insert("removal_not_binding".to_string(), Fact::Flag(!binds));
+        charter.insert("removal_not_binding".to_string(), SettingValue::Flag(!binds));
         let takes = |told: &[Availability]| {
             let mut world = World::settled(charter.clone());
             told.iter().for_each(|&told| world.list(vec![entry(1, told, false, None)]));
@@ -517,11 +557,11 @@
     let op = world.ask(1, TOKENED, Some(1));
     assert_eq!((world.hosts_of(op), world.probes.len()), (vec![2], 0), "it goes where the list says");
     // The list is wrong: a miss leads on, and one that took over is found.
-    let word = Word { role: Some(Role::Replica), ..Word::default() };
-    world.end(0, Outcome::Miss, word);
+    let word = HostStatus { role: Some(Role::Replica), ..HostStatus::default() };
+    world.end(0, Outcome::Misrouted, word);
     assert_eq!(world.hosts_of(op).len(), 2, "another member is tried");
     let next = world.sends[0].host;
-    world.end(0, Outcome::Acked, Word { role: Some(Role::Primary), ..Word::default() });
+    world.end(0, Outcome::Acked, HostStatus { role: Some(Role::Primary), ..HostStatus::default() });
     let op = world.ask(2, TOKENED, Some(1));
     assert_eq!((world.hosts_of(op), world.probes.len()), (vec![next.0], 0));
     // A list that names nobody: all are asked.
@@ -538,7 +578,7 @@
         let mut world = World::settled(charter(true, false, false));
         world.ask(5, TOKENED, Some(1));
         world.wait(took);
-        let word = Word { role: Some(Role::Primary), ..Word::default() };
+        let word = HostStatus { role: Some(Role::Primary), ..HostStatus::default() };
         world.end(0, Outcome::Acked, word);
         world.wait(BOUND + 1);
         let op = world.ask(10, BOUNDED, None);
@@ -546,7 +586,11 @@
             world.wait(5);
             // The replicas are too far behind.
             for host in std::mem::take(&mut world.probes) {
-                world.feed(Note::Probed { host, outcome: Outcome::Acked, word: Word::default() });
+                world.feed(RouterEvent::ProbeEnded {
+                    host,
+                    outcome: Outcome::Acked,
+                    status: HostStatus::default(),
+                });
             }
         }
         let probes =
@@ -566,7 +610,7 @@
     assert!(world.answered(op), "while its client has time to come back");
     let mut world = World::settled(charter(true, false, false));
     let op = world.ask(10, TOKENED, Some(1));
-    world.end(0, Outcome::Miss, Word { role: Some(Role::Replica), ..Word::default() });
+    world.end(0, Outcome::Misrouted, HostStatus { role: Some(Role::Replica), ..HostStatus::default() });
     world.wait(TIMEOUT - 20);
     assert!(!world.answered(op));
     world.wait(20);
--- a/tests/parts.rs
+++ b/tests/parts.rs
@@ -10,20 +10,26 @@
 
 fn divided() -> World {
     let mut charter = charter(false, false, false);
-    charter.insert("tenants_held".to_string(), Fact::Flag(true));
-    charter.insert("held".to_string(), Fact::Number(0.24));
+    charter.insert("tenants_held".to_string(), SettingValue::Flag(true));
+    charter.insert("held".to_string(), SettingValue::Number(0.24));
     World::settled(charter)
 }
 
 fn ask_as(world: &mut World, op: u64, op_type: u32, tenant: u32) -> OpId {
     let due = world.now + ms(TIMEOUT);
     let tenant = Some(TenantId(tenant));
-    world.feed(Note::Asked(Ask { op: OpId(op), op_type: OpTypeId(op_type), tenant, due, ..Ask::default() }));
+    world.feed(RouterEvent::OpRequested(OpRequest {
+        op: OpId(op),
+        op_type: OpTypeId(op_type),
+        tenant,
+        deadline: due,
+        ..OpRequest::default()
+    }));
     OpId(op)
 }
 
 fn hold(world: &mut World, host: u32, most: Option<f64>) {
-    world.feed(Note::Held { host: HostId(host), tenant: T, most });
+    world.feed(RouterEvent::TenantLimit { host: HostId(host), tenant: T, max_in_flight: most });
 }
 
 fn out(world: &World, host: u32) -> usize {
@@ -46,7 +52,7 @@
     let waiting = ops.iter().filter(|op| world.hosts_of(**op).is_empty() && !world.answered(**op)).count();
     let before = world.sends.len();
     let place = world.sends.iter().position(|sent| sent.host == HostId(1)).expect("one is there");
-    world.end(place, Outcome::Acked, Word::default());
+    world.end(place, Outcome::Acked, HostStatus::default());
     assert!(waiting == 0 || world.sends.len() + 1 >= before, "{waiting} waited");
     // Free again: all that still wait go out.
     (0..4).for_each(|host| hold(&mut world, host, None));
@@ -71,7 +77,7 @@
         world.wait(1);
         busy += world.sends.len();
         while let Some(place) = world.sends.iter().position(|sent| world.now - sent.at >= ms(8)) {
-            world.end(place, Outcome::Acked, Word::default());
+            world.end(place, Outcome::Acked, HostStatus::default());
         }
     }
     let part = busy as f64 / 4000.0;
@@ -84,9 +90,15 @@
     hold(&mut world, 0, Some(0.0));
     let due = world.now + ms(TIMEOUT);
     let pinned = Some(HostId(0));
-    let ask =
-        Ask { op: OpId(9), op_type: OpTypeId(NON_RETRYABLE), tenant: Some(T), pinned, due, ..Ask::default() };
-    world.feed(Note::Asked(ask));
+    let ask = OpRequest {
+        op: OpId(9),
+        op_type: OpTypeId(NON_RETRYABLE),
+        tenant: Some(T),
+        pinned_host: pinned,
+        deadline: due,
+        ..OpRequest::default()
+    };
+    world.feed(RouterEvent::OpRequested(ask));
     assert_eq!(world.hosts_of(OpId(9)), [0], "whoever holds a connection there is not held up");
     let fresh = ask_as(&mut world, 10, FRESH, 3);
     assert!(world.hosts_of(fresh).is_empty());
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -10,9 +10,9 @@
 use proptest::prelude::*;
 
 struct Known {
-    ask: Ask,
-    must_see: Option<Point>,
-    sends: Vec<(Point, HostId, Option<Outcome>)>,
+    ask: OpRequest,
+    must_see: Option<Timestamp>,
+    sends: Vec<(Timestamp, HostId, Option<Outcome>)>,
     over: bool,
 }
 
@@ -23,11 +23,11 @@
     checks: bool,
     ops: BTreeMap<u64, Known>,
     ready: BTreeMap<u32, bool>,
-    told: BTreeMap<u32, Point>,
-    primary: BTreeMap<u32, (Point, bool)>,
-    commits: BTreeMap<u64, Point>,
-    started: BTreeMap<u32, Point>,
-    sends: Vec<(Point, u32)>,
+    told: BTreeMap<u32, Timestamp>,
+    primary: BTreeMap<u32, (Timestamp, bool)>,
+    commits: BTreeMap<u64, Timestamp>,
+    started: BTreeMap<u32, Timestamp>,
+    sends: Vec<(Timestamp, u32)>,
 }
 
 impl Model {
@@ -35,24 +35,24 @@
         Model { parallel, carried, checks, ..Model::default() }
     }
 
-    fn note(&mut self, now: Point, note: &Note) {
+    fn note(&mut self, now: Timestamp, note: &RouterEvent) {
         match note {
             note if *note == RESTARTED => {
                 *self = Model::new(self.parallel, self.carried, self.checks);
             }
-            Note::Listed { entries, .. } => {
+            RouterEvent::HostList { entries, .. } => {
                 for entry in entries {
                     self.ready.insert(entry.host.0, entry.availability == Availability::Ready);
-                    self.started.extend(entry.started.map(|at| (entry.host.0, at)));
-                    let known = self.primary.entry(entry.host.0).or_insert((Point::DAWN, false));
-                    known.1 |= known.0 == Point::DAWN && entry.primary;
+                    self.started.extend(entry.started_at.map(|at| (entry.host.0, at)));
+                    let known = self.primary.entry(entry.host.0).or_insert((Timestamp::DISTANT_PAST, false));
+                    known.1 |= known.0 == Timestamp::DISTANT_PAST && entry.is_primary;
                 }
             }
-            Note::Asked(ask) => {
+            RouterEvent::OpRequested(ask) => {
                 let must_see = match ask.op_type.0 {
                     // No write yet: a token of zero age.
                     SESSION if self.carried => {
-                        ask.token_age.filter(|age| *age > Span::ZERO).map(|age| now - age)
+                        ask.token_age.filter(|age| *age > TimeDelta::ZERO).map(|age| now - age)
                     }
                     SESSION => ask.session.and_then(|session| self.commits.get(&session.0).copied()),
                     _ => None,
@@ -60,61 +60,63 @@
                 let known = Known { ask: *ask, must_see, sends: Vec::new(), over: false };
                 self.ops.insert(ask.op.0, known);
             }
-            Note::SendEnded(end) => {
+            RouterEvent::SendEnded(end) => {
                 let op = self.ops.get_mut(&end.op.0).expect("an op that was asked");
                 let (at, _, fate) = &mut op.sends[end.send.0 as usize];
                 let at = *at;
                 assert!(fate.replace(end.outcome).is_none(), "a send ends once");
-                op.over |= end.finished;
+                op.over |= end.op_finished;
                 if end.outcome == Outcome::Acked
                     && let (TOKENED | NON_RETRYABLE, Some(session)) = (op.ask.op_type.0, op.ask.session)
                 {
-                    let commit = end.word.position.unwrap_or(now);
+                    let commit = end.status.position.unwrap_or(now);
                     let newest = self.commits.entry(session.0).or_insert(commit);
                     *newest = commit.max(*newest);
                 }
-                if let Some(role) = end.word.role {
+                if let Some(role) = end.status.role {
                     self.primary.insert(end.host.0, (now, role == Role::Primary));
                     if role == Role::Primary {
                         self.tell(end.host, at);
                     }
                 }
-                end.word.position.into_iter().for_each(|position| self.tell(end.host, position));
+                end.status.position.into_iter().for_each(|position| self.tell(end.host, position));
             }
-            Note::HungUp { op } => self.ops.get_mut(&op.0).expect("an op that was asked").over = true,
-            Note::Probed { host, outcome: Outcome::Acked, word } => {
+            RouterEvent::ClientCancelled { op } => {
+                self.ops.get_mut(&op.0).expect("an op that was asked").over = true
+            }
+            RouterEvent::ProbeEnded { host, outcome: Outcome::Acked, status: word } => {
                 if let (Some(position), Some(role)) = (word.position, word.role) {
                     self.report(*host, position, role == Role::Primary);
                 }
             }
-            Note::Told { bytes, .. } => {
+            RouterEvent::PeerMessage { bytes, .. } => {
                 let millis = i64::from(u32::from_le_bytes([bytes[4], bytes[5], bytes[6], bytes[7]]));
-                self.report(HostId(bytes[0].into()), Point::from_micros(millis * 1000), bytes[8] == 1);
+                self.report(HostId(bytes[0].into()), Timestamp::from_micros(millis * 1000), bytes[8] == 1);
             }
             _ => {}
         }
     }
 
-    fn report(&mut self, host: HostId, position: Point, primary: bool) {
-        let (since, passes) = self.primary.entry(host.0).or_insert((Point::DAWN, false));
+    fn report(&mut self, host: HostId, position: Timestamp, primary: bool) {
+        let (since, passes) = self.primary.entry(host.0).or_insert((Timestamp::DISTANT_PAST, false));
         if position > *since {
             (*since, *passes) = (position, primary);
         }
         self.tell(host, position);
     }
 
-    fn tell(&mut self, host: HostId, position: Point) {
+    fn tell(&mut self, host: HostId, position: Timestamp) {
         let told = self.told.entry(host.0).or_insert(position);
         *told = position.max(*told);
     }
 
-    fn action(&mut self, now: Point, action: &Action) {
+    fn action(&mut self, now: Timestamp, action: &Action) {
         match action {
-            Action::Send { op, host, until } => {
+            Action::Send { op, host, deadline: until } => {
                 let known = &self.ops[&op.0];
                 assert!(!known.over, "rule 1: a send for an op that is over");
                 assert!(
-                    now < known.ask.due && *until < known.ask.due,
+                    now < known.ask.deadline && *until < known.ask.deadline,
                     "rule 1: a send without time for an answer"
                 );
                 assert_eq!(
@@ -147,7 +149,7 @@
 
     /// One router's part: within a window a cold host gets, beside one send, no more than the multiple of its
     /// share of what the busiest host got in a while.
-    fn within_cold_budget(&self, host: u32, now: Point) -> bool {
+    fn within_cold_budget(&self, host: u32, now: Timestamp) -> bool {
         let Some(age) = self.started.get(&host).map(|at| now - *at).filter(|age| *age < ms(8000)) else {
             return true;
         };
@@ -158,8 +160,8 @@
         sent(host, 1500) <= 1.0 + 2.0 * (0.25 + 0.75 * (age / ms(8000))) * busiest
     }
 
-    fn may_have_run(known: &Known) -> Option<(Point, HostId)> {
-        let proof = [Outcome::Full, Outcome::ConnectFailed, Outcome::Moot, Outcome::Miss];
+    fn may_have_run(known: &Known) -> Option<(Timestamp, HostId)> {
+        let proof = [Outcome::Overloaded, Outcome::ConnectFailed, Outcome::NotSent, Outcome::Misrouted];
         let open = known.sends.iter().find(|(_, _, end)| end.is_none_or(|end| !proof.contains(&end)));
         open.map(|(at, host, _)| (*at, *host))
     }
@@ -168,7 +170,7 @@
         known.ask.op_type.0 < TOKENED || Self::may_have_run(known).is_none()
     }
 
-    fn may_repeat(&self, known: &Known, host: HostId, now: Point) -> bool {
+    fn may_repeat(&self, known: &Known, host: HostId, now: Timestamp) -> bool {
         let out = known.sends.iter().any(|(_, _, end)| end.is_none());
         let in_time = match (known.ask.op_type.0, Self::may_have_run(known)) {
             (_, None) | (..TOKENED, _) => true,
@@ -178,8 +180,8 @@
         in_time && (self.parallel || !out) && known.sends.len() < 6
     }
 
-    fn fresh_enough(&self, known: &Known, host: HostId, now: Point) -> bool {
-        let position = self.told.get(&host.0).copied().unwrap_or(Point::DAWN);
+    fn fresh_enough(&self, known: &Known, host: HostId, now: Timestamp) -> bool {
+        let position = self.told.get(&host.0).copied().unwrap_or(Timestamp::DISTANT_PAST);
         let passes = self.primary.get(&host.0).is_some_and(|(_, passes)| *passes);
         passes
             || match known.ask.op_type.0 {
@@ -190,8 +192,8 @@
             }
     }
 
-    fn is_late(&self, now: Point) -> bool {
-        self.ops.values().any(|known| !known.over && now > known.ask.due)
+    fn is_late(&self, now: Timestamp) -> bool {
+        self.ops.values().any(|known| !known.over && now > known.ask.deadline)
     }
 }
 
@@ -228,10 +230,10 @@
 
 fn outcome_of(number: usize) -> Outcome {
     use Outcome::*;
-    [Acked, Errored, Full, TimedOut, ConnectFailed, Reset, Cancelled, Moot, Miss][number]
+    [Acked, Errored, Overloaded, TimedOut, ConnectFailed, Reset, Cancelled, NotSent, Misrouted][number]
 }
 
-fn play(world: &mut World, steps: Vec<Step>, charter: &Manifest, carried: bool) {
+fn play(world: &mut World, steps: Vec<Step>, charter: &RouterSettings, carried: bool) {
     let mut asked = Vec::new();
     for (number, step) in steps.into_iter().enumerate() {
         let role = |primary: bool| Some(if primary { Role::Primary } else { Role::Replica });
@@ -242,25 +244,38 @@
                 let session = (op_type == SESSION || op_type >= TOKENED).then_some(SessionId(session));
                 let token_age = (carried && op_type == SESSION).then(|| ms(age));
                 let (group, due) = (GroupId(i64::from(group)), world.now + ms(due));
-                let ask =
-                    Ask { op, op_type: OpTypeId(op_type), group, session, token_age, due, ..Ask::default() };
-                world.feed(Note::Asked(ask));
+                let ask = OpRequest {
+                    op,
+                    op_type: OpTypeId(op_type),
+                    group,
+                    session,
+                    token_age,
+                    deadline: due,
+                    ..OpRequest::default()
+                };
+                world.feed(RouterEvent::OpRequested(ask));
                 asked.push(op);
             }
             Step::End { place, outcome, primary, behind } if !world.sends.is_empty() => {
                 let place = place % world.sends.len();
                 let outcome = outcome_of(outcome);
-                let word =
-                    Word { role: role(primary), position: Some(world.now - ms(behind)), ..Word::default() };
-                world.end(place, outcome, if outcome.is_answer() { word } else { Word::default() });
+                let word = HostStatus {
+                    role: role(primary),
+                    position: Some(world.now - ms(behind)),
+                    ..HostStatus::default()
+                };
+                world.end(place, outcome, if outcome.is_answer() { word } else { HostStatus::default() });
             }
             Step::Report { place, ok, primary, behind } if !world.probes.is_empty() => {
                 let host = world.probes.swap_remove(place % world.probes.len());
-                let word =
-                    Word { role: role(primary), position: Some(world.now - ms(behind)), ..Word::default() };
+                let word = HostStatus {
+                    role: role(primary),
+                    position: Some(world.now - ms(behind)),
+                    ..HostStatus::default()
+                };
                 let (outcome, word) =
-                    if ok { (Outcome::Acked, word) } else { (Outcome::ConnectFailed, Word::default()) };
-                world.feed(Note::Probed { host, outcome, word });
+                    if ok { (Outcome::Acked, word) } else { (Outcome::ConnectFailed, HostStatus::default()) };
+                world.feed(RouterEvent::ProbeEnded { host, outcome, status: word });
             }
             Step::List { host, availability, primary, cold } => {
                 let availability =
@@ -271,12 +286,12 @@
                 let millis = ((world.now - ms(behind)).micros() / 1000) as u32;
                 let role = if primary { 1 } else { 2 };
                 let bytes = [&host.to_le_bytes()[..], &millis.to_le_bytes(), &[role]].concat();
-                world.feed(Note::Told { from: PeerId(1), bytes });
+                world.feed(RouterEvent::PeerMessage { from: PeerId(1), bytes });
             }
             Step::HangUp { place } if !asked.is_empty() => {
                 let op = asked[place % asked.len()];
                 if !world.answered(op) {
-                    world.feed(Note::HungUp { op });
+                    world.feed(RouterEvent::ClientCancelled { op });
                 }
             }
             Step::Restart => {
