--- a/crates/arrowyard-control/src/control/calls.rs
+++ b/crates/arrowyard-control/src/control/calls.rs
@@ -6,7 +6,7 @@
 use arrowyard_messages::{ConfigRevision, DbRole, Entry, EntryPayload, Host, Phase, ip_to_u32};
 use arrowyard_runtime::http::{HttpDecoder, Request, format_response};
 use arrowyard_runtime::{Commands, Conn};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use sonic_rs::{JsonValueTrait, Value};
 
 use super::{Control, Line};
@@ -16,7 +16,7 @@
 /// Hosts and routers that this many calls wait for at most on one connection.
 const BASE: &str = "Arrowyard-Base-Revision";
 /// An operator's call is answered by then, as unclear if need be.
-const CLEAR: Span = Span::from_millis(2500);
+const CLEAR: TimeDelta = TimeDelta::from_millis(2500);
 
 /// A caller's connection.
 #[derive(Default)]
@@ -51,7 +51,7 @@
 
 impl Control {
     /// Answers the calls of a connection that are whole, in their order.
-    pub(super) fn calls(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
+    pub(super) fn calls(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
         loop {
             let Some(Line::Caller(caller)) = self.lines.get_mut(&conn) else { return };
             if caller.waits {
@@ -83,7 +83,7 @@
         }
     }
 
-    fn call(&mut self, now: Point, conn: Conn, request: &Request, commands: &mut Commands) {
+    fn call(&mut self, now: Timestamp, conn: Conn, request: &Request, commands: &mut Commands) {
         let path = request.path.split('?').next().unwrap_or_default();
         if path != "/status" && !self.is_in_touch(now) {
             return self.reply(conn, 503, &fault("Cut off from the others; ask elsewhere."), commands);
@@ -133,7 +133,7 @@
     /// Proposes something to the ledger, for a caller who waits for it.
     fn propose(
         &mut self,
-        now: Point,
+        now: Timestamp,
         conn: Conn,
         pending: Pending,
         commands: &mut Commands,
@@ -154,7 +154,7 @@
     }
 
     /// A host calls: it is known from now on, and where its own zone has a control machine, it is sent there.
-    fn beat(&mut self, now: Point, conn: Conn, host: Host, commands: &mut Commands) {
+    fn beat(&mut self, now: Timestamp, conn: Conn, host: Host, commands: &mut Commands) {
         self.silent.remove(&host.id);
         let zone = host.zone.clone();
         if self.cell.called(now, host.clone()) {
@@ -173,7 +173,7 @@
     }
 
     /// A host has left. One that was never heard of here may be known elsewhere, so that is told and kept all the same.
-    fn leave(&mut self, now: Point, conn: Conn, id: &str, commands: &mut Commands) {
+    fn leave(&mut self, now: Timestamp, conn: Conn, id: &str, commands: &mut Commands) {
         self.silent.remove(id);
         let known = self.cell.get(id).cloned();
         let gone = match known {
@@ -190,7 +190,7 @@
     /// An operator's change: answered at once where that is certain, else entered in the ledger.
     fn change(
         &mut self,
-        now: Point,
+        now: Timestamp,
         conn: Conn,
         revised: ConfigRevision,
         first: bool,
@@ -260,7 +260,7 @@
     /// The ledger answers a proposal.
     pub(super) fn answered(
         &mut self,
-        now: Point,
+        now: Timestamp,
         proposal: ProposalId,
         answer: Answer,
         commands: &mut Commands,
--- a/crates/arrowyard-control/src/control/departures.rs
+++ b/crates/arrowyard-control/src/control/departures.rs
@@ -9,13 +9,13 @@
 
 use arrowyard_messages::{DepartureNotice, DepartureStored, Host, Payload, Phase};
 use arrowyard_runtime::{Commands, Conn};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::Control;
 use crate::record::Kept;
 
 /// A departure that no majority has kept in so long is not acknowledged; a host waits for a second at most.
-const KEPT: Span = Span::from_millis(800);
+const KEPT: TimeDelta = TimeDelta::from_millis(800);
 
 /// A departure that its host waits for.
 #[derive(Clone, Debug, PartialEq)]
@@ -27,7 +27,7 @@
     /// The record by which this machine keeps it.
     record: u64,
     kept_by: BTreeSet<u32>,
-    until: Point,
+    until: Timestamp,
 }
 
 /// What this machine is asked to acknowledge, and to keep for others.
@@ -48,7 +48,7 @@
     }
 
     /// A host waits; this machine keeps it by this record. Its number is told to the others.
-    pub fn begin(&mut self, now: Point, conn: Conn, host: Host, reply: String, record: u64) -> u64 {
+    pub fn begin(&mut self, now: Timestamp, conn: Conn, host: Host, reply: String, record: u64) -> u64 {
         self.last += 1;
         let departure = Departure { conn, host, reply, record, kept_by: BTreeSet::new(), until: now + KEPT };
         self.waiting.insert(self.last, departure);
@@ -97,7 +97,7 @@
     }
 
     /// Departures that were not kept by a majority in time.
-    pub fn late(&mut self, now: Point) -> Vec<Departure> {
+    pub fn late(&mut self, now: Timestamp) -> Vec<Departure> {
         self.waiting.extract_if(.., |_, departure| departure.until <= now).map(|(_, late)| late).collect()
     }
 
@@ -111,7 +111,7 @@
         self.acknowledged.retain(|host, _| is_known(host));
     }
 
-    pub fn due(&self) -> Option<Point> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.waiting.values().map(|departure| departure.until).min()
     }
 }
@@ -120,7 +120,7 @@
     /// A host says here that it leaves or has left: it is answered once a majority keeps that.
     pub(super) fn departs(
         &mut self,
-        now: Point,
+        now: Timestamp,
         conn: Conn,
         host: Host,
         reply: String,
@@ -138,7 +138,7 @@
         }
     }
 
-    fn keep_departure(&mut self, now: Point, host: &Host, commands: &mut Commands) -> u64 {
+    fn keep_departure(&mut self, now: Timestamp, host: &Host, commands: &mut Commands) -> u64 {
         let kept = Kept::Departing(host.clone());
         self.with_ledger(now, commands, |ledger, out| ledger.keep(kept, out))
     }
@@ -146,7 +146,7 @@
     /// Another control machine was told that a host leaves or has left.
     pub(super) fn departure_told(
         &mut self,
-        now: Point,
+        now: Timestamp,
         ip: u32,
         departing: DepartureNotice,
         commands: &mut Commands,
@@ -167,19 +167,25 @@
     }
 
     /// The fate of a record is known; it may be a departure's.
-    pub(super) fn departure_stored(&mut self, now: Point, record: u64, kept: bool, commands: &mut Commands) {
+    pub(super) fn departure_stored(
+        &mut self,
+        now: Timestamp,
+        record: u64,
+        kept: bool,
+        commands: &mut Commands,
+    ) {
         if let Some((ip, number)) = self.departures.stored(self.me, record, kept) {
             self.say_to_peer(ip, &Payload::DepartureStored(DepartureStored { number }), commands);
         }
         self.acknowledge_departures(now, commands);
     }
 
-    pub(super) fn departure_kept(&mut self, now: Point, ip: u32, number: u64, commands: &mut Commands) {
+    pub(super) fn departure_kept(&mut self, now: Timestamp, ip: u32, number: u64, commands: &mut Commands) {
         self.departures.kept(ip, number);
         self.acknowledge_departures(now, commands);
     }
 
-    fn acknowledge_departures(&mut self, now: Point, commands: &mut Commands) {
+    fn acknowledge_departures(&mut self, now: Timestamp, commands: &mut Commands) {
         for departure in self.departures.settle(self.ledger.voters()) {
             self.reply(departure.conn, 200, &departure.reply, commands);
             self.calls(now, departure.conn, commands);
@@ -187,7 +193,7 @@
     }
 
     /// Hosts whose departure no majority keeps are told to ask elsewhere.
-    pub(super) fn refuse_late_departures(&mut self, now: Point, commands: &mut Commands) {
+    pub(super) fn refuse_late_departures(&mut self, now: Timestamp, commands: &mut Commands) {
         for departure in self.departures.late(now) {
             log::warn!("hosts: {} leaves, and no majority keeps that.", departure.host.id);
             let body = "{\"error\":\"No majority of the control machines keeps this yet; ask elsewhere.\"}";
--- a/crates/arrowyard-control/src/control/replacements.rs
+++ b/crates/arrowyard-control/src/control/replacements.rs
@@ -8,7 +8,7 @@
 
 use arrowyard_messages::{Demotion, Payload, Replacement, Replacements};
 use arrowyard_runtime::{Commands, Conn};
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 
 use super::Control;
 use crate::applied::DUTY;
@@ -35,7 +35,7 @@
     /// A router made an old primary yield. It is passed on once, to the holder of the duty alone.
     pub(super) fn yielded(
         &mut self,
-        now: Point,
+        now: Timestamp,
         from_router: bool,
         yielded: Demotion,
         commands: &mut Commands,
--- a/crates/arrowyard-pooler/src/plane/questions.rs
+++ b/crates/arrowyard-pooler/src/plane/questions.rs
@@ -6,7 +6,7 @@
 };
 use arrowyard_protocol::{INTERNAL_STATEMENT_ID, Observed};
 use arrowyard_runtime::{Commands, Conn};
-use arrowyard_types::{HostId, Point, Span};
+use arrowyard_types::{HostId, TimeDelta, Timestamp};
 
 use super::hosts::ORPHAN;
 use super::{Alarm, Sluice};
@@ -14,17 +14,22 @@
 
 /// Control waits so long for the answer to a relayed question. Safety: one that is sent later could reach the host after
 /// control has asked for the opposite.
-const RELAY_TIMEOUT: Span = Span::from_millis(300);
+const RELAY_TIMEOUT: TimeDelta = TimeDelta::from_millis(300);
 
 impl Sluice {
     /// A primary that is replaced is told to yield.
-    pub(super) fn tell_to_yield(&mut self, now: Point, host: HostId, term: u64, commands: &mut Commands) {
+    pub(super) fn tell_to_yield(&mut self, now: Timestamp, host: HostId, term: u64, commands: &mut Commands) {
         log::info!("hosts: {} is replaced and told to yield to term {term}.", self.module.host(host).host.id);
         self.ask_aside(now, host, HostQuestion::Yield(term), commands);
     }
 
     /// Asks a host what control cannot ask it.
-    pub(super) fn relay_question(&mut self, now: Point, question: RelayedRequest, commands: &mut Commands) {
+    pub(super) fn relay_question(
+        &mut self,
+        now: Timestamp,
+        question: RelayedRequest,
+        commands: &mut Commands,
+    ) {
         match self.module.id_of(&question.host) {
             Some(host) => {
                 let question = HostQuestion::Relayed(question, now + RELAY_TIMEOUT);
@@ -36,7 +41,7 @@
 
     /// Asks on a connection that rests, or on one more than the share: all others may wait for a host that answers
     /// nothing else.
-    fn ask_aside(&mut self, now: Point, host: HostId, question: HostQuestion, commands: &mut Commands) {
+    fn ask_aside(&mut self, now: Timestamp, host: HostId, question: HostQuestion, commands: &mut Commands) {
         let idle = self.take_idle(host);
         let conn = idle.unwrap_or_else(|| self.dial(now, host, commands));
         if let Some(link) = self.link(conn) {
@@ -48,7 +53,7 @@
     }
 
     /// Sends the question that a connection was taken for.
-    pub(super) fn send_aside(&mut self, now: Point, conn: Conn, commands: &mut Commands) {
+    pub(super) fn send_aside(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
         let Some(link) = self.link(conn) else { return };
         let is_late = matches!(&link.aside, Some(HostQuestion::Relayed(_, until)) if now > *until);
         let words = link.aside.as_ref().filter(|_| !is_late).and_then(HostQuestion::words);
