--- a/src/health.rs
+++ b/src/health.rs
@@ -1,229 +1,230 @@
-//! What a host is good for: its limit, its health, its warmth, its role and position. A host is an actor that takes
-//! notes and shows the desk its face.
+//! A host's in-flight limit, health, warm-up, role and position, updated from `HostEvent`s.
 
 use arrowyard_types::*;
 
-use crate::logic::{EASY, REST, STEP};
-use crate::post::{HostNote, Post};
-use crate::state::{Face, Host};
+use crate::logic::{FAST_RATIO, PERIOD_TIMEOUTS, RECOVERY_TIMEOUTS};
+use crate::queues::{HostEvent, Queues};
+use crate::state::{Host, HostView};
 
-/// Wald's test: the chance of judging wrongly, and the share of bad outcomes that any host is allowed.
-const WRONG: f64 = 0.002;
-const TOLERATED: f64 = 0.1;
-/// Sends of all routers together that may be unfinished at a host that is not known yet, and at any host.
-const FIRST_LIMIT: f64 = 64.0;
-const LEAST_LIMIT: f64 = 8.0;
-/// An answer beyond this share of its latency target cuts the limit.
-const STRAINED: f64 = 0.9;
-/// A cold host gets at most this part of the multiple of its capacity that would push it over.
-const OF_MULTIPLE: f64 = 0.7;
+/// Health test: the probability of a wrong verdict, and the share of failed sends that counts as healthy.
+const WRONG_VERDICTS: f64 = 0.002;
+const TOLERATED_FAILURES: f64 = 0.1;
+/// Initial and least in-flight limit of a host, summed over all routers.
+const INITIAL_LIMIT: f64 = 64.0;
+const MIN_LIMIT: f64 = 8.0;
+/// An answer beyond this share of its latency target reduces the limit.
+const SLOW_RATIO: f64 = 0.9;
+/// Share of the overload multiple (`fall_multiple`) that a cold host may be sent.
+const SAFE_SHARE_OF_MULTIPLE: f64 = 0.7;
 
-impl Face {
-    /// Whether it has room for one more send. Danger: of many routers even one send each is too many; a limit
-    /// under one spaces sends out, so that one is out for that share of the time.
-    pub fn bears(&self, share: f64, now: Timestamp, pace: TimeDelta) -> bool {
-        let room = self.limit * share;
-        let spaced = self.unfinished == 0 && now - self.sent_at >= pace * (1.0 / room);
-        let fits = if room < 1.0 { spaced } else { f64::from(self.unfinished) < room };
-        self.open && fits && (self.warmth >= 1.0 || self.credit >= 0.0)
+impl HostView {
+    /// Whether one more send fits into this share of the limit. A limit below 1 spaces sends out in time.
+    pub fn has_room(&self, share: f64, now: Timestamp, spacing: TimeDelta) -> bool {
+        let limit = self.limit * share;
+        let spaced = self.in_flight == 0 && now - self.last_sent_at >= spacing * (1.0 / limit);
+        let fits = if limit < 1.0 { spaced } else { f64::from(self.in_flight) < limit };
+        self.available && fits && (self.warmth >= 1.0 || self.warmup_credit >= 0.0)
     }
 
-    pub fn sound(&self) -> bool {
-        self.open && if self.ill { self.trial && self.unfinished == 0 } else { !self.quiet }
+    pub fn is_usable(&self) -> bool {
+        self.available
+            && if self.ejected { self.half_open && self.in_flight == 0 } else { !self.unresponsive }
     }
 }
 
 impl Host {
-    pub fn new(charter: &RouterSettings) -> Self {
-        let limit = (FIRST_LIMIT / charter.number_or("routers", 1.0)).clamp(1.0, 16.0);
-        let face = Face { limit, warmth: 1.0, size: 1.0, ..Face::default() };
-        Host { face, ..Host::default() }
+    pub fn new(settings: &RouterSettings) -> Self {
+        let limit = (INITIAL_LIMIT / settings.number_or("routers", 1.0)).clamp(1.0, 16.0);
+        let view = HostView { limit, warmth: 1.0, size: 1.0, ..HostView::default() };
+        Host { view, ..Host::default() }
     }
 
-    pub fn take(
+    pub fn handle(
         &mut self,
         id: HostId,
         now: Timestamp,
-        note: HostNote,
-        charter: &RouterSettings,
-        post: &mut Post,
+        event: HostEvent,
+        settings: &RouterSettings,
+        queues: &mut Queues,
     ) {
-        match note {
-            HostNote::Listed(entry, debt) => self.listed(now, entry, debt, charter),
-            HostNote::Dropped => self.face.open &= charter.flag("removal_not_binding"),
-            HostNote::Took(weight) => {
-                self.face.unfinished += 1;
-                self.live += weight;
-                self.face.sent_at = now;
-                self.face.credit -= weight;
+        match event {
+            HostEvent::Listed(entry, debt) => self.apply_entry(now, entry, debt, settings),
+            HostEvent::Unlisted => self.view.available &= settings.flag("removal_not_binding"),
+            HostEvent::SendStarted(weight) => {
+                self.view.in_flight += 1;
+                self.in_flight_weight += weight;
+                self.view.last_sent_at = now;
+                self.view.warmup_credit -= weight;
             }
-            HostNote::Ended(end, weight, used) => {
-                self.face.unfinished -= 1;
-                self.live -= weight;
-                if matches!(end.outcome, Outcome::Acked | Outcome::TimedOut) {
-                    self.face.pace = Some(if end.outcome == Outcome::Acked { used } else { 1.0 });
+            HostEvent::SendEnded(result, weight, ratio) => {
+                self.view.in_flight -= 1;
+                self.in_flight_weight -= weight;
+                if matches!(result.outcome, Outcome::Acked | Outcome::TimedOut) {
+                    self.view.latency_ratio =
+                        Some(if result.outcome == Outcome::Acked { ratio } else { 1.0 });
                 }
-                if end.outcome.is_answer() {
-                    self.kept *= 0.5;
-                    self.answered(now, end, weight, used, charter);
-                } else if end.outcome != Outcome::NotSent {
-                    // Danger: a host that hangs looks light when its time-outs clear its entries, and draws
-                    // more. They weigh on for a while; a host that only lost a few sends loses some reads.
-                    self.kept += weight;
-                    if end.outcome != Outcome::Cancelled {
-                        self.judge(now, true, charter);
-                        self.cut(now, 0.8, charter);
-                        self.hush(self.face.heard_at <= now - end.elapsed);
+                if result.outcome.is_answer() {
+                    self.unanswered_weight *= 0.5;
+                    self.handle_answer(now, result, weight, ratio, settings);
+                } else if result.outcome != Outcome::NotSent {
+                    // Stays in the load for a while: otherwise a hanging host would look idle.
+                    self.unanswered_weight += weight;
+                    if result.outcome != Outcome::Cancelled {
+                        self.update_health(now, true, settings);
+                        self.reduce_limit(now, 0.8, settings);
+                        self.note_answer(self.view.last_answer_at <= now - result.elapsed);
                     }
                 }
             }
-            HostNote::Probe(spread) => {
-                (self.face.probing, self.face.probed_at, self.face.spread) = (true, now, spread);
-                post.actions.push(Action::Probe { host: id });
+            HostEvent::ProbeRequested(broadcast) => {
+                (self.view.probing, self.view.probed_at, self.view.broadcast_probe) = (true, now, broadcast);
+                queues.actions.push(Action::Probe { host: id });
             }
-            HostNote::Probed(word) => {
-                self.face.probing = false;
-                self.face.lost = if word.is_some() { 0 } else { self.face.lost + 1 };
-                if let Some(word) = word {
-                    self.hush(false);
-                    self.learn(now, word, word.position.unwrap_or_default() - TimeDelta::from_micros(1));
+            HostEvent::ProbeEnded(status) => {
+                self.view.probing = false;
+                self.view.failed_probes = if status.is_some() { 0 } else { self.view.failed_probes + 1 };
+                if let Some(status) = status {
+                    self.note_answer(false);
+                    let as_of = status.position.unwrap_or_default() - TimeDelta::from_micros(1);
+                    self.set_status(now, status, as_of);
                 }
             }
-            HostNote::Named(role) => {
-                // A host that was made primary just now was heard of.
+            HostEvent::RoleAssigned(role) => {
                 if role == Role::Primary {
-                    self.hush(false);
+                    self.note_answer(false);
                 }
-                self.learn(now, HostStatus { role: Some(role), ..HostStatus::default() }, now);
+                self.set_status(now, HostStatus { role: Some(role), ..HostStatus::default() }, now);
+            }
+            HostEvent::Reported(status) => self.set_status(now, status, status.position.unwrap_or_default()),
+            HostEvent::Maintain(elapsed, warm_rate, headroom) => {
+                self.maintain(now, elapsed, warm_rate, headroom, settings)
             }
-            HostNote::Told(word) => self.learn(now, word, word.position.unwrap_or_default()),
-            HostNote::Pulse(passed, peers, room) => self.pulse(now, passed, peers, room, charter),
         }
-        self.face.load = (self.live + self.kept).max(0.0);
-        post.faces.push_back((id, self.face));
+        self.view.load = (self.in_flight_weight + self.unanswered_weight).max(0.0);
+        queues.host_views.push_back((id, self.view));
     }
 
-    pub fn listed(&mut self, now: Timestamp, entry: HostEntry, debt: f64, charter: &RouterSettings) {
-        // Danger: an id that names another host by now, with the old one's position, role and health.
-        let another = self.known && self.face.tag != entry.address_hash;
-        *self = if another { Host::new(charter) } else { std::mem::take(self) };
-        // Danger: an entry without a start, or with an older one, would make a cold host look warm.
-        let started = entry.started_at.max(self.started);
-        if self.known && started != self.started {
-            // It started again: its past says nothing of its health, and whatever the list still calls it, it
-            // comes back as a replica.
-            let Face { zone, size, tag, position, role_at, unfinished, rate, .. } = self.face;
-            let fresh = Face { role: Some(Role::Replica), ..Host::new(charter).face };
-            self.face = Face { zone, size, tag, position, role_at, unfinished, rate, ..fresh };
-            (self.evidence, self.kept, self.mute) = (0.0, 0.0, 0);
+    pub fn apply_entry(&mut self, now: Timestamp, entry: HostEntry, debt: f64, settings: &RouterSettings) {
+        // The id now names another host, which must not inherit the old one's position, role and health.
+        let another = self.listed && self.view.address_hash != entry.address_hash;
+        *self = if another { Host::new(settings) } else { std::mem::take(self) };
+        // Keeps the newest start: an entry without one must not make a cold host look warm.
+        let started = entry.started_at.max(self.started_at);
+        if self.listed && started != self.started_at {
+            // A restarted host is a replica, whatever the list says, and its health record does not apply.
+            let HostView { zone, size, address_hash, position, role_at, in_flight, ack_rate, .. } = self.view;
+            let fresh = HostView { role: Some(Role::Replica), ..Host::new(settings).view };
+            self.view =
+                HostView { zone, size, address_hash, position, role_at, in_flight, ack_rate, ..fresh };
+            (self.evidence, self.unanswered_weight, self.unanswered_sends) = (0.0, 0.0, 0);
         }
-        (self.known, self.started) = (true, started);
-        let face = &mut self.face;
-        (face.zone, face.size, face.tag, face.listed_primary) =
+        (self.listed, self.started_at) = (true, started);
+        let view = &mut self.view;
+        (view.zone, view.size, view.address_hash, view.listed_primary) =
             (entry.zone, entry.size.max(0.01), entry.address_hash, entry.is_primary);
         let gone = entry.availability == Availability::Gone;
-        let binds = self.draining || !charter.flag("removal_not_binding");
+        let binds = self.draining || !settings.flag("removal_not_binding");
         self.draining = entry.availability == Availability::Draining || gone && binds;
-        face.open = !self.draining;
-        if started.is_some_and(|at| now - at < charter.time_delta("cold")) && face.warmth >= 1.0 {
-            // Till the next pulse tells how warm it is. The first send has to be earned, too: from a debt up
-            // to a mean send, drawn, so that many small routers together start at their share, not at none.
-            (face.warmth, face.credit) = (charter.number_or("cold_from", 1.0), -debt);
+        view.available = !self.draining;
+        if started.is_some_and(|at| now - at < settings.time_delta("cold")) && view.warmth >= 1.0 {
+            // The random debt keeps many small routers from all sending at once.
+            (view.warmth, view.warmup_credit) = (settings.number_or("cold_from", 1.0), -debt);
         }
     }
 
-    pub fn pulse(
+    pub fn maintain(
         &mut self,
         now: Timestamp,
-        passed: TimeDelta,
-        peers: f64,
-        room: f64,
-        charter: &RouterSettings,
+        elapsed: TimeDelta,
+        warm_rate: f64,
+        headroom: f64,
+        settings: &RouterSettings,
     ) {
-        let (face, fall, cold) = (&mut self.face, charter.time_delta("fall"), charter.time_delta("cold"));
-        face.rate += (self.done / passed.as_secs_f64().max(1e-6) - face.rate) * (passed / fall).min(1.0);
-        self.done = 0.0;
-        let age = self.started.map_or(cold, |started| now - started);
-        let from = charter.number_or("cold_from", 1.0);
-        face.warmth = if age < cold { from + (1.0 - from) * (age / cold).max(0.0) } else { 1.0 };
-        // Danger: all routers together push a cold host over. What warm hosts acked they can surely do, and a
-        // cold one its share of that; each router sends it a safe part of the multiple that it bears.
-        let safe = (charter.number_or("fall_multiple", 1.0) * OF_MULTIPLE).max(1.0);
-        let room = if face.pace.is_none_or(|pace| pace < EASY) { room } else { 1.0 };
-        let allowed = safe * room * face.warmth * peers * face.size;
-        face.credit = (face.credit + allowed * passed.as_secs_f64()).min(allowed * fall.as_secs_f64() * 0.1);
-        self.kept *= 1.0 - (passed / (charter.time_delta("connect_timeout") * REST)).min(1.0);
-        face.trial = face.ill && now >= self.rest_until;
+        let (view, fall, cold) = (&mut self.view, settings.time_delta("fall"), settings.time_delta("cold"));
+        let secs = elapsed.as_secs_f64();
+        view.ack_rate += (self.acked_weight / secs.max(1e-6) - view.ack_rate) * (elapsed / fall).min(1.0);
+        self.acked_weight = 0.0;
+        let age = self.started_at.map_or(cold, |started| now - started);
+        let from = settings.number_or("cold_from", 1.0);
+        view.warmth = if age < cold { from + (1.0 - from) * (age / cold).max(0.0) } else { 1.0 };
+        // Credit of a cold host: its share of a warm host's rate, times a safe part of `fall_multiple`.
+        let safe = (settings.number_or("fall_multiple", 1.0) * SAFE_SHARE_OF_MULTIPLE).max(1.0);
+        let headroom = if view.latency_ratio.is_none_or(|ratio| ratio < FAST_RATIO) { headroom } else { 1.0 };
+        let allowed = safe * headroom * view.warmth * warm_rate * view.size;
+        view.warmup_credit = (view.warmup_credit + allowed * secs).min(allowed * fall.as_secs_f64() * 0.1);
+        self.unanswered_weight *=
+            1.0 - (elapsed / (settings.time_delta("connect_timeout") * RECOVERY_TIMEOUTS)).min(1.0);
+        view.half_open = view.ejected && now >= self.ejected_until;
     }
 
-    /// Wald's sequential test of "as bad as tolerated" against "half way from there to always bad".
-    pub fn judge(&mut self, now: Timestamp, bad: bool, charter: &RouterSettings) {
-        let sick = (1.0 + TOLERATED) / 2.0;
-        let odds = if bad { sick / TOLERATED } else { (1.0 - sick) / (1.0 - TOLERATED) };
-        let bound = ((1.0 - WRONG) / WRONG).ln();
+    /// Wald's sequential test of the tolerated failure share against the middle between that and 1.
+    pub fn update_health(&mut self, now: Timestamp, failed: bool, settings: &RouterSettings) {
+        let (healthy, unhealthy) = (TOLERATED_FAILURES, (1.0 + TOLERATED_FAILURES) / 2.0);
+        let odds = if failed { unhealthy / healthy } else { (1.0 - unhealthy) / (1.0 - healthy) };
+        let bound = ((1.0 - WRONG_VERDICTS) / WRONG_VERDICTS).ln();
         self.evidence = (self.evidence + odds.ln()).clamp(0.0, bound);
-        if bad && self.evidence >= bound {
-            (self.face.ill, self.face.trial) = (true, false);
-            self.rest_until = now + charter.time_delta("connect_timeout") * REST;
-        } else if self.face.ill && self.evidence <= bound * 0.5 {
-            (self.face.ill, self.face.trial) = (false, false);
+        if failed && self.evidence >= bound {
+            (self.view.ejected, self.view.half_open) = (true, false);
+            self.ejected_until = now + settings.time_delta("connect_timeout") * RECOVERY_TIMEOUTS;
+        } else if self.view.ejected && self.evidence <= bound * 0.5 {
+            (self.view.ejected, self.view.half_open) = (false, false);
         }
     }
 
-    pub fn hush(&mut self, unanswered: bool) {
-        self.mute = if unanswered { self.mute + 1 } else { 0 };
-        self.face.quiet = self.mute >= 2;
+    pub fn note_answer(&mut self, unanswered: bool) {
+        self.unanswered_sends = if unanswered { self.unanswered_sends + 1 } else { 0 };
+        self.view.unresponsive = self.unanswered_sends >= 2;
     }
 
-    pub fn cut(&mut self, now: Timestamp, factor: f64, charter: &RouterSettings) {
-        if now >= self.cut_at {
-            // A router with less than one send out hears of few outcomes, and each counts for more.
-            let factor = if self.face.limit > 1.0 { factor } else { factor * factor * factor };
-            let least = (LEAST_LIMIT / charter.number_or("routers", 1.0)).min(1.0);
-            self.face.limit = (self.face.limit * factor).max(least);
-            self.cut_at = now + charter.time_delta("connect_timeout") * STEP;
+    pub fn reduce_limit(&mut self, now: Timestamp, factor: f64, settings: &RouterSettings) {
+        if now >= self.next_reduction_at {
+            // A router with a limit below 1 sees few outcomes, so that each counts for more.
+            let factor = if self.view.limit > 1.0 { factor } else { factor * factor * factor };
+            let least = (MIN_LIMIT / settings.number_or("routers", 1.0)).min(1.0);
+            self.view.limit = (self.view.limit * factor).max(least);
+            self.next_reduction_at = now + settings.time_delta("connect_timeout") * PERIOD_TIMEOUTS;
         }
     }
 
-    pub fn answered(
+    pub fn handle_answer(
         &mut self,
         now: Timestamp,
-        end: SendResult,
+        result: SendResult,
         weight: f64,
-        used: f64,
-        charter: &RouterSettings,
+        latency_ratio: f64,
+        settings: &RouterSettings,
     ) {
-        self.face.heard_at = now;
-        self.hush(false);
-        self.learn(now, end.status, now);
-        if end.status.role == Some(Role::Primary) {
-            self.face.position = self.face.position.max(now - end.elapsed);
+        self.view.last_answer_at = now;
+        self.note_answer(false);
+        self.set_status(now, result.status, now);
+        if result.status.role == Some(Role::Primary) {
+            self.view.position = self.view.position.max(now - result.elapsed);
         }
-        match end.outcome {
+        match result.outcome {
             Outcome::Acked => {
-                self.done += weight;
-                self.judge(now, used > 1.0, charter);
-                if used > STRAINED {
-                    self.cut(now, 0.9, charter);
-                } else if used < EASY && f64::from(self.face.unfinished + 1) >= self.face.limit * 0.5 {
-                    self.face.limit += self.face.limit.min(1.0 / self.face.limit);
+                self.acked_weight += weight;
+                self.update_health(now, latency_ratio > 1.0, settings);
+                let limit_used = f64::from(self.view.in_flight + 1) >= self.view.limit * 0.5;
+                if latency_ratio > SLOW_RATIO {
+                    self.reduce_limit(now, 0.9, settings);
+                } else if latency_ratio < FAST_RATIO && limit_used {
+                    self.view.limit += self.view.limit.min(1.0 / self.view.limit);
                 }
             }
-            Outcome::Errored => self.judge(now, true, charter),
-            Outcome::Overloaded => self.cut(now, 0.7, charter),
+            Outcome::Errored => self.update_health(now, true, settings),
+            Outcome::Overloaded => self.reduce_limit(now, 0.7, settings),
             _ => {}
         }
     }
 
-    /// Newer word of the role overturns older, never the other way. Danger: of two answers of one instant the
-    /// later counts, else a host that just ceased to be primary gets fresh reads.
-    pub fn learn(&mut self, now: Timestamp, word: HostStatus, as_of: Timestamp) {
-        if let Some(position) = word.position {
-            self.face.position = self.face.position.max(position);
-            self.face.behind = now - self.face.position;
+    /// The newest role counts, the later one of two with the same time.
+    pub fn set_status(&mut self, now: Timestamp, status: HostStatus, as_of: Timestamp) {
+        if let Some(position) = status.position {
+            self.view.position = self.view.position.max(position);
+            self.view.lag = now - self.view.position;
         }
-        if word.role.is_some() && as_of >= self.face.role_at {
-            (self.face.role, self.face.role_at) = (word.role, as_of);
+        if status.role.is_some() && as_of >= self.view.role_at {
+            (self.view.role, self.view.role_at) = (status.role, as_of);
         }
     }
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,11 +1,4 @@
-//! The decisions of arrowyard. A caller makes a `Router` with `Router::start`, hands it each note with the time when it
-//! came (`Router::take`), and carries out the actions that come back, in order. The interface is the crate
-//! `arrowyard-types`; `docs/design.md` says what of the design is kept or changed.
-//! Every host is an actor with an inbox; the desk is the actor that holds the ops. Hosts show it their face,
-//! it tells them what was sent to them. The one loop in `Router::take` empties all inboxes, the hosts' first.
-//! What they remember is laid out in `state.rs`. The decisions lie by concern: here what comes in, in `health.rs` what
-//! a host is good for, in `choice.rs` which host, in `probing.rs` who is asked where it is, in `sending.rs` whether,
-//! when and how often an op goes out, in `pressure.rs` what is held and given back while hosts have too much.
+//! Event handling of the dispatcher, which holds the ops and groups and sees hosts as `HostView`s.
 
 use std::cell::RefCell;
 
@@ -13,159 +6,158 @@
 use fastrand::Rng;
 use smallvec::SmallVec;
 
-use crate::post::{HostNote, Post, news_from};
-use crate::state::{Desk, Face, Op};
+use crate::queues::{HostEvent, Queues, decode_host_status};
+use crate::state::{Dispatcher, HostView, Op};
 
-/// An ill host rests this many connect time-outs before a trial; entries of unanswered sends fade as long.
-pub const REST: f64 = 8.0;
-/// An answer within this share of its latency target lets the limit grow.
-pub const EASY: f64 = 0.4;
-/// A limit is cut once in this share of the connect time-out; a missing primary is looked for half as often.
-pub const STEP: f64 = 0.4;
+/// Connect timeouts before an ejected host goes half-open, and until unanswered sends leave the load.
+pub const RECOVERY_TIMEOUTS: f64 = 8.0;
+/// An answer within this share of its latency target counts as fast.
+pub const FAST_RATIO: f64 = 0.4;
+/// Connect timeouts between two maintenance runs, and between two reductions of a host's limit.
+pub const PERIOD_TIMEOUTS: f64 = 0.4;
 
-/// What alarms are for: none names a place that could be reused.
-pub const PULSE: TimerId = TimerId(0);
-pub const ASK_LIST: TimerId = TimerId(1);
-pub const TRY_HELD: TimerId = TimerId(2);
+pub const MAINTENANCE_TIMER: TimerId = TimerId(0);
+pub const SUBSCRIBE_TIMER: TimerId = TimerId(1);
+pub const WAITING_TIMER: TimerId = TimerId(2);
 
-pub type Hosts = SmallVec<[HostId; 16]>;
+pub type HostIds = SmallVec<[HostId; 16]>;
 
-impl Desk {
-    pub fn new(now: Timestamp, seed: u64, charter: RouterSettings, actions: &mut Vec<Action>) -> Self {
-        let op_types = OpType::rows(&charter);
-        let share = |row: usize| charter.number_or(&format!("tenant.{row}.share"), 0.0);
+impl Dispatcher {
+    pub fn new(now: Timestamp, seed: u64, settings: RouterSettings, actions: &mut Vec<Action>) -> Self {
+        let op_types = OpType::rows(&settings);
+        let share = |row: usize| settings.number_or(&format!("tenant.{row}.share"), 0.0);
         let rng = RefCell::new(Rng::with_seed(seed));
-        if charter.text("list") == "ask" {
+        if settings.text("list") == "ask" {
             actions.push(Action::SubscribeHostList { on: true });
         }
-        let first = charter.time_delta("connect_timeout") * (STEP * rng.borrow_mut().f64());
-        actions.push(Action::SetTimer { after: first, timer: PULSE });
-        let mut desk = Desk {
+        let delay = settings.time_delta("connect_timeout") * (PERIOD_TIMEOUTS * rng.borrow_mut().f64());
+        actions.push(Action::SetTimer { after: delay, timer: MAINTENANCE_TIMER });
+        let mut dispatcher = Dispatcher {
             tenants: (0..).map(|row| (share(row), 0.0)).take_while(|(share, _)| *share > 0.0).collect(),
             now,
-            pulsed_at: now,
+            maintained_at: now,
             rng,
-            charter,
-            ..Desk::default()
+            settings,
+            ..Dispatcher::default()
         };
-        desk.learn_op_types(op_types);
-        desk
+        dispatcher.set_op_types(op_types);
+        dispatcher
     }
 
-    pub fn learn_op_types(&mut self, rows: Vec<OpType>) {
-        let bounds = rows.iter().filter_map(|kind| kind.consistency.staleness_bound());
-        self.bound = bounds.min().unwrap_or(self.charter.time_delta("connect_timeout"));
-        self.least_target = rows.iter().map(|kind| kind.latency_target).min().unwrap_or_default();
-        self.op_types = rows;
+    pub fn set_op_types(&mut self, op_types: Vec<OpType>) {
+        let bounds = op_types.iter().filter_map(|op_type| op_type.consistency.staleness_bound());
+        self.min_bound = bounds.min().unwrap_or(self.settings.time_delta("connect_timeout"));
+        self.min_target = op_types.iter().map(|op_type| op_type.latency_target).min().unwrap_or_default();
+        self.op_types = op_types;
     }
 
-    pub fn hosts(&self) -> impl Iterator<Item = HostId> + use<> {
-        (0..self.faces.len() as u32).map(HostId)
+    pub fn host_ids(&self) -> impl Iterator<Item = HostId> + use<> {
+        (0..self.host_views.len() as u32).map(HostId)
     }
 
-    pub fn face(&self, host: HostId) -> &Face {
-        &self.faces[host.0 as usize]
+    pub fn view(&self, host: HostId) -> &HostView {
+        &self.host_views[host.0 as usize]
     }
 
-    pub fn bears(&self, host: HostId, share: f64) -> bool {
-        self.face(host).bears(share, self.now, self.least_target)
+    pub fn has_room(&self, host: HostId, share: f64) -> bool {
+        self.view(host).has_room(share, self.now, self.min_target)
     }
 
-    /// Whether a connection to it stands idle, as far as one can tell.
-    pub fn connected(&self, host: HostId) -> bool {
-        let face = self.face(host);
-        face.unfinished == 0 && self.now - face.heard_at < self.charter.time_delta("idle_close")
+    /// Whether the host probably has an idle connection; the module does not see connections.
+    pub fn is_connected(&self, host: HostId) -> bool {
+        let view = self.view(host);
+        view.in_flight == 0 && self.now - view.last_answer_at < self.settings.time_delta("idle_close")
     }
 
     pub fn op_type(&self, op: &Op) -> &OpType {
-        &self.op_types[op.ask.op_type.0 as usize]
+        &self.op_types[op.request.op_type.0 as usize]
     }
 
-    /// What one send of the op type adds to a host's load.
-    pub fn weight(&self, kind: &OpType) -> f64 {
-        kind.latency_target / self.least_target
+    /// Load of one send of the op type; 1 for the op type with the shortest latency target.
+    pub fn weight(&self, op_type: &OpType) -> f64 {
+        op_type.latency_target / self.min_target
     }
 
     pub fn mean_weight(&self) -> f64 {
-        self.op_types.iter().map(|kind| self.weight(kind)).sum::<f64>() / self.op_types.len().max(1) as f64
+        self.op_types.iter().map(|t| self.weight(t)).sum::<f64>() / self.op_types.len().max(1) as f64
     }
 
-    pub fn take(&mut self, note: RouterEvent, post: &mut Post) {
-        match note {
-            RouterEvent::HostList { kind: form, entries } => self.listed(form, entries, post),
-            RouterEvent::RetryBudget { cell, retries: Some(sends) } => drop(self.spares.insert(cell, sends)),
-            RouterEvent::RetryBudget { cell, retries: None } => drop(self.spares.remove(&cell)),
+    pub fn handle(&mut self, event: RouterEvent, queues: &mut Queues) {
+        match event {
+            RouterEvent::HostList { kind, entries } => self.apply_host_list(kind, entries, queues),
+            RouterEvent::RetryBudget { cell, retries: Some(n) } => drop(self.retry_budgets.insert(cell, n)),
+            RouterEvent::RetryBudget { cell, retries: None } => drop(self.retry_budgets.remove(&cell)),
             RouterEvent::ListFailed => {
-                let wait = self.charter.time_delta("ask_within") * (0.1 + 0.2 * self.rng.borrow_mut().f64());
-                post.actions.push(Action::SetTimer { after: wait, timer: ASK_LIST });
+                let after =
+                    self.settings.time_delta("ask_within") * (0.1 + 0.2 * self.rng.borrow_mut().f64());
+                queues.actions.push(Action::SetTimer { after, timer: SUBSCRIBE_TIMER });
             }
-            RouterEvent::OpRequested(ask) => self.asked(ask, post),
-            RouterEvent::SendEnded(end) => self.ended(end, post),
+            RouterEvent::OpRequested(request) => self.admit(request, queues),
+            RouterEvent::SendEnded(result) => self.handle_send_end(result, queues),
             RouterEvent::ClientCancelled { op } => {
-                if let Some(&place) = self.places.get(&op) {
-                    self.finish(place, post);
+                if let Some(&slot) = self.op_slots.get(&op) {
+                    self.finish(slot, queues);
                 }
             }
-            RouterEvent::TimerFired { timer: ASK_LIST } => {
-                post.actions.push(Action::SubscribeHostList { on: true })
+            RouterEvent::TimerFired { timer: SUBSCRIBE_TIMER } => {
+                queues.actions.push(Action::SubscribeHostList { on: true })
             }
-            RouterEvent::TimerFired { timer: TRY_HELD } => {
-                self.trying = false;
-                self.try_held(post);
+            RouterEvent::TimerFired { timer: WAITING_TIMER } => {
+                self.waiting_timer_set = false;
+                self.retry_waiting(queues);
             }
-            RouterEvent::TimerFired { .. } => self.pulse(post),
-            RouterEvent::ProbeEnded { host, outcome, status: word } => {
-                let word = (outcome == Outcome::Acked).then_some(word);
-                word.into_iter().for_each(|word| self.tell(host, &word, post));
-                post.hosts.put(host, HostNote::Probed(word));
-                self.try_held(post);
+            RouterEvent::TimerFired { .. } => self.maintain(queues),
+            RouterEvent::ProbeEnded { host, outcome, status } => {
+                let status = (outcome == Outcome::Acked).then_some(status);
+                status.into_iter().for_each(|status| self.broadcast_status(host, &status, queues));
+                queues.hosts.push(host, HostEvent::ProbeEnded(status));
+                self.retry_waiting(queues);
             }
-            RouterEvent::OpTypes(rows) => self.learn_op_types(rows),
+            RouterEvent::OpTypes(op_types) => self.set_op_types(op_types),
             RouterEvent::RoleAssigned { host, role } => {
-                post.hosts.put(host, HostNote::Named(role));
-                self.try_held(post);
+                queues.hosts.push(host, HostEvent::RoleAssigned(role));
+                self.retry_waiting(queues);
             }
-            RouterEvent::TenantLimit { host, tenant, max_in_flight: most } => {
-                self.hold(host, tenant, most);
-                self.try_held(post);
+            RouterEvent::TenantLimit { host, tenant, max_in_flight } => {
+                self.set_tenant_limit(host, tenant, max_in_flight);
+                self.retry_waiting(queues);
             }
             RouterEvent::RouterCount { routers } => {
-                drop(self.charter.insert("routers".to_string(), SettingValue::Number(routers)))
+                drop(self.settings.insert("routers".to_string(), SettingValue::Number(routers)))
             }
             RouterEvent::PeerMessage { bytes, .. } => {
-                if let Some((tag, word)) = news_from(&bytes, self.now) {
-                    let meant = self.hosts().filter(|&host| self.face(host).tag == tag);
-                    meant.for_each(|host| post.hosts.put(host, HostNote::Told(word)));
+                if let Some((hash, status)) = decode_host_status(&bytes, self.now) {
+                    let matching = self.host_ids().filter(|&host| self.view(host).address_hash == hash);
+                    matching.for_each(|host| queues.hosts.push(host, HostEvent::Reported(status)));
                 }
-                self.try_held(post);
+                self.retry_waiting(queues);
             }
         }
     }
 
-    pub fn listed(&mut self, form: ListKind, entries: Vec<HostEntry>, post: &mut Post) {
-        // One look at each entry, not one for each host: lists of thousands come while ops wait.
-        let mut named = vec![form == ListKind::Incremental; self.faces.len()];
+    pub fn apply_host_list(&mut self, kind: ListKind, entries: Vec<HostEntry>, queues: &mut Queues) {
+        let mut listed = vec![kind == ListKind::Incremental; self.host_views.len()];
         for entry in &entries {
-            named.get_mut(entry.host.0 as usize).into_iter().for_each(|named| *named = true);
+            listed.get_mut(entry.host.0 as usize).into_iter().for_each(|listed| *listed = true);
         }
-        let missing = self.hosts().filter(|host| !named[host.0 as usize]);
-        missing.for_each(|host| post.hosts.put(host, HostNote::Dropped));
+        let missing = self.host_ids().filter(|host| !listed[host.0 as usize]);
+        missing.for_each(|host| queues.hosts.push(host, HostEvent::Unlisted));
         for entry in entries {
-            let place = entry.host.0 as usize;
-            self.parts.resize_with(self.parts.len().max(place + 1), GroupMemberships::new);
-            for part in std::mem::replace(&mut self.parts[place], entry.memberships.clone()) {
-                let group = self.groups.entry(part.group).or_default();
+            let index = entry.host.0 as usize;
+            self.memberships.resize_with(self.memberships.len().max(index + 1), GroupMemberships::new);
+            for membership in std::mem::replace(&mut self.memberships[index], entry.memberships.clone()) {
+                let group = self.groups.entry(membership.group).or_default();
                 group.members.retain(|&host| host != entry.host);
-                group.guests.retain(|&host| host != entry.host);
+                group.primary_only.retain(|&host| host != entry.host);
             }
-            for part in &entry.memberships {
-                let group = self.groups.entry(part.group).or_default();
+            for membership in &entry.memberships {
+                let group = self.groups.entry(membership.group).or_default();
                 group.members.push(entry.host);
                 group.members.sort_unstable();
-                group.guests.extend(part.primary_only.then_some(entry.host));
+                group.primary_only.extend(membership.primary_only.then_some(entry.host));
             }
             let debt = self.mean_weight() * self.rng.borrow_mut().f64();
-            post.hosts.put(entry.host, HostNote::Listed(entry, debt));
+            queues.hosts.push(entry.host, HostEvent::Listed(entry, debt));
         }
     }
 }
--- a/src/pressure.rs
+++ b/src/pressure.rs
@@ -1,158 +1,155 @@
-//! What is held and what is given back while hosts have more than they can do, and the pulse by which it changes.
+//! Load shedding, tenant quotas, waiting ops, and the periodic maintenance that updates them.
 
 use arrowyard_types::*;
 use smallvec::SmallVec;
 
-use crate::choice::{FOR_READS, LONG};
-use crate::logic::{EASY, Hosts, PULSE, REST, STEP, TRY_HELD};
-use crate::post::{HostNote, Post};
-use crate::state::{Desk, Op, Room};
+use crate::choice::{LONG_READ_WEIGHT, PRIMARY_READ_SHARE};
+use crate::logic::{
+    FAST_RATIO, HostIds, MAINTENANCE_TIMER, PERIOD_TIMEOUTS, RECOVERY_TIMEOUTS, WAITING_TIMER,
+};
+use crate::queues::{HostEvent, Queues};
+use crate::state::{Dispatcher, HostView, Op, TenantQuota};
 
-/// How far a slow and a quick answer move the share of reads given back.
-const BACK_UP: f64 = 0.2;
-const BACK_DOWN: f64 = 0.05;
-/// By so much more than hosts acked they can do while three in four answer quickly.
-const MOST_ROOM: f64 = 0.5;
-/// Members that will hardly be the next primary are asked once in so many of these steps.
-const OTHERS_GAP: f64 = 10.0;
-/// While most replicas are behind, the share of writes sent back grows by this in a connect time-out.
-const CATCH_UP: f64 = 0.25;
-pub const MOST_BACK: f64 = 0.9;
-/// So many ops beyond its part a tenant may have unfinished at a host for a while, out of what it saved up; and it saves up
-/// what its part amounts to in so long. What it owes at most is as much of one op.
-const BEYOND: f64 = 1.0;
-const SAVES: f64 = 0.05;
-const OWES: f64 = 1.0;
+const READ_SHED_INCREASE: f64 = 0.2;
+const READ_SHED_DECREASE: f64 = 0.05;
+/// Headroom beyond the acknowledged rate while at least three in four hosts answer fast.
+const MAX_EXTRA_HEADROOM: f64 = 0.5;
+/// Maintenance runs between two probes of members that are unlikely to be the next primary.
+const OTHERS_PROBE_PERIODS: f64 = 10.0;
+/// Change of the share of writes that is shed, per connect timeout, while most replicas lag.
+const WRITE_SHED_INCREASE: f64 = 0.25;
+pub const MAX_SHED_SHARE: f64 = 0.9;
+/// A tenant's quota at a host: ops in flight beyond it while there is credit, and the bounds of that credit.
+const QUOTA_BURST_OPS: f64 = 1.0;
+const QUOTA_SAVING_SECS: f64 = 0.05;
+const QUOTA_DEBT_OP_SECS: f64 = 1.0;
 
-impl Room {
-    /// Time has passed with so many ops unfinished.
-    pub fn pass(&mut self, now: Timestamp, running: f64) {
-        let passed = (now - self.as_of).as_secs_f64();
-        self.credit = (self.credit + (self.most - running) * passed).clamp(-OWES, self.most * SAVES);
+impl TenantQuota {
+    pub fn accrue(&mut self, now: Timestamp, running: f64) {
+        let elapsed_secs = (now - self.as_of).as_secs_f64();
+        let credit = self.credit + (self.max_in_flight - running) * elapsed_secs;
+        self.credit = credit.clamp(-QUOTA_DEBT_OP_SECS, self.max_in_flight * QUOTA_SAVING_SECS);
         self.as_of = now;
     }
 }
 
-impl Desk {
-    /// Danger: a jam that feeds itself, as hosts work on sends that nobody waits for any more. The share of
-    /// reads given back moves till few are slow, however much that takes; slowness of a few hosts is left to
-    /// their limits. Harms where most hosts are slow for other reasons.
-    pub fn throttle(&mut self, group: GroupId, outcome: Outcome, used: f64) {
+impl Dispatcher {
+    /// Sheds more reads while most hosts are slow: they would work on sends whose clients have given up.
+    pub fn adjust_read_shedding(&mut self, group: GroupId, outcome: Outcome, latency_ratio: f64) {
         let acked = outcome == Outcome::Acked;
-        let tells = acked || matches!(outcome, Outcome::TimedOut | Outcome::Overloaded);
-        let Some(group) = self.groups.get_mut(&group).filter(|_| tells) else { return };
-        let slow = (EASY + 1.0) * 0.5;
-        let own = group.members.iter().filter(|host| !group.guests.contains(host));
-        let faces = own.map(|host| &self.faces[host.0 as usize]);
-        let paces = faces.filter(|face| face.open).filter_map(|face| face.pace);
-        let (all, far) = (paces.clone().count(), paces.filter(|&pace| pace > slow).count());
-        if (used > slow || !acked) && far * 2 > all {
-            group.back += (1.0 - group.back) * BACK_UP;
-        } else if acked && used < EASY {
-            group.back = (group.back - BACK_DOWN).max(0.0);
+        let is_sample = acked || matches!(outcome, Outcome::TimedOut | Outcome::Overloaded);
+        let Some(group) = self.groups.get_mut(&group).filter(|_| is_sample) else { return };
+        let slow = (FAST_RATIO + 1.0) * 0.5;
+        let own = group.members.iter().filter(|host| !group.primary_only.contains(host));
+        let views = own.map(|host| &self.host_views[host.0 as usize]);
+        let ratios = views.filter(|view| view.available).filter_map(|view| view.latency_ratio);
+        let (all, above) = (ratios.clone().count(), ratios.filter(|&ratio| ratio > slow).count());
+        if (latency_ratio > slow || !acked) && above * 2 > all {
+            group.read_shed += (1.0 - group.read_shed) * READ_SHED_INCREASE;
+        } else if acked && latency_ratio < FAST_RATIO {
+            group.read_shed = (group.read_shed - READ_SHED_DECREASE).max(0.0);
         }
     }
 
-    pub fn pulse(&mut self, post: &mut Post) {
-        let (now, passed, pace) = (self.now, self.now - self.pulsed_at, self.least_target);
-        self.pulsed_at = now;
-        let poll = self.charter.time_delta("connect_timeout") * STEP;
-        post.actions.push(Action::SetTimer { after: poll, timer: PULSE });
-        let warm = self.faces.iter().filter(|face| face.warmth >= 1.0 && face.sound());
-        let acks: SmallVec<[f64; 16]> = warm.map(|face| face.rate / face.size).collect();
-        self.peers = if acks.is_empty() { self.peers } else { acks.iter().sum::<f64>() / acks.len() as f64 };
-        // Danger: a router that has less than a send for a host in the rule's window loses most of its budgets between
-        // its ops. It takes more, while most hosts answer quickly, so that what they acked is less than they can do.
-        let few = 1.0 - self.peers * self.charter.time_delta("fall").as_secs_f64() / self.mean_weight();
-        let paces = self.faces.iter().filter(|face| face.open).filter_map(|face| face.pace);
-        let (all, easy) = (paces.clone().count(), paces.filter(|&pace| pace < EASY).count());
-        let spare = (2.0 * easy as f64 / all.max(1) as f64 - 1.0).clamp(0.0, MOST_ROOM);
-        let room = 1.0 + spare * few.clamp(0.0, 1.0);
-        self.hosts().for_each(|host| post.hosts.put(host, HostNote::Pulse(passed, self.peers, room)));
-        // Danger: writes come faster than replicas apply them; bounded reads lose all. Some go back while
-        // the primary has no room for reads, but where long reads hold up the log. Harms if reports lag.
-        let long = self.op_types.iter().any(|kind| self.weight(kind) >= LONG);
-        let step = if long { 0.0 } else { passed / self.charter.time_delta("connect_timeout") * CATCH_UP };
+    pub fn maintain(&mut self, queues: &mut Queues) {
+        let (now, elapsed, spacing) = (self.now, self.now - self.maintained_at, self.min_target);
+        self.maintained_at = now;
+        let timeout = self.settings.time_delta("connect_timeout");
+        let period = timeout * PERIOD_TIMEOUTS;
+        queues.actions.push(Action::SetTimer { after: period, timer: MAINTENANCE_TIMER });
+        let warm = self.host_views.iter().filter(|view| view.warmth >= 1.0 && view.is_usable());
+        let rates: SmallVec<[f64; 16]> = warm.map(|view| view.ack_rate / view.size).collect();
+        let mean = || rates.iter().sum::<f64>() / rates.len() as f64;
+        self.warm_rate = if rates.is_empty() { self.warm_rate } else { mean() };
+        // A router with few ops loses most of its warm-up credit between them: more while hosts answer fast.
+        let window_secs = self.settings.time_delta("fall").as_secs_f64();
+        let scarcity = 1.0 - self.warm_rate * window_secs / self.mean_weight();
+        let ratios = self.host_views.iter().filter(|v| v.available).filter_map(|view| view.latency_ratio);
+        let (all, fast) = (ratios.clone().count(), ratios.filter(|&ratio| ratio < FAST_RATIO).count());
+        let spare = (2.0 * fast as f64 / all.max(1) as f64 - 1.0).clamp(0.0, MAX_EXTRA_HEADROOM);
+        let headroom = 1.0 + spare * scarcity.clamp(0.0, 1.0);
+        let rate = self.warm_rate;
+        self.host_ids().for_each(|id| queues.hosts.push(id, HostEvent::Maintain(elapsed, rate, headroom)));
+        // Sheds writes while bounded reads have no host, but not where long reads cause the replicas' lag.
+        let long_reads = self.op_types.iter().any(|op_type| self.weight(op_type) >= LONG_READ_WEIGHT);
+        let step = if long_reads { 0.0 } else { elapsed / timeout * WRITE_SHED_INCREASE };
         for group in self.groups.values_mut() {
-            let faces = group.members.iter().map(|host| &self.faces[host.0 as usize]);
-            let mut standing = faces.clone().filter(|f| f.role == Some(Role::Primary) && f.open && !f.quiet);
-            let full = standing.any(|primary| !primary.bears(FOR_READS, now, pace));
-            let replicas = faces.filter(|f| f.open && f.role == Some(Role::Replica)).map(|f| f.behind);
-            let (all, far) = (replicas.clone().count(), replicas.filter(|&b| b > self.bound).count());
-            group.held_back += if far * 2 > all && full { step } else { -step };
-            group.held_back = group.held_back.clamp(0.0, MOST_BACK);
-            // Danger: the share given back falls by quick answers alone; a router that gives nine in ten back, and has
-            // an op in two seconds, hears of none, and goes on long after the jam.
-            group.back *= 1.0 - (passed / (self.charter.time_delta("connect_timeout") * REST)).min(1.0);
+            let views = group.members.iter().map(|host| &self.host_views[host.0 as usize]);
+            let is_primary = |v: &&HostView| v.role == Some(Role::Primary) && v.available && !v.unresponsive;
+            let mut primaries = views.clone().filter(is_primary);
+            let full = primaries.any(|primary| !primary.has_room(PRIMARY_READ_SHARE, now, spacing));
+            let replicas = views.filter(|v| v.available && v.role == Some(Role::Replica)).map(|v| v.lag);
+            let lagging = replicas.clone().filter(|&lag| lag > self.min_bound).count();
+            group.write_shed += if lagging * 2 > replicas.count() && full { step } else { -step };
+            group.write_shed = group.write_shed.clamp(0.0, MAX_SHED_SHARE);
+            // Decays without answers too: a router that sheds most of a light load sees few.
+            group.read_shed *= 1.0 - (elapsed / (timeout * RECOVERY_TIMEOUTS)).min(1.0);
         }
-        for group in self.groups.values().filter(|group| group.wanted.replace(false)) {
-            // Danger: all routers ask all members for as long as a switch takes. After a first round the most
-            // advanced one is asked, which takes over if any does, and the others seldom, in case that it does not.
-            let heirs = group.members.iter().copied().filter(|&host| self.face(host).sound());
-            let heir = heirs.max_by_key(|&host| self.face(host).position);
-            let gap = |host: HostId| if Some(host) == heir { 2.0 } else { OTHERS_GAP };
+        for group in self.groups.values().filter(|group| group.primary_wanted.replace(false)) {
+            // After one round only the most advanced member is probed often: it is the likely next primary.
+            let usable = group.members.iter().copied().filter(|&host| self.view(host).is_usable());
+            let most_advanced = usable.max_by_key(|&host| self.view(host).position);
+            let gap = |host: HostId| if Some(host) == most_advanced { 2.0 } else { OTHERS_PROBE_PERIODS };
             let due = |host: &HostId| {
-                let (at, rested) = (self.face(*host).probed_at, now - self.face(*host).probed_at);
-                rested >= poll * gap(*host) || rested >= poll * 2.0 && at <= group.led_at.get()
+                let (at, waited) = (self.view(*host).probed_at, now - self.view(*host).probed_at);
+                waited >= period * gap(*host) || waited >= period * 2.0 && at <= group.primary_seen_at.get()
             };
-            self.probe(&group.members.iter().copied().filter(due).collect::<Hosts>(), false, post);
+            self.probe(&group.members.iter().copied().filter(due).collect::<HostIds>(), false, queues);
         }
     }
 
-    /// Whoever divides hosts between tenants says how many ops of one may be unfinished at a host.
-    pub fn hold(&mut self, host: HostId, tenant: TenantId, most: Option<f64>) {
-        let (running, now) = (self.running(host, tenant), self.now);
-        match (most, self.rooms.get_mut(&(host, tenant))) {
-            (Some(most), Some(room)) => {
-                room.pass(now, running);
-                room.most = most;
+    pub fn set_tenant_limit(&mut self, host: HostId, tenant: TenantId, max_in_flight: Option<f64>) {
+        let (running, now) = (self.in_flight_ops(host, tenant), self.now);
+        match (max_in_flight, self.quotas.get_mut(&(host, tenant))) {
+            (Some(max_in_flight), Some(quota)) => {
+                quota.accrue(now, running);
+                quota.max_in_flight = max_in_flight;
             }
-            (Some(most), None) => {
-                self.rooms.insert((host, tenant), Room { most, credit: 0.0, as_of: now });
+            (Some(max_in_flight), None) => {
+                self.quotas.insert((host, tenant), TenantQuota { max_in_flight, credit: 0.0, as_of: now });
             }
-            (None, _) => drop(self.rooms.remove(&(host, tenant))),
+            (None, _) => drop(self.quotas.remove(&(host, tenant))),
         }
     }
 
-    fn running(&self, host: HostId, tenant: TenantId) -> f64 {
-        f64::from(self.running.get(&(host, tenant)).copied().unwrap_or(0))
+    fn in_flight_ops(&self, host: HostId, tenant: TenantId) -> f64 {
+        f64::from(self.tenant_in_flight.get(&(host, tenant)).copied().unwrap_or(0))
     }
 
-    /// Whether an op's tenant may have one more op unfinished at the host. Danger: of many routers each has a part of an
-    /// op only; a whole one is out at a time, and what it was out too long is owed.
-    pub fn has_room(&self, op: &Op, host: HostId) -> bool {
-        let Some(tenant) = op.ask.tenant.filter(|_| !self.rooms.is_empty()) else { return true };
-        let Some(mut room) = self.rooms.get(&(host, tenant)).copied() else { return true };
-        let running = self.running(host, tenant);
-        room.pass(self.now, running);
-        running + 1.0 <= room.most || running < room.most + BEYOND && room.credit >= 0.0
+    pub fn has_quota(&self, op: &Op, host: HostId) -> bool {
+        let Some(tenant) = op.request.tenant.filter(|_| !self.quotas.is_empty()) else { return true };
+        let Some(mut quota) = self.quotas.get(&(host, tenant)).copied() else { return true };
+        let running = self.in_flight_ops(host, tenant);
+        quota.accrue(self.now, running);
+        running + 1.0 <= quota.max_in_flight
+            || running < quota.max_in_flight + QUOTA_BURST_OPS && quota.credit >= 0.0
     }
 
-    /// An op of a tenant goes to a host, or has ended there.
-    pub fn count(&mut self, tenant: Option<TenantId>, host: HostId, ended: bool) {
-        let Some(tenant) = tenant.filter(|_| self.charter.flag("tenants_held")) else { return };
-        let (before, now) = (self.running(host, tenant), self.now);
-        self.rooms.get_mut(&(host, tenant)).into_iter().for_each(|room| room.pass(now, before));
-        let running = self.running.entry((host, tenant)).or_default();
+    pub fn count_tenant_op(&mut self, tenant: Option<TenantId>, host: HostId, ended: bool) {
+        let Some(tenant) = tenant.filter(|_| self.settings.flag("tenants_held")) else { return };
+        let (before, now) = (self.in_flight_ops(host, tenant), self.now);
+        self.quotas.get_mut(&(host, tenant)).into_iter().for_each(|quota| quota.accrue(now, before));
+        let running = self.tenant_in_flight.entry((host, tenant)).or_default();
         *running = if ended { running.saturating_sub(1) } else { *running + 1 };
         if *running == 0 {
-            self.running.remove(&(host, tenant));
+            self.tenant_in_flight.remove(&(host, tenant));
         }
     }
 
-    pub fn try_held(&mut self, post: &mut Post) {
-        // Overload: within a rank the newest go first, since the oldest have the least time left.
-        let mut held = std::mem::take(&mut self.held);
-        let key = |place: &usize| (self.rank(&self.ops[*place]), self.ops[*place].arrived);
-        held.sort_by(|a, b| key(b).partial_cmp(&key(a)).expect("ranks are numbers"));
-        post.ops.extend(&held);
-        self.held = held;
-        self.try_soon(post);
+    pub fn retry_waiting(&mut self, queues: &mut Queues) {
+        // Of equal priority the newest go first, since the oldest have the least time left.
+        let mut waiting = std::mem::take(&mut self.waiting);
+        let key = |slot: &usize| (self.priority(&self.ops[*slot]), self.ops[*slot].arrived_at);
+        waiting.sort_by(|a, b| key(b).partial_cmp(&key(a)).expect("priorities are not NaN"));
+        queues.ops.extend(&waiting);
+        self.waiting = waiting;
+        self.schedule_waiting_retry(queues);
     }
 
-    pub fn try_soon(&mut self, post: &mut Post) {
-        if !self.held.is_empty() && !std::mem::replace(&mut self.trying, true) {
-            post.actions.push(Action::SetTimer { after: self.charter.time_delta("tick"), timer: TRY_HELD });
+    pub fn schedule_waiting_retry(&mut self, queues: &mut Queues) {
+        if !self.waiting.is_empty() && !std::mem::replace(&mut self.waiting_timer_set, true) {
+            let after = self.settings.time_delta("tick");
+            queues.actions.push(Action::SetTimer { after, timer: WAITING_TIMER });
         }
     }
 }
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -1,65 +1,64 @@
-//! Who is asked where it is, and who else hears of it.
+//! Probes of hosts for role and position, and broadcasts of their results to other routers.
 
 use arrowyard_types::*;
 
-use crate::logic::{Hosts, REST};
-use crate::post::{HostNote, Post, news_of};
-use crate::state::{Desk, Op};
+use crate::logic::{HostIds, RECOVERY_TIMEOUTS};
+use crate::queues::{HostEvent, Queues, encode_host_status};
+use crate::state::{Dispatcher, HostView, Op};
 
-/// How long a read waits for one replica's position, as a share of the least latency target.
-pub const PATIENCE: f64 = 0.1;
-/// A position is asked for again after this share of the least bound.
-const PROBE_GAP: f64 = 0.125;
-/// A router tells news at most once in so many connect time-outs for each router.
-const TELL_GAP: f64 = 0.04;
+/// How long a read waits for a probe of a replica, as a share of the shortest latency target.
+pub const PROBE_WAIT_SHARE: f64 = 0.1;
+/// Least time between two probes of a host, as a share of the shortest staleness bound.
+const PROBE_GAP_SHARE: f64 = 0.125;
+/// Connect timeouts between two broadcasts of a router, for each router of the deployment.
+const BROADCAST_GAP_TIMEOUTS: f64 = 0.04;
 
-impl Desk {
-    /// Whether any of them was asked.
-    pub fn probe(&self, hosts: &[HostId], spread: bool, post: &mut Post) -> bool {
-        let allowed = self.charter.flag("probes") && self.charter.text("reports") != "none";
-        let able = |host: &HostId| allowed && self.face(*host).open && !self.face(*host).probing;
-        let asked: Hosts = hosts.iter().copied().filter(able).collect();
-        asked.iter().for_each(|&host| post.hosts.put(host, HostNote::Probe(spread)));
-        !asked.is_empty()
+impl Dispatcher {
+    /// Probes those hosts that have no probe in flight; returns whether there was one.
+    pub fn probe(&self, hosts: &[HostId], broadcast: bool, queues: &mut Queues) -> bool {
+        let allowed = self.settings.flag("probes") && self.settings.text("reports") != "none";
+        let may_probe = |host: &HostId| allowed && self.view(*host).available && !self.view(*host).probing;
+        let probed: HostIds = hosts.iter().copied().filter(may_probe).collect();
+        probed.iter().for_each(|&host| queues.hosts.push(host, HostEvent::ProbeRequested(broadcast)));
+        !probed.is_empty()
     }
 
-    /// Asks one more replica for its position; whether the read should wait for what comes back.
-    pub fn ask(&self, op: &Op, replicas: &[HostId], post: &mut Post) -> bool {
+    /// Probes one more replica; returns whether the read should wait for the result.
+    pub fn probe_replica(&self, op: &Op, replicas: &[HostId], queues: &mut Queues) -> bool {
         if !matches!(self.op_type(op).consistency, Consistency::Bounded(_) | Consistency::Session) {
             return false;
         }
-        let patience = self.least_target * PATIENCE;
-        let awaited =
-            |host: &HostId| self.face(*host).probing && self.now - self.face(*host).probed_at < patience;
-        if replicas.iter().any(awaited) {
+        let max_wait = self.min_target * PROBE_WAIT_SHARE;
+        let awaited = |view: &HostView| view.probing && self.now - view.probed_at < max_wait;
+        if replicas.iter().any(|&host| awaited(self.view(host))) {
             return true;
         }
+        let max_gap = self.settings.time_delta("connect_timeout") * RECOVERY_TIMEOUTS;
         let due = |host: &HostId| {
-            let face = self.face(*host);
-            // A copy far behind cannot be back within the bound before it has applied what it lacks.
-            let gap =
-                ((face.behind - self.bound) * 0.5).min(self.charter.time_delta("connect_timeout") * REST);
-            let rested = self.now - face.probed_at >= gap.max(self.bound * PROBE_GAP);
-            face.sound() && self.bears(*host, 1.0) && !face.probing && face.probed_at < op.arrived && rested
+            let view = self.view(*host);
+            // A replica far behind cannot be within the bound before it has applied what it lacks.
+            let gap = ((view.lag - self.min_bound) * 0.5).min(max_gap).max(self.min_bound * PROBE_GAP_SHARE);
+            let rested = view.probed_at < op.arrived_at && self.now - view.probed_at >= gap;
+            view.is_usable() && self.has_room(*host, 1.0) && !view.probing && rested
         };
-        // Danger: routers that all ask the same one first send it all their reads. So ties fall at random.
-        let due: Hosts = replicas.iter().copied().filter(due).collect();
-        let key = |host: HostId| (self.face(host).lost, !self.connected(host), self.face(host).unfinished);
+        // Ties are broken at random: routers that probe the same replica first would all send it their reads.
+        let due: HostIds = replicas.iter().copied().filter(due).collect();
+        let key = |id: HostId| (self.view(id).failed_probes, !self.is_connected(id), self.view(id).in_flight);
         let least = due.iter().map(|&host| key(host)).min();
-        let ties: Hosts = due.into_iter().filter(|&host| Some(key(host)) == least).collect();
-        let next = (!ties.is_empty()).then(|| self.draw(&ties));
-        self.probe(next.as_slice(), self.charter.flag("peers"), post)
+        let ties: HostIds = due.into_iter().filter(|&host| Some(key(host)) == least).collect();
+        let next = (!ties.is_empty()).then(|| self.draw_by_capacity(&ties));
+        self.probe(next.as_slice(), self.settings.flag("peers"), queues)
     }
 
-    /// Danger: probes fail, or cost too much where routers are many. What a read had to ask for, the others
-    /// need not ask again. A router tells so seldom that all together never flood each other.
-    pub fn tell(&mut self, host: HostId, word: &HostStatus, post: &mut Post) {
-        let gap =
-            self.charter.time_delta("connect_timeout") * (TELL_GAP * self.charter.number_or("routers", 1.0));
-        let face = *self.face(host);
-        if face.spread && word.position > Some(face.position) && self.now - self.told_at >= gap {
-            self.told_at = self.now;
-            post.actions.push(Action::SendPeerMessage { to: None, bytes: news_of(face.tag, word) });
+    pub fn broadcast_status(&mut self, host: HostId, status: &HostStatus, queues: &mut Queues) {
+        let gap_timeouts = BROADCAST_GAP_TIMEOUTS * self.settings.number_or("routers", 1.0);
+        let gap = self.settings.time_delta("connect_timeout") * gap_timeouts;
+        let view = *self.view(host);
+        let is_news = view.broadcast_probe && status.position > Some(view.position);
+        if is_news && self.now - self.last_broadcast_at >= gap {
+            self.last_broadcast_at = self.now;
+            let bytes = encode_host_status(view.address_hash, status);
+            queues.actions.push(Action::SendPeerMessage { to: None, bytes });
         }
     }
 }
--- a/src/router.rs
+++ b/src/router.rs
@@ -1,40 +1,42 @@
-//! The one loop that empties all inboxes, the hosts' first. No decisions.
+//! The loop that empties all queues.
 
 use arrowyard_types::*;
 
-use crate::post::Post;
-use crate::state::{Desk, Face, Host};
+use crate::queues::Queues;
+use crate::state::{Dispatcher, Host, HostView};
 
-/// One router: the desk, the hosts, and the post between them.
+/// One router: the dispatcher, the hosts, and the queues between them.
 pub struct Router {
-    desk: Desk,
+    dispatcher: Dispatcher,
     hosts: Vec<Host>,
-    post: Post,
+    queues: Queues,
 }
 
 impl Router {
-    pub fn start(now: Timestamp, seed: u64, charter: RouterSettings, actions: &mut Vec<Action>) -> Self {
-        let desk = Desk::new(now, seed, charter, actions);
-        Router { desk, hosts: Vec::new(), post: Post::default() }
+    /// Makes a router and appends its first actions. `seed` is that of its random number generator.
+    pub fn start(now: Timestamp, seed: u64, settings: RouterSettings, actions: &mut Vec<Action>) -> Self {
+        let dispatcher = Dispatcher::new(now, seed, settings, actions);
+        Router { dispatcher, hosts: Vec::new(), queues: Queues::default() }
     }
 
-    pub fn handle(&mut self, now: Timestamp, note: RouterEvent, actions: &mut Vec<Action>) {
-        let Router { desk, hosts, post } = self;
-        desk.now = now;
-        desk.take(note, post);
+    /// Handles one event and appends the resulting actions, to be carried out in order.
+    pub fn handle(&mut self, now: Timestamp, event: RouterEvent, actions: &mut Vec<Action>) {
+        let Router { dispatcher, hosts, queues } = self;
+        dispatcher.now = now;
+        dispatcher.handle(event, queues);
         loop {
-            while let Some((id, note)) = post.hosts.take() {
-                let place = id.0 as usize;
-                if hosts.len() <= place {
-                    hosts.resize_with(place + 1, || Host::new(&desk.charter));
-                    desk.faces.resize(place + 1, Face::default());
+            while let Some((id, event)) = queues.hosts.pop() {
+                let index = id.0 as usize;
+                if hosts.len() <= index {
+                    hosts.resize_with(index + 1, || Host::new(&dispatcher.settings));
+                    dispatcher.host_views.resize(index + 1, HostView::default());
                 }
-                hosts[place].take(id, now, note, &desk.charter, post);
+                hosts[index].handle(id, now, event, &dispatcher.settings, queues);
             }
-            post.faces.drain(..).for_each(|(id, face)| desk.faces[id.0 as usize] = face);
-            let Some(place) = post.ops.pop_front() else { break };
-            desk.route(place, post);
+            queues.host_views.drain(..).for_each(|(id, view)| dispatcher.host_views[id.0 as usize] = view);
+            let Some(slot) = queues.ops.pop_front() else { break };
+            dispatcher.dispatch(slot, queues);
         }
-        actions.append(&mut post.actions);
+        actions.append(&mut queues.actions);
     }
 }
--- a/src/sending.rs
+++ b/src/sending.rs
@@ -1,225 +1,217 @@
-//! Whether, when and how often an op goes out, and its one answer. Every send of an op goes through `route`.
+//! Admission, sends, retries and the one final answer of each op. Every send goes through `dispatch`.
 
 use arrowyard_types::*;
 
-use crate::post::{HostNote, Post};
-use crate::pressure::MOST_BACK;
-use crate::probing::PATIENCE;
-use crate::state::{Desk, Op};
-
-/// A tenant is over its share from this multiple of it on.
-const OVER: f64 = 1.1;
-/// What a tenant asks beyond its share is given back so many times as readily.
-const OVER_FIRST: f64 = 3.0;
-/// How far one op moves what its tenant's ops are taken to be out for.
-const OUT_RATE: f64 = 0.05;
-/// Sessions whose last commit is kept.
-const SESSIONS: usize = 65_536;
-
-impl Desk {
-    pub fn asked(&mut self, ask: OpRequest, post: &mut Post) {
-        let need = self.op_types[ask.op_type.0 as usize].consistency;
-        let floor = if need != Consistency::Session {
+use crate::pressure::MAX_SHED_SHARE;
+use crate::probing::PROBE_WAIT_SHARE;
+use crate::queues::{HostEvent, Queues};
+use crate::state::{Dispatcher, Op};
+
+const OVER_SHARE_FACTOR: f64 = 1.1;
+const OVER_SHARE_SHED_FACTOR: f64 = 3.0;
+const LATENCY_SMOOTHING: f64 = 0.05;
+const MAX_SESSIONS: usize = 65_536;
+
+impl Dispatcher {
+    pub fn admit(&mut self, request: OpRequest, queues: &mut Queues) {
+        let consistency = self.op_types[request.op_type.0 as usize].consistency;
+        let min_position = if consistency != Consistency::Session {
             None
-        } else if self.charter.text("tokens") == "carried" {
-            let age = ask.token_age.unwrap_or_default();
-            (age > TimeDelta::ZERO || ask.token_age.is_none()).then(|| self.now - age)
+        } else if self.settings.text("tokens") == "carried" {
+            let age = request.token_age.unwrap_or_default();
+            (age > TimeDelta::ZERO || request.token_age.is_none()).then(|| self.now - age)
         } else {
-            self.commits.last(ask.session)
+            self.session_commits.min_position(request.session)
         };
-        let floor = floor.max(ask.min_position);
-        let back = self.groups.get(&ask.group).map_or(0.0, |group| match need {
-            Consistency::Write => group.held_back,
-            _ => (group.back * if self.over_share(&ask) { OVER_FIRST } else { 1.0 }).min(MOST_BACK),
+        let min_position = min_position.max(request.min_position);
+        let shed_share = self.groups.get(&request.group).map_or(0.0, |group| match consistency {
+            Consistency::Write => group.write_shed,
+            _ => (group.read_shed * if self.is_over_share(&request) { OVER_SHARE_SHED_FACTOR } else { 1.0 })
+                .min(MAX_SHED_SHARE),
         });
-        let place = self.ops.insert(Op { ask, arrived: self.now, floor, ..Op::default() });
-        self.places.insert(ask.op, place);
-        if ask.pinned_host.is_none() && self.rng.borrow_mut().f64() < back {
-            return self.give_up(place, post);
+        let slot = self.ops.insert(Op { request, arrived_at: self.now, min_position, ..Op::default() });
+        self.op_slots.insert(request.op, slot);
+        if request.pinned_host.is_none() && self.rng.borrow_mut().f64() < shed_share {
+            return self.reject(slot, queues);
         }
-        post.ops.push_back(place);
+        queues.ops.push_back(slot);
     }
 
-    /// Until when an answer is worth anything, and is sure to come before the client's time is up.
-    pub fn pays_until(&self, op: &Op) -> Timestamp {
-        let (kind, tick) = (self.op_type(op), self.charter.time_delta("tick"));
-        let target = op.arrived + kind.latency_target - tick * 2.0;
-        if kind.late_value > 0.0 { op.ask.deadline - tick } else { target.min(op.ask.deadline - tick) }
+    /// The time until which an answer has value and still reaches the client before its deadline.
+    pub fn send_deadline(&self, op: &Op) -> Timestamp {
+        let (op_type, tick) = (self.op_type(op), self.settings.time_delta("tick"));
+        let target = op.arrived_at + op_type.latency_target - tick * 2.0;
+        let latest = op.request.deadline - tick;
+        if op_type.late_value > 0.0 { latest } else { target.min(latest) }
     }
 
-    /// Rule 2: whether the op may go out again, to this host if one is named.
+    /// Whether the op may be sent (again), to this host if one is given, without the risk of a second run.
     pub fn may_send(&self, op: &Op, host: Option<HostId>) -> bool {
-        let most = self.charter.number_or("max_sends", 1.0) as usize;
-        // Danger: further sends of a cell in trouble, spent by all. What its budget leaves is told.
-        let spent = op.sends.len() > 0 && self.spares.get(&op.ask.cell) == Some(&0);
-        if op.sends.len() >= most || spent {
+        let max_sends = self.settings.number_or("max_sends", 1.0) as usize;
+        let exhausted = op.sends.len() > 0 && self.retry_budgets.get(&op.request.cell) == Some(&0);
+        if op.sends.len() >= max_sends || exhausted {
             return false;
         }
         match (self.op_type(op).retry_safety, op.sends.may_have_run()) {
             (RetrySafety::Retryable, _) | (_, None) => true,
-            (RetrySafety::Deduplicated { window: memory, scope }, Some(first)) => {
-                let far = host.is_some_and(|h| self.face(h).zone != self.face(first.host).zone);
-                !(far && scope == DedupScope::Zone)
-                    && self.now + self.charter.time_delta("tick") < first.at + memory
+            (RetrySafety::Deduplicated { window, scope }, Some(first)) => {
+                let other_zone = host.is_some_and(|h| self.view(h).zone != self.view(first.host).zone);
+                let in_window = self.now + self.settings.time_delta("tick") < first.sent_at + window;
+                !(other_zone && scope == DedupScope::Zone) && in_window
             }
             (RetrySafety::NonRetryable, Some(_)) => false,
         }
     }
 
-    /// Sends the op on, holds it, or answers at once when waiting cannot pay. Never two sends at once.
-    pub fn route(&mut self, place: usize, post: &mut Post) {
-        let Some(op) = self.ops.get(place).filter(|op| !op.over && !op.sends.is_out()) else { return };
-        // Danger: what is held for most of its time and then given back keeps its client from coming back in time.
-        let half = op.arrived + (op.ask.deadline - op.arrived) * 0.5 - self.charter.time_delta("tick") * 2.0;
-        let held = op.sends.len() == 0 && self.now >= half;
-        if held || self.now >= self.pays_until(op) || !self.may_send(op, None) {
-            self.give_up(place, post);
-        } else if self.rested(op)
-            && let Some(host) = self.choose(place, post)
-            && self.may_send(&self.ops[place], Some(host))
+    /// Sends the op, lets it wait, or rejects it. An op has at most one send in flight.
+    pub fn dispatch(&mut self, slot: usize, queues: &mut Queues) {
+        let is_idle = |op: &&Op| !op.finished && !op.sends.is_pending();
+        let Some(op) = self.ops.get(slot).filter(is_idle) else { return };
+        // An op never sent is rejected at half of its time, so that its client can still retry elsewhere.
+        let half_time = op.arrived_at + (op.request.deadline - op.arrived_at) * 0.5
+            - self.settings.time_delta("tick") * 2.0;
+        let waited_long = op.sends.len() == 0 && self.now >= half_time;
+        if waited_long || self.now >= self.send_deadline(op) || !self.may_send(op, None) {
+            self.reject(slot, queues);
+        } else if self.backoff_elapsed(op)
+            && let Some(host) = self.choose_host(slot, queues)
+            && self.may_send(&self.ops[slot], Some(host))
         {
-            self.send(place, host, post);
-        } else if self.waits_in_vain(&self.ops[place]) {
-            self.give_up(place, post);
-        } else if !self.held.contains(&place) {
-            self.held.push(place);
-            self.crowd_out(place, post);
-            self.try_soon(post);
+            self.send(slot, host, queues);
+        } else if self.max_wait_elapsed(&self.ops[slot]) {
+            self.reject(slot, queues);
+        } else if !self.waiting.contains(&slot) {
+            self.waiting.push(slot);
+            self.shed_oldest_waiting(slot, queues);
+            self.schedule_waiting_retry(queues);
         }
     }
 
-    /// Where a tenant is held to a part of the hosts, no more of its ops wait than what will have a place in time: the
-    /// oldest is given up at once, while its client can still ask elsewhere.
-    pub fn crowd_out(&mut self, place: usize, post: &mut Post) {
-        let op = &self.ops[place];
-        let Some(tenant) = op.ask.tenant.filter(|_| !self.rooms.is_empty()) else { return };
-        let group = op.ask.group;
+    /// Rejects a tenant's oldest waiting op if more wait than its quotas can serve in time.
+    pub fn shed_oldest_waiting(&mut self, slot: usize, queues: &mut Queues) {
+        let op = &self.ops[slot];
+        let Some(tenant) = op.request.tenant.filter(|_| !self.quotas.is_empty()) else { return };
+        let group = op.request.group;
         let Some(members) = self.groups.get(&group).map(|group| group.members.as_slice()) else { return };
-        let rooms = members.iter().map(|host| self.rooms.get(&(*host, tenant)));
-        // A host where it goes free: what it waits for is something else.
-        let Some(parts) = rooms.map(|room| room.map(|room| room.most)).collect::<Option<Vec<f64>>>() else {
-            return;
-        };
-        let waits = self.op_type(op).latency_target * self.charter.number_or("held", 0.0);
-        let out = self.outs.get(&tenant).copied().unwrap_or_default().max(1e-3);
-        let most = (parts.iter().sum::<f64>() * waits.as_secs_f64() / out).max(1.0) as usize;
-        let alike = |held: &usize| {
-            let other = &self.ops[*held];
-            other.ask.tenant == Some(tenant) && other.ask.group == group && other.sends.len() == 0
+        let quotas = members.iter().map(|host| self.quotas.get(&(*host, tenant)));
+        let limits = quotas.map(|quota| quota.map(|quota| quota.max_in_flight)).collect::<Option<Vec<f64>>>();
+        let Some(limits) = limits else { return };
+        let max_wait = self.op_type(op).latency_target * self.settings.number_or("held", 0.0);
+        let latency_secs = self.tenant_latencies.get(&tenant).copied().unwrap_or_default().max(1e-3);
+        let max_waiting = limits.iter().sum::<f64>() * max_wait.as_secs_f64() / latency_secs;
+        let same_tenant = |waiting: &usize| {
+            let other = &self.ops[*waiting];
+            other.request.tenant == Some(tenant) && other.request.group == group && other.sends.len() == 0
         };
-        let of = self.held.iter().copied().filter(alike);
-        if of.clone().count() > most
-            && let Some(oldest) = of.min_by_key(|held| self.ops[*held].arrived)
+        let waiting = self.waiting.iter().copied().filter(same_tenant);
+        if waiting.clone().count() > max_waiting.max(1.0) as usize
+            && let Some(oldest) = waiting.min_by_key(|slot| self.ops[*slot].arrived_at)
         {
-            self.give_up(oldest, post);
+            self.reject(oldest, queues);
         }
     }
 
-    /// Where it is told how long an op may wait for a host: whether that time is over, and nothing of it ever ran. Its
-    /// client asks elsewhere, and wants to know soon.
-    pub fn waits_in_vain(&self, op: &Op) -> bool {
-        let told = self.charter.number_or("held", 0.0);
-        let until = op.arrived + self.op_type(op).latency_target * told;
-        // It is looked at again a tick from now: by then it would be late.
-        told > 0.0 && self.now + self.charter.time_delta("tick") > until && op.sends.may_have_run().is_none()
+    /// Whether the op's wait for a host ends before the next tick, and nothing of it ever ran.
+    pub fn max_wait_elapsed(&self, op: &Op) -> bool {
+        let wait = self.settings.number_or("held", 0.0);
+        let until = op.arrived_at + self.op_type(op).latency_target * wait;
+        wait > 0.0 && self.now + self.settings.time_delta("tick") > until && op.sends.may_have_run().is_none()
     }
 
-    /// Danger: hosts that fail at once draw a storm of further sends. Each pause is twice the last.
-    pub fn rested(&self, op: &Op) -> bool {
-        let pause = self.least_target * PATIENCE * ((1 << op.sends.len().min(16)) as f64 * 0.5 - 1.0);
-        op.sends.last().is_none_or(|last| self.now >= last.at + pause)
+    /// Exponential backoff between sends of an op: hosts that fail at once would cause a storm of retries.
+    pub fn backoff_elapsed(&self, op: &Op) -> bool {
+        let backoff = self.min_target * PROBE_WAIT_SHARE * ((1 << op.sends.len().min(16)) as f64 * 0.5 - 1.0);
+        op.sends.last().is_none_or(|last| self.now >= last.sent_at + backoff)
     }
 
-    pub fn send(&mut self, place: usize, host: HostId, post: &mut Post) {
-        let op = &self.ops[place];
-        let (weight, until) = (self.weight(self.op_type(op)), self.pays_until(op));
-        self.held.retain(|&held| held != place);
-        let op = &mut self.ops[place];
-        if let Some(spare) = self.spares.get_mut(&op.ask.cell).filter(|_| op.sends.len() > 0) {
-            *spare = spare.saturating_sub(1);
+    pub fn send(&mut self, slot: usize, host: HostId, queues: &mut Queues) {
+        let op = &self.ops[slot];
+        let (weight, deadline) = (self.weight(self.op_type(op)), self.send_deadline(op));
+        self.waiting.retain(|&waiting| waiting != slot);
+        let op = &mut self.ops[slot];
+        if let Some(retries) = self.retry_budgets.get_mut(&op.request.cell).filter(|_| op.sends.len() > 0) {
+            *retries = retries.saturating_sub(1);
         }
         op.sends.begin(host, self.now);
         for (row, (_, used)) in self.tenants.iter_mut().enumerate() {
-            *used = *used * 0.99 + f64::from(op.ask.tenant.is_some_and(|tenant| tenant.0 as usize == row));
+            let is_sender = op.request.tenant.is_some_and(|tenant| tenant.0 as usize == row);
+            *used = *used * 0.99 + f64::from(is_sender);
         }
-        let (tenant, op) = (op.ask.tenant, op.ask.op);
-        post.actions.push(Action::Send { op, host, deadline: until });
-        post.hosts.put(host, HostNote::Took(weight));
-        self.count(tenant, host, false);
+        let (tenant, op) = (op.request.tenant, op.request.op);
+        queues.actions.push(Action::Send { op, host, deadline });
+        queues.hosts.push(host, HostEvent::SendStarted(weight));
+        self.count_tenant_op(tenant, host, false);
     }
 
-    pub fn over_share(&self, ask: &OpRequest) -> bool {
-        let row = ask.tenant.and_then(|tenant| self.tenants.get(tenant.0 as usize));
+    pub fn is_over_share(&self, request: &OpRequest) -> bool {
+        let row = request.tenant.and_then(|tenant| self.tenants.get(tenant.0 as usize));
         let all: f64 = self.tenants.iter().map(|(_, used)| used).sum();
-        row.is_some_and(|(share, used)| *used > all * share * OVER)
+        row.is_some_and(|(share, used)| *used > all * share * OVER_SHARE_FACTOR)
     }
 
-    /// What an op is worth for the work it asks. A tenant that had more than its share of sends waits.
-    pub fn rank(&self, op: &Op) -> f64 {
-        let kind = self.op_type(op);
-        let over = self.over_share(&op.ask);
-        let late = if self.now > op.arrived + kind.latency_target { kind.late_value } else { 1.0 };
-        let part = if over { self.charter.number_or("over_share_value", 1.0) } else { 1.0 };
-        kind.value / self.weight(kind) * late * part
+    pub fn priority(&self, op: &Op) -> f64 {
+        let op_type = self.op_type(op);
+        let over = self.is_over_share(&op.request);
+        let late = if self.now > op.arrived_at + op_type.latency_target { op_type.late_value } else { 1.0 };
+        let share_factor = if over { self.settings.number_or("over_share_value", 1.0) } else { 1.0 };
+        op_type.value / self.weight(op_type) * late * share_factor
     }
 
-    pub fn give_up(&mut self, place: usize, post: &mut Post) {
-        let op = &self.ops[place];
-        let harmless = match self.op_type(op).retry_safety {
+    pub fn reject(&mut self, slot: usize, queues: &mut Queues) {
+        let op = &self.ops[slot];
+        let safe_to_retry = match self.op_type(op).retry_safety {
             RetrySafety::Retryable | RetrySafety::Deduplicated { scope: DedupScope::All, .. } => true,
             _ => op.sends.may_have_run().is_none(),
         };
-        let op = op.ask.op;
-        let retry_after =
-            self.charter.flag("retry_after").then(|| self.charter.time_delta("max_retry_after"));
-        post.actions.push(match harmless {
-            true => Action::BusyReply { op, retry_after },
+        let op = op.request.op;
+        let after = self.settings.flag("retry_after").then(|| self.settings.time_delta("max_retry_after"));
+        queues.actions.push(match safe_to_retry {
+            true => Action::BusyReply { op, retry_after: after },
             false => Action::ErrorReply { op },
         });
-        self.finish(place, post);
+        self.finish(slot, queues);
     }
 
-    /// The op has its final answer; its place is free once all its sends have ended.
-    pub fn finish(&mut self, place: usize, post: &mut Post) {
-        self.held.retain(|&held| held != place);
-        let op = &mut self.ops[place];
-        let first = !std::mem::replace(&mut op.over, true);
-        if !op.sends.is_out() {
-            let op = self.ops.remove(place);
-            self.places.remove(&op.ask.op);
-        } else if first && self.charter.flag("cancel") {
-            post.actions.extend(op.sends.out().map(|(send, _)| Action::Cancel { op: op.ask.op, send }));
+    pub fn finish(&mut self, slot: usize, queues: &mut Queues) {
+        self.waiting.retain(|&waiting| waiting != slot);
+        let op = &mut self.ops[slot];
+        let first = !std::mem::replace(&mut op.finished, true);
+        if !op.sends.is_pending() {
+            let op = self.ops.remove(slot);
+            self.op_slots.remove(&op.request.op);
+        } else if first && self.settings.flag("cancel") {
+            let cancels = op.sends.in_flight().map(|(send, _)| Action::Cancel { op: op.request.op, send });
+            queues.actions.extend(cancels);
         }
     }
 
-    pub fn ended(&mut self, end: SendResult, post: &mut Post) {
-        let Some(&place) = self.places.get(&end.op) else { return };
-        let kind = self.op_type(&self.ops[place]);
-        let (used, weight, writes) =
-            (end.elapsed / kind.latency_target, self.weight(kind), kind.consistency == Consistency::Write);
-        let op = &mut self.ops[place];
-        let Some(one) = op.sends.end(end.send, end.outcome) else { return };
-        if let Some(session) = op.ask.session.filter(|_| writes && end.outcome == Outcome::Acked) {
-            self.commits.keep(session, end.status.position.unwrap_or(self.now), SESSIONS);
+    pub fn handle_send_end(&mut self, result: SendResult, queues: &mut Queues) {
+        let Some(&slot) = self.op_slots.get(&result.op) else { return };
+        let op_type = self.op_type(&self.ops[slot]);
+        let (latency_ratio, weight) = (result.elapsed / op_type.latency_target, self.weight(op_type));
+        let is_write = op_type.consistency == Consistency::Write;
+        let op = &mut self.ops[slot];
+        let Some(send) = op.sends.end(result.send, result.outcome) else { return };
+        if let Some(session) = op.request.session.filter(|_| is_write && result.outcome == Outcome::Acked) {
+            self.session_commits.record(session, result.status.position.unwrap_or(self.now), MAX_SESSIONS);
         }
-        let (group, tenant, over) = (op.ask.group, op.ask.tenant, op.over || end.op_finished);
-        self.count(tenant, one.host, true);
-        if let (Some(tenant), Outcome::Acked, false) = (tenant, end.outcome, self.rooms.is_empty()) {
-            let out = self.outs.entry(tenant).or_insert(end.elapsed.as_secs_f64());
-            *out += (end.elapsed.as_secs_f64() - *out) * OUT_RATE;
+        let (group, tenant, done) = (op.request.group, op.request.tenant, op.finished || result.op_finished);
+        self.count_tenant_op(tenant, send.host, true);
+        if let (Some(tenant), Outcome::Acked, false) = (tenant, result.outcome, self.quotas.is_empty()) {
+            let mean = self.tenant_latencies.entry(tenant).or_insert(result.elapsed.as_secs_f64());
+            *mean += (result.elapsed.as_secs_f64() - *mean) * LATENCY_SMOOTHING;
         }
-        if over {
-            self.finish(place, post);
-        } else if !self.ops[place].sends.is_out() {
-            post.ops.push_back(place);
+        if done {
+            self.finish(slot, queues);
+        } else if !self.ops[slot].sends.is_pending() {
+            queues.ops.push_back(slot);
         }
-        if !writes {
-            self.throttle(group, end.outcome, used);
+        if !is_write {
+            self.adjust_read_shedding(group, result.outcome, latency_ratio);
         }
-        post.hosts.put(one.host, HostNote::Ended(end, weight, used));
-        // Danger: with a place free, whoever waits for one of few places loses it for a tick.
-        if tenant.is_some_and(|tenant| self.rooms.contains_key(&(one.host, tenant))) {
-            self.try_held(post);
+        queues.hosts.push(send.host, HostEvent::SendEnded(result, weight, latency_ratio));
+        if tenant.is_some_and(|tenant| self.quotas.contains_key(&(send.host, tenant))) {
+            self.retry_waiting(queues);
         }
     }
 }
--- a/src/sends.rs
+++ b/src/sends.rs
@@ -1,40 +1,40 @@
-//! The sends of one op: where and when, and what is proven of each; and the commits of sessions' writes.
+//! The sends of one op with what is known of their execution, and the last commits of sessions.
 
 use arrowyard_types::{HostId, Outcome, SendIndex, SessionId, Timestamp};
 use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
 
 #[derive(Clone, Copy, PartialEq)]
-pub enum Fate {
-    Out,
-    /// It provably never ran.
-    Never,
-    /// It ran, or may have run, or may run still.
-    Maybe,
+pub enum SendState {
+    InFlight,
+    /// Proven not to have run.
+    NeverRan,
+    /// Ran, or may have run, or may still run.
+    MayHaveRun,
 }
 
 #[derive(Clone, Copy)]
-pub struct Sent {
+pub struct SendRecord {
     pub host: HostId,
-    pub at: Timestamp,
-    pub fate: Fate,
+    pub sent_at: Timestamp,
+    pub state: SendState,
 }
 
 #[derive(Default)]
-pub struct Sends(SmallVec<[Sent; 4]>);
+pub struct Sends(SmallVec<[SendRecord; 4]>);
 
 impl Sends {
-    pub fn begin(&mut self, host: HostId, at: Timestamp) {
-        self.0.push(Sent { host, at, fate: Fate::Out });
+    pub fn begin(&mut self, host: HostId, sent_at: Timestamp) {
+        self.0.push(SendRecord { host, sent_at, state: SendState::InFlight });
     }
 
-    pub fn end(&mut self, number: SendIndex, outcome: Outcome) -> Option<Sent> {
-        let one = self.0.get_mut(number.0 as usize)?;
-        one.fate = if outcome.never_ran() { Fate::Never } else { Fate::Maybe };
-        Some(*one)
+    pub fn end(&mut self, index: SendIndex, outcome: Outcome) -> Option<SendRecord> {
+        let send = self.0.get_mut(index.0 as usize)?;
+        send.state = if outcome.never_ran() { SendState::NeverRan } else { SendState::MayHaveRun };
+        Some(*send)
     }
 
-    pub fn last(&self) -> Option<&Sent> {
+    pub fn last(&self) -> Option<&SendRecord> {
         self.0.last()
     }
 
@@ -42,42 +42,42 @@
         self.0.len()
     }
 
-    pub fn out(&self) -> impl Iterator<Item = (SendIndex, &Sent)> {
-        let all = self.0.iter().enumerate().map(|(number, one)| (SendIndex(number as u32), one));
-        all.filter(|(_, one)| one.fate == Fate::Out)
+    pub fn in_flight(&self) -> impl Iterator<Item = (SendIndex, &SendRecord)> {
+        let all = self.0.iter().enumerate().map(|(index, send)| (SendIndex(index as u32), send));
+        all.filter(|(_, send)| send.state == SendState::InFlight)
     }
 
-    pub fn is_out(&self) -> bool {
-        self.out().next().is_some()
+    pub fn is_pending(&self) -> bool {
+        self.in_flight().next().is_some()
     }
 
-    /// The first one that may have run, or may run still.
-    pub fn may_have_run(&self) -> Option<&Sent> {
-        self.0.iter().find(|one| one.fate != Fate::Never)
+    /// The first send that may have run or may still run.
+    pub fn may_have_run(&self) -> Option<&SendRecord> {
+        self.0.iter().find(|send| send.state != SendState::NeverRan)
     }
 
-    pub fn tried(&self, host: HostId) -> bool {
-        self.0.iter().any(|one| one.host == host)
+    pub fn has_tried(&self, host: HostId) -> bool {
+        self.0.iter().any(|send| send.host == host)
     }
 }
 
-/// The last commit of each session; those that were dropped are no newer than the floor.
+/// The last commit of each session. Dropped sessions have no commit newer than `floor`.
 #[derive(Default)]
-pub struct Commits {
-    of: FxHashMap<SessionId, Timestamp>,
+pub struct SessionCommits {
+    latest: FxHashMap<SessionId, Timestamp>,
     floor: Option<Timestamp>,
 }
 
-impl Commits {
-    pub fn keep(&mut self, session: SessionId, commit: Timestamp, most: usize) {
-        if self.of.len() >= most {
-            self.floor = self.of.drain().map(|(_, commit)| commit).max().max(self.floor);
+impl SessionCommits {
+    pub fn record(&mut self, session: SessionId, commit: Timestamp, max_sessions: usize) {
+        if self.latest.len() >= max_sessions {
+            self.floor = self.latest.drain().map(|(_, commit)| commit).max().max(self.floor);
         }
-        let known = self.of.entry(session).or_default();
-        *known = commit.max(*known);
+        let last = self.latest.entry(session).or_default();
+        *last = commit.max(*last);
     }
 
-    pub fn last(&self, session: Option<SessionId>) -> Option<Timestamp> {
-        session.and_then(|session| self.of.get(&session).copied()).max(self.floor)
+    pub fn min_position(&self, session: Option<SessionId>) -> Option<Timestamp> {
+        session.and_then(|session| self.latest.get(&session).copied()).max(self.floor)
     }
 }
