--- a/crates/arrowyard-types/src/interface.rs
+++ b/crates/arrowyard-types/src/interface.rs
@@ -1,3 +1,5 @@
+//! The interface of the decision module: its settings, the events it handles and the actions it returns.
+
 use std::collections::BTreeMap;
 
 use smallvec::SmallVec;
@@ -7,10 +9,11 @@
     TimerId, Timestamp, ZoneId,
 };
 
-/// What a router is told when it starts: names to values. Rows carry their number in the name, as in
-/// `op_type.0.latency_target`; a name that was not told is absent.
+/// Settings of a router by name. Names of rows contain the index, as in `op_type.0.latency_target`; unset
+/// names are absent.
 pub type RouterSettings = BTreeMap<String, SettingValue>;
 
+/// The value of a setting.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SettingValue {
     Flag(bool),
@@ -19,10 +22,11 @@
     Text(String),
 }
 
-/// Reading a manifest by name; what was not told is false, zero, empty or the given value.
+/// Typed access to settings by name; unset ones, and ones of another type, are false, zero, empty or the
+/// default.
 pub trait RouterSettingsExt {
     fn flag(&self, name: &str) -> bool;
-    fn number_or(&self, name: &str, otherwise: f64) -> f64;
+    fn number_or(&self, name: &str, default: f64) -> f64;
     fn time_delta(&self, name: &str) -> TimeDelta;
     fn text(&self, name: &str) -> &str;
 }
@@ -32,12 +36,12 @@
         self.get(name) == Some(&SettingValue::Flag(true))
     }
 
-    fn number_or(&self, name: &str, otherwise: f64) -> f64 {
-        if let Some(SettingValue::Number(number)) = self.get(name) { *number } else { otherwise }
+    fn number_or(&self, name: &str, default: f64) -> f64 {
+        if let Some(SettingValue::Number(number)) = self.get(name) { *number } else { default }
     }
 
     fn time_delta(&self, name: &str) -> TimeDelta {
-        if let Some(SettingValue::TimeDelta(span)) = self.get(name) { *span } else { TimeDelta::ZERO }
+        if let Some(SettingValue::TimeDelta(delta)) = self.get(name) { *delta } else { TimeDelta::ZERO }
     }
 
     fn text(&self, name: &str) -> &str {
@@ -52,6 +56,7 @@
     Replica,
 }
 
+/// Whether a host may get sends. What `Gone` means depends on the setting `removal_not_binding`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Availability {
     Ready,
@@ -59,38 +64,41 @@
     Gone,
 }
 
-/// A group that a host takes part in.
+/// A host's membership in a group.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct GroupMembership {
     pub group: GroupId,
-    /// It takes part as the group's primary only, and never as one of the replicas that take its reads.
+    /// The host serves the group only while it is its primary, never as a replica.
     pub primary_only: bool,
 }
 
-/// One group, but where cells divide hosts.
+/// The groups of a host: one, unless cells divide hosts.
 pub type GroupMemberships = SmallVec<[GroupMembership; 1]>;
 
-/// One line of the list of database hosts.
+/// An entry of the list of database hosts.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostEntry {
     pub host: HostId,
-    /// What all routers call it; a `HostId` is this router's own number.
+    /// Names the host in messages between routers; a `HostId` is local to one router.
     pub address_hash: u32,
     pub availability: Availability,
     pub memberships: GroupMemberships,
     pub zone: ZoneId,
+    /// Capacity relative to other hosts.
     pub size: f64,
+    /// The list's claim, which may be old.
     pub is_primary: bool,
     pub started_at: Option<Timestamp>,
 }
 
+/// What a list of hosts contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
     /// Changed entries only.
     Incremental,
     /// The whole list.
     Full,
-    /// The whole list as this router last had it, perhaps old.
+    /// The whole list as this router last saved it; may be outdated.
     Saved,
 }
 
@@ -98,18 +106,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
     Acked,
+    /// The host answered with an error.
     Errored,
+    /// The host refused for lack of capacity.
     Overloaded,
     TimedOut,
     ConnectFailed,
+    /// The connection broke after the op was sent.
     Reset,
+    /// The router stopped waiting for the answer.
     Cancelled,
+    /// Ended before anything was written to the host.
     NotSent,
+    /// The host refused since it is not primary, or not fresh enough.
     Misrouted,
 }
 
 impl Outcome {
-    /// Whether the host answered at all.
+    /// Whether the host answered.
     pub const fn is_answer(self) -> bool {
         matches!(self, Outcome::Acked | Outcome::Errored | Outcome::Overloaded | Outcome::Misrouted)
     }
@@ -120,37 +134,38 @@
     }
 }
 
-/// What a host said of itself: with an answer as of that answer, in a report as of some time before.
+/// A host's report of itself: current if it came with an answer, else possibly some time old.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct HostStatus {
     pub role: Option<Role>,
-    /// It has applied every commit up to here.
+    /// The host has applied every commit up to here.
     pub position: Option<Timestamp>,
-    /// Share of its cores that are busy.
+    /// Share of the host's cores that are busy.
     pub cpu_utilization: Option<f64>,
-    /// Ops that wait in it.
+    /// Ops that wait at the host.
     pub queued_ops: Option<f64>,
 }
 
-/// A new op, as a client asked for it.
+/// A client's request for an op.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OpRequest {
     pub op: OpId,
     pub op_type: OpTypeId,
     pub tenant: Option<TenantId>,
-    /// Whose budget of further sends it spends; 0 where there are no cells.
+    /// The cell whose retry budget the op uses; 0 without cells.
     pub cell: CellId,
     pub group: GroupId,
     pub session: Option<SessionId>,
-    /// How long ago the session's last write was committed; zero for none, absent where it is not told.
+    /// Age of the session's last commit; zero if there is none, absent if unknown.
     pub token_age: Option<TimeDelta>,
-    /// What a read must see at least, whatever its session; nothing but for a tenant that moved.
+    /// The oldest position that may serve the op, besides its session; set for tenants that moved between
+    /// groups.
     pub min_position: Option<Timestamp>,
-    /// Whether the client said that it asks again.
+    /// Whether the client marked the request as a retry.
     pub is_retry: bool,
-    /// When the client gives up.
+    /// The time at which the client gives up.
     pub deadline: Timestamp,
-    /// The only host that it may go to: the one that holds the transaction which it is part of.
+    /// The host that holds the op's transaction, the only one it may go to.
     pub pinned_host: Option<HostId>,
 }
 
@@ -161,28 +176,30 @@
     pub send: SendIndex,
     pub host: HostId,
     pub outcome: Outcome,
-    /// How long ago it was sent.
+    /// Time since the send.
     pub elapsed: TimeDelta,
-    /// Whether the op is over, by this outcome or before it.
+    /// Whether the op has its final answer, by this outcome or earlier.
     pub op_finished: bool,
     pub status: HostStatus,
 }
 
-/// What reaches a router.
+/// An event that the module handles.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RouterEvent {
+    /// A list of database hosts from discovery.
     HostList {
         kind: ListKind,
         entries: Vec<HostEntry>,
     },
     ListFailed,
-    /// How many further sends a cell may make from now on; none: as many as it likes.
+    /// A cell's remaining retries; `None` means no limit.
     RetryBudget {
         cell: CellId,
         retries: Option<u32>,
     },
     OpRequested(OpRequest),
     SendEnded(SendResult),
+    /// The client no longer waits for the op.
     ClientCancelled {
         op: OpId,
     },
@@ -194,42 +211,74 @@
         outcome: Outcome,
         status: HostStatus,
     },
+    /// A message of another router.
     PeerMessage {
         from: PeerId,
         bytes: Vec<u8>,
     },
-    /// From now on these are the op types. A row that was told before still says the same.
+    /// The new op types. Rows may be added, but existing rows do not change.
     OpTypes(Vec<OpType>),
-    /// Whoever knows which host is primary says so, as of now.
+    /// A host's role, from the authority over roles and as of now.
     RoleAssigned {
         host: HostId,
         role: Role,
     },
-    /// So many ops of a tenant may be unfinished at a host from now on; with nothing, as many as the host bears. With a
-    /// broken number one more is out for that part of the time.
+    /// The ops of a tenant that may be in flight at a host; `None` means no limit. A fraction is a mean over
+    /// time.
     TenantLimit {
         host: HostId,
         tenant: TenantId,
         max_in_flight: Option<f64>,
     },
-    /// Shares are reckoned by this number of routers from now on.
+    /// The number of routers that share the hosts.
     RouterCount {
         routers: f64,
     },
 }
 
-/// What a router wants done; in this order.
+/// An action that the caller carries out, in the order of the actions.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Action {
-    Send { op: OpId, host: HostId, deadline: Timestamp },
-    Cancel { op: OpId, send: SendIndex },
-    BusyReply { op: OpId, retry_after: Option<TimeDelta> },
-    ErrorReply { op: OpId },
-    Probe { host: HostId },
-    SetTimer { after: TimeDelta, timer: TimerId },
-    SubscribeHostList { on: bool },
+    /// Sends the op; the send times out at the deadline.
+    Send {
+        op: OpId,
+        host: HostId,
+        deadline: Timestamp,
+    },
+    Cancel {
+        op: OpId,
+        send: SendIndex,
+    },
+    /// Tells the client that the op did not run or is safe to retry.
+    BusyReply {
+        op: OpId,
+        retry_after: Option<TimeDelta>,
+    },
+    /// Tells the client that the op failed and may have run.
+    ErrorReply {
+        op: OpId,
+    },
+    Probe {
+        host: HostId,
+    },
+    /// Returns `timer` in a [`RouterEvent::TimerFired`] after this time.
+    SetTimer {
+        after: TimeDelta,
+        timer: TimerId,
+    },
+    SubscribeHostList {
+        on: bool,
+    },
     FetchHostList,
-    CloseIdleConnections { host: HostId },
-    SendPeerMessage { to: Option<PeerId>, bytes: Vec<u8> },
-    Log { text: String },
+    CloseIdleConnections {
+        host: HostId,
+    },
+    /// Sends a message to one router, or to all others.
+    SendPeerMessage {
+        to: Option<PeerId>,
+        bytes: Vec<u8>,
+    },
+    Log {
+        text: String,
+    },
 }
--- a/crates/arrowyard-types/src/lib.rs
+++ b/crates/arrowyard-types/src/lib.rs
@@ -1,4 +1,5 @@
-//! What callers and the decision module share: ids, time, and the interface (notes in, actions out).
+//! Types that the decision module shares with its callers: ids, time, and its interface (events in, actions
+//! out).
 
 mod interface;
 mod op_type;
@@ -8,7 +9,7 @@
 pub use op_type::*;
 pub use time::{TimeDelta, Timestamp};
 
-/// Declares a type of id of its own.
+/// Declares newtypes of ids.
 macro_rules! id {
     ($($(#[$doc:meta])* $name:ident($inner:ty);)*) => {$(
         $(#[$doc])*
@@ -20,24 +21,24 @@
 id! {
     /// A database host, numbered by the caller in the order in which its lists named them.
     HostId(u32);
-    /// An op; never used twice.
+    /// An op; ids are not reused.
     OpId(u64);
-    /// The number of a send within its op, from 0.
+    /// The index of a send within its op, from 0.
     SendIndex(u32);
-    /// A row of the op types.
+    /// An index into the op types.
     OpTypeId(u32);
-    /// A row of the tenants.
+    /// An index into the tenants.
     TenantId(u32);
     /// A group of database hosts that hold the same data.
     GroupId(i64);
-    /// A cell of this router: a row of the operator's file.
+    /// A cell of this router, numbered as in the operator's file.
     CellId(u32);
     /// A session of a client.
     SessionId(u64);
-    /// A row of the sites that hosts and routers stand in.
+    /// A zone of hosts and routers.
     ZoneId(u32);
     /// Another router of the deployment.
     PeerId(u32);
-    /// What an alarm hands back when it rings.
+    /// A timer, chosen by the module and returned when the timer fires.
     TimerId(u64);
 }
--- a/crates/arrowyard-types/src/op_type.rs
+++ b/crates/arrowyard-types/src/op_type.rs
@@ -1,6 +1,8 @@
+//! Op types: what an op may cost, earn and require.
+
 use crate::{RouterSettings, RouterSettingsExt, TimeDelta};
 
-/// How far hosts drop repeats of a tokened op.
+/// The hosts among which a repeat of an op with an idempotency token is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DedupScope {
     All,
@@ -8,11 +10,11 @@
     Group,
 }
 
-/// What a second run of an op does.
+/// Whether an op that may have run can be sent again.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetrySafety {
     Retryable,
-    /// Hosts of the scope drop repeats for as long as they remember.
+    /// Hosts within the scope drop repeats during the window, counted from the first send.
     Deduplicated {
         window: TimeDelta,
         scope: DedupScope,
@@ -20,60 +22,69 @@
     NonRetryable,
 }
 
-/// How fresh the data must be that an op sees.
+/// The consistency that an op requires.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Consistency {
+    /// A read of any age.
     Any,
+    /// A read of data at most this stale.
     Bounded(TimeDelta),
+    /// A read that sees the session's own writes.
     Session,
+    /// A read of the latest data: by the primary, or by a replica that checks.
     Fresh,
+    /// A write, by the primary.
     Write,
 }
 
 impl Consistency {
+    /// The bound of a bounded read.
     pub fn staleness_bound(self) -> Option<TimeDelta> {
         if let Consistency::Bounded(bound) = self { Some(bound) } else { None }
     }
 }
 
-/// One row of the op types, as the manifest tells it.
+/// One op type.
 #[derive(Clone, Debug, PartialEq)]
 pub struct OpType {
+    /// An answer within this time earns the full value.
     pub latency_target: TimeDelta,
+    /// The client gives up after this time.
     pub op_timeout: TimeDelta,
     pub value: f64,
-    /// The part of the value that an answer after the latency target still earns.
+    /// Share of the value that an answer after the latency target earns.
     pub late_value: f64,
     pub retry_safety: RetrySafety,
     pub consistency: Consistency,
 }
 
 impl OpType {
-    pub fn rows(manifest: &RouterSettings) -> Vec<OpType> {
-        let told = |row: &usize| manifest.contains_key(&format!("op_type.{row}.latency_target"));
-        (0..).take_while(told).map(|row| Self::row(manifest, row)).collect()
+    /// The op types in the settings, from row 0 up to the first missing one.
+    pub fn rows(settings: &RouterSettings) -> Vec<OpType> {
+        let is_set = |row: &usize| settings.contains_key(&format!("op_type.{row}.latency_target"));
+        (0..).take_while(is_set).map(|row| Self::row(settings, row)).collect()
     }
 
-    fn row(manifest: &RouterSettings, row: usize) -> OpType {
+    fn row(settings: &RouterSettings, row: usize) -> OpType {
         let key = |field: &str| format!("op_type.{row}.{field}");
-        let scope = match manifest.text(&key("scope")) {
+        let scope = match settings.text(&key("scope")) {
             "all" => DedupScope::All,
             "zone" => DedupScope::Zone,
             _ => DedupScope::Group,
         };
         OpType {
-            latency_target: manifest.time_delta(&key("latency_target")).max(TimeDelta::from_micros(1)),
-            op_timeout: manifest.time_delta(&key("op_timeout")),
-            value: manifest.number_or(&key("value"), 1.0),
-            late_value: manifest.number_or(&key("late_value"), 0.0),
-            retry_safety: match manifest.text(&key("effect")) {
+            latency_target: settings.time_delta(&key("latency_target")).max(TimeDelta::from_micros(1)),
+            op_timeout: settings.time_delta(&key("op_timeout")),
+            value: settings.number_or(&key("value"), 1.0),
+            late_value: settings.number_or(&key("late_value"), 0.0),
+            retry_safety: match settings.text(&key("effect")) {
                 "retryable" => RetrySafety::Retryable,
-                "tokened" => RetrySafety::Deduplicated { window: manifest.time_delta(&key("memory")), scope },
+                "tokened" => RetrySafety::Deduplicated { window: settings.time_delta(&key("memory")), scope },
                 _ => RetrySafety::NonRetryable,
             },
-            consistency: match manifest.text(&key("read")) {
+            consistency: match settings.text(&key("read")) {
                 "any" => Consistency::Any,
-                "bounded" => Consistency::Bounded(manifest.time_delta(&key("bound"))),
+                "bounded" => Consistency::Bounded(settings.time_delta(&key("bound"))),
                 "session" => Consistency::Session,
                 "fresh" => Consistency::Fresh,
                 _ => Consistency::Write,
--- a/crates/arrowyard-types/src/time.rs
+++ b/crates/arrowyard-types/src/time.rs
@@ -1,15 +1,17 @@
+//! Points in time and differences between them.
+
 use std::ops::{Add, AddAssign, Div, Mul, Sub};
 
 /// A point in time, in microseconds on the caller's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Timestamp(i64);
 
-/// A span between two points, in microseconds.
+/// A signed difference between two timestamps, in microseconds. Sums and differences saturate.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TimeDelta(i64);
 
 impl Timestamp {
-    /// Before anything that happens.
+    /// Earlier than any real event, yet far enough from the least value to subtract from.
     pub const DISTANT_PAST: Timestamp = Timestamp(i64::MIN / 4);
 
     pub const fn from_micros(micros: i64) -> Self {
@@ -58,16 +60,16 @@
 impl Add<TimeDelta> for Timestamp {
     type Output = Timestamp;
 
-    fn add(self, span: TimeDelta) -> Timestamp {
-        Timestamp(self.0.saturating_add(span.0))
+    fn add(self, delta: TimeDelta) -> Timestamp {
+        Timestamp(self.0.saturating_add(delta.0))
     }
 }
 
 impl Sub<TimeDelta> for Timestamp {
     type Output = Timestamp;
 
-    fn sub(self, span: TimeDelta) -> Timestamp {
-        Timestamp(self.0.saturating_sub(span.0))
+    fn sub(self, delta: TimeDelta) -> Timestamp {
+        Timestamp(self.0.saturating_sub(delta.0))
     }
 }
 
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -68,16 +68,16 @@
     [&address_hash.to_le_bytes()[..], &millis.to_le_bytes(), &[role]].concat()
 }
 
-/// Clears the role in another router's message if it is primary. The rest is safe to use unverified: the position
-/// is a lower bound, and the replica role only forbids sends.
+/// Clears the role in another router's message if it is primary. The rest is safe to use unverified: the
+/// position is a lower bound, and the replica role only forbids sends.
 pub fn clear_primary_claim(bytes: &mut [u8]) {
     if let [.., role @ 1] = bytes {
         *role = 0;
     }
 }
 
-/// Decodes address hash and status; none if the message is malformed. Positions are not in the future, so that their
-/// low 32 bits suffice.
+/// Decodes address hash and status; none if the message is malformed. Positions are not in the future, so
+/// that their low 32 bits suffice.
 pub fn decode_host_status(bytes: &[u8], now: Timestamp) -> Option<(u32, HostStatus)> {
     let [t0, t1, t2, t3, p0, p1, p2, p3, role] = *<&[u8; 9]>::try_from(bytes).ok()?;
     let millis = now.micros().div_euclid(1000);
