--- a/crates/arrowyard-adapter/src/batch.rs
+++ b/crates/arrowyard-adapter/src/batch.rs
@@ -1,97 +1,99 @@
-//! One batch of events in, one reply out, for all instances of this process.
+//! Batches of events for the router instances of this process, each answered with one reply.
 
 use std::collections::HashMap;
 
 use serde_json::Value;
 
-use crate::router::{Instance, clock};
+use crate::router::{Instance, batch_time};
 use crate::value::Fields;
 
-/// How many numbers the wire has for lists.
-const POOLS: usize = 16;
+/// Host lists are numbered from 0 to 15 on the wire.
+const POOL_COUNT: usize = 16;
 
-/// An instance's name and what runs under it: nothing after it was killed.
-struct Seat {
+/// A named instance; `None` after a crash.
+struct InstanceSlot {
     name: String,
     instance: Option<Instance>,
-    touched: bool,
+    seen_in_batch: bool,
 }
 
+/// All instances of this process, and the numbered host lists.
 #[derive(Default)]
 pub struct Process {
-    seats: Vec<Seat>,
-    numbers: HashMap<String, usize>,
+    slots: Vec<InstanceSlot>,
+    slots_by_name: HashMap<String, usize>,
     pools: Vec<Option<Vec<Value>>>,
 }
 
 impl Process {
-    pub fn play(&mut self, line: &[u8], reply: &mut String) -> Result<(), String> {
+    /// Handles one line with a batch of events and appends the reply. An error means a malformed batch.
+    pub fn handle_batch(&mut self, line: &[u8], reply: &mut String) -> Result<(), String> {
         let mut batch: Value = serde_json::from_slice(line).map_err(|e| format!("batch: {e}"))?;
         let batch = batch.as_object_mut().ok_or("batch: not an object")?;
-        let now = clock(batch)?;
+        let now = batch_time(batch)?;
         let Some(Value::Array(arrivals)) = batch.get_mut("arrivals") else {
             return Err("batch: arrivals is not an array".to_string());
         };
-        self.pools.resize_with(POOLS, || None);
+        self.pools.resize_with(POOL_COUNT, || None);
         let mut touched = Vec::new();
         for message in arrivals {
-            let fields = Fields::of(message)?;
+            let fields = Fields::parse(message)?;
             if fields.name == "Pool" {
-                let number = fields.small(0)? as usize;
+                let index = fields.u32(0)? as usize;
                 let records = fields.list(1)?.to_vec();
-                *self.pools.get_mut(number).ok_or_else(|| fields.wrong(0, "a number from 0 to 15"))? =
+                *self.pools.get_mut(index).ok_or_else(|| fields.type_error(0, "a number from 0 to 15"))? =
                     Some(records);
                 continue;
             }
-            let seat = self.seat(fields)?;
-            let Seat { instance, touched: seen, .. } = &mut self.seats[seat];
+            let slot = self.slot(fields)?;
+            let InstanceSlot { instance, seen_in_batch, .. } = &mut self.slots[slot];
             match (fields.name, instance.as_mut()) {
                 ("PowerOn", _) => *instance = Some(Instance::start(fields, now)?),
-                // What it wanted earlier in this batch dies with it.
+                // Also drops the actions of earlier events of this batch.
                 ("CrashNow", _) => *instance = None,
                 (_, Some(instance)) => {
-                    if let Some(note) = instance.note(fields, &self.pools)? {
-                        instance.take(now, note);
+                    if let Some(event) = instance.parse_event(fields, &self.pools)? {
+                        instance.handle(now, event);
                     }
                 }
                 (_, None) => {}
             }
-            if !std::mem::replace(seen, true) {
-                touched.push(seat);
+            if !std::mem::replace(seen_in_batch, true) {
+                touched.push(slot);
             }
         }
         reply.push_str(r#"{"outbox":["#);
-        for seat in touched {
-            let Seat { name, instance, touched } = &mut self.seats[seat];
-            *touched = false;
+        for slot in touched {
+            let InstanceSlot { name, instance, seen_in_batch } = &mut self.slots[slot];
+            *seen_in_batch = false;
             if let Some(instance) = instance {
-                instance.speak(name, reply);
+                instance.write_actions(name, reply);
             }
         }
         reply.push_str("]}\n");
         Ok(())
     }
 
-    fn seat(&mut self, fields: Fields) -> Result<usize, String> {
+    fn slot(&mut self, fields: Fields) -> Result<usize, String> {
         let name = fields.text(0)?;
-        if let Some(&seat) = self.numbers.get(name) {
-            return Ok(seat);
+        if let Some(&slot) = self.slots_by_name.get(name) {
+            return Ok(slot);
         }
         if fields.name != "PowerOn" {
             return Err(format!("{}: {name} was never started", fields.name));
         }
-        self.seats.push(Seat { name: name.to_string(), instance: None, touched: false });
-        self.numbers.insert(name.to_string(), self.seats.len() - 1);
-        Ok(self.seats.len() - 1)
+        self.slots.push(InstanceSlot { name: name.to_string(), instance: None, seen_in_batch: false });
+        self.slots_by_name.insert(name.to_string(), self.slots.len() - 1);
+        Ok(self.slots.len() - 1)
     }
 }
 
 #[cfg(test)]
 mod tests {
     #[test]
-    fn an_op_of_an_unknown_type_is_malformed() {
+    fn op_of_unknown_type_is_rejected() {
         let line = br#"{"t":1,"arrivals":[["PowerOn","r",5,{}],["Request","r",7,0,null,0,0,null,null,9]]}"#;
-        let told = super::Process::default().play(line, &mut String::new());
-        assert_eq!(told, Err("Request: value 3 is not a place in grades".to_string()));
+        let result = super::Process::default().handle_batch(line, &mut String::new());
+        assert_eq!(result, Err("Request: value 3 is not an index into grades".to_string()));
     }
 }
--- a/crates/arrowyard-adapter/src/main.rs
+++ b/crates/arrowyard-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Speaks the simulator's wire on standard input and output and hosts the decision module behind it.
-//! It only translates: what it reads becomes notes, what the module wants becomes messages.
+//! Runs the decision module for the simulator: translates JSON lines on standard input into events, and the
+//! resulting actions into JSON lines on standard output.
 
 mod batch;
 mod router;
@@ -22,7 +22,7 @@
             continue;
         }
         reply.clear();
-        process.play(&line, &mut reply)?;
+        process.handle_batch(&line, &mut reply)?;
         output.write_all(reply.as_bytes()).map_err(|e| format!("standard output: {e}"))?;
         output.flush().map_err(|e| format!("standard output: {e}"))?;
     }
