--- a/crates/arrowyard-control/src/applied.rs
+++ b/crates/arrowyard-control/src/applied_state.rs
@@ -8,27 +8,27 @@
 use sha2::{Digest as _, Sha256};
 
 /// The duty of whoever replaces primaries.
-pub const DUTY: &str = "promote";
+pub const PROMOTION_DUTY: &str = "promote";
 
 /// So many changes are remembered by their digest, for calls that are sent again.
-pub const REMEMBERED: usize = 2048;
+pub const MAX_REMEMBERED_CHANGES: usize = 2048;
 
 /// The SHA-256 of a whole change.
-pub type Digest = [u8; 32];
+pub type ChangeDigest = [u8; 32];
 
 /// How a change that an operator sends stands to the configuration in place.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum ChangeStatus {
     /// It was taken.
-    Taken,
+    Applied,
     /// It builds on the configuration in place.
-    Open,
+    Applicable,
     /// It builds on one that is not known here yet.
-    Ahead,
+    BaseUnknown,
     /// It was not taken and never will be: another change has built on the same version.
     Superseded,
     /// So many changes have been taken since that it is not known any more whether this one was.
-    Forgotten,
+    HistoryExpired,
 }
 
 /// Whether one list of voters follows another by one seat, in or out. Danger: of two lists that differ by more,
@@ -40,15 +40,15 @@
 
 /// What all chosen entries lead to.
 #[derive(Clone, Debug, Default)]
-pub struct Applied {
+pub struct AppliedState {
     /// The last slot that is in it.
     pub slot: u64,
     pub configuration: Configuration,
     /// Whether the first configuration has come.
-    pub begun: bool,
+    pub has_configuration: bool,
     pub duties: BTreeMap<String, Duty>,
     pub voters: Vec<u32>,
-    taken: VecDeque<(u64, Digest)>,
+    taken: VecDeque<(u64, ChangeDigest)>,
     /// The newest revision that is not among them any more.
     forgotten: u64,
     /// A digest of the first entry, by which two deployments are told apart; 0 before there is one.
@@ -57,7 +57,7 @@
 
 /// The digest by which a change is known again: over its kind, the version that it builds on and its body, so that two
 /// operators who choose the same number for different changes are told apart.
-pub fn digest(revised: &Revised) -> Digest {
+pub fn change_digest(revised: &Revised) -> ChangeDigest {
     let mut hash = Sha256::new();
     hash.update([u8::from(revised.whole)]);
     hash.update(revised.base.to_le_bytes());
@@ -68,57 +68,57 @@
 /// Names a deployment by its first entry. That is a ballot for the duty, with the life of its holder, a number drawn at
 /// random: operators' changes are taken only once all seats are filled, by the holder of the duty.
 fn deployment(first: &Entry) -> u64 {
-    let digest: Digest = Sha256::digest(first.encode_to_vec()).into();
+    let digest: ChangeDigest = Sha256::digest(first.encode_to_vec()).into();
     let (head, _) = digest.split_first_chunk::<8>().expect("a digest is longer");
     u64::from_le_bytes(*head) | 1
 }
 
-pub fn change(revised: &Revised) -> Change {
+pub fn to_change(revised: &Revised) -> Change {
     let kind = if revised.whole { ChangeKind::Replace } else { ChangeKind::Adjust };
     Change { kind, base: revised.base, body: revised.body.clone() }
 }
 
-impl Applied {
+impl AppliedState {
     /// The digest of the change that brought a revision, if it is remembered.
-    pub fn taken(&self, revision: u64) -> Option<Digest> {
+    pub fn applied_change(&self, revision: u64) -> Option<ChangeDigest> {
         self.taken.iter().find(|(taken, _)| *taken == revision).map(|(_, digest)| *digest)
     }
 
     /// How a change that is to bring a revision stands. Invariant: versions only rise, and every change up to this one is
     /// known here; so a change that builds on an older version and is not among those taken never will be taken.
-    pub fn standing(&self, revised: &Revised, revision: Option<u64>) -> Standing {
-        let taken = revision.and_then(|revision| self.taken(revision));
+    pub fn change_status(&self, revised: &Revised, revision: Option<u64>) -> ChangeStatus {
+        let taken = revision.and_then(|revision| self.applied_change(revision));
         let current = self.configuration.revision;
-        if taken.is_some_and(|taken| taken == digest(revised)) {
-            Standing::Taken
+        if taken.is_some_and(|taken| taken == change_digest(revised)) {
+            ChangeStatus::Applied
         } else if revised.base > current {
-            Standing::Ahead
+            ChangeStatus::BaseUnknown
         } else if revised.base == current {
-            Standing::Open
+            ChangeStatus::Applicable
         } else if revision.is_some_and(|revision| revision <= self.forgotten) {
-            Standing::Forgotten
+            ChangeStatus::HistoryExpired
         } else {
-            Standing::Superseded
+            ChangeStatus::Superseded
         }
     }
 
     fn remember(&mut self, revised: &Revised) {
-        self.taken.push_back((self.configuration.revision, digest(revised)));
-        while self.taken.len() > REMEMBERED {
+        self.taken.push_back((self.configuration.revision, change_digest(revised)));
+        while self.taken.len() > MAX_REMEMBERED_CHANGES {
             let oldest = self.taken.pop_front();
             self.forgotten = oldest.map_or(self.forgotten, |(revision, _)| revision);
         }
     }
 
     /// Whether an entry would still do what it was meant for.
-    pub fn holds(&self, entry: &Entry) -> bool {
+    pub fn is_applicable(&self, entry: &Entry) -> bool {
         match &entry.matter {
             Some(Matter::Configuration(revised)) => revised.base == self.configuration.revision,
-            Some(Matter::Duty(duty)) => duty.fence == self.fence(&duty.duty),
+            Some(Matter::Duty(duty)) => duty.fence == self.duty_fence(&duty.duty),
             Some(Matter::Voters(next)) => {
                 next.before == self.voters && is_one_step(&self.voters, &next.voters)
             }
-            Some(Matter::Decision(decision)) => self.duties.get(DUTY).is_some_and(|duty| {
+            Some(Matter::Decision(decision)) => self.duties.get(PROMOTION_DUTY).is_some_and(|duty| {
                 (duty.holder, duty.life, duty.fence) == (decision.holder, decision.life, decision.duty_fence)
             }),
             _ => true,
@@ -126,7 +126,7 @@
     }
 
     /// The fence of a duty; 0 before it had a holder.
-    pub fn fence(&self, duty: &str) -> u64 {
+    pub fn duty_fence(&self, duty: &str) -> u64 {
         self.duties.get(duty).map_or(0, |duty| duty.fence)
     }
 
@@ -136,14 +136,14 @@
         if self.slot == 1 {
             self.deployment = deployment(entry);
         }
-        if !self.holds(entry) {
+        if !self.is_applicable(entry) {
             return;
         }
         match &entry.matter {
             Some(Matter::Configuration(revised)) => {
-                if let Ok(configuration) = change(revised).apply(&self.configuration) {
+                if let Ok(configuration) = to_change(revised).apply(&self.configuration) {
                     self.configuration = configuration;
-                    self.begun = true;
+                    self.has_configuration = true;
                     self.remember(revised);
                 }
             }
@@ -161,7 +161,11 @@
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             slot: self.slot,
-            configuration: if self.begun { self.configuration.body().into_bytes() } else { Vec::new() },
+            configuration: if self.has_configuration {
+                self.configuration.body().into_bytes()
+            } else {
+                Vec::new()
+            },
             duties: self.duties.values().cloned().collect(),
             voters: self.voters.clone(),
             taken: self
@@ -183,24 +187,24 @@
     /// When it cannot be read.
     pub fn restore(snapshot: &Snapshot) -> Result<Self, String> {
         let taken = |taken: &Taken| {
-            let digest = Digest::try_from(taken.digest.as_slice());
+            let digest = ChangeDigest::try_from(taken.digest.as_slice());
             digest
                 .map(|digest| (taken.revision, digest))
                 .map_err(|_| "a digest of another length".to_string())
         };
-        let mut applied = Applied {
+        let mut applied = AppliedState {
             slot: snapshot.slot,
             duties: snapshot.duties.iter().map(|duty| (duty.duty.clone(), duty.clone())).collect(),
             voters: snapshot.voters.clone(),
             taken: snapshot.taken.iter().map(taken).collect::<Result<_, _>>()?,
             forgotten: snapshot.forgotten,
             deployment: snapshot.deployment,
-            ..Applied::default()
+            ..AppliedState::default()
         };
         if !snapshot.configuration.is_empty() {
             let read = Configuration::default().replace(&snapshot.configuration);
             applied.configuration = read.map_err(|refusal| refusal.to_string())?;
-            applied.begun = true;
+            applied.has_configuration = true;
         }
         Ok(applied)
     }
--- a/crates/arrowyard-control/src/control.rs
+++ b/crates/arrowyard-control/src/control.rs
@@ -1,21 +1,21 @@
 //! A control machine: the parts of the plane put together. One function takes every event; each kind of connection
 //! has a file of its own.
 
-mod calls;
+mod api;
 mod departures;
-mod disk;
+mod disk_health;
 mod duty;
+mod fair_shares;
 mod feed;
-mod hosts;
-mod memory;
-mod mesh;
+mod host_requests;
+mod peers;
 mod platform;
+mod registry_snapshot;
 mod relays;
 mod replacements;
-mod seats;
-mod shares;
 mod status;
 mod suspicions;
+mod voter_set;
 
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
@@ -27,23 +27,23 @@
 use fastrand::Rng;
 use rustc_hash::FxHashMap;
 
-use crate::applied::DUTY;
+use crate::applied_state::PROMOTION_DUTY;
 use crate::promotion::{LeaderWatch, Promotions};
-use crate::{Cell, Duties, Ledger, Output, ProposalId, View};
+use crate::{DutyElection, HostRegistry, Output, PeerView, ProposalId, ReplicatedLog};
 
-use calls::Caller;
+use api::Caller;
 pub use departures::Departures;
-pub use disk::DiskWatch;
+pub use disk_health::DiskHealth;
+use fair_shares::Shares;
 use feed::Router;
-use hosts::Link;
-use mesh::Peer;
+use host_requests::Link;
+use peers::Peer;
 use platform::{Decisions, Platform};
-pub use relays::{Relayed, Relays};
-use shares::Shares;
+pub use relays::{RelayOutcome, Relays};
 use suspicions::Suspicions;
 
 /// The doors of a control machine: the calls of hosts and operators, and the system's own processes.
-pub const DOORS: [Door; 2] = [Door(0), Door(1)];
+pub const LISTENERS: [Door; 2] = [Door(0), Door(1)];
 
 /// What is done at regular times is done this often.
 const TICK: Span = Span::from_millis(250);
@@ -78,21 +78,21 @@
     me: u32,
     life: u64,
     rng: Rng,
-    ledger: Ledger,
+    ledger: ReplicatedLog,
     /// Records are kept in memory only where there is no disk.
     has_disk: bool,
-    disk: DiskWatch,
+    disk: DiskHealth,
     /// Since when this machine's vote cannot be counted on.
     unable_since: Option<Point>,
     /// Whether the others were told that this machine's vote is durable.
     announced: bool,
-    cell: Cell,
+    cell: HostRegistry,
     /// Of the hosts as they were last put on disk.
     kept_digest: u64,
     silent: BTreeMap<String, Point>,
     left: Vec<(Point, Host)>,
-    view: View,
-    duty: Duties,
+    view: PeerView,
+    duty: DutyElection,
     promotions: Promotions,
     /// By service of the configuration.
     leaders: BTreeMap<String, LeaderWatch>,
@@ -108,7 +108,7 @@
     links: BTreeMap<String, Link>,
     relays: Relays,
     /// Calls of the operator that wait for the ledger.
-    pending: FxHashMap<ProposalId, calls::Pending>,
+    pending: FxHashMap<ProposalId, api::Pending>,
     silent_here: Vec<arrowyard_messages::Silent>,
     platform_calls: Vec<(Conn, Point)>,
     decisions: Decisions,
@@ -147,25 +147,25 @@
         let seeds: Vec<u32> = settings.seeds.iter().map(|seed| number(*seed.ip())).collect();
         let founders = (settings.bootstrap && !seeds.is_empty()).then_some(seeds.as_slice());
         let mut ready = Vec::new();
-        let ledger = Ledger::open(me, life, records, founders, &mut ready)?;
+        let ledger = ReplicatedLog::open(me, life, records, founders, &mut ready)?;
         log::info!(
             "ledger: {} entries, {} voters, {}.",
             ledger.chosen(),
             ledger.voters().len(),
             if ledger.votes() { "votes" } else { "does not vote" }
         );
-        let mut view = View::default();
-        seeds.iter().filter(|&&seed| seed != me).for_each(|&seed| view.seed(seed));
-        let duty = Duties::new(DUTY, me, life, &settings.node, Point::from_micros(0));
+        let mut view = PeerView::default();
+        seeds.iter().filter(|&&seed| seed != me).for_each(|&seed| view.add_seed(seed));
+        let duty = DutyElection::new(PROMOTION_DUTY, me, life, &settings.node, Point::from_micros(0));
         let fed = ledger.applied().configuration.clone();
-        let (cell, routers) = memory::restore(records, &settings.zone);
+        let (cell, routers) = registry_snapshot::restore(records, &settings.zone);
         Ok(Control {
             me,
             life,
             rng: Rng::with_seed(life),
             ledger,
             has_disk: disk,
-            disk: DiskWatch::default(),
+            disk: DiskHealth::default(),
             unable_since: None,
             announced: false,
             kept_digest: cell.digest(),
@@ -207,7 +207,7 @@
         })
     }
 
-    pub fn ledger(&self) -> &Ledger {
+    pub fn ledger(&self) -> &ReplicatedLog {
         &self.ledger
     }
 
@@ -216,19 +216,19 @@
         let mut queue = std::collections::VecDeque::from(out);
         while let Some(one) = queue.pop_front() {
             match one {
-                Output::Send { to: 0, word } => self.say_to_peers(&word, orders),
-                Output::Send { to, word } => self.say_to_peer(to, &word, orders),
+                Output::Send { to: 0, payload: word } => self.say_to_peers(&word, orders),
+                Output::Send { to, payload: word } => self.say_to_peer(to, &word, orders),
                 Output::Store { ticket, record } if self.has_disk => {
-                    self.disk.asked(now, ticket);
+                    self.disk.write_started(now, ticket);
                     orders.store(ticket, record);
                 }
                 Output::Store { ticket, .. } => {
                     let mut more = Vec::new();
-                    self.ledger.stored(now, ticket, true, &mut more);
+                    self.ledger.record_stored(now, ticket, true, &mut more);
                     queue.extend(more);
                 }
                 Output::Chosen { slot } => self.tell_chosen(now, slot, orders),
-                Output::Answered { proposal, answer } => self.answered(now, proposal, answer, orders),
+                Output::Resolved { proposal, outcome } => self.answered(now, proposal, outcome, orders),
             }
         }
     }
@@ -238,7 +238,7 @@
         &mut self,
         now: Point,
         orders: &mut Orders,
-        act: impl FnOnce(&mut Ledger, &mut Vec<Output>) -> T,
+        act: impl FnOnce(&mut ReplicatedLog, &mut Vec<Output>) -> T,
     ) -> T {
         let mut out = Vec::new();
         let result = act(&mut self.ledger, &mut out);
@@ -255,7 +255,7 @@
         self.meet(now, orders);
         self.keep_touch(now, orders);
         if self.ticks.is_multiple_of(SWEEP) {
-            self.cell.sweep(now);
+            self.cell.remove_expired(now);
             let cell = &self.cell;
             self.departures.retain(|host| cell.get(host).is_some());
         }
@@ -265,8 +265,10 @@
         self.remember(now, orders);
         self.tell_view(orders);
         let mut rng = self.rng.clone();
-        if let Some(entry) = self.duty.turn(now, self.ledger.applied(), &mut rng) {
-            self.with_ledger(now, orders, |ledger, out| ledger.enter(now, entry, now + TICK * 4.0, out));
+        if let Some(entry) = self.duty.poll_candidacy(now, self.ledger.applied(), &mut rng) {
+            self.with_ledger(now, orders, |ledger, out| {
+                ledger.propose_entry(now, entry, now + TICK * 4.0, out)
+            });
         }
         self.rng = rng;
         self.unable_since = if self.is_able_to_vote(now) { None } else { self.unable_since.or(Some(now)) };
@@ -290,7 +292,7 @@
         if let Some(settings) = (self.reread)() {
             settings.seeds.iter().map(|seed| number(*seed.ip())).filter(|&seed| seed != self.me).for_each(
                 |seed| {
-                    self.view.seed(seed);
+                    self.view.add_seed(seed);
                 },
             );
             self.settings = settings;
@@ -298,9 +300,9 @@
     }
 
     fn disk_changed(&mut self, works: bool) {
-        self.disk.works(works);
+        self.disk.set_working(works);
         if works {
-            self.ledger.recovered();
+            self.ledger.disk_recovered();
             log::info!("disk: All that this machine knows is on it; its vote counts again.");
         } else {
             log::error!("disk: It refuses records; this machine does not vote until it is well.");
@@ -318,7 +320,7 @@
 
     /// Whether this machine's vote can be counted on: it has one, and a disk that keeps its word.
     fn is_able_to_vote(&self, now: Point) -> bool {
-        self.ledger.is_vote_durable() && self.disk.is_well(now)
+        self.ledger.is_vote_durable() && self.disk.is_healthy(now)
     }
 
     /// Where another control machine takes the calls of hosts and operators: ports are alike on all machines.
@@ -347,7 +349,7 @@
                 let ready = std::mem::take(&mut self.ready);
                 self.carry(now, ready, orders);
             }
-            Event::Accepted { conn, door } if door == DOORS[0] => {
+            Event::Accepted { conn, door } if door == LISTENERS[0] => {
                 drop(self.lines.insert(conn, Line::Caller(Caller::default())));
             }
             Event::Accepted { conn, .. } => {
@@ -357,8 +359,8 @@
             Event::Came { conn, bytes } => self.came(now, conn, bytes, orders),
             Event::Closed { conn, .. } => self.closed(now, conn, orders),
             Event::Stored { ticket, kept } => {
-                self.disk.answered(ticket);
-                self.with_ledger(now, orders, |ledger, out| ledger.stored(now, ticket, kept, out));
+                self.disk.write_completed(ticket);
+                self.with_ledger(now, orders, |ledger, out| ledger.record_stored(now, ticket, kept, out));
                 self.departure_stored(now, ticket, kept, orders);
                 self.announce_vote(now, orders);
             }
--- a/crates/arrowyard-control/src/control/calls.rs
+++ b/crates/arrowyard-control/src/control/api.rs
@@ -10,8 +10,8 @@
 use sonic_rs::{JsonValueTrait, Value};
 
 use super::{Control, Line};
-use crate::applied::change;
-use crate::{Answer, Ledger, Output, ProposalId, Standing};
+use crate::applied_state::to_change;
+use crate::{ChangeStatus, Output, ProposalId, ProposalOutcome, ReplicatedLog};
 
 /// Hosts and routers that this many calls wait for at most on one connection.
 const BASE: &str = "Arrowyard-Base-Revision";
@@ -114,7 +114,7 @@
             ("GET", "/Config.Read") => {
                 let until = now + CLEAR;
                 let pending = Pending::Read { conn };
-                self.propose(now, conn, pending, orders, |ledger, out| ledger.read_all(now, until, out));
+                self.propose(now, conn, pending, orders, |ledger, out| ledger.propose_read(now, until, out));
             }
             ("GET", "/status") => {
                 let body = self.status(now);
@@ -131,7 +131,7 @@
         conn: Conn,
         pending: Pending,
         orders: &mut Orders,
-        proposal: impl FnOnce(&mut Ledger, &mut Vec<Output>) -> ProposalId,
+        proposal: impl FnOnce(&mut ReplicatedLog, &mut Vec<Output>) -> ProposalId,
     ) {
         // Danger: the answer may come before the proposal is made; what it is for is laid down first.
         let ticket = self.ledger.next_proposal();
@@ -151,7 +151,7 @@
     fn beat(&mut self, now: Point, conn: Conn, host: Host, orders: &mut Orders) {
         self.silent.remove(&host.id);
         let zone = host.zone.clone();
-        if self.cell.called(now, host.clone()) {
+        if self.cell.record_heartbeat(now, host.clone()) {
             self.news_of(now, host.clone(), orders);
         }
         let near = if zone == self.settings.zone { None } else { self.peer_in(now, &zone) };
@@ -175,7 +175,7 @@
             Some(host) => Host { phase: Phase::Gone.into(), call_seq: host.call_seq + 1, ..host },
             None => Host { id: id.to_string(), phase: Phase::Gone.into(), ..Host::default() },
         };
-        if self.cell.called(now, gone.clone()) {
+        if self.cell.record_heartbeat(now, gone.clone()) {
             self.news_of(now, gone.clone(), orders);
         }
         self.departs(now, conn, gone, "{}".to_string(), orders);
@@ -189,23 +189,25 @@
             return self.refuse(conn, &refusal, orders);
         }
         let revision = revision(&revised.body);
-        match applied.standing(&revised, revision) {
-            Standing::Open => {}
-            Standing::Ahead if first => {
+        match applied.change_status(&revised, revision) {
+            ChangeStatus::Applicable => {}
+            ChangeStatus::BaseUnknown if first => {
                 let until = now + CLEAR;
                 let pending = Pending::Learn { conn, revised };
                 return self
-                    .propose(now, conn, pending, orders, |ledger, out| ledger.read_all(now, until, out));
+                    .propose(now, conn, pending, orders, |ledger, out| ledger.propose_read(now, until, out));
             }
             standing => return self.answer_standing(conn, standing, revision, orders),
         }
-        match change(&revised).apply(&applied.configuration) {
+        match to_change(&revised).apply(&applied.configuration) {
             Err(refusal) => self.refuse(conn, &refusal, orders),
             Ok(next) => {
                 let (until, revision) = (now + CLEAR, next.revision);
                 let entry = Entry { matter: Some(Matter::Configuration(revised.clone())) };
                 let pending = Pending::Change { conn, revised, revision };
-                self.propose(now, conn, pending, orders, |ledger, out| ledger.enter(now, entry, until, out));
+                self.propose(now, conn, pending, orders, |ledger, out| {
+                    ledger.propose_entry(now, entry, until, out)
+                });
             }
         }
     }
@@ -214,23 +216,25 @@
     fn answer_standing(
         &mut self,
         conn: Conn,
-        standing: Standing,
+        standing: ChangeStatus,
         revision: Option<u64>,
         orders: &mut Orders,
     ) {
         match standing {
-            Standing::Taken => {
+            ChangeStatus::Applied => {
                 log::info!("configuration: Revision {} is in place.", revision.unwrap_or_default());
                 self.reply(conn, 200, "{}", orders);
             }
             // Safety: a change that was taken is never refused, however long ago that was.
-            Standing::Forgotten => {
+            ChangeStatus::HistoryExpired => {
                 let body =
                     fault("So many changes were taken since that it is not known whether this one was.");
                 self.reply(conn, 503, &body, orders);
             }
-            Standing::Open => self.reply(conn, 503, &fault("It is not clear yet; ask again."), orders),
-            Standing::Ahead | Standing::Superseded => {
+            ChangeStatus::Applicable => {
+                self.reply(conn, 503, &fault("It is not clear yet; ask again."), orders)
+            }
+            ChangeStatus::BaseUnknown | ChangeStatus::Superseded => {
                 let current = self.ledger.applied().configuration.revision;
                 self.reply(conn, 412, &fault(&format!("Revision {current} is in place.")), orders);
             }
@@ -243,7 +247,13 @@
     }
 
     /// The ledger answers a proposal.
-    pub(super) fn answered(&mut self, now: Point, proposal: ProposalId, answer: Answer, orders: &mut Orders) {
+    pub(super) fn answered(
+        &mut self,
+        now: Point,
+        proposal: ProposalId,
+        answer: ProposalOutcome,
+        orders: &mut Orders,
+    ) {
         if self.proposal_answered(now, proposal, answer, orders)
             || self.confirmation_answered(now, proposal, answer, orders)
         {
@@ -255,17 +265,19 @@
             Pending::Change { conn, .. } | Pending::Learn { conn, .. } | Pending::Read { conn } => *conn,
         };
         match (pending, answer) {
-            (_, Answer::Unknown) => self.reply(conn, 503, &fault("It is not clear yet; ask again."), orders),
-            (_, Answer::Full) => {
+            (_, ProposalOutcome::Unknown) => {
+                self.reply(conn, 503, &fault("It is not clear yet; ask again."), orders)
+            }
+            (_, ProposalOutcome::QueueFull) => {
                 self.reply(conn, 503, &fault("Too much waits here; nothing was done."), orders)
             }
             (Pending::Change { revised, revision, .. }, _) => {
-                let standing = self.ledger.applied().standing(&revised, Some(revision));
+                let standing = self.ledger.applied().change_status(&revised, Some(revision));
                 self.answer_standing(conn, standing, Some(revision), orders);
             }
             (Pending::Learn { revised, .. }, _) => self.change(now, conn, revised, false, orders),
             (Pending::Read { .. }, _) => {
-                if self.ledger.applied().begun {
+                if self.ledger.applied().has_configuration {
                     let body = self.ledger.applied().configuration.body();
                     self.reply(conn, 200, &body, orders);
                 } else {
--- a/crates/arrowyard-control/src/control/departures.rs
+++ b/crates/arrowyard-control/src/control/departures.rs
@@ -12,7 +12,7 @@
 use arrowyard_types::{Point, Span};
 
 use super::Control;
-use crate::record::Kept;
+use crate::record::RecordKind;
 
 /// A departure that no majority has kept in so long is not acknowledged; a host waits for a second at most.
 const KEPT: Span = Span::from_millis(800);
@@ -132,14 +132,14 @@
     }
 
     fn keep_departure(&mut self, now: Point, host: &Host, orders: &mut Orders) -> u64 {
-        let kept = Kept::Departing(host.clone());
-        self.with_ledger(now, orders, |ledger, out| ledger.keep(kept, out))
+        let kept = RecordKind::Departing(host.clone());
+        self.with_ledger(now, orders, |ledger, out| ledger.store_record(kept, out))
     }
 
     /// Another control machine was told that a host leaves or has left.
     pub(super) fn departure_told(&mut self, now: Point, ip: u32, departing: Departing, orders: &mut Orders) {
         let Departing { number, host } = departing;
-        if self.cell.told(now, host.clone()) {
+        if self.cell.merge_report(now, host.clone()) {
             if host.phase() == Phase::Gone {
                 self.left.push((now, host.clone()));
             }
--- a/crates/arrowyard-control/src/control/disk.rs
+++ b/crates/arrowyard-control/src/control/disk_health.rs
@@ -10,29 +10,29 @@
 
 /// The records that are under way to the disk.
 #[derive(Debug, Default)]
-pub struct DiskWatch {
+pub struct DiskHealth {
     since: BTreeMap<u64, Point>,
     refuses: bool,
 }
 
-impl DiskWatch {
+impl DiskHealth {
     /// A record was handed to the disk.
-    pub fn asked(&mut self, now: Point, ticket: u64) {
+    pub fn write_started(&mut self, now: Point, ticket: u64) {
         self.since.insert(ticket, now);
     }
 
     /// The fate of a record is known.
-    pub fn answered(&mut self, ticket: u64) {
+    pub fn write_completed(&mut self, ticket: u64) {
         self.since.remove(&ticket);
     }
 
     /// The disk refuses records from now on, or has taken all that this machine knows.
-    pub fn works(&mut self, works: bool) {
+    pub fn set_working(&mut self, works: bool) {
         self.refuses = !works;
     }
 
     /// Whether records are durable in good time.
-    pub fn is_well(&self, now: Point) -> bool {
+    pub fn is_healthy(&self, now: Point) -> bool {
         let oldest = self.since.first_key_value().map(|(_, since)| *since);
         !self.refuses && oldest.is_none_or(|since| now - since < HANGS)
     }
--- a/crates/arrowyard-control/src/control/duty.rs
+++ b/crates/arrowyard-control/src/control/duty.rs
@@ -6,9 +6,9 @@
 use arrowyard_types::{Point, Span};
 
 use super::Control;
-use crate::applied::DUTY;
-use crate::promotion::{Ask, Promotions, Sight};
-use crate::{Answer, ProposalId};
+use crate::applied_state::PROMOTION_DUTY;
+use crate::promotion::{HostsSnapshot, PromotionRequest, Promotions};
+use crate::{ProposalId, ProposalOutcome};
 
 /// A majority has so long to confirm that this machine holds the duty.
 const CONFIRMED: Span = Span::from_millis(1000);
@@ -18,7 +18,7 @@
     /// one holds it by now; the two would undo each other's questions to replicas. So it carries out nothing while it is
     /// cut off, and afterwards only once a majority has confirmed that it still holds the duty.
     pub(super) fn take_up(&mut self, now: Point, orders: &mut Orders) {
-        let held = self.duty.held(self.ledger.applied());
+        let held = self.duty.held_fence(self.ledger.applied());
         let fence = held.filter(|_| self.in_touch && self.confirmed == held);
         if held.is_some() && fence.is_none() {
             self.confirm(now, orders);
@@ -26,7 +26,8 @@
         if fence == self.fence {
             return;
         }
-        let after_another = fence.is_some() && self.ledger.applied().fence(DUTY) > 0 && self.ticks > 8;
+        let after_another =
+            fence.is_some() && self.ledger.applied().duty_fence(PROMOTION_DUTY) > 0 && self.ticks > 8;
         self.fence = fence;
         self.divide_from(now, after_another);
         self.decide_from(now, after_another);
@@ -38,8 +39,12 @@
         }
         if after_another {
             // Whoever held it before may have left replicas paused.
-            let replicas: Vec<String> = self.cell.all().map(|host| host.id.clone()).collect();
-            self.ask_hosts(now, replicas.into_iter().map(|host| Ask::Continue { host }).collect(), orders);
+            let replicas: Vec<String> = self.cell.hosts().map(|host| host.id.clone()).collect();
+            self.ask_hosts(
+                now,
+                replicas.into_iter().map(|host| PromotionRequest::Continue { host }).collect(),
+                orders,
+            );
         }
         if fence.is_some() {
             self.check_suspicions(now, orders);
@@ -50,7 +55,7 @@
     pub(super) fn confirm(&mut self, now: Point, orders: &mut Orders) {
         if self.in_touch && self.confirming.is_none() {
             self.confirming = Some(self.ledger.next_proposal());
-            self.with_ledger(now, orders, |ledger, out| ledger.read_all(now, now + CONFIRMED, out));
+            self.with_ledger(now, orders, |ledger, out| ledger.propose_read(now, now + CONFIRMED, out));
         }
     }
 
@@ -59,15 +64,15 @@
         &mut self,
         now: Point,
         ticket: ProposalId,
-        answer: Answer,
+        answer: ProposalOutcome,
         orders: &mut Orders,
     ) -> bool {
         if self.confirming != Some(ticket) {
             return false;
         }
         self.confirming = None;
-        if answer == Answer::Current && self.in_touch {
-            self.confirmed = self.duty.held(self.ledger.applied());
+        if answer == ProposalOutcome::Current && self.in_touch {
+            self.confirmed = self.duty.held_fence(self.ledger.applied());
             self.take_up(now, orders);
         }
         true
@@ -97,16 +102,16 @@
             return;
         }
         let mut asks = Vec::new();
-        let sight = Sight { cell: &self.cell, silent: &self.silent, left: &self.left };
+        let sight = HostsSnapshot { registry: &self.cell, silent: &self.silent, departed: &self.left };
         for service in &services {
-            let promotion = self.promotions.of(service);
-            promotion.adopt(&self.leaders[service]);
-            if let Some(primary) = sight.cell.primary(service)
+            let promotion = self.promotions.get_or_create(service);
+            promotion.set_leader_watch(&self.leaders[service]);
+            if let Some(primary) = sight.registry.primary(service)
                 && sight.silent.contains_key(&primary.id)
             {
-                promotion.suspect(now, &primary.id, &sight, &mut asks);
+                promotion.suspect_primary(now, &primary.id, &sight, &mut asks);
             }
-            promotion.look(now, &sight, &mut asks);
+            promotion.poll(now, &sight, &mut asks);
         }
         self.tell_replacements(false, orders);
         self.ask_hosts(now, asks, orders);
--- a/crates/arrowyard-control/src/control/shares.rs
+++ b/crates/arrowyard-control/src/control/fair_shares.rs
@@ -48,7 +48,12 @@
     pub(super) fn needs(&mut self, now: Point, from: Option<u32>, needs: Needs, orders: &mut Orders) {
         if self.shares.allotter.is_none() {
             // It is passed on once, to the holder alone.
-            let holder = self.ledger.applied().duties.get(crate::applied::DUTY).map(|duty| duty.holder);
+            let holder = self
+                .ledger
+                .applied()
+                .duties
+                .get(crate::applied_state::PROMOTION_DUTY)
+                .map(|duty| duty.holder);
             if let Some(holder) = holder.filter(|holder| from.is_none() && *holder != self.me) {
                 self.say_to_peer(holder, &Word::Needs(needs), orders);
             }
--- a/crates/arrowyard-control/src/control/feed.rs
+++ b/crates/arrowyard-control/src/control/feed.rs
@@ -50,12 +50,12 @@
     fn tell_whole(&mut self, conn: Conn, orders: &mut Orders) {
         let applied = self.ledger.applied();
         let configuration =
-            if applied.begun { applied.configuration.body().into_bytes() } else { Vec::new() };
+            if applied.has_configuration { applied.configuration.body().into_bytes() } else { Vec::new() };
         let mut whole = Whole {
             number: 0,
             slot: applied.slot,
             configuration,
-            hosts: self.cell.all().cloned().collect(),
+            hosts: self.cell.hosts().cloned().collect(),
             routers: self.routers,
             view: self.controls(),
         };
@@ -195,7 +195,7 @@
         self.tell_routers(&Change { routers, ..Change::default() }, orders);
     }
 
-    /// Control machines that are up, for routers to turn to.
+    /// Control machines that are up, for routers to attempt to.
     fn controls(&self) -> Vec<Known> {
         let me = Known { ip: self.me, zone: self.settings.zone.clone(), age: 0 };
         let up = self.peers.iter().filter(|(_, peer)| peer.is_open());
--- a/crates/arrowyard-control/src/control/hosts.rs
+++ b/crates/arrowyard-control/src/control/host_requests.rs
@@ -8,7 +8,7 @@
 use arrowyard_types::{Point, Span};
 
 use super::{Control, Line};
-use crate::promotion::{Ask, Reply, Sight, is_repeated};
+use crate::promotion::{HostsSnapshot, PromotionRequest, Reply, is_redundant};
 
 /// A host that does not answer a question in so long is silent.
 const ANSWER: Span = Span::from_millis(400);
@@ -21,26 +21,26 @@
     service: String,
     lines: Lines,
     open: bool,
-    asked: Option<(Ask, Point)>,
-    queue: VecDeque<Ask>,
+    asked: Option<(PromotionRequest, Point)>,
+    queue: VecDeque<PromotionRequest>,
     row: Option<Observed>,
     fault: Option<Code>,
     used_at: Point,
 }
 
-fn host_of(ask: &Ask) -> &str {
+fn host_of(ask: &PromotionRequest) -> &str {
     match ask {
-        Ask::Observe { host }
-        | Ask::Pause { host, .. }
-        | Ask::Continue { host }
-        | Ask::Promote { host, .. } => host,
+        PromotionRequest::Observe { host }
+        | PromotionRequest::Pause { host, .. }
+        | PromotionRequest::Continue { host }
+        | PromotionRequest::Promote { host, .. } => host,
     }
 }
 
 impl Control {
-    pub(super) fn ask_hosts(&mut self, now: Point, asks: Vec<Ask>, orders: &mut Orders) {
+    pub(super) fn ask_hosts(&mut self, now: Point, asks: Vec<PromotionRequest>, orders: &mut Orders) {
         for ask in asks {
-            if let Ask::Promote { service, host } = &ask {
+            if let PromotionRequest::Promote { service, host } = &ask {
                 self.ask_platform(now, service, host, orders);
                 continue;
             }
@@ -59,7 +59,7 @@
                 used_at: now,
             });
             let waiting = link.asked.iter().map(|(asked, _)| asked).chain(&link.queue);
-            if is_repeated(waiting, &ask) || link.asked.is_none() && self.relays.is_relaying(&id, &ask) {
+            if is_redundant(waiting, &ask) || link.asked.is_none() && self.relays.is_relaying(&id, &ask) {
                 continue;
             }
             link.queue.push_back(ask);
@@ -124,7 +124,7 @@
                     self.relays.direct_answered(&id);
                     let host = id.clone();
                     let reply = match (row, fault) {
-                        (Some(row), _) => ask.to().map(|to| Reply::Row { host, to, row }),
+                        (Some(row), _) => ask.row_kind().map(|kind| Reply::Row { host, kind, row }),
                         (None, Some(Code::Saturated | Code::Overload)) => Some(Reply::Busy { host }),
                         (None, Some(_)) => Some(Reply::Silent { host }),
                         (None, None) => None,
@@ -172,8 +172,8 @@
             return;
         }
         let mut asks = Vec::new();
-        let sight = Sight { cell: &self.cell, silent: &self.silent, left: &self.left };
-        self.promotions.of(service).take(now, reply, &sight, &mut asks);
+        let sight = HostsSnapshot { registry: &self.cell, silent: &self.silent, departed: &self.left };
+        self.promotions.get_or_create(service).handle_reply(now, reply, &sight, &mut asks);
         self.tell_replacements(false, orders);
         self.ask_hosts(now, asks, orders);
     }
@@ -206,9 +206,11 @@
 
 fn question(link: &Link, conn: Conn, orders: &mut Orders) {
     match &link.asked {
-        Some((Ask::Observe { .. }, _)) => orders.line(conn, &["QUERY - OBSERVE"]),
-        Some((Ask::Pause { term, .. }, _)) => orders.line(conn, &["QUERY - PAUSE ", &term.to_string()]),
-        Some((Ask::Continue { .. }, _)) => orders.line(conn, &["QUERY - CONTINUE"]),
-        Some((Ask::Promote { .. }, _)) | None => {}
+        Some((PromotionRequest::Observe { .. }, _)) => orders.line(conn, &["QUERY - OBSERVE"]),
+        Some((PromotionRequest::Pause { term, .. }, _)) => {
+            orders.line(conn, &["QUERY - PAUSE ", &term.to_string()])
+        }
+        Some((PromotionRequest::Continue { .. }, _)) => orders.line(conn, &["QUERY - CONTINUE"]),
+        Some((PromotionRequest::Promote { .. }, _)) | None => {}
     }
 }
--- a/crates/arrowyard-control/src/control/mesh.rs
+++ b/crates/arrowyard-control/src/control/peers.rs
@@ -95,14 +95,14 @@
             zone: self.settings.zone.clone(),
             life: self.life,
             control: true,
-            view: self.view.part(&mut self.rng),
+            view: self.view.sample(&mut self.rng),
         })
     }
 
     /// Keeps a connection to every control machine that is known, and tells them that it is here.
     pub(super) fn meet(&mut self, now: Point, orders: &mut Orders) {
         let known: Vec<u32> =
-            self.view.all().map(|known| known.ip).chain(self.ledger.voters().to_vec()).collect();
+            self.view.machines().map(|known| known.ip).chain(self.ledger.voters().to_vec()).collect();
         // A machine that is gone for good is dialled till it has fallen out of the view.
         self.peers.retain(|ip, peer| peer.is_open() || peer.dialled.is_some() || known.contains(ip));
         for ip in known.into_iter().filter(|ip| *ip != self.me) {
@@ -142,9 +142,9 @@
     }
 
     pub(super) fn beat_peers(&mut self, now: Point, orders: &mut Orders) {
-        self.view.age();
+        self.view.increment_ages();
         let view =
-            if self.ticks.is_multiple_of(SHUFFLE) { self.view.part(&mut self.rng) } else { Vec::new() };
+            if self.ticks.is_multiple_of(SHUFFLE) { self.view.sample(&mut self.rng) } else { Vec::new() };
         let beat = Beat {
             chosen: self.ledger.chosen(),
             view,
@@ -152,7 +152,7 @@
             digest: self.cell.digest(),
             votes: self.is_able_to_vote(now),
             silent: self.silent_here.clone(),
-            disk_fails: !self.disk.is_well(now),
+            disk_fails: !self.disk.is_healthy(now),
             hears: self.heard_lately(now),
             leaving: self.ending_since.is_some(),
         };
@@ -172,17 +172,17 @@
     /// Hosts that called here and do so no more.
     fn hush(&mut self, now: Point) {
         let late = Span::from_millis((self.settings.beat_period_ms as f64 * 2.5) as i64);
-        let quiet = |id: &str| self.cell.called_at(id).is_some_and(|at| now - at >= late);
-        let live = self.cell.all().filter(|host| host.phase() != arrowyard_messages::Phase::Gone);
+        let quiet = |id: &str| self.cell.last_heartbeat_at(id).is_some_and(|at| now - at >= late);
+        let live = self.cell.hosts().filter(|host| host.phase() != arrowyard_messages::Phase::Gone);
         let ids: Vec<String> = live.filter(|host| quiet(&host.id)).map(|host| host.id.clone()).collect();
         for id in &ids {
-            let since = self.cell.called_at(id).unwrap_or(now);
+            let since = self.cell.last_heartbeat_at(id).unwrap_or(now);
             self.silent.entry(id.clone()).or_insert(since);
         }
         self.silent_here = ids
             .into_iter()
             .map(|id| {
-                let since = self.cell.called_at(&id).unwrap_or(now);
+                let since = self.cell.last_heartbeat_at(&id).unwrap_or(now);
                 arrowyard_messages::Silent { id, ms: ((now - since).micros() / 1000) as u64 }
             })
             .collect();
@@ -280,7 +280,7 @@
         }
         peer.hear(now);
         peer.conns.push(conn);
-        self.with_ledger(now, orders, |ledger, out| ledger.is_ahead(now, ip, 0, out));
+        self.with_ledger(now, orders, |ledger, out| ledger.observe_peer_progress(now, ip, 0, out));
     }
 
     /// Somebody of the system's own that has not said who it is.
@@ -318,15 +318,15 @@
     }
 
     fn know(&mut self, now: Point, hello: &Hello, orders: &mut Orders) {
-        self.view.heard(hello.ip, &hello.zone);
+        self.view.record_contact(hello.ip, &hello.zone);
         self.view.merge(&hello.view, self.me);
         if let Some(peer) = self.peers.get_mut(&hello.ip) {
             // A connection was opened, so both ways are there.
             (peer.life, peer.hears_me) = (hello.life, true);
         }
-        let cell = Cell { hosts: self.cell.all().cloned().collect(), whole: true };
+        let cell = Cell { hosts: self.cell.hosts().cloned().collect(), whole: true };
         self.say_to_peer(hello.ip, &Word::Cell(cell), orders);
-        self.with_ledger(now, orders, |ledger, out| ledger.is_ahead(now, hello.ip, 0, out));
+        self.with_ledger(now, orders, |ledger, out| ledger.observe_peer_progress(now, hello.ip, 0, out));
         if !self.in_touch && self.is_in_touch(now) {
             self.keep_touch(now, orders);
         }
@@ -350,7 +350,7 @@
                     let peer = self.peers.entry(ip).or_default();
                     peer.hear(now);
                     let life = peer.life;
-                    self.duty.heard(now, ip, life, self.ledger.applied());
+                    self.duty.record_contact(now, ip, life, self.ledger.applied());
                     if let Some(word) = frame.word {
                         self.peer_says(now, ip, word, orders);
                     }
@@ -368,9 +368,9 @@
                 for host in cell.hosts {
                     self.silent.remove(&host.id);
                     if !cell.whole {
-                        self.cell.moved(&host.id);
+                        self.cell.clear_heartbeat(&host.id);
                     }
-                    if self.cell.told(now, host.clone()) {
+                    if self.cell.merge_report(now, host.clone()) {
                         if host.phase() == arrowyard_messages::Phase::Gone {
                             self.left.push((now, host.clone()));
                         }
@@ -398,11 +398,11 @@
 
     fn peer_beat(&mut self, now: Point, ip: u32, beat: &Beat, orders: &mut Orders) {
         let zone = self.view.zone(ip).unwrap_or_default().to_string();
-        self.view.heard(ip, &zone);
+        self.view.record_contact(ip, &zone);
         self.view.merge(&beat.view, self.me);
         let mine = self.cell.digest();
         let life = |ip: u32| if ip == self.me { Some(self.life) } else { self.peers.get(&ip)?.known_life() };
-        self.duty.heard_elsewhere(now - NOT_HEARD, &beat.hears, life, self.ledger.applied());
+        self.duty.record_indirect_contact(now - NOT_HEARD, &beat.hears, life, self.ledger.applied());
         let Some(peer) = self.peers.get_mut(&ip) else { return };
         peer.routers = beat.routers;
         peer.says_that_it_votes(now, beat.votes);
@@ -413,7 +413,7 @@
         peer.differs = if beat.digest == mine { 0 } else { peer.differs + 1 };
         if peer.differs >= 2 {
             peer.differs = 0;
-            let cell = Cell { hosts: self.cell.all().cloned().collect(), whole: true };
+            let cell = Cell { hosts: self.cell.hosts().cloned().collect(), whole: true };
             self.say_to_peer(ip, &Word::Cell(cell), orders);
         }
         if self.in_touch && !self.is_in_touch(now) {
@@ -423,7 +423,7 @@
             // Danger: it may call here by now; then whoever misses it is told so.
             let here = self
                 .cell
-                .called_at(&silent.id)
+                .last_heartbeat_at(&silent.id)
                 .is_some_and(|at| (now - at).micros() / 1000 < silent.ms as i64);
             if here {
                 let hosts = self.cell.get(&silent.id).cloned().into_iter().collect();
@@ -434,7 +434,7 @@
             }
         }
         let (chosen, from) = (beat.chosen, ip);
-        self.with_ledger(now, orders, |ledger, out| ledger.is_ahead(now, from, chosen, out));
+        self.with_ledger(now, orders, |ledger, out| ledger.observe_peer_progress(now, from, chosen, out));
     }
 
     pub(super) fn peer_closed(&mut self, conn: Conn, ip: u32) {
--- a/crates/arrowyard-control/src/control/platform.rs
+++ b/crates/arrowyard-control/src/control/platform.rs
@@ -12,8 +12,8 @@
 use arrowyard_types::{Point, Span};
 
 use super::{Control, Line};
-use crate::promotion::{Reply, Sight, Stage};
-use crate::{Answer, ProposalId};
+use crate::promotion::{HostsSnapshot, Reply, Stage};
+use crate::{ProposalId, ProposalOutcome};
 
 /// A platform that does not answer in so long is asked anew.
 const PLATFORM: Span = Span::from_millis(1200);
@@ -57,8 +57,8 @@
 impl Control {
     /// A host is to be made primary: that is agreed on first, unless it is a repetition of what was agreed on.
     pub(super) fn ask_platform(&mut self, now: Point, service: &str, host: &str, orders: &mut Orders) {
-        let stage = &self.promotions.of(service).stage;
-        let is_repeated = matches!(stage, Stage::Promoting { tries, .. } if *tries > 0);
+        let stage = &self.promotions.get_or_create(service).stage;
+        let is_repeated = matches!(stage, Stage::Promoting { retries, .. } if *retries > 0);
         let decided = self.decisions.by_service.get(service);
         let is_valid = |decided: &&Decided| is_repeated && decided.host == host && now < decided.until;
         let agreed = decided.filter(is_valid).and_then(|decided| Some((decided.fence?, decided.until)));
@@ -117,7 +117,7 @@
         let entry = Entry { matter: Some(Matter::Decision(decision)) };
         // The answer may come before the proposal is made; what it is for is laid down first.
         self.decisions.proposed.insert(self.ledger.next_proposal(), service.to_string());
-        self.with_ledger(now, orders, |ledger, out| ledger.enter(now, entry, now + DECIDED, out));
+        self.with_ledger(now, orders, |ledger, out| ledger.propose_entry(now, entry, now + DECIDED, out));
     }
 
     /// A decision was agreed on in this slot: if it is this machine's newest one for the service, it is carried out.
@@ -141,8 +141,8 @@
     /// Whether a host has joined the service since it was surveyed; then its hosts are surveyed again.
     fn survey_newcomers(&mut self, now: Point, service: &str, orders: &mut Orders) -> bool {
         let mut asks = Vec::new();
-        let sight = Sight { cell: &self.cell, silent: &self.silent, left: &self.left };
-        let joined = self.promotions.of(service).survey_newcomers(now, &sight, &mut asks);
+        let sight = HostsSnapshot { registry: &self.cell, silent: &self.silent, departed: &self.left };
+        let joined = self.promotions.get_or_create(service).survey_newcomers(now, &sight, &mut asks);
         self.tell_replacements(false, orders);
         self.ask_hosts(now, asks, orders);
         joined
@@ -153,11 +153,11 @@
         &mut self,
         now: Point,
         ticket: ProposalId,
-        answer: Answer,
+        answer: ProposalOutcome,
         orders: &mut Orders,
     ) -> bool {
         let Some(service) = self.decisions.proposed.remove(&ticket) else { return false };
-        if !matches!(answer, Answer::Committed(_)) {
+        if !matches!(answer, ProposalOutcome::Committed(_)) {
             log::warn!("promotion: {service}: No majority agreed in time.");
             self.replied(now, &service, Reply::Platform { status: 0 }, orders);
         }
--- a/crates/arrowyard-control/src/control/memory.rs
+++ b/crates/arrowyard-control/src/control/registry_snapshot.rs
@@ -8,31 +8,31 @@
 use prost::Message;
 
 use super::Control;
-use crate::Cell;
-use crate::record::{Kept, Memory, Record};
+use crate::HostRegistry;
+use crate::record::{Record, RecordKind, RegistrySnapshot};
 
 /// The hosts and the number of routers that the records of a disk tell of.
-pub fn restore(records: &[Vec<u8>], zone: &str) -> (Cell, u32) {
-    let (mut last, mut departed): (Memory, Vec<Host>) = Default::default();
-    let kept = records.iter().filter_map(|record| Record::decode(record.as_slice()).ok()?.kept);
+pub fn restore(records: &[Vec<u8>], zone: &str) -> (HostRegistry, u32) {
+    let (mut last, mut departed): (RegistrySnapshot, Vec<Host>) = Default::default();
+    let kept = records.iter().filter_map(|record| Record::decode(record.as_slice()).ok()?.kind);
     for kept in kept {
         match kept {
-            Kept::Memory(memory) => last = memory,
-            Kept::Whole(whole) => last = whole.memory.unwrap_or(last),
-            Kept::Departing(host) => departed.push(host),
+            RecordKind::Registry(memory) => last = memory,
+            RecordKind::Snapshot(whole) => last = whole.registry.unwrap_or(last),
+            RecordKind::Departing(host) => departed.push(host),
             _ => {}
         }
     }
-    let (mut cell, now) = (Cell::default(), Point::from_micros(0));
-    last.hosts.into_iter().for_each(|host| cell.remember(now, host, zone));
+    let (mut cell, now) = (HostRegistry::default(), Point::from_micros(0));
+    last.hosts.into_iter().for_each(|host| cell.restore_host(now, host, zone));
     // Records may be older or newer than the last memory: the cell takes the newer word of each host.
-    departed.into_iter().for_each(|host| _ = cell.told(now, host));
+    departed.into_iter().for_each(|host| _ = cell.merge_report(now, host));
     (cell, last.routers)
 }
 
 impl Control {
-    pub(super) fn memory(&self) -> Memory {
-        Memory { hosts: self.cell.all().cloned().collect(), routers: self.routers }
+    pub(super) fn memory(&self) -> RegistrySnapshot {
+        RegistrySnapshot { hosts: self.cell.hosts().cloned().collect(), routers: self.routers }
     }
 
     /// Keeps what changed since the last time. Nobody waits for it.
@@ -43,6 +43,6 @@
         }
         self.kept_digest = digest;
         let memory = self.memory();
-        self.with_ledger(now, orders, |ledger, out| ledger.keep(Kept::Memory(memory), out));
+        self.with_ledger(now, orders, |ledger, out| ledger.store_record(RecordKind::Registry(memory), out));
     }
 }
--- a/crates/arrowyard-control/src/control/relays.rs
+++ b/crates/arrowyard-control/src/control/relays.rs
@@ -13,7 +13,7 @@
 use arrowyard_types::{Point, Span};
 
 use super::Control;
-use crate::promotion::{Ask, Reply};
+use crate::promotion::{PromotionRequest, Reply};
 
 /// Routers have so long to bring an answer. It is shorter than the wait for the host's own, so that a host that is down
 /// is not waited for longer.
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 struct Relay {
     number: u64,
-    ask: Ask,
+    ask: PromotionRequest,
     service: String,
     /// Control machines of which no answer has come.
     outstanding: usize,
@@ -36,7 +36,7 @@
 
 /// What an answer leads to.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Relayed {
+pub enum RelayOutcome {
     /// Nothing yet.
     Waiting,
     /// The host answered a router.
@@ -65,14 +65,14 @@
         now: Point,
         asked_by: u32,
         service: &str,
-        ask: &Ask,
+        ask: &PromotionRequest,
         machines: usize,
     ) -> Option<RelayedQuestion> {
         let (host, request, term) = match ask {
-            Ask::Observe { host } => (host, HostRequest::Observe, 0),
-            Ask::Pause { host, term, .. } => (host, HostRequest::Pause, *term),
-            Ask::Continue { host } => (host, HostRequest::Continue, 0),
-            Ask::Promote { .. } => return None,
+            PromotionRequest::Observe { host } => (host, HostRequest::Observe, 0),
+            PromotionRequest::Pause { host, term, .. } => (host, HostRequest::Pause, *term),
+            PromotionRequest::Continue { host } => (host, HostRequest::Continue, 0),
+            PromotionRequest::Promote { .. } => return None,
         };
         self.last_number = self.last_number.wrapping_add(1);
         let relay = Relay {
@@ -89,7 +89,7 @@
     }
 
     /// Whether this question to the host is being relayed.
-    pub fn is_relaying(&self, host: &str, ask: &Ask) -> bool {
+    pub fn is_relaying(&self, host: &str, ask: &PromotionRequest) -> bool {
         self.by_host.get(host).is_some_and(|relay| relay.ask == *ask)
     }
 
@@ -104,36 +104,36 @@
     }
 
     /// An answer has come by way of a control machine.
-    pub fn answered(&mut self, answer: &RelayedAnswer) -> Relayed {
+    pub fn answered(&mut self, answer: &RelayedAnswer) -> RelayOutcome {
         let asked = self.by_host.iter_mut().find(|(_, relay)| relay.number == answer.number);
-        let Some((host, relay)) = asked else { return Relayed::Waiting };
+        let Some((host, relay)) = asked else { return RelayOutcome::Waiting };
         let host = host.clone();
         relay.outstanding = relay.outstanding.saturating_sub(1);
-        if let Some((row, to)) = answer.row.as_ref().zip(relay.ask.to()) {
+        if let Some((row, kind)) = answer.row.as_ref().zip(relay.ask.row_kind()) {
             let service = relay.service.clone();
             self.by_host.remove(&host);
-            return Relayed::Answered { service, reply: Reply::Row { host, to, row: observed(row) } };
+            return RelayOutcome::Answered { service, reply: Reply::Row { host, kind, row: observed(row) } };
         }
         if relay.outstanding > 0 {
-            return Relayed::Waiting;
+            return RelayOutcome::Waiting;
         }
         self.ended(&host)
     }
 
     /// Whoever has not answered by now does not.
-    pub fn expire(&mut self, now: Point) -> Vec<Relayed> {
+    pub fn expire(&mut self, now: Point) -> Vec<RelayOutcome> {
         let late = self.by_host.iter().filter(|(_, relay)| relay.until <= now);
         let late: Vec<String> = late.map(|(host, _)| host.clone()).collect();
         late.iter().map(|host| self.ended(host)).collect()
     }
 
     /// No router brought an answer. The host's own may still come, unless it has failed as well.
-    fn ended(&mut self, host: &str) -> Relayed {
+    fn ended(&mut self, host: &str) -> RelayOutcome {
         match self.by_host.remove(host) {
             Some(relay) if relay.direct_failed => {
-                Relayed::Unreachable { service: relay.service, host: host.to_string() }
+                RelayOutcome::Unreachable { service: relay.service, host: host.to_string() }
             }
-            _ => Relayed::Waiting,
+            _ => RelayOutcome::Waiting,
         }
     }
 
@@ -150,7 +150,7 @@
 impl Control {
     /// Relays a question to a host that has fallen silent. A primary is not asked so: while control does not reach it, it
     /// is replaced.
-    pub(super) fn relay(&mut self, now: Point, id: &str, ask: &Ask, orders: &mut Orders) {
+    pub(super) fn relay(&mut self, now: Point, id: &str, ask: &PromotionRequest, orders: &mut Orders) {
         let Some(host) = self.cell.get(id) else { return };
         let service = host.service.clone();
         let is_primary = self.cell.primary(&service).is_some_and(|primary| primary.id == id);
@@ -186,23 +186,23 @@
         self.conclude_relay(now, relayed, orders);
     }
 
-    /// Relayed questions that nobody has answered in time.
+    /// RelayOutcome questions that nobody has answered in time.
     pub(super) fn expire_relays(&mut self, now: Point, orders: &mut Orders) {
         for relayed in self.relays.expire(now) {
             self.conclude_relay(now, relayed, orders);
         }
     }
 
-    fn conclude_relay(&mut self, now: Point, relayed: Relayed, orders: &mut Orders) {
+    fn conclude_relay(&mut self, now: Point, relayed: RelayOutcome, orders: &mut Orders) {
         match relayed {
-            Relayed::Waiting => {}
-            Relayed::Answered { service, reply } => {
+            RelayOutcome::Waiting => {}
+            RelayOutcome::Answered { service, reply } => {
                 if let Reply::Row { host, .. } = &reply {
                     self.drop_link(host, orders);
                 }
                 self.replied(now, &service, reply, orders);
             }
-            Relayed::Unreachable { service, host } => {
+            RelayOutcome::Unreachable { service, host } => {
                 self.replied(now, &service, Reply::Silent { host }, orders);
             }
         }
--- a/crates/arrowyard-control/src/control/replacements.rs
+++ b/crates/arrowyard-control/src/control/replacements.rs
@@ -11,7 +11,7 @@
 use arrowyard_types::Point;
 
 use super::Control;
-use crate::applied::DUTY;
+use crate::applied_state::PROMOTION_DUTY;
 use crate::promotion::Reply;
 
 impl Control {
@@ -37,7 +37,7 @@
         if self.fence.is_some() {
             return self.replied(now, &yielded.service, Reply::Yielded, orders);
         }
-        let holder = self.ledger.applied().duties.get(DUTY).map(|duty| duty.holder);
+        let holder = self.ledger.applied().duties.get(PROMOTION_DUTY).map(|duty| duty.holder);
         if let Some(holder) = holder.filter(|holder| from_router && *holder != self.me) {
             self.say_to_peer(holder, &Word::Yielded(yielded), orders);
         }
--- a/crates/arrowyard-control/src/control/status.rs
+++ b/crates/arrowyard-control/src/control/status.rs
@@ -13,7 +13,7 @@
         let text = |text: &str| sonic_rs::to_string(text).unwrap_or_default();
         let ip = |ip: u32| text(&Ipv4Addr::from(ip).to_string());
         let list = |items: Vec<String>| format!("[{}]", items.join(","));
-        let hosts = self.cell.all().map(|host| {
+        let hosts = self.cell.hosts().map(|host| {
             format!(
                 "{{\"id\":{},\"service\":{},\"zone\":{},\"phase\":{},\"db-role\":{},\"silent\":{}}}",
                 text(&host.id),
@@ -57,7 +57,7 @@
             applied.configuration.revision,
             applied.slot,
             self.is_able_to_vote(now),
-            self.disk.is_well(now),
+            self.disk.is_healthy(now),
             list(self.ledger.voters().iter().map(|voter| ip(*voter)).collect()),
             list(self.live_peers(now).map(|(peer, _)| ip(*peer)).collect()),
             self.routers,
--- a/crates/arrowyard-control/src/control/suspicions.rs
+++ b/crates/arrowyard-control/src/control/suspicions.rs
@@ -8,8 +8,8 @@
 use arrowyard_types::{Point, Span};
 
 use super::Control;
-use crate::applied::DUTY;
-use crate::promotion::Sight;
+use crate::applied_state::PROMOTION_DUTY;
+use crate::promotion::HostsSnapshot;
 
 /// For so long a suspicion is kept for the next holder of the duty.
 const KEPT: Span = Span::from_millis(3000);
@@ -32,13 +32,18 @@
 
     fn check_primary(&mut self, now: Point, suspect: &Suspect, orders: &mut Orders) {
         let mut asks = Vec::new();
-        let sight = Sight { cell: &self.cell, silent: &self.silent, left: &self.left };
-        self.promotions.of(&suspect.service).suspect(now, &suspect.host, &sight, &mut asks);
+        let sight = HostsSnapshot { registry: &self.cell, silent: &self.silent, departed: &self.left };
+        self.promotions.get_or_create(&suspect.service).suspect_primary(
+            now,
+            &suspect.host,
+            &sight,
+            &mut asks,
+        );
         self.ask_hosts(now, asks, orders);
     }
 
     fn pass_suspicion(&mut self, suspect: &Suspect, orders: &mut Orders) {
-        let holder = self.ledger.applied().duties.get(DUTY).map(|duty| duty.holder);
+        let holder = self.ledger.applied().duties.get(PROMOTION_DUTY).map(|duty| duty.holder);
         if let Some(holder) = holder.filter(|holder| *holder != self.me) {
             let word = Word::Suspect(Suspect { by: self.me, ..suspect.clone() });
             self.say_to_peer(holder, &word, orders);
--- a/crates/arrowyard-control/src/control/seats.rs
+++ b/crates/arrowyard-control/src/control/voter_set.rs
@@ -5,7 +5,7 @@
 use arrowyard_types::{Point, Span};
 
 use super::{Control, TICK};
-use crate::seats::{Machine, can_hand_over, next, wanted};
+use crate::voter_set::{MachineStatus, has_substitute, next_voter_set, target_size};
 
 /// Between two changes.
 const PAUSE: Span = Span::from_millis(250);
@@ -13,30 +13,30 @@
 const FOUNDING: Span = Span::from_millis(4000);
 
 impl Control {
-    fn machines(&self, now: Point) -> Vec<Machine> {
+    fn machines(&self, now: Point) -> Vec<MachineStatus> {
         let region = |zone: &str| self.settings.zones.get(zone).cloned().unwrap_or_default();
         let zone = self.settings.zone.clone();
-        let me = Machine {
+        let me = MachineStatus {
             ip: self.me,
             region: region(&zone),
             zone,
-            heard: Ok(now - Point::from_micros(0)),
+            contact: Ok(now - Point::from_micros(0)),
             votes: self.is_able_to_vote(now),
-            unable: self.unable_since.map_or(Span::ZERO, |since| now - since),
-            disk_works: self.disk.is_well(now),
-            leaving: self.ending_since.is_some(),
+            unable_to_vote: self.unable_since.map_or(Span::ZERO, |since| now - since),
+            disk_works: self.disk.is_healthy(now),
+            stopping: self.ending_since.is_some(),
         };
         let others = self.peers.iter().map(|(ip, peer)| {
             let zone = self.view.zone(*ip).unwrap_or_default().to_string();
-            Machine {
+            MachineStatus {
                 ip: *ip,
                 region: region(&zone),
                 zone,
-                heard: peer.heard_for(now),
+                contact: peer.heard_for(now),
                 votes: peer.votes,
-                unable: peer.unable_for(now),
+                unable_to_vote: peer.unable_for(now),
                 disk_works: !peer.disk_fails,
-                leaving: peer.leaving,
+                stopping: peer.leaving,
             }
         });
         [me].into_iter().chain(others).collect()
@@ -45,7 +45,7 @@
     /// Whether this machine has a vote that another one can take over. Safety: it may be gone for good once it has ended, and
     /// the next loss may follow at once.
     pub(super) fn can_hand_over(&self, now: Point) -> bool {
-        can_hand_over(self.me, self.ledger.voters(), &self.machines(now), self.settings.tolerance)
+        has_substitute(self.me, self.ledger.voters(), &self.machines(now), self.settings.tolerance)
     }
 
     /// Whoever holds the duty sees to it that enough machines vote. A holder that is lost is replaced before it counts as
@@ -55,11 +55,13 @@
             return;
         }
         let before = self.ledger.voters().to_vec();
-        let Some(voters) = next(&before, &self.machines(now), self.settings.tolerance) else { return };
+        let Some(voters) = next_voter_set(&before, &self.machines(now), self.settings.tolerance) else {
+            return;
+        };
         self.seat_at = now + PAUSE;
         log::info!("seats: {} voters instead of {} are asked for.", voters.len(), before.len());
         let entry = Entry { matter: Some(Matter::Voters(Voters { voters, before })) };
-        self.with_ledger(now, orders, |ledger, out| ledger.enter(now, entry, now + TICK * 4.0, out));
+        self.with_ledger(now, orders, |ledger, out| ledger.propose_entry(now, entry, now + TICK * 4.0, out));
     }
 
     /// Whether this is a first start whose seats are not all filled. Danger: what fewer machines acknowledged is lost
@@ -74,6 +76,6 @@
                 || **voter == self.me && self.ledger.votes()
                 || self.peers.get(*voter).is_some_and(|peer| peer.votes)
         };
-        self.ledger.voters().iter().filter(votes).count() < wanted(self.settings.tolerance)
+        self.ledger.voters().iter().filter(votes).count() < target_size(self.settings.tolerance)
     }
 }
--- a/crates/arrowyard-control/src/duty.rs
+++ b/crates/arrowyard-control/src/duty.rs
@@ -4,7 +4,7 @@
 use arrowyard_types::{Point, Span};
 use fastrand::Rng;
 
-use crate::Applied;
+use crate::AppliedState;
 
 /// A holder that nobody heard of for so long has left its duty vacant. Safety: a holder that is cut off must have noticed
 /// by then and have laid the duty down. It does so after 1.75 s: by the others' silence (a peer is away after 1.5 s, and
@@ -16,7 +16,7 @@
 
 /// One duty that one control machine does for all. Whoever holds it, and with which fence, is an entry of the ledger.
 #[derive(Debug)]
-pub struct Duties {
+pub struct DutyElection {
     pub duty: &'static str,
     me: u32,
     life: u64,
@@ -27,25 +27,25 @@
     try_at: Option<Point>,
 }
 
-impl Duties {
+impl DutyElection {
     pub fn new(duty: &'static str, me: u32, life: u64, node: &str, now: Point) -> Self {
-        Duties { duty, me, life, node: node.to_string(), holder_at: now, fence: 0, try_at: None }
+        DutyElection { duty, me, life, node: node.to_string(), holder_at: now, fence: 0, try_at: None }
     }
 
     /// The fence under which this machine holds it.
-    pub fn held(&self, applied: &Applied) -> Option<u64> {
+    pub fn held_fence(&self, applied: &AppliedState) -> Option<u64> {
         let duty = applied.duties.get(self.duty)?;
         ((duty.holder, duty.life) == (self.me, self.life)).then_some(duty.fence)
     }
 
     /// Somebody else has heard of these machines since then. Safety: a way between two machines that is cut is no vacancy.
     /// `life` is what is known here of a machine's present life: a holder that has started again holds nothing any more.
-    pub fn heard_elsewhere(
+    pub fn record_indirect_contact(
         &mut self,
         since: Point,
         hears: &[u32],
         life: impl FnOnce(u32) -> Option<u64>,
-        applied: &Applied,
+        applied: &AppliedState,
     ) {
         if let Some(duty) = applied.duties.get(self.duty).filter(|duty| hears.contains(&duty.holder))
             && life(duty.holder).is_none_or(|life| life == duty.life)
@@ -55,19 +55,19 @@
     }
 
     /// A control machine was heard of, in this life.
-    pub fn heard(&mut self, now: Point, ip: u32, life: u64, applied: &Applied) {
+    pub fn record_contact(&mut self, now: Point, ip: u32, life: u64, applied: &AppliedState) {
         if applied.duties.get(self.duty).is_some_and(|duty| (duty.holder, duty.life) == (ip, life)) {
             self.holder_at = now;
         }
     }
 
     /// What is to be entered now, if the duty is vacant and it is this machine's turn to ask.
-    pub fn turn(&mut self, now: Point, applied: &Applied, rng: &mut Rng) -> Option<Entry> {
-        let fence = applied.fence(self.duty);
+    pub fn poll_candidacy(&mut self, now: Point, applied: &AppliedState, rng: &mut Rng) -> Option<Entry> {
+        let fence = applied.duty_fence(self.duty);
         if fence != self.fence {
             (self.fence, self.holder_at, self.try_at) = (fence, now, None);
         }
-        if self.held(applied).is_some() {
+        if self.held_fence(applied).is_some() {
             self.holder_at = now;
         }
         let vacant = fence == 0 || now - self.holder_at >= VACANT;
--- a/crates/arrowyard-control/src/cell.rs
+++ b/crates/arrowyard-control/src/host_registry.rs
@@ -12,8 +12,8 @@
 
 /// The hosts that control knows of; the cell of a zone hears its hosts' calls, the others hear of them from it.
 #[derive(Debug, Default)]
-pub struct Cell {
-    hosts: BTreeMap<String, Kept>,
+pub struct HostRegistry {
+    hosts: BTreeMap<String, HostEntry>,
     /// Danger: services in their thousands that each look through all hosts. So each knows its own.
     by_service: BTreeMap<String, BTreeSet<String>>,
     digest: u64,
@@ -30,7 +30,7 @@
 }
 
 #[derive(Debug)]
-struct Kept {
+struct HostEntry {
     host: Host,
     changed_at: Point,
     /// When it last called here itself.
@@ -52,9 +52,9 @@
     Host { call_seq: 0, ..one.clone() } == Host { call_seq: 0, ..other.clone() }
 }
 
-impl Cell {
+impl HostRegistry {
     /// A host called here. Whether something changed that others must hear of.
-    pub fn called(&mut self, now: Point, host: Host) -> bool {
+    pub fn record_heartbeat(&mut self, now: Point, host: Host) -> bool {
         let anew = self.hosts.get(&host.id).is_some_and(|kept| {
             let silence = match kept.host.phase() {
                 Phase::Gone => return false,
@@ -72,13 +72,13 @@
     }
 
     /// A host as it was known before this start. Those of the own zone are to call here soon, or are missed.
-    pub fn remember(&mut self, now: Point, host: Host, zone: &str) {
+    pub fn restore_host(&mut self, now: Point, host: Host, zone: &str) {
         let called_at = (host.zone == zone && host.phase() != Phase::Gone).then_some(now);
-        self.put(Kept { host, changed_at: now, called_at });
+        self.put(HostEntry { host, changed_at: now, called_at });
     }
 
     /// Every change of what is known of a host: the list of its service and the sum go with it.
-    fn put(&mut self, kept: Kept) {
+    fn put(&mut self, kept: HostEntry) {
         self.digest = self.digest.wrapping_add(part(&kept.host));
         let (id, service) = (kept.host.id.clone(), kept.host.service.clone());
         if let Some(old) = self.hosts.insert(id.clone(), kept) {
@@ -99,19 +99,19 @@
         }
     }
 
-    fn of(&self, service: &str) -> impl Iterator<Item = &Kept> {
+    fn of(&self, service: &str) -> impl Iterator<Item = &HostEntry> {
         self.by_service.get(service).into_iter().flatten().filter_map(|id| self.hosts.get(id))
     }
 
     /// A host calls another control machine now.
-    pub fn moved(&mut self, id: &str) {
+    pub fn clear_heartbeat(&mut self, id: &str) {
         if let Some(kept) = self.hosts.get_mut(id) {
             kept.called_at = None;
         }
     }
 
     /// Somebody else's word of a host. Whether it was news.
-    pub fn told(&mut self, now: Point, host: Host) -> bool {
+    pub fn merge_report(&mut self, now: Point, host: Host) -> bool {
         self.take(now, host, false)
     }
 
@@ -120,7 +120,7 @@
     fn take(&mut self, now: Point, host: Host, anew: bool) -> bool {
         match self.hosts.get(&host.id) {
             None => {
-                self.put(Kept { host, changed_at: now, called_at: None });
+                self.put(HostEntry { host, changed_at: now, called_at: None });
                 true
             }
             Some(kept) => {
@@ -135,7 +135,7 @@
                 let changed = !same(&kept.host, &host);
                 let (changed_at, called_at) = (if changed { now } else { kept.changed_at }, kept.called_at);
                 if changed {
-                    self.put(Kept { host, changed_at, called_at });
+                    self.put(HostEntry { host, changed_at, called_at });
                 } else if let Some(kept) = self.hosts.get_mut(&host.id) {
                     kept.host.call_seq = host.call_seq;
                 }
@@ -145,8 +145,8 @@
     }
 
     /// Forgets hosts that are gone for long.
-    pub fn sweep(&mut self, now: Point) {
-        let old = |kept: &&Kept| kept.host.phase() == Phase::Gone && now - kept.changed_at >= REMEMBERED;
+    pub fn remove_expired(&mut self, now: Point) {
+        let old = |kept: &&HostEntry| kept.host.phase() == Phase::Gone && now - kept.changed_at >= REMEMBERED;
         let gone: Vec<Host> = self.hosts.values().filter(old).map(|kept| kept.host.clone()).collect();
         for host in gone {
             self.hosts.remove(&host.id);
@@ -160,11 +160,11 @@
     }
 
     /// When a host last called here itself.
-    pub fn called_at(&self, id: &str) -> Option<Point> {
+    pub fn last_heartbeat_at(&self, id: &str) -> Option<Point> {
         self.hosts.get(id).and_then(|kept| kept.called_at)
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &Host> {
+    pub fn hosts(&self) -> impl Iterator<Item = &Host> {
         self.hosts.values().map(|kept| &kept.host)
     }
 
@@ -175,7 +175,8 @@
 
     /// Who is primary of a service: of several that say so, the one that began to say so last.
     pub fn primary(&self, service: &str) -> Option<&Host> {
-        let leads = |kept: &&Kept| kept.host.phase() != Phase::Gone && kept.host.role() == DbRole::Primary;
+        let leads =
+            |kept: &&HostEntry| kept.host.phase() != Phase::Gone && kept.host.role() == DbRole::Primary;
         self.of(service).filter(leads).max_by_key(|kept| kept.changed_at).map(|kept| &kept.host)
     }
 
--- a/crates/arrowyard-control/src/lib.rs
+++ b/crates/arrowyard-control/src/lib.rs
@@ -1,21 +1,23 @@
 //! The control plane: which hosts and routers there are, what the configuration is, who holds a duty. All of it
 //! decides without I/O; `arrowyard-runtime` carries out what it orders.
 
-mod applied;
-mod cell;
+mod applied_state;
 mod control;
 mod duty;
-mod ledger;
+mod host_registry;
+mod peer_view;
 mod promotion;
 mod record;
-pub mod seats;
-mod view;
+mod replicated_log;
+pub mod voter_set;
 
-pub use applied::{Applied, Digest, REMEMBERED, Standing, digest};
-pub use cell::Cell;
-pub use control::{Control, DOORS, Departures, DiskWatch, Relayed, Relays};
-pub use duty::Duties;
-pub use ledger::{Answer, Ledger, Output, ProposalId};
-pub use promotion::{Ask, Promotion, Promotions, Reply, Sight, Stage, To, is_repeated};
-pub use record::{Kept, Memory, Record};
-pub use view::View;
+pub use applied_state::{AppliedState, ChangeDigest, ChangeStatus, MAX_REMEMBERED_CHANGES, change_digest};
+pub use control::{Control, Departures, DiskHealth, LISTENERS, RelayOutcome, Relays};
+pub use duty::DutyElection;
+pub use host_registry::HostRegistry;
+pub use peer_view::PeerView;
+pub use promotion::{
+    HostsSnapshot, Promotion, PromotionRequest, Promotions, Reply, RowKind, Stage, is_redundant,
+};
+pub use record::{Record, RecordKind, RegistrySnapshot};
+pub use replicated_log::{Output, ProposalId, ProposalOutcome, ReplicatedLog};
--- a/crates/arrowyard-control/src/view.rs
+++ b/crates/arrowyard-control/src/peer_view.rs
@@ -6,7 +6,7 @@
 /// Control machines that one process knows of: a part of them, exchanged between neighbours (Voulgaris, Gavidia and van
 /// Steen, "CYCLON"). A machine that is gone ages in every view and falls out.
 #[derive(Clone, Debug, Default)]
-pub struct View {
+pub struct PeerView {
     known: BTreeMap<u32, Known>,
 }
 
@@ -15,15 +15,15 @@
 const TOLD: usize = 8;
 const OLD: u32 = 60;
 
-impl View {
+impl PeerView {
     /// It was heard of itself just now.
-    pub fn heard(&mut self, ip: u32, zone: &str) {
+    pub fn record_contact(&mut self, ip: u32, zone: &str) {
         self.known.insert(ip, Known { ip, zone: zone.to_string(), age: 0 });
         self.bound();
     }
 
     /// A machine that it was told of in the settings, not known to be up. Its zone is not told.
-    pub fn seed(&mut self, ip: u32) {
+    pub fn add_seed(&mut self, ip: u32) {
         self.known.entry(ip).or_insert(Known { ip, zone: String::new(), age: OLD / 2 });
         self.bound();
     }
@@ -40,7 +40,7 @@
     }
 
     /// A round has passed.
-    pub fn age(&mut self) {
+    pub fn increment_ages(&mut self) {
         self.known.values_mut().for_each(|known| known.age += 1);
         self.known.retain(|_, known| known.age < OLD);
     }
@@ -53,14 +53,14 @@
     }
 
     /// Some of it, for a neighbour.
-    pub fn part(&self, rng: &mut Rng) -> Vec<Known> {
+    pub fn sample(&self, rng: &mut Rng) -> Vec<Known> {
         let mut all: Vec<Known> = self.known.values().cloned().collect();
         rng.shuffle(&mut all);
         all.truncate(TOLD);
         all
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &Known> {
+    pub fn machines(&self) -> impl Iterator<Item = &Known> {
         self.known.values()
     }
 
--- a/crates/arrowyard-control/src/promotion/leader.rs
+++ b/crates/arrowyard-control/src/promotion/leader_watch.rs
@@ -4,7 +4,7 @@
 use arrowyard_messages::Phase;
 use arrowyard_types::{Point, Span};
 
-use crate::Cell;
+use crate::HostRegistry;
 
 /// A service of which no host has said for so long that it leads gets a primary. Hosts call every 1.2 s, and those of a
 /// start in any order.
@@ -24,7 +24,7 @@
 
 impl LeaderWatch {
     /// Takes in what hosts say by now.
-    pub fn update(&mut self, now: Point, service: &str, cell: &Cell) {
+    pub fn update(&mut self, now: Point, service: &str, cell: &HostRegistry) {
         let primary = cell.primary(service);
         if primary.is_some() || cell.members(service).next().is_none() {
             self.last = primary.map(|host| host.id.clone()).or(self.last.take());
@@ -41,7 +41,7 @@
 
     /// Whether the service needs a primary: one that was told to yield did so, and whoever was to replace it was lost with
     /// the owner of the duty.
-    pub fn is_leaderless(&self, now: Point, cell: &Cell) -> bool {
+    pub fn is_leaderless(&self, now: Point, cell: &HostRegistry) -> bool {
         let last = self.last.as_ref().and_then(|id| cell.get(id));
         let is_deposed = last.is_some_and(|host| host.phase() != Phase::Gone);
         let wait = if is_deposed { DEPOSED } else { LEADERLESS };
--- a/crates/arrowyard-control/src/promotion/request.rs
+++ b/crates/arrowyard-control/src/promotion/request.rs
@@ -4,15 +4,15 @@
 
 /// What is asked of hosts and of the platform.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Ask {
+pub enum PromotionRequest {
     Observe {
         host: String,
     },
-    /// The turn tells the answer from the one to an earlier question of this kind.
+    /// The attempt tells the answer from the one to an earlier question of this kind.
     Pause {
         host: String,
         term: u64,
-        turn: u64,
+        attempt: u64,
     },
     Continue {
         host: String,
@@ -26,30 +26,33 @@
 
 /// What a row answers. Danger: a late answer to a question of before is no word that a host has stopped receiving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum To {
+pub enum RowKind {
     Observe,
     Pause(u64),
     Continue,
 }
 
-impl Ask {
+impl PromotionRequest {
     /// Which of a host's rows answers it; none if it is asked of the platform.
-    pub fn to(&self) -> Option<To> {
+    pub fn row_kind(&self) -> Option<RowKind> {
         match self {
-            Ask::Observe { .. } => Some(To::Observe),
-            Ask::Pause { turn, .. } => Some(To::Pause(*turn)),
-            Ask::Continue { .. } => Some(To::Continue),
-            Ask::Promote { .. } => None,
+            PromotionRequest::Observe { .. } => Some(RowKind::Observe),
+            PromotionRequest::Pause { attempt, .. } => Some(RowKind::Pause(*attempt)),
+            PromotionRequest::Continue { .. } => Some(RowKind::Continue),
+            PromotionRequest::Promote { .. } => None,
         }
     }
 }
 
 /// Whether a question needs no answer of its own, after those that wait at the same host. Danger: a host that is to go on
 /// receiving and then to stop must be told again to go on; of these two only the last one counts.
-pub fn is_repeated<'a>(waiting: impl Iterator<Item = &'a Ask> + Clone, ask: &Ask) -> bool {
+pub fn is_redundant<'a>(
+    waiting: impl Iterator<Item = &'a PromotionRequest> + Clone,
+    ask: &PromotionRequest,
+) -> bool {
     match ask {
-        Ask::Observe { .. } => waiting.clone().any(|other| other == ask),
-        _ => waiting.filter(|other| !matches!(other, Ask::Observe { .. })).last() == Some(ask),
+        PromotionRequest::Observe { .. } => waiting.clone().any(|other| other == ask),
+        _ => waiting.filter(|other| !matches!(other, PromotionRequest::Observe { .. })).last() == Some(ask),
     }
 }
 
@@ -58,7 +61,7 @@
 pub enum Reply {
     Row {
         host: String,
-        to: To,
+        kind: RowKind,
         row: Observed,
     },
     /// No answer, or none that helps.
--- a/crates/arrowyard-control/src/promotion/stage.rs
+++ b/crates/arrowyard-control/src/promotion/stage.rs
@@ -8,7 +8,7 @@
 
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub enum Stage {
-    Steady,
+    Idle,
     /// Somebody said that the primary does not answer.
     Checking {
         host: String,
@@ -20,7 +20,7 @@
         planned: bool,
         rows: BTreeMap<String, Observed>,
         /// Hosts that did not answer.
-        mute: BTreeSet<String>,
+        unanswered: BTreeSet<String>,
     },
     /// The others receive no more.
     Fencing {
@@ -35,9 +35,9 @@
     CatchingUp {
         old: Option<String>,
         candidate: String,
-        least: Position,
-        /// Whether what the old primary has is known, and `least` covers it.
-        covers_old: bool,
+        required: Position,
+        /// Whether what the old primary has is known, and `required` covers it.
+        includes_old: bool,
         until: Point,
     },
     /// Routers make a primary that control cannot ask yield, and hosts that joined it lately are waited for.
@@ -50,10 +50,10 @@
         candidate: String,
         /// Whether the primary serves until the change.
         planned: bool,
-        tries: u32,
+        retries: u32,
     },
     /// The platform took it; the candidate has not said yet that it leads.
-    Settling {
+    Confirming {
         candidate: String,
         planned: bool,
         until: Point,
@@ -77,7 +77,7 @@
 impl fmt::Display for Stage {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Stage::Steady => write!(f, "it is steady"),
+            Stage::Idle => write!(f, "it is steady"),
             Stage::Checking { host, .. } => write!(f, "{host} is said not to answer"),
             Stage::Surveying { planned: true, .. } => write!(f, "its primary leaves, candidates are asked"),
             Stage::Surveying { .. } => write!(f, "it has no primary, candidates are asked"),
@@ -85,7 +85,7 @@
             Stage::CatchingUp { candidate, .. } => write!(f, "{candidate} receives the rest"),
             Stage::Yielding { .. } => write!(f, "its old primary is to yield"),
             Stage::Promoting { candidate, .. } => write!(f, "{candidate} is to lead"),
-            Stage::Settling { candidate, .. } => write!(f, "the platform makes {candidate} lead"),
+            Stage::Confirming { candidate, .. } => write!(f, "the platform makes {candidate} lead"),
         }
     }
 }
--- a/crates/arrowyard-control/src/promotion/survey.rs
+++ b/crates/arrowyard-control/src/promotion/survey.rs
@@ -6,7 +6,7 @@
 use arrowyard_protocol::Observed;
 use arrowyard_types::{Point, Span};
 
-use super::{Ask, Promotion, RETRY, Sight, Stage};
+use super::{HostsSnapshot, Promotion, PromotionRequest, RETRY, Stage};
 
 /// A host that left may hold what nobody else has until another one has its log.
 const HANDED_ON: Span = Span::from_millis(8000);
@@ -17,8 +17,8 @@
         now: Point,
         old: Option<String>,
         planned: bool,
-        sight: &Sight<'_>,
-        asks: &mut Vec<Ask>,
+        sight: &HostsSnapshot<'_>,
+        asks: &mut Vec<PromotionRequest>,
     ) {
         self.ask_again(now, old, planned, Default::default(), sight, asks);
     }
@@ -28,43 +28,54 @@
         now: Point,
         old: Option<String>,
         planned: bool,
-        (rows, mute): (BTreeMap<String, Observed>, BTreeSet<String>),
-        sight: &Sight<'_>,
-        asks: &mut Vec<Ask>,
+        (rows, unanswered): (BTreeMap<String, Observed>, BTreeSet<String>),
+        sight: &HostsSnapshot<'_>,
+        asks: &mut Vec<PromotionRequest>,
     ) {
         // A primary that is to be replaced in order is asked later, while the candidate catches up.
         let skip = |host: &Host| planned && old.as_ref() == Some(&host.id) || rows.contains_key(&host.id);
         let open = self.members(sight).into_iter().filter(|host| !skip(host));
-        asks.extend(open.map(|host| Ask::Observe { host: host.id.clone() }));
-        self.go(Stage::Surveying { old, planned, rows, mute }, Some(now + RETRY));
+        asks.extend(open.map(|host| PromotionRequest::Observe { host: host.id.clone() }));
+        self.go(Stage::Surveying { old, planned, rows, unanswered }, Some(now + RETRY));
         self.surveyed(now, sight, asks);
     }
 
     /// Whether a host's answer is not waited for: it is silent, and another host has all that the primary had since then.
     /// Safety: how long it has been silent proves nothing. A host that receives nothing for long answers as well, and
     /// lacks what only the silent one acknowledged.
-    fn is_no_witness(&self, host: &str, rows: &BTreeMap<String, Observed>, sight: &Sight<'_>) -> bool {
+    fn is_no_witness(
+        &self,
+        host: &str,
+        rows: &BTreeMap<String, Observed>,
+        sight: &HostsSnapshot<'_>,
+    ) -> bool {
         let floor = self.floors.get(host).filter(|_| sight.silent.contains_key(host));
         floor.is_some_and(|floor| rows.values().any(|row| row.received >= *floor))
     }
 
     /// Hosts that left a while ago and whose log nobody took over yet.
-    fn is_handed_on(&self, now: Point, sight: &Sight<'_>) -> bool {
+    fn is_handed_on(&self, now: Point, sight: &HostsSnapshot<'_>) -> bool {
         let open = |(at, host): &&(Point, Host)| {
             host.service == self.service && host.role() == DbRole::Replica && now - *at < HANDED_ON
         };
-        sight.left.iter().filter(open).all(|(_, gone)| {
+        sight.departed.iter().filter(open).all(|(_, gone)| {
             self.members(sight).iter().any(|host| (host.ip, host.port) == (gone.ip, gone.port))
         })
     }
 
     /// Once all witnesses have answered: who is to lead, and who is to receive no more.
-    pub(super) fn surveyed(&mut self, now: Point, sight: &Sight<'_>, asks: &mut Vec<Ask>) {
-        let Stage::Surveying { old, planned, rows, mute } = self.stage.clone() else { return };
+    pub(super) fn surveyed(
+        &mut self,
+        now: Point,
+        sight: &HostsSnapshot<'_>,
+        asks: &mut Vec<PromotionRequest>,
+    ) {
+        let Stage::Surveying { old, planned, rows, unanswered } = self.stage.clone() else { return };
         let replicas: Vec<&Host> =
             self.members(sight).into_iter().filter(|host| Some(&host.id) != old.as_ref()).collect();
         // Danger: one that was silent may be back, and not have called yet; so it was asked, and did not answer.
-        let needed = |host: &&&Host| !(mute.contains(&host.id) && self.is_no_witness(&host.id, &rows, sight));
+        let needed =
+            |host: &&&Host| !(unanswered.contains(&host.id) && self.is_no_witness(&host.id, &rows, sight));
         let all = replicas.iter().filter(needed).all(|host| rows.contains_key(&host.id));
         if rows.is_empty() || !all || !self.is_handed_on(now, sight) {
             return;
@@ -73,7 +84,8 @@
         let term = next_term(rows.values());
         self.next_term = term;
         // In order, the candidate is one that stays: what it lacks it receives before it leads.
-        let stays = |host: &str| sight.cell.get(host).is_some_and(|host| host.phase() == Phase::InService);
+        let stays =
+            |host: &str| sight.registry.get(host).is_some_and(|host| host.phase() == Phase::InService);
         let staying = rows.iter().filter(|(host, _)| planned && stays(host));
         let candidate = staying.max_by_key(|(_, row)| row.received).map(|(host, _)| host.clone());
         if planned && candidate.is_none() {
@@ -81,7 +93,7 @@
         }
         let asked: BTreeSet<String> =
             rows.keys().filter(|host| Some(*host) != candidate.as_ref()).cloned().collect();
-        self.turn += 1;
+        self.attempt += 1;
         self.pause(now, asked.iter(), term, asks);
         let rows = rows.into_iter().filter(|(host, _)| Some(host) == candidate.as_ref()).collect();
         self.go(Stage::Fencing { old, candidate, asked, term, rows }, Some(now + RETRY));
--- a/crates/arrowyard-control/src/record.rs
+++ b/crates/arrowyard-control/src/record.rs
@@ -4,15 +4,15 @@
 /// What the ledger keeps on disk, in the order in which it was decided. Reading it twice changes nothing.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Record {
-    #[prost(oneof = "Kept", tags = "1, 2, 3, 4, 5, 6, 7")]
-    pub kept: Option<Kept>,
+    #[prost(oneof = "RecordKind", tags = "1, 2, 3, 4, 5, 6, 7")]
+    pub kind: Option<RecordKind>,
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Oneof)]
-pub enum Kept {
+pub enum RecordKind {
     /// Who votes, as the first start was told.
     #[prost(message, tag = "1")]
-    Founded(Voters),
+    InitialVoters(Voters),
     #[prost(message, tag = "2")]
     Promised(Promised),
     #[prost(message, tag = "3")]
@@ -20,17 +20,17 @@
     #[prost(message, tag = "4")]
     Chosen(Chosen),
     #[prost(message, tag = "5")]
-    Whole(Whole),
+    Snapshot(LogSnapshot),
     /// What it knew besides, so that a start from nothing is a quick one. Of this only departures were acknowledged.
     #[prost(message, tag = "6")]
-    Memory(Memory),
+    Registry(RegistrySnapshot),
     /// A host that leaves or has left, as it was acknowledged.
     #[prost(message, tag = "7")]
     Departing(Host),
 }
 
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Memory {
+pub struct RegistrySnapshot {
     #[prost(message, repeated, tag = "1")]
     pub hosts: Vec<Host>,
     #[prost(uint32, tag = "2")]
@@ -47,7 +47,7 @@
 
 /// Everything, in place of all records before it.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
-pub struct Whole {
+pub struct LogSnapshot {
     #[prost(message, required, tag = "1")]
     pub snapshot: Snapshot,
     #[prost(message, required, tag = "2")]
@@ -57,11 +57,11 @@
     #[prost(bool, tag = "4")]
     pub votes: bool,
     #[prost(message, optional, tag = "5")]
-    pub memory: Option<Memory>,
+    pub registry: Option<RegistrySnapshot>,
 }
 
 impl Record {
-    pub fn bytes(kept: Kept) -> Vec<u8> {
-        Record { kept: Some(kept) }.encode_to_vec()
+    pub fn encode_kind(kind: RecordKind) -> Vec<u8> {
+        Record { kind: Some(kind) }.encode_to_vec()
     }
 }
--- a/crates/arrowyard-control/src/ledger.rs
+++ b/crates/arrowyard-control/src/replicated_log.rs
@@ -19,8 +19,8 @@
 use fastrand::Rng;
 use prost::Message;
 
-use crate::applied::Applied;
-use crate::record::{Kept, Memory, Promised, Record, Whole};
+use crate::applied_state::AppliedState;
+use crate::record::{LogSnapshot, Promised, Record, RecordKind, RegistrySnapshot};
 
 /// A round without a majority is given up after so long, and begun again.
 const ROUND: Span = Span::from_millis(400);
@@ -39,7 +39,7 @@
 
 /// What came of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum ProposalOutcome {
     /// Entered, in this slot.
     Committed(u64),
     /// For a read: everything that was acknowledged before it was asked is known here.
@@ -47,9 +47,9 @@
     /// It had not been entered by its time. It may still be.
     Unknown,
     /// It was not entered and never will be.
-    Full,
+    QueueFull,
     /// It does not hold any more at the slot in which it would be entered. Danger: this machine may have learned the
-    /// slots before by a snapshot, and it may be in one of them: see [`Applied::taken`] before anybody is told so.
+    /// slots before by a snapshot, and it may be in one of them: see [`AppliedState::taken`] before anybody is told so.
     Superseded,
 }
 
@@ -58,7 +58,7 @@
 pub enum Output {
     Send {
         to: u32,
-        word: Word,
+        payload: Word,
     },
     /// To be on disk before anything that stands behind it for this ticket goes out.
     Store {
@@ -69,9 +69,9 @@
     Chosen {
         slot: u64,
     },
-    Answered {
+    Resolved {
         proposal: ProposalId,
-        answer: Answer,
+        outcome: ProposalOutcome,
     },
 }
 
@@ -105,11 +105,11 @@
 
 /// One machine's part in the ledger: voter, if it is one; learner; and whoever enters something.
 #[derive(Clone, Debug)]
-pub struct Ledger {
+pub struct ReplicatedLog {
     me: u32,
     life: u64,
     rng: Rng,
-    applied: Applied,
+    applied: AppliedState,
     kept: VecDeque<Chosen>,
     kept_bytes: usize,
     /// Whether its word counts: a voter that lost its disk does not know what it promised.
@@ -133,7 +133,7 @@
 
 /// What is agreed on does not hang on times and chance, so they are left out: a model checker takes two ledgers for the
 /// same that differ in nothing else.
-impl Hash for Ledger {
+impl Hash for ReplicatedLog {
     fn hash<H: Hasher>(&self, state: &mut H) {
         (self.me, self.life, self.votes, self.vote_record, self.seen, self.last, self.last_record)
             .hash(state);
@@ -143,8 +143,8 @@
     }
 }
 
-impl Ledger {
-    pub fn applied(&self) -> &Applied {
+impl ReplicatedLog {
+    pub fn applied(&self) -> &AppliedState {
         &self.applied
     }
 
@@ -176,21 +176,21 @@
         self.applied.voters.iter().filter(|voter| heard.contains(voter)).count() >= self.majority()
     }
 
-    fn store(&mut self, kept: Kept, then: Option<(u32, Word)>, out: &mut Vec<Output>) -> u64 {
+    fn store(&mut self, kept: RecordKind, then: Option<(u32, Word)>, out: &mut Vec<Output>) -> u64 {
         self.last_record += 1;
         let ticket = self.last_record;
         then.map(|then| self.after.insert(ticket, then));
-        out.push(Output::Store { ticket, record: Record::bytes(kept) });
+        out.push(Output::Store { ticket, record: Record::encode_kind(kept) });
         ticket
     }
 
     /// Keeps something that is not the ledger's; the number of its record.
-    pub fn keep(&mut self, kept: Kept, out: &mut Vec<Output>) -> u64 {
+    pub fn store_record(&mut self, kept: RecordKind, out: &mut Vec<Output>) -> u64 {
         self.store(kept, None, out)
     }
 
     /// A record is on disk, or could not be put there; then nothing is answered for it.
-    pub fn stored(&mut self, now: Point, ticket: u64, kept: bool, out: &mut Vec<Output>) {
+    pub fn record_stored(&mut self, now: Point, ticket: u64, kept: bool, out: &mut Vec<Output>) {
         if kept && self.vote_record == Some(ticket) {
             self.vote_record = None;
         }
@@ -200,12 +200,16 @@
     }
 
     /// A snapshot of all that this machine knows is on disk, after records were refused.
-    pub fn recovered(&mut self) {
+    pub fn disk_recovered(&mut self) {
         self.vote_record = None;
     }
 
     fn send(&mut self, now: Point, to: u32, word: Word, out: &mut Vec<Output>) {
-        if to == self.me { self.on_message(now, to, &word, out) } else { out.push(Output::Send { to, word }) }
+        if to == self.me {
+            self.on_message(now, to, &word, out)
+        } else {
+            out.push(Output::Send { to, payload: word })
+        }
     }
 
     fn broadcast(&mut self, now: Point, word: &Word, out: &mut Vec<Output>) {
@@ -230,7 +234,7 @@
         self.waiting.retain(|waiting| {
             let late = waiting.until <= now;
             if late {
-                out.push(Output::Answered { proposal: waiting.ticket, answer: Answer::Unknown });
+                out.push(Output::Resolved { proposal: waiting.ticket, outcome: ProposalOutcome::Unknown });
             }
             !late
         });
--- a/crates/arrowyard-control/src/ledger/acceptor.rs
+++ b/crates/arrowyard-control/src/replicated_log/acceptor.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Ledger {
+impl ReplicatedLog {
     /// Whether a voter answers for this slot; if not, it tells what it knows, or asks for what it lacks.
     pub(super) fn is_open(&mut self, now: Point, from: u32, slot: u64, out: &mut Vec<Output>) -> bool {
         let next = self.applied.slot + 1;
@@ -24,7 +24,7 @@
             self.promised = ballot;
             let accepted = self.accepted.clone();
             let word = Word::Promise(Promise { slot, ballot, promised: ballot, accepted });
-            self.store(Kept::Promised(Promised { slot, ballot }), Some((from, word)), out);
+            self.store(RecordKind::Promised(Promised { slot, ballot }), Some((from, word)), out);
         } else if ballot < self.promised {
             let word = Word::Promise(Promise { slot, ballot, promised: self.promised, accepted: None });
             self.send(now, from, word, out);
@@ -50,6 +50,6 @@
         self.promised = accept.ballot;
         self.accepted = Some(accept.clone());
         let word = Accepted { slot: accept.slot, ballot: accept.ballot, promised: accept.ballot };
-        self.store(Kept::Accepted(accept.clone()), Some((from, Word::Accepted(word))), out);
+        self.store(RecordKind::Accepted(accept.clone()), Some((from, Word::Accepted(word))), out);
     }
 }
--- a/crates/arrowyard-control/src/ledger/learner.rs
+++ b/crates/arrowyard-control/src/replicated_log/learner.rs
@@ -2,17 +2,17 @@
 
 use super::*;
 
-impl Ledger {
+impl ReplicatedLog {
     pub(super) fn ask_for_more(&mut self, now: Point, from: u32, out: &mut Vec<Output>) {
         if from != self.me && now - self.fetched_at >= PAUSE {
             self.fetched_at = now;
             let from_slot = if self.applied.voters.is_empty() { 1 } else { self.applied.slot + 1 };
-            out.push(Output::Send { to: from, word: Word::Fetch(Fetch { from: from_slot }) });
+            out.push(Output::Send { to: from, payload: Word::Fetch(Fetch { from: from_slot }) });
         }
     }
 
     /// Somebody is known to have more entries.
-    pub fn is_ahead(&mut self, now: Point, other: u32, chosen: u64, out: &mut Vec<Output>) {
+    pub fn observe_peer_progress(&mut self, now: Point, other: u32, chosen: u64, out: &mut Vec<Output>) {
         if chosen > self.applied.slot || self.applied.voters.is_empty() {
             self.ask_for_more(now, other, out);
         }
@@ -34,10 +34,10 @@
             return;
         }
         let mine = from == self.me;
-        self.store(Kept::Chosen(chosen.clone()), None, out);
+        self.store(RecordKind::Chosen(chosen.clone()), None, out);
         if mine {
             // Whoever voted, and the others through them.
-            out.push(Output::Send { to: 0, word: Word::Chosen(chosen.clone()) });
+            out.push(Output::Send { to: 0, payload: Word::Chosen(chosen.clone()) });
         }
         let (slot, entry) = (chosen.slot, chosen.entry.clone());
         self.take_entry(chosen);
@@ -61,7 +61,10 @@
             |waiting: &Waiting| matches!(&waiting.proposal, Proposal::Enter(proposed) if *proposed == entry);
         if let Some(place) = self.waiting.iter().position(entered) {
             let waiting = self.waiting.remove(place).expect("its place was just found");
-            out.push(Output::Answered { proposal: waiting.ticket, answer: Answer::Committed(slot) });
+            out.push(Output::Resolved {
+                proposal: waiting.ticket,
+                outcome: ProposalOutcome::Committed(slot),
+            });
         }
         if self.round.as_ref().is_some_and(|round| round.slot <= slot) {
             self.round = None;
@@ -104,7 +107,7 @@
             if self.applied.is_foreign(snapshot) {
                 log::error!("ledger: A snapshot is of another deployment; look at the settings' seeds.");
             } else if newer || first {
-                match Applied::restore(snapshot) {
+                match AppliedState::restore(snapshot) {
                     Ok(applied) => {
                         self.applied = applied;
                         (self.promised, self.accepted) = (Ballot::default(), None);
--- a/crates/arrowyard-control/src/ledger/proposer.rs
+++ b/crates/arrowyard-control/src/replicated_log/proposer.rs
@@ -2,19 +2,25 @@
 
 use super::*;
 
-impl Ledger {
+impl ReplicatedLog {
     /// The number that the next proposal will have. Its answer may come before the call that makes it is over.
     pub fn next_proposal(&self) -> ProposalId {
         ProposalId(self.last + 1)
     }
 
     /// Proposes an entry; what came of it is told by `until`.
-    pub fn enter(&mut self, now: Point, entry: Entry, until: Point, out: &mut Vec<Output>) -> ProposalId {
+    pub fn propose_entry(
+        &mut self,
+        now: Point,
+        entry: Entry,
+        until: Point,
+        out: &mut Vec<Output>,
+    ) -> ProposalId {
         self.propose(now, Proposal::Enter(entry), until, out)
     }
 
     /// Asks to know all that was acknowledged so far.
-    pub fn read_all(&mut self, now: Point, until: Point, out: &mut Vec<Output>) -> ProposalId {
+    pub fn propose_read(&mut self, now: Point, until: Point, out: &mut Vec<Output>) -> ProposalId {
         let ticket = self.propose(now, Proposal::Read { heard: BTreeSet::new(), slot: 0 }, until, out);
         self.broadcast(now, &Word::Probe(Probe { ticket: ticket.0 }), out);
         ticket
@@ -30,7 +36,7 @@
         self.last += 1;
         let ticket = ProposalId(self.last);
         if self.waiting.len() >= MOST {
-            out.push(Output::Answered { proposal: ticket, answer: Answer::Full });
+            out.push(Output::Resolved { proposal: ticket, outcome: ProposalOutcome::QueueFull });
             return ticket;
         }
         self.waiting.push_back(Waiting { ticket, proposal, until });
@@ -80,7 +86,7 @@
         self.seen = self.seen.max(promise.promised.round);
         let (majority, others, rejoins) = (self.majority(), self.others(), self.rejoins());
         let me = self.me;
-        if !self.is_counting(promise.slot, promise.ballot) {
+        if !self.is_current_ballot(promise.slot, promise.ballot) {
             return;
         }
         let Some(round) = self.round.as_mut() else { return };
@@ -145,7 +151,7 @@
     pub(super) fn accepted(&mut self, now: Point, from: u32, word: Accepted, out: &mut Vec<Output>) {
         self.seen = self.seen.max(word.promised.round);
         let (majority, others, rejoins, me) = (self.majority(), self.others(), self.rejoins(), self.me);
-        if !self.is_counting(word.slot, word.ballot) {
+        if !self.is_current_ballot(word.slot, word.ballot) {
             return;
         }
         let Some(round) = self.round.as_mut() else { return };
@@ -166,16 +172,16 @@
     pub(super) fn drop_superseded(&mut self, out: &mut Vec<Output>) {
         let applied = &self.applied;
         self.waiting.retain(|waiting| {
-            let moot = matches!(&waiting.proposal, Proposal::Enter(entry) if !applied.holds(entry));
+            let moot = matches!(&waiting.proposal, Proposal::Enter(entry) if !applied.is_applicable(entry));
             if moot {
-                out.push(Output::Answered { proposal: waiting.ticket, answer: Answer::Superseded });
+                out.push(Output::Resolved { proposal: waiting.ticket, outcome: ProposalOutcome::Superseded });
             }
             !moot
         });
     }
 
     /// Whether answers to this ballot still count here.
-    pub fn is_counting(&self, slot: u64, ballot: Ballot) -> bool {
+    pub fn is_current_ballot(&self, slot: u64, ballot: Ballot) -> bool {
         self.round.as_ref().is_some_and(|round| (round.slot, round.ballot) == (slot, ballot))
     }
 
--- a/crates/arrowyard-control/src/ledger/reads.rs
+++ b/crates/arrowyard-control/src/replicated_log/reads.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Ledger {
+impl ReplicatedLog {
     pub(super) fn probed(&mut self, now: Point, from: u32, probed: Probed, out: &mut Vec<Output>) {
         if probed.chosen > self.applied.slot {
             self.ask_for_more(now, from, out);
@@ -31,7 +31,10 @@
                 Proposal::Read { heard, slot }
                     if self.is_majority(heard) && (*slot <= known || Some(*slot) == free) =>
                 {
-                    out.push(Output::Answered { proposal: waiting.ticket, answer: Answer::Current });
+                    out.push(Output::Resolved {
+                        proposal: waiting.ticket,
+                        outcome: ProposalOutcome::Current,
+                    });
                 }
                 _ => self.waiting.push_back(waiting),
             }
--- a/crates/arrowyard-control/src/ledger/recovery.rs
+++ b/crates/arrowyard-control/src/replicated_log/recovery.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-impl Ledger {
+impl ReplicatedLog {
     /// A ledger as its disk tells of it. Nothing on disk, and `founders` of a first start: it is founded.
     ///
     /// # Errors
@@ -14,11 +14,11 @@
         founders: Option<&[u32]>,
         out: &mut Vec<Output>,
     ) -> Result<Self, String> {
-        let mut this = Ledger {
+        let mut this = ReplicatedLog {
             me,
             life,
             rng: Rng::with_seed(life),
-            applied: Applied::default(),
+            applied: AppliedState::default(),
             kept: VecDeque::new(),
             kept_bytes: 0,
             votes: false,
@@ -44,7 +44,7 @@
             this.votes = voters.contains(&me);
             this.applied.voters = voters.clone();
             // Danger: a machine that does not vote has to know who does, after each start of its own.
-            this.store(Kept::Founded(Voters { voters, before: Vec::new() }), None, out);
+            this.store(RecordKind::InitialVoters(Voters { voters, before: Vec::new() }), None, out);
         }
         Ok(this)
     }
@@ -52,7 +52,7 @@
     /// Reads what is on disk. Danger: a snapshot is written beside records that are newer than it, before or after
     /// them; so nothing is judged by its place, only by slot and ballot.
     pub(super) fn read(&mut self, records: &[Vec<u8>]) -> Result<(), String> {
-        let mut whole: Option<Whole> = None;
+        let mut whole: Option<LogSnapshot> = None;
         let mut chosen = BTreeMap::new();
         let mut promised: BTreeMap<u64, Ballot> = BTreeMap::new();
         let mut accepted: BTreeMap<u64, Accept> = BTreeMap::new();
@@ -62,19 +62,19 @@
         };
         for record in records {
             let record = Record::decode(record.as_slice()).map_err(|fault| fault.to_string())?;
-            match record.kept.ok_or("a record of an unknown kind")? {
-                Kept::Founded(founded) => {
+            match record.kind.ok_or("a record of an unknown kind")? {
+                RecordKind::InitialVoters(founded) => {
                     self.votes |= founded.voters.contains(&self.me);
                     self.applied.voters = founded.voters;
                 }
-                Kept::Promised(one) => {
+                RecordKind::Promised(one) => {
                     let known = promised.entry(one.slot).or_default();
                     *known = one.ballot.max(*known);
                 }
-                Kept::Accepted(one) => accept(one),
-                Kept::Chosen(one) => drop(chosen.insert(one.slot, one)),
-                Kept::Memory(_) | Kept::Departing(_) => {}
-                Kept::Whole(one) => {
+                RecordKind::Accepted(one) => accept(one),
+                RecordKind::Chosen(one) => drop(chosen.insert(one.slot, one)),
+                RecordKind::Registry(_) | RecordKind::Departing(_) => {}
+                RecordKind::Snapshot(one) => {
                     self.votes |= one.votes;
                     let known = promised.entry(one.snapshot.slot + 1).or_default();
                     *known = one.promised.max(*known);
@@ -86,7 +86,7 @@
             }
         }
         if let Some(whole) = whole {
-            self.applied = Applied::restore(&whole.snapshot)?;
+            self.applied = AppliedState::restore(&whole.snapshot)?;
         }
         while let Some(next) = chosen.remove(&(self.applied.slot + 1)) {
             self.take_entry(next);
@@ -110,13 +110,13 @@
     }
 
     /// One record in place of all.
-    pub fn snapshot(&self, memory: Option<Memory>) -> Vec<u8> {
-        Record::bytes(Kept::Whole(Whole {
+    pub fn snapshot(&self, registry: Option<RegistrySnapshot>) -> Vec<u8> {
+        Record::encode_kind(RecordKind::Snapshot(LogSnapshot {
             snapshot: self.applied.snapshot(),
             promised: self.promised,
             accepted: self.accepted.clone(),
             votes: self.votes,
-            memory,
+            registry,
         }))
     }
 }
--- a/crates/arrowyard-control/tests/control.rs
+++ b/crates/arrowyard-control/tests/control.rs
@@ -2,7 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_control::{Applied, Ask, Cell, DiskWatch, Duties, Promotion, Reply, Sight, Stage, To, View};
+use arrowyard_control::{
+    AppliedState, DiskHealth, DutyElection, HostRegistry, HostsSnapshot, PeerView, Promotion,
+    PromotionRequest, Reply, RowKind, Stage,
+};
 use arrowyard_messages::{DbRole, Duty, Entry, Host, Known, Matter, Phase};
 use arrowyard_protocol::{Observed, Position};
 use arrowyard_types::{Point, Span};
@@ -43,9 +46,9 @@
             words.push(host("b", DbRole::Replica, Phase::Gone, 3));
         }
         let heard = |words: &[Host]| {
-            let mut cell = Cell::default();
-            words.iter().for_each(|word| _ = cell.told(at(0), word.clone()));
-            (cell.digest(), cell.all().cloned().collect::<Vec<_>>())
+            let mut cell = HostRegistry::default();
+            words.iter().for_each(|word| _ = cell.merge_report(at(0), word.clone()));
+            (cell.digest(), cell.hosts().cloned().collect::<Vec<_>>())
         };
         let first = heard(&words);
         rng.shuffle(&mut words);
@@ -60,67 +63,71 @@
 
 #[test]
 fn a_late_call_changes_nothing_and_a_host_that_left_stays_gone() {
-    let mut cell = Cell::default();
-    assert!(cell.called(at(0), host("a", DbRole::Primary, Phase::InService, 5)));
-    assert!(!cell.called(at(1), host("a", DbRole::Replica, Phase::InService, 4)));
+    let mut cell = HostRegistry::default();
+    assert!(cell.record_heartbeat(at(0), host("a", DbRole::Primary, Phase::InService, 5)));
+    assert!(!cell.record_heartbeat(at(1), host("a", DbRole::Replica, Phase::InService, 4)));
     assert_eq!(cell.primary("s").map(|host| host.id.as_str()), Some("a"));
     // A host that counts anew after a long silence is heard again.
-    assert!(cell.called(at(9000), host("a", DbRole::Replica, Phase::InService, 1)));
-    assert!(cell.called(at(9001), host("a", DbRole::Replica, Phase::Gone, 2)));
-    assert!(!cell.called(at(9002), host("a", DbRole::Primary, Phase::InService, 9)));
+    assert!(cell.record_heartbeat(at(9000), host("a", DbRole::Replica, Phase::InService, 1)));
+    assert!(cell.record_heartbeat(at(9001), host("a", DbRole::Replica, Phase::Gone, 2)));
+    assert!(!cell.record_heartbeat(at(9002), host("a", DbRole::Primary, Phase::InService, 9)));
     assert_eq!(cell.members("s").count(), 0);
-    cell.sweep(at(9_000_000));
-    assert_eq!(cell.all().count(), 0);
+    cell.remove_expired(at(9_000_000));
+    assert_eq!(cell.hosts().count(), 0);
 }
 
 #[test]
 fn views_shuffled_between_neighbours_know_who_is_up_and_forget_who_is_gone() {
     let (machines, mut rng) = (40_u32, Rng::with_seed(3));
-    let mut views: Vec<View> = (0..machines).map(|_| View::default()).collect();
+    let mut views: Vec<PeerView> = (0..machines).map(|_| PeerView::default()).collect();
     for (me, view) in views.iter_mut().enumerate() {
-        (1..4).for_each(|step| view.heard((me as u32 + step) % machines, "z"));
+        (1..4).for_each(|step| view.record_contact((me as u32 + step) % machines, "z"));
     }
     let gone = 7;
     for round in 0..200 {
         for me in (0..machines).filter(|&me| me != gone || round < 20) {
-            let known: Vec<Known> =
-                views[me as usize].all().filter(|known| known.ip != gone || round < 20).cloned().collect();
+            let known: Vec<Known> = views[me as usize]
+                .machines()
+                .filter(|known| known.ip != gone || round < 20)
+                .cloned()
+                .collect();
             if let Some(other) = rng.choice(known) {
                 let (mine, theirs) =
-                    (views[me as usize].part(&mut rng), views[other.ip as usize].part(&mut rng));
+                    (views[me as usize].sample(&mut rng), views[other.ip as usize].sample(&mut rng));
                 views[other.ip as usize].merge(&mine, other.ip);
-                views[other.ip as usize].heard(me, "z");
+                views[other.ip as usize].record_contact(me, "z");
                 views[me as usize].merge(&theirs, me);
-                views[me as usize].heard(other.ip, "z");
+                views[me as usize].record_contact(other.ip, "z");
             }
-            views[me as usize].age();
+            views[me as usize].increment_ages();
         }
     }
     for (me, view) in views.iter().enumerate().filter(|(me, _)| *me != gone as usize) {
-        assert!(view.all().count() >= 6, "{me} knows only {}", view.all().count());
-        assert!(view.all().all(|known| known.ip != gone), "{me} still knows the machine that is gone");
+        assert!(view.machines().count() >= 6, "{me} knows only {}", view.machines().count());
+        assert!(view.machines().all(|known| known.ip != gone), "{me} still knows the machine that is gone");
     }
 }
 
 #[test]
 fn a_vacant_duty_is_asked_for_once_its_holder_is_silent_or_lives_anew() {
-    let (mut applied, mut rng) = (Applied::default(), Rng::with_seed(1));
-    let mut duties = Duties::new("promote", 1, 11, "one", at(0));
-    let first =
-        (0..400).find_map(|ms| duties.turn(at(ms), &applied, &mut rng)).expect("it is vacant at first");
+    let (mut applied, mut rng) = (AppliedState::default(), Rng::with_seed(1));
+    let mut duties = DutyElection::new("promote", 1, 11, "one", at(0));
+    let first = (0..400)
+        .find_map(|ms| duties.poll_candidacy(at(ms), &applied, &mut rng))
+        .expect("it is vacant at first");
     applied.apply(&first);
-    assert_eq!(duties.held(&applied), Some(1));
+    assert_eq!(duties.held_fence(&applied), Some(1));
     let other = Duty { duty: "promote".into(), holder: 2, life: 22, node: "two".into(), fence: 1 };
     applied.apply(&Entry { matter: Some(Matter::Duty(other)) });
-    assert_eq!(duties.held(&applied), None);
+    assert_eq!(duties.held_fence(&applied), None);
     assert!((500..4000).all(|ms| {
-        duties.heard(at(ms), 2, 22, &applied);
-        duties.turn(at(ms), &applied, &mut rng).is_none()
+        duties.record_contact(at(ms), 2, 22, &applied);
+        duties.poll_candidacy(at(ms), &applied, &mut rng).is_none()
     }));
     // The holder started again: its earlier life holds nothing any more.
     let again = (4000..9000).find_map(|ms| {
-        duties.heard(at(ms), 2, 23, &applied);
-        duties.turn(at(ms), &applied, &mut rng)
+        duties.record_contact(at(ms), 2, 23, &applied);
+        duties.poll_candidacy(at(ms), &applied, &mut rng)
     });
     assert!(matches!(
         again.and_then(|entry| entry.matter),
@@ -132,14 +139,14 @@
 /// again holds nothing, however well it is heard.
 #[test]
 fn a_holder_that_others_hear_of_keeps_its_duty_unless_it_has_started_again() {
-    let (mut applied, mut rng) = (Applied::default(), Rng::with_seed(1));
+    let (mut applied, mut rng) = (AppliedState::default(), Rng::with_seed(1));
     let duty = Duty { duty: "promote".into(), holder: 2, life: 22, node: "two".into(), fence: 0 };
     applied.apply(&Entry { matter: Some(Matter::Duty(duty)) });
     let mut vacant_at = |life: Option<u64>| {
-        let mut duties = Duties::new("promote", 1, 11, "one", at(0));
+        let mut duties = DutyElection::new("promote", 1, 11, "one", at(0));
         (0..9000).step_by(500).find(|ms| {
-            duties.heard_elsewhere(at(*ms - 1250), &[2, 3], |_| life, &applied);
-            duties.turn(at(*ms), &applied, &mut rng).is_some()
+            duties.record_indirect_contact(at(*ms - 1250), &[2, 3], |_| life, &applied);
+            duties.poll_candidacy(at(*ms), &applied, &mut rng).is_some()
         })
     };
     assert_eq!(vacant_at(Some(22)), None);
@@ -148,26 +155,26 @@
 }
 
 struct Scene {
-    cell: Cell,
+    cell: HostRegistry,
     silent: BTreeMap<String, Point>,
     promotion: Promotion,
-    asks: Vec<Ask>,
+    asks: Vec<PromotionRequest>,
     now: i64,
 }
 
 impl Scene {
     fn new() -> Self {
-        let mut cell = Cell::default();
-        cell.told(at(0), host("a", DbRole::Primary, Phase::InService, 1));
-        cell.told(at(0), host("b", DbRole::Replica, Phase::InService, 1));
-        cell.told(at(0), host("c", DbRole::Replica, Phase::InService, 1));
+        let mut cell = HostRegistry::default();
+        cell.merge_report(at(0), host("a", DbRole::Primary, Phase::InService, 1));
+        cell.merge_report(at(0), host("b", DbRole::Replica, Phase::InService, 1));
+        cell.merge_report(at(0), host("c", DbRole::Replica, Phase::InService, 1));
         Scene { cell, silent: BTreeMap::new(), promotion: Promotion::new("s"), asks: Vec::new(), now: 1000 }
     }
 
     /// A planned change was given up, since its candidate does not answer; the other replica has stopped receiving.
     fn with_a_change_given_up() -> Self {
         let mut scene = Scene::new();
-        scene.cell.told(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
+        scene.cell.merge_report(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
         scene.pass(0);
         scene.row("b", false, 20);
         scene.row("c", false, 22);
@@ -176,29 +183,33 @@
         scene
     }
 
-    fn sight(&mut self, act: impl FnOnce(&mut Promotion, Point, &Sight<'_>, &mut Vec<Ask>)) -> Vec<Ask> {
-        let sight = Sight { cell: &self.cell, silent: &self.silent, left: &[] };
+    fn sight(
+        &mut self,
+        act: impl FnOnce(&mut Promotion, Point, &HostsSnapshot<'_>, &mut Vec<PromotionRequest>),
+    ) -> Vec<PromotionRequest> {
+        let sight = HostsSnapshot { registry: &self.cell, silent: &self.silent, departed: &[] };
         let mut asks = Vec::new();
         act(&mut self.promotion, at(self.now), &sight, &mut asks);
         self.asks.extend(asks.clone());
         asks
     }
 
-    fn suspect(&mut self) -> Vec<Ask> {
-        self.sight(|promotion, now, sight, asks| promotion.suspect(now, "a", sight, asks))
+    fn suspect(&mut self) -> Vec<PromotionRequest> {
+        self.sight(|promotion, now, sight, asks| promotion.suspect_primary(now, "a", sight, asks))
     }
 
-    fn pass(&mut self, ms: i64) -> Vec<Ask> {
+    fn pass(&mut self, ms: i64) -> Vec<PromotionRequest> {
         self.now += ms;
-        self.sight(|promotion, now, sight, asks| promotion.look(now, sight, asks))
+        self.sight(|promotion, now, sight, asks| promotion.poll(now, sight, asks))
     }
 
-    fn row(&mut self, host: &str, primary: bool, number: u64) -> Vec<Ask> {
+    fn row(&mut self, host: &str, primary: bool, number: u64) -> Vec<PromotionRequest> {
         let row = Observed { primary, term: 3, received: Position { term: 3, number } };
         let fencing = matches!(self.promotion.stage, Stage::Fencing { .. });
-        let to = if fencing { To::Pause(1) } else { To::Observe };
-        let reply = Reply::Row { host: host.into(), to, row };
-        let mut asks = self.sight(|promotion, now, sight, asks| promotion.take(now, reply, sight, asks));
+        let kind = if fencing { RowKind::Pause(1) } else { RowKind::Observe };
+        let reply = Reply::Row { host: host.into(), kind, row };
+        let mut asks =
+            self.sight(|promotion, now, sight, asks| promotion.handle_reply(now, reply, sight, asks));
         if matches!(self.promotion.stage, Stage::Yielding { .. }) {
             assert!(promoted(&asks).is_none(), "the old primary is to yield first");
             asks.extend(self.pass(40));
@@ -206,13 +217,15 @@
         asks
     }
 
-    fn silent(&mut self, host: &str) -> Vec<Ask> {
+    fn silent(&mut self, host: &str) -> Vec<PromotionRequest> {
         let reply = Reply::Silent { host: host.into() };
-        self.sight(|promotion, now, sight, asks| promotion.take(now, reply, sight, asks))
+        self.sight(|promotion, now, sight, asks| promotion.handle_reply(now, reply, sight, asks))
     }
 
-    fn status(&mut self, status: u16) -> Vec<Ask> {
-        self.sight(|promotion, now, sight, asks| promotion.take(now, Reply::Platform { status }, sight, asks))
+    fn status(&mut self, status: u16) -> Vec<PromotionRequest> {
+        self.sight(|promotion, now, sight, asks| {
+            promotion.handle_reply(now, Reply::Platform { status }, sight, asks)
+        })
     }
 
     /// The primary does not answer, twice: candidates are asked.
@@ -225,9 +238,9 @@
     }
 }
 
-fn promoted(asks: &[Ask]) -> Option<&str> {
+fn promoted(asks: &[PromotionRequest]) -> Option<&str> {
     asks.iter().find_map(|ask| match ask {
-        Ask::Promote { host, .. } => Some(host.as_str()),
+        PromotionRequest::Promote { host, .. } => Some(host.as_str()),
         _ => None,
     })
 }
@@ -235,11 +248,11 @@
 #[test]
 fn a_primary_that_answers_stays() {
     let mut scene = Scene::new();
-    assert_eq!(scene.suspect(), [Ask::Observe { host: "a".into() }]);
+    assert_eq!(scene.suspect(), [PromotionRequest::Observe { host: "a".into() }]);
     scene.silent("a");
-    assert_eq!(scene.pass(100), [Ask::Observe { host: "a".into() }]);
+    assert_eq!(scene.pass(100), [PromotionRequest::Observe { host: "a".into() }]);
     scene.row("a", true, 9);
-    assert_eq!(scene.promotion.stage, Stage::Steady);
+    assert_eq!(scene.promotion.stage, Stage::Idle);
     assert!(scene.suspect().is_empty(), "it was asked a moment ago");
 }
 
@@ -249,8 +262,10 @@
     scene.fall();
     assert!(promoted(&scene.row("b", false, 20)).is_none(), "the other one may have more");
     let asks = scene.row("c", false, 10);
-    let paused: Vec<Ask> =
-        ["b", "c"].iter().map(|host| Ask::Pause { host: host.to_string(), term: 4, turn: 1 }).collect();
+    let paused: Vec<PromotionRequest> = ["b", "c"]
+        .iter()
+        .map(|host| PromotionRequest::Pause { host: host.to_string(), term: 4, attempt: 1 })
+        .collect();
     assert_eq!(asks, paused);
     // Meanwhile the other one received more.
     assert!(promoted(&scene.row("b", false, 20)).is_none());
@@ -265,13 +280,13 @@
         scene.fall();
         ["b", "c", "b"].iter().for_each(|host| _ = scene.row(host, false, 20));
         let row = Observed { primary: false, term: 3, received: Position { term: 3, number: 20 } };
-        let last = Reply::Row { host: "c".into(), to: To::Pause(1), row };
-        scene.sight(|promotion, now, sight, asks| promotion.take(now, last, sight, asks));
+        let last = Reply::Row { host: "c".into(), kind: RowKind::Pause(1), row };
+        scene.sight(|promotion, now, sight, asks| promotion.handle_reply(now, last, sight, asks));
         assert_eq!(scene.promotion.replacement().map(|change| change.term), Some(4), "routers are told");
-        scene.sight(|promotion, now, sight, asks| promotion.take(now, Reply::Yielded, sight, asks));
+        scene.sight(|promotion, now, sight, asks| promotion.handle_reply(now, Reply::Yielded, sight, asks));
         assert!(scene.pass(40).is_empty(), "whoever joined has not called yet");
         if joins {
-            scene.cell.told(at(scene.now), host("d", DbRole::Replica, Phase::InService, 1));
+            scene.cell.merge_report(at(scene.now), host("d", DbRole::Replica, Phase::InService, 1));
         }
         let asks = scene.pass(500);
         assert_eq!(promoted(&asks).is_some(), !joins);
@@ -283,7 +298,7 @@
 #[test]
 fn a_service_without_a_primary_gets_one() {
     let mut scene = Scene::new();
-    scene.cell.told(at(0), host("a", DbRole::Replica, Phase::InService, 2));
+    scene.cell.merge_report(at(0), host("a", DbRole::Replica, Phase::InService, 2));
     assert!(scene.pass(100).is_empty() && scene.pass(2900).is_empty(), "one may be about to call");
     assert_eq!(scene.pass(200).len(), 3, "all are asked");
     ["a", "b", "c", "a", "b"].iter().for_each(|host| _ = scene.row(host, false, 20));
@@ -296,7 +311,7 @@
 fn a_service_whose_primary_was_deposed_gets_one_sooner() {
     let mut scene = Scene::new();
     assert!(scene.pass(100).is_empty());
-    scene.cell.told(at(0), host("a", DbRole::Replica, Phase::InService, 2));
+    scene.cell.merge_report(at(0), host("a", DbRole::Replica, Phase::InService, 2));
     assert!(scene.pass(100).is_empty() && scene.pass(1900).is_empty());
     assert_eq!(scene.pass(200).len(), 3, "all are asked");
 }
@@ -329,7 +344,11 @@
     for (received, leads) in [(49, None), (50, Some("b"))] {
         let mut scene = Scene::new();
         scene.silent = BTreeMap::from([("c".to_string(), at(900))]);
-        assert_eq!(scene.pass(100), [Ask::Observe { host: "a".into() }], "what has the primary?");
+        assert_eq!(
+            scene.pass(100),
+            [PromotionRequest::Observe { host: "a".into() }],
+            "what has the primary?"
+        );
         assert!(scene.pass(10).is_empty(), "one question at a time");
         scene.row("a", true, 50);
         assert!(scene.pass(5000).is_empty(), "once for each silence");
@@ -374,8 +393,8 @@
     assert!(matches!(scene.promotion.stage, Stage::Fencing { .. }));
     let late = Observed { primary: false, term: 3, received: Position { term: 3, number: 20 } };
     for host in ["b", "c"] {
-        let reply = Reply::Row { host: host.into(), to: To::Observe, row: late };
-        scene.sight(|promotion, now, sight, asks| promotion.take(now, reply, sight, asks));
+        let reply = Reply::Row { host: host.into(), kind: RowKind::Observe, row: late };
+        scene.sight(|promotion, now, sight, asks| promotion.handle_reply(now, reply, sight, asks));
     }
     assert!(promoted(&scene.asks).is_none());
 }
@@ -383,15 +402,15 @@
 #[test]
 fn replicas_that_were_held_are_asked_to_go_on_until_they_say_so() {
     let mut scene = Scene::with_a_change_given_up();
-    assert_eq!(scene.promotion.stage, Stage::Steady, "its candidate does not answer");
-    let on = Ask::Continue { host: "b".into() };
+    assert_eq!(scene.promotion.stage, Stage::Idle, "its candidate does not answer");
+    let on = PromotionRequest::Continue { host: "b".into() };
     assert_eq!(scene.asks.last(), Some(&on));
-    scene.cell.told(at(900), host("a", DbRole::Primary, Phase::InService, 3));
+    scene.cell.merge_report(at(900), host("a", DbRole::Primary, Phase::InService, 3));
     scene.pass(0);
     assert_eq!(scene.pass(1000), [on], "the question was lost");
     let row = Observed { primary: false, term: 3, received: Position { term: 3, number: 24 } };
-    let reply = Reply::Row { host: "b".into(), to: To::Continue, row };
-    scene.sight(|promotion, now, sight, asks| promotion.take(now, reply, sight, asks));
+    let reply = Reply::Row { host: "b".into(), kind: RowKind::Continue, row };
+    scene.sight(|promotion, now, sight, asks| promotion.handle_reply(now, reply, sight, asks));
     assert!(scene.pass(1000).is_empty() && scene.pass(9000).is_empty());
 }
 
@@ -399,29 +418,33 @@
 #[test]
 fn a_replica_goes_on_for_sure_once_no_question_to_stop_is_under_way() {
     let mut scene = Scene::with_a_change_given_up();
-    scene.cell.told(at(900), host("a", DbRole::Primary, Phase::InService, 3));
-    let on = Ask::Continue { host: "b".into() };
+    scene.cell.merge_report(at(900), host("a", DbRole::Primary, Phase::InService, 3));
+    let on = PromotionRequest::Continue { host: "b".into() };
     let row = Observed { primary: false, term: 3, received: Position { term: 3, number: 24 } };
-    let reply = Reply::Row { host: "b".into(), to: To::Continue, row };
+    let reply = Reply::Row { host: "b".into(), kind: RowKind::Continue, row };
     scene.pass(500);
-    scene.sight(|promotion, now, sight, asks| promotion.take(now, reply.clone(), sight, asks));
+    scene.sight(|promotion, now, sight, asks| promotion.handle_reply(now, reply.clone(), sight, asks));
     assert_eq!(scene.pass(1000), [on], "its answer came within a second of the question to stop");
-    scene.sight(|promotion, now, sight, asks| promotion.take(now, reply, sight, asks));
+    scene.sight(|promotion, now, sight, asks| promotion.handle_reply(now, reply, sight, asks));
     assert!(scene.pass(1000).is_empty() && scene.pass(9000).is_empty());
 }
 
 #[test]
 fn a_primary_that_leaves_serves_until_its_heir_has_all() {
     let mut scene = Scene::new();
-    scene.cell.told(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
+    scene.cell.merge_report(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
     scene.pass(0);
     assert!(matches!(scene.promotion.stage, Stage::Surveying { planned: true, .. }));
     scene.row("b", false, 20);
     let asks = scene.row("c", false, 22);
-    assert_eq!(asks, [Ask::Pause { host: "b".into(), term: 4, turn: 1 }], "the candidate goes on receiving");
+    assert_eq!(
+        asks,
+        [PromotionRequest::Pause { host: "b".into(), term: 4, attempt: 1 }],
+        "the candidate goes on receiving"
+    );
     let asks = scene.row("b", false, 24);
-    assert_eq!(asks, [Ask::Observe { host: "a".into() }]);
-    assert_eq!(scene.row("a", true, 26), [Ask::Observe { host: "c".into() }]);
+    assert_eq!(asks, [PromotionRequest::Observe { host: "a".into() }]);
+    assert_eq!(scene.row("a", true, 26), [PromotionRequest::Observe { host: "c".into() }]);
     assert!(promoted(&scene.row("c", false, 23)).is_none(), "it lacks one that was acknowledged");
     scene.pass(50);
     assert!(promoted(&scene.row("c", false, 24)).is_none(), "it lacks what the old primary holds back");
@@ -434,7 +457,7 @@
 fn a_primary_that_leaves_is_not_replaced_by_one_that_receives_nothing_from_it() {
     for silent in [false, true] {
         let mut scene = Scene::new();
-        scene.cell.told(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
+        scene.cell.merge_report(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
         scene.pass(0);
         ["b", "c", "b"].iter().for_each(|host| _ = scene.row(host, false, 20));
         assert!(promoted(&scene.row("c", false, 20)).is_none(), "the old primary was not heard");
@@ -448,19 +471,22 @@
             }
         }
         assert!(promoted(&scene.asks).is_none());
-        assert!(scene.asks.contains(&Ask::Continue { host: "b".into() }), "it is not held for good");
+        assert!(
+            scene.asks.contains(&PromotionRequest::Continue { host: "b".into() }),
+            "it is not held for good"
+        );
     }
 }
 
 #[test]
 fn another_primary_ends_a_change_in_order_and_the_one_that_leaves_does_not() {
     let mut scene = Scene::new();
-    scene.cell.told(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
+    scene.cell.merge_report(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
     scene.pass(0);
     scene.row("a", true, 30);
     assert!(matches!(scene.promotion.stage, Stage::Surveying { planned: true, .. }), "a question of before");
     scene.row("b", true, 20);
-    assert_eq!(scene.promotion.stage, Stage::Steady, "it leads already, and its call is late");
+    assert_eq!(scene.promotion.stage, Stage::Idle, "it leads already, and its call is late");
 }
 
 #[test]
@@ -492,26 +518,26 @@
     let candidate = promoted(&scene.asks).expect("one was named").to_string();
     scene.status(200);
     scene.pass(300);
-    assert!(matches!(scene.promotion.stage, Stage::Settling { .. }));
-    scene.cell.told(at(scene.now), host(&candidate, DbRole::Primary, Phase::InService, 7));
+    assert!(matches!(scene.promotion.stage, Stage::Confirming { .. }));
+    scene.cell.merge_report(at(scene.now), host(&candidate, DbRole::Primary, Phase::InService, 7));
     scene.pass(300);
-    assert_eq!(scene.promotion.stage, Stage::Steady);
+    assert_eq!(scene.promotion.stage, Stage::Idle);
     assert!(scene.pass(Span::from_millis(60_000).micros() / 1000).is_empty());
 }
 
 #[test]
 fn a_disk_that_refuses_or_hangs_is_not_well_until_it_takes_records_again() {
-    let mut disk = DiskWatch::default();
-    assert!(disk.is_well(at(0)));
-    disk.asked(at(0), 1);
-    disk.asked(at(500), 2);
-    assert!(disk.is_well(at(799)));
-    assert!(!disk.is_well(at(800)), "the first record hangs");
-    disk.answered(1);
-    assert!(disk.is_well(at(900)));
-    disk.works(false);
-    disk.answered(2);
-    assert!(!disk.is_well(at(901)), "it refuses");
-    disk.works(true);
-    assert!(disk.is_well(at(902)));
+    let mut disk = DiskHealth::default();
+    assert!(disk.is_healthy(at(0)));
+    disk.write_started(at(0), 1);
+    disk.write_started(at(500), 2);
+    assert!(disk.is_healthy(at(799)));
+    assert!(!disk.is_healthy(at(800)), "the first record hangs");
+    disk.write_completed(1);
+    assert!(disk.is_healthy(at(900)));
+    disk.set_working(false);
+    disk.write_completed(2);
+    assert!(!disk.is_healthy(at(901)), "it refuses");
+    disk.set_working(true);
+    assert!(disk.is_healthy(at(902)));
 }
--- a/crates/arrowyard-control/tests/relays.rs
+++ b/crates/arrowyard-control/tests/relays.rs
@@ -1,6 +1,6 @@
 //! Questions to silent hosts that routers relay.
 
-use arrowyard_control::{Ask, Relayed, Relays, Reply, To};
+use arrowyard_control::{PromotionRequest, RelayOutcome, Relays, Reply, RowKind};
 use arrowyard_messages::{HostRow, RelayedAnswer, RelayedQuestion};
 use arrowyard_protocol::{Observed, Position};
 use arrowyard_types::Point;
@@ -12,11 +12,11 @@
     Point::from_micros(ms * 1000)
 }
 
-fn pause(turn: u64) -> Ask {
-    Ask::Pause { host: "c".into(), term: 4, turn }
+fn pause(attempt: u64) -> PromotionRequest {
+    PromotionRequest::Pause { host: "c".into(), term: 4, attempt }
 }
 
-fn begin(relays: &mut Relays, ask: &Ask) -> RelayedQuestion {
+fn begin(relays: &mut Relays, ask: &PromotionRequest) -> RelayedQuestion {
     relays.begin(at(0), ME, "s", ask, 3).expect("a question to a host")
 }
 
@@ -33,27 +33,27 @@
     let mut relays = Relays::new(LIFE);
     let question = begin(&mut relays, &pause(5));
     assert!(relays.direct_failed("c"), "routers are waited for");
-    assert_eq!(relays.answered(&answer(&question, None)), Relayed::Waiting);
+    assert_eq!(relays.answered(&answer(&question, None)), RelayOutcome::Waiting);
     let received = Position { term: 3, number: 21 };
     let reply = Reply::Row {
         host: "c".into(),
-        to: To::Pause(5),
+        kind: RowKind::Pause(5),
         row: Observed { primary: false, term: 3, received },
     };
-    let answered = Relayed::Answered { service: "s".into(), reply };
+    let answered = RelayOutcome::Answered { service: "s".into(), reply };
     assert_eq!(relays.answered(&answer(&question, row())), answered);
-    assert_eq!(relays.answered(&answer(&question, row())), Relayed::Waiting, "it counts once");
+    assert_eq!(relays.answered(&answer(&question, row())), RelayOutcome::Waiting, "it counts once");
     assert!(relays.due().is_none());
 }
 
 #[test]
 fn a_host_is_unreachable_once_neither_control_nor_any_router_got_an_answer() {
-    let unreachable = Relayed::Unreachable { service: "s".into(), host: "c".into() };
+    let unreachable = RelayOutcome::Unreachable { service: "s".into(), host: "c".into() };
     let mut relays = Relays::new(LIFE);
     let question = begin(&mut relays, &pause(5));
     relays.direct_failed("c");
     for _ in 0..2 {
-        assert_eq!(relays.answered(&answer(&question, None)), Relayed::Waiting);
+        assert_eq!(relays.answered(&answer(&question, None)), RelayOutcome::Waiting);
     }
     assert_eq!(relays.answered(&answer(&question, None)), unreachable);
     // A router that says nothing holds nobody up for good.
@@ -63,7 +63,7 @@
     assert_eq!(relays.expire(at(300)), [unreachable]);
     // Where the host's own answer may still come, that is waited for.
     begin(&mut relays, &pause(7));
-    assert_eq!(relays.expire(at(300)), [Relayed::Waiting]);
+    assert_eq!(relays.expire(at(300)), [RelayOutcome::Waiting]);
     assert!(!relays.direct_failed("c"), "no router is waited for any more");
 }
 
@@ -73,10 +73,10 @@
     let first = begin(&mut relays, &pause(5));
     let second = begin(&mut relays, &pause(6));
     assert!(relays.is_relaying("c", &pause(6)) && !relays.is_relaying("c", &pause(5)));
-    assert_eq!(relays.answered(&answer(&first, row())), Relayed::Waiting);
-    assert!(matches!(relays.answered(&answer(&second, row())), Relayed::Answered { .. }));
+    assert_eq!(relays.answered(&answer(&first, row())), RelayOutcome::Waiting);
+    assert!(matches!(relays.answered(&answer(&second, row())), RelayOutcome::Answered { .. }));
     // Nor does one that was meant for an earlier life of the machine.
     let mut next_life = Relays::new(LIFE * 31);
     begin(&mut next_life, &pause(1));
-    assert_eq!(next_life.answered(&answer(&second, row())), Relayed::Waiting);
+    assert_eq!(next_life.answered(&answer(&second, row())), RelayOutcome::Waiting);
 }
--- a/crates/arrowyard-control/tests/ledger.rs
+++ b/crates/arrowyard-control/tests/replicated_log.rs
@@ -4,7 +4,10 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_control::{Answer, Applied, Digest, Kept, Ledger, Output, ProposalId, Record, digest};
+use arrowyard_control::{
+    AppliedState, ChangeDigest, Output, ProposalId, ProposalOutcome, Record, RecordKind, ReplicatedLog,
+    change_digest,
+};
 use arrowyard_messages::{
     Ballot, Chosen, Duty, Entry, Ledger as Entries, Matter, Prepare, Probed, Revised, Voters, Word,
 };
@@ -13,7 +16,7 @@
 use prost::Message;
 
 struct Machine {
-    ledger: Option<Ledger>,
+    ledger: Option<ReplicatedLog>,
     disk: Vec<Vec<u8>>,
     wiped: bool,
     /// Its disk refuses records until then; what was refused in between is kept by a snapshot alone.
@@ -28,7 +31,7 @@
     mail: Vec<(Point, usize, u32, Word)>,
     syncs: Vec<(Point, usize, u64, Vec<u8>, u32)>,
     lives: Vec<u32>,
-    answers: BTreeMap<(usize, u32, u64), Answer>,
+    answers: BTreeMap<(usize, u32, u64), ProposalOutcome>,
     loss: f64,
 }
 
@@ -51,7 +54,8 @@
         };
         for machine in 0..machines {
             let mut out = Vec::new();
-            let ledger = Ledger::open(ip(machine), seed ^ machine as u64, &[], Some(&founders), &mut out);
+            let ledger =
+                ReplicatedLog::open(ip(machine), seed ^ machine as u64, &[], Some(&founders), &mut out);
             net.machines.push(Machine {
                 ledger: Some(ledger.expect("an empty disk")),
                 disk: Vec::new(),
@@ -66,19 +70,19 @@
     fn carry(&mut self, machine: usize, out: Vec<Output>) {
         for one in out {
             match one {
-                Output::Send { to: 0, word } => {
+                Output::Send { to: 0, payload: word } => {
                     for other in (0..self.machines.len()).filter(|other| *other != machine) {
                         self.post(machine, other, word.clone());
                     }
                 }
-                Output::Send { to, word } => self.post(machine, to as usize - 1, word),
+                Output::Send { to, payload: word } => self.post(machine, to as usize - 1, word),
                 Output::Store { ticket, record } => {
                     let done = self.now + Span::from_micros(self.rng.i64(500..6000));
                     self.syncs.push((done, machine, ticket, record, self.lives[machine]));
                 }
                 Output::Chosen { .. } => {}
-                Output::Answered { proposal, answer } => {
-                    self.answers.insert((machine, self.lives[machine], proposal.0), answer);
+                Output::Resolved { proposal, outcome } => {
+                    self.answers.insert((machine, self.lives[machine], proposal.0), outcome);
                 }
             }
         }
@@ -92,7 +96,7 @@
         }
     }
 
-    fn with(&mut self, machine: usize, act: impl FnOnce(&mut Ledger, Point, &mut Vec<Output>)) {
+    fn with(&mut self, machine: usize, act: impl FnOnce(&mut ReplicatedLog, Point, &mut Vec<Output>)) {
         let mut out = Vec::new();
         if let Some(ledger) = self.machines[machine].ledger.as_mut() {
             act(ledger, self.now, &mut out);
@@ -112,7 +116,7 @@
                 if kept {
                     self.machines[machine].disk.push(record);
                 }
-                self.with(machine, |ledger, now, out| ledger.stored(now, ticket, kept, out));
+                self.with(machine, |ledger, now, out| ledger.record_stored(now, ticket, kept, out));
             }
         }
         self.mend_disks();
@@ -121,8 +125,11 @@
             self.with(to, |ledger, now, out| ledger.on_message(now, from, &word, out));
         }
         for machine in 0..self.machines.len() {
-            let late =
-                self.machines[machine].ledger.as_ref().and_then(Ledger::due).is_some_and(|at| at <= now);
+            let late = self.machines[machine]
+                .ledger
+                .as_ref()
+                .and_then(ReplicatedLog::due)
+                .is_some_and(|at| at <= now);
             if late {
                 self.with(machine, |ledger, now, out| ledger.on_timer(now, out));
             }
@@ -130,12 +137,14 @@
         // Beats tell who is ahead.
         if now.micros() % 100_000 == 0 {
             for machine in 0..self.machines.len() {
-                let Some(chosen) = self.machines[machine].ledger.as_ref().map(Ledger::chosen) else {
+                let Some(chosen) = self.machines[machine].ledger.as_ref().map(ReplicatedLog::chosen) else {
                     continue;
                 };
                 for other in (0..self.machines.len()).filter(|other| *other != machine) {
                     if self.rng.f64() >= self.loss {
-                        self.with(other, |ledger, now, out| ledger.is_ahead(now, ip(machine), chosen, out));
+                        self.with(other, |ledger, now, out| {
+                            ledger.observe_peer_progress(now, ip(machine), chosen, out)
+                        });
                     }
                 }
             }
@@ -150,7 +159,7 @@
             {
                 machine.refuses_until = None;
                 machine.disk = vec![ledger.snapshot(None)];
-                ledger.recovered();
+                ledger.disk_recovered();
             }
         }
     }
@@ -168,7 +177,7 @@
     fn start(&mut self, machine: usize) {
         let mut out = Vec::new();
         let life = self.rng.u64(..);
-        let ledger = Ledger::open(ip(machine), life, &self.machines[machine].disk, None, &mut out);
+        let ledger = ReplicatedLog::open(ip(machine), life, &self.machines[machine].disk, None, &mut out);
         self.machines[machine].ledger = Some(ledger.expect("what it wrote itself"));
         self.carry(machine, out);
     }
@@ -183,7 +192,7 @@
     fn all_vote(&self) -> bool {
         self.voters()
             .iter()
-            .all(|voter| self.machines[*voter as usize - 1].ledger.as_ref().is_some_and(Ledger::votes))
+            .all(|voter| self.machines[*voter as usize - 1].ledger.as_ref().is_some_and(ReplicatedLog::votes))
     }
 }
 
@@ -192,11 +201,11 @@
     Entry { matter: Some(Matter::Configuration(Revised { whole: true, base, body: body.into_bytes() })) }
 }
 
-fn revision(entry: &Entry) -> Option<(u64, Digest)> {
+fn revision(entry: &Entry) -> Option<(u64, ChangeDigest)> {
     let Some(Matter::Configuration(revised)) = &entry.matter else { return None };
     let text = String::from_utf8_lossy(&revised.body).into_owned();
     let digits = text.split("revision\":").nth(1)?.split(',').next()?.parse().ok()?;
-    Some((digits, digest(revised)))
+    Some((digits, change_digest(revised)))
 }
 
 /// Another list of voters, one seat further, of machines that are up: one more, or one less.
@@ -221,18 +230,18 @@
     let mut net = Net::new(seed, machines, voters, loss);
     let mut proposals: Vec<((usize, u32, u64), Entry)> = Vec::new();
     let mut reads: Vec<((usize, u32, u64), u64)> = Vec::new();
-    let mut acknowledged: Vec<(u64, Digest)> = Vec::new();
+    let mut acknowledged: Vec<(u64, ChangeDigest)> = Vec::new();
     let mut newest = 0;
     let (mut down, mut back) = (None, 0);
     for millis in 0..6000_u32 {
         net.step();
         for (key, entry) in &proposals {
-            if let Some(Answer::Committed(_)) = net.answers.get(key)
+            if let Some(ProposalOutcome::Committed(_)) = net.answers.get(key)
                 && let Some((revision, sum)) = revision(entry)
                 && net.machines[key.0]
                     .ledger
                     .as_ref()
-                    .is_some_and(|ledger| ledger.applied().taken(revision) == Some(sum))
+                    .is_some_and(|ledger| ledger.applied().applied_change(revision) == Some(sum))
                 && !acknowledged.contains(&(revision, sum))
             {
                 acknowledged.push((revision, sum));
@@ -240,7 +249,7 @@
             }
         }
         for (key, least) in &reads {
-            if net.answers.get(key) == Some(&Answer::Current) {
+            if net.answers.get(key) == Some(&ProposalOutcome::Current) {
                 let known = net.machines[key.0]
                     .ledger
                     .as_ref()
@@ -263,7 +272,8 @@
             let entry = if let Some(other) = other.filter(|_| net.all_vote()) {
                 other
             } else if turn == 0 {
-                let fence = net.machines[machine].ledger.as_ref().map_or(0, |l| l.applied().fence("promote"));
+                let fence =
+                    net.machines[machine].ledger.as_ref().map_or(0, |l| l.applied().duty_fence("promote"));
                 let duty =
                     Duty { duty: "promote".into(), holder: ip(machine), life: 1, node: "n".into(), fence };
                 Entry { matter: Some(Matter::Duty(duty)) }
@@ -272,12 +282,14 @@
             };
             if turn == 3 {
                 let mut ticket = ProposalId::default();
-                net.with(machine, |ledger, now, out| ticket = ledger.read_all(now, until, out));
+                net.with(machine, |ledger, now, out| ticket = ledger.propose_read(now, until, out));
                 reads.push(((machine, life, ticket.0), newest));
             } else {
                 let mut ticket = ProposalId::default();
                 let proposed = entry.clone();
-                net.with(machine, |ledger, now, out| ticket = ledger.enter(now, proposed, until, out));
+                net.with(machine, |ledger, now, out| {
+                    ticket = ledger.propose_entry(now, proposed, until, out)
+                });
                 proposals.push(((machine, life, ticket.0), entry));
             }
         }
@@ -309,7 +321,8 @@
     }
     net.loss = 0.0;
     (0..3000).for_each(|_| net.step());
-    let ledgers: Vec<&Ledger> = net.machines.iter().filter_map(|machine| machine.ledger.as_ref()).collect();
+    let ledgers: Vec<&ReplicatedLog> =
+        net.machines.iter().filter_map(|machine| machine.ledger.as_ref()).collect();
     assert_eq!(ledgers.len(), machines);
     let most = ledgers.iter().map(|ledger| ledger.chosen()).max().unwrap_or_default();
     assert!(most > 5, "seed {seed}: only {most} entries");
@@ -319,7 +332,7 @@
         assert_eq!(mine, its, "seed {seed}: two came to something else");
         for (revision, sum) in &acknowledged {
             assert_eq!(
-                ledger.applied().taken(*revision),
+                ledger.applied().applied_change(*revision),
                 Some(*sum),
                 "seed {seed}: {revision} was acknowledged and is gone"
             );
@@ -347,7 +360,7 @@
 /// Two lists that differ by more than one seat need not have a machine in common that has all entries.
 #[test]
 fn voters_change_by_one_seat_and_only_on_top_of_those_that_were_seen() {
-    let mut applied = Applied::default();
+    let mut applied = AppliedState::default();
     applied.voters = vec![1, 2, 3];
     let mut seats = |voters: &[u32], before: &[u32]| {
         let voters = Voters { voters: voters.to_vec(), before: before.to_vec() };
@@ -368,15 +381,17 @@
     // A snapshot is taken, newer records are written, then the snapshot: none of them may be forgotten.
     let mut net = Net::new(7, 3, 3, 0.0);
     let until = net.now + Span::from_millis(2000);
-    net.with(0, |ledger, now, out| _ = ledger.enter(now, change(5, 0), until, out));
+    net.with(0, |ledger, now, out| _ = ledger.propose_entry(now, change(5, 0), until, out));
     (0..300).for_each(|_| net.step());
     let early = net.machines[0].ledger.as_ref().expect("it is up").snapshot(None);
-    net.with(0, |ledger, now, out| _ = ledger.enter(now, change(9, 5), now + Span::from_millis(2000), out));
+    net.with(0, |ledger, now, out| {
+        _ = ledger.propose_entry(now, change(9, 5), now + Span::from_millis(2000), out)
+    });
     (0..300).for_each(|_| net.step());
     let mut disk = net.machines[0].disk.clone();
     disk.push(early.clone());
     let read = |disk: &[Vec<u8>]| {
-        let ledger = Ledger::open(1, 1, disk, None, &mut Vec::new()).expect("sound records");
+        let ledger = ReplicatedLog::open(1, 1, disk, None, &mut Vec::new()).expect("sound records");
         (ledger.applied().configuration.revision, ledger.chosen(), ledger.votes())
     };
     assert_eq!(read(&disk), (9, 2, true));
@@ -385,24 +400,24 @@
         net.machines[0].disk.iter().rev().take(3).rev().cloned().chain([early]).collect();
     assert_eq!(read(&newer).0, 9);
     assert!(
-        Ledger::open(1, 1, &[vec![0xff; 9]], None, &mut Vec::new()).is_err(),
+        ReplicatedLog::open(1, 1, &[vec![0xff; 9]], None, &mut Vec::new()).is_err(),
         "what cannot be read is no empty disk"
     );
 }
 
 #[test]
 fn a_duty_changes_hands_only_from_the_holder_that_was_seen() {
-    let mut applied = Applied::default();
+    let mut applied = AppliedState::default();
     let duty = |holder, fence| {
         let duty = Duty { duty: "promote".into(), holder, life: 1, node: "n".into(), fence };
         Entry { matter: Some(Matter::Duty(duty)) }
     };
     applied.apply(&duty(1, 0));
-    assert_eq!((applied.duties["promote"].holder, applied.fence("promote")), (1, 1));
+    assert_eq!((applied.duties["promote"].holder, applied.duty_fence("promote")), (1, 1));
     applied.apply(&duty(2, 0));
     assert_eq!(applied.duties["promote"].holder, 1, "it did not know of the holder");
     applied.apply(&duty(3, 1));
-    assert_eq!((applied.duties["promote"].holder, applied.fence("promote")), (3, 3));
+    assert_eq!((applied.duties["promote"].holder, applied.duty_fence("promote")), (3, 3));
 }
 
 /// A machine with an empty disk that nobody has told who votes: it waits, and does not ask to be woken at once again and
@@ -410,9 +425,9 @@
 #[test]
 fn whoever_knows_no_voters_rests_till_its_wish_is_over() {
     let (mut out, now) = (Vec::new(), Point::from_micros(5_000_000));
-    let mut ledger = Ledger::open(9, 1, &[], None, &mut out).expect("an empty disk");
+    let mut ledger = ReplicatedLog::open(9, 1, &[], None, &mut out).expect("an empty disk");
     let until = now + Span::from_millis(1000);
-    ledger.enter(now, change(5, 0), until, &mut out);
+    ledger.propose_entry(now, change(5, 0), until, &mut out);
     ledger.on_timer(now, &mut out);
     assert_eq!(ledger.due(), Some(until));
 }
@@ -422,15 +437,15 @@
 #[test]
 fn a_read_counts_only_who_votes_by_then() {
     let (mut out, now) = (Vec::new(), Point::from_micros(0));
-    let mut ledger = Ledger::open(4, 1, &[], Some(&[1, 2, 3, 4]), &mut out).expect("an empty disk");
-    let ticket = ledger.read_all(now, now + Span::from_millis(1000), &mut out);
+    let mut ledger = ReplicatedLog::open(4, 1, &[], Some(&[1, 2, 3, 4]), &mut out).expect("an empty disk");
+    let ticket = ledger.propose_read(now, now + Span::from_millis(1000), &mut out);
     let probed =
         Probed { ticket: ticket.0, chosen: 0, accepted: 0, votes: true, promised: Ballot::default() };
     ledger.on_message(now, 1, &Word::Probed(probed), &mut out);
     let seats = Voters { voters: vec![1, 2, 3], before: vec![1, 2, 3, 4] };
     let entry = Entry { matter: Some(Matter::Voters(seats)) };
     ledger.on_message(now, 1, &Word::Chosen(Chosen { slot: 1, entry }), &mut out);
-    let answered = |out: &[Output]| out.iter().any(|one| matches!(one, Output::Answered { .. }));
+    let answered = |out: &[Output]| out.iter().any(|one| matches!(one, Output::Resolved { .. }));
     assert!(ledger.voters() == [1, 2, 3] && !answered(&out), "one of three has spoken");
     ledger.on_message(now, 2, &Word::Probed(probed), &mut out);
     assert!(answered(&out));
@@ -441,21 +456,21 @@
 #[test]
 fn nothing_is_said_for_a_record_that_was_refused() {
     let (mut out, now) = (Vec::new(), Point::from_micros(0));
-    let mut ledger = Ledger::open(1, 1, &[], Some(&[1, 2, 3]), &mut out).expect("an empty disk");
+    let mut ledger = ReplicatedLog::open(1, 1, &[], Some(&[1, 2, 3]), &mut out).expect("an empty disk");
     out.clear();
     let ballot = Ballot { round: 7, by: 2, life: 1 };
     ledger.on_message(now, 2, &Word::Prepare(Prepare { slot: 1, ballot }), &mut out);
     let Some(Output::Store { ticket, .. }) = out.pop() else { panic!("it stores its promise first") };
-    ledger.stored(now, ticket, false, &mut out);
-    ledger.recovered();
-    ledger.stored(now, ticket, true, &mut out);
+    ledger.record_stored(now, ticket, false, &mut out);
+    ledger.disk_recovered();
+    ledger.record_stored(now, ticket, true, &mut out);
     assert_eq!(out, [], "the promise was refused");
     let disk = [ledger.snapshot(None)];
-    let mut again = Ledger::open(1, 2, &disk, None, &mut out).expect("what it wrote");
+    let mut again = ReplicatedLog::open(1, 2, &disk, None, &mut out).expect("what it wrote");
     let older = Prepare { slot: 1, ballot: Ballot { round: 6, by: 3, life: 1 } };
     again.on_message(now, 3, &Word::Prepare(older), &mut out);
     let promised = out.iter().find_map(|one| match one {
-        Output::Send { word: Word::Promise(promise), .. } => Some(promise.promised),
+        Output::Send { payload: Word::Promise(promise), .. } => Some(promise.promised),
         _ => None,
     });
     assert_eq!(promised, Some(ballot), "what it promised in memory binds it after the start as well");
@@ -467,16 +482,17 @@
     let mut net = Net::new(11, 3, 3, 0.0);
     for revision in [5, 9] {
         let (base, until) = (if revision == 5 { 0 } else { 5 }, net.now + Span::from_millis(2000));
-        net.with(0, |ledger, now, out| _ = ledger.enter(now, change(revision, base), until, out));
+        net.with(0, |ledger, now, out| _ = ledger.propose_entry(now, change(revision, base), until, out));
         (0..300).for_each(|_| net.step());
     }
     let disk = net.machines[1].disk.clone();
-    let votes =
-        |disk: &[Vec<u8>]| Ledger::open(2, 1, disk, None, &mut Vec::new()).expect("sound records").votes();
+    let votes = |disk: &[Vec<u8>]| {
+        ReplicatedLog::open(2, 1, disk, None, &mut Vec::new()).expect("sound records").votes()
+    };
     assert!(votes(&disk));
     let is_first = |record: &Vec<u8>| {
-        let kept = Record::decode(record.as_slice()).expect("a record").kept;
-        matches!(kept, Some(Kept::Chosen(Chosen { slot: 1, .. })))
+        let kept = Record::decode(record.as_slice()).expect("a record").kind;
+        matches!(kept, Some(RecordKind::Chosen(Chosen { slot: 1, .. })))
     };
     let gap: Vec<Vec<u8>> = disk.into_iter().filter(|record| !is_first(record)).collect();
     assert!(!votes(&gap));
@@ -494,7 +510,7 @@
         net.step();
         let ledger = net.machines[2].ledger.as_ref().expect("it is up");
         let on_disk =
-            Ledger::open(3, 1, &net.machines[2].disk, None, &mut Vec::new()).expect("its own records");
+            ReplicatedLog::open(3, 1, &net.machines[2].disk, None, &mut Vec::new()).expect("its own records");
         assert!(!ledger.is_vote_durable() || on_disk.votes(), "its disk does not hold its vote");
         seen_before |= ledger.votes() && !ledger.is_vote_durable();
     }
@@ -509,7 +525,7 @@
     let mut net = Net::new(17, 3, 3, 0.0);
     let mut enter = |revision, base| {
         let until = net.now + Span::from_millis(2000);
-        net.with(0, |ledger, now, out| _ = ledger.enter(now, change(revision, base), until, out));
+        net.with(0, |ledger, now, out| _ = ledger.propose_entry(now, change(revision, base), until, out));
         (0..300).for_each(|_| net.step());
         net.machines[0].ledger.as_ref().expect("it is up").applied().snapshot()
     };
@@ -530,7 +546,7 @@
         let changes = [change(5, 0), change(9, 5)].into_iter().take(seed as usize % 2 + 1);
         for entry in std::iter::once(duty).chain(changes) {
             let until = net.now + Span::from_millis(2000);
-            net.with(0, |ledger, now, out| _ = ledger.enter(now, entry, until, out));
+            net.with(0, |ledger, now, out| _ = ledger.propose_entry(now, entry, until, out));
             (0..300).for_each(|_| net.step());
         }
         net
--- a/crates/arrowyard-emulator/src/models/ledger.rs
+++ b/crates/arrowyard-emulator/src/models/ledger.rs
@@ -5,7 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{BuildHasher, Hash, Hasher};
 
-use arrowyard_control::{Answer, Kept, Ledger, Output, ProposalId, Record, digest};
+use arrowyard_control::{
+    Output, ProposalId, ProposalOutcome, Record, RecordKind, ReplicatedLog, change_digest,
+};
 use arrowyard_messages::{Entry, Frame, Matter, Revised, Voters, Word};
 use arrowyard_types::{Point, Span};
 use prost::Message;
@@ -50,7 +52,7 @@
 
 #[derive(Clone, Debug, Hash)]
 struct Machine {
-    ledger: Ledger,
+    ledger: ReplicatedLog,
     disk: Vec<Vec<u8>>,
     /// Written and not yet on disk, in order.
     unsynced: Vec<(u64, Vec<u8>)>,
@@ -114,10 +116,10 @@
     Entry { matter: Some(Matter::Configuration(Revised { whole: true, base: 0, body })) }
 }
 
-fn is_taken(ledger: &Ledger, entry: &Entry) -> bool {
+fn is_taken(ledger: &ReplicatedLog, entry: &Entry) -> bool {
     let Some(Matter::Configuration(revised)) = &entry.matter else { return false };
     let revision = ledger.applied().configuration.revision;
-    ledger.applied().taken(revision) == Some(digest(revised))
+    ledger.applied().applied_change(revision) == Some(change_digest(revised))
 }
 
 impl World {
@@ -126,7 +128,12 @@
         Point::from_micros(0) + Span::from_millis(10_000 * self.clock)
     }
 
-    fn act(&mut self, scene: &Scene, machine: usize, act: impl FnOnce(&mut Ledger, Point, &mut Vec<Output>)) {
+    fn act(
+        &mut self,
+        scene: &Scene,
+        machine: usize,
+        act: impl FnOnce(&mut ReplicatedLog, Point, &mut Vec<Output>),
+    ) {
         let (now, mut out) = (self.now(), Vec::new());
         act(&mut self.machines[machine].ledger, now, &mut out);
         self.carry(scene, machine, out);
@@ -142,14 +149,14 @@
         self.proposals.push((machine, ticket, entry.clone()));
         let never = Point::from_micros(i64::MAX / 2);
         self.act(scene, machine, |ledger, now, out| {
-            ledger.enter(now, entry, never, out);
+            ledger.propose_entry(now, entry, never, out);
         });
     }
 
     fn sync(&mut self, scene: &Scene, machine: usize) {
         let (ticket, record) = self.machines[machine].unsynced.remove(0);
         self.machines[machine].disk.push(record);
-        self.act(scene, machine, |ledger, now, out| ledger.stored(now, ticket, true, out));
+        self.act(scene, machine, |ledger, now, out| ledger.record_stored(now, ticket, true, out));
     }
 
     /// Words that change nothing any more are taken for lost: answers to a round that is over, and whatever belongs to
@@ -159,8 +166,8 @@
         self.net.retain(|(to, _, bytes)| {
             let ledger = &machines[*to].ledger;
             match Frame::decode(bytes.as_slice()).expect("a word").word {
-                Some(Word::Promise(word)) => ledger.is_counting(word.slot, word.ballot),
-                Some(Word::Accepted(word)) => ledger.is_counting(word.slot, word.ballot),
+                Some(Word::Promise(word)) => ledger.is_current_ballot(word.slot, word.ballot),
+                Some(Word::Accepted(word)) => ledger.is_current_ballot(word.slot, word.ballot),
                 Some(Word::Prepare(word)) => word.slot > ledger.chosen(),
                 Some(Word::Accept(word)) => word.slot > ledger.chosen(),
                 Some(Word::Chosen(word)) => word.slot > ledger.chosen(),
@@ -172,7 +179,7 @@
     fn carry(&mut self, scene: &Scene, machine: usize, out: Vec<Output>) {
         for one in out {
             match one {
-                Output::Send { to, mut word } => {
+                Output::Send { to, payload: mut word } => {
                     if let (Some(Flaw::VotesHidden), Word::Promise(promise)) = (scene.flaw, &mut word) {
                         promise.accepted = None;
                     }
@@ -193,17 +200,19 @@
                 Output::Store { ticket, record } => {
                     self.machines[machine].unsynced.push((ticket, record));
                     if scene.flaw == Some(Flaw::WordsBeforeDisk) {
-                        self.act(scene, machine, |ledger, now, out| ledger.stored(now, ticket, true, out));
+                        self.act(scene, machine, |ledger, now, out| {
+                            ledger.record_stored(now, ticket, true, out)
+                        });
                     }
                 }
                 Output::Chosen { .. } => {}
-                Output::Answered { proposal, answer } => self.answered(machine, proposal, answer),
+                Output::Resolved { proposal, outcome } => self.answered(machine, proposal, outcome),
             }
         }
     }
 
-    fn answered(&mut self, machine: usize, proposal: ProposalId, answer: Answer) {
-        if answer == Answer::Current {
+    fn answered(&mut self, machine: usize, proposal: ProposalId, answer: ProposalOutcome) {
+        if answer == ProposalOutcome::Current {
             let least = self.read.filter(|(ticket, _)| *ticket == proposal).map_or(0, |(_, least)| least);
             self.has_read = true;
             if self.machines[machine].ledger.chosen() < least {
@@ -213,14 +222,14 @@
         let of = |(by, ticket, _): &&(usize, ProposalId, Entry)| (*by, *ticket) == (machine, proposal);
         let Some((_, _, entry)) = self.proposals.iter().find(of) else { return };
         match answer {
-            Answer::Committed(slot) => {
+            ProposalOutcome::Committed(slot) => {
                 if self.machines[machine].ledger.entry(slot) != Some(entry) {
                     self.broken = Some("what was answered as entered is something else");
                 }
                 self.acknowledged.insert(slot);
             }
             // As control answers it: whoever learned of the slots by a snapshot knows it by what was taken.
-            Answer::Superseded if !is_taken(&self.machines[machine].ledger, entry) => {
+            ProposalOutcome::Superseded if !is_taken(&self.machines[machine].ledger, entry) => {
                 self.moot.push(entry.clone())
             }
             _ => {}
@@ -257,15 +266,15 @@
         }
         let forgets = scene.flaw == Some(Flaw::PromisesForgotten);
         let kept = |record: &&Vec<u8>| {
-            let kept = Record::decode(record.as_slice()).expect("what it wrote").kept;
-            !(forgets && matches!(kept, Some(Kept::Promised(_))))
+            let kept = Record::decode(record.as_slice()).expect("what it wrote").kind;
+            !(forgets && matches!(kept, Some(RecordKind::Promised(_))))
         };
         let disk: Vec<Vec<u8>> = one.disk.iter().filter(kept).cloned().collect();
         let founders: Vec<u32> = (0..3).map(ip).collect();
         let votes = wiped && scene.flaw == Some(Flaw::WipedVotes);
         let mut out = Vec::new();
         let life = u64::from(self.crashes) + 100 * (machine as u64 + 1);
-        let ledger = Ledger::open(ip(machine), life, &disk, votes.then_some(&founders), &mut out);
+        let ledger = ReplicatedLog::open(ip(machine), life, &disk, votes.then_some(&founders), &mut out);
         self.machines[machine].ledger = ledger.expect("what it wrote itself");
         self.carry(scene, machine, out);
         self.look(machine);
@@ -300,7 +309,7 @@
         let founders: Vec<u32> = (0..3).map(ip).collect();
         for machine in 0..self.machines {
             let mut out = Vec::new();
-            let ledger = Ledger::open(ip(machine), machine as u64 + 1, &[], Some(&founders), &mut out);
+            let ledger = ReplicatedLog::open(ip(machine), machine as u64 + 1, &[], Some(&founders), &mut out);
             let ledger = ledger.expect("an empty disk");
             // The first configuration finds all machines with who votes on their disks.
             let disk = out.into_iter().filter_map(|one| match one {
@@ -374,11 +383,11 @@
                 let ticket = world.machines[machine].ledger.next_proposal();
                 world.read = Some((ticket, least));
                 if self.flaw == Some(Flaw::ReadsAskNobody) {
-                    world.answered(machine, ticket, Answer::Current);
+                    world.answered(machine, ticket, ProposalOutcome::Current);
                 } else {
                     let never = Point::from_micros(i64::MAX / 2);
                     world.act(self, machine, |ledger, now, out| {
-                        ledger.read_all(now, never, out);
+                        ledger.propose_read(now, never, out);
                     });
                 }
             }
@@ -389,7 +398,8 @@
             }
             Step::Beat(to, of) => {
                 let chosen = world.machines[of].ledger.chosen();
-                world.act(self, to, |ledger, now, out| ledger.is_ahead(now, ip(of), chosen, out));
+                world
+                    .act(self, to, |ledger, now, out| ledger.observe_peer_progress(now, ip(of), chosen, out));
             }
         }
         world.forget_stale_words();
--- a/crates/arrowyard-emulator/src/models/promotion.rs
+++ b/crates/arrowyard-emulator/src/models/promotion.rs
@@ -6,7 +6,9 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{BuildHasher, Hash, Hasher};
 
-use arrowyard_control::{Ask, Cell, Promotion, Reply, Sight, Stage, To, is_repeated};
+use arrowyard_control::{
+    HostRegistry, HostsSnapshot, Promotion, PromotionRequest, Reply, RowKind, Stage, is_redundant,
+};
 use arrowyard_messages::{DbRole, Host, Phase};
 use arrowyard_protocol::{Observed, Position};
 use arrowyard_types::{Point, Span};
@@ -62,7 +64,7 @@
     log: Vec<(u64, u8)>,
     /// As it told control last.
     told: (bool, bool),
-    queue: VecDeque<Ask>,
+    queue: VecDeque<PromotionRequest>,
 }
 
 #[derive(Clone, Debug)]
@@ -86,11 +88,11 @@
 impl Hash for World {
     fn hash<H: Hasher>(&self, state: &mut H) {
         let left = &self.left;
-        // Of a turn it counts only whether it is the last one.
+        // Of an attempt it counts only whether it is the last one.
         let mut servers = self.servers.clone();
         for ask in servers.iter_mut().flat_map(|server| &mut server.queue) {
-            if let Ask::Pause { turn, .. } = ask {
-                *turn = u64::from(*turn == self.promotion.turn());
+            if let PromotionRequest::Pause { attempt, .. } = ask {
+                *attempt = u64::from(*attempt == self.promotion.attempt());
             }
         }
         (&servers, self.term, &self.promotion, &self.acknowledged).hash(state);
@@ -164,11 +166,14 @@
     }
 
     /// Lets the promotion decide, with hosts as they told control of themselves.
-    fn decide(&mut self, act: impl FnOnce(&mut Promotion, Point, &Sight<'_>, &mut Vec<Ask>)) {
-        let (now, mut cell, mut asks) = (self.now(), Cell::default(), Vec::new());
+    fn decide(
+        &mut self,
+        act: impl FnOnce(&mut Promotion, Point, &HostsSnapshot<'_>, &mut Vec<PromotionRequest>),
+    ) {
+        let (now, mut cell, mut asks) = (self.now(), HostRegistry::default(), Vec::new());
         for (number, server) in self.servers.iter().enumerate() {
             let (leads, draining) = server.told;
-            cell.told(
+            cell.merge_report(
                 now,
                 Host {
                     id: NAMES[number].into(),
@@ -181,20 +186,22 @@
                 },
             );
         }
-        let sight = Sight { cell: &cell, silent: &self.silent, left: &[] };
+        let sight = HostsSnapshot { registry: &cell, silent: &self.silent, departed: &[] };
         act(&mut self.promotion, now, &sight, &mut asks);
         for ask in asks {
             match &ask {
-                Ask::Promote { host, .. } => self.calls.push(host.clone()),
-                Ask::Observe { host } | Ask::Pause { host, .. } | Ask::Continue { host } => {
+                PromotionRequest::Promote { host, .. } => self.calls.push(host.clone()),
+                PromotionRequest::Observe { host }
+                | PromotionRequest::Pause { host, .. }
+                | PromotionRequest::Continue { host } => {
                     let queue = &mut self.servers[place(host)].queue;
-                    if !is_repeated(queue.iter(), &ask) {
+                    if !is_redundant(queue.iter(), &ask) {
                         queue.push_back(ask);
                     }
                 }
             }
         }
-        if self.left.flaw == Some(Flaw::AskedOnce) && self.promotion.stage == Stage::Steady {
+        if self.left.flaw == Some(Flaw::AskedOnce) && self.promotion.stage == Stage::Idle {
             self.promotion = Promotion::new("s");
         }
     }
@@ -206,22 +213,22 @@
                     && !matches!(self.promotion.stage, Stage::Checking { .. }) =>
             {
                 let row = Observed { primary: false, term: 1, received: Position::default() };
-                let to = if matches!(self.promotion.stage, Stage::Fencing { .. }) {
-                    To::Pause(self.promotion.turn())
+                let kind = if matches!(self.promotion.stage, Stage::Fencing { .. }) {
+                    RowKind::Pause(self.promotion.attempt())
                 } else {
-                    To::Observe
+                    RowKind::Observe
                 };
-                Reply::Row { host, to, row }
+                Reply::Row { host, kind, row }
             }
-            Reply::Row { host, to: To::Observe, row }
+            Reply::Row { host, kind: RowKind::Observe, row }
                 if self.left.flaw == Some(Flaw::AnyRowIsAPause)
                     && matches!(self.promotion.stage, Stage::Fencing { .. }) =>
             {
-                Reply::Row { host, to: To::Pause(self.promotion.turn()), row }
+                Reply::Row { host, kind: RowKind::Pause(self.promotion.attempt()), row }
             }
             reply => reply,
         };
-        self.decide(|promotion, now, sight, asks| promotion.take(now, reply, sight, asks));
+        self.decide(|promotion, now, sight, asks| promotion.handle_reply(now, reply, sight, asks));
     }
 
     /// A host does what the next question asks of it.
@@ -231,14 +238,14 @@
         let server = &mut self.servers[number];
         match &ask {
             // Nobody stops for a term that is no newer than the newest.
-            Ask::Pause { term, .. } if !server.leads && *term > self.term => {
+            PromotionRequest::Pause { term, .. } if !server.leads && *term > self.term => {
                 server.paused = flaw != Some(Flaw::PausesNothing)
             }
-            Ask::Continue { .. } => server.paused = false,
+            PromotionRequest::Continue { .. } => server.paused = false,
             _ => {}
         }
         let row = Observed { primary: server.leads, term: self.term, received: server.received() };
-        Some(Reply::Row { host: NAMES[number].into(), to: ask.to()?, row })
+        Some(Reply::Row { host: NAMES[number].into(), kind: ask.row_kind()?, row })
     }
 
     /// The platform makes a host lead with what it has; what others have beyond that is cut back.
@@ -343,7 +350,7 @@
             } else {
                 // Not borne, and said in the design note: a replica that is counted out, or has stopped, comes back within
                 // the change, and receives from a primary that answers control no more and is alive.
-                let changing = !matches!(world.promotion.stage, Stage::Steady | Stage::Checking { .. });
+                let changing = !matches!(world.promotion.stage, Stage::Idle | Stage::Checking { .. });
                 if left.starts > 0 && !changing {
                     steps.push(Step::Start(number));
                 }
@@ -445,11 +452,11 @@
                 world.left.suspicions -= 1;
                 let primary = world.servers.iter().position(|server| server.told.0)?;
                 world.decide(|promotion, now, sight, asks| {
-                    promotion.suspect(now, NAMES[primary], sight, asks);
+                    promotion.suspect_primary(now, NAMES[primary], sight, asks);
                 });
             }
             Step::Look => {
-                world.decide(|promotion, now, sight, asks| promotion.look(now, sight, asks));
+                world.decide(|promotion, now, sight, asks| promotion.poll(now, sight, asks));
                 if world.left.flaw == Some(Flaw::NoFloors) {
                     world.silent.keys().for_each(|host| world.promotion.assume_no_floor(host));
                 }
@@ -506,11 +513,11 @@
             Property::always("nobody is left behind", |_: &Scene, world: &World| {
                 let held = |server: &Server| server.up && server.paused && server.queue.is_empty();
                 let names = world.servers.iter().zip(NAMES).filter(|(server, _)| held(server));
-                world.promotion.stage != Stage::Steady
-                    || names.into_iter().all(|(_, name)| world.promotion.holds(name))
+                world.promotion.stage != Stage::Idle
+                    || names.into_iter().all(|(_, name)| world.promotion.is_paused(name))
             }),
             Property::sometimes(LIVES, |_: &Scene, world: &World| {
-                world.changes > 0 && world.promotion.stage == Stage::Steady
+                world.changes > 0 && world.promotion.stage == Stage::Idle
             }),
         ]
     }
--- a/crates/arrowyard-emulator/tests/control.rs
+++ b/crates/arrowyard-emulator/tests/control.rs
@@ -1,7 +1,7 @@
 //! The control plane on its worst days: control machines as they ship, in simulated time, and callers that ask them at
 //! the worst moment. Each test brings one point of `docs/notes/control.md` about.
 
-use arrowyard_control::REMEMBERED;
+use arrowyard_control::MAX_REMEMBERED_CHANGES;
 use arrowyard_emulator::catch_up::catch_up;
 use arrowyard_emulator::{CallAnswer, Day, DiskFault, Fault, Plan, System, Trouble, play};
 use arrowyard_runtime::Sign;
@@ -324,7 +324,7 @@
 fn an_order_that_was_taken_is_acknowledged_again_or_left_unclear_but_never_refused() {
     let mut fleet = Fleet::new(3, 1);
     let first = fleet.change(0);
-    for _ in 0..REMEMBERED + 40 {
+    for _ in 0..MAX_REMEMBERED_CHANGES + 40 {
         fleet.change(0);
     }
     let of_another = order(5, 3, "other");
