--- a/crates/arrowyard-control/src/control/duty.rs
+++ b/crates/arrowyard-control/src/control/duty.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeSet;
 
-use arrowyard_runtime::Orders;
-use arrowyard_types::{Point, Span};
+use arrowyard_runtime::Commands;
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::Control;
 use crate::applied_state::PROMOTION_DUTY;
@@ -11,17 +11,17 @@
 use crate::{ProposalId, ProposalOutcome};
 
 /// A majority has so long to confirm that this machine holds the duty.
-const CONFIRMED: Span = Span::from_millis(1000);
+const CONFIRMED: TimeDelta = TimeDelta::from_millis(1000);
 
 impl Control {
     /// Takes the duty up, or lays it down. Safety: a machine that was cut off may hold it by what it knows while another
     /// one holds it by now; the two would undo each other's questions to replicas. So it carries out nothing while it is
     /// cut off, and afterwards only once a majority has confirmed that it still holds the duty.
-    pub(super) fn take_up(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn take_up(&mut self, now: Timestamp, commands: &mut Commands) {
         let held = self.duty.held_fence(self.ledger.applied());
         let fence = held.filter(|_| self.in_touch && self.confirmed == held);
         if held.is_some() && fence.is_none() {
-            self.confirm(now, orders);
+            self.confirm(now, commands);
         }
         if fence == self.fence {
             return;
@@ -32,7 +32,7 @@
         self.divide_from(now, after_another);
         self.decide_from(now, after_another);
         self.promotions = Promotions::default();
-        self.drop_platform_calls(orders);
+        self.drop_platform_calls(commands);
         match fence {
             Some(fence) => log::info!("duty: Holds promote, fence {fence}."),
             None => log::info!("duty: Holds promote no more."),
@@ -43,29 +43,29 @@
             self.ask_hosts(
                 now,
                 replicas.into_iter().map(|host| PromotionRequest::Continue { host }).collect(),
-                orders,
+                commands,
             );
         }
         if fence.is_some() {
-            self.check_suspicions(now, orders);
+            self.check_suspicions(now, commands);
         }
     }
 
     /// Asks a majority whether all that was agreed on is known here, this machine's hold of the duty among it.
-    pub(super) fn confirm(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn confirm(&mut self, now: Timestamp, commands: &mut Commands) {
         if self.in_touch && self.confirming.is_none() {
             self.confirming = Some(self.ledger.next_proposal());
-            self.with_ledger(now, orders, |ledger, out| ledger.propose_read(now, now + CONFIRMED, out));
+            self.with_ledger(now, commands, |ledger, out| ledger.propose_read(now, now + CONFIRMED, out));
         }
     }
 
     /// The ledger answers a question. Whether it was the one for the duty.
     pub(super) fn confirmation_answered(
         &mut self,
-        now: Point,
+        now: Timestamp,
         ticket: ProposalId,
         answer: ProposalOutcome,
-        orders: &mut Orders,
+        commands: &mut Commands,
     ) -> bool {
         if self.confirming != Some(ticket) {
             return false;
@@ -73,21 +73,21 @@
         self.confirming = None;
         if answer == ProposalOutcome::Current && self.in_touch {
             self.confirmed = self.duty.held_fence(self.ledger.applied());
-            self.take_up(now, orders);
+            self.take_up(now, commands);
         }
         true
     }
 
     /// This machine was cut off, or is in touch again.
-    pub(super) fn touch_changed(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn touch_changed(&mut self, now: Timestamp, commands: &mut Commands) {
         if !self.in_touch {
             self.confirmed = None;
         }
-        self.take_up(now, orders);
+        self.take_up(now, commands);
     }
 
     /// Looks at every service whose primary may have to change.
-    pub(super) fn look(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn look(&mut self, now: Timestamp, commands: &mut Commands) {
         let services: Vec<String> =
             self.ledger.applied().configuration.services().map(|service| service.name.clone()).collect();
         if self.leaders.len() > services.len() {
@@ -113,7 +113,7 @@
             }
             promotion.poll(now, &sight, &mut asks);
         }
-        self.tell_replacements(false, orders);
-        self.ask_hosts(now, asks, orders);
+        self.tell_replacements(false, commands);
+        self.ask_hosts(now, asks, commands);
     }
 }
--- a/crates/arrowyard-control/src/control/registry_snapshot.rs
+++ b/crates/arrowyard-control/src/control/registry_snapshot.rs
@@ -3,8 +3,8 @@
 //! it means. That a host leaves or has left was acknowledged, so it is never forgotten for an older word.
 
 use arrowyard_messages::Host;
-use arrowyard_runtime::Orders;
-use arrowyard_types::Point;
+use arrowyard_runtime::Commands;
+use arrowyard_types::Timestamp;
 use prost::Message;
 
 use super::Control;
@@ -23,7 +23,7 @@
             _ => {}
         }
     }
-    let (mut cell, now) = (HostRegistry::default(), Point::from_micros(0));
+    let (mut cell, now) = (HostRegistry::default(), Timestamp::from_micros(0));
     last.hosts.into_iter().for_each(|host| cell.restore_host(now, host, zone));
     // Records may be older or newer than the last memory: the cell takes the newer word of each host.
     departed.into_iter().for_each(|host| _ = cell.merge_report(now, host));
@@ -36,13 +36,13 @@
     }
 
     /// Keeps what changed since the last time. Nobody waits for it.
-    pub(super) fn remember(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn remember(&mut self, now: Timestamp, commands: &mut Commands) {
         let digest = self.cell.digest().wrapping_add(u64::from(self.routers));
         if digest == self.kept_digest {
             return;
         }
         self.kept_digest = digest;
         let memory = self.memory();
-        self.with_ledger(now, orders, |ledger, out| ledger.store_record(RecordKind::Registry(memory), out));
+        self.with_ledger(now, commands, |ledger, out| ledger.store_record(RecordKind::Registry(memory), out));
     }
 }
--- a/crates/arrowyard-control/src/promotion/mod.rs
+++ b/crates/arrowyard-control/src/promotion/mod.rs
@@ -16,7 +16,7 @@
 
 use arrowyard_messages::{DbRole, Host, Phase, Replacement};
 use arrowyard_protocol::{Observed, Position};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 pub use leader_watch::LeaderWatch;
 pub use request::{PromotionRequest, Reply, RowKind, is_redundant};
@@ -25,21 +25,21 @@
 use crate::HostRegistry;
 
 /// A primary that does not answer is asked again after the first of these, and nobody hears of it for the second.
-const AGAIN: Span = Span::from_millis(80);
-const COOL: Span = Span::from_millis(400);
+const AGAIN: TimeDelta = TimeDelta::from_millis(80);
+const COOL: TimeDelta = TimeDelta::from_millis(400);
 /// Hosts that did not answer are asked again after so long; a candidate that still receives, and the platform, likewise; one
 /// that was to stop receiving and is to go on.
-const RETRY: Span = Span::from_millis(150);
-const HELD: Span = Span::from_millis(1000);
+const RETRY: TimeDelta = TimeDelta::from_millis(150);
+const HELD: TimeDelta = TimeDelta::from_millis(1000);
 /// A question to stop receiving that a router relays may arrive so long after it was asked.
-const LATE_PAUSE: Span = Span::from_millis(1000);
-const CATCH_UP: Span = Span::from_millis(15);
+const LATE_PAUSE: TimeDelta = TimeDelta::from_millis(1000);
+const CATCH_UP: TimeDelta = TimeDelta::from_millis(15);
 /// An old primary that lives has so long to yield; once it has, hosts that joined it before have so long to be heard of.
-const YIELDS: Span = Span::from_millis(40);
-const NEWCOMERS: Span = Span::from_millis(500);
+const YIELDS: TimeDelta = TimeDelta::from_millis(40);
+const NEWCOMERS: TimeDelta = TimeDelta::from_millis(500);
 /// A candidate has so long to receive what the others have; the platform so long to make it primary.
-const PATIENCE: Span = Span::from_millis(1500);
-const SETTLE: Span = Span::from_millis(4000);
+const PATIENCE: TimeDelta = TimeDelta::from_millis(1500);
+const SETTLE: TimeDelta = TimeDelta::from_millis(4000);
 /// So many questions in a row must stay without an answer.
 const SURE: u32 = 2;
 
@@ -48,16 +48,16 @@
 pub struct Promotion {
     service: String,
     pub stage: Stage,
-    wake_at: Option<Point>,
-    quiet_until: Point,
+    wake_at: Option<Timestamp>,
+    quiet_until: Timestamp,
     /// Hosts that were asked to stop receiving, and have not said since that they go on.
     held: BTreeSet<String>,
-    paused_at: Point,
+    paused_at: Timestamp,
     /// What the primary had after a replica fell silent: whoever has as much has all that this replica acknowledged.
     floors: BTreeMap<String, Position>,
     /// Replicas that were silent when the primary was asked for that.
     floor_of: BTreeSet<String>,
-    floor_at: Point,
+    floor_at: Timestamp,
     /// Rises each time that hosts are asked to stop.
     attempt: u64,
     /// The service's hosts as they were when the last survey was complete, and a term above all of theirs.
@@ -81,9 +81,9 @@
 pub struct HostsSnapshot<'a> {
     pub registry: &'a HostRegistry,
     /// Hosts that do not call any more, and since when.
-    pub silent: &'a BTreeMap<String, Point>,
+    pub silent: &'a BTreeMap<String, Timestamp>,
     /// Hosts that left, with the time and their address.
-    pub departed: &'a [(Point, Host)],
+    pub departed: &'a [(Timestamp, Host)],
 }
 
 impl Promotion {
@@ -92,12 +92,12 @@
             service: service.to_string(),
             stage: Stage::Idle,
             wake_at: None,
-            quiet_until: Point::DAWN,
+            quiet_until: Timestamp::DISTANT_PAST,
             held: BTreeSet::new(),
-            paused_at: Point::DAWN,
+            paused_at: Timestamp::DISTANT_PAST,
             floors: BTreeMap::new(),
             floor_of: BTreeSet::new(),
-            floor_at: Point::DAWN,
+            floor_at: Timestamp::DISTANT_PAST,
             attempt: 0,
             surveyed_hosts: BTreeSet::new(),
             next_term: 0,
@@ -106,7 +106,7 @@
         }
     }
 
-    pub fn due(&self) -> Option<Point> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.wake_at
     }
 
@@ -135,7 +135,7 @@
     /// that came of it must not be carried out.
     pub fn survey_newcomers(
         &mut self,
-        now: Point,
+        now: Timestamp,
         sight: &HostsSnapshot<'_>,
         asks: &mut Vec<PromotionRequest>,
     ) -> bool {
@@ -171,7 +171,7 @@
         self.held.contains(host)
     }
 
-    fn go(&mut self, stage: Stage, wake_at: Option<Point>) {
+    fn go(&mut self, stage: Stage, wake_at: Option<Timestamp>) {
         if std::mem::discriminant(&self.stage) != std::mem::discriminant(&stage) {
             log::info!("promotion: {}: {}.", self.service, stage);
         }
@@ -188,7 +188,7 @@
     /// Somebody says that a host, as primary, does not answer.
     pub fn suspect_primary(
         &mut self,
-        now: Point,
+        now: Timestamp,
         host: &str,
         sight: &HostsSnapshot<'_>,
         asks: &mut Vec<PromotionRequest>,
@@ -201,7 +201,7 @@
     }
 
     /// Time has passed, or the hosts changed.
-    pub fn poll(&mut self, now: Point, sight: &HostsSnapshot<'_>, asks: &mut Vec<PromotionRequest>) {
+    pub fn poll(&mut self, now: Timestamp, sight: &HostsSnapshot<'_>, asks: &mut Vec<PromotionRequest>) {
         // Danger: a floor holds for one silence. A host that is back, and silent again, has acknowledged more meanwhile;
         // so it is forgotten at whatever stage, well before a new silence can be noticed.
         self.floors.retain(|host, _| sight.silent.contains_key(host));
@@ -282,7 +282,12 @@
     }
 
     /// A replica is silent: what has the primary? Once for each silence, since every such question takes a slot there.
-    fn ask_for_floors(&mut self, now: Point, sight: &HostsSnapshot<'_>, asks: &mut Vec<PromotionRequest>) {
+    fn ask_for_floors(
+        &mut self,
+        now: Timestamp,
+        sight: &HostsSnapshot<'_>,
+        asks: &mut Vec<PromotionRequest>,
+    ) {
         let Some(primary) = sight.registry.primary(&self.service).map(|host| host.id.clone()) else { return };
         let lacks = |host: &&Host| {
             host.id != primary && sight.silent.contains_key(&host.id) && !self.floors.contains_key(&host.id)
@@ -298,7 +303,7 @@
     /// Takes what came back.
     pub fn handle_reply(
         &mut self,
-        now: Point,
+        now: Timestamp,
         reply: Reply,
         sight: &HostsSnapshot<'_>,
         asks: &mut Vec<PromotionRequest>,
@@ -407,7 +412,7 @@
     }
 
     /// Once all that were asked to have stopped receiving.
-    fn paused(&mut self, now: Point, sight: &HostsSnapshot<'_>, asks: &mut Vec<PromotionRequest>) {
+    fn paused(&mut self, now: Timestamp, sight: &HostsSnapshot<'_>, asks: &mut Vec<PromotionRequest>) {
         let Stage::Fencing { old, candidate, asked, rows, .. } = self.stage.clone() else { return };
         if !asked.iter().all(|host| rows.contains_key(host)) {
             return;
@@ -434,7 +439,7 @@
     }
 
     /// The old primary has yielded or does not answer routers either.
-    fn end_yielding(&mut self, now: Point, sight: &HostsSnapshot<'_>, asks: &mut Vec<PromotionRequest>) {
+    fn end_yielding(&mut self, now: Timestamp, sight: &HostsSnapshot<'_>, asks: &mut Vec<PromotionRequest>) {
         let Stage::Yielding { old, candidate } = self.stage.clone() else { return };
         if !self.survey_newcomers(now, sight, asks) {
             self.promote(old, candidate, false, asks);
@@ -454,7 +459,7 @@
 
     fn pause<'a>(
         &mut self,
-        now: Point,
+        now: Timestamp,
         hosts: impl Iterator<Item = &'a String>,
         term: u64,
         asks: &mut Vec<PromotionRequest>,
@@ -467,7 +472,7 @@
     }
 
     /// Nothing is replaced. Whoever was held goes on: see `poll`, which asks for it till it is done.
-    fn abort(&mut self, now: Point, asks: &mut Vec<PromotionRequest>) {
+    fn abort(&mut self, now: Timestamp, asks: &mut Vec<PromotionRequest>) {
         asks.extend(self.held.iter().map(|host| PromotionRequest::Continue { host: host.clone() }));
         self.quiet_until = now + COOL;
         self.go(Stage::Idle, None);
@@ -493,7 +498,7 @@
         self.by_service.entry(service.to_string()).or_insert_with(|| Promotion::new(service))
     }
 
-    pub fn due(&self) -> Option<Point> {
+    pub fn due(&self) -> Option<Timestamp> {
         self.by_service.values().filter_map(Promotion::due).min()
     }
 }
--- a/crates/arrowyard-control/src/replicated_log/learner.rs
+++ b/crates/arrowyard-control/src/replicated_log/learner.rs
@@ -3,29 +3,29 @@
 use super::*;
 
 impl ReplicatedLog {
-    pub(super) fn ask_for_more(&mut self, now: Point, from: u32, out: &mut Vec<Output>) {
+    pub(super) fn ask_for_more(&mut self, now: Timestamp, from: u32, out: &mut Vec<Output>) {
         if from != self.me && now - self.fetched_at >= PAUSE {
             self.fetched_at = now;
             let from_slot = if self.applied.voters.is_empty() { 1 } else { self.applied.slot + 1 };
-            out.push(Output::Send { to: from, payload: Word::Fetch(Fetch { from: from_slot }) });
+            out.push(Output::Send { to: from, payload: Payload::Fetch(Fetch { from: from_slot }) });
         }
     }
 
     /// Somebody is known to have more entries.
-    pub fn observe_peer_progress(&mut self, now: Point, other: u32, chosen: u64, out: &mut Vec<Output>) {
+    pub fn observe_peer_progress(&mut self, now: Timestamp, other: u32, chosen: u64, out: &mut Vec<Output>) {
         if chosen > self.applied.slot || self.applied.voters.is_empty() {
             self.ask_for_more(now, other, out);
         }
     }
 
     /// A slot's entry is known, and what waits may be proposed behind it.
-    pub(super) fn learn(&mut self, now: Point, from: u32, chosen: Chosen, out: &mut Vec<Output>) {
+    pub(super) fn learn(&mut self, now: Timestamp, from: u32, chosen: Chosen, out: &mut Vec<Output>) {
         self.learn_entry(now, from, chosen, out);
         self.begin(now, out);
     }
 
     /// Slots are taken in order; what lies further ahead is asked for.
-    fn learn_entry(&mut self, now: Point, from: u32, chosen: Chosen, out: &mut Vec<Output>) {
+    fn learn_entry(&mut self, now: Timestamp, from: u32, chosen: Chosen, out: &mut Vec<Output>) {
         // Danger: whoever does not know who votes lacks what stands before the first entry.
         if chosen.slot > self.applied.slot + 1 || self.applied.voters.is_empty() {
             return self.ask_for_more(now, from, out);
@@ -37,18 +37,18 @@
         self.store(RecordKind::Chosen(chosen.clone()), None, out);
         if mine {
             // Whoever voted, and the others through them.
-            out.push(Output::Send { to: 0, payload: Word::Chosen(chosen.clone()) });
+            out.push(Output::Send { to: 0, payload: Payload::Chosen(chosen.clone()) });
         }
         let (slot, entry) = (chosen.slot, chosen.entry.clone());
         self.take_entry(chosen);
         out.push(Output::Chosen { slot });
-        if let Some(Matter::Voters(voters)) = &entry.matter
+        if let Some(EntryPayload::Voters(voters)) = &entry.payload
             && voters.voters == self.applied.voters
         {
             log::info!("ledger: {} voters from slot {} on.", voters.voters.len(), slot + 1);
         }
-        if let Some(Matter::Rejoin(rejoin)) = &entry.matter
-            && (rejoin.voter, rejoin.life) == (self.me, self.life)
+        if let Some(EntryPayload::Rejoin(rejoin)) = &entry.payload
+            && (rejoin.voter, rejoin.incarnation) == (self.me, self.incarnation)
         {
             self.votes = true;
             log::info!("ledger: Votes again.");
@@ -57,8 +57,7 @@
             self.vote_record = Some(self.last_record);
             out.push(Output::Store { ticket: self.last_record, record });
         }
-        let entered =
-            |waiting: &Waiting| matches!(&waiting.proposal, Proposal::Enter(proposed) if *proposed == entry);
+        let entered = |waiting: &Waiting| matches ! ( & waiting . proposal , Proposal :: Enter ( proposed ) if * proposed == entry );
         if let Some(place) = self.waiting.iter().position(entered) {
             let waiting = self.waiting.remove(place).expect("its place was just found");
             out.push(Output::Resolved {
@@ -84,7 +83,7 @@
         }
     }
 
-    pub(super) fn fetch(&mut self, now: Point, from: u32, fetch: Fetch, out: &mut Vec<Output>) {
+    pub(super) fn fetch(&mut self, now: Timestamp, from: u32, fetch: Fetch, out: &mut Vec<Output>) {
         if from == self.me {
             return;
         }
@@ -95,11 +94,11 @@
         let snapshot = (known && whole || self.applied.slot == 0).then(|| self.applied.snapshot());
         let entries = if snapshot.is_some() { Vec::new() } else { entries };
         if snapshot.is_some() || !entries.is_empty() {
-            self.send(now, from, Word::Ledger(Entries { snapshot, entries }), out);
+            self.send(now, from, Payload::LogEntries(Entries { snapshot, entries }), out);
         }
     }
 
-    pub(super) fn entries(&mut self, now: Point, from: u32, entries: &Entries, out: &mut Vec<Output>) {
+    pub(super) fn entries(&mut self, now: Timestamp, from: u32, entries: &Entries, out: &mut Vec<Output>) {
         if let Some(snapshot) = &entries.snapshot {
             let newer = snapshot.slot > self.applied.slot;
             let known = snapshot.slot == self.applied.slot && !snapshot.voters.is_empty();
--- a/crates/arrowyard-control/src/replicated_log/proposer.rs
+++ b/crates/arrowyard-control/src/replicated_log/proposer.rs
@@ -11,26 +11,26 @@
     /// Proposes an entry; what came of it is told by `until`.
     pub fn propose_entry(
         &mut self,
-        now: Point,
+        now: Timestamp,
         entry: Entry,
-        until: Point,
+        until: Timestamp,
         out: &mut Vec<Output>,
     ) -> ProposalId {
         self.propose(now, Proposal::Enter(entry), until, out)
     }
 
     /// Asks to know all that was acknowledged so far.
-    pub fn propose_read(&mut self, now: Point, until: Point, out: &mut Vec<Output>) -> ProposalId {
+    pub fn propose_read(&mut self, now: Timestamp, until: Timestamp, out: &mut Vec<Output>) -> ProposalId {
         let ticket = self.propose(now, Proposal::Read { heard: BTreeSet::new(), slot: 0 }, until, out);
-        self.broadcast(now, &Word::Probe(Probe { ticket: ticket.0 }), out);
+        self.broadcast(now, &Payload::Probe(Probe { ticket: ticket.0 }), out);
         ticket
     }
 
     pub(super) fn propose(
         &mut self,
-        now: Point,
+        now: Timestamp,
         proposal: Proposal,
-        until: Point,
+        until: Timestamp,
         out: &mut Vec<Output>,
     ) -> ProposalId {
         self.last += 1;
@@ -45,7 +45,7 @@
     }
 
     /// Begins a round where there is something to enter and none is under way.
-    pub(super) fn begin(&mut self, now: Point, out: &mut Vec<Output>) {
+    pub(super) fn begin(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         if !self.wants_round()
             || self.round.is_some()
             || now < self.pause_until
@@ -55,10 +55,10 @@
         }
         self.seen += 1;
         let (slot, ballot) =
-            (self.applied.slot + 1, Ballot { round: self.seen, by: self.me, life: self.life });
+            (self.applied.slot + 1, Ballot { round: self.seen, by: self.me, incarnation: self.incarnation });
         let phase = Phase::Preparing { promised: BTreeSet::new(), best: None };
         self.round = Some(Round { slot, ballot, phase, until: now + ROUND });
-        self.broadcast(now, &Word::Prepare(Prepare { slot, ballot }), out);
+        self.broadcast(now, &Payload::Prepare(Prepare { slot, ballot }), out);
     }
 
     /// Whether there is something to enter, or to find out. Danger: what one voter accepted may be chosen.
@@ -75,14 +75,14 @@
         !self.votes && self.applied.voters.contains(&self.me)
     }
 
-    pub(super) fn lose_round(&mut self, now: Point) {
+    pub(super) fn lose_round(&mut self, now: Timestamp) {
         self.round = None;
         self.losses = (self.losses + 1).min(6);
         let most = PAUSE * f64::from(1 << self.losses);
         self.pause_until = now + PAUSE + most * self.rng.f64();
     }
 
-    pub(super) fn promise(&mut self, now: Point, from: u32, promise: &Promise, out: &mut Vec<Output>) {
+    pub(super) fn promise(&mut self, now: Timestamp, from: u32, promise: &Promise, out: &mut Vec<Output>) {
         self.seen = self.seen.max(promise.promised.round);
         let (majority, others, rejoins) = (self.majority(), self.others(), self.rejoins());
         let me = self.me;
@@ -130,17 +130,19 @@
             // Its own vote counts from this ballot on: others() voters promised it after whatever it knew before.
             self.take_vote(now, me, &accept, out);
             for to in self.applied.voters.clone().into_iter().filter(|&to| to != me) {
-                self.send(now, to, Word::Accept(accept.clone()), out);
+                self.send(now, to, Payload::Accept(accept.clone()), out);
             }
         } else {
-            self.broadcast(now, &Word::Accept(accept), out);
+            self.broadcast(now, &Payload::Accept(accept), out);
         }
     }
 
     /// What this machine would enter next.
     pub(super) fn next_entry(&self) -> Option<Entry> {
         if self.rejoins() {
-            return Some(Entry { matter: Some(Matter::Rejoin(Rejoin { voter: self.me, life: self.life })) });
+            return Some(Entry {
+                payload: Some(EntryPayload::Rejoin(Rejoin { voter: self.me, incarnation: self.incarnation })),
+            });
         }
         self.waiting.iter().find_map(|waiting| match &waiting.proposal {
             Proposal::Enter(entry) => Some(entry.clone()),
@@ -148,7 +150,7 @@
         })
     }
 
-    pub(super) fn accepted(&mut self, now: Point, from: u32, word: Accepted, out: &mut Vec<Output>) {
+    pub(super) fn accepted(&mut self, now: Timestamp, from: u32, word: Accepted, out: &mut Vec<Output>) {
         self.seen = self.seen.max(word.promised.round);
         let (majority, others, rejoins, me) = (self.majority(), self.others(), self.rejoins(), self.me);
         if !self.is_current_ballot(word.slot, word.ballot) {
@@ -171,13 +173,7 @@
     /// What builds on a version, or on a holder, that is no more is told so: it will not be entered from here on.
     pub(super) fn drop_superseded(&mut self, out: &mut Vec<Output>) {
         let applied = &self.applied;
-        self.waiting.retain(|waiting| {
-            let moot = matches!(&waiting.proposal, Proposal::Enter(entry) if !applied.is_applicable(entry));
-            if moot {
-                out.push(Output::Resolved { proposal: waiting.ticket, outcome: ProposalOutcome::Superseded });
-            }
-            !moot
-        });
+        self . waiting . retain ( | waiting | { let moot = matches ! ( & waiting . proposal , Proposal :: Enter ( entry ) if ! applied . is_applicable ( entry ) ) ; if moot { out . push ( Output :: Resolved { proposal : waiting . ticket , outcome : ProposalOutcome :: Superseded } ) ; } ! moot } ) ;
     }
 
     /// Whether answers to this ballot still count here.
--- a/crates/arrowyard-control/tests/control.rs
+++ b/crates/arrowyard-control/tests/control.rs
@@ -6,13 +6,13 @@
     AppliedState, DiskHealth, DutyElection, HostRegistry, HostsSnapshot, PeerView, Promotion,
     PromotionRequest, Reply, RowKind, Stage,
 };
-use arrowyard_messages::{DbRole, Duty, Entry, Host, Known, Matter, Phase};
+use arrowyard_messages::{DbRole, Duty, Entry, EntryPayload, Host, KnownControl, Phase};
 use arrowyard_protocol::{Observed, Position};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
 fn host(id: &str, role: DbRole, phase: Phase, call_seq: u64) -> Host {
@@ -86,7 +86,7 @@
     let gone = 7;
     for round in 0..200 {
         for me in (0..machines).filter(|&me| me != gone || round < 20) {
-            let known: Vec<Known> = views[me as usize]
+            let known: Vec<KnownControl> = views[me as usize]
                 .machines()
                 .filter(|known| known.ip != gone || round < 20)
                 .cloned()
@@ -117,8 +117,8 @@
         .expect("it is vacant at first");
     applied.apply(&first);
     assert_eq!(duties.held_fence(&applied), Some(1));
-    let other = Duty { duty: "promote".into(), holder: 2, life: 22, node: "two".into(), fence: 1 };
-    applied.apply(&Entry { matter: Some(Matter::Duty(other)) });
+    let other = Duty { duty: "promote".into(), holder: 2, incarnation: 22, node: "two".into(), fence: 1 };
+    applied.apply(&Entry { payload: Some(EntryPayload::Duty(other)) });
     assert_eq!(duties.held_fence(&applied), None);
     assert!((500..4000).all(|ms| {
         duties.record_contact(at(ms), 2, 22, &applied);
@@ -130,22 +130,23 @@
         duties.poll_candidacy(at(ms), &applied, &mut rng)
     });
     assert!(matches!(
-        again.and_then(|entry| entry.matter),
-        Some(Matter::Duty(Duty { holder: 1, fence: 2, .. }))
+        again.and_then(|entry| entry.payload),
+        Some(EntryPayload::Duty(Duty { holder: 1, fence: 2, .. }))
     ));
 }
 
 /// A way between two machines that is cut is no vacancy, as long as others hear of the holder; but a holder that has started
+
 /// again holds nothing, however well it is heard.
 #[test]
 fn a_holder_that_others_hear_of_keeps_its_duty_unless_it_has_started_again() {
     let (mut applied, mut rng) = (AppliedState::default(), Rng::with_seed(1));
-    let duty = Duty { duty: "promote".into(), holder: 2, life: 22, node: "two".into(), fence: 0 };
-    applied.apply(&Entry { matter: Some(Matter::Duty(duty)) });
-    let mut vacant_at = |life: Option<u64>| {
+    let duty = Duty { duty: "promote".into(), holder: 2, incarnation: 22, node: "two".into(), fence: 0 };
+    applied.apply(&Entry { payload: Some(EntryPayload::Duty(duty)) });
+    let mut vacant_at = |incarnation: Option<u64>| {
         let mut duties = DutyElection::new("promote", 1, 11, "one", at(0));
         (0..9000).step_by(500).find(|ms| {
-            duties.record_indirect_contact(at(*ms - 1250), &[2, 3], |_| life, &applied);
+            duties.record_indirect_contact(at(*ms - 1250), &[2, 3], |_| incarnation, &applied);
             duties.poll_candidacy(at(*ms), &applied, &mut rng).is_some()
         })
     };
@@ -156,7 +157,7 @@
 
 struct Scene {
     cell: HostRegistry,
-    silent: BTreeMap<String, Point>,
+    silent: BTreeMap<String, Timestamp>,
     promotion: Promotion,
     asks: Vec<PromotionRequest>,
     now: i64,
@@ -185,7 +186,7 @@
 
     fn sight(
         &mut self,
-        act: impl FnOnce(&mut Promotion, Point, &HostsSnapshot<'_>, &mut Vec<PromotionRequest>),
+        act: impl FnOnce(&mut Promotion, Timestamp, &HostsSnapshot<'_>, &mut Vec<PromotionRequest>),
     ) -> Vec<PromotionRequest> {
         let sight = HostsSnapshot { registry: &self.cell, silent: &self.silent, departed: &[] };
         let mut asks = Vec::new();
@@ -306,6 +307,7 @@
 }
 
 /// Who led says itself that it does so no more: nobody else can be about to call as primary, but for a change that an
+
 /// earlier owner of the duty began.
 #[test]
 fn a_service_whose_primary_was_deposed_gets_one_sooner() {
@@ -522,7 +524,7 @@
     scene.cell.merge_report(at(scene.now), host(&candidate, DbRole::Primary, Phase::InService, 7));
     scene.pass(300);
     assert_eq!(scene.promotion.stage, Stage::Idle);
-    assert!(scene.pass(Span::from_millis(60_000).micros() / 1000).is_empty());
+    assert!(scene.pass(TimeDelta::from_millis(60_000).micros() / 1000).is_empty());
 }
 
 #[test]
--- a/crates/arrowyard-control/tests/replicated_log.rs
+++ b/crates/arrowyard-control/tests/replicated_log.rs
@@ -1,5 +1,7 @@
 //! The ledger under drawn losses: messages lost, doubled and late, processes killed, disks lost as far as they may be.
+
 //! What was answered as entered is there for good, once, in the same slot everywhere; two changes on one version never
+
 //! both get in; a read that was answered sees what was entered before it was asked.
 
 use std::collections::BTreeMap;
@@ -9,9 +11,10 @@
     change_digest,
 };
 use arrowyard_messages::{
-    Ballot, Chosen, Duty, Entry, Ledger as Entries, Matter, Prepare, Probed, Revised, Voters, Word,
+    Ballot, Chosen, ConfigRevision, Duty, Entry, EntryPayload, LogEntries as Entries, Payload, Prepare,
+    Probed, Voters,
 };
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 use prost::Message;
 
@@ -20,16 +23,16 @@
     disk: Vec<Vec<u8>>,
     wiped: bool,
     /// Its disk refuses records until then; what was refused in between is kept by a snapshot alone.
-    refuses_until: Option<Point>,
+    refuses_until: Option<Timestamp>,
 }
 
 struct Net {
-    now: Point,
+    now: Timestamp,
     rng: Rng,
     machines: Vec<Machine>,
     /// What arrives when: to whom, from whom.
-    mail: Vec<(Point, usize, u32, Word)>,
-    syncs: Vec<(Point, usize, u64, Vec<u8>, u32)>,
+    mail: Vec<(Timestamp, usize, u32, Payload)>,
+    syncs: Vec<(Timestamp, usize, u64, Vec<u8>, u32)>,
     lives: Vec<u32>,
     answers: BTreeMap<(usize, u32, u64), ProposalOutcome>,
     loss: f64,
@@ -43,7 +46,7 @@
     fn new(seed: u64, machines: usize, voters: usize, loss: f64) -> Self {
         let founders: Vec<u32> = (0..voters).map(ip).collect();
         let mut net = Net {
-            now: Point::from_micros(0),
+            now: Timestamp::from_micros(0),
             rng: Rng::with_seed(seed),
             machines: Vec::new(),
             mail: Vec::new(),
@@ -77,7 +80,7 @@
                 }
                 Output::Send { to, payload: word } => self.post(machine, to as usize - 1, word),
                 Output::Store { ticket, record } => {
-                    let done = self.now + Span::from_micros(self.rng.i64(500..6000));
+                    let done = self.now + TimeDelta::from_micros(self.rng.i64(500..6000));
                     self.syncs.push((done, machine, ticket, record, self.lives[machine]));
                 }
                 Output::Chosen { .. } => {}
@@ -88,15 +91,15 @@
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, word: Word) {
+    fn post(&mut self, from: usize, to: usize, word: Payload) {
         let copies = if self.rng.f64() < self.loss { 0 } else { 1 + usize::from(self.rng.f64() < self.loss) };
         for _ in 0..copies {
-            let at = self.now + Span::from_micros(self.rng.i64(300..9000));
+            let at = self.now + TimeDelta::from_micros(self.rng.i64(300..9000));
             self.mail.push((at, to, ip(from), word.clone()));
         }
     }
 
-    fn with(&mut self, machine: usize, act: impl FnOnce(&mut ReplicatedLog, Point, &mut Vec<Output>)) {
+    fn with(&mut self, machine: usize, act: impl FnOnce(&mut ReplicatedLog, Timestamp, &mut Vec<Output>)) {
         let mut out = Vec::new();
         if let Some(ledger) = self.machines[machine].ledger.as_mut() {
             act(ledger, self.now, &mut out);
@@ -106,12 +109,12 @@
 
     /// Lets a millisecond pass.
     fn step(&mut self) {
-        self.now = self.now + Span::from_millis(1);
+        self.now = self.now + TimeDelta::from_millis(1);
         let now = self.now;
         let mut due: Vec<_> = self.syncs.extract_if(.., |(at, ..)| *at <= now).collect();
         due.sort_by_key(|(_, _, ticket, _, _)| *ticket);
-        for (_, machine, ticket, record, life) in due {
-            if life == self.lives[machine] {
+        for (_, machine, ticket, record, incarnation) in due {
+            if incarnation == self.lives[machine] {
                 let kept = self.machines[machine].refuses_until.is_none();
                 if kept {
                     self.machines[machine].disk.push(record);
@@ -176,8 +179,9 @@
 
     fn start(&mut self, machine: usize) {
         let mut out = Vec::new();
-        let life = self.rng.u64(..);
-        let ledger = ReplicatedLog::open(ip(machine), life, &self.machines[machine].disk, None, &mut out);
+        let incarnation = self.rng.u64(..);
+        let ledger =
+            ReplicatedLog::open(ip(machine), incarnation, &self.machines[machine].disk, None, &mut out);
         self.machines[machine].ledger = Some(ledger.expect("what it wrote itself"));
         self.carry(machine, out);
     }
@@ -198,11 +202,17 @@
 
 fn change(revision: u64, base: u64) -> Entry {
     let body = format!("{{\"revision\":{revision},\"services\":[{{\"name\":\"s{revision}\"}}]}}");
-    Entry { matter: Some(Matter::Configuration(Revised { whole: true, base, body: body.into_bytes() })) }
+    Entry {
+        payload: Some(EntryPayload::Configuration(ConfigRevision {
+            whole: true,
+            base,
+            body: body.into_bytes(),
+        })),
+    }
 }
 
 fn revision(entry: &Entry) -> Option<(u64, ChangeDigest)> {
-    let Some(Matter::Configuration(revised)) = &entry.matter else { return None };
+    let Some(EntryPayload::Configuration(revised)) = &entry.payload else { return None };
     let text = String::from_utf8_lossy(&revised.body).into_owned();
     let digits = text.split("revision\":").nth(1)?.split(',').next()?.parse().ok()?;
     Some((digits, change_digest(revised)))
@@ -222,7 +232,7 @@
         voters.push(free.pop()?);
         voters.sort_unstable();
     }
-    Some(Entry { matter: Some(Matter::Voters(Voters { voters, before })) })
+    Some(Entry { payload: Some(EntryPayload::Voters(Voters { voters, before })) })
 }
 
 /// One drawn history; what it shows of entries, reads and duties. With `seats`, who votes changes again and again.
@@ -263,8 +273,8 @@
         reads.retain(|(key, _)| !net.answers.contains_key(key));
         let machine = net.rng.usize(0..machines);
         if millis < 4500 && millis % 60 == 0 && net.machines[machine].ledger.is_some() {
-            let life = net.lives[machine];
-            let until = net.now + Span::from_millis(1500);
+            let incarnation = net.lives[machine];
+            let until = net.now + TimeDelta::from_millis(1500);
             let base =
                 net.machines[machine].ledger.as_ref().map_or(0, |l| l.applied().configuration.revision);
             let (step, turn) = (net.rng.u64(1..4), net.rng.u32(0..4));
@@ -274,23 +284,28 @@
             } else if turn == 0 {
                 let fence =
                     net.machines[machine].ledger.as_ref().map_or(0, |l| l.applied().duty_fence("promote"));
-                let duty =
-                    Duty { duty: "promote".into(), holder: ip(machine), life: 1, node: "n".into(), fence };
-                Entry { matter: Some(Matter::Duty(duty)) }
+                let duty = Duty {
+                    duty: "promote".into(),
+                    holder: ip(machine),
+                    incarnation: 1,
+                    node: "n".into(),
+                    fence,
+                };
+                Entry { payload: Some(EntryPayload::Duty(duty)) }
             } else {
                 change(base + step * 10 + machine as u64, base)
             };
             if turn == 3 {
                 let mut ticket = ProposalId::default();
                 net.with(machine, |ledger, now, out| ticket = ledger.propose_read(now, until, out));
-                reads.push(((machine, life, ticket.0), newest));
+                reads.push(((machine, incarnation, ticket.0), newest));
             } else {
                 let mut ticket = ProposalId::default();
                 let proposed = entry.clone();
                 net.with(machine, |ledger, now, out| {
                     ticket = ledger.propose_entry(now, proposed, until, out)
                 });
-                proposals.push(((machine, life, ticket.0), entry));
+                proposals.push(((machine, incarnation, ticket.0), entry));
             }
         }
         // One machine at a time is away; now and then without its disk, once the last one votes again.
@@ -310,7 +325,7 @@
         if millis < 4000 && down.is_none() && millis >= back && net.rng.f64() < 0.002 {
             let victim = net.rng.usize(0..machines);
             let for_ms = net.rng.i64(20..600);
-            net.machines[victim].refuses_until = Some(net.now + Span::from_millis(for_ms));
+            net.machines[victim].refuses_until = Some(net.now + TimeDelta::from_millis(for_ms));
             // Danger for the test, not the code: a lost disk beside it is beyond what is borne.
             back = millis + for_ms as u32 + 100;
         }
@@ -364,7 +379,7 @@
     applied.voters = vec![1, 2, 3];
     let mut seats = |voters: &[u32], before: &[u32]| {
         let voters = Voters { voters: voters.to_vec(), before: before.to_vec() };
-        applied.apply(&Entry { matter: Some(Matter::Voters(voters)) });
+        applied.apply(&Entry { payload: Some(EntryPayload::Voters(voters)) });
         applied.voters.clone()
     };
     assert_eq!(seats(&[1, 2, 4], &[1, 2, 4]), [1, 2, 3], "another list was seen");
@@ -380,12 +395,12 @@
 fn a_disk_is_read_in_whatever_order_a_snapshot_was_written_beside_newer_records() {
     // A snapshot is taken, newer records are written, then the snapshot: none of them may be forgotten.
     let mut net = Net::new(7, 3, 3, 0.0);
-    let until = net.now + Span::from_millis(2000);
+    let until = net.now + TimeDelta::from_millis(2000);
     net.with(0, |ledger, now, out| _ = ledger.propose_entry(now, change(5, 0), until, out));
     (0..300).for_each(|_| net.step());
     let early = net.machines[0].ledger.as_ref().expect("it is up").snapshot(None);
     net.with(0, |ledger, now, out| {
-        _ = ledger.propose_entry(now, change(9, 5), now + Span::from_millis(2000), out)
+        _ = ledger.propose_entry(now, change(9, 5), now + TimeDelta::from_millis(2000), out)
     });
     (0..300).for_each(|_| net.step());
     let mut disk = net.machines[0].disk.clone();
@@ -409,8 +424,8 @@
 fn a_duty_changes_hands_only_from_the_holder_that_was_seen() {
     let mut applied = AppliedState::default();
     let duty = |holder, fence| {
-        let duty = Duty { duty: "promote".into(), holder, life: 1, node: "n".into(), fence };
-        Entry { matter: Some(Matter::Duty(duty)) }
+        let duty = Duty { duty: "promote".into(), holder, incarnation: 1, node: "n".into(), fence };
+        Entry { payload: Some(EntryPayload::Duty(duty)) }
     };
     applied.apply(&duty(1, 0));
     assert_eq!((applied.duties["promote"].holder, applied.duty_fence("promote")), (1, 1));
@@ -421,45 +436,48 @@
 }
 
 /// A machine with an empty disk that nobody has told who votes: it waits, and does not ask to be woken at once again and
+
 /// again. It once did, as long as something was proposed of it.
 #[test]
 fn whoever_knows_no_voters_rests_till_its_wish_is_over() {
-    let (mut out, now) = (Vec::new(), Point::from_micros(5_000_000));
+    let (mut out, now) = (Vec::new(), Timestamp::from_micros(5_000_000));
     let mut ledger = ReplicatedLog::open(9, 1, &[], None, &mut out).expect("an empty disk");
-    let until = now + Span::from_millis(1000);
+    let until = now + TimeDelta::from_millis(1000);
     ledger.propose_entry(now, change(5, 0), until, &mut out);
     ledger.on_timer(now, &mut out);
     assert_eq!(ledger.due(), Some(until));
 }
 
 /// Who votes changes between a question and its answers: this machine gives its seat up, and its own word and one
+
 /// other's are no majority of those who vote now.
 #[test]
 fn a_read_counts_only_who_votes_by_then() {
-    let (mut out, now) = (Vec::new(), Point::from_micros(0));
+    let (mut out, now) = (Vec::new(), Timestamp::from_micros(0));
     let mut ledger = ReplicatedLog::open(4, 1, &[], Some(&[1, 2, 3, 4]), &mut out).expect("an empty disk");
-    let ticket = ledger.propose_read(now, now + Span::from_millis(1000), &mut out);
+    let ticket = ledger.propose_read(now, now + TimeDelta::from_millis(1000), &mut out);
     let probed =
         Probed { ticket: ticket.0, chosen: 0, accepted: 0, votes: true, promised: Ballot::default() };
-    ledger.on_message(now, 1, &Word::Probed(probed), &mut out);
+    ledger.on_message(now, 1, &Payload::Probed(probed), &mut out);
     let seats = Voters { voters: vec![1, 2, 3], before: vec![1, 2, 3, 4] };
-    let entry = Entry { matter: Some(Matter::Voters(seats)) };
-    ledger.on_message(now, 1, &Word::Chosen(Chosen { slot: 1, entry }), &mut out);
+    let entry = Entry { payload: Some(EntryPayload::Voters(seats)) };
+    ledger.on_message(now, 1, &Payload::Chosen(Chosen { slot: 1, entry }), &mut out);
     let answered = |out: &[Output]| out.iter().any(|one| matches!(one, Output::Resolved { .. }));
     assert!(ledger.voters() == [1, 2, 3] && !answered(&out), "one of three has spoken");
-    ledger.on_message(now, 2, &Word::Probed(probed), &mut out);
+    ledger.on_message(now, 2, &Payload::Probed(probed), &mut out);
     assert!(answered(&out));
 }
 
 /// A record that the disk refused: nothing is said for it, at whatever time, and what this machine promised stands in
+
 /// the snapshot that follows.
 #[test]
 fn nothing_is_said_for_a_record_that_was_refused() {
-    let (mut out, now) = (Vec::new(), Point::from_micros(0));
+    let (mut out, now) = (Vec::new(), Timestamp::from_micros(0));
     let mut ledger = ReplicatedLog::open(1, 1, &[], Some(&[1, 2, 3]), &mut out).expect("an empty disk");
     out.clear();
-    let ballot = Ballot { round: 7, by: 2, life: 1 };
-    ledger.on_message(now, 2, &Word::Prepare(Prepare { slot: 1, ballot }), &mut out);
+    let ballot = Ballot { round: 7, by: 2, incarnation: 1 };
+    ledger.on_message(now, 2, &Payload::Prepare(Prepare { slot: 1, ballot }), &mut out);
     let Some(Output::Store { ticket, .. }) = out.pop() else { panic!("it stores its promise first") };
     ledger.record_stored(now, ticket, false, &mut out);
     ledger.disk_recovered();
@@ -467,10 +485,10 @@
     assert_eq!(out, [], "the promise was refused");
     let disk = [ledger.snapshot(None)];
     let mut again = ReplicatedLog::open(1, 2, &disk, None, &mut out).expect("what it wrote");
-    let older = Prepare { slot: 1, ballot: Ballot { round: 6, by: 3, life: 1 } };
-    again.on_message(now, 3, &Word::Prepare(older), &mut out);
+    let older = Prepare { slot: 1, ballot: Ballot { round: 6, by: 3, incarnation: 1 } };
+    again.on_message(now, 3, &Payload::Prepare(older), &mut out);
     let promised = out.iter().find_map(|one| match one {
-        Output::Send { payload: Word::Promise(promise), .. } => Some(promise.promised),
+        Output::Send { payload: Payload::Promise(promise), .. } => Some(promise.promised),
         _ => None,
     });
     assert_eq!(promised, Some(ballot), "what it promised in memory binds it after the start as well");
@@ -481,7 +499,7 @@
 fn a_disk_with_a_gap_does_not_vote() {
     let mut net = Net::new(11, 3, 3, 0.0);
     for revision in [5, 9] {
-        let (base, until) = (if revision == 5 { 0 } else { 5 }, net.now + Span::from_millis(2000));
+        let (base, until) = (if revision == 5 { 0 } else { 5 }, net.now + TimeDelta::from_millis(2000));
         net.with(0, |ledger, now, out| _ = ledger.propose_entry(now, change(revision, base), until, out));
         (0..300).for_each(|_| net.step());
     }
@@ -519,18 +537,19 @@
 }
 
 /// A snapshot that was under way for long is older than what is known by now: taking it would undo entries, and free the
+
 /// slots behind them for others.
 #[test]
 fn an_older_snapshot_is_passed_over() {
     let mut net = Net::new(17, 3, 3, 0.0);
     let mut enter = |revision, base| {
-        let until = net.now + Span::from_millis(2000);
+        let until = net.now + TimeDelta::from_millis(2000);
         net.with(0, |ledger, now, out| _ = ledger.propose_entry(now, change(revision, base), until, out));
         (0..300).for_each(|_| net.step());
         net.machines[0].ledger.as_ref().expect("it is up").applied().snapshot()
     };
     let (older, newer) = (enter(5, 0), enter(9, 5));
-    let word = Word::Ledger(Entries { snapshot: Some(older), entries: Vec::new() });
+    let word = Payload::LogEntries(Entries { snapshot: Some(older), entries: Vec::new() });
     net.with(0, |ledger, now, out| ledger.on_message(now, 2, &word, out));
     let ledger = net.machines[0].ledger.as_ref().expect("it is up");
     assert_eq!(ledger.applied().snapshot(), newer);
@@ -541,11 +560,11 @@
 fn a_snapshot_of_another_deployment_is_passed_over() {
     let grown = |seed: u64| {
         let mut net = Net::new(seed, 3, 3, 0.0);
-        let duty = Duty { duty: "promote".into(), holder: 1, life: seed, node: "n".into(), fence: 0 };
-        let duty = Entry { matter: Some(Matter::Duty(duty)) };
+        let duty = Duty { duty: "promote".into(), holder: 1, incarnation: seed, node: "n".into(), fence: 0 };
+        let duty = Entry { payload: Some(EntryPayload::Duty(duty)) };
         let changes = [change(5, 0), change(9, 5)].into_iter().take(seed as usize % 2 + 1);
         for entry in std::iter::once(duty).chain(changes) {
-            let until = net.now + Span::from_millis(2000);
+            let until = net.now + TimeDelta::from_millis(2000);
             net.with(0, |ledger, now, out| _ = ledger.propose_entry(now, entry, until, out));
             (0..300).for_each(|_| net.step());
         }
@@ -555,7 +574,7 @@
     let snapshot = |net: &Net| net.machines[0].ledger.as_ref().expect("it is up").applied().snapshot();
     let (before, foreign) = (snapshot(&net), snapshot(&other));
     assert!(foreign.slot > before.slot, "it would be taken for newer");
-    let foreign = Word::Ledger(Entries { snapshot: Some(foreign), entries: Vec::new() });
+    let foreign = Payload::LogEntries(Entries { snapshot: Some(foreign), entries: Vec::new() });
     net.with(0, |ledger, now, out| ledger.on_message(now, 2, &foreign, out));
     assert_eq!(snapshot(&net), before);
 }
--- a/crates/arrowyard-emulator/src/models/ledger.rs
+++ b/crates/arrowyard-emulator/src/models/ledger.rs
@@ -1,5 +1,7 @@
 //! The shipped ledger, not a copy of it, under a model checker: three voters, two that enter; words that come in any
+
 //! order, late, or never; time-outs at any moment; disks that are slow, crashes that lose what was not on disk, one disk
+
 //! lost. Explored to the end within the bounds of each scene. Variants that are wrong on purpose have to be caught.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,8 +10,8 @@
 use arrowyard_control::{
     Output, ProposalId, ProposalOutcome, Record, RecordKind, ReplicatedLog, change_digest,
 };
-use arrowyard_messages::{Entry, Frame, Matter, Revised, Voters, Word};
-use arrowyard_types::{Point, Span};
+use arrowyard_messages::{ConfigRevision, Entry, EntryPayload, Frame, Payload, Voters};
+use arrowyard_types::{TimeDelta, Timestamp};
 use prost::Message;
 use rustc_hash::FxBuildHasher;
 use stateright::{Model, Property};
@@ -113,26 +115,26 @@
 
 fn change(revision: u64) -> Entry {
     let body = format!("{{\"revision\":{revision},\"services\":[{{\"name\":\"s\"}}]}}").into_bytes();
-    Entry { matter: Some(Matter::Configuration(Revised { whole: true, base: 0, body })) }
+    Entry { payload: Some(EntryPayload::Configuration(ConfigRevision { whole: true, base: 0, body })) }
 }
 
 fn is_taken(ledger: &ReplicatedLog, entry: &Entry) -> bool {
-    let Some(Matter::Configuration(revised)) = &entry.matter else { return false };
+    let Some(EntryPayload::Configuration(revised)) = &entry.payload else { return false };
     let revision = ledger.applied().configuration.revision;
     ledger.applied().applied_change(revision) == Some(change_digest(revised))
 }
 
 impl World {
-    fn now(&mut self) -> Point {
+    fn now(&mut self) -> Timestamp {
         self.clock += 1;
-        Point::from_micros(0) + Span::from_millis(10_000 * self.clock)
+        Timestamp::from_micros(0) + TimeDelta::from_millis(10_000 * self.clock)
     }
 
     fn act(
         &mut self,
         scene: &Scene,
         machine: usize,
-        act: impl FnOnce(&mut ReplicatedLog, Point, &mut Vec<Output>),
+        act: impl FnOnce(&mut ReplicatedLog, Timestamp, &mut Vec<Output>),
     ) {
         let (now, mut out) = (self.now(), Vec::new());
         act(&mut self.machines[machine].ledger, now, &mut out);
@@ -147,7 +149,7 @@
     fn propose(&mut self, scene: &Scene, machine: usize, entry: Entry) {
         let ticket = self.machines[machine].ledger.next_proposal();
         self.proposals.push((machine, ticket, entry.clone()));
-        let never = Point::from_micros(i64::MAX / 2);
+        let never = Timestamp::from_micros(i64::MAX / 2);
         self.act(scene, machine, |ledger, now, out| {
             ledger.propose_entry(now, entry, never, out);
         });
@@ -160,17 +162,18 @@
     }
 
     /// Words that change nothing any more are taken for lost: answers to a round that is over, and whatever belongs to
+
     /// a slot that is known.
     fn forget_stale_words(&mut self) {
         let machines = &self.machines;
         self.net.retain(|(to, _, bytes)| {
             let ledger = &machines[*to].ledger;
-            match Frame::decode(bytes.as_slice()).expect("a word").word {
-                Some(Word::Promise(word)) => ledger.is_current_ballot(word.slot, word.ballot),
-                Some(Word::Accepted(word)) => ledger.is_current_ballot(word.slot, word.ballot),
-                Some(Word::Prepare(word)) => word.slot > ledger.chosen(),
-                Some(Word::Accept(word)) => word.slot > ledger.chosen(),
-                Some(Word::Chosen(word)) => word.slot > ledger.chosen(),
+            match Frame::decode(bytes.as_slice()).expect("a word").payload {
+                Some(Payload::Promise(word)) => ledger.is_current_ballot(word.slot, word.ballot),
+                Some(Payload::Accepted(word)) => ledger.is_current_ballot(word.slot, word.ballot),
+                Some(Payload::Prepare(word)) => word.slot > ledger.chosen(),
+                Some(Payload::Accept(word)) => word.slot > ledger.chosen(),
+                Some(Payload::Chosen(word)) => word.slot > ledger.chosen(),
                 _ => true,
             }
         });
@@ -180,12 +183,12 @@
         for one in out {
             match one {
                 Output::Send { to, payload: mut word } => {
-                    if let (Some(Flaw::VotesHidden), Word::Promise(promise)) = (scene.flaw, &mut word) {
+                    if let (Some(Flaw::VotesHidden), Payload::Promise(promise)) = (scene.flaw, &mut word) {
                         promise.accepted = None;
                     }
                     let all = (0..scene.machines).filter(|&other| other != machine);
                     let to: Vec<usize> = if to == 0 { all.collect() } else { vec![to as usize - 1] };
-                    if let Word::Fetch(_) | Word::Ledger(_) = &word {
+                    if let Payload::Fetch(_) | Payload::LogEntries(_) = &word {
                         // Catching up is one step: `Beat`, or any other word that begins it, may be as late as it likes.
                         for other in to {
                             self.act(scene, other, |ledger, now, out| {
@@ -194,7 +197,7 @@
                         }
                         continue;
                     }
-                    let bytes = Frame { word: Some(word) }.encode_to_vec();
+                    let bytes = Frame { payload: Some(word) }.encode_to_vec();
                     self.net.extend(to.into_iter().map(|to| (to, ip(machine), bytes.clone())));
                 }
                 Output::Store { ticket, record } => {
@@ -273,8 +276,9 @@
         let founders: Vec<u32> = (0..3).map(ip).collect();
         let votes = wiped && scene.flaw == Some(Flaw::WipedVotes);
         let mut out = Vec::new();
-        let life = u64::from(self.crashes) + 100 * (machine as u64 + 1);
-        let ledger = ReplicatedLog::open(ip(machine), life, &disk, votes.then_some(&founders), &mut out);
+        let incarnation = u64::from(self.crashes) + 100 * (machine as u64 + 1);
+        let ledger =
+            ReplicatedLog::open(ip(machine), incarnation, &disk, votes.then_some(&founders), &mut out);
         self.machines[machine].ledger = ledger.expect("what it wrote itself");
         self.carry(scene, machine, out);
         self.look(machine);
@@ -333,7 +337,8 @@
             if !one.unsynced.is_empty() {
                 steps.push(Step::Sync(machine));
             }
-            if world.wakes > 0 && one.ledger.due().is_some_and(|at| at < Point::from_micros(i64::MAX / 2)) {
+            if world.wakes > 0 && one.ledger.due().is_some_and(|at| at < Timestamp::from_micros(i64::MAX / 2))
+            {
                 steps.push(Step::Wake(machine));
             }
             if world.crashes > 0 && self.weak == Some(machine) {
@@ -362,7 +367,7 @@
         let mut world = last.clone();
         match step {
             Step::Deliver(to, from, bytes) => {
-                let word = Frame::decode(bytes.as_slice()).ok()?.word?;
+                let word = Frame::decode(bytes.as_slice()).ok()?.payload?;
                 world.net.remove(&(to, from, bytes));
                 world.act(self, to, |ledger, now, out| ledger.on_message(now, from, &word, out));
             }
@@ -385,7 +390,7 @@
                 if self.flaw == Some(Flaw::ReadsAskNobody) {
                     world.answered(machine, ticket, ProposalOutcome::Current);
                 } else {
-                    let never = Point::from_micros(i64::MAX / 2);
+                    let never = Timestamp::from_micros(i64::MAX / 2);
                     world.act(self, machine, |ledger, now, out| {
                         ledger.propose_read(now, never, out);
                     });
@@ -470,7 +475,7 @@
             Scene { proposals: vec![(0, change(1))], reader: Some(1), wakes: u8::from(long()), ..base }
         }
         "one more voter" => {
-            let seat = Entry { matter: Some(Matter::Voters(seat)) };
+            let seat = Entry { payload: Some(EntryPayload::Voters(seat)) };
             Scene { machines: 4, proposals: vec![(0, seat)], wakes: u8::from(long()), ..base }
         }
         _ => return None,
--- a/crates/arrowyard-emulator/src/models/promotion.rs
+++ b/crates/arrowyard-emulator/src/models/promotion.rs
@@ -1,6 +1,9 @@
 //! The shipped change of primary, not a copy of it, under a model checker, before hosts that replicate: commits at any
+
 //! moment, replicas that fall behind or receive nothing, hosts that crash and come back, suspicions without a reason,
+
 //! questions whose answers are lost, a platform that acts late or twice. Whoever leads must have every commit that was
+
 //! acknowledged. Variants that are wrong on purpose have to be caught.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -11,7 +14,7 @@
 };
 use arrowyard_messages::{DbRole, Host, Phase};
 use arrowyard_protocol::{Observed, Position};
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use rustc_hash::FxBuildHasher;
 use stateright::{Model, Property};
 
@@ -72,8 +75,8 @@
     servers: Vec<Server>,
     term: u64,
     promotion: Promotion,
-    silent: BTreeMap<String, Point>,
-    crashed_at: BTreeMap<String, Point>,
+    silent: BTreeMap<String, Timestamp>,
+    crashed_at: BTreeMap<String, Timestamp>,
     acknowledged: BTreeSet<(u64, u8)>,
     calls: Vec<String>,
     late_calls: Vec<String>,
@@ -150,9 +153,9 @@
 }
 
 impl World {
-    fn now(&mut self) -> Point {
+    fn now(&mut self) -> Timestamp {
         self.clock += 1;
-        Point::from_micros(0) + Span::from_millis(10_000 * self.clock)
+        Timestamp::from_micros(0) + TimeDelta::from_millis(10_000 * self.clock)
     }
 
     fn leader(&self) -> Option<usize> {
@@ -168,7 +171,7 @@
     /// Lets the promotion decide, with hosts as they told control of themselves.
     fn decide(
         &mut self,
-        act: impl FnOnce(&mut Promotion, Point, &HostsSnapshot<'_>, &mut Vec<PromotionRequest>),
+        act: impl FnOnce(&mut Promotion, Timestamp, &HostsSnapshot<'_>, &mut Vec<PromotionRequest>),
     ) {
         let (now, mut cell, mut asks) = (self.now(), HostRegistry::default(), Vec::new());
         for (number, server) in self.servers.iter().enumerate() {
@@ -349,6 +352,7 @@
                 }
             } else {
                 // Not borne, and said in the design note: a replica that is counted out, or has stopped, comes back within
+
                 // the change, and receives from a primary that answers control no more and is alive.
                 let changing = !matches!(world.promotion.stage, Stage::Idle | Stage::Checking { .. });
                 if left.starts > 0 && !changing {
--- a/crates/arrowyard-pooler/src/session.rs
+++ b/crates/arrowyard-pooler/src/session.rs
@@ -5,9 +5,9 @@
 
 use arrowyard_config::Channel;
 use arrowyard_fair_shares::ServiceId;
-use arrowyard_protocol::{Lines, Mode, Position, State};
+use arrowyard_protocol::{AccessMode, LineDecoder, Position, TransactionState};
 use arrowyard_runtime::Conn;
-use arrowyard_types::{HostId, OpId, OpTypeId, Point, Span};
+use arrowyard_types::{HostId, OpId, OpTypeId, TimeDelta, Timestamp};
 use bytes::Bytes;
 use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
@@ -45,19 +45,19 @@
     pub ends: bool,
     pub writes: bool,
     /// What has to be prepared before it.
-    pub define: Option<(u32, Mode, Rc<str>)>,
-    pub arrived: Point,
+    pub define: Option<(u32, AccessMode, Rc<str>)>,
+    pub arrived: Timestamp,
     /// Where the module sent it, how often so far, and on which connection it is.
     pub sends: u32,
     pub host: Option<HostId>,
     pub link: Option<Conn>,
     /// It stands alone and is read from a host that must prove that it leads: in a transaction of our own.
     pub fenced: bool,
-    pub timer: Option<(Point, u64)>,
+    pub timer: Option<(Timestamp, u64)>,
     /// How long it may wait for a connection before it is given up.
-    pub patience: Span,
+    pub patience: TimeDelta,
     /// The last fault that a host gave for it.
-    pub fault: Option<(arrowyard_protocol::Code, String)>,
+    pub fault: Option<(arrowyard_protocol::FaultCode, String)>,
 }
 
 /// A transaction of the client's.
@@ -65,7 +65,7 @@
 pub struct Transaction {
     pub channel: Rc<Channel>,
     pub reads: bool,
-    pub began: Point,
+    pub began: Timestamp,
     /// Whether a write of it was answered.
     pub wrote: bool,
     /// The connection that holds it, once its first statement ran.
@@ -75,28 +75,28 @@
 /// A client's session.
 pub struct Session {
     pub stage: Stage,
-    pub state: State,
+    pub state: TransactionState,
     pub database: String,
-    pub lines: Lines,
+    pub lines: LineDecoder,
     pub values: Values,
-    pub prepared: FxHashMap<String, (Mode, Rc<str>)>,
+    pub prepared: FxHashMap<String, (AccessMode, Rc<str>)>,
     pub transaction: Option<Transaction>,
     /// Its transaction was ended while it rested, and its client has not been told.
     pub untold: bool,
     /// The last commit that it was told of, and when that was sent: what its own reads must see.
-    pub token: Option<(Position, Point)>,
+    pub token: Option<(Position, Timestamp)>,
     /// Statements that came before the one under way was answered.
     pub queue: VecDeque<Bytes>,
-    pub timer: Option<(Point, u64)>,
+    pub timer: Option<(Timestamp, u64)>,
 }
 
 impl Session {
     pub fn new() -> Self {
         Session {
             stage: Stage::New,
-            state: State::Idle,
+            state: TransactionState::Idle,
             database: String::new(),
-            lines: Lines::default(),
+            lines: LineDecoder::default(),
             values: Values::default(),
             prepared: FxHashMap::default(),
             transaction: None,
@@ -121,7 +121,7 @@
 
     /// Whether nothing would be lost if it closed now.
     pub fn is_at_rest(&self) -> bool {
-        matches!(self.stage, Stage::New | Stage::Rests) && self.state == State::Idle
+        matches!(self.stage, Stage::New | Stage::Rests) && self.state == TransactionState::Idle
     }
 }
 
--- a/crates/arrowyard-pooler/tests/units.rs
+++ b/crates/arrowyard-pooler/tests/units.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 
 use arrowyard_pooler::{Link, Paces, Timeline, Values};
-use arrowyard_protocol::{Mode, Position};
+use arrowyard_protocol::{AccessMode, Position};
 use arrowyard_runtime::Conn;
-use arrowyard_types::{HostId, OpTypeId, Point, Span};
+use arrowyard_types::{HostId, OpTypeId, TimeDelta, Timestamp};
 use fastrand::Rng;
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(ms * 1000)
 }
 
 /// A primary whose commits are acknowledged at known times: whatever a read is told to wait for holds all that it must
@@ -92,7 +92,7 @@
                 }
             }
             let number = rng.u32(0..3);
-            let define = rng.bool().then_some((number, Mode::Read, "shape"));
+            let define = rng.bool().then_some((number, AccessMode::Read, "shape"));
             for said in link.dress(&Rc::new(wanted.clone()), define) {
                 let words: Vec<&str> = said.split(' ').collect();
                 match words[..] {
@@ -127,10 +127,10 @@
     let (mut paces, mut rng, kind) = (Paces::default(), Rng::with_seed(1), OpTypeId(0));
     let mut slower = 0;
     for round in 0..40_000 {
-        let took = Span::from_micros(30_000 + rng.i64(0..60_000));
+        let took = TimeDelta::from_micros(30_000 + rng.i64(0..60_000));
         slower += u32::from(round >= 20_000 && took > paces.slowest(kind));
         paces.took(kind, took);
     }
     assert!((20..400).contains(&slower), "{slower} of 20,000 were slower");
-    assert!(paces.slowest(OpTypeId(9)) >= Span::from_millis(100), "what is not known is not hurried");
+    assert!(paces.slowest(OpTypeId(9)) >= TimeDelta::from_millis(100), "what is not known is not hurried");
 }
