--- a/crates/arrowyard-control/src/control/calls.rs
+++ b/crates/arrowyard-control/src/control/api.rs
@@ -10,8 +10,8 @@
 use sonic_rs::{JsonValueTrait, Value};
 
 use super::{Control, Line};
-use crate::applied::change;
-use crate::{Answer, Ledger, Output, ProposalId, Standing};
+use crate::applied_state::to_change;
+use crate::{ChangeStatus, Output, ProposalId, ProposalOutcome, ReplicatedLog};
 
 /// Hosts and routers that this many calls wait for at most on one connection.
 const BASE: &str = "Arrowyard-Base-Revision";
@@ -120,7 +120,9 @@
             ("GET", "/Config.Read") => {
                 let until = now + CLEAR;
                 let pending = Pending::Read { conn };
-                self.propose(now, conn, pending, commands, |ledger, out| ledger.read_all(now, until, out));
+                self.propose(now, conn, pending, commands, |ledger, out| {
+                    ledger.propose_read(now, until, out)
+                });
             }
             ("GET", "/status") => {
                 let body = self.status(now);
@@ -137,7 +139,7 @@
         conn: Conn,
         pending: Pending,
         commands: &mut Commands,
-        proposal: impl FnOnce(&mut Ledger, &mut Vec<Output>) -> ProposalId,
+        proposal: impl FnOnce(&mut ReplicatedLog, &mut Vec<Output>) -> ProposalId,
     ) {
         // Danger: the answer may come before the proposal is made; what it is for is laid down first.
         let ticket = self.ledger.next_proposal();
@@ -157,7 +159,7 @@
     fn beat(&mut self, now: Timestamp, conn: Conn, host: Host, commands: &mut Commands) {
         self.silent.remove(&host.id);
         let zone = host.zone.clone();
-        if self.cell.called(now, host.clone()) {
+        if self.cell.record_heartbeat(now, host.clone()) {
             self.news_of(now, host.clone(), commands);
         }
         let near = if zone == self.settings.zone { None } else { self.peer_in(now, &zone) };
@@ -181,7 +183,7 @@
             Some(host) => Host { phase: Phase::Gone.into(), call_seq: host.call_seq + 1, ..host },
             None => Host { id: id.to_string(), phase: Phase::Gone.into(), ..Host::default() },
         };
-        if self.cell.called(now, gone.clone()) {
+        if self.cell.record_heartbeat(now, gone.clone()) {
             self.news_of(now, gone.clone(), commands);
         }
         self.departs(now, conn, gone, "{}".to_string(), commands);
@@ -202,24 +204,25 @@
             return self.refuse(conn, &refusal, commands);
         }
         let revision = revision(&revised.body);
-        match applied.standing(&revised, revision) {
-            Standing::Open => {}
-            Standing::Ahead if first => {
+        match applied.change_status(&revised, revision) {
+            ChangeStatus::Applicable => {}
+            ChangeStatus::BaseUnknown if first => {
                 let until = now + CLEAR;
                 let pending = Pending::Learn { conn, revised };
-                return self
-                    .propose(now, conn, pending, commands, |ledger, out| ledger.read_all(now, until, out));
+                return self.propose(now, conn, pending, commands, |ledger, out| {
+                    ledger.propose_read(now, until, out)
+                });
             }
             standing => return self.answer_standing(conn, standing, revision, commands),
         }
-        match change(&revised).apply(&applied.configuration) {
+        match to_change(&revised).apply(&applied.configuration) {
             Err(refusal) => self.refuse(conn, &refusal, commands),
             Ok(next) => {
                 let (until, revision) = (now + CLEAR, next.revision);
                 let entry = Entry { payload: Some(EntryPayload::Configuration(revised.clone())) };
                 let pending = Pending::Change { conn, revised, revision };
                 self.propose(now, conn, pending, commands, |ledger, out| {
-                    ledger.enter(now, entry, until, out)
+                    ledger.propose_entry(now, entry, until, out)
                 });
             }
         }
@@ -229,23 +232,25 @@
     fn answer_standing(
         &mut self,
         conn: Conn,
-        standing: Standing,
+        standing: ChangeStatus,
         revision: Option<u64>,
         commands: &mut Commands,
     ) {
         match standing {
-            Standing::Taken => {
+            ChangeStatus::Applied => {
                 log::info!("configuration: Revision {} is in place.", revision.unwrap_or_default());
                 self.reply(conn, 200, "{}", commands);
             }
             // Safety: a change that was taken is never refused, however long ago that was.
-            Standing::Forgotten => {
+            ChangeStatus::HistoryExpired => {
                 let body =
                     fault("So many changes were taken since that it is not known whether this one was.");
                 self.reply(conn, 503, &body, commands);
             }
-            Standing::Open => self.reply(conn, 503, &fault("It is not clear yet; ask again."), commands),
-            Standing::Ahead | Standing::Superseded => {
+            ChangeStatus::Applicable => {
+                self.reply(conn, 503, &fault("It is not clear yet; ask again."), commands)
+            }
+            ChangeStatus::BaseUnknown | ChangeStatus::Superseded => {
                 let current = self.ledger.applied().configuration.revision;
                 self.reply(conn, 412, &fault(&format!("Revision {current} is in place.")), commands);
             }
@@ -262,7 +267,7 @@
         &mut self,
         now: Timestamp,
         proposal: ProposalId,
-        answer: Answer,
+        answer: ProposalOutcome,
         commands: &mut Commands,
     ) {
         if self.proposal_answered(now, proposal, answer, commands)
@@ -276,19 +281,19 @@
             Pending::Change { conn, .. } | Pending::Learn { conn, .. } | Pending::Read { conn } => *conn,
         };
         match (pending, answer) {
-            (_, Answer::Unknown) => {
+            (_, ProposalOutcome::Unknown) => {
                 self.reply(conn, 503, &fault("It is not clear yet; ask again."), commands)
             }
-            (_, Answer::Full) => {
+            (_, ProposalOutcome::QueueFull) => {
                 self.reply(conn, 503, &fault("Too much waits here; nothing was done."), commands)
             }
             (Pending::Change { revised, revision, .. }, _) => {
-                let standing = self.ledger.applied().standing(&revised, Some(revision));
+                let standing = self.ledger.applied().change_status(&revised, Some(revision));
                 self.answer_standing(conn, standing, Some(revision), commands);
             }
             (Pending::Learn { revised, .. }, _) => self.change(now, conn, revised, false, commands),
             (Pending::Read { .. }, _) => {
-                if self.ledger.applied().begun {
+                if self.ledger.applied().has_configuration {
                     let body = self.ledger.applied().configuration.body();
                     self.reply(conn, 200, &body, commands);
                 } else {
--- a/crates/arrowyard-control/src/control/feed.rs
+++ b/crates/arrowyard-control/src/control/feed.rs
@@ -53,12 +53,12 @@
     fn tell_whole(&mut self, conn: Conn, commands: &mut Commands) {
         let applied = self.ledger.applied();
         let configuration =
-            if applied.begun { applied.configuration.body().into_bytes() } else { Vec::new() };
+            if applied.has_configuration { applied.configuration.body().into_bytes() } else { Vec::new() };
         let mut whole = FeedSnapshot {
             number: 0,
             slot: applied.slot,
             configuration,
-            hosts: self.cell.all().cloned().collect(),
+            hosts: self.cell.hosts().cloned().collect(),
             routers: self.routers,
             view: self.controls(),
         };
@@ -100,7 +100,7 @@
 
     /// Whether a router has said nothing for so long that it is gone.
     pub(super) fn router_silent(&self, now: Timestamp, conn: Conn) -> bool {
-        matches!(self.lines.get(&conn), Some(Line::Router(router)) if now - router.heard_at >= SILENT)
+        matches ! ( self . lines . get ( & conn ) , Some ( Line :: Router ( router ) ) if now - router . heard_at >= SILENT )
     }
 
     /// Every router gets the change under its own next number.
@@ -198,7 +198,7 @@
         self.tell_routers(&FeedUpdate { routers, ..FeedUpdate::default() }, commands);
     }
 
-    /// Control machines that are up, for routers to turn to.
+    /// Control machines that are up, for routers to attempt to.
     fn controls(&self) -> Vec<KnownControl> {
         let me = KnownControl { ip: self.me, zone: self.settings.zone.clone(), age: 0 };
         let up = self.peers.iter().filter(|(_, peer)| peer.is_open());
--- a/crates/arrowyard-control/src/control/platform.rs
+++ b/crates/arrowyard-control/src/control/platform.rs
@@ -12,8 +12,8 @@
 use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::{Control, Line};
-use crate::promotion::{Reply, Sight, Stage};
-use crate::{Answer, ProposalId};
+use crate::promotion::{HostsSnapshot, Reply, Stage};
+use crate::{ProposalId, ProposalOutcome};
 
 /// A platform that does not answer in so long is asked anew.
 const PLATFORM: TimeDelta = TimeDelta::from_millis(1200);
@@ -63,8 +63,8 @@
         host: &str,
         commands: &mut Commands,
     ) {
-        let stage = &self.promotions.of(service).stage;
-        let is_repeated = matches!(stage, Stage::Promoting { tries, .. } if *tries > 0);
+        let stage = &self.promotions.get_or_create(service).stage;
+        let is_repeated = matches ! ( stage , Stage :: Promoting { retries , .. } if * retries > 0 );
         let decided = self.decisions.by_service.get(service);
         let is_valid = |decided: &&Decided| is_repeated && decided.host == host && now < decided.until;
         let agreed = decided.filter(is_valid).and_then(|decided| Some((decided.fence?, decided.until)));
@@ -123,7 +123,7 @@
         let entry = Entry { payload: Some(EntryPayload::Decision(decision)) };
         // The answer may come before the proposal is made; what it is for is laid down first.
         self.decisions.proposed.insert(self.ledger.next_proposal(), service.to_string());
-        self.with_ledger(now, commands, |ledger, out| ledger.enter(now, entry, now + DECIDED, out));
+        self.with_ledger(now, commands, |ledger, out| ledger.propose_entry(now, entry, now + DECIDED, out));
     }
 
     /// A decision was agreed on in this slot: if it is this machine's newest one for the service, it is carried out.
@@ -153,8 +153,8 @@
     /// Whether a host has joined the service since it was surveyed; then its hosts are surveyed again.
     fn survey_newcomers(&mut self, now: Timestamp, service: &str, commands: &mut Commands) -> bool {
         let mut asks = Vec::new();
-        let sight = Sight { cell: &self.cell, silent: &self.silent, left: &self.left };
-        let joined = self.promotions.of(service).survey_newcomers(now, &sight, &mut asks);
+        let sight = HostsSnapshot { registry: &self.cell, silent: &self.silent, departed: &self.left };
+        let joined = self.promotions.get_or_create(service).survey_newcomers(now, &sight, &mut asks);
         self.tell_replacements(false, commands);
         self.ask_hosts(now, asks, commands);
         joined
@@ -165,11 +165,11 @@
         &mut self,
         now: Timestamp,
         ticket: ProposalId,
-        answer: Answer,
+        answer: ProposalOutcome,
         commands: &mut Commands,
     ) -> bool {
         let Some(service) = self.decisions.proposed.remove(&ticket) else { return false };
-        if !matches!(answer, Answer::Committed(_)) {
+        if !matches!(answer, ProposalOutcome::Committed(_)) {
             log::warn!("promotion: {service}: No majority agreed in time.");
             self.replied(now, &service, Reply::Platform { status: 0 }, commands);
         }
