--- a/crates/arrowyard-cells/src/room.rs
+++ b/crates/arrowyard-cells/src/bulkhead.rs
@@ -6,61 +6,61 @@
 
 /// One divided thing.
 #[derive(Clone, Debug)]
-pub struct Room {
+pub struct Bulkhead {
     total: u64,
-    cells: Vec<Part>,
+    cells: Vec<CellShare>,
     /// Of each cell what it holds, or what is guaranteed to it if that is more; summed.
-    taken: u64,
-    call_back: Span,
+    reserved: u64,
+    reclaim_period: Span,
     /// Nobody borrows before: some cell asked for room of its own that was lent.
-    called_till: Point,
+    reclaiming_until: Point,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Part {
+struct CellShare {
     guaranteed: u64,
     share: u64,
     used: u64,
 }
 
-impl Part {
-    fn taken(&self) -> u64 {
+impl CellShare {
+    fn reserved(&self) -> u64 {
         self.used.max(self.guaranteed)
     }
 }
 
 /// Why there is no room.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Full {
+pub enum AcquireError {
     /// The cell's own room is lent; it is on its way back.
     Lent,
     /// The cell has all of its share, and there is nothing to borrow.
-    Share,
+    Exhausted,
 }
 
-impl Room {
+impl Bulkhead {
     /// `parts`: each cell's weight, and the part of its share that is guaranteed.
-    pub fn new(total: u64, parts: impl Iterator<Item = (f64, f64)>, call_back: Span) -> Self {
+    pub fn new(total: u64, parts: impl Iterator<Item = (f64, f64)>, reclaim_period: Span) -> Self {
         let parts: Vec<(f64, f64)> = parts.collect();
         let weights: f64 = parts.iter().map(|(weight, _)| weight).sum();
         let part = |(weight, guaranteed): (f64, f64)| {
             // Rounded down, so that all shares together are never more than there is.
             let share = (total as f64 * weight / weights) as u64;
-            Part { share, guaranteed: (share as f64 * guaranteed) as u64, used: 0 }
+            CellShare { share, guaranteed: (share as f64 * guaranteed) as u64, used: 0 }
         };
-        let cells: Vec<Part> = parts.into_iter().map(part).collect();
-        let taken = cells.iter().map(Part::taken).sum();
-        Room { total, cells, taken, call_back, called_till: Point::DAWN }
+        let cells: Vec<CellShare> = parts.into_iter().map(part).collect();
+        let reserved = cells.iter().map(CellShare::reserved).sum();
+        Bulkhead { total, cells, reserved, reclaim_period, reclaiming_until: Point::DAWN }
     }
 
     /// Divides anew; what is held stays held. Cells keep their ids, and there may be more of them.
-    pub fn divide(&mut self, parts: impl Iterator<Item = (f64, f64)>, call_back: Span) {
-        let mut next = Room::new(self.total, parts, call_back);
+    pub fn resize(&mut self, parts: impl Iterator<Item = (f64, f64)>, reclaim_period: Span) {
+        let mut next = Bulkhead::new(self.total, parts, reclaim_period);
         for (part, old) in next.cells.iter_mut().zip(&self.cells) {
             part.used = old.used;
         }
-        next.taken = next.cells.iter().map(Part::taken).sum();
-        next.called_till = self.called_till;
+        next.reserved = next.cells.iter().map(CellShare::reserved).sum();
+        next.reclaiming_until = self.reclaiming_until;
         *self = next;
     }
 
@@ -81,39 +81,39 @@
     }
 
     /// Whether a cell waits for room of its own.
-    pub fn is_called(&self, now: Point) -> bool {
-        now < self.called_till
+    pub fn is_reclaiming(&self, now: Point) -> bool {
+        now < self.reclaiming_until
     }
 
     /// Takes so much for the cell, or nothing of it.
     ///
     /// # Errors
     /// Why there is no room.
-    pub fn take(&mut self, now: Point, cell: CellId, more: u64) -> Result<(), Full> {
+    pub fn try_acquire(&mut self, now: Point, cell: CellId, more: u64) -> Result<(), AcquireError> {
         let part = self.cells[cell.0 as usize];
-        let then = Part { used: part.used.saturating_add(more), ..part };
-        let taken = self.taken - part.taken() + then.taken().min(u64::MAX / 2);
+        let then = CellShare { used: part.used.saturating_add(more), ..part };
+        let reserved = self.reserved - part.reserved() + then.reserved().min(u64::MAX / 2);
         if then.used > part.guaranteed {
             let own = then.used <= part.share;
-            if taken > self.total {
+            if reserved > self.total {
                 // Danger: borrowers renew what they borrowed for ever. From now on nobody borrows for a while, and
                 // what ends goes to its owner.
-                self.called_till = if own { now + self.call_back } else { self.called_till };
-                return Err(if own { Full::Lent } else { Full::Share });
+                self.reclaiming_until = if own { now + self.reclaim_period } else { self.reclaiming_until };
+                return Err(if own { AcquireError::Lent } else { AcquireError::Exhausted });
             }
-            if !own && self.is_called(now) {
-                return Err(Full::Share);
+            if !own && self.is_reclaiming(now) {
+                return Err(AcquireError::Exhausted);
             }
         }
-        (self.taken, self.cells[cell.0 as usize]) = (taken, then);
+        (self.reserved, self.cells[cell.0 as usize]) = (reserved, then);
         Ok(())
     }
 
     /// Gives back what was taken.
-    pub fn give(&mut self, cell: CellId, less: u64) {
+    pub fn release(&mut self, cell: CellId, less: u64) {
         let part = &mut self.cells[cell.0 as usize];
-        self.taken -= part.taken();
+        self.reserved -= part.reserved();
         part.used = part.used.saturating_sub(less);
-        self.taken += part.taken();
+        self.reserved += part.reserved();
     }
 }
--- a/crates/arrowyard-cells/src/index.rs
+++ b/crates/arrowyard-cells/src/index.rs
@@ -11,72 +11,72 @@
 
 /// Made once of a layout.
 #[derive(Clone, Debug, Default)]
-pub struct Index {
+pub struct CellIndex {
     groups: FxHashMap<GroupId, Ids>,
     /// Cells that list no groups, and serve those that nobody lists.
-    free: Vec<CellId>,
-    names: FxHashMap<Box<str>, Ids>,
+    unrestricted: Vec<CellId>,
+    exact_names: FxHashMap<Box<str>, Ids>,
     /// What names begin with, and the lengths that occur.
-    starts: FxHashMap<Box<str>, Ids>,
-    lengths: Vec<usize>,
+    prefixes: FxHashMap<Box<str>, Ids>,
+    prefix_lengths: Vec<usize>,
     /// By cell: whether it names no hosts, and has those that nobody names.
     hostless: Vec<bool>,
 }
 
-impl Index {
+impl CellIndex {
     pub fn new(layout: &Layout) -> Self {
-        let mut index = Index::default();
+        let mut index = CellIndex::default();
         for id in layout.ids() {
             let cell = layout.cell(id);
-            index.hostless.push(!cell.gone && cell.hosts.is_empty());
-            if cell.gone {
+            index.hostless.push(!cell.removed && cell.hosts.is_empty());
+            if cell.removed {
                 continue;
             }
             cell.groups.iter().for_each(|&group| index.groups.entry(group).or_default().push(id));
             if cell.groups.is_empty() {
-                index.free.push(id);
+                index.unrestricted.push(id);
             }
             for pattern in &cell.hosts {
                 match pattern.strip_suffix('*') {
                     Some(start) => {
-                        index.starts.entry(start.into()).or_default().push(id);
-                        index.lengths.push(start.len());
+                        index.prefixes.entry(start.into()).or_default().push(id);
+                        index.prefix_lengths.push(start.len());
                     }
-                    None => index.names.entry(pattern.clone()).or_default().push(id),
+                    None => index.exact_names.entry(pattern.clone()).or_default().push(id),
                 }
             }
         }
-        index.lengths.sort_unstable();
-        index.lengths.dedup();
+        index.prefix_lengths.sort_unstable();
+        index.prefix_lengths.dedup();
         index
     }
 
     /// The cells in which ops of the group may be: those that list it, else those that list none.
-    pub fn serving(&self, group: GroupId) -> &[CellId] {
-        self.groups.get(&group).map_or(&self.free, |ids| ids)
+    pub fn cells_serving(&self, group: GroupId) -> &[CellId] {
+        self.groups.get(&group).map_or(&self.unrestricted, |ids| ids)
     }
 
     pub fn serves(&self, id: CellId, group: GroupId) -> bool {
         match self.groups.get(&group) {
             Some(ids) => ids.contains(&id),
-            None => self.free.binary_search(&id).is_ok(),
+            None => self.unrestricted.binary_search(&id).is_ok(),
         }
     }
 
     /// The cells that name the host.
     fn owners(&self, host: &str) -> Ids {
-        let mut owners = self.names.get(host).cloned().unwrap_or_default();
-        for &length in &self.lengths {
-            let start = host.get(..length).and_then(|start| self.starts.get(start));
+        let mut owners = self.exact_names.get(host).cloned().unwrap_or_default();
+        for &length in &self.prefix_lengths {
+            let start = host.get(..length).and_then(|start| self.prefixes.get(start));
             owners.extend(start.into_iter().flatten().copied());
         }
         owners
     }
 
     /// The cells that a group's host takes part in, and whether only as the group's primary. `host` is its name.
-    pub fn parts(&self, group: GroupId, host: &str) -> impl Iterator<Item = (CellId, bool)> {
+    pub fn cells_for_host(&self, group: GroupId, host: &str) -> impl Iterator<Item = (CellId, bool)> {
         let owners = self.owners(host);
-        self.serving(group).iter().map(move |&id| {
+        self.cells_serving(group).iter().map(move |&id| {
             let own = owners.contains(&id) || owners.is_empty() && self.hostless[id.0 as usize];
             (id, !own)
         })
--- a/crates/arrowyard-cells/src/layout.rs
+++ b/crates/arrowyard-cells/src/layout.rs
@@ -4,7 +4,7 @@
 use ipnet::IpNet;
 use rustc_hash::FxHashMap;
 
-use crate::moving::Row as MoveRow;
+use crate::tenant_move::MoveConfig;
 
 /// Everything that is set about cells; whole, and replaced as a whole.
 #[derive(Clone, Debug, PartialEq)]
@@ -14,15 +14,15 @@
     pub cells: Vec<Cell>,
     /// Tenants that a row names.
     pub tenants: FxHashMap<Box<str>, CellId>,
-    pub nets: Vec<Net>,
+    pub networks: Vec<NetworkRule>,
     /// To how many cells a tenant goes that no row names; none: its ops are errors.
-    pub rest: Option<usize>,
+    pub cells_per_hashed_tenant: Option<usize>,
     /// After a cell asked for its own room, nobody borrows for so long.
-    pub call_back: Span,
-    pub repeats: Option<Repeats>,
-    pub release: Option<Release>,
+    pub reclaim_period: Span,
+    pub retry_budget: Option<RetryBudgetConfig>,
+    pub rollout: Option<RolloutConfig>,
     pub lease: Option<Lease>,
-    pub moves: Vec<MoveRow>,
+    pub moves: Vec<MoveConfig>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -34,51 +34,51 @@
     /// Names of its hosts, or what they begin with, then with a `*`.
     pub hosts: Vec<Box<str>>,
     /// The part of its share that is never lent.
-    pub guaranteed: f64,
+    pub guaranteed_fraction: f64,
     /// Whether tenants without a row may be placed here.
-    pub placed: bool,
-    pub pace: Option<Pace>,
+    pub accepts_hashed_tenants: bool,
+    pub concurrency_limit: Option<ConcurrencyLimitConfig>,
     /// It was in an earlier layout only. Its id stays taken as long as ops have it.
-    pub gone: bool,
+    pub removed: bool,
 }
 
 /// A limit on ops in hand that follows latency: at the start, at least, at most.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pace {
-    pub first: f64,
-    pub least: f64,
-    pub most: f64,
+pub struct ConcurrencyLimitConfig {
+    pub initial: f64,
+    pub min: f64,
+    pub max: f64,
 }
 
 /// Clients without a tenant, by address.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Net {
-    pub within: Vec<IpNet>,
-    pub without: Vec<IpNet>,
+pub struct NetworkRule {
+    pub included: Vec<IpNet>,
+    pub excluded: Vec<IpNet>,
     pub cell: CellId,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Repeats {
+pub struct RetryBudgetConfig {
     /// Of the first sends of a window.
-    pub share: f64,
+    pub retry_ratio: f64,
     /// In a window, however few first sends there were.
-    pub least: u32,
+    pub min_retries: u32,
     pub window: Span,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-pub struct Release {
+pub struct RolloutConfig {
     pub order: Vec<CellId>,
-    pub worse: f64,
-    pub wrong: f64,
+    pub error_rate_ratio: f64,
+    pub error_probability: f64,
 }
 
 /// Until when the file's word on who writes where holds, and how far apart two clocks may be.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
-    pub until: Point,
-    pub skew: Span,
+    pub expires_at: Point,
+    pub max_clock_skew: Span,
 }
 
 impl Layout {
@@ -90,8 +90,8 @@
         (0..self.cells.len() as u32).map(CellId)
     }
 
-    pub fn named(&self, name: &str) -> Option<CellId> {
-        self.ids().find(|&id| &*self.cell(id).name == name && !self.cell(id).gone)
+    pub fn cell_named(&self, name: &str) -> Option<CellId> {
+        self.ids().find(|&id| &*self.cell(id).name == name && !self.cell(id).removed)
     }
 }
 
@@ -112,27 +112,27 @@
         }
         for (row, cell) in new {
             let place =
-                old.ids().find(|&id| places[id.0 as usize].is_none() && old.cell(id).gone && free(id));
+                old.ids().find(|&id| places[id.0 as usize].is_none() && old.cell(id).removed && free(id));
             let place = place.map_or(places.len(), |id| id.0 as usize);
             if place == places.len() {
                 places.push(None);
             }
             (ids[row], places[place]) = (CellId(place as u32), Some(cell));
         }
-        let gone = |id: usize| Cell {
-            gone: true,
+        let removed = |id: usize| Cell {
+            removed: true,
             weight: 0.0,
-            placed: false,
+            accepts_hashed_tenants: false,
             groups: Vec::new(),
             hosts: Vec::new(),
             ..old.cells[id].clone()
         };
         let filled = places.into_iter().enumerate();
-        self.cells = filled.map(|(id, cell)| cell.unwrap_or_else(|| gone(id))).collect();
+        self.cells = filled.map(|(id, cell)| cell.unwrap_or_else(|| removed(id))).collect();
         let renumber = |id: &mut CellId| *id = ids[id.0 as usize];
         self.tenants.values_mut().for_each(renumber);
-        self.nets.iter_mut().for_each(|net| renumber(&mut net.cell));
-        self.release.iter_mut().for_each(|release| release.order.iter_mut().for_each(renumber));
+        self.networks.iter_mut().for_each(|net| renumber(&mut net.cell));
+        self.rollout.iter_mut().for_each(|rollout| rollout.order.iter_mut().for_each(renumber));
         for row in &mut self.moves {
             renumber(&mut row.from);
             renumber(&mut row.to);
--- a/crates/arrowyard-cells/src/lib.rs
+++ b/crates/arrowyard-cells/src/lib.rs
@@ -4,17 +4,17 @@
 //! decision module's; here is decided which cell an op belongs to, what room the cell has, and where a tenant's
 //! writes may go while it moves.
 
-pub mod assign;
-pub mod budget;
-pub mod desk;
-pub mod fair;
+pub mod admission;
+pub mod assignment;
+pub mod bulkhead;
+pub mod concurrency_limit;
+pub mod fair_queue;
 pub mod index;
 pub mod layout;
-pub mod moving;
-pub mod nets;
-pub mod pace;
-pub mod room;
-pub mod widen;
+pub mod networks;
+pub mod retry_budget;
+pub mod rollout;
+pub mod tenant_move;
 
-pub use desk::{Cells, Facts, Fate, Verdict};
+pub use admission::{AdmissionDecision, Cells, OpContext, SendOutcome};
 pub use layout::Layout;
--- a/crates/arrowyard-cells/src/nets.rs
+++ b/crates/arrowyard-cells/src/networks.rs
@@ -7,11 +7,11 @@
 use iprange::IpRange;
 use rustc_hash::FxHashMap;
 
-use crate::layout::Net;
+use crate::layout::NetworkRule;
 
 /// One prefix stands in a table by its length; a set is asked for the network of its own that holds the address.
 #[derive(Clone, Debug, Default)]
-pub struct Nets {
+pub struct NetworkTable {
     prefixes: FxHashMap<IpNet, CellId>,
     /// Lengths that occur, the longest first.
     v4: Vec<u8>,
@@ -30,23 +30,23 @@
     (v4, v6)
 }
 
-impl Nets {
-    pub fn new(rows: &[Net]) -> Self {
-        let mut nets = Nets::default();
-        for Net { within, without, cell } in rows {
-            if let ([prefix], []) = (&within[..], &without[..]) {
+impl NetworkTable {
+    pub fn new(rows: &[NetworkRule]) -> Self {
+        let mut nets = NetworkTable::default();
+        for NetworkRule { included, excluded, cell } in rows {
+            if let ([prefix], []) = (&included[..], &excluded[..]) {
                 nets.prefixes.insert(prefix.trunc(), *cell);
                 continue;
             }
-            let ((v4, v6), (holes4, holes6)) = (split(within), split(without));
+            let ((v4, v6), (holes4, holes6)) = (split(included), split(excluded));
             let (mut v4, mut v6) = (v4.exclude(&holes4), v6.exclude(&holes6));
             v4.simplify();
             v6.simplify();
             nets.sets.push((v4, v6, *cell));
         }
         let lengths = |v4: bool| {
-            let of_kind = nets.prefixes.keys().filter(|net| matches!(net, IpNet::V4(_)) == v4);
-            let mut lengths: Vec<u8> = of_kind.map(IpNet::prefix_len).collect();
+            let of_family = nets.prefixes.keys().filter(|net| matches!(net, IpNet::V4(_)) == v4);
+            let mut lengths: Vec<u8> = of_family.map(IpNet::prefix_len).collect();
             lengths.sort_unstable_by(|a, b| b.cmp(a));
             lengths.dedup();
             lengths
@@ -55,7 +55,7 @@
         nets
     }
 
-    pub fn of(&self, address: IpAddr) -> Option<CellId> {
+    pub fn lookup(&self, address: IpAddr) -> Option<CellId> {
         // Danger: a client of the one family that comes over a socket of the other, and is taken for somebody else.
         let address = address.to_canonical();
         let lengths = if address.is_ipv4() { &self.v4 } else { &self.v6 };
--- a/crates/arrowyard-cells/src/budget.rs
+++ b/crates/arrowyard-cells/src/retry_budget.rs
@@ -3,7 +3,7 @@
 
 use arrowyard_types::{Point, Span};
 
-use crate::layout::Repeats;
+use crate::layout::RetryBudgetConfig;
 
 /// A window is kept as so many slices.
 const SLICES: i64 = 16;
@@ -11,34 +11,34 @@
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
     number: i64,
-    first: u32,
-    repeated: u32,
+    first_sends: u32,
+    retries: u32,
 }
 
 /// The budget of one cell.
 #[derive(Clone, Debug)]
-pub struct Budget {
-    terms: Repeats,
+pub struct RetryBudget {
+    config: RetryBudgetConfig,
     /// The window, and one more that it may touch.
     slices: [Slice; SLICES as usize + 1],
 }
 
-impl Budget {
-    pub fn new(terms: Repeats) -> Self {
-        Budget { terms, slices: Default::default() }
+impl RetryBudget {
+    pub fn new(config: RetryBudgetConfig) -> Self {
+        RetryBudget { config, slices: Default::default() }
     }
 
-    pub fn renew(&mut self, terms: Repeats) {
+    pub fn set_config(&mut self, config: RetryBudgetConfig) {
         // Slices of another length say nothing.
-        *self = if terms.window == self.terms.window {
-            Budget { terms, ..self.clone() }
+        *self = if config.window == self.config.window {
+            RetryBudget { config, ..self.clone() }
         } else {
-            Budget::new(terms)
+            RetryBudget::new(config)
         };
     }
 
     fn number(&self, now: Point) -> i64 {
-        now.micros().div_euclid((self.terms.window.micros() / SLICES).max(1))
+        now.micros().div_euclid((self.config.window.micros() / SLICES).max(1))
     }
 
     fn slice(&mut self, now: Point) -> &mut Slice {
@@ -50,41 +50,41 @@
         slice
     }
 
-    pub fn first(&mut self, now: Point) {
+    pub fn record_first_send(&mut self, now: Point) {
         let slice = self.slice(now);
-        slice.first = slice.first.saturating_add(1);
+        slice.first_sends = slice.first_sends.saturating_add(1);
     }
 
     /// How many more attempts may be repeated now. Danger: a window that straddles slices. Repeats count in every
     /// slice that the window touches, first sends only in those that lie wholly within it.
-    pub fn left(&self, now: Point) -> u32 {
+    pub fn remaining(&self, now: Point) -> u32 {
         let number = self.number(now);
         let within = |from: i64| {
             self.slices.iter().filter(move |s| (number - s.number) >= 0 && s.number > number - from)
         };
-        let repeated: u32 = within(SLICES + 1).map(|slice| slice.repeated).sum();
-        let first: u32 = within(SLICES).map(|slice| slice.first).sum();
-        let allowed = (f64::from(first) * self.terms.share) as u32;
-        allowed.max(self.terms.least).saturating_sub(repeated)
+        let retries: u32 = within(SLICES + 1).map(|slice| slice.retries).sum();
+        let first_sends: u32 = within(SLICES).map(|slice| slice.first_sends).sum();
+        let allowed = (f64::from(first_sends) * self.config.retry_ratio) as u32;
+        allowed.max(self.config.min_retries).saturating_sub(retries)
     }
 
     /// Counts one that was repeated.
-    pub fn repeated(&mut self, now: Point) {
+    pub fn record_retry(&mut self, now: Point) {
         let slice = self.slice(now);
-        slice.repeated = slice.repeated.saturating_add(1);
+        slice.retries = slice.retries.saturating_add(1);
     }
 
     /// Whether one more may be repeated; if so, it counts.
-    pub fn spend(&mut self, now: Point) -> bool {
-        let may = self.left(now) > 0;
+    pub fn try_spend(&mut self, now: Point) -> bool {
+        let may = self.remaining(now) > 0;
         if may {
-            self.repeated(now);
+            self.record_retry(now);
         }
         may
     }
 
     /// After this span the oldest slice falls out of the window, and there may be room again.
-    pub fn back_after(&self) -> Span {
-        Span::from_micros(self.terms.window.micros() / SLICES)
+    pub fn retry_after(&self) -> Span {
+        Span::from_micros(self.config.window.micros() / SLICES)
     }
 }
--- a/crates/arrowyard-cells/src/moving.rs
+++ b/crates/arrowyard-cells/src/tenant_move.rs
@@ -22,7 +22,7 @@
 use smallvec::SmallVec;
 
 /// Tokens of one move that are noted.
-const TOKENS: usize = 65_536;
+const MAX_TOKENS: usize = 65_536;
 
 /// How far the file says a move is.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -37,14 +37,14 @@
 
 /// A move, as the file tells it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Row {
+pub struct MoveConfig {
     pub tenant: Box<str>,
     pub from: CellId,
     pub to: CellId,
     /// The groups that hold the data before and after the switch; none: the group stays.
     pub groups: Option<(GroupId, GroupId)>,
     /// The group that clients name; none: any.
-    pub named: Option<GroupId>,
+    pub client_group: Option<GroupId>,
     pub step: Step,
     pub fence_at: Option<Point>,
     pub switch_at: Option<Point>,
@@ -54,7 +54,7 @@
     /// The target's primary whose position that is, by its name in the lists.
     pub target_host: Option<Box<str>>,
     /// How long the source remembers tokens.
-    pub memory: Span,
+    pub token_retention: Span,
 }
 
 /// How far this router is.
@@ -69,44 +69,44 @@
 
 /// What became of a write at the source, or of all writes of a token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Ran {
-    Never,
-    Out,
-    Maybe,
+pub enum WriteOutcome {
+    NotExecuted,
+    InFlight,
+    Unknown,
     Acked,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Noted {
+struct TokenRecord {
     first_at: Point,
-    ran: Ran,
+    outcome: WriteOutcome,
 }
 
 /// What all moves of a router are told once.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Terms {
+pub struct MoveSettings {
     /// Whether clients mark what they ask again.
-    pub marks: bool,
+    pub clients_mark_retries: bool,
     /// Writes that are out at the fence have ended after this: the longest op timeout.
-    pub settle: Span,
+    pub max_op_timeout: Span,
     /// How far apart two clocks may be.
-    pub skew: Span,
+    pub max_clock_skew: Span,
 }
 
 /// An op of the tenant, as far as a move cares.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Wanted {
-    pub need: Need,
+pub struct MoveOp {
+    pub consistency: Need,
     /// The token, if repeats of it have one effect.
     pub token: Option<u64>,
     /// Whether the client says that it asks again.
-    pub again: bool,
-    pub due: Point,
+    pub is_retry: bool,
+    pub deadline: Point,
 }
 
 /// Where it goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Where {
+pub enum Placement {
     Source,
     /// With what a session's read must see at least.
     Target(Option<Point>),
@@ -115,66 +115,77 @@
     /// Nothing of it was sent; come back after this span.
     Busy(Span),
     /// It may have run where it cannot be asked for any more.
-    Unsure,
+    OutcomeUnknown,
 }
 
 /// Why a move does not go on at this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Stuck {
+pub enum MoveBlocker {
     /// Writes of the tenant are out.
-    Out(u32),
+    WritesInFlight(u32),
     /// The copy ends before this point, up to which writes were, or may have been, acked; it has to be taken further.
-    Copy { needed: Point, copied: Point },
+    CopyIncomplete { needed: Point, copied: Point },
     /// The switch is announced for later.
-    Early(Point),
+    SwitchNotDue(Point),
     /// Fewer than most of the target's hosts are known to hold the copy.
-    Target { hold: usize, hosts: usize },
+    TargetNotCaughtUp { caught_up: usize, hosts: usize },
     /// The target's primary is not known, or is not the host that the file names: the copy has to be looked at again.
-    Lead,
+    TargetPrimaryUnconfirmed,
     /// The file has not said that it is switched.
-    File,
+    ConfigNotAdvanced,
     /// Repeats may still be asked for.
-    Memory,
+    TokensRetained,
 }
 
 /// A file that a router refuses, for what it says of a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Refused {
+pub enum MoveConflict {
     /// It goes back behind the switch.
-    Back,
+    AfterSwitch,
     /// It moves the fence that has been reached.
-    Fence,
+    FencePostponed,
     /// It is another move of the tenant, and this one is not over.
-    Another,
+    OtherMoveActive,
 }
 
 #[derive(Clone, Debug)]
-pub struct Moving {
-    pub row: Row,
-    terms: Terms,
+pub struct TenantMove {
+    pub config: MoveConfig,
+    settings: MoveSettings,
     stage: Stage,
-    tokens: FxHashMap<u64, Noted>,
-    order: VecDeque<(Point, u64)>,
+    tokens: FxHashMap<u64, TokenRecord>,
+    token_order: VecDeque<(Point, u64)>,
     /// Writes that were let through to the source and have not ended.
-    out: u32,
+    writes_in_flight: u32,
     /// Writes that are held.
-    held: u32,
+    held_writes: u32,
     last_acked: Option<Point>,
     /// Positions of the target's hosts, as learnt.
     positions: SmallVec<[(HostId, Point); 4]>,
     /// The target's primary, as learnt last, and the host whose position the file's floor is.
-    lead: Option<HostId>,
-    floor_of: Option<HostId>,
+    target_primary: Option<HostId>,
+    copy_confirmed_by: Option<HostId>,
 }
 
-impl Moving {
+impl TenantMove {
     /// A move that this router learns of now; of what was before it knows nothing.
-    pub fn new(now: Point, row: Row, terms: Terms) -> Self {
-        let (tokens, order, positions) = Default::default();
-        let (stage, out, held, last_acked) = (Stage::Open, 0, 0, None);
-        let (lead, floor_of) = (None, None);
-        let mut moving =
-            Moving { row, terms, stage, tokens, order, out, held, last_acked, positions, lead, floor_of };
+    pub fn new(now: Point, config: MoveConfig, settings: MoveSettings) -> Self {
+        let (tokens, token_order, positions) = Default::default();
+        let (stage, writes_in_flight, held_writes, last_acked) = (Stage::Open, 0, 0, None);
+        let (target_primary, copy_confirmed_by) = (None, None);
+        let mut moving = TenantMove {
+            config,
+            settings,
+            stage,
+            tokens,
+            token_order,
+            writes_in_flight,
+            held_writes,
+            last_acked,
+            positions,
+            target_primary,
+            copy_confirmed_by,
+        };
         moving.tick(now);
         moving
     }
@@ -183,22 +194,22 @@
         self.stage
     }
 
-    pub fn out(&self) -> u32 {
-        self.out
+    pub fn writes_in_flight(&self) -> u32 {
+        self.writes_in_flight
     }
 
-    pub fn held(&self) -> u32 {
-        self.held
+    pub fn held_writes(&self) -> u32 {
+        self.held_writes
     }
 
-    pub fn tokens(&self) -> usize {
+    pub fn token_count(&self) -> usize {
         self.tokens.len()
     }
 
     /// Whether it is the same move as the row's.
-    pub fn is(&self, row: &Row) -> bool {
-        let Row { tenant, from, to, groups, .. } = &self.row;
-        (tenant, from, to, groups) == (&row.tenant, &row.from, &row.to, &row.groups)
+    pub fn is_same_move(&self, config: &MoveConfig) -> bool {
+        let MoveConfig { tenant, from, to, groups, .. } = &self.config;
+        (tenant, from, to, groups) == (&config.tenant, &config.from, &config.to, &config.groups)
     }
 
     /// Whether a row of the file goes with what this router has done. A file that jumps over a step goes through
@@ -206,61 +217,75 @@
     ///
     /// # Errors
     /// The file contradicts it, and is refused whole.
-    pub fn accept(&self, row: &Row) -> Result<(), Refused> {
-        if !self.is(row) {
-            let over = self.row.step == Step::Cancelled || self.stage == Stage::Done;
-            return if over { Ok(()) } else { Err(Refused::Another) };
+    pub fn check_config(&self, config: &MoveConfig) -> Result<(), MoveConflict> {
+        if !self.is_same_move(config) {
+            let over = self.config.step == Step::Cancelled || self.stage == Stage::Done;
+            return if over { Ok(()) } else { Err(MoveConflict::OtherMoveActive) };
         }
         // Danger: the target has writes that the source never saw. Back behind the switch they would be lost.
-        let back = row.step < Step::Switched || row.step == Step::Cancelled;
+        let back = config.step < Step::Switched || config.step == Step::Cancelled;
         if self.stage >= Stage::Switched && back {
-            return Err(Refused::Back);
+            return Err(MoveConflict::AfterSwitch);
         }
         // Danger: the fence moves to later while another router has begun to copy behind the old one.
-        let fence = |row: &Row| row.fence_at.filter(|_| row.step != Step::Cancelled);
-        let later = fence(row) > fence(&self.row) || fence(row).is_none() && row.step != Step::Cancelled;
-        if self.stage >= Stage::Fenced && later && row.groups.is_some() && self.row.step != Step::Cancelled {
-            return Err(Refused::Fence);
+        let fence = |config: &MoveConfig| config.fence_at.filter(|_| config.step != Step::Cancelled);
+        let later =
+            fence(config) > fence(&self.config) || fence(config).is_none() && config.step != Step::Cancelled;
+        if self.stage >= Stage::Fenced
+            && later
+            && config.groups.is_some()
+            && self.config.step != Step::Cancelled
+        {
+            return Err(MoveConflict::FencePostponed);
         }
         Ok(())
     }
 
     /// Takes what was accepted, of the same move.
-    pub fn take(&mut self, now: Point, row: Row) {
-        if row.target_host != self.row.target_host {
+    pub fn apply_config(&mut self, now: Point, config: MoveConfig) {
+        if config.target_host != self.config.target_host {
             // Till the target's hosts are named anew.
-            self.floor_of = None;
+            self.copy_confirmed_by = None;
         }
-        self.row = row;
-        if self.row.step == Step::Cancelled {
+        self.config = config;
+        if self.config.step == Step::Cancelled {
             self.stage = Stage::Open;
         }
         self.tick(now);
     }
 
     /// Goes on as far as all that a stage demands is given; tells what is missing for the next.
-    pub fn tick(&mut self, now: Point) -> Option<Stuck> {
-        self.forget(now);
+    pub fn tick(&mut self, now: Point) -> Option<MoveBlocker> {
+        self.expire_tokens(now);
         loop {
             self.stage = match self.stage {
-                _ if self.row.step == Step::Cancelled => return None,
+                _ if self.config.step == Step::Cancelled => return None,
                 Stage::Open => {
                     // By the earliest clock.
-                    let announced = self.row.fence_at.is_some_and(|at| now >= at - self.terms.skew);
-                    let told = self.row.step >= Step::Fenced;
-                    if !(announced || told && (self.row.groups.is_none() || self.row.fence_at.is_none())) {
+                    let announced =
+                        self.config.fence_at.is_some_and(|at| now >= at - self.settings.max_clock_skew);
+                    let told = self.config.step >= Step::Fenced;
+                    if !(announced
+                        || told && (self.config.groups.is_none() || self.config.fence_at.is_none()))
+                    {
                         return None;
                     }
                     Stage::Fenced
                 }
-                Stage::Fenced if self.out > 0 => return Some(Stuck::Out(self.out)),
+                Stage::Fenced if self.writes_in_flight > 0 => {
+                    return Some(MoveBlocker::WritesInFlight(self.writes_in_flight));
+                }
                 Stage::Fenced => Stage::Drained,
-                Stage::Drained => match self.switch_lacks(now) {
+                Stage::Drained => match self.switch_blocker(now) {
                     Some(stuck) => return Some(stuck),
                     None => Stage::Switched,
                 },
-                Stage::Switched if self.row.step < Step::Done => return Some(Stuck::File),
-                Stage::Switched if self.remembers(now) => return Some(Stuck::Memory),
+                Stage::Switched if self.config.step < Step::Done => {
+                    return Some(MoveBlocker::ConfigNotAdvanced);
+                }
+                Stage::Switched if self.source_retains_tokens(now) => {
+                    return Some(MoveBlocker::TokensRetained);
+                }
                 Stage::Switched => Stage::Done,
                 Stage::Done => return None,
             };
@@ -269,50 +294,56 @@
 
     /// No write that was let through to the source has an effect later than this.
     fn settled_at(&self) -> Option<Point> {
-        self.row.fence_at.map(|at| at + self.terms.settle + self.terms.skew)
+        self.config.fence_at.map(|at| at + self.settings.max_op_timeout + self.settings.max_clock_skew)
     }
 
-    fn switch_lacks(&self, now: Point) -> Option<Stuck> {
-        if self.row.step < Step::Switched {
-            return Some(Stuck::File);
+    fn switch_blocker(&self, now: Point) -> Option<MoveBlocker> {
+        if self.config.step < Step::Switched {
+            return Some(MoveBlocker::ConfigNotAdvanced);
         }
         // One group: there is no copy, and nothing that could be lost.
-        self.row.groups?;
-        let told =
-            self.settled_at().zip(self.row.switch_at).zip(self.row.copied_through.zip(self.row.target_floor));
-        let Some(((settled, switch), (copied, floor))) = told else { return Some(Stuck::File) };
+        self.config.groups?;
+        let told = self
+            .settled_at()
+            .zip(self.config.switch_at)
+            .zip(self.config.copied_through.zip(self.config.target_floor));
+        let Some(((settled, switch), (copied, floor))) = told else {
+            return Some(MoveBlocker::ConfigNotAdvanced);
+        };
         // Danger: a copy that ended before the last write that a client may hold an ack for, here or at another
         // router.
         let needed = settled.max(self.last_acked.unwrap_or(settled));
         if needed > copied {
-            return Some(Stuck::Copy { needed, copied });
+            return Some(MoveBlocker::CopyIncomplete { needed, copied });
         }
         if now < switch {
-            return Some(Stuck::Early(switch));
+            return Some(MoveBlocker::SwitchNotDue(switch));
         }
         // Danger: the target's primary dies before the switch, and with it its newest records, the copy's among them.
         // Positions of the one that takes over run on, and say nothing of that. So it has to be the host that the
         // copy was confirmed by.
-        if self.floor_of.is_none() || self.lead != self.floor_of {
-            return Some(Stuck::Lead);
+        if self.copy_confirmed_by.is_none() || self.target_primary != self.copy_confirmed_by {
+            return Some(MoveBlocker::TargetPrimaryUnconfirmed);
         }
         // Danger: the target's primary dies right after the switch, and a host without the newest records takes
         // over. Most of its hosts have to hold the copy, as this router has learnt itself.
-        let hold = self.positions.iter().filter(|(_, position)| *position >= floor).count();
+        let caught_up = self.positions.iter().filter(|(_, position)| *position >= floor).count();
         let hosts = self.positions.len();
-        (hold * 2 <= hosts || hosts == 0).then_some(Stuck::Target { hold, hosts })
+        (caught_up * 2 <= hosts || hosts == 0).then_some(MoveBlocker::TargetNotCaughtUp { caught_up, hosts })
     }
 
     /// Whether the source may remember a token of a write that was first sent there before the fence.
-    fn remembers(&self, now: Point) -> bool {
-        self.row.fence_at.is_some_and(|at| now < at + self.row.memory + self.terms.skew)
+    fn source_retains_tokens(&self, now: Point) -> bool {
+        self.config
+            .fence_at
+            .is_some_and(|at| now < at + self.config.token_retention + self.settings.max_clock_skew)
     }
 
     /// The hosts of the target with their names, and what is known of their positions; a host that is not known has
     /// none.
-    pub fn target(&mut self, hosts: &[(HostId, &str)]) {
-        let named = |(_, name): &&(HostId, &str)| self.row.target_host.as_deref() == Some(*name);
-        self.floor_of = hosts.iter().find(named).map(|(host, _)| *host);
+    pub fn set_target_hosts(&mut self, hosts: &[(HostId, &str)]) {
+        let named = |(_, name): &&(HostId, &str)| self.config.target_host.as_deref() == Some(*name);
+        self.copy_confirmed_by = hosts.iter().find(named).map(|(host, _)| *host);
         let old = std::mem::take(&mut self.positions);
         let known =
             |host: HostId| old.iter().find(|(other, _)| *other == host).map(|(_, position)| *position);
@@ -321,138 +352,166 @@
 
     /// A host said where it is, and whether it is the primary. Danger: after a failover of the target its newest
     /// records are lost, and positions go back; the last word counts here, not the highest.
-    pub fn learnt(&mut self, host: HostId, position: Point, primary: bool) {
+    pub fn record_position(&mut self, host: HostId, position: Point, primary: bool) {
         let Some(known) = self.positions.iter_mut().find(|(other, _)| *other == host) else { return };
         known.1 = position;
-        match self.lead {
-            _ if primary => self.lead = Some(host),
-            Some(lead) if lead == host => self.lead = None,
+        match self.target_primary {
+            _ if primary => self.target_primary = Some(host),
+            Some(target_primary) if target_primary == host => self.target_primary = None,
             _ => {}
         }
     }
 
     /// Danger: tokens without end. One that is dropped too early is not known any more, and its marked repeat is
     /// answered with an error, not sent.
-    fn forget(&mut self, now: Point) {
-        while let Some(&(at, token)) = self.order.front() {
-            let old = at + self.row.memory * 2.0 + self.terms.settle < now;
-            if self.order.len() <= TOKENS && !old {
+    fn expire_tokens(&mut self, now: Point) {
+        while let Some(&(at, token)) = self.token_order.front() {
+            let old = at + self.config.token_retention * 2.0 + self.settings.max_op_timeout < now;
+            if self.token_order.len() <= MAX_TOKENS && !old {
                 return;
             }
-            self.order.pop_front();
+            self.token_order.pop_front();
             self.tokens.remove(&token);
         }
     }
 
     /// Where an op of the tenant may go now. A write that goes to the source is followed by `sent`.
-    pub fn place(&mut self, now: Point, op: Wanted) -> Where {
+    pub fn place(&mut self, now: Point, op: MoveOp) -> Placement {
         self.tick(now);
         let switched = self.stage >= Stage::Switched;
-        if op.need != Need::Write {
+        if op.consistency != Need::Write {
             // Danger: others have switched, and what they write the source never sees.
-            let due =
-                self.row.switch_at.filter(|_| self.row.groups.is_some() && self.row.step != Step::Cancelled);
-            let late = due.is_some_and(|at| now >= at - self.terms.skew) && op.need != Need::Any;
+            let due = self
+                .config
+                .switch_at
+                .filter(|_| self.config.groups.is_some() && self.config.step != Step::Cancelled);
+            let late =
+                due.is_some_and(|at| now >= at - self.settings.max_clock_skew) && op.consistency != Need::Any;
             return match switched {
-                true => Where::Target(self.row.target_floor),
-                false if late && self.stage >= Stage::Fenced => self.wait(now, op.due),
-                false => Where::Source,
+                true => Placement::Target(self.config.target_floor),
+                false if late && self.stage >= Stage::Fenced => self.hold_or_busy(now, op.deadline),
+                false => Placement::Source,
             };
         }
         // Danger: sessions roam. What never ran by way of this router may have by another's.
         let known = op.token.and_then(|token| self.tokens.get(&token).copied());
-        let known = known.filter(|noted| noted.ran != Ran::Never);
-        let remembered = |noted: &Noted| now + self.terms.skew < noted.first_at + self.row.memory;
+        let known = known.filter(|record| record.outcome != WriteOutcome::NotExecuted);
+        let remembered = |record: &TokenRecord| {
+            now + self.settings.max_clock_skew < record.first_at + self.config.token_retention
+        };
         match self.stage {
             // Danger: a client that waits for longer than any op type, whose write ends behind the copy.
-            Stage::Open if self.row.step != Step::Cancelled && !self.settles(op.due) => {
-                self.wait(now, op.due)
+            Stage::Open
+                if self.config.step != Step::Cancelled && !self.completes_before_copy_end(op.deadline) =>
+            {
+                self.hold_or_busy(now, op.deadline)
+            }
+            Stage::Open => Placement::Source,
+            Stage::Fenced | Stage::Drained if self.config.groups.is_none() => {
+                self.hold_or_busy(now, op.deadline)
             }
-            Stage::Open => Where::Source,
-            Stage::Fenced | Stage::Drained if self.row.groups.is_none() => self.wait(now, op.due),
             Stage::Fenced | Stage::Drained => match known {
-                Some(noted) if noted.ran == Ran::Acked && remembered(&noted) => Where::Source,
+                Some(record) if record.outcome == WriteOutcome::Acked && remembered(&record) => {
+                    Placement::Source
+                }
                 // What may have run is settled by its repeat, as long as the copy goes on.
-                Some(noted) if remembered(&noted) && self.settles(op.due) => Where::Source,
-                Some(_) => Where::Unsure,
-                None if op.token.is_some() && op.again && self.settles(op.due) => Where::Source,
-                None if op.token.is_some() && op.again && self.remembers(now) => Where::Unsure,
-                _ => self.wait(now, op.due),
+                Some(record) if remembered(&record) && self.completes_before_copy_end(op.deadline) => {
+                    Placement::Source
+                }
+                Some(_) => Placement::OutcomeUnknown,
+                None if op.token.is_some() && op.is_retry && self.completes_before_copy_end(op.deadline) => {
+                    Placement::Source
+                }
+                None if op.token.is_some() && op.is_retry && self.source_retains_tokens(now) => {
+                    Placement::OutcomeUnknown
+                }
+                _ => self.hold_or_busy(now, op.deadline),
             },
             // The group stays: the same hosts hold the token wherever the repeat goes.
-            Stage::Switched | Stage::Done if self.row.groups.is_none() => Where::Target(None),
+            Stage::Switched | Stage::Done if self.config.groups.is_none() => Placement::Target(None),
             Stage::Switched | Stage::Done => match known {
-                Some(noted) if noted.ran == Ran::Acked && remembered(&noted) => Where::Source,
+                Some(record) if record.outcome == WriteOutcome::Acked && remembered(&record) => {
+                    Placement::Source
+                }
                 // Danger: a repeat at the source that did not run there would run now, behind the copy; at the target
                 // it would run a second time. It may have run, and that is all that can be said.
-                Some(_) => Where::Unsure,
-                None if op.token.is_none() || !self.remembers(now) => Where::Target(None),
+                Some(_) => Placement::OutcomeUnknown,
+                None if op.token.is_none() || !self.source_retains_tokens(now) => Placement::Target(None),
                 // Danger: sessions roam, and this router may have started anew: a repeat of what it never saw.
-                None if op.again => Where::Unsure,
-                None if !self.terms.marks => {
-                    let at = self.row.fence_at.unwrap_or(now) + self.row.memory + self.terms.skew;
-                    Where::Busy(at - now)
+                None if op.is_retry => Placement::OutcomeUnknown,
+                None if !self.settings.clients_mark_retries => {
+                    let at = self.config.fence_at.unwrap_or(now)
+                        + self.config.token_retention
+                        + self.settings.max_clock_skew;
+                    Placement::Busy(at - now)
                 }
-                _ => Where::Target(None),
+                _ => Placement::Target(None),
             },
         }
     }
 
     /// Whether a write that ends by then has its effect before the copy's end.
-    fn settles(&self, due: Point) -> bool {
-        self.settled_at().is_none_or(|settled| due + self.terms.skew <= settled)
+    fn completes_before_copy_end(&self, deadline: Point) -> bool {
+        self.settled_at().is_none_or(|settled| deadline + self.settings.max_clock_skew <= settled)
     }
 
-    fn wait(&self, now: Point, due: Point) -> Where {
+    fn hold_or_busy(&self, now: Point, deadline: Point) -> Placement {
         // Danger: the fence holds a rush of writes until they are all given up at their deadlines. What cannot be
         // answered in time is given up at once, with when to come back.
-        let half = now + (due - now) * 0.5;
-        let soon = (self.row.memory * 0.25).max(Span::from_millis(50));
-        match self.row.switch_at {
-            Some(at) if now < at && at <= half => Where::Hold(half),
-            Some(at) if now < at => Where::Busy(at - now),
-            _ => Where::Busy(soon),
+        let half = now + (deadline - now) * 0.5;
+        let soon = (self.config.token_retention * 0.25).max(Span::from_millis(50));
+        match self.config.switch_at {
+            Some(at) if now < at && at <= half => Placement::Hold(half),
+            Some(at) if now < at => Placement::Busy(at - now),
+            _ => Placement::Busy(soon),
         }
     }
 
-    pub fn hold(&mut self) {
-        self.held += 1;
+    pub fn add_held(&mut self) {
+        self.held_writes += 1;
     }
 
-    pub fn unhold(&mut self) {
-        self.held = self.held.saturating_sub(1);
+    pub fn release_held(&mut self) {
+        self.held_writes = self.held_writes.saturating_sub(1);
     }
 
     /// A write was let through to the source.
-    pub fn sent(&mut self, now: Point, token: Option<u64>) {
-        self.out += 1;
+    pub fn record_send(&mut self, now: Point, token: Option<u64>) {
+        self.writes_in_flight += 1;
         if self.stage == Stage::Drained {
             self.stage = Stage::Fenced;
         }
         if let Some(token) = token {
-            let order = &mut self.order;
-            let noted = self.tokens.entry(token).or_insert_with(|| {
+            let order = &mut self.token_order;
+            let record = self.tokens.entry(token).or_insert_with(|| {
                 order.push_back((now, token));
-                Noted { first_at: now, ran: Ran::Never }
+                TokenRecord { first_at: now, outcome: WriteOutcome::NotExecuted }
             });
-            if noted.ran == Ran::Never {
-                (noted.first_at, noted.ran) = (now, Ran::Out);
+            if record.outcome == WriteOutcome::NotExecuted {
+                (record.first_at, record.outcome) = (now, WriteOutcome::InFlight);
             }
-            self.forget(now);
+            self.expire_tokens(now);
         }
     }
 
     /// A write at the source ended: what became of it, and at which position it was acked.
-    pub fn ended(&mut self, now: Point, token: Option<u64>, ran: Ran, position: Option<Point>) {
-        self.out = self.out.saturating_sub(1);
-        let noted = token.and_then(|token| self.tokens.get_mut(&token));
-        let before = noted.as_ref().map(|noted| noted.ran);
-        if let Some(noted) = noted {
+    pub fn record_end(
+        &mut self,
+        now: Point,
+        token: Option<u64>,
+        outcome: WriteOutcome,
+        position: Option<Point>,
+    ) {
+        self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
+        let record = token.and_then(|token| self.tokens.get_mut(&token));
+        let before = record.as_ref().map(|record| record.outcome);
+        if let Some(record) = record {
             // Never is never only if no other send of it may have run.
-            noted.ran = if noted.ran == Ran::Out { ran } else { noted.ran.max(ran) };
+            record.outcome =
+                if record.outcome == WriteOutcome::InFlight { outcome } else { record.outcome.max(outcome) };
         }
         // A repeat of what was acked already is acked anew without a new record.
-        if ran == Ran::Acked && before != Some(Ran::Acked) {
+        if outcome == WriteOutcome::Acked && before != Some(WriteOutcome::Acked) {
             self.last_acked = self.last_acked.max(Some(position.unwrap_or(now)));
         }
         self.tick(now);
--- a/crates/arrowyard-cells/tests/parts.rs
+++ b/crates/arrowyard-cells/tests/components.rs
@@ -3,14 +3,18 @@
 use std::collections::VecDeque;
 use std::net::IpAddr;
 
-use arrowyard_cells::assign::{Assign, Homeless, diff, drawn, odds, spread};
-use arrowyard_cells::budget::Budget;
-use arrowyard_cells::fair::Fair;
-use arrowyard_cells::index::Index;
-use arrowyard_cells::layout::{Cell, Layout, Net, Pace as PaceTerms, Release, Repeats};
-use arrowyard_cells::pace::Pace;
-use arrowyard_cells::room::{Full, Room};
-use arrowyard_cells::widen::{Judged, Widen};
+use arrowyard_cells::assignment::{
+    CellAssignment, NoCellReason, reassigned_tenants, sampled_sharing_odds, sharing_odds, stable_hash,
+};
+use arrowyard_cells::bulkhead::{AcquireError, Bulkhead};
+use arrowyard_cells::concurrency_limit::ConcurrencyLimit;
+use arrowyard_cells::fair_queue::FairQueue;
+use arrowyard_cells::index::CellIndex;
+use arrowyard_cells::layout::{
+    Cell, ConcurrencyLimitConfig, Layout, NetworkRule, RetryBudgetConfig, RolloutConfig,
+};
+use arrowyard_cells::retry_budget::RetryBudget;
+use arrowyard_cells::rollout::{ReleaseVerdict, Rollout};
 use arrowyard_types::{CellId, GroupId, Point, Span};
 use proptest::prelude::*;
 
@@ -20,7 +24,16 @@
 
 fn cell(name: &str, weight: f64) -> Cell {
     let (groups, hosts) = (Vec::new(), Vec::new());
-    Cell { name: name.into(), weight, groups, hosts, guaranteed: 0.5, placed: true, pace: None, gone: false }
+    Cell {
+        name: name.into(),
+        weight,
+        groups,
+        hosts,
+        guaranteed_fraction: 0.5,
+        accepts_hashed_tenants: true,
+        concurrency_limit: None,
+        removed: false,
+    }
 }
 
 fn layout(cells: Vec<Cell>, rest: Option<usize>) -> Layout {
@@ -30,11 +43,11 @@
         epoch: 1,
         cells,
         tenants,
-        nets,
-        rest,
-        call_back,
-        repeats: None,
-        release: None,
+        networks: nets,
+        cells_per_hashed_tenant: rest,
+        reclaim_period: call_back,
+        retry_budget: None,
+        rollout: None,
         lease: None,
         moves,
     }
@@ -51,25 +64,28 @@
     let mut heavier = old.clone();
     heavier.cells[2].weight = 2.0;
     for (new, to, share) in [(layout(many(5), Some(1)), "c4", 0.2), (heavier, "c2", 0.15)] {
-        let moved = diff(&old, &new, names.iter().map(String::as_str));
+        let moved = reassigned_tenants(&old, &new, names.iter().map(String::as_str));
         assert!(moved.iter().all(|moved| *moved.to[0] == *to), "to the new one only");
         let part = moved.len() as f64 / names.len() as f64;
         assert!((part - share).abs() < 0.03, "{part}");
     }
-    assert_eq!(diff(&old, &old, names.iter().map(String::as_str)), []);
+    assert_eq!(reassigned_tenants(&old, &old, names.iter().map(String::as_str)), []);
 }
 
 #[test]
 fn weights_are_followed_and_the_odds_of_shuffle_sharding_are_what_drawing_shows() {
     let mut uneven = layout(many(4), Some(1));
     uneven.cells[0].weight = 3.0;
-    let assign = Assign::new(&uneven);
-    let hits = (0..6000).filter(|&n| assign.hashed(n * 7919, 1)[0] == CellId(0)).count();
+    let assign = CellAssignment::new(&uneven);
+    let hits = (0..6000).filter(|&n| assign.cells_by_hash(n * 7919, 1)[0] == CellId(0)).count();
     assert!((hits as f64 / 6000.0 - 0.5).abs() < 0.03, "{hits}");
     let eight = layout(many(8), Some(2));
-    let (told, seen) = (odds(8, 2), drawn(&eight, 40_000, 1));
-    assert!((told.all - 1.0 / 28.0).abs() < 1e-12 && (told.any - 13.0 / 28.0).abs() < 1e-12);
-    assert!((told.all - seen.all).abs() < 0.005 && (told.any - seen.any).abs() < 0.01, "{seen:?}");
+    let (told, seen) = (sharing_odds(8, 2), sampled_sharing_odds(&eight, 40_000, 1));
+    assert!((told.share_all - 1.0 / 28.0).abs() < 1e-12 && (told.share_any - 13.0 / 28.0).abs() < 1e-12);
+    assert!(
+        (told.share_all - seen.share_all).abs() < 0.005 && (told.share_any - seen.share_any).abs() < 0.01,
+        "{seen:?}"
+    );
 }
 
 #[test]
@@ -79,26 +95,26 @@
     told.cells[2].groups = vec![GroupId(7)];
     let net = |within: &[&str], without: &[&str], cell| {
         let all = |texts: &[&str]| texts.iter().map(|text| text.parse().expect("a prefix")).collect();
-        Net { within: all(within), without: all(without), cell: CellId(cell) }
+        NetworkRule { included: all(within), excluded: all(without), cell: CellId(cell) }
     };
-    told.nets = vec![
+    told.networks = vec![
         net(&["10.0.0.0/8"], &[], 0),
         net(&["10.1.0.0/16"], &[], 1),
         net(&["10.1.2.0/24", "fd00::/8", "192.168.0.0/16"], &["192.168.4.0/24"], 2),
     ];
-    let mut assign = Assign::new(&told);
+    let mut assign = CellAssignment::new(&told);
     let mut of = |tenant: Option<&str>, address: &str, group| {
         let address = address.parse::<IpAddr>().ok();
-        assign.of(tenant, address, GroupId(group)).map(|homes| homes[0].0)
+        assign.cells_for(tenant, address, GroupId(group)).map(|homes| homes[0].0)
     };
     assert_eq!(of(Some("acme"), "10.2.3.4", 7), Ok(1));
-    assert_eq!(of(Some("other"), "10.2.3.4", 7), Err(Homeless::Tenant));
+    assert_eq!(of(Some("other"), "10.2.3.4", 7), Err(NoCellReason::TenantNotAssigned));
     assert_eq!(
         [of(None, "10.2.3.4", 0), of(None, "10.1.3.4", 0), of(None, "10.1.2.4", 0)],
         [Ok(0), Ok(1), Ok(2)]
     );
     assert_eq!([of(None, "::ffff:10.1.3.4", 0), of(None, "fd00::1", 0)], [Ok(1), Ok(2)]);
-    assert_eq!(of(None, "192.168.4.1", 0), Err(Homeless::Nobody));
+    assert_eq!(of(None, "192.168.4.1", 0), Err(NoCellReason::NoTenantOrMatch));
     assert_eq!([of(None, "192.168.4.1", 7), of(None, "", 7)], [Ok(2), Ok(2)]);
 }
 
@@ -108,33 +124,36 @@
     let mut new = layout(vec![cell("x", 1.0), cell("c2", 1.0), cell("c0", 1.0)], Some(1));
     new.tenants.insert("t".into(), CellId(0));
     let aligned = new.clone().aligned(&old, |_| true);
-    assert_eq!((aligned.named("c0"), aligned.named("c2")), (Some(CellId(0)), Some(CellId(2))));
-    assert_eq!((aligned.named("x"), aligned.named("c1")), (Some(CellId(3)), None));
-    assert!(aligned.cells[1].gone && aligned.tenants["t"] == CellId(3));
+    assert_eq!((aligned.cell_named("c0"), aligned.cell_named("c2")), (Some(CellId(0)), Some(CellId(2))));
+    assert_eq!((aligned.cell_named("x"), aligned.cell_named("c1")), (Some(CellId(3)), None));
+    assert!(aligned.cells[1].removed && aligned.tenants["t"] == CellId(3));
     // Once nothing is held by it, the id is another cell's.
     let again = layout(vec![cell("c0", 1.0), cell("c2", 1.0), cell("x", 1.0), cell("y", 1.0)], None);
-    assert_eq!(again.clone().aligned(&aligned, |_| true).named("y"), Some(CellId(1)));
-    assert_eq!(again.aligned(&aligned, |id| id != CellId(1)).named("y"), Some(CellId(4)));
+    assert_eq!(again.clone().aligned(&aligned, |_| true).cell_named("y"), Some(CellId(1)));
+    assert_eq!(again.aligned(&aligned, |id| id != CellId(1)).cell_named("y"), Some(CellId(4)));
 }
 
 #[test]
 fn lent_room_comes_back_to_its_owner_and_what_is_guaranteed_is_never_lent() {
-    let mut room = Room::new(100, [(1.0, 0.5), (1.0, 0.5)].into_iter(), Span::from_millis(100));
+    let mut room = Bulkhead::new(100, [(1.0, 0.5), (1.0, 0.5)].into_iter(), Span::from_millis(100));
     let (one, two, mut now) = (CellId(0), CellId(1), ms(0));
-    let taken = (0..200).filter(|_| room.take(now, one, 1).is_ok()).count();
+    let taken = (0..200).filter(|_| room.try_acquire(now, one, 1).is_ok()).count();
     assert_eq!(taken, 75, "its own 50, and the part of the other's 50 that is not guaranteed");
     for _ in 0..25 {
-        assert_eq!(room.take(now, two, 1), Ok(()));
+        assert_eq!(room.try_acquire(now, two, 1), Ok(()));
     }
-    assert_eq!(room.take(now, two, 1), Err(Full::Lent));
+    assert_eq!(room.try_acquire(now, two, 1), Err(AcquireError::Lent));
     // Whatever the borrower gives back goes to the owner, not to the borrower.
-    room.give(one, 1);
+    room.release(one, 1);
     now = now + Span::from_millis(50);
-    assert_eq!((room.take(now, one, 1), room.take(now, two, 1)), (Err(Full::Share), Ok(())));
+    assert_eq!(
+        (room.try_acquire(now, one, 1), room.try_acquire(now, two, 1)),
+        (Err(AcquireError::Exhausted), Ok(()))
+    );
     // Not called for any more: idle room is lent again.
-    room.give(two, 20);
+    room.release(two, 20);
     now = now + Span::from_millis(200);
-    assert_eq!(room.take(now, one, 1), Ok(()));
+    assert_eq!(room.try_acquire(now, one, 1), Ok(()));
 }
 
 proptest! {
@@ -153,7 +172,7 @@
     ) {
         const TOTAL: u64 = 97;
         let parts = || weights.iter().map(|&(weight, kept)| (f64::from(weight), f64::from(kept) / 10.0));
-        let mut room = Room::new(TOTAL, parts(), Span::from_millis(10));
+        let mut room = Bulkhead::new(TOTAL, parts(), Span::from_millis(10));
         let mut held: Vec<Vec<u64>> = vec![Vec::new(); weights.len()];
         let shares: Vec<(u64, u64)> = (0..weights.len()).map(|id| room.share(CellId(id as u32))).collect();
         for (step, (id, more, takes)) in (0..).zip(steps) {
@@ -162,9 +181,9 @@
             let sum: u64 = held[id].iter().sum();
             if !takes {
                 if let Some(less) = held[id].pop() {
-                    room.give(cell, less);
+                    room.release(cell, less);
                 }
-            } else if room.take(ms(step), cell, more).is_ok() {
+            } else if room.try_acquire(ms(step), cell, more).is_ok() {
                 held[id].push(more);
             } else {
                 prop_assert!(sum + more > shares[id].1, "what is guaranteed was refused");
@@ -184,15 +203,15 @@
     fn over_any_window_repeats_are_a_share_of_first_sends(
         steps in prop::collection::vec((0_i64..90, prop::bool::weighted(0.5)), 1..400),
     ) {
-        let terms = Repeats { share: 0.25, least: 3, window: Span::from_millis(1600) };
-        let (mut budget, mut now) = (Budget::new(terms), 1_000_000);
+        let terms = RetryBudgetConfig { retry_ratio: 0.25, min_retries: 3, window: Span::from_millis(1600) };
+        let (mut budget, mut now) = (RetryBudget::new(terms), 1_000_000);
         let (mut first, mut repeated): (Vec<i64>, Vec<i64>) = Default::default();
         for (wait, repeats) in steps {
             now += wait;
             if !repeats {
-                budget.first(ms(now));
+                budget.record_first_send(ms(now));
                 first.push(now);
-            } else if budget.spend(ms(now)) {
+            } else if budget.try_spend(ms(now)) {
                 repeated.push(now);
                 let within = |all: &[i64]| all.iter().filter(|&&at| at > now - 1600).count() as f64;
                 let bound = (within(&first) * 0.25).max(3.0);
@@ -208,20 +227,20 @@
         flood in 1_usize..200,
         late in 1_usize..20,
     ) {
-        let mut fair = Fair::new(weights.iter().map(|&weight| f64::from(weight)));
+        let mut fair = FairQueue::new(weights.iter().map(|&weight| f64::from(weight)));
         let mut plain: Vec<VecDeque<usize>> = vec![VecDeque::new(); weights.len()];
-        let mut put = |fair: &mut Fair<(usize, usize)>, cell: usize, n: usize| {
-            fair.put(CellId(cell as u32), (cell, n));
+        let mut put = |fair: &mut FairQueue<(usize, usize)>, cell: usize, n: usize| {
+            fair.push(CellId(cell as u32), (cell, n));
             plain[cell].push_back(n);
         };
         (0..flood).for_each(|n| put(&mut fair, 0, n));
         for _ in 0..flood / 2 {
-            fair.take();
+            fair.pop();
         }
         (0..late).for_each(|n| put(&mut fair, 1, n));
         plain[0].drain(..flood / 2);
         let (mut others, mut served) = (0.0, 0.0);
-        while let Some((cell, n)) = fair.take() {
+        while let Some((cell, n)) = fair.pop() {
             prop_assert_eq!(plain[cell].pop_front(), Some(n));
             if cell == 1 {
                 served += 1.0;
@@ -237,9 +256,9 @@
 
 #[test]
 fn a_limit_shrinks_as_answers_slow_down_and_grows_when_all_is_well() {
-    let mut pace = Pace::new(PaceTerms { first: 20.0, least: 4.0, most: 200.0 });
+    let mut pace = ConcurrencyLimit::new(ConcurrencyLimitConfig { initial: 20.0, min: 4.0, max: 200.0 });
     let mut drive = |used: f64, rounds: usize| {
-        (0..rounds).for_each(|_| pace.answered(used, pace.limit()));
+        (0..rounds).for_each(|_| pace.record_response(used, pace.limit()));
         pace.limit()
     };
     let calm = drive(0.2, 2000);
@@ -248,33 +267,33 @@
     assert!(jam < calm / 2, "{jam} after {calm}");
     let after = drive(0.2, 2000);
     assert!(after > jam * 2, "{after} after {jam}");
-    let mut idle = Pace::new(PaceTerms { first: 20.0, least: 4.0, most: 200.0 });
-    (0..2000).for_each(|_| idle.answered(0.2, 1));
+    let mut idle = ConcurrencyLimit::new(ConcurrencyLimitConfig { initial: 20.0, min: 4.0, max: 200.0 });
+    (0..2000).for_each(|_| idle.record_response(0.2, 1));
     assert_eq!(idle.limit(), 20, "what was never tried is not allowed");
-    (0..20_000).for_each(|_| idle.lost());
+    (0..20_000).for_each(|_| idle.record_failure());
     assert_eq!(idle.limit(), 4);
 }
 
 #[test]
 fn a_bad_canary_holds_back_the_next_cell_and_a_good_one_lets_it_go() {
     let [canary, next] = [CellId(3), CellId(1)];
-    let terms = Release { order: vec![canary, next], worse: 3.0, wrong: 0.001 };
-    for (every, wanted) in [(8, Judged::Bad), (10_000, Judged::Good)] {
-        let mut widen = Widen::new(terms.clone());
+    let terms = RolloutConfig { order: vec![canary, next], error_rate_ratio: 3.0, error_probability: 0.001 };
+    for (every, wanted) in [(8, ReleaseVerdict::Bad), (10_000, ReleaseVerdict::Good)] {
+        let mut widen = Rollout::new(terms.clone());
         // One in 50 is usual; first hosts that did not start anew, then the canary's.
-        assert!((0..4000).all(|n| widen.outcome(None, n % 50 == 0).is_none()));
-        assert!(widen.may_widen(canary).is_ok() && widen.may_widen(next).is_err());
-        widen.renewed(canary, ms(0), Span::from_millis(1000));
-        let verdict = (1..4000).find_map(|n| widen.outcome(Some(canary), n % every == 0));
-        assert_eq!(verdict.map(|verdict| verdict.judged), Some(wanted));
-        assert_eq!(widen.may_widen(next).is_ok(), wanted == Judged::Good);
+        assert!((0..4000).all(|n| widen.record_outcome(None, n % 50 == 0).is_none()));
+        assert!(widen.check_rollout(canary).is_ok() && widen.check_rollout(next).is_err());
+        widen.host_restarted(canary, ms(0), Span::from_millis(1000));
+        let verdict = (1..4000).find_map(|n| widen.record_outcome(Some(canary), n % every == 0));
+        assert_eq!(verdict.map(|verdict| verdict.verdict), Some(wanted));
+        assert_eq!(widen.check_rollout(next).is_ok(), wanted == ReleaseVerdict::Good);
         // A release that is good and then goes bad is judged bad all the same.
-        let late = (1..4000).find_map(|n| widen.outcome(Some(canary), n % 4 == 0));
-        assert_eq!(late.is_some(), wanted == Judged::Good);
-        assert_eq!(widen.may_widen(next).map_err(|held| held.bad), Err(true));
+        let late = (1..4000).find_map(|n| widen.record_outcome(Some(canary), n % 4 == 0));
+        assert_eq!(late.is_some(), wanted == ReleaseVerdict::Good);
+        assert_eq!(widen.check_rollout(next).map_err(|held| held.failed), Err(true));
         // The next release is judged on its own.
-        widen.renewed(canary, ms(60_000), Span::from_millis(1000));
-        assert_eq!(widen.judged(canary), Judged::Open);
+        widen.host_restarted(canary, ms(60_000), Span::from_millis(1000));
+        assert_eq!(widen.verdict(canary), ReleaseVerdict::Open);
     }
 }
 
@@ -298,10 +317,10 @@
         let cells = rows.iter().enumerate().map(|(n, (groups, hosts, gone))| Cell {
             groups: groups.iter().copied().map(GroupId).collect(),
             hosts: hosts.iter().map(|host| host.as_str().into()).collect(),
-            gone: *gone,
+            removed: *gone,
             ..cell(&format!("c{n}"), 1.0)
         });
-        let index = Index::new(&layout(cells.collect(), None));
+        let index = CellIndex::new(&layout(cells.collect(), None));
         let there = || rows.iter().enumerate().filter(|(_, (.., gone))| !gone);
         let listed = there().any(|(_, (groups, ..))| groups.contains(&group));
         let names = |hosts: &[String]| hosts.iter().any(|pattern| match pattern.split_once('*') {
@@ -313,7 +332,7 @@
             .filter(|(_, (groups, ..))| if listed { groups.contains(&group) } else { groups.is_empty() })
             .map(|(n, (_, hosts, _))| (n as u32, if named { !names(hosts) } else { !hosts.is_empty() }))
             .collect();
-        let mut found: Vec<(u32, bool)> = index.parts(GroupId(group), &host).map(|(id, guest)| (id.0, guest)).collect();
+        let mut found: Vec<(u32, bool)> = index.cells_for_host(GroupId(group), &host).map(|(id, guest)| (id.0, guest)).collect();
         found.dedup();
         prop_assert_eq!(&found, &wanted);
         for id in 0..rows.len() as u32 {
@@ -325,14 +344,14 @@
 #[test]
 fn placement_is_the_same_in_every_version() {
     // Danger: another hash after an update moves every tenant that no row names. These were worked out once.
-    assert_eq!(spread("acme"), 1372038925648144367);
+    assert_eq!(stable_hash("acme"), 1372038925648144367);
     let mut uneven = layout(many(7), Some(3));
     uneven.cells[2].weight = 2.5;
-    let mut assign = Assign::new(&uneven);
+    let mut assign = CellAssignment::new(&uneven);
     let homes: Vec<Vec<u32>> = ["acme", "ikeja", "", "tenant-17"]
         .iter()
         .map(|name| {
-            let homes = assign.of(Some(name), None, GroupId(0)).expect("tenants are placed");
+            let homes = assign.cells_for(Some(name), None, GroupId(0)).expect("tenants are placed");
             homes.iter().map(|id| id.0).collect()
         })
         .collect();
--- a/crates/arrowyard-core/src/limits.rs
+++ b/crates/arrowyard-core/src/limits.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use arrowyard_cells::desk::Totals;
+use arrowyard_cells::admission::Capacity;
 use arrowyard_types::{Facts, Manifest, OpType, Span};
 
 use crate::clock::duration;
@@ -142,11 +142,11 @@
     }
 
     /// What cells divide. Each op in hand holds a client's connection, so that there are never more of them.
-    pub fn of_cells(&self) -> Totals {
+    pub fn of_cells(&self) -> Capacity {
         let ops = self.ops.min(self.clients * 7 / 8).max(1);
         // Of the connections to hosts, those that ops in hand cannot take.
         let probes = self.links.saturating_sub(ops).max(1);
-        Totals { ops: ops as u64, bytes: self.held as u64, probes: probes as u64 }
+        Capacity { ops: ops as u64, bytes: self.held as u64, probes: probes as u64 }
     }
 }
 
--- a/crates/arrowyard-core/src/peers.rs
+++ b/crates/arrowyard-core/src/peers.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use arrowyard_peers::{Belongs, Deed, Event, Fleet, Me, Reach, Standing, View};
+use arrowyard_peers::{Action, Event, LocalMember, Membership, PeerSettings, Reach, Standing, View};
 use arrowyard_types::PeerId;
 use rustix::time::{ClockId, clock_gettime};
 use serde_json::{Value, json};
@@ -76,7 +76,7 @@
 }
 
 pub struct Peers<B: Back> {
-    fleet: Fleet,
+    fleet: Membership,
     socket: UdpSocket,
     clock: Clock,
     errands: mpsc::Receiver<Errand>,
@@ -100,7 +100,7 @@
     /// # Errors
     /// The address cannot be listened at.
     pub async fn open(
-        belongs: Belongs,
+        belongs: PeerSettings,
         name: &str,
         settings: f64,
         seed: u64,
@@ -115,10 +115,10 @@
         let life = unix.as_millis() as u64;
         // The earlier start has the lesser mark; what is drawn tells two of one millisecond apart.
         let nonce = life << 20 | fastrand::u64(..1 << 20);
-        let me = Me { name: name.into(), at, life, nonce };
-        let fleet = belongs.terms.fleet.clone();
+        let me = LocalMember { name: name.into(), address: at, incarnation: life, nonce };
+        let fleet = belongs.config.fleet.clone();
         let (own, errands) = mpsc::channel(ERRANDS);
-        let decisions = Fleet::start(clock.now(), belongs.terms, me, settings, seed ^ nonce);
+        let decisions = Membership::new(clock.now(), belongs.config, me, settings, seed ^ nonce);
         tracing::info!(fleet, at = %at, life, "member of a fleet, datagrams at {local}");
         let moment = Instant::now();
         let peers = Peers {
@@ -128,8 +128,8 @@
             errands,
             own: own.clone(),
             mail,
-            shares: belongs.shares,
-            news: belongs.news,
+            shares: belongs.count_members,
+            news: belongs.relay_app_messages,
             routers: settings,
             looks: Rc::default(),
             asked_stage: moment,
@@ -144,7 +144,7 @@
     pub async fn run(mut self) {
         let mut buffer = vec![0; 2048];
         loop {
-            let next = self.clock.when(self.fleet.next_at());
+            let next = self.clock.when(self.fleet.next_deadline());
             tokio::select! {
                 biased;
                 // Time goes first. Danger: after a halt a socket full of old datagrams is taken for news of now.
@@ -171,7 +171,7 @@
 
     fn got(&mut self, got: io::Result<(usize, SocketAddr)>, buffer: &[u8]) {
         match got {
-            Ok((length, from)) => self.fleet.heard(self.clock.now(), from, &buffer[..length]),
+            Ok((length, from)) => self.fleet.receive(self.clock.now(), from, &buffer[..length]),
             // A refusal for some datagram before; which one is not said.
             Err(_) => self.errors += 1,
         }
@@ -180,7 +180,7 @@
     fn errand(&mut self, errand: Errand) {
         let now = self.clock.now();
         match errand {
-            Errand::Tell(bytes) if self.news => self.fleet.tell(now, &bytes),
+            Errand::Tell(bytes) if self.news => self.fleet.broadcast(now, &bytes),
             Errand::Tell(_) => {}
             Errand::Show(client) => drop(client.send(self.report().to_string())),
             Errand::Leave(done) => {
@@ -188,7 +188,7 @@
                 // Whoever asked may be gone.
                 let _ = done.send(());
             }
-            Errand::Refused(name, life) => self.fleet.refused(&name, life),
+            Errand::Refused(name, life) => self.fleet.port_refused(&name, life),
             Errand::Serves(told) => {
                 let idle = self.serving.idle(told);
                 self.fleet.set_idle(now, idle);
@@ -222,40 +222,40 @@
     }
 
     async fn carry_out(&mut self) {
-        for deed in std::mem::take(&mut self.fleet.deeds) {
+        for deed in std::mem::take(&mut self.fleet.actions) {
             match deed {
                 // What cannot be sent now is lost, as the network may lose it; the decisions bear that.
-                Deed::Send { to, bytes } => {
+                Action::Send { to, bytes } => {
                     self.errors += u64::from(self.socket.try_send_to(&bytes, to).is_err());
                 }
-                Deed::Look { to, name, life, bytes } => self.look(to, name, life, bytes),
+                Action::CheckPort { to, name, incarnation: life, bytes } => self.look(to, name, life, bytes),
             }
         }
         for event in std::mem::take(&mut self.fleet.events) {
             let mono_us = mono_us();
             match event {
-                Event::Stands { name, life, standing, by } => {
+                Event::StandingChanged { name, incarnation: life, standing, reported_by: by } => {
                     tracing::info!(mono_us, peer = &*name, life, by = &*by, "peer is {standing:?}");
                 }
-                Event::Away(span) => {
+                Event::Stalled(span) => {
                     tracing::warn!(mono_us, ms = span.micros() / 1000, "was away: the view is in doubt");
                 }
-                Event::Renewed(life) => tracing::info!(mono_us, life, "own life is raised"),
-                Event::Doubled { gives_way } => {
+                Event::IncarnationRaised(life) => tracing::info!(mono_us, life, "own life is raised"),
+                Event::DuplicateName { yields: gives_way } => {
                     tracing::error!(mono_us, gives_way, "another process has this router's name");
                 }
-                Event::Part { reach, whole } => {
+                Event::Partition { reachable: reach, total: whole } => {
                     tracing::warn!(mono_us, reach, whole, "a part of the fleet is out of reach");
                 }
             }
         }
-        for (from, bytes) in std::mem::take(&mut self.fleet.told) {
+        for (from, bytes) in std::mem::take(&mut self.fleet.app_messages) {
             if self.news {
                 self.hear(from, bytes).await;
             }
         }
-        if self.shares && self.routers != self.fleet.routers() {
-            self.routers = self.fleet.routers();
+        if self.shares && self.routers != self.fleet.router_count() {
+            self.routers = self.fleet.router_count();
             tracing::info!(
                 mono_us = mono_us(),
                 routers = self.routers,
@@ -297,8 +297,17 @@
 
     /// For `SHOW peers`.
     fn report(&self) -> Value {
-        let View { name, life, rows, reach, whole, doubts, health, doubled, routers } =
-            self.fleet.view(self.clock.now());
+        let View {
+            name,
+            incarnation: life,
+            rows,
+            reachable: reach,
+            total: whole,
+            suspects_itself: doubts,
+            health_score: health,
+            duplicate_name: doubled,
+            router_count: routers,
+        } = self.fleet.view(self.clock.now());
         let rows = rows.iter().map(|row| {
             let standing = match row.standing {
                 Standing::Alive => "alive",
@@ -308,35 +317,35 @@
                 Standing::Left => "left",
             };
             let reach = match row.reach {
-                Reach::Answers => "answers",
-                Reach::Heard => "heard, does not hear this router",
-                Reach::ByOthers => "by others only",
-                Reach::Told => "by others' word",
+                Reach::Direct => "answers",
+                Reach::InboundOnly => "heard, does not hear this router",
+                Reach::ViaHelpers => "by others only",
+                Reach::Reported => "by others' word",
                 Reach::None => "-",
             };
-            json!({"name": &*row.name, "standing": standing, "reach": reach, "life": row.life,
-                "for_ms": row.for_span.micros() / 1000, "by": &*row.by, "accusers": row.accusers,
-                "sure": row.sure, "serves": !row.idle, "fell": row.fell})
+            json!({"name": &*row.name, "standing": standing, "reach": reach, "life": row.incarnation,
+                "for_ms": row.standing_for.micros() / 1000, "by": &*row.reported_by, "accusers": row.accuser_count,
+                "sure": row.confirmed_locally, "serves": !row.idle, "fell": row.suspicion_count})
         });
         let counts = self.fleet.counts;
         let counts: HashMap<&str, u64> = HashMap::from([
             ("sent", counts.sent),
             ("sent_bytes", counts.sent_bytes),
-            ("taken", counts.taken),
-            ("taken_bytes", counts.taken_bytes),
-            ("flood", counts.flood),
+            ("taken", counts.received),
+            ("taken_bytes", counts.received_bytes),
+            ("flood", counts.rate_limited),
             ("too_large", counts.too_large),
-            ("garbled", counts.garbled),
-            ("newer", counts.newer),
-            ("foreign", counts.foreign),
-            ("outside", counts.outside),
+            ("garbled", counts.malformed),
+            ("newer", counts.unsupported_version),
+            ("foreign", counts.other_fleet),
+            ("outside", counts.disallowed_address),
             ("stale", counts.stale),
-            ("unmet", counts.unmet),
+            ("unmet", counts.unanswered_candidates),
             ("errors", self.errors),
         ]);
         json!({"name": &*name, "life": life, "mono_us": mono_us(), "reach": reach, "whole": whole,
             "doubts": doubts, "health": health, "doubled": doubled, "routers": routers,
-            "held": self.fleet.held(), "peers": rows.collect::<Vec<_>>(), "datagrams": counts})
+            "held": self.fleet.tracked_entries(), "peers": rows.collect::<Vec<_>>(), "datagrams": counts})
     }
 }
 
--- a/crates/arrowyard-core/src/roster.rs
+++ b/crates/arrowyard-core/src/roster.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowyard_cells::index::Index;
+use arrowyard_cells::index::CellIndex;
 use arrowyard_platform_settings::{point, tag};
 use arrowyard_store::Host;
 use arrowyard_types::{
@@ -109,14 +109,14 @@
     pub fn divide(
         &mut self,
         entries: &mut [Entry],
-        index: &Index,
+        index: &CellIndex,
         mut trust: impl FnMut(CellId, Point) -> f64,
     ) {
         for entry in entries {
             let (name, group, size) = self.raw[entry.host.0 as usize].clone();
             let mut part = 1.0_f64;
             entry.parts = index
-                .parts(group, &name)
+                .cells_for_host(group, &name)
                 .map(|(cell, guest)| {
                     if let Some(started) = entry.started.filter(|_| !guest) {
                         part = part.min(trust(cell, started));
@@ -185,9 +185,9 @@
     }
 
     /// The cell in whose name the host is probed: the first whose own it is, else the first that it serves.
-    pub fn cell(&self, host: HostId, index: &Index) -> Option<CellId> {
+    pub fn cell(&self, host: HostId, index: &CellIndex) -> Option<CellId> {
         let (name, group, _) = self.raw.get(host.0 as usize)?;
-        let mut parts = index.parts(*group, name);
+        let mut parts = index.cells_for_host(*group, name);
         let first = parts.next()?;
         let own = std::iter::once(first).chain(parts).find(|(_, guest)| !guest);
         Some(own.unwrap_or(first).0)
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -7,7 +7,7 @@
 use arrowyard::Router;
 use arrowyard_background_tasks::{Budget, End as Ending, Rank, Scheduler, Slice, Slices, Terms};
 use arrowyard_cells::Layout;
-use arrowyard_cells::desk::{News, Why};
+use arrowyard_cells::admission::{CellEvent, RejectReason};
 use arrowyard_types::*;
 use tokio::sync::mpsc::error::TryRecvError;
 use tokio::sync::{mpsc, oneshot};
@@ -304,7 +304,7 @@
                 let after = self.most_after.map(|most| after.map_or(most, |after| after.min(most)));
                 let _ = client.send(Reply::Busy(after));
             }
-            Turn::Error(Why::Unsure, (_, client)) => {
+            Turn::Error(RejectReason::OutcomeUnknown, (_, client)) => {
                 self.book.tally.errored += 1;
                 let _ = client.send(Reply::Errored);
             }
@@ -337,22 +337,25 @@
         let mut judged = false;
         for news in news {
             match news {
-                News::Release(verdict) => {
+                CellEvent::ReleaseVerdict(verdict) => {
                     judged = true;
-                    tracing::warn!(cell = name(verdict.cell), "the release is judged {:?}", verdict.judged);
+                    tracing::warn!(cell = name(verdict.cell), "the release is judged {:?}", verdict.verdict);
                 }
-                News::HeldBack(cell, held) => {
-                    let (by, why) = (name(held.by), if held.bad { "bad" } else { "not judged yet" });
+                CellEvent::RolloutBlocked(cell, held) => {
+                    let (by, why) =
+                        (name(held.blocked_by), if held.failed { "bad" } else { "not judged yet" });
                     tracing::warn!(
                         cell = name(cell),
                         by,
                         "new hosts are trusted little: the release there is {why}"
                     );
                 }
-                News::Moved(tenant, stage) => {
+                CellEvent::MoveStageChanged(tenant, stage) => {
                     tracing::info!(tenant = &*tenant, stage = stage_name(stage), "the move goes on");
                 }
-                News::Stuck(tenant, stuck) => tracing::warn!(tenant = &*tenant, "the move waits: {stuck:?}"),
+                CellEvent::MoveBlocked(tenant, stuck) => {
+                    tracing::warn!(tenant = &*tenant, "the move waits: {stuck:?}")
+                }
             }
         }
         if judged {
--- a/crates/arrowyard-core/src/ward.rs
+++ b/crates/arrowyard-core/src/ward.rs
@@ -5,12 +5,12 @@
 use std::collections::HashMap;
 use std::net::IpAddr;
 
-use arrowyard_cells::desk::Pass;
-use arrowyard_cells::desk::{News, Stale, Totals, Why};
-use arrowyard_cells::fair::Fair;
-use arrowyard_cells::index::Index;
-use arrowyard_cells::moving::{Ran, Stage, Terms};
-use arrowyard_cells::{Cells, Facts, Fate, Layout, Verdict};
+use arrowyard_cells::admission::AdmissionPermit;
+use arrowyard_cells::admission::{Capacity, CellEvent, LayoutError, RejectReason};
+use arrowyard_cells::fair_queue::FairQueue;
+use arrowyard_cells::index::CellIndex;
+use arrowyard_cells::tenant_move::{MoveSettings, Stage, WriteOutcome};
+use arrowyard_cells::{AdmissionDecision, Cells, Layout, OpContext, SendOutcome};
 use arrowyard_types::{
     Ask, CellId, GroupId, HostId, Need, Note, OpId, OpType, Outcome, Point, Role, SendNo, Span, Word,
 };
@@ -28,9 +28,9 @@
 
 /// What is kept of an op that has a place.
 struct Kept {
-    pass: Pass,
+    pass: AdmissionPermit,
     op_type: usize,
-    ran: Ran,
+    ran: WriteOutcome,
     position: Option<Point>,
 }
 
@@ -40,13 +40,13 @@
     Go(Ask, T),
     Held,
     Busy(Option<Span>, T),
-    Error(Why, T),
+    Error(RejectReason, T),
 }
 
 struct Held<T> {
     ask: Ask,
     claim: Box<Claim>,
-    pass: Pass,
+    pass: AdmissionPermit,
     until: Point,
     rest: T,
 }
@@ -54,7 +54,7 @@
 /// `M` is mail that waits for its turn, `T` what goes with an op that is held.
 pub struct Ward<M, T> {
     cells: Cells,
-    fair: Fair<M>,
+    fair: FairQueue<M>,
     kept: HashMap<OpId, Kept>,
     held: Vec<Held<T>>,
     /// By cell: how many further sends the module believes that it has.
@@ -66,11 +66,16 @@
 pub const NEW: f64 = 10.0;
 
 impl<M, T> Ward<M, T> {
-    pub fn new(now: Point, layout: Layout, totals: Totals, op_types: Vec<OpType>, marks: bool) -> Self {
+    pub fn new(now: Point, layout: Layout, totals: Capacity, op_types: Vec<OpType>, marks: bool) -> Self {
         let settle = op_types.iter().map(|row| row.op_timeout).max().unwrap_or_default();
-        let skew = layout.lease.map_or(Span::ZERO, |lease| lease.skew);
-        let fair = Fair::new(layout.cells.iter().map(|cell| cell.weight));
-        let cells = Cells::new(now, layout, totals, Terms { marks, settle, skew });
+        let skew = layout.lease.map_or(Span::ZERO, |lease| lease.max_clock_skew);
+        let fair = FairQueue::new(layout.cells.iter().map(|cell| cell.weight));
+        let cells = Cells::new(
+            now,
+            layout,
+            totals,
+            MoveSettings { clients_mark_retries: marks, max_op_timeout: settle, max_clock_skew: skew },
+        );
         let (kept, held, spares) = Default::default();
         Ward { cells, fair, kept, held, spares, op_types }
     }
@@ -79,36 +84,36 @@
         self.cells.layout()
     }
 
-    pub fn index(&self) -> &Index {
+    pub fn index(&self) -> &CellIndex {
         self.cells.index()
     }
 
     /// The op's cell is found, and its place taken; `rest` comes back with the verdict, or later if it is held.
     pub fn place(&mut self, now: Point, ask: Ask, claim: Box<Claim>, rest: T) -> Turn<T> {
         let row = &self.op_types[ask.op_type.0 as usize];
-        let facts = Facts {
+        let facts = OpContext {
             tenant: claim.tenant.as_deref(),
             address: claim.address,
             group: ask.group,
             bytes: claim.bytes,
-            need: row.need,
+            consistency: row.need,
             session: ask.session.map(|session| session.0),
             token: claim.token,
-            again: ask.again,
-            due: ask.due,
+            is_retry: ask.again,
+            deadline: ask.due,
         };
         match self.cells.admit(now, &facts) {
-            Verdict::Go { pass, group, floor } => {
-                let (op_type, ran, position) = (ask.op_type.0 as usize, Ran::Never, None);
+            AdmissionDecision::Admit { permit: pass, group, min_position: floor } => {
+                let (op_type, ran, position) = (ask.op_type.0 as usize, WriteOutcome::NotExecuted, None);
                 self.kept.insert(ask.op, Kept { pass, op_type, ran, position });
                 Turn::Go(Ask { cell: pass.cell, group, floor, ..ask }, rest)
             }
-            Verdict::Hold { pass, until } => {
+            AdmissionDecision::Hold { permit: pass, until } => {
                 self.held.push(Held { ask, claim, pass, until, rest });
                 Turn::Held
             }
-            Verdict::Busy { after, .. } => Turn::Busy(after, rest),
-            Verdict::Error { why } => Turn::Error(why, rest),
+            AdmissionDecision::Busy { retry_after: after, .. } => Turn::Busy(after, rest),
+            AdmissionDecision::Error { reason: why } => Turn::Error(why, rest),
         }
     }
 
@@ -116,7 +121,7 @@
     pub fn queue(&mut self, op: OpId, mail: M) -> Option<M> {
         match self.kept.get(&op) {
             Some(kept) => {
-                self.fair.put(kept.pass.cell, mail);
+                self.fair.push(kept.pass.cell, mail);
                 None
             }
             None => Some(mail),
@@ -124,7 +129,7 @@
     }
 
     pub fn take(&mut self) -> Option<M> {
-        self.fair.take()
+        self.fair.pop()
     }
 
     pub fn waiting(&self) -> usize {
@@ -133,7 +138,7 @@
 
     /// What the module has to be told before it hears of this cell again.
     pub fn spare(&mut self, now: Point, cell: CellId) -> Option<Note> {
-        let sends = self.cells.spare(now, cell);
+        let sends = self.cells.remaining_retries(now, cell);
         let told = self.spares.insert(cell, sends).unwrap_or(None);
         (told != sends).then_some(Note::Spare { cell, sends })
     }
@@ -144,7 +149,7 @@
 
     pub fn sent(&mut self, now: Point, op: OpId, send: SendNo) {
         let Some(kept) = self.kept.get(&op) else { return };
-        self.cells.sent(now, &kept.pass, send.0 == 0);
+        self.cells.record_send(now, &kept.pass, send.0 == 0);
         if let Some(Some(spare)) = self.spares.get_mut(&kept.pass.cell).filter(|_| send.0 > 0) {
             // As the module counts.
             *spare = spare.saturating_sub(1);
@@ -155,24 +160,24 @@
         let Some(kept) = self.kept.get_mut(&op) else { return };
         let row = &self.op_types[kept.op_type];
         let (ran, fate) = match outcome {
-            Outcome::Acked => (Ran::Acked, Fate::Acked),
-            outcome if outcome.never_ran() => (Ran::Never, Fate::Never),
-            Outcome::Cancelled => (Ran::Maybe, Fate::Never),
-            _ => (Ran::Maybe, Fate::Bad),
+            Outcome::Acked => (WriteOutcome::Acked, SendOutcome::Acked),
+            outcome if outcome.never_ran() => (WriteOutcome::NotExecuted, SendOutcome::NotExecuted),
+            Outcome::Cancelled => (WriteOutcome::Unknown, SendOutcome::NotExecuted),
+            _ => (WriteOutcome::Unknown, SendOutcome::Failed),
         };
         // Turned away tells of load as a time-out does, though it never ran.
-        let fate = if outcome == Outcome::Full { Fate::Bad } else { fate };
+        let fate = if outcome == Outcome::Full { SendOutcome::Failed } else { fate };
         kept.ran = kept.ran.max(ran);
-        if ran == Ran::Acked && row.need == Need::Write {
+        if ran == WriteOutcome::Acked && row.need == Need::Write {
             kept.position = word.position;
         }
-        self.cells.send_ended(&kept.pass, fate, took / row.latency_target, new);
+        self.cells.record_send_end(&kept.pass, fate, took / row.latency_target, new);
     }
 
     /// The op is answered and none of its sends is out.
     pub fn closed(&mut self, now: Point, op: OpId) {
         if let Some(kept) = self.kept.remove(&op) {
-            self.cells.ended(now, kept.pass, kept.ran, kept.position);
+            self.cells.release(now, kept.pass, kept.ran, kept.position);
         }
     }
 
@@ -180,7 +185,7 @@
     pub fn hung_up(&mut self, now: Point, op: OpId) {
         if let Some(place) = self.held.iter().position(|held| held.ask.op == op) {
             let held = self.held.swap_remove(place);
-            self.cells.ended(now, held.pass, Ran::Never, None);
+            self.cells.release(now, held.pass, WriteOutcome::NotExecuted, None);
         }
     }
 
@@ -191,53 +196,53 @@
         self.held = rest;
         let due: Vec<Held<T>> = due;
         let turn = |Held { ask, claim, pass, rest, .. }: Held<T>| {
-            self.cells.ended(now, pass, Ran::Never, None);
+            self.cells.release(now, pass, WriteOutcome::NotExecuted, None);
             self.place(now, ask, claim, rest)
         };
         due.into_iter().map(turn).collect()
     }
 
-    pub fn news(&mut self) -> Vec<News> {
-        self.cells.news()
+    pub fn news(&mut self) -> Vec<CellEvent> {
+        self.cells.take_events()
     }
 
     /// Takes a new layout, or says why not.
-    pub fn relayout(&mut self, now: Point, layout: Layout) -> Result<(), Stale> {
-        self.cells.relayout(now, layout)?;
-        self.fair.divide(self.cells.layout().cells.iter().map(|cell| cell.weight));
+    pub fn relayout(&mut self, now: Point, layout: Layout) -> Result<(), LayoutError> {
+        self.cells.replace_layout(now, layout)?;
+        self.fair.set_weights(self.cells.layout().cells.iter().map(|cell| cell.weight));
         Ok(())
     }
 
     /// Whether a host of the cell may be probed now; if so it counts till it is told to have ended.
     pub fn probe(&mut self, now: Point, cell: CellId) -> bool {
-        self.cells.probe(now, cell)
+        self.cells.try_start_probe(now, cell)
     }
 
     pub fn probed(&mut self, cell: CellId) {
-        self.cells.probed(cell);
+        self.cells.end_probe(cell);
     }
 
     /// Groups whose hosts have to be asked for their positions.
     pub fn watched(&self) -> Vec<GroupId> {
-        self.cells.watched().to_vec()
+        self.cells.groups_awaiting_positions().to_vec()
     }
 
     pub fn members(&mut self, group: GroupId, hosts: &[(HostId, &str)]) {
-        self.cells.members(group, hosts);
+        self.cells.set_group_hosts(group, hosts);
     }
 
     pub fn learnt(&mut self, host: HostId, word: &Word) {
         if let Some(position) = word.position {
-            self.cells.learnt(host, position, word.role == Some(Role::Primary));
+            self.cells.record_position(host, position, word.role == Some(Role::Primary));
         }
     }
 
     pub fn renewed(&mut self, cell: CellId, at: Point, within: Span) {
-        self.cells.renewed(cell, at, within);
+        self.cells.host_restarted(cell, at, within);
     }
 
     pub fn trust(&mut self, cell: CellId) -> f64 {
-        self.cells.trust(cell)
+        self.cells.restarted_host_trust(cell)
     }
 
     /// For `SHOW cells`.
@@ -249,10 +254,10 @@
             .into_iter()
             .map(|state| {
                 json!({"cell": state.name, "ops": state.ops, "share": state.share, "guaranteed": state.guaranteed,
-                    "borrowed": state.borrowed, "bytes": state.bytes, "probes": state.probes, "limit": state.limit,
-                    "release": state.judged.map(|judged| format!("{judged:?}").to_lowercase()),
-                    "taken": state.tally.taken, "busy": state.tally.busy, "errors": state.tally.errors,
-                    "first_sends": state.tally.first, "further_sends": state.tally.further})
+                    "borrowed": state.borrowed, "bytes": state.bytes, "probes": state.probes, "limit": state.concurrency_limit,
+                    "release": state.release_verdict.map(|judged| format!("{judged:?}").to_lowercase()),
+                    "taken": state.counters.admitted, "busy": state.counters.busy, "errors": state.counters.errors,
+                    "first_sends": state.counters.first_sends, "further_sends": state.counters.further_sends})
             })
             .collect();
         let moves: Vec<Value> = self
--- a/crates/arrowyard-daemon/src/base.rs
+++ b/crates/arrowyard-daemon/src/base.rs
@@ -139,7 +139,7 @@
         let mut peers = None;
         if let Some(belongs) = book.and_then(belongs) {
             gate.peers = true;
-            if belongs.news {
+            if belongs.relay_app_messages {
                 told.insert("peers".to_string(), Fact::Flag(true));
             }
             let (settings, mail) = (told.number_or("routers", 1.0), mail.clone());
--- a/crates/arrowyard-daemon/src/cells.rs
+++ b/crates/arrowyard-daemon/src/cells.rs
@@ -5,7 +5,7 @@
 use std::process::ExitCode;
 
 use arrowyard_cells::Layout;
-use arrowyard_cells::assign::{Assign, diff, drawn, odds};
+use arrowyard_cells::assignment::{CellAssignment, reassigned_tenants, sampled_sharing_odds, sharing_odds};
 use arrowyard_types::GroupId;
 use clap::{Args, Subcommand};
 use serde_json::{Value, json};
@@ -85,9 +85,9 @@
         Command::Show(show) => self::show(&show),
         Command::Place(Place { file, tenants, json }) => {
             let layout = load(&file)?;
-            let mut assign = Assign::new(&layout);
+            let mut assign = CellAssignment::new(&layout);
             let mut cells = |tenant: &str| -> Vec<String> {
-                let homes = assign.of(Some(tenant), None, GroupId(0)).unwrap_or_default();
+                let homes = assign.cells_for(Some(tenant), None, GroupId(0)).unwrap_or_default();
                 homes.iter().map(|&id| layout.cell(id).name.to_string()).collect()
             };
             let rows: Vec<(&String, Vec<String>)> = tenants.iter().map(|name| (name, cells(name))).collect();
@@ -116,7 +116,7 @@
             };
             let others = others.lines().map(str::trim).filter(|name| !name.is_empty());
             let known = old.tenants.len().max(new.tenants.len()) + others.clone().count();
-            let moved = diff(&old, &new, others);
+            let moved = reassigned_tenants(&old, &new, others);
             let any = !moved.is_empty();
             if json {
                 let told = moved.iter().map(|m| json!({"tenant": m.tenant, "from": m.from, "to": m.to}));
@@ -136,11 +136,13 @@
         }
         Command::Odds(Odds { file, pairs, json }) => {
             let layout = load(&file)?;
-            let each = layout.rest.ok_or_else(|| format!("{}: it places no tenants", file.display()))?;
-            let cells = layout.cells.iter().filter(|cell| cell.placed).count();
-            let (told, seen) = (odds(cells, each), drawn(&layout, pairs, 1));
+            let each = layout
+                .cells_per_hashed_tenant
+                .ok_or_else(|| format!("{}: it places no tenants", file.display()))?;
+            let cells = layout.cells.iter().filter(|cell| cell.accepts_hashed_tenants).count();
+            let (told, seen) = (sharing_odds(cells, each), sampled_sharing_odds(&layout, pairs, 1));
             if json {
-                let pair = |odds: arrowyard_cells::assign::Odds| json!({"all": odds.all, "any": odds.any});
+                let pair = |odds: arrowyard_cells::assignment::Odds| json!({"all": odds.share_all, "any": odds.share_any});
                 println!(
                     "{}",
                     json!({"cells": cells, "each": each, "worked_out": pair(told), "drawn": pair(seen)})
@@ -150,7 +152,10 @@
                 let row = |name: &str, told: f64, seen: f64| {
                     vec![name.to_string(), format!("{told:.6}"), format!("{seen:.6}")]
                 };
-                let rows = [row("all of them", told.all, seen.all), row("any of them", told.any, seen.any)];
+                let rows = [
+                    row("all of them", told.share_all, seen.share_all),
+                    row("any of them", told.share_any, seen.share_any),
+                ];
                 println!(
                     "{}",
                     table(&["", "worked out, even weights", "drawn, with the weights"], rows.into_iter())
--- a/crates/arrowyard-daemon/tests/peers.rs
+++ b/crates/arrowyard-daemon/tests/peers.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 use std::time::{Duration, Instant};
 
-use arrowyard_peers::message::{Claim, Datagram, FORM, Kind, Rumor, mark, write};
+use arrowyard_peers::message::{Claim, Datagram, FORMAT_VERSION, Kind, Rumor, encode, hash_name};
 use arrowyard_testbed::load::{Outcome, Stream, play};
 use arrowyard_testbed::plan::{Fault, Plan};
 use arrowyard_testbed::rig::{Rig, Setting};
@@ -265,24 +265,24 @@
     let socket = UdpSocket::bind("127.0.0.1:0").expect("loopback has free ports");
     let own = socket.local_addr().expect("it is bound").to_string();
     let good = |number: u64| Datagram {
-        form: FORM,
-        least: 1,
-        fleet: mark("rig"),
+        version: FORMAT_VERSION,
+        min_version: 1,
+        fleet_hash: hash_name("rig"),
         from: format!("x{number}"),
-        life: 1,
+        incarnation: 1,
         nonce: number,
-        at: own.clone(),
+        address: own.clone(),
         kind: Kind::Ping as i32,
-        sent: number,
+        sent_us: number,
         ..Datagram::default()
     };
     let slander = |number: u64| Rumor {
         name: "n1".to_string(),
-        life: life + number * 1_000_000,
+        incarnation: life + number * 1_000_000,
         claim: Claim::Dead as i32,
-        at: own.clone(),
+        address: own.clone(),
         nonce: 5,
-        by: vec!["n2".to_string(), "n0".to_string()],
+        reporters: vec!["n2".to_string(), "n0".to_string()],
         refused: true,
         ..Rumor::default()
     };
@@ -292,9 +292,9 @@
     // Some thousands of datagrams a second, bounded in count and time.
     while began.elapsed() < ms(2_500) && sent < 20_000 {
         let bytes = match sent % 5 {
-            0 => write(&good(sent)),
-            1 => write(&Datagram { fleet: mark("other"), ..good(sent) }),
-            2 => write(&Datagram { rumors: vec![slander(sent)], from: "n2".to_string(), ..good(sent) }),
+            0 => encode(&good(sent)),
+            1 => encode(&Datagram { fleet_hash: hash_name("other"), ..good(sent) }),
+            2 => encode(&Datagram { rumors: vec![slander(sent)], from: "n2".to_string(), ..good(sent) }),
             3 => kept[sent as usize % kept.len()].2.clone(),
             _ => vec![sent as u8; 300],
         };
--- a/crates/arrowyard-fleet/src/peers/ours.rs
+++ b/crates/arrowyard-fleet/src/peers/ours.rs
@@ -2,28 +2,33 @@
 
 use std::net::SocketAddr;
 
-use arrowyard_peers::{Deed, Event, Fleet, Me, Standing, Terms};
+use arrowyard_peers::{Action, Event, LocalMember, Membership, MembershipConfig, Standing};
 use arrowyard_types::Point;
 
 use super::{Node, Said, Taken, address};
 
-pub struct Ours(pub Fleet);
+pub struct Ours(pub Membership);
 
 impl Ours {
     /// The process of this number; `start` counts its starts.
     #[must_use]
     pub fn new(now: Point, who: usize, seeds: &[usize], settings: f64, seed: u64) -> Ours {
         let seeds = seeds.iter().filter(|&&one| one != who).map(|&one| address(one)).collect();
-        let terms = Terms { fleet: "model".to_string(), seeds, ..Terms::default() };
+        let terms = MembershipConfig { fleet: "model".to_string(), seeds, ..MembershipConfig::default() };
         let life = (now.micros() / 1000) as u64;
-        let me = Me { name: format!("n{who}").into(), at: address(who), life, nonce: seed | 1 };
-        Ours(Fleet::start(now, terms, me, settings, seed))
+        let me = LocalMember {
+            name: format!("n{who}").into(),
+            address: address(who),
+            incarnation: life,
+            nonce: seed | 1,
+        };
+        Ours(Membership::new(now, terms, me, settings, seed))
     }
 }
 
 impl Node for Ours {
     fn next_at(&self) -> Point {
-        self.0.next_at()
+        self.0.next_deadline()
     }
 
     fn tick(&mut self, now: Point) {
@@ -31,14 +36,14 @@
     }
 
     fn heard(&mut self, now: Point, from: SocketAddr, bytes: &[u8]) {
-        self.0.heard(now, from, bytes);
+        self.0.receive(now, from, bytes);
     }
 
     fn refused(&mut self, now: Point, at: SocketAddr) {
         let name = format!("n{}", super::number(at));
         let view = self.0.view(now);
         if let Some(row) = view.rows.iter().find(|row| *row.name == *name) {
-            self.0.refused(&name, row.life);
+            self.0.port_refused(&name, row.incarnation);
         }
     }
 
@@ -48,14 +53,14 @@
 
     fn take(&mut self) -> Taken {
         let mut taken = Taken::default();
-        for deed in self.0.deeds.drain(..) {
+        for deed in self.0.actions.drain(..) {
             match deed {
-                Deed::Send { to, bytes } => taken.sends.push((to, bytes)),
-                Deed::Look { to, .. } => taken.looks.push(to),
+                Action::Send { to, bytes } => taken.sends.push((to, bytes)),
+                Action::CheckPort { to, .. } => taken.looks.push(to),
             }
         }
         for event in self.0.events.drain(..) {
-            if let Event::Stands { name, life, standing, .. } = event {
+            if let Event::StandingChanged { name, incarnation: life, standing, .. } = event {
                 let Some(who) = name.strip_prefix('n').and_then(|number| number.parse().ok()) else {
                     continue;
                 };
@@ -72,11 +77,14 @@
     }
 
     fn alive(&self) -> usize {
-        self.0.alive()
+        self.0.alive_count()
     }
 
     fn others(&self, now: Point) -> Vec<String> {
         let rows = self.0.view(now).rows.into_iter().filter(|row| row.standing != Standing::Alive);
-        rows.map(|row| format!("{} {:?} life {} by {}", row.name, row.standing, row.life, row.by)).collect()
+        rows.map(|row| {
+            format!("{} {:?} life {} by {}", row.name, row.standing, row.incarnation, row.reported_by)
+        })
+        .collect()
     }
 }
--- a/crates/arrowyard-operator-config/examples/size.rs
+++ b/crates/arrowyard-operator-config/examples/size.rs
@@ -5,10 +5,10 @@
 use std::hint::black_box;
 use std::time::Instant;
 
-use arrowyard_cells::assign::Assign;
-use arrowyard_cells::desk::Totals;
-use arrowyard_cells::index::Index;
-use arrowyard_cells::moving::Terms;
+use arrowyard_cells::admission::Capacity;
+use arrowyard_cells::assignment::CellAssignment;
+use arrowyard_cells::index::CellIndex;
+use arrowyard_cells::tenant_move::MoveSettings;
 use arrowyard_cells::{Cells, Layout};
 use arrowyard_operator_config::{layout, read};
 use arrowyard_types::{GroupId, Point, Span};
@@ -54,28 +54,29 @@
     let text = text(tenants, cells, groups);
     let (book, checked) = timed(|| read(&text).expect("nothing is wrong with it"));
     let (taken, took) = timed(|| layout(&book).expect("it has cells"));
-    let (mut assign, prepared) = timed(|| Assign::new(&taken));
+    let (mut assign, prepared) = timed(|| CellAssignment::new(&taken));
     // Copies, so that what was freed before is not counted as room.
     let before = memory();
-    let copies: Vec<(Layout, Assign)> = (0..8).map(|_| (taken.clone(), assign.clone())).collect();
+    let copies: Vec<(Layout, CellAssignment)> = (0..8).map(|_| (taken.clone(), assign.clone())).collect();
     let held = memory().saturating_sub(before) / copies.len();
     drop(copies);
-    let (index, indexed) = timed(|| Index::new(&taken));
+    let (index, indexed) = timed(|| CellIndex::new(&taken));
     let names: Vec<String> = (0..tenants).map(|n| format!("tenant-{}", n * 31 % tenants)).collect();
     let others: Vec<String> = (0..10_000).map(|n| format!("other-{n}")).collect();
     let mut find = |names: &[String]| {
-        each(names.len(), |n| drop(black_box(assign.of(Some(&names[n]), None, GroupId(0)))))
+        each(names.len(), |n| drop(black_box(assign.cells_for(Some(&names[n]), None, GroupId(0)))))
     };
     let (row, first, kept) = (find(&names), find(&others), find(&others));
     let host = each(hosts, |n| {
-        black_box(index.parts(GroupId((n % groups) as i64), "host-12345").count());
+        black_box(index.cells_for_host(GroupId((n % groups) as i64), "host-12345").count());
     });
-    let terms = Terms { marks: true, settle: Span::ZERO, skew: Span::ZERO };
+    let terms =
+        MoveSettings { clients_mark_retries: true, max_op_timeout: Span::ZERO, max_clock_skew: Span::ZERO };
     let mut desk =
-        Cells::new(Point::DAWN, taken.clone(), Totals { ops: 1000, bytes: 1 << 20, probes: 8 }, terms);
+        Cells::new(Point::DAWN, taken.clone(), Capacity { ops: 1000, bytes: 1 << 20, probes: 8 }, terms);
     let mut next = Layout { epoch: 2, ..taken.clone() };
     next.cells[0].weight = 2.0;
-    let (held_up, again) = timed(|| desk.relayout(Point::DAWN, next));
+    let (held_up, again) = timed(|| desk.replace_layout(Point::DAWN, next));
     assert_eq!(held_up, Ok(()));
     println!(
         "{tenants:>7} tenants {cells:>5} cells {hosts:>6} hosts: check {:.3} s, take in {:.3} s, taken anew on the \
--- a/crates/arrowyard-operator-config/src/layout.rs
+++ b/crates/arrowyard-operator-config/src/layout.rs
@@ -1,9 +1,11 @@
 //! What a checked book says of cells, in the types of the package that decides on it.
 
-use arrowyard_cells::layout::{Cell, Layout, Lease, Net, Pace, Release, Repeats};
-use arrowyard_cells::moving::{Row, Step};
+use arrowyard_cells::layout::{
+    Cell, ConcurrencyLimitConfig, Layout, Lease, NetworkRule, RetryBudgetConfig, RolloutConfig,
+};
+use arrowyard_cells::tenant_move::{MoveConfig, Step};
 use arrowyard_leases::{Duty, Joins};
-use arrowyard_peers::{Belongs, Terms};
+use arrowyard_peers::{MembershipConfig, PeerSettings};
 use arrowyard_startup::{Comes, Pace as Calls, Trust};
 use arrowyard_types::{CellId, GroupId, Point, Span};
 use ipnet::IpNet;
@@ -19,20 +21,20 @@
 }
 
 fn cell(told: &schema::Cell) -> Cell {
-    let pace = told.pace.map(|pace| Pace {
-        first: pace.first.unwrap_or(32).into(),
-        least: pace.least.unwrap_or(4).into(),
-        most: pace.most.unwrap_or(512).into(),
+    let pace = told.pace.map(|pace| ConcurrencyLimitConfig {
+        initial: pace.first.unwrap_or(32).into(),
+        min: pace.least.unwrap_or(4).into(),
+        max: pace.most.unwrap_or(512).into(),
     });
     Cell {
         name: told.name().into(),
         weight: told.weight.unwrap_or(1.0),
         groups: told.group.iter().copied().map(GroupId).collect(),
         hosts: told.host.iter().map(|host| host.as_str().into()).collect(),
-        guaranteed: told.guaranteed.unwrap_or(0.5),
-        placed: told.placed.unwrap_or(true),
-        pace,
-        gone: false,
+        guaranteed_fraction: told.guaranteed.unwrap_or(0.5),
+        accepts_hashed_tenants: told.placed.unwrap_or(true),
+        concurrency_limit: pace,
+        removed: false,
     }
 }
 
@@ -48,7 +50,7 @@
             |texts: &[String]| texts.iter().filter_map(|text| text.parse().ok()).collect::<Vec<IpNet>>();
         let prefix = row.prefix.as_ref().and_then(|prefix| prefix.parse().ok());
         let within = prefix.map_or_else(|| all(&row.within), |prefix| vec![prefix]);
-        Some(Net { within, without: all(&row.without), cell: id(row.cell())? })
+        Some(NetworkRule { included: within, excluded: all(&row.without), cell: id(row.cell())? })
     };
     let moving = |row: &schema::Move| {
         let step = match row.step() {
@@ -60,67 +62,67 @@
             schema::Step::Done => Step::Done,
             schema::Step::Cancelled => Step::Cancelled,
         };
-        Some(Row {
+        Some(MoveConfig {
             tenant: row.tenant().into(),
             from: id(row.from())?,
             to: id(row.to())?,
             groups: row.from_group.zip(row.to_group).map(|(from, to)| (GroupId(from), GroupId(to))),
-            named: row.named_group.or(row.from_group).map(GroupId),
+            client_group: row.named_group.or(row.from_group).map(GroupId),
             step,
             fence_at: row.fence_at_ms.map(millis),
             switch_at: row.switch_at_ms.map(millis),
             copied_through: row.copied_through_ms.map(millis),
             target_floor: row.target_floor_ms.map(millis),
             target_host: row.target_host.as_deref().map(Box::from),
-            memory: span(row.memory_ms, 0),
+            token_retention: span(row.memory_ms, 0),
         })
     };
     let tenants = told.tenant.iter().filter_map(|row| Some((row.name().into(), id(row.cell())?)));
-    let release = told.release.as_ref().map(|release| Release {
+    let release = told.release.as_ref().map(|release| RolloutConfig {
         order: release.order.iter().filter_map(|name| id(name)).collect(),
-        worse: release.worse.unwrap_or(3.0),
-        wrong: release.wrong.unwrap_or(0.001),
+        error_rate_ratio: release.worse.unwrap_or(3.0),
+        error_probability: release.wrong.unwrap_or(0.001),
     });
     Some(Layout {
         epoch: book.epoch(),
         cells: told.cell.iter().map(cell).collect(),
         tenants: tenants.collect(),
-        nets: told.net.iter().filter_map(net).collect(),
-        rest: told.rest.map(|rest| rest.each.unwrap_or(1) as usize),
-        call_back: span(told.call_back_ms, 100),
-        repeats: told.repeats.map(|repeats| Repeats {
-            share: repeats.share.unwrap_or(0.2),
-            least: repeats.least.unwrap_or(8),
+        networks: told.net.iter().filter_map(net).collect(),
+        cells_per_hashed_tenant: told.rest.map(|rest| rest.each.unwrap_or(1) as usize),
+        reclaim_period: span(told.call_back_ms, 100),
+        retry_budget: told.repeats.map(|repeats| RetryBudgetConfig {
+            retry_ratio: repeats.share.unwrap_or(0.2),
+            min_retries: repeats.least.unwrap_or(8),
             window: span(repeats.window_ms, 10_000),
         }),
-        release,
-        lease: told
-            .lease
-            .and_then(|lease| Some(Lease { until: millis(lease.until_ms?), skew: span(lease.skew_ms, 50) })),
+        rollout: release,
+        lease: told.lease.and_then(|lease| {
+            Some(Lease { expires_at: millis(lease.until_ms?), max_clock_skew: span(lease.skew_ms, 50) })
+        }),
         moves: told.r#move.iter().filter_map(moving).collect(),
     })
 }
 
 /// What a book that was checked says of the fleet; nothing if it names none.
-pub fn belongs(book: &schema::Yardbook) -> Option<Belongs> {
+pub fn belongs(book: &schema::Yardbook) -> Option<PeerSettings> {
     let told = book.peers.as_ref()?;
-    let usual = Terms::paced(span(told.period_ms, 500));
+    let usual = MembershipConfig::with_probe_interval(span(told.period_ms, 500));
     let via = told.via.iter().filter_map(|via| Some((via.name().to_string(), via.at().parse().ok()?)));
-    let terms = Terms {
+    let terms = MembershipConfig {
         fleet: told.fleet().to_string(),
         seeds: told.seed.iter().filter_map(|at| at.parse().ok()).collect(),
-        allowed: told.allow.iter().filter_map(|net| net.parse().ok()).collect(),
-        via: via.collect(),
+        allowed_networks: told.allow.iter().filter_map(|net| net.parse().ok()).collect(),
+        address_overrides: via.collect(),
         lost_after: span(told.lost_after_ms, (usual.lost_after.micros() / 1000) as u32),
-        members: told.members.map_or(usual.members, |most| most as usize),
+        max_members: told.members.map_or(usual.max_members, |most| most as usize),
         ..usual
     };
-    Some(Belongs {
+    Some(PeerSettings {
         listen: told.listen().parse().ok()?,
         advertise: told.advertise.as_ref().and_then(|at| at.parse().ok()),
-        terms,
-        shares: told.shares.unwrap_or(false),
-        news: told.news.unwrap_or(false),
+        config: terms,
+        count_members: told.shares.unwrap_or(false),
+        relay_app_messages: told.news.unwrap_or(false),
     })
 }
 
--- a/crates/arrowyard-peers/examples/cost.rs
+++ b/crates/arrowyard-peers/examples/cost.rs
@@ -5,8 +5,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use arrowyard_peers::message::{Datagram, FORM, Kind, mark, read, write};
-use arrowyard_peers::{Deed, Fleet, Me, Terms};
+use arrowyard_peers::message::{Datagram, FORMAT_VERSION, Kind, decode, encode, hash_name};
+use arrowyard_peers::{Action, LocalMember, Membership, MembershipConfig};
 use arrowyard_types::{Point, Span};
 
 fn at(of: usize) -> SocketAddr {
@@ -16,23 +16,24 @@
 fn main() {
     println!("| members | us a second on the thread | datagrams in and out a second |\n| --- | --- | --- |");
     for members in [30, 300, 1000] {
-        let terms = Terms { fleet: "f".to_string(), seeds: vec![at(1)], ..Terms::default() };
-        let of = mark(&terms.fleet);
+        let terms =
+            MembershipConfig { fleet: "f".to_string(), seeds: vec![at(1)], ..MembershipConfig::default() };
+        let of = hash_name(&terms.fleet);
         let mut now = Point::from_micros(1_000_000);
-        let me = Me { name: "n0".into(), at: at(0), life: 1, nonce: 1 };
-        let mut fleet = Fleet::start(now, terms, me, members as f64, 7);
+        let me = LocalMember { name: "n0".into(), address: at(0), incarnation: 1, nonce: 1 };
+        let mut fleet = Membership::new(now, terms, me, members as f64, 7);
         let whom: HashMap<SocketAddr, usize> = (1..members).map(|one| (at(one), one)).collect();
         let head = |one: usize, kind: Kind, seq: u64, now: Point| Datagram {
-            form: FORM,
-            least: 1,
-            fleet: of,
+            version: FORMAT_VERSION,
+            min_version: 1,
+            fleet_hash: of,
             from: format!("n{one}"),
-            life: 1,
+            incarnation: 1,
             nonce: one as u64 + 10,
-            at: at(one).to_string(),
+            address: at(one).to_string(),
             kind: kind as i32,
             seq,
-            sent: now.micros() as u64 + seq % 7,
+            sent_us: now.micros() as u64 + seq % 7,
             ..Datagram::default()
         };
         let (mut spent, mut datagrams, mut seconds) = (Duration::ZERO, 0_u64, 0.0);
@@ -43,25 +44,25 @@
             let asks = if step < 2 * members as u64 { 1 } else { u64::from(step % 17 == 0) };
             for _ in 0..asks {
                 next = next % (members - 1) + 1;
-                let bytes = write(&head(next, Kind::Ping, step + 1, now));
+                let bytes = encode(&head(next, Kind::Ping, step + 1, now));
                 let began = Instant::now();
-                fleet.heard(now, at(next), &bytes);
+                fleet.receive(now, at(next), &bytes);
                 spent += began.elapsed();
             }
             let began = Instant::now();
-            if fleet.next_at() <= now {
+            if fleet.next_deadline() <= now {
                 fleet.tick(now);
             }
             spent += began.elapsed();
-            for deed in std::mem::take(&mut fleet.deeds) {
-                let Deed::Send { to, bytes } = deed else { continue };
+            for deed in std::mem::take(&mut fleet.actions) {
+                let Action::Send { to, bytes } = deed else { continue };
                 datagrams += 1;
-                let Ok(told) = read(&bytes, 1200, of) else { continue };
+                let Ok(told) = decode(&bytes, 1200, of) else { continue };
                 let Some(&one) = whom.get(&to).filter(|_| told.kind() == Kind::Ping) else { continue };
-                let bytes = write(&head(one, Kind::Ack, told.seq, now + Span::from_micros(50)));
+                let bytes = encode(&head(one, Kind::Ack, told.seq, now + Span::from_micros(50)));
                 datagrams += 1;
                 let began = Instant::now();
-                fleet.heard(now + Span::from_micros(50), to, &bytes);
+                fleet.receive(now + Span::from_micros(50), to, &bytes);
                 spent += began.elapsed();
             }
             fleet.events.clear();
@@ -71,6 +72,6 @@
             seconds = (step.saturating_sub(20_000)) as f64 / 100.0;
         }
         let us = spent.as_secs_f64() * 1e6 / seconds;
-        println!("| {} | {us:.1} | {:.1} |", fleet.alive() + 1, datagrams as f64 / seconds);
+        println!("| {} | {us:.1} | {:.1} |", fleet.alive_count() + 1, datagrams as f64 / seconds);
     }
 }
--- a/crates/arrowyard-peers/src/health.rs
+++ b/crates/arrowyard-peers/src/health.rs
@@ -4,51 +4,51 @@
 use arrowyard_types::{Point, Span};
 
 /// The worst score; times are stretched by one more than the score.
-const WORST: u32 = 6;
+const MAX_SCORE: u32 = 6;
 
 #[derive(Clone, Debug, Default)]
-pub struct Health {
+pub struct LocalHealth {
     score: u32,
     /// Till then this router declares nobody silent.
-    doubts_till: Point,
+    suspect_until: Point,
 }
 
-impl Health {
-    pub fn good(&mut self) {
+impl LocalHealth {
+    pub fn record_success(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
     /// A question went unanswered and no helper said a word either: the fault may be here.
-    pub fn bad(&mut self) {
-        self.score = (self.score + 1).min(WORST);
+    pub fn record_failure(&mut self) {
+        self.score = (self.score + 1).min(MAX_SCORE);
     }
 
     /// The thread came round late. Danger: all that waited for it looks as if others had been silent.
-    pub fn late(&mut self, now: Point, by: Span, away: Span, period: Span) -> bool {
+    pub fn record_delay(&mut self, now: Point, by: Span, away: Span, period: Span) -> bool {
         if by >= away {
-            self.score = WORST / 2;
-            self.doubts_till = now + period * 2.0;
+            self.score = MAX_SCORE / 2;
+            self.suspect_until = now + period * 2.0;
             return true;
         }
         if by >= away * 0.3 {
-            self.bad();
+            self.record_failure();
         }
         false
     }
 
     /// Nobody is heard at all.
-    pub fn cut_off(&mut self, now: Point, period: Span) {
-        self.doubts_till = self.doubts_till.max(now + period);
+    pub fn suspend_suspicion(&mut self, now: Point, period: Span) {
+        self.suspect_until = self.suspect_until.max(now + period);
     }
 
     /// An answer came that proves that this router is in touch.
     #[must_use]
-    pub fn doubts(&self, now: Point) -> bool {
-        now < self.doubts_till
+    pub fn is_suspect(&self, now: Point) -> bool {
+        now < self.suspect_until
     }
 
     #[must_use]
-    pub fn stretch(&self, span: Span) -> Span {
+    pub fn scale_timeout(&self, span: Span) -> Span {
         span * (1.0 + f64::from(self.score) * 0.5)
     }
 
--- a/crates/arrowyard-peers/src/lib.rs
+++ b/crates/arrowyard-peers/src/lib.rs
@@ -6,21 +6,21 @@
 //! `docs/notes/peers.md` says which ways were weighed; the pieces are SWIM's indirect questions and incarnations,
 //! Lifeguard's doubt about oneself, and Rapid's several observers of each member.
 
-mod exchange;
-mod fleet;
+mod anti_entropy;
+mod config;
+mod gossip;
 mod health;
 mod member;
+mod membership;
 pub mod message;
 mod probe;
-mod reckon;
+mod router_count;
 mod table;
-mod terms;
 mod view;
-mod words;
 
-pub use fleet::{Counts, Deed, Event, Fleet, Me};
-pub use health::Health;
+pub use config::{MembershipConfig, PeerSettings};
+pub use health::LocalHealth;
 pub use member::{Member, Slot, Standing, supersedes};
-pub use reckon::{Reckoner, Sight};
-pub use terms::{Belongs, Terms};
-pub use view::{Reach, Row, View};
+pub use membership::{Action, DatagramCounts, Event, LocalMember, Membership};
+pub use router_count::{MembershipSample, RouterCountEstimator};
+pub use view::{MemberRow, Reach, View};
--- a/crates/arrowyard-peers/src/member.rs
+++ b/crates/arrowyard-peers/src/member.rs
@@ -6,7 +6,7 @@
 use arrowyard_types::{Point, Span};
 use smallvec::SmallVec;
 
-use crate::message::{Claim, Rumor, mark, scatter};
+use crate::message::{Claim, Rumor, hash_name, mix_bits};
 
 /// A place in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -46,7 +46,7 @@
 
     /// Whether nobody asks it any more in the ordinary rounds.
     #[must_use]
-    pub fn is_over(self) -> bool {
+    pub fn is_inactive(self) -> bool {
         matches!(self, Standing::Lost | Standing::Dead | Standing::Left)
     }
 }
@@ -59,99 +59,99 @@
 }
 
 /// How far two clocks may drift apart, as a share of the time.
-const DRIFT: f64 = 0.001;
+const MAX_CLOCK_DRIFT: f64 = 0.001;
 
 /// How many accusers are remembered.
-pub const ACCUSERS: usize = 3;
+pub const MAX_ACCUSERS: usize = 3;
 
 #[derive(Clone, Debug)]
 pub struct Member {
     pub name: Rc<str>,
     /// Where it says that it is.
-    pub at: SocketAddr,
-    pub life: u64,
+    pub address: SocketAddr,
+    pub incarnation: u64,
     pub nonce: u64,
     pub standing: Standing,
     /// Since when it stands so.
-    pub since: Point,
+    pub standing_since: Point,
     /// When this router last got a datagram of this life from it, one of its answers, and one by way of a helper.
-    pub heard: Point,
-    pub acked: Point,
-    pub by_others: Point,
+    pub last_heard: Point,
+    pub last_ack: Point,
+    pub last_indirect_ack: Point,
     /// When this router's own questions to it were last given up.
-    pub failed: Point,
+    pub last_probe_failure: Point,
     /// Who says that it is silent: marks of their names, and the names.
-    pub accusers: SmallVec<[Rc<str>; ACCUSERS]>,
+    pub accusers: SmallVec<[Rc<str>; MAX_ACCUSERS]>,
     /// Who got word that nobody listens there, and when this router did.
-    pub refused_by: SmallVec<[Rc<str>; ACCUSERS]>,
+    pub refused_by: SmallVec<[Rc<str>; MAX_ACCUSERS]>,
     pub idle: bool,
     /// Whose word it stands by.
-    pub by: Rc<str>,
+    pub reported_by: Rc<str>,
     /// How often its standing went from alive to silent.
-    pub fell: u32,
+    pub suspicion_count: u32,
     /// Places on the rings by which members observe each other.
-    pub rings: [u64; 2],
+    pub ring_positions: [u64; 2],
     /// How often the news of it is still passed on.
-    pub left: u8,
+    pub remaining_transmissions: u8,
     /// The latest datagram of this life, by its sender's clock, and the least that one ever took, by both clocks.
-    pub sent: u64,
-    pub offset: Option<Span>,
+    pub last_sent_us: u64,
+    pub min_clock_offset: Option<Span>,
 }
 
 impl Member {
     #[must_use]
     pub fn new(name: Rc<str>, at: SocketAddr, life: u64, nonce: u64, now: Point) -> Member {
-        let of = mark(&name);
+        let of = hash_name(&name);
         Member {
-            by: name.clone(),
+            reported_by: name.clone(),
             name,
-            at,
-            life,
+            address: at,
+            incarnation: life,
             nonce,
             standing: Standing::Alive,
-            since: now,
-            heard: Point::DAWN,
-            acked: Point::DAWN,
-            by_others: Point::DAWN,
-            failed: Point::DAWN,
+            standing_since: now,
+            last_heard: Point::DAWN,
+            last_ack: Point::DAWN,
+            last_indirect_ack: Point::DAWN,
+            last_probe_failure: Point::DAWN,
             accusers: SmallVec::new(),
             refused_by: SmallVec::new(),
             idle: false,
-            fell: 0,
-            rings: [scatter(of ^ 1), scatter(of ^ 2)],
-            left: 0,
-            sent: 0,
-            offset: None,
+            suspicion_count: 0,
+            ring_positions: [mix_bits(of ^ 1), mix_bits(of ^ 2)],
+            remaining_transmissions: 0,
+            last_sent_us: 0,
+            min_clock_offset: None,
         }
     }
 
     /// A datagram of this life came; how late it is, or nothing if one like it came before. Danger: one that was replayed,
     /// doubled or held up looks like a sign of life. Both clocks run at their own rate, so what was least is let rise.
-    pub fn fresh(&mut self, sent: u64, now: Point, since: Span) -> Option<Span> {
-        if sent <= self.sent {
+    pub fn accept_datagram(&mut self, sent: u64, now: Point, since: Span) -> Option<Span> {
+        if sent <= self.last_sent_us {
             return None;
         }
         let took = now - Point::from_micros(sent as i64);
-        let least = self.offset.map_or(took, |least| took.min(least + since * DRIFT));
-        (self.sent, self.offset) = (sent, Some(least));
+        let least = self.min_clock_offset.map_or(took, |least| took.min(least + since * MAX_CLOCK_DRIFT));
+        (self.last_sent_us, self.min_clock_offset) = (sent, Some(least));
         Some(took - least)
     }
 
     /// The latest proof of this life that this router has of its own.
     #[must_use]
-    pub fn proof(&self) -> Point {
-        self.heard.max(self.acked).max(self.by_others)
+    pub fn last_evidence(&self) -> Point {
+        self.last_heard.max(self.last_ack).max(self.last_indirect_ack)
     }
 
     /// The latest that it said to this router itself.
     #[must_use]
-    pub fn own_proof(&self) -> Point {
-        self.heard.max(self.acked)
+    pub fn last_direct_evidence(&self) -> Point {
+        self.last_heard.max(self.last_ack)
     }
 
     #[must_use]
     pub fn silent_for(&self, now: Point) -> Span {
-        now - self.since.max(self.proof())
+        now - self.standing_since.max(self.last_evidence())
     }
 
     #[must_use]
@@ -165,19 +165,19 @@
         };
         Rumor {
             name: self.name.to_string(),
-            life: self.life,
+            incarnation: self.incarnation,
             claim: self.standing.claim() as i32,
-            at: self.at.to_string(),
+            address: self.address.to_string(),
             nonce: self.nonce,
-            by,
+            reporters: by,
             refused: !self.refused_by.is_empty(),
             idle: self.idle,
             age_ms: 0,
         }
     }
 
-    pub fn accuse(&mut self, by: &Rc<str>) -> bool {
-        let new = !self.accusers.contains(by) && self.accusers.len() < ACCUSERS;
+    pub fn add_accuser(&mut self, by: &Rc<str>) -> bool {
+        let new = !self.accusers.contains(by) && self.accusers.len() < MAX_ACCUSERS;
         if new {
             self.accusers.push(by.clone());
         }
--- a/crates/arrowyard-peers/src/message.rs
+++ b/crates/arrowyard-peers/src/message.rs
@@ -6,11 +6,11 @@
 use prost::Message;
 
 /// The form that is written, and the latest that is understood.
-pub const FORM: u32 = 1;
+pub const FORMAT_VERSION: u32 = 1;
 /// Bytes of a name.
-pub const NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Bytes of what the module tells others.
-pub const TELL: usize = 256;
+pub const MAX_APP_MESSAGE_BYTES: usize = 256;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
@@ -19,7 +19,7 @@
     Ping = 1,
     Ack = 2,
     /// Asks a helper to ask a member.
-    PingFor = 3,
+    IndirectPing = 3,
     /// A helper could not reach it either.
     Nack = 4,
     /// News only.
@@ -29,7 +29,7 @@
     /// Rows of the view.
     Page = 7,
     /// What the decision module tells the others.
-    Tell = 8,
+    AppMessage = 8,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
@@ -49,17 +49,17 @@
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(uint64, tag = "2")]
-    pub life: u64,
+    pub incarnation: u64,
     #[prost(enumeration = "Claim", tag = "3")]
     pub claim: i32,
     #[prost(string, tag = "4")]
-    pub at: String,
+    pub address: String,
     /// Which process has the name: drawn at its start.
     #[prost(fixed64, tag = "5")]
     pub nonce: u64,
     /// Who says so of their own knowledge, three at most.
     #[prost(string, repeated, tag = "6")]
-    pub by: Vec<String>,
+    pub reporters: Vec<String>,
     /// Its machine refused a datagram there: nobody listens.
     #[prost(bool, tag = "7")]
     pub refused: bool,
@@ -74,19 +74,19 @@
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Datagram {
     #[prost(uint32, tag = "1")]
-    pub form: u32,
+    pub version: u32,
     #[prost(uint32, tag = "2")]
-    pub least: u32,
+    pub min_version: u32,
     #[prost(fixed64, tag = "3")]
-    pub fleet: u64,
+    pub fleet_hash: u64,
     #[prost(string, tag = "4")]
     pub from: String,
     #[prost(uint64, tag = "5")]
-    pub life: u64,
+    pub incarnation: u64,
     #[prost(fixed64, tag = "6")]
     pub nonce: u64,
     #[prost(string, tag = "7")]
-    pub at: String,
+    pub address: String,
     #[prost(enumeration = "Kind", tag = "8")]
     pub kind: i32,
     /// Of a question, repeated in its answer: an answer from before proves nothing.
@@ -94,7 +94,7 @@
     pub seq: u64,
     /// Whom a helper is to ask, or has asked.
     #[prost(string, tag = "10")]
-    pub about: String,
+    pub subject: String,
     #[prost(message, repeated, tag = "11")]
     pub rumors: Vec<Rumor>,
     /// Of the view, by parts of the names.
@@ -102,52 +102,52 @@
     pub digest: Vec<u64>,
     /// The sender wants pages back, too.
     #[prost(bool, tag = "13")]
-    pub echo: bool,
+    pub wants_reply: bool,
     #[prost(bytes = "vec", tag = "14")]
-    pub tell: Vec<u8>,
+    pub app_message: Vec<u8>,
     /// The sender lives, and serves nobody.
     #[prost(bool, tag = "15")]
     pub idle: bool,
     /// The sender is ending as planned.
     #[prost(bool, tag = "16")]
-    pub leaves: bool,
+    pub leaving: bool,
     /// When it was sent, in microseconds of the sender's own clock, never twice the same: what is replayed, doubled or
     /// held up on the way is told by it.
     #[prost(uint64, tag = "17")]
-    pub sent: u64,
+    pub sent_us: u64,
 }
 
 /// Parts that a view's digest has.
-pub const PARTS: usize = 16;
+pub const DIGEST_PARTS: usize = 16;
 
 /// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
+pub enum DropReason {
     TooLarge,
-    Garbled,
+    Malformed,
     /// It needs a later form.
-    Newer,
-    Foreign,
+    UnsupportedVersion,
+    OtherFleet,
     /// From outside the allowed ranges, or it names an address there.
-    Outside,
+    DisallowedAddress,
 }
 
 fn name_ok(name: &str) -> bool {
-    !name.is_empty() && name.len() <= NAME && !name.chars().any(char::is_control)
+    !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.chars().any(char::is_control)
 }
 
 /// Bytes of the checksum that a datagram begins with (CRC-32C of the rest, the lowest byte first). Danger: one bit that
 /// changed on the way makes a word about a later life of another name; the network's own check of 16 bits lets some through.
-pub const CHECK: usize = 4;
+pub const CHECKSUM_BYTES: usize = 4;
 
 /// The bytes of a datagram.
 #[must_use]
-pub fn write(datagram: &Datagram) -> Vec<u8> {
-    let mut bytes = vec![0; CHECK];
+pub fn encode(datagram: &Datagram) -> Vec<u8> {
+    let mut bytes = vec![0; CHECKSUM_BYTES];
     bytes.reserve(datagram.encoded_len());
     datagram.encode(&mut bytes).expect("a vector has room");
-    let check = crc32c::crc32c(&bytes[CHECK..]);
-    bytes[..CHECK].copy_from_slice(&check.to_le_bytes());
+    let check = crc32c::crc32c(&bytes[CHECKSUM_BYTES..]);
+    bytes[..CHECKSUM_BYTES].copy_from_slice(&check.to_le_bytes());
     bytes
 }
 
@@ -155,51 +155,51 @@
 ///
 /// # Errors
 /// Why it is dropped.
-pub fn read(bytes: &[u8], most: usize, fleet: u64) -> Result<Datagram, Dropped> {
+pub fn decode(bytes: &[u8], most: usize, fleet: u64) -> Result<Datagram, DropReason> {
     if bytes.len() > most {
-        return Err(Dropped::TooLarge);
+        return Err(DropReason::TooLarge);
     }
-    let (check, rest) = bytes.split_first_chunk::<CHECK>().ok_or(Dropped::Garbled)?;
+    let (check, rest) = bytes.split_first_chunk::<CHECKSUM_BYTES>().ok_or(DropReason::Malformed)?;
     if u32::from_le_bytes(*check) != crc32c::crc32c(rest) {
-        return Err(Dropped::Garbled);
+        return Err(DropReason::Malformed);
     }
-    let datagram = Datagram::decode(rest).map_err(|_| Dropped::Garbled)?;
-    if datagram.least > FORM {
-        return Err(Dropped::Newer);
+    let datagram = Datagram::decode(rest).map_err(|_| DropReason::Malformed)?;
+    if datagram.min_version > FORMAT_VERSION {
+        return Err(DropReason::UnsupportedVersion);
     }
-    if datagram.fleet != fleet {
-        return Err(Dropped::Foreign);
+    if datagram.fleet_hash != fleet {
+        return Err(DropReason::OtherFleet);
     }
     let rumor_ok = |rumor: &Rumor| {
         name_ok(&rumor.name)
-            && rumor.life > 0
+            && rumor.incarnation > 0
             && rumor.claim() != Claim::None
-            && rumor.by.len() <= 3
-            && rumor.by.iter().all(|by| name_ok(by))
-            && rumor.at.parse::<SocketAddr>().is_ok()
+            && rumor.reporters.len() <= 3
+            && rumor.reporters.iter().all(|by| name_ok(by))
+            && rumor.address.parse::<SocketAddr>().is_ok()
     };
-    let whole = datagram.form > 0
+    let whole = datagram.version > 0
         && name_ok(&datagram.from)
-        && datagram.life > 0
+        && datagram.incarnation > 0
         && datagram.kind() != Kind::None
-        && (datagram.about.is_empty() || name_ok(&datagram.about))
-        && matches!(datagram.digest.len(), 0 | PARTS)
-        && datagram.tell.len() <= TELL
-        && datagram.at.parse::<SocketAddr>().is_ok()
+        && (datagram.subject.is_empty() || name_ok(&datagram.subject))
+        && matches!(datagram.digest.len(), 0 | DIGEST_PARTS)
+        && datagram.app_message.len() <= MAX_APP_MESSAGE_BYTES
+        && datagram.address.parse::<SocketAddr>().is_ok()
         && datagram.rumors.iter().all(rumor_ok);
-    if whole { Ok(datagram) } else { Err(Dropped::Garbled) }
+    if whole { Ok(datagram) } else { Err(DropReason::Malformed) }
 }
 
 /// The mark of a fleet's name (FNV-1a, 64 bits), and of other texts.
 #[must_use]
-pub fn mark(text: &str) -> u64 {
+pub fn hash_name(text: &str) -> u64 {
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
 /// Scatters a number (the finaliser of SplitMix64).
 #[must_use]
-pub fn scatter(mut number: u64) -> u64 {
+pub fn mix_bits(mut number: u64) -> u64 {
     number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     number = (number ^ (number >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     number ^ (number >> 31)
--- a/crates/arrowyard-peers/src/table.rs
+++ b/crates/arrowyard-peers/src/table.rs
@@ -8,45 +8,45 @@
 use rustc_hash::FxHashMap;
 
 use crate::member::{Member, Slot, Standing};
-use crate::message::{PARTS, mark, scatter};
+use crate::message::{DIGEST_PARTS, hash_name, mix_bits};
 
 #[derive(Default)]
-pub struct Table {
+pub struct MemberTable {
     members: Vec<Option<Member>>,
     free: Vec<u32>,
     names: FxHashMap<Rc<str>, Slot>,
     /// Those that are alive or silent, in no order, and each one's place there.
     live: Vec<Slot>,
-    places: FxHashMap<Slot, usize>,
+    live_positions: FxHashMap<Slot, usize>,
     /// Those that are lost or dead, in no order.
-    over: Vec<Slot>,
+    inactive: Vec<Slot>,
     /// Whose news is passed on, the least told first.
-    news: VecDeque<Slot>,
-    digest: [u64; PARTS],
+    pending_rumors: VecDeque<Slot>,
+    digest: [u64; DIGEST_PARTS],
     /// How many stand how.
     counts: [usize; 5],
     /// Grows with each change of who lives.
-    pub changes: u64,
+    pub version: u64,
 }
 
-fn part(name: &str) -> usize {
-    (mark(name) >> 32) as usize % PARTS
+fn digest_part(name: &str) -> usize {
+    (hash_name(name) >> 32) as usize % DIGEST_PARTS
 }
 
-fn stamp(member: &Member) -> u64 {
-    if member.standing.is_over() { 0 } else { weight_of(&member.name, member.life).1 }
+fn digest_value(member: &Member) -> u64 {
+    if member.standing.is_inactive() { 0 } else { digest_contribution(&member.name, member.incarnation).1 }
 }
 
 /// What a member that lives adds to the digest: in which part, and what.
-pub fn weight_of(name: &str, life: u64) -> (usize, u64) {
-    (part(name), scatter(mark(name) ^ life.rotate_left(17)))
+pub fn digest_contribution(name: &str, life: u64) -> (usize, u64) {
+    (digest_part(name), mix_bits(hash_name(name) ^ life.rotate_left(17)))
 }
 
-pub fn weight(member: &Member) -> (usize, u64) {
-    (part(&member.name), stamp(member))
+pub fn member_digest(member: &Member) -> (usize, u64) {
+    (digest_part(&member.name), digest_value(member))
 }
 
-impl Table {
+impl MemberTable {
     pub fn slot(&self, name: &str) -> Option<Slot> {
         self.names.get(name).copied()
     }
@@ -55,7 +55,7 @@
         self.members.get(slot.0 as usize)?.as_ref()
     }
 
-    pub fn of(&self, name: &str) -> Option<&Member> {
+    pub fn by_name(&self, name: &str) -> Option<&Member> {
         self.get(self.slot(name)?)
     }
 
@@ -71,17 +71,17 @@
         &self.live
     }
 
-    pub fn over(&self) -> &[Slot] {
-        &self.over
+    pub fn inactive(&self) -> &[Slot] {
+        &self.inactive
     }
 
-    pub fn digest(&self) -> &[u64; PARTS] {
+    pub fn digest(&self) -> &[u64; DIGEST_PARTS] {
         &self.digest
     }
 
     /// Names of one part, for a page.
-    pub fn in_part(&self, of: usize) -> impl Iterator<Item = (Slot, &Member)> {
-        self.iter().filter(move |(_, member)| part(&member.name) == of)
+    pub fn members_in_part(&self, of: usize) -> impl Iterator<Item = (Slot, &Member)> {
+        self.iter().filter(move |(_, member)| digest_part(&member.name) == of)
     }
 
     /// Makes room for one more; whether there is some. The longest remembered that is over gives way.
@@ -89,9 +89,10 @@
         if self.len() < most {
             return true;
         }
-        let oldest = self.over.iter().copied().min_by_key(|&slot| self.get(slot).map(|one| one.since));
+        let oldest =
+            self.inactive.iter().copied().min_by_key(|&slot| self.get(slot).map(|one| one.standing_since));
         oldest.is_some_and(|slot| {
-            self.forget(slot);
+            self.remove(slot);
             true
         })
     }
@@ -107,67 +108,67 @@
         let slot = Slot(slot);
         self.names.insert(member.name.clone(), slot);
         self.members[slot.0 as usize] = Some(member);
-        self.enter(slot);
+        self.index_member(slot);
         Some(slot)
     }
 
-    pub fn forget(&mut self, slot: Slot) {
-        self.exit(slot);
+    pub fn remove(&mut self, slot: Slot) {
+        self.unindex_member(slot);
         if let Some(member) = self.members.get_mut(slot.0 as usize).and_then(Option::take) {
             self.names.remove(&member.name);
             self.free.push(slot.0);
-            self.news.retain(|one| *one != slot);
+            self.pending_rumors.retain(|one| *one != slot);
         }
     }
 
     /// Changes a member; the lists and the digest follow.
-    pub fn change<T>(&mut self, slot: Slot, change: impl FnOnce(&mut Member) -> T) -> Option<T> {
-        let before = self.get(slot).map(|one| (one.standing.is_over(), one.life))?;
-        self.exit(slot);
+    pub fn update<T>(&mut self, slot: Slot, change: impl FnOnce(&mut Member) -> T) -> Option<T> {
+        let before = self.get(slot).map(|one| (one.standing.is_inactive(), one.incarnation))?;
+        self.unindex_member(slot);
         let one = self.members.get_mut(slot.0 as usize)?.as_mut()?;
         let done = change(one);
-        let after = (one.standing.is_over(), one.life);
-        self.enter(slot);
-        self.changes += u64::from(before != after);
+        let after = (one.standing.is_inactive(), one.incarnation);
+        self.index_member(slot);
+        self.version += u64::from(before != after);
         Some(done)
     }
 
     /// Changes what neither lists, counts nor digest depend on: all but its life and how it stands.
-    pub fn touch(&mut self, slot: Slot) -> Option<&mut Member> {
+    pub fn get_mut(&mut self, slot: Slot) -> Option<&mut Member> {
         self.members.get_mut(slot.0 as usize)?.as_mut()
     }
 
-    fn enter(&mut self, slot: Slot) {
+    fn index_member(&mut self, slot: Slot) {
         let Some(member) = self.get(slot) else { return };
-        let (standing, (of, stamp)) = (member.standing, weight(member));
+        let (standing, (of, stamp)) = (member.standing, member_digest(member));
         self.digest[of] ^= stamp;
         self.counts[standing as usize] += 1;
-        if standing.is_over() {
-            self.over.push(slot);
+        if standing.is_inactive() {
+            self.inactive.push(slot);
         } else {
-            self.places.insert(slot, self.live.len());
+            self.live_positions.insert(slot, self.live.len());
             self.live.push(slot);
         }
     }
 
-    fn exit(&mut self, slot: Slot) {
+    fn unindex_member(&mut self, slot: Slot) {
         let Some(member) = self.get(slot) else { return };
-        let (standing, (of, stamp)) = (member.standing, weight(member));
+        let (standing, (of, stamp)) = (member.standing, member_digest(member));
         self.digest[of] ^= stamp;
         self.counts[standing as usize] -= 1;
-        match self.places.remove(&slot) {
+        match self.live_positions.remove(&slot) {
             Some(at) => {
                 self.live.swap_remove(at);
                 if let Some(&moved) = self.live.get(at) {
-                    self.places.insert(moved, at);
+                    self.live_positions.insert(moved, at);
                 }
             }
-            None => self.over.retain(|one| *one != slot),
+            None => self.inactive.retain(|one| *one != slot),
         }
     }
 
     /// Some that live, other than these, each at most once.
-    pub fn draw(
+    pub fn sample(
         &self,
         rng: &mut Rng,
         count: usize,
@@ -193,51 +194,53 @@
     }
 
     /// News of it is passed on so often.
-    pub fn spread(&mut self, slot: Slot, times: u8) {
-        let Some(member) = self.touch(slot) else { return };
-        let queued = member.left > 0;
-        member.left = times;
+    pub fn queue_rumor(&mut self, slot: Slot, times: u8) {
+        let Some(member) = self.get_mut(slot) else { return };
+        let queued = member.remaining_transmissions > 0;
+        member.remaining_transmissions = times;
         if queued {
-            self.news.retain(|one| *one != slot);
+            self.pending_rumors.retain(|one| *one != slot);
         }
-        self.news.push_front(slot);
+        self.pending_rumors.push_front(slot);
     }
 
     /// The next of whom news is told; it is told once less then.
-    pub fn next_news(&mut self) -> Option<Slot> {
-        let slot = self.news.pop_front()?;
-        if let Some(member) = self.touch(slot) {
-            member.left = member.left.saturating_sub(1);
-            if member.left > 0 {
-                self.news.push_back(slot);
+    pub fn next_rumor(&mut self) -> Option<Slot> {
+        let slot = self.pending_rumors.pop_front()?;
+        if let Some(member) = self.get_mut(slot) {
+            member.remaining_transmissions = member.remaining_transmissions.saturating_sub(1);
+            if member.remaining_transmissions > 0 {
+                self.pending_rumors.push_back(slot);
             }
         }
         Some(slot)
     }
 
-    pub fn news(&self) -> usize {
-        self.news.len()
+    pub fn pending_rumors(&self) -> usize {
+        self.pending_rumors.len()
     }
 
     /// Forgets those that are over for longer than they are remembered.
-    pub fn expire(&mut self, before: Point) {
+    pub fn expire_inactive(&mut self, before: Point) {
         let old: Vec<Slot> = self
-            .over
+            .inactive
             .iter()
             .copied()
-            .filter(|&slot| self.get(slot).is_none_or(|member| member.since < before))
+            .filter(|&slot| self.get(slot).is_none_or(|member| member.standing_since < before))
             .collect();
-        old.into_iter().for_each(|slot| self.forget(slot));
+        old.into_iter().for_each(|slot| self.remove(slot));
     }
 
     /// The next on this ring after the place, among those that live and are fit.
-    pub fn successor(&self, ring: usize, place: u64, fit: impl Fn(&Member) -> bool) -> Option<Slot> {
+    pub fn ring_successor(&self, ring: usize, place: u64, fit: impl Fn(&Member) -> bool) -> Option<Slot> {
         let fit = |slot: &&Slot| self.get(**slot).is_some_and(&fit);
-        let far = |slot: &&Slot| self.get(**slot).map_or(u64::MAX, |one| one.rings[ring].wrapping_sub(place));
+        let far = |slot: &&Slot| {
+            self.get(**slot).map_or(u64::MAX, |one| one.ring_positions[ring].wrapping_sub(place))
+        };
         self.live.iter().filter(fit).min_by_key(far).copied()
     }
 
-    pub fn count(&self, standing: Standing) -> usize {
+    pub fn count_by_standing(&self, standing: Standing) -> usize {
         self.counts[standing as usize]
     }
 }
--- a/crates/arrowyard-peers/src/view.rs
+++ b/crates/arrowyard-peers/src/view.rs
@@ -4,113 +4,119 @@
 
 use arrowyard_types::{Point, Span};
 
-use crate::fleet::{Event, Fleet};
 use crate::member::{Member, Standing};
-use crate::reckon::Sight;
+use crate::membership::{Event, Membership};
+use crate::router_count::MembershipSample;
 
 /// How a member is reached from here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
     /// It answers this router.
-    Answers,
+    Direct,
     /// This router hears it, and gets no answers: it does not hear this router.
-    Heard,
+    InboundOnly,
     /// Helpers reach it, this router does not.
-    ByOthers,
+    ViaHelpers,
     /// Known by others' word, not asked yet or not lately.
-    Told,
+    Reported,
     None,
 }
 
 #[derive(Clone, Debug)]
-pub struct Row {
+pub struct MemberRow {
     pub name: Rc<str>,
     pub standing: Standing,
     pub reach: Reach,
-    pub life: u64,
+    pub incarnation: u64,
     /// How long it stands so, and by whose word.
-    pub for_span: Span,
-    pub by: Rc<str>,
+    pub standing_for: Span,
+    pub reported_by: Rc<str>,
     /// How many say that it is silent.
-    pub accusers: usize,
+    pub accuser_count: usize,
     /// Whether this router knows it of its own.
-    pub sure: bool,
+    pub confirmed_locally: bool,
     pub idle: bool,
     /// How often it fell silent.
-    pub fell: u32,
+    pub suspicion_count: u32,
 }
 
 #[derive(Clone, Debug)]
 pub struct View {
     pub name: Rc<str>,
-    pub life: u64,
-    pub rows: Vec<Row>,
+    pub incarnation: u64,
+    pub rows: Vec<MemberRow>,
     /// This router and those that are alive.
-    pub reach: usize,
+    pub reachable: usize,
     /// And those that may act though nobody hears them.
-    pub whole: usize,
+    pub total: usize,
     /// It doubts itself: it was away, or hears nobody.
-    pub doubts: bool,
-    pub health: u32,
+    pub suspects_itself: bool,
+    pub health_score: u32,
     /// Another process has its name.
-    pub doubled: bool,
+    pub duplicate_name: bool,
     /// Routers that shares are reckoned by.
-    pub routers: f64,
+    pub router_count: f64,
 }
 
-impl Fleet {
-    fn reach(&self, now: Point, one: &Member) -> Reach {
+impl Membership {
+    fn reachability(&self, now: Point, one: &Member) -> Reach {
         // Each member is asked in turn, so that a router with many of them asks one seldom.
-        let lately = self.terms.period * (self.table.live().len() as f64 + 6.0);
+        let lately = self.config.probe_interval * (self.table.live().len() as f64 + 6.0);
         if one.standing != Standing::Alive {
             return Reach::None;
         }
-        let last = one.acked.max(one.heard).max(one.by_others);
+        let last = one.last_ack.max(one.last_heard).max(one.last_indirect_ack);
         if now - last > lately {
-            return Reach::Told;
+            return Reach::Reported;
         }
-        if one.by_others > one.acked && now - one.by_others <= lately {
-            return if now - one.heard <= self.terms.period * 6.0 { Reach::Heard } else { Reach::ByOthers };
+        if one.last_indirect_ack > one.last_ack && now - one.last_indirect_ack <= lately {
+            return if now - one.last_heard <= self.config.probe_interval * 6.0 {
+                Reach::InboundOnly
+            } else {
+                Reach::ViaHelpers
+            };
         }
-        Reach::Answers
+        Reach::Direct
     }
 
-    fn row(&self, now: Point, one: &Member) -> Row {
+    fn member_row(&self, now: Point, one: &Member) -> MemberRow {
         let standing = one.standing;
         let own = match standing {
-            Standing::Alive => now - one.proof() <= self.terms.period * 6.0,
-            Standing::Left => one.by == one.name,
-            Standing::Dead => one.refused_by.contains(&self.me.name),
-            Standing::Silent | Standing::Lost => one.failed >= one.proof() && one.failed > Point::DAWN,
+            Standing::Alive => now - one.last_evidence() <= self.config.probe_interval * 6.0,
+            Standing::Left => one.reported_by == one.name,
+            Standing::Dead => one.refused_by.contains(&self.local.name),
+            Standing::Silent | Standing::Lost => {
+                one.last_probe_failure >= one.last_evidence() && one.last_probe_failure > Point::DAWN
+            }
         };
-        Row {
+        MemberRow {
             name: one.name.clone(),
             standing,
-            reach: self.reach(now, one),
-            life: one.life,
-            for_span: now - one.since,
-            by: one.by.clone(),
-            accusers: one.accusers.len(),
-            sure: own,
+            reach: self.reachability(now, one),
+            incarnation: one.incarnation,
+            standing_for: now - one.standing_since,
+            reported_by: one.reported_by.clone(),
+            accuser_count: one.accusers.len(),
+            confirmed_locally: own,
             idle: one.idle,
-            fell: one.fell,
+            suspicion_count: one.suspicion_count,
         }
     }
 
     #[must_use]
     pub fn view(&self, now: Point) -> View {
-        let mut rows: Vec<Row> = self.table.iter().map(|(_, one)| self.row(now, one)).collect();
+        let mut rows: Vec<MemberRow> = self.table.iter().map(|(_, one)| self.member_row(now, one)).collect();
         rows.sort_by(|a, b| a.name.cmp(&b.name));
-        let sight = self.sight(now);
+        let sight = self.sample(now);
         View {
-            name: self.me.name.clone(),
-            life: self.me.life,
-            reach: sight.reach,
-            whole: sight.reach + sight.missing + sight.forgiven,
-            doubts: self.health.doubts(now),
-            health: self.health.score(),
-            doubled: self.doubled,
-            routers: self.reckoner.routers(),
+            name: self.local.name.clone(),
+            incarnation: self.local.incarnation,
+            reachable: sight.reachable,
+            total: sight.reachable + sight.missing + sight.long_missing,
+            suspects_itself: self.health.is_suspect(now),
+            health_score: self.health.score(),
+            duplicate_name: self.duplicate_name,
+            router_count: self.router_count_estimator.routers(),
             rows,
         }
     }
@@ -118,55 +124,56 @@
     /// How a member stands here.
     #[must_use]
     pub fn standing(&self, name: &str) -> Option<Standing> {
-        self.table.of(name).map(|one| one.standing)
+        self.table.by_name(name).map(|one| one.standing)
     }
 
     /// Members that are held alive, without this router.
     #[must_use]
-    pub fn alive(&self) -> usize {
-        self.table.live().len() - self.table.count(Standing::Silent)
+    pub fn alive_count(&self) -> usize {
+        self.table.live().len() - self.table.count_by_standing(Standing::Silent)
     }
 
     /// All that is remembered: members, those that are over, candidates, questions.
     #[must_use]
-    pub fn held(&self) -> usize {
-        self.table.len() + self.candidates.len() + self.asks.len() + self.relays.len()
+    pub fn tracked_entries(&self) -> usize {
+        self.table.len() + self.candidates.len() + self.probes.len() + self.relays.len()
     }
 
     /// Routers that shares are reckoned by.
     #[must_use]
-    pub fn routers(&self) -> f64 {
-        self.reckoner.routers()
+    pub fn router_count(&self) -> f64 {
+        self.router_count_estimator.routers()
     }
 
-    fn sight(&self, now: Point) -> Sight {
+    fn sample(&self, now: Point) -> MembershipSample {
         let (mut missing, mut forgiven) = (0, 0);
-        let any = self.table.count(Standing::Silent) + self.table.count(Standing::Lost) > 0;
+        let any =
+            self.table.count_by_standing(Standing::Silent) + self.table.count_by_standing(Standing::Lost) > 0;
         for (_, one) in self.table.iter().filter(|_| any) {
             if matches!(one.standing, Standing::Silent | Standing::Lost) {
-                let long = now - one.since > self.terms.forgive;
+                let long = now - one.standing_since > self.config.missing_grace_period;
                 *(if long { &mut forgiven } else { &mut missing }) += 1;
             }
         }
-        let reach = 1 + self.alive() + usize::from(self.doubled);
-        let joined = self.terms.seeds.is_empty() || self.table.len() > 0;
-        Sight {
-            reach,
+        let reach = 1 + self.alive_count() + usize::from(self.duplicate_name);
+        let joined = self.config.seeds.is_empty() || self.table.len() > 0;
+        MembershipSample {
+            reachable: reach,
             missing,
-            forgiven,
-            sure: joined && !self.health.doubts(now) && self.candidates.is_empty(),
+            long_missing: forgiven,
+            reliable: joined && !self.health.is_suspect(now) && self.candidates.is_empty(),
         }
     }
 
-    pub(crate) fn reckon(&mut self, now: Point) {
-        let sight = self.sight(now);
-        self.reckoner.count(now, sight);
-        let lost = self.table.count(Standing::Lost);
-        let whole = sight.reach + sight.missing + sight.forgiven;
-        let part = (lost > 0).then_some((sight.reach, whole));
-        if part != self.part {
-            self.part = part;
-            self.events.push(Event::Part { reach: sight.reach, whole });
+    pub(crate) fn update_router_count(&mut self, now: Point) {
+        let sight = self.sample(now);
+        self.router_count_estimator.update(now, sight);
+        let lost = self.table.count_by_standing(Standing::Lost);
+        let whole = sight.reachable + sight.missing + sight.long_missing;
+        let part = (lost > 0).then_some((sight.reachable, whole));
+        if part != self.partition {
+            self.partition = part;
+            self.events.push(Event::Partition { reachable: sight.reachable, total: whole });
         }
     }
 }
--- a/crates/arrowyard-peers/tests/cases.rs
+++ b/crates/arrowyard-peers/tests/membership.rs
@@ -2,8 +2,8 @@
 
 use std::net::SocketAddr;
 
-use arrowyard_peers::message::{Claim, Datagram, FORM, Kind, Rumor, mark, write};
-use arrowyard_peers::{Deed, Event, Fleet, Me, Standing, Terms};
+use arrowyard_peers::message::{Claim, Datagram, FORMAT_VERSION, Kind, Rumor, encode, hash_name};
+use arrowyard_peers::{Action, Event, LocalMember, Membership, MembershipConfig, Standing};
 use arrowyard_types::{Point, Span};
 use prost::Message;
 
@@ -17,29 +17,29 @@
     ([127, 0, 0, 1], 7000 + number).into()
 }
 
-fn fleet(number: u16, life: u64, nonce: u64) -> Fleet {
-    let terms = Terms {
+fn fleet(number: u16, life: u64, nonce: u64) -> Membership {
+    let terms = MembershipConfig {
         fleet: "f".to_string(),
         seeds: vec![at(0), at(1)],
-        allowed: vec!["127.0.0.0/8".parse().expect("it is a prefix")],
-        ..Terms::default()
+        allowed_networks: vec!["127.0.0.0/8".parse().expect("it is a prefix")],
+        ..MembershipConfig::default()
     };
-    let me = Me { name: format!("n{number}").into(), at: at(number), life, nonce };
-    Fleet::start(BEGIN, terms, me, 3.0, u64::from(number) + 1)
+    let me = LocalMember { name: format!("n{number}").into(), address: at(number), incarnation: life, nonce };
+    Membership::new(BEGIN, terms, me, 3.0, u64::from(number) + 1)
 }
 
 /// A datagram as another one writes it.
 fn from(number: u16, life: u64, kind: Kind) -> Datagram {
     Datagram {
-        form: FORM,
-        least: 1,
-        fleet: mark("f"),
+        version: FORMAT_VERSION,
+        min_version: 1,
+        fleet_hash: hash_name("f"),
         from: format!("n{number}"),
-        life,
+        incarnation: life,
         nonce: u64::from(number) + 100,
-        at: at(number).to_string(),
+        address: at(number).to_string(),
         kind: kind as i32,
-        sent: 1,
+        sent_us: 1,
         ..Datagram::default()
     }
 }
@@ -47,11 +47,11 @@
 fn rumor(number: u16, life: u64, claim: Claim, by: &[&str]) -> Rumor {
     Rumor {
         name: format!("n{number}"),
-        life,
+        incarnation: life,
         claim: claim as i32,
-        at: at(number).to_string(),
+        address: at(number).to_string(),
         nonce: u64::from(number) + 100,
-        by: by.iter().map(ToString::to_string).collect(),
+        reporters: by.iter().map(ToString::to_string).collect(),
         ..Rumor::default()
     }
 }
@@ -59,7 +59,7 @@
 /// Datagrams that are on their way between a few, each delivered at once; what is not among them is lost.
 struct Few {
     now: Point,
-    all: Vec<Fleet>,
+    all: Vec<Membership>,
     /// Those that take part: the others neither send nor hear.
     up: Vec<bool>,
     /// The machine of one that is gone refuses datagrams.
@@ -82,25 +82,25 @@
         while self.now < end {
             self.now = self.now + ms(10);
             for one in 0..self.all.len() {
-                if self.up[one] && self.all[one].next_at() <= self.now {
+                if self.up[one] && self.all[one].next_deadline() <= self.now {
                     self.all[one].tick(self.now);
                 }
             }
             for _ in 0..4 {
                 for one in 0..self.all.len() {
-                    let deeds = std::mem::take(&mut self.all[one].deeds);
+                    let deeds = std::mem::take(&mut self.all[one].actions);
                     for deed in deeds.into_iter().filter(|_| self.up[one]) {
                         match deed {
-                            Deed::Send { to, bytes } => {
+                            Action::Send { to, bytes } => {
                                 self.largest = self.largest.max(bytes.len());
                                 let there = Few::place(to);
                                 if self.up.get(there) == Some(&true) {
-                                    self.all[there].heard(self.now, at(one as u16), &bytes);
+                                    self.all[there].receive(self.now, at(one as u16), &bytes);
                                 }
                             }
-                            Deed::Look { to, name, life, .. } => {
+                            Action::CheckPort { to, name, incarnation: life, .. } => {
                                 if self.refuses && self.up.get(Few::place(to)) == Some(&false) {
-                                    self.all[one].refused(&name, life);
+                                    self.all[one].port_refused(&name, life);
                                 }
                             }
                         }
@@ -114,7 +114,7 @@
         let mut few = Few::new(count);
         few.play(ms(6000));
         for one in &few.all {
-            assert_eq!(one.alive() + 1, usize::from(count), "{} has not found all", one.me().name);
+            assert_eq!(one.alive_count() + 1, usize::from(count), "{} has not found all", one.local().name);
         }
         few.all.iter_mut().for_each(|one| one.events.clear());
         few
@@ -124,34 +124,37 @@
 #[test]
 fn what_cannot_be_used_is_dropped_and_counted_and_nothing_is_kept() {
     let mut one = fleet(0, 1000, 7);
-    let good = write(&from(1, 5, Kind::Ping));
-    let tell = |one: &mut Fleet, datagram: &Datagram| one.heard(BEGIN, at(1), &write(datagram));
+    let good = encode(&from(1, 5, Kind::Ping));
+    let tell = |one: &mut Membership, datagram: &Datagram| one.receive(BEGIN, at(1), &encode(datagram));
     for cut in 0..good.len() {
-        one.heard(BEGIN, at(1), &good[..cut]);
+        one.receive(BEGIN, at(1), &good[..cut]);
     }
-    assert_eq!(one.counts.garbled, good.len() as u64);
+    assert_eq!(one.counts.malformed, good.len() as u64);
     for byte in 0..good.len() {
         let mut bad = good.clone();
         bad[byte] ^= 0x10;
-        one.heard(BEGIN, at(1), &bad);
+        one.receive(BEGIN, at(1), &bad);
     }
-    assert_eq!(one.counts.garbled, 2 * good.len() as u64, "each flipped bit is seen");
-    one.heard(BEGIN, at(1), &[0; 1201]);
-    tell(&mut one, &Datagram { fleet: mark("g"), ..from(1, 5, Kind::Ping) });
-    tell(&mut one, &Datagram { least: FORM + 1, ..from(1, 5, Kind::Ping) });
-    tell(&mut one, &Datagram { at: "10.1.1.1:7".to_string(), ..from(1, 5, Kind::Ping) });
-    one.heard(BEGIN, "10.9.9.9:7".parse().expect("an address"), &good);
+    assert_eq!(one.counts.malformed, 2 * good.len() as u64, "each flipped bit is seen");
+    one.receive(BEGIN, at(1), &[0; 1201]);
+    tell(&mut one, &Datagram { fleet_hash: hash_name("g"), ..from(1, 5, Kind::Ping) });
+    tell(&mut one, &Datagram { min_version: FORMAT_VERSION + 1, ..from(1, 5, Kind::Ping) });
+    tell(&mut one, &Datagram { address: "10.1.1.1:7".to_string(), ..from(1, 5, Kind::Ping) });
+    one.receive(BEGIN, "10.9.9.9:7".parse().expect("an address"), &good);
     let counts = one.counts;
-    assert_eq!((counts.too_large, counts.foreign, counts.newer, counts.outside), (1, 1, 1, 2));
+    assert_eq!(
+        (counts.too_large, counts.other_fleet, counts.unsupported_version, counts.disallowed_address),
+        (1, 1, 1, 2)
+    );
     for bad in [
         Datagram { from: String::new(), ..from(1, 5, Kind::Ping) },
         Datagram { from: "x".repeat(65), ..from(1, 5, Kind::Ping) },
         Datagram { from: "a\nb".to_string(), ..from(1, 5, Kind::Ping) },
-        Datagram { life: 0, ..from(1, 5, Kind::Ping) },
+        Datagram { incarnation: 0, ..from(1, 5, Kind::Ping) },
         Datagram { kind: 99, ..from(1, 5, Kind::Ping) },
-        Datagram { at: "nowhere".to_string(), ..from(1, 5, Kind::Ping) },
+        Datagram { address: "nowhere".to_string(), ..from(1, 5, Kind::Ping) },
         Datagram { digest: vec![1; 15], ..from(1, 5, Kind::Digest) },
-        Datagram { tell: vec![0; 257], ..from(1, 5, Kind::Tell) },
+        Datagram { app_message: vec![0; 257], ..from(1, 5, Kind::AppMessage) },
         Datagram { rumors: vec![rumor(2, 0, Claim::Alive, &[])], ..from(1, 5, Kind::Ping) },
         Datagram {
             rumors: vec![rumor(2, 1, Claim::Suspect, &["a", "b", "c", "d"])],
@@ -160,24 +163,24 @@
     ] {
         tell(&mut one, &bad);
     }
-    assert_eq!(one.counts.garbled, 2 * good.len() as u64 + 10);
-    assert_eq!((one.counts.taken, one.held()), (0, 0));
+    assert_eq!(one.counts.malformed, 2 * good.len() as u64 + 10);
+    assert_eq!((one.counts.received, one.tracked_entries()), (0, 0));
     tell(&mut one, &from(1, 5, Kind::Ping));
-    assert_eq!(one.counts.taken, 1);
+    assert_eq!(one.counts.received, 1);
 }
 
 #[test]
 fn a_later_form_with_further_fields_is_read_as_far_as_it_is_known() {
     let mut one = fleet(0, 1000, 7);
-    let mut later = Datagram { form: FORM + 1, ..from(1, 5, Kind::Ping) }.encode_to_vec();
+    let mut later = Datagram { version: FORMAT_VERSION + 1, ..from(1, 5, Kind::Ping) }.encode_to_vec();
     // Field 90, three bytes, of which nothing is known here.
     later.extend([0xd2, 0x05, 3, 1, 2, 3]);
     let mut bytes = crc32c::crc32c(&later).to_le_bytes().to_vec();
     bytes.extend(later);
-    one.heard(BEGIN, at(1), &bytes);
-    assert_eq!((one.counts.taken, one.counts.garbled), (1, 0));
+    one.receive(BEGIN, at(1), &bytes);
+    assert_eq!((one.counts.received, one.counts.malformed), (1, 0));
     assert!(
-        one.deeds.iter().any(|deed| matches!(deed, Deed::Send { to, .. } if *to == at(1))),
+        one.actions.iter().any(|deed| matches!(deed, Action::Send { to, .. } if *to == at(1))),
         "it is answered"
     );
 }
@@ -189,16 +192,16 @@
         let rumors =
             (0..10).map(|n| Rumor { name: format!("x{turn}-{n}"), ..rumor(9, 5, Claim::Alive, &[]) });
         let datagram =
-            Datagram { sent: 1_000_000 + turn, rumors: rumors.collect(), ..from(1, 1000, Kind::Gossip) };
+            Datagram { sent_us: 1_000_000 + turn, rumors: rumors.collect(), ..from(1, 1000, Kind::Gossip) };
         let now = few.now;
-        few.all[0].heard(now, at(1), &write(&datagram));
+        few.all[0].receive(now, at(1), &encode(&datagram));
     }
-    assert!(few.all[0].held() < 600, "{}", few.all[0].held());
-    assert!(few.all[0].counts.taken + few.all[0].counts.flood >= 1000);
+    assert!(few.all[0].tracked_entries() < 600, "{}", few.all[0].tracked_entries());
+    assert!(few.all[0].counts.received + few.all[0].counts.rate_limited >= 1000);
     few.play(ms(20_000));
     for one in &few.all {
-        assert_eq!(one.alive(), 2, "none of them was ever met");
-        assert!(one.held() < 60, "{} are still held", one.held());
+        assert_eq!(one.alive_count(), 2, "none of them was ever met");
+        assert!(one.tracked_entries() < 60, "{} are still held", one.tracked_entries());
     }
     assert!(few.largest <= 1200);
 }
@@ -217,22 +220,23 @@
                 Rumor { refused: true, nonce: u64::from(n) + 100, ..rumor(n, 1000 + turn, claim, &by) }
             });
             let sent = 100_000_000 + turn * 10 + claim as u64;
-            let datagram = Datagram { sent, rumors: rumors.collect(), ..from(1, 1000, Kind::Gossip) };
+            let datagram =
+                Datagram { sent_us: sent, rumors: rumors.collect(), ..from(1, 1000, Kind::Gossip) };
             for to in [0, 2, 3, 4] {
                 let now = few.now;
-                few.all[to].heard(now, at(1), &write(&datagram));
+                few.all[to].receive(now, at(1), &encode(&datagram));
             }
         }
         few.play(ms(300));
     }
     for one in &mut few.all {
         let over = one.events.iter().find(|event| {
-            matches!(event, Event::Stands { standing, name, .. } if *standing > Standing::Silent && **name != *"n1")
+            matches!(event, Event::StandingChanged { standing, name, .. } if *standing > Standing::Silent && **name != *"n1")
         });
-        assert_eq!(over, None, "at {}", one.me().name);
+        assert_eq!(over, None, "at {}", one.local().name);
     }
     few.play(ms(3000));
-    assert!(few.all.iter().all(|one| one.alive() == 4));
+    assert!(few.all.iter().all(|one| one.alive_count() == 4));
 }
 
 #[test]
@@ -256,22 +260,22 @@
 #[test]
 fn the_dead_do_not_come_back_by_datagrams_that_were_held_up_or_replayed() {
     let mut few = Few::joined(4);
-    let old = write(&Datagram { sent: few.now.micros() as u64 + 1, ..from(3, 1000, Kind::Ping) });
+    let old = encode(&Datagram { sent_us: few.now.micros() as u64 + 1, ..from(3, 1000, Kind::Ping) });
     // It got through once, in its time.
     let now = few.now;
-    few.all[0].heard(now, at(3), &old);
+    few.all[0].receive(now, at(3), &old);
     few.up[3] = false;
     few.play(ms(4000));
     assert_eq!(few.all[0].standing("n3"), Some(Standing::Dead));
     for _ in 0..20 {
         for to in 0..3 {
             let now = few.now;
-            few.all[to].heard(now, at(3), &old);
+            few.all[to].receive(now, at(3), &old);
             let told = Datagram {
                 rumors: vec![rumor(3, 1000, Claim::Alive, &["n1"])],
                 ..from(1, 1000, Kind::Gossip)
             };
-            few.all[to].heard(now, at(1), &write(&told));
+            few.all[to].receive(now, at(1), &encode(&told));
         }
         few.play(ms(200));
     }
@@ -287,12 +291,16 @@
     few.all[3] = fleet(3, 10, 999);
     few.up[3] = true;
     few.play(ms(4000));
-    assert!(few.all[3].me().life > 1000, "it outbids what is remembered of it: {}", few.all[3].me().life);
+    assert!(
+        few.all[3].local().incarnation > 1000,
+        "it outbids what is remembered of it: {}",
+        few.all[3].local().incarnation
+    );
     assert!((0..3).all(|one| few.all[one].standing("n3") == Some(Standing::Alive)));
     let dead =
         Datagram { rumors: vec![rumor(3, 1000, Claim::Dead, &["n1", "n2"])], ..from(1, 1000, Kind::Gossip) };
     let now = few.now;
-    few.all[0].heard(now, at(1), &write(&dead));
+    few.all[0].receive(now, at(1), &encode(&dead));
     few.play(ms(2000));
     assert_eq!(few.all[0].standing("n3"), Some(Standing::Alive));
 }
@@ -301,25 +309,26 @@
 fn of_two_processes_with_one_name_the_later_gives_way() {
     let mut few = Few::joined(3);
     // A fourth process takes the name of the third, at a place of its own.
-    let terms = Terms { fleet: "f".to_string(), seeds: vec![at(0), at(1)], ..Terms::default() };
-    let me = Me { name: "n2".into(), at: at(3), life: 2000, nonce: 500 };
+    let terms =
+        MembershipConfig { fleet: "f".to_string(), seeds: vec![at(0), at(1)], ..MembershipConfig::default() };
+    let me = LocalMember { name: "n2".into(), address: at(3), incarnation: 2000, nonce: 500 };
     let now = few.now;
-    few.all.push(Fleet::start(now, terms, me, 3.0, 77));
+    few.all.push(Membership::new(now, terms, me, 3.0, 77));
     few.up.push(true);
     few.play(ms(8000));
-    let gave_way = |one: &Fleet| one.events.contains(&Event::Doubled { gives_way: true });
+    let gave_way = |one: &Membership| one.events.contains(&Event::DuplicateName { yields: true });
     assert!(gave_way(&few.all[3]) && !gave_way(&few.all[2]));
-    assert!(few.all[2].view(few.now).doubled, "the earlier one knows, too");
+    assert!(few.all[2].view(few.now).duplicate_name, "the earlier one knows, too");
     few.all.iter_mut().for_each(|one| one.events.clear());
     few.play(ms(8000));
     assert!((0..2).all(|one| few.all[one].standing("n2") == Some(Standing::Alive)));
-    assert_eq!(few.all[0].alive(), 2);
+    assert_eq!(few.all[0].alive_count(), 2);
 }
 
 #[test]
 fn a_router_that_was_away_doubts_itself_and_nobody_else() {
     let mut few = Few::joined(4);
-    let life = few.all[0].me().life;
+    let life = few.all[0].local().incarnation;
     // All that it asked is unanswered, since it was halted for three seconds.
     few.up[0] = false;
     few.refuses = false;
@@ -328,15 +337,14 @@
     few.all[0].events.clear();
     let now = few.now;
     few.all[0].tick(now);
-    assert!(few.all[0].view(now).doubts && few.all[0].me().life > life);
-    assert!(few.all[0].events.iter().any(|event| matches!(event, Event::Away(span) if *span >= ms(2000))));
+    assert!(few.all[0].view(now).suspects_itself && few.all[0].local().incarnation > life);
+    assert!(few.all[0].events.iter().any(|event| matches!(event, Event::Stalled(span) if *span >= ms(2000))));
     few.play(ms(3000));
-    let blamed = few.all[0]
-        .events
-        .iter()
-        .find(|event| matches!(event, Event::Stands { standing, .. } if *standing != Standing::Alive));
+    let blamed = few.all[0].events.iter().find(
+        |event| matches!(event, Event::StandingChanged { standing, .. } if *standing != Standing::Alive),
+    );
     assert_eq!(blamed, None);
-    assert!(few.all.iter().all(|one| one.alive() == 3), "and all are back");
+    assert!(few.all.iter().all(|one| one.alive_count() == 3), "and all are back");
 }
 
 #[test]
@@ -344,12 +352,15 @@
     let mut few = Few::joined(4);
     (few.up[1], few.up[2], few.up[3], few.refuses) = (false, false, false, false);
     few.play(ms(20_000));
-    let over = few.all[0]
-        .events
-        .iter()
-        .any(|event| matches!(event, Event::Stands { standing: Standing::Lost | Standing::Dead, .. }));
-    assert!(!over && few.all[0].view(few.now).doubts);
-    assert!(few.all[0].routers() >= 4.0, "and it counts with all that there were: {}", few.all[0].routers());
+    let over = few.all[0].events.iter().any(|event| {
+        matches!(event, Event::StandingChanged { standing: Standing::Lost | Standing::Dead, .. })
+    });
+    assert!(!over && few.all[0].view(few.now).suspects_itself);
+    assert!(
+        few.all[0].router_count() >= 4.0,
+        "and it counts with all that there were: {}",
+        few.all[0].router_count()
+    );
 }
 
 #[test]
@@ -384,10 +395,10 @@
 fn what_the_module_tells_reaches_some_and_names_its_sender() {
     let mut few = Few::joined(4);
     let now = few.now;
-    few.all[1].tell(now, b"a position");
-    few.all[1].tell(now, &[0; 300]);
+    few.all[1].broadcast(now, b"a position");
+    few.all[1].broadcast(now, &[0; 300]);
     few.play(ms(10));
-    let told: Vec<_> = few.all.iter().flat_map(|one| one.told.clone()).collect();
+    let told: Vec<_> = few.all.iter().flat_map(|one| one.app_messages.clone()).collect();
     assert_eq!(told.len(), 3);
     assert!(told.iter().all(|(_, bytes)| bytes == b"a position"));
 }
@@ -421,12 +432,12 @@
     let mut one = arrowyard_peers::Member::new("n1".into(), at(1), 1, 1, BEGIN);
     let sent = |ms: u64| 5_000_000 + ms * 1000;
     assert_eq!(
-        one.fresh(sent(0), BEGIN + ms(2), ms(0)),
+        one.accept_datagram(sent(0), BEGIN + ms(2), ms(0)),
         Some(Span::ZERO),
         "the first one says what is usual"
     );
-    assert_eq!(one.fresh(sent(0), BEGIN + ms(3), ms(1)), None, "the same again");
-    assert_eq!(one.fresh(sent(500), BEGIN + ms(502), ms(0)), Some(Span::ZERO));
-    assert_eq!(one.fresh(sent(400), BEGIN + ms(503), ms(0)), None, "overtaken");
-    assert_eq!(one.fresh(sent(600), BEGIN + ms(3602), ms(0)), Some(ms(3000)), "three seconds late");
+    assert_eq!(one.accept_datagram(sent(0), BEGIN + ms(3), ms(1)), None, "the same again");
+    assert_eq!(one.accept_datagram(sent(500), BEGIN + ms(502), ms(0)), Some(Span::ZERO));
+    assert_eq!(one.accept_datagram(sent(400), BEGIN + ms(503), ms(0)), None, "overtaken");
+    assert_eq!(one.accept_datagram(sent(600), BEGIN + ms(3602), ms(0)), Some(ms(3000)), "three seconds late");
 }
--- a/crates/arrowyard-peers/tests/model.rs
+++ b/crates/arrowyard-peers/tests/model.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::net::SocketAddr;
 
-use arrowyard_peers::{Deed, Fleet, Me, Standing, Terms};
+use arrowyard_peers::{Action, LocalMember, Membership, MembershipConfig, Standing};
 use arrowyard_types::{Point, Span};
 use proptest::prelude::*;
 
@@ -54,7 +54,7 @@
 
 struct World {
     now: Point,
-    fleets: Vec<Option<Fleet>>,
+    fleets: Vec<Option<Membership>>,
     plain: Vec<Plain>,
     kept: Vec<(usize, SocketAddr, Vec<u8>)>,
     held_up: Vec<(usize, SocketAddr, Vec<u8>)>,
@@ -87,9 +87,18 @@
         }
         self.starts += 1;
         let life = (self.now.micros() / 1000 + off) as u64;
-        let me = Me { name: format!("n{who}").into(), at: at(who), life, nonce: self.starts * 1000 };
-        let terms = Terms { fleet: "m".to_string(), seeds: (0..COUNT).map(at).collect(), ..Terms::default() };
-        self.fleets[who] = Some(Fleet::start(self.now, terms, me, COUNT as f64, self.starts));
+        let me = LocalMember {
+            name: format!("n{who}").into(),
+            address: at(who),
+            incarnation: life,
+            nonce: self.starts * 1000,
+        };
+        let terms = MembershipConfig {
+            fleet: "m".to_string(),
+            seeds: (0..COUNT).map(at).collect(),
+            ..MembershipConfig::default()
+        };
+        self.fleets[who] = Some(Membership::new(self.now, terms, me, COUNT as f64, self.starts));
         self.plain[who] = Plain { runs: true, halted: false, life: self.plain[who].life.max(life) };
         self.held.retain(|(by, _), _| *by != who);
     }
@@ -103,13 +112,13 @@
                 }
                 let mine: Vec<_> = self.kept.extract_if(.., |(to, ..)| *to == who).collect();
                 if let Some(fleet) = &mut self.fleets[who] {
-                    if fleet.next_at() <= self.now {
+                    if fleet.next_deadline() <= self.now {
                         fleet.tick(self.now);
                     }
-                    mine.into_iter().for_each(|(_, from, bytes)| fleet.heard(self.now, from, &bytes));
-                    for deed in std::mem::take(&mut fleet.deeds) {
+                    mine.into_iter().for_each(|(_, from, bytes)| fleet.receive(self.now, from, &bytes));
+                    for deed in std::mem::take(&mut fleet.actions) {
                         match deed {
-                            Deed::Send { to, bytes } => {
+                            Action::Send { to, bytes } => {
                                 prop_assert!(bytes.len() <= 1200);
                                 let to = usize::from(to.port() - 7000);
                                 let roll = |rng: &mut fastrand::Rng, of: u8| rng.u8(..16) < of;
@@ -122,10 +131,10 @@
                                     self.kept.push((to, at(who), bytes));
                                 }
                             }
-                            Deed::Look { to, name, life, .. } => {
+                            Action::CheckPort { to, name, incarnation: life, .. } => {
                                 let gone = !self.plain[usize::from(to.port() - 7000)].runs;
                                 if gone {
-                                    fleet.refused(&name, life);
+                                    fleet.port_refused(&name, life);
                                 }
                             }
                         }
@@ -141,10 +150,10 @@
 
     fn check(&mut self, who: usize) -> Result<(), TestCaseError> {
         let Some(fleet) = &self.fleets[who] else { return Ok(()) };
-        let life = fleet.me().life;
+        let life = fleet.local().incarnation;
         prop_assert!(life >= self.plain[who].life || self.plain[who].runs);
         self.plain[who].life = self.plain[who].life.max(life);
-        prop_assert!(fleet.held() <= 3 * COUNT + 64, "bounded: {}", fleet.held());
+        prop_assert!(fleet.tracked_entries() <= 3 * COUNT + 64, "bounded: {}", fleet.tracked_entries());
         let view = fleet.view(self.now);
         prop_assert!(
             view.rows.iter().all(|row| *row.name != *view.name),
@@ -152,14 +161,18 @@
         );
         for row in &view.rows {
             let of: usize = row.name[1..].parse().expect("only these names were ever told");
-            prop_assert!(row.life <= self.plain[of].life, "a life that {of} never had: {}", row.life);
-            let before = self.held.insert((who, of), row.life).unwrap_or(0);
-            prop_assert!(row.life >= before, "{who} went back to a former life of {of}");
+            prop_assert!(
+                row.incarnation <= self.plain[of].life,
+                "a life that {of} never had: {}",
+                row.incarnation
+            );
+            let before = self.held.insert((who, of), row.incarnation).unwrap_or(0);
+            prop_assert!(row.incarnation >= before, "{who} went back to a former life of {of}");
             if row.standing == Standing::Dead && self.plain[of].runs {
                 // Refused datagrams proved it: of a life that is over, since the one that runs is a later one.
-                let runs = self.fleets[of].as_ref().map_or(0, |fleet| fleet.me().life);
+                let runs = self.fleets[of].as_ref().map_or(0, |fleet| fleet.local().incarnation);
                 prop_assert!(
-                    row.life != runs || self.starts > COUNT as u64,
+                    row.incarnation != runs || self.starts > COUNT as u64,
                     "{of} runs and was never refused"
                 );
             }
@@ -222,7 +235,7 @@
         let running = world.plain.iter().filter(|plain| plain.runs).count();
         for (who, fleet) in world.fleets.iter().enumerate() {
             if let Some(fleet) = fleet {
-                prop_assert_eq!(fleet.alive() + 1, running, "{} holds another view: {:?}", who, fleet.view(world.now));
+                prop_assert_eq!(fleet.alive_count() + 1, running, "{} holds another view: {:?}", who, fleet.view(world.now));
             }
         }
     }
