--- a/crates/arrowyard-cells/src/admission.rs
+++ b/crates/arrowyard-cells/src/admission.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::IpAddr;
 
-use arrowyard_types::{CellId, GroupId, HostId, Need, Point, Span};
+use arrowyard_types::{CellId, Consistency, GroupId, HostId, TimeDelta, Timestamp};
 use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
 
@@ -36,13 +36,13 @@
     pub address: Option<IpAddr>,
     pub group: GroupId,
     pub bytes: u64,
-    pub consistency: Need,
+    pub consistency: Consistency,
     /// What names the session: its ops keep to one of several cells.
     pub session: Option<u64>,
     /// The token, in op types whose repeats have one effect.
     pub token: Option<u64>,
     pub is_retry: bool,
-    pub deadline: Point,
+    pub deadline: Timestamp,
 }
 
 /// A place that an op has: told back when it ends.
@@ -64,12 +64,12 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
     /// It goes on in this cell, to this group as the lists name it; a session's read has to see this much at least.
-    Admit { permit: AdmissionPermit, group: GroupId, min_position: Option<Point> },
+    Admit { permit: AdmissionPermit, group: GroupId, min_position: Option<Timestamp> },
     /// It waits, at most until this point; then, and whenever something changed, its place is given back (`ended`)
     /// and it is asked about anew.
-    Hold { permit: AdmissionPermit, until: Point },
+    Hold { permit: AdmissionPermit, until: Timestamp },
     /// Nothing of it was sent. Come back after this span, if one is known.
-    Busy { cell: Option<CellId>, retry_after: Option<Span>, reason: RejectReason },
+    Busy { cell: Option<CellId>, retry_after: Option<TimeDelta>, reason: RejectReason },
     /// It cannot be an op here, or may have run where it cannot be asked for any more.
     Error { reason: RejectReason },
 }
@@ -187,10 +187,10 @@
 }
 
 /// When a client had better come back whose cell had no room: a few ops have ended by then.
-const CAPACITY_RETRY_AFTER: Span = Span::from_millis(20);
+const CAPACITY_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(20);
 
 impl Cells {
-    pub fn new(now: Point, layout: Layout, totals: Capacity, terms: MoveSettings) -> Self {
+    pub fn new(now: Timestamp, layout: Layout, totals: Capacity, terms: MoveSettings) -> Self {
         let room = |total| Bulkhead::new(total, parts(&layout), layout.reclaim_period);
         let mut cells = Cells {
             index: CellIndex::new(&layout),
@@ -261,7 +261,7 @@
     ///
     /// # Errors
     /// Why it is refused; nothing has changed then.
-    pub fn replace_layout(&mut self, now: Point, layout: Layout) -> Result<(), LayoutError> {
+    pub fn replace_layout(&mut self, now: Timestamp, layout: Layout) -> Result<(), LayoutError> {
         let aligned =
             layout.clone().aligned(&self.layout, |id| self.ops.used(id) == 0 && self.probes.used(id) == 0);
         if aligned == self.layout {
@@ -281,7 +281,7 @@
     }
 
     /// Brings cells and moves in line with the layout.
-    fn rebuild_state(&mut self, now: Point, old: Option<&Layout>) {
+    fn rebuild_state(&mut self, now: Timestamp, old: Option<&Layout>) {
         let repeats = self.layout.retry_budget;
         let mut cells = std::mem::take(&mut self.cells).into_iter();
         let renewed = self.layout.cells.iter().enumerate().map(|(id, row)| {
@@ -330,14 +330,14 @@
     }
 
     /// Where an op goes that came just now, or is held.
-    pub fn admit(&mut self, now: Point, op: &OpContext) -> AdmissionDecision {
+    pub fn admit(&mut self, now: Timestamp, op: &OpContext) -> AdmissionDecision {
         let assigned = match self.assignment.cells_for(op.tenant, op.address, op.group) {
             Ok(assigned) => assigned,
             Err(reason) => return AdmissionDecision::Error { reason: RejectReason::NoCell(reason) },
         };
         // Danger: who writes where may have changed since this file was written. What is written here is lost then,
         // and what is read with a bound is older than that.
-        if op.consistency != Need::Any
+        if op.consistency != Consistency::Any
             && self.layout.lease.is_some_and(|lease| now >= lease.expires_at - lease.max_clock_skew)
         {
             return self.busy(assigned[0], None, RejectReason::LeaseExpired);
@@ -351,7 +351,7 @@
         self.admit_in(now, &assigned, op, op.group, None, None)
     }
 
-    fn admit_moving(&mut self, now: Point, id: MoveId, op: &OpContext) -> AdmissionDecision {
+    fn admit_moving(&mut self, now: Timestamp, id: MoveId, op: &OpContext) -> AdmissionDecision {
         let Some(moving) = self.moves.get_mut(&id) else {
             return AdmissionDecision::Error { reason: RejectReason::OutcomeUnknown };
         };
@@ -360,7 +360,7 @@
         let groups = moving.config.groups.unwrap_or((op.group, op.group));
         match moving.place(now, MoveOp { consistency: need, token, is_retry, deadline }) {
             Placement::Source => {
-                let counted = (need == Need::Write).then_some(id);
+                let counted = (need == Consistency::Write).then_some(id);
                 let verdict = self.admit_in(now, &[from], op, groups.0, None, counted);
                 let moving = self.moves.get_mut(&id).filter(|_| counted.is_some());
                 if let (AdmissionDecision::Admit { .. }, Some(moving)) = (verdict, moving) {
@@ -394,11 +394,11 @@
 
     fn admit_in(
         &mut self,
-        now: Point,
+        now: Timestamp,
         assigned: &[CellId],
         op: &OpContext,
         group: GroupId,
-        min_position: Option<Point>,
+        min_position: Option<Timestamp>,
         moving: Option<MoveId>,
     ) -> AdmissionDecision {
         let serving = |id: &CellId| self.index.serves(*id, group);
@@ -425,17 +425,22 @@
         self.busy(cell, after, reason)
     }
 
-    fn busy(&mut self, cell: CellId, retry_after: Option<Span>, reason: RejectReason) -> AdmissionDecision {
+    fn busy(
+        &mut self,
+        cell: CellId,
+        retry_after: Option<TimeDelta>,
+        reason: RejectReason,
+    ) -> AdmissionDecision {
         self.cells[cell.0 as usize].counters.busy += 1;
         AdmissionDecision::Busy { cell: Some(cell), retry_after, reason }
     }
 
     fn acquire(
         &mut self,
-        now: Point,
+        now: Timestamp,
         id: CellId,
         op: &OpContext,
-    ) -> Result<(), (RejectReason, Option<Span>)> {
+    ) -> Result<(), (RejectReason, Option<TimeDelta>)> {
         let cell = &mut self.cells[id.0 as usize];
         if cell
             .concurrency_limit
@@ -463,7 +468,7 @@
     }
 
     /// A send of the op goes out: its first, or a further one.
-    pub fn record_send(&mut self, now: Point, permit: &AdmissionPermit, first: bool) {
+    pub fn record_send(&mut self, now: Timestamp, permit: &AdmissionPermit, first: bool) {
         let cell = &mut self.cells[permit.cell.0 as usize];
         if let Some(retry_budget) = &mut cell.retry_budget {
             if first { retry_budget.record_first_send(now) } else { retry_budget.record_retry(now) }
@@ -473,7 +478,7 @@
     }
 
     /// How many further sends the cell may make now; none: as many as it likes.
-    pub fn remaining_retries(&self, now: Point, cell: CellId) -> Option<u32> {
+    pub fn remaining_retries(&self, now: Timestamp, cell: CellId) -> Option<u32> {
         self.cells[cell.0 as usize].retry_budget.as_ref().map(|retry_budget| retry_budget.remaining(now))
     }
 
@@ -504,10 +509,10 @@
     /// its write was acked.
     pub fn release(
         &mut self,
-        now: Point,
+        now: Timestamp,
         permit: AdmissionPermit,
         ran: WriteOutcome,
-        position: Option<Point>,
+        position: Option<Timestamp>,
     ) {
         self.ops.release(permit.cell, 1);
         self.bytes.release(permit.cell, permit.bytes);
@@ -520,7 +525,7 @@
 
     /// Whether a host of the cell may be probed now. Danger: a cell whose hosts all hang has a probe at each of them
     /// for as long as a probe may last, and they take the connections of all others.
-    pub fn try_start_probe(&mut self, now: Point, cell: CellId) -> bool {
+    pub fn try_start_probe(&mut self, now: Timestamp, cell: CellId) -> bool {
         self.probes.try_acquire(now, cell, 1).is_ok()
     }
 
@@ -530,7 +535,7 @@
     }
 
     /// A host of a cell started anew.
-    pub fn host_restarted(&mut self, cell: CellId, at: Point, within: Span) {
+    pub fn host_restarted(&mut self, cell: CellId, at: Timestamp, within: TimeDelta) {
         if let Some(rollout) = &mut self.rollout {
             rollout.host_restarted(cell, at, within);
         }
@@ -564,12 +569,12 @@
     }
 
     /// A host said where it is.
-    pub fn record_position(&mut self, host: HostId, position: Point, primary: bool) {
+    pub fn record_position(&mut self, host: HostId, position: Timestamp, primary: bool) {
         self.moves.values_mut().for_each(|moving| moving.record_position(host, position, primary));
     }
 
     /// Time has passed. Whether held ops should be asked about again.
-    pub fn tick(&mut self, now: Point) -> bool {
+    pub fn tick(&mut self, now: Timestamp) -> bool {
         let mut changed = false;
         for moving in self.moves.values_mut() {
             let stuck = moving.tick(now);
--- a/crates/arrowyard-cells/src/bulkhead.rs
+++ b/crates/arrowyard-cells/src/bulkhead.rs
@@ -2,7 +2,7 @@
 //! share by its weight. A part of the share is guaranteed: it stands free for the cell whatever others do. The rest
 //! may be lent while it is idle, and is called back when its owner asks.
 
-use arrowyard_types::{CellId, Point, Span};
+use arrowyard_types::{CellId, TimeDelta, Timestamp};
 
 /// One divided thing.
 #[derive(Clone, Debug)]
@@ -11,9 +11,9 @@
     cells: Vec<CellShare>,
     /// Of each cell what it holds, or what is guaranteed to it if that is more; summed.
     reserved: u64,
-    reclaim_period: Span,
+    reclaim_period: TimeDelta,
     /// Nobody borrows before: some cell asked for room of its own that was lent.
-    reclaiming_until: Point,
+    reclaiming_until: Timestamp,
 }
 
 #[derive(Clone, Copy, Debug, Default)]
@@ -40,7 +40,7 @@
 
 impl Bulkhead {
     /// `parts`: each cell's weight, and the part of its share that is guaranteed.
-    pub fn new(total: u64, parts: impl Iterator<Item = (f64, f64)>, reclaim_period: Span) -> Self {
+    pub fn new(total: u64, parts: impl Iterator<Item = (f64, f64)>, reclaim_period: TimeDelta) -> Self {
         let parts: Vec<(f64, f64)> = parts.collect();
         let weights: f64 = parts.iter().map(|(weight, _)| weight).sum();
         let part = |(weight, guaranteed): (f64, f64)| {
@@ -50,11 +50,11 @@
         };
         let cells: Vec<CellShare> = parts.into_iter().map(part).collect();
         let reserved = cells.iter().map(CellShare::reserved).sum();
-        Bulkhead { total, cells, reserved, reclaim_period, reclaiming_until: Point::DAWN }
+        Bulkhead { total, cells, reserved, reclaim_period, reclaiming_until: Timestamp::DISTANT_PAST }
     }
 
     /// Divides anew; what is held stays held. Cells keep their ids, and there may be more of them.
-    pub fn resize(&mut self, parts: impl Iterator<Item = (f64, f64)>, reclaim_period: Span) {
+    pub fn resize(&mut self, parts: impl Iterator<Item = (f64, f64)>, reclaim_period: TimeDelta) {
         let mut next = Bulkhead::new(self.total, parts, reclaim_period);
         for (part, old) in next.cells.iter_mut().zip(&self.cells) {
             part.used = old.used;
@@ -81,7 +81,7 @@
     }
 
     /// Whether a cell waits for room of its own.
-    pub fn is_reclaiming(&self, now: Point) -> bool {
+    pub fn is_reclaiming(&self, now: Timestamp) -> bool {
         now < self.reclaiming_until
     }
 
@@ -89,7 +89,7 @@
     ///
     /// # Errors
     /// Why there is no room.
-    pub fn try_acquire(&mut self, now: Point, cell: CellId, more: u64) -> Result<(), AcquireError> {
+    pub fn try_acquire(&mut self, now: Timestamp, cell: CellId, more: u64) -> Result<(), AcquireError> {
         let part = self.cells[cell.0 as usize];
         let then = CellShare { used: part.used.saturating_add(more), ..part };
         let reserved = self.reserved - part.reserved() + then.reserved().min(u64::MAX / 2);
--- a/crates/arrowyard-cells/src/layout.rs
+++ b/crates/arrowyard-cells/src/layout.rs
@@ -1,6 +1,6 @@
 //! What a file of the operator's says of cells, checked, under our names.
 
-use arrowyard_types::{CellId, GroupId, Point, Span};
+use arrowyard_types::{CellId, GroupId, TimeDelta, Timestamp};
 use ipnet::IpNet;
 use rustc_hash::FxHashMap;
 
@@ -18,7 +18,7 @@
     /// To how many cells a tenant goes that no row names; none: its ops are errors.
     pub cells_per_hashed_tenant: Option<usize>,
     /// After a cell asked for its own room, nobody borrows for so long.
-    pub reclaim_period: Span,
+    pub reclaim_period: TimeDelta,
     pub retry_budget: Option<RetryBudgetConfig>,
     pub rollout: Option<RolloutConfig>,
     pub lease: Option<Lease>,
@@ -64,7 +64,7 @@
     pub retry_ratio: f64,
     /// In a window, however few first sends there were.
     pub min_retries: u32,
-    pub window: Span,
+    pub window: TimeDelta,
 }
 
 #[derive(Clone, Debug, PartialEq)]
@@ -77,8 +77,8 @@
 /// Until when the file's word on who writes where holds, and how far apart two clocks may be.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
-    pub expires_at: Point,
-    pub max_clock_skew: Span,
+    pub expires_at: Timestamp,
+    pub max_clock_skew: TimeDelta,
 }
 
 impl Layout {
--- a/crates/arrowyard-cells/src/rollout.rs
+++ b/crates/arrowyard-cells/src/rollout.rs
@@ -2,7 +2,7 @@
 //! started anew is judged against what all other hosts do meanwhile, by Wald's sequential test. Until a cell is judged good,
 //! hosts of the next ones that start anew are trusted little. Nothing is moved by the router on its own.
 
-use arrowyard_types::{CellId, Point, Span};
+use arrowyard_types::{CellId, TimeDelta, Timestamp};
 
 use crate::layout::RolloutConfig;
 
@@ -27,7 +27,7 @@
     evidence: f64,
     verdict: ReleaseVerdict,
     /// When the last of its hosts started anew.
-    last_restart: Option<Point>,
+    last_restart: Option<Timestamp>,
 }
 
 /// The trials of the cells, in the order of the release.
@@ -66,7 +66,7 @@
 
     /// A host of the cell started anew, at this point. A trial begins with the first of a release; hosts that follow
     /// within the span belong to it.
-    pub fn host_restarted(&mut self, cell: CellId, at: Point, within: Span) {
+    pub fn host_restarted(&mut self, cell: CellId, at: Timestamp, within: TimeDelta) {
         let Some(position) = self.position(cell) else { return };
         let trial = &mut self.trials[position];
         if trial.last_restart.is_none_or(|last| at - last > within) {
--- a/crates/arrowyard-cells/src/tenant_move.rs
+++ b/crates/arrowyard-cells/src/tenant_move.rs
@@ -17,7 +17,7 @@
 
 use std::collections::VecDeque;
 
-use arrowyard_types::{CellId, GroupId, HostId, Need, Point, Span};
+use arrowyard_types::{CellId, Consistency, GroupId, HostId, TimeDelta, Timestamp};
 use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
 
@@ -46,15 +46,15 @@
     /// The group that clients name; none: any.
     pub client_group: Option<GroupId>,
     pub step: Step,
-    pub fence_at: Option<Point>,
-    pub switch_at: Option<Point>,
+    pub fence_at: Option<Timestamp>,
+    pub switch_at: Option<Timestamp>,
     /// The source's position up to which all was copied, and the target's from which on it holds that.
-    pub copied_through: Option<Point>,
-    pub target_floor: Option<Point>,
+    pub copied_through: Option<Timestamp>,
+    pub target_floor: Option<Timestamp>,
     /// The target's primary whose position that is, by its name in the lists.
     pub target_host: Option<Box<str>>,
     /// How long the source remembers tokens.
-    pub token_retention: Span,
+    pub token_retention: TimeDelta,
 }
 
 /// How far this router is.
@@ -78,7 +78,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct TokenRecord {
-    first_at: Point,
+    first_at: Timestamp,
     outcome: WriteOutcome,
 }
 
@@ -88,20 +88,20 @@
     /// Whether clients mark what they ask again.
     pub clients_mark_retries: bool,
     /// Writes that are out at the fence have ended after this: the longest op timeout.
-    pub max_op_timeout: Span,
+    pub max_op_timeout: TimeDelta,
     /// How far apart two clocks may be.
-    pub max_clock_skew: Span,
+    pub max_clock_skew: TimeDelta,
 }
 
 /// An op of the tenant, as far as a move cares.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveOp {
-    pub consistency: Need,
+    pub consistency: Consistency,
     /// The token, if repeats of it have one effect.
     pub token: Option<u64>,
     /// Whether the client says that it asks again.
     pub is_retry: bool,
-    pub deadline: Point,
+    pub deadline: Timestamp,
 }
 
 /// Where it goes.
@@ -109,11 +109,11 @@
 pub enum Placement {
     Source,
     /// With what a session's read must see at least.
-    Target(Option<Point>),
+    Target(Option<Timestamp>),
     /// It waits till the move is further, at most until this point; then it is asked about again.
-    Hold(Point),
+    Hold(Timestamp),
     /// Nothing of it was sent; come back after this span.
-    Busy(Span),
+    Busy(TimeDelta),
     /// It may have run where it cannot be asked for any more.
     OutcomeUnknown,
 }
@@ -124,9 +124,9 @@
     /// Writes of the tenant are out.
     WritesInFlight(u32),
     /// The copy ends before this point, up to which writes were, or may have been, acked; it has to be taken further.
-    CopyIncomplete { needed: Point, copied: Point },
+    CopyIncomplete { needed: Timestamp, copied: Timestamp },
     /// The switch is announced for later.
-    SwitchNotDue(Point),
+    SwitchNotDue(Timestamp),
     /// Fewer than most of the target's hosts are known to hold the copy.
     TargetNotCaughtUp { caught_up: usize, hosts: usize },
     /// The target's primary is not known, or is not the host that the file names: the copy has to be looked at again.
@@ -154,14 +154,14 @@
     settings: MoveSettings,
     stage: Stage,
     tokens: FxHashMap<u64, TokenRecord>,
-    token_order: VecDeque<(Point, u64)>,
+    token_order: VecDeque<(Timestamp, u64)>,
     /// Writes that were let through to the source and have not ended.
     writes_in_flight: u32,
     /// Writes that are held.
     held_writes: u32,
-    last_acked: Option<Point>,
+    last_acked: Option<Timestamp>,
     /// Positions of the target's hosts, as learnt.
-    positions: SmallVec<[(HostId, Point); 4]>,
+    positions: SmallVec<[(HostId, Timestamp); 4]>,
     /// The target's primary, as learnt last, and the host whose position the file's floor is.
     target_primary: Option<HostId>,
     copy_confirmed_by: Option<HostId>,
@@ -169,7 +169,7 @@
 
 impl TenantMove {
     /// A move that this router learns of now; of what was before it knows nothing.
-    pub fn new(now: Point, config: MoveConfig, settings: MoveSettings) -> Self {
+    pub fn new(now: Timestamp, config: MoveConfig, settings: MoveSettings) -> Self {
         let (tokens, token_order, positions) = Default::default();
         let (stage, writes_in_flight, held_writes, last_acked) = (Stage::Open, 0, 0, None);
         let (target_primary, copy_confirmed_by) = (None, None);
@@ -242,7 +242,7 @@
     }
 
     /// Takes what was accepted, of the same move.
-    pub fn apply_config(&mut self, now: Point, config: MoveConfig) {
+    pub fn apply_config(&mut self, now: Timestamp, config: MoveConfig) {
         if config.target_host != self.config.target_host {
             // Till the target's hosts are named anew.
             self.copy_confirmed_by = None;
@@ -255,7 +255,7 @@
     }
 
     /// Goes on as far as all that a stage demands is given; tells what is missing for the next.
-    pub fn tick(&mut self, now: Point) -> Option<MoveBlocker> {
+    pub fn tick(&mut self, now: Timestamp) -> Option<MoveBlocker> {
         self.expire_tokens(now);
         loop {
             self.stage = match self.stage {
@@ -293,11 +293,11 @@
     }
 
     /// No write that was let through to the source has an effect later than this.
-    fn settled_at(&self) -> Option<Point> {
+    fn settled_at(&self) -> Option<Timestamp> {
         self.config.fence_at.map(|at| at + self.settings.max_op_timeout + self.settings.max_clock_skew)
     }
 
-    fn switch_blocker(&self, now: Point) -> Option<MoveBlocker> {
+    fn switch_blocker(&self, now: Timestamp) -> Option<MoveBlocker> {
         if self.config.step < Step::Switched {
             return Some(MoveBlocker::ConfigNotAdvanced);
         }
@@ -333,7 +333,7 @@
     }
 
     /// Whether the source may remember a token of a write that was first sent there before the fence.
-    fn source_retains_tokens(&self, now: Point) -> bool {
+    fn source_retains_tokens(&self, now: Timestamp) -> bool {
         self.config
             .fence_at
             .is_some_and(|at| now < at + self.config.token_retention + self.settings.max_clock_skew)
@@ -352,7 +352,7 @@
 
     /// A host said where it is, and whether it is the primary. Danger: after a failover of the target its newest
     /// records are lost, and positions go back; the last word counts here, not the highest.
-    pub fn record_position(&mut self, host: HostId, position: Point, primary: bool) {
+    pub fn record_position(&mut self, host: HostId, position: Timestamp, primary: bool) {
         let Some(known) = self.positions.iter_mut().find(|(other, _)| *other == host) else { return };
         known.1 = position;
         match self.target_primary {
@@ -364,7 +364,7 @@
 
     /// Danger: tokens without end. One that is dropped too early is not known any more, and its marked repeat is
     /// answered with an error, not sent.
-    fn expire_tokens(&mut self, now: Point) {
+    fn expire_tokens(&mut self, now: Timestamp) {
         while let Some(&(at, token)) = self.token_order.front() {
             let old = at + self.config.token_retention * 2.0 + self.settings.max_op_timeout < now;
             if self.token_order.len() <= MAX_TOKENS && !old {
@@ -376,17 +376,17 @@
     }
 
     /// Where an op of the tenant may go now. A write that goes to the source is followed by `sent`.
-    pub fn place(&mut self, now: Point, op: MoveOp) -> Placement {
+    pub fn place(&mut self, now: Timestamp, op: MoveOp) -> Placement {
         self.tick(now);
         let switched = self.stage >= Stage::Switched;
-        if op.consistency != Need::Write {
+        if op.consistency != Consistency::Write {
             // Danger: others have switched, and what they write the source never sees.
             let due = self
                 .config
                 .switch_at
                 .filter(|_| self.config.groups.is_some() && self.config.step != Step::Cancelled);
-            let late =
-                due.is_some_and(|at| now >= at - self.settings.max_clock_skew) && op.consistency != Need::Any;
+            let late = due.is_some_and(|at| now >= at - self.settings.max_clock_skew)
+                && op.consistency != Consistency::Any;
             return match switched {
                 true => Placement::Target(self.config.target_floor),
                 false if late && self.stage >= Stage::Fenced => self.hold_or_busy(now, op.deadline),
@@ -451,15 +451,15 @@
     }
 
     /// Whether a write that ends by then has its effect before the copy's end.
-    fn completes_before_copy_end(&self, deadline: Point) -> bool {
+    fn completes_before_copy_end(&self, deadline: Timestamp) -> bool {
         self.settled_at().is_none_or(|settled| deadline + self.settings.max_clock_skew <= settled)
     }
 
-    fn hold_or_busy(&self, now: Point, deadline: Point) -> Placement {
+    fn hold_or_busy(&self, now: Timestamp, deadline: Timestamp) -> Placement {
         // Danger: the fence holds a rush of writes until they are all given up at their deadlines. What cannot be
         // answered in time is given up at once, with when to come back.
         let half = now + (deadline - now) * 0.5;
-        let soon = (self.config.token_retention * 0.25).max(Span::from_millis(50));
+        let soon = (self.config.token_retention * 0.25).max(TimeDelta::from_millis(50));
         match self.config.switch_at {
             Some(at) if now < at && at <= half => Placement::Hold(half),
             Some(at) if now < at => Placement::Busy(at - now),
@@ -476,7 +476,7 @@
     }
 
     /// A write was let through to the source.
-    pub fn record_send(&mut self, now: Point, token: Option<u64>) {
+    pub fn record_send(&mut self, now: Timestamp, token: Option<u64>) {
         self.writes_in_flight += 1;
         if self.stage == Stage::Drained {
             self.stage = Stage::Fenced;
@@ -497,10 +497,10 @@
     /// A write at the source ended: what became of it, and at which position it was acked.
     pub fn record_end(
         &mut self,
-        now: Point,
+        now: Timestamp,
         token: Option<u64>,
         outcome: WriteOutcome,
-        position: Option<Point>,
+        position: Option<Timestamp>,
     ) {
         self.writes_in_flight = self.writes_in_flight.saturating_sub(1);
         let record = token.and_then(|token| self.tokens.get_mut(&token));
--- a/crates/arrowyard-cells/tests/admission.rs
+++ b/crates/arrowyard-cells/tests/admission.rs
@@ -10,13 +10,13 @@
 use arrowyard_cells::rollout::ReleaseVerdict;
 use arrowyard_cells::tenant_move::{MoveConfig, MoveSettings, Stage, Step, WriteOutcome};
 use arrowyard_cells::{AdmissionDecision, Cells, SendOutcome};
-use arrowyard_types::{CellId, GroupId, Need, Point, Span};
+use arrowyard_types::{CellId, Consistency, GroupId, TimeDelta, Timestamp};
 
 const A: CellId = CellId(0);
 const B: CellId = CellId(1);
 
-fn ms(millis: i64) -> Point {
-    Point::from_micros(millis * 1000)
+fn ms(millis: i64) -> Timestamp {
+    Timestamp::from_micros(millis * 1000)
 }
 
 fn layout(epoch: u64) -> Layout {
@@ -37,7 +37,7 @@
         tenants: [("ann".into(), A), ("bob".into(), B)].into_iter().collect(),
         networks: nets,
         cells_per_hashed_tenant: None,
-        reclaim_period: Span::from_millis(100),
+        reclaim_period: TimeDelta::from_millis(100),
         retry_budget: None,
         rollout: None,
         lease: None,
@@ -48,8 +48,8 @@
 fn desk(layout: Layout) -> Cells {
     let terms = MoveSettings {
         clients_mark_retries: true,
-        max_op_timeout: Span::from_millis(500),
-        max_clock_skew: Span::ZERO,
+        max_op_timeout: TimeDelta::from_millis(500),
+        max_clock_skew: TimeDelta::ZERO,
     };
     Cells::new(ms(0), layout, Capacity { ops: 40, bytes: 1000, probes: 8 }, terms)
 }
@@ -60,9 +60,9 @@
     tenant: &str,
     again: bool,
     bytes: u64,
-) -> Result<AdmissionPermit, (RejectReason, Option<Span>)> {
+) -> Result<AdmissionPermit, (RejectReason, Option<TimeDelta>)> {
     let (address, session, token, group) = (None, None, None, GroupId(1));
-    let (need, due) = (Need::Any, ms(now + 500));
+    let (need, due) = (Consistency::Any, ms(now + 500));
     let facts = OpContext {
         tenant: Some(tenant),
         address,
@@ -88,7 +88,7 @@
         (0..30).map_while(|_| ask(&mut cells, 0, "ann", false, 1).ok()).collect();
     assert_eq!(passes.len(), 30, "its 20, and the 10 of the other's that are not guaranteed");
     assert!(
-        matches!(ask(&mut cells, 0, "ann", false, 1), Err((RejectReason::OpCapacity, Some(after))) if after > Span::ZERO)
+        matches!(ask(&mut cells, 0, "ann", false, 1), Err((RejectReason::OpCapacity, Some(after))) if after > TimeDelta::ZERO)
     );
     assert_eq!(
         ask(&mut cells, 0, "bob", false, 900).map_err(|(why, _)| why),
@@ -107,7 +107,7 @@
 
 #[test]
 fn repeats_are_counted_by_cell_from_clients_and_from_further_sends() {
-    let window = Span::from_millis(1600);
+    let window = TimeDelta::from_millis(1600);
     let mut cells = desk(Layout {
         retry_budget: Some(RetryBudgetConfig { retry_ratio: 0.5, min_retries: 2, window }),
         ..layout(1)
@@ -119,7 +119,7 @@
     assert_eq!((cells.remaining_retries(ms(10), A), cells.remaining_retries(ms(10), B)), (Some(0), Some(2)));
     assert_eq!(
         ask(&mut cells, 10, "ann", true, 1),
-        Err((RejectReason::RetryBudget, Some(Span::from_millis(100))))
+        Err((RejectReason::RetryBudget, Some(TimeDelta::from_millis(100))))
     );
     assert!(ask(&mut cells, 10, "ann", false, 1).is_ok() && ask(&mut cells, 10, "bob", true, 1).is_ok());
     // First sends earn repeats, from the next slice on at half a repeat each.
@@ -169,7 +169,7 @@
     let mut cells = desk(Layout { rollout: Some(release), ..layout(1) });
     let (canary, other) = (ask(&mut cells, 0, "ann", false, 1), ask(&mut cells, 0, "bob", false, 1));
     let (canary, other) = (canary.expect("there is room"), other.expect("there is room"));
-    let within = Span::from_millis(1000);
+    let within = TimeDelta::from_millis(1000);
     cells.host_restarted(A, ms(0), within);
     assert_eq!((cells.restarted_host_trust(A), cells.restarted_host_trust(B)), (1.0, 0.1));
     assert!(
@@ -227,9 +227,9 @@
         copied_through: None,
         target_floor: None,
         target_host: None,
-        token_retention: Span::from_millis(1000),
+        token_retention: TimeDelta::from_millis(1000),
     };
-    let lease = Some(Lease { expires_at: ms(2000), max_clock_skew: Span::from_millis(10) });
+    let lease = Some(Lease { expires_at: ms(2000), max_clock_skew: TimeDelta::from_millis(10) });
     Layout { moves: vec![row], lease, ..layout(epoch) }
 }
 
--- a/crates/arrowyard-cells/tests/components.rs
+++ b/crates/arrowyard-cells/tests/components.rs
@@ -15,11 +15,11 @@
 };
 use arrowyard_cells::retry_budget::RetryBudget;
 use arrowyard_cells::rollout::{ReleaseVerdict, Rollout};
-use arrowyard_types::{CellId, GroupId, Point, Span};
+use arrowyard_types::{CellId, GroupId, TimeDelta, Timestamp};
 use proptest::prelude::*;
 
-fn ms(millis: i64) -> Point {
-    Point::from_micros(millis * 1000)
+fn ms(millis: i64) -> Timestamp {
+    Timestamp::from_micros(millis * 1000)
 }
 
 fn cell(name: &str, weight: f64) -> Cell {
@@ -38,7 +38,7 @@
 
 fn layout(cells: Vec<Cell>, rest: Option<usize>) -> Layout {
     let (tenants, nets, moves) = Default::default();
-    let call_back = Span::from_millis(100);
+    let call_back = TimeDelta::from_millis(100);
     Layout {
         epoch: 1,
         cells,
@@ -135,7 +135,7 @@
 
 #[test]
 fn lent_room_comes_back_to_its_owner_and_what_is_guaranteed_is_never_lent() {
-    let mut room = Bulkhead::new(100, [(1.0, 0.5), (1.0, 0.5)].into_iter(), Span::from_millis(100));
+    let mut room = Bulkhead::new(100, [(1.0, 0.5), (1.0, 0.5)].into_iter(), TimeDelta::from_millis(100));
     let (one, two, mut now) = (CellId(0), CellId(1), ms(0));
     let taken = (0..200).filter(|_| room.try_acquire(now, one, 1).is_ok()).count();
     assert_eq!(taken, 75, "its own 50, and the part of the other's 50 that is not guaranteed");
@@ -145,14 +145,14 @@
     assert_eq!(room.try_acquire(now, two, 1), Err(AcquireError::Lent));
     // Whatever the borrower gives back goes to the owner, not to the borrower.
     room.release(one, 1);
-    now = now + Span::from_millis(50);
+    now = now + TimeDelta::from_millis(50);
     assert_eq!(
         (room.try_acquire(now, one, 1), room.try_acquire(now, two, 1)),
         (Err(AcquireError::Exhausted), Ok(()))
     );
     // Not called for any more: idle room is lent again.
     room.release(two, 20);
-    now = now + Span::from_millis(200);
+    now = now + TimeDelta::from_millis(200);
     assert_eq!(room.try_acquire(now, one, 1), Ok(()));
 }
 
@@ -172,7 +172,7 @@
     ) {
         const TOTAL: u64 = 97;
         let parts = || weights.iter().map(|&(weight, kept)| (f64::from(weight), f64::from(kept) / 10.0));
-        let mut room = Bulkhead::new(TOTAL, parts(), Span::from_millis(10));
+        let mut room = Bulkhead::new(TOTAL, parts(), TimeDelta::from_millis(10));
         let mut held: Vec<Vec<u64>> = vec![Vec::new(); weights.len()];
         let shares: Vec<(u64, u64)> = (0..weights.len()).map(|id| room.share(CellId(id as u32))).collect();
         for (step, (id, more, takes)) in (0..).zip(steps) {
@@ -203,7 +203,7 @@
     fn over_any_window_repeats_are_a_share_of_first_sends(
         steps in prop::collection::vec((0_i64..90, prop::bool::weighted(0.5)), 1..400),
     ) {
-        let terms = RetryBudgetConfig { retry_ratio: 0.25, min_retries: 3, window: Span::from_millis(1600) };
+        let terms = RetryBudgetConfig { retry_ratio: 0.25, min_retries: 3, window: TimeDelta::from_millis(1600) };
         let (mut budget, mut now) = (RetryBudget::new(terms), 1_000_000);
         let (mut first, mut repeated): (Vec<i64>, Vec<i64>) = Default::default();
         for (wait, repeats) in steps {
@@ -283,7 +283,7 @@
         // One in 50 is usual; first hosts that did not start anew, then the canary's.
         assert!((0..4000).all(|n| widen.record_outcome(None, n % 50 == 0).is_none()));
         assert!(widen.check_rollout(canary).is_ok() && widen.check_rollout(next).is_err());
-        widen.host_restarted(canary, ms(0), Span::from_millis(1000));
+        widen.host_restarted(canary, ms(0), TimeDelta::from_millis(1000));
         let verdict = (1..4000).find_map(|n| widen.record_outcome(Some(canary), n % every == 0));
         assert_eq!(verdict.map(|verdict| verdict.verdict), Some(wanted));
         assert_eq!(widen.check_rollout(next).is_ok(), wanted == ReleaseVerdict::Good);
@@ -292,7 +292,7 @@
         assert_eq!(late.is_some(), wanted == ReleaseVerdict::Good);
         assert_eq!(widen.check_rollout(next).map_err(|held| held.failed), Err(true));
         // The next release is judged on its own.
-        widen.host_restarted(canary, ms(60_000), Span::from_millis(1000));
+        widen.host_restarted(canary, ms(60_000), TimeDelta::from_millis(1000));
         assert_eq!(widen.verdict(canary), ReleaseVerdict::Open);
     }
 }
--- a/crates/arrowyard-cells/tests/reference_models.rs
+++ b/crates/arrowyard-cells/tests/reference_models.rs
@@ -9,14 +9,14 @@
 use arrowyard_cells::rollout::{ReleaseVerdict, Rollout};
 use arrowyard_cells::tenant_move::MoveSettings;
 use arrowyard_cells::{AdmissionDecision, Cells, SendOutcome};
-use arrowyard_types::{CellId, GroupId, Need, Point, Span};
+use arrowyard_types::{CellId, Consistency, GroupId, TimeDelta, Timestamp};
 use proptest::prelude::*;
 
 const A: CellId = CellId(0);
 const B: CellId = CellId(1);
 
-fn ms(millis: i64) -> Point {
-    Point::from_micros(millis * 1000)
+fn ms(millis: i64) -> Timestamp {
+    Timestamp::from_micros(millis * 1000)
 }
 
 fn config() -> ProptestConfig {
@@ -130,11 +130,11 @@
     for (later, open) in [(100, false), (101, true)] {
         let mut widen =
             Rollout::new(RolloutConfig { order: vec![A, B], error_rate_ratio: 3.0, error_probability: 0.1 });
-        widen.host_restarted(A, ms(0), Span::from_millis(100));
+        widen.host_restarted(A, ms(0), TimeDelta::from_millis(100));
         while widen.verdict(A) != ReleaseVerdict::Good {
             widen.record_outcome(Some(A), false);
         }
-        widen.host_restarted(A, ms(later), Span::from_millis(100));
+        widen.host_restarted(A, ms(later), TimeDelta::from_millis(100));
         assert_eq!(widen.verdict(A) == ReleaseVerdict::Open, open, "{later} ms later");
     }
 }
@@ -159,10 +159,10 @@
 #[test]
 fn rooms_are_divided_anew_and_what_is_held_stays_held() {
     let even = || [(1.0, 0.5), (1.0, 0.5)].into_iter();
-    let mut room = Bulkhead::new(100, even(), Span::from_millis(100));
+    let mut room = Bulkhead::new(100, even(), TimeDelta::from_millis(100));
     (0..60).for_each(|_| assert_eq!(room.try_acquire(ms(0), A, 1), Ok(())));
     assert_eq!((room.borrowed(A), room.share(A)), (10, (50, 25)));
-    room.resize([(3.0, 0.5), (1.0, 0.0), (1.0, 0.5)].into_iter(), Span::from_millis(50));
+    room.resize([(3.0, 0.5), (1.0, 0.0), (1.0, 0.5)].into_iter(), TimeDelta::from_millis(50));
     assert_eq!((room.used(A), room.borrowed(A), room.share(A)), (60, 0, (60, 30)));
     assert_eq!((room.share(B), room.share(CellId(2))), ((20, 0), (20, 10)));
     // 60 are held and 10 guaranteed to the third: 30 are left.
@@ -210,7 +210,7 @@
         tenants: names.iter().zip(0..).map(|(name, n)| (format!("of-{name}").into(), CellId(n))).collect(),
         networks: nets,
         cells_per_hashed_tenant: Some(1),
-        reclaim_period: Span::from_millis(100),
+        reclaim_period: TimeDelta::from_millis(100),
         retry_budget: None,
         rollout: Some(RolloutConfig { order: vec![A], error_rate_ratio: 3.0, error_probability: 0.1 }),
         lease: None,
@@ -220,7 +220,7 @@
 
 /// An op of the tenant of the first cell, which has room for it.
 fn first(cells: &mut Cells) -> AdmissionPermit {
-    let (tenant, group, need, due) = (Some("of-a"), GroupId(7), Need::Any, ms(500));
+    let (tenant, group, need, due) = (Some("of-a"), GroupId(7), Consistency::Any, ms(500));
     let (address, session, token, again, bytes) = (None, None, None, false, 1);
     let facts = OpContext {
         tenant,
@@ -258,8 +258,8 @@
     for probe in [false, true] {
         let terms = MoveSettings {
             clients_mark_retries: true,
-            max_op_timeout: Span::from_millis(500),
-            max_clock_skew: Span::ZERO,
+            max_op_timeout: TimeDelta::from_millis(500),
+            max_clock_skew: TimeDelta::ZERO,
         };
         let mut cells = Cells::new(ms(0), old.clone(), Capacity { ops: 40, bytes: 1000, probes: 8 }, terms);
         let pass = first(&mut cells);
@@ -287,8 +287,8 @@
     for (worse, kept) in [(3.0, true), (2.0, false)] {
         let terms = MoveSettings {
             clients_mark_retries: true,
-            max_op_timeout: Span::from_millis(500),
-            max_clock_skew: Span::ZERO,
+            max_op_timeout: TimeDelta::from_millis(500),
+            max_clock_skew: TimeDelta::ZERO,
         };
         let mut cells =
             Cells::new(ms(0), layout(1, &["a", "b"]), Capacity { ops: 40, bytes: 1000, probes: 8 }, terms);
--- a/crates/arrowyard-control/src/ledger/learner.rs
+++ b/crates/arrowyard-control/src/ledger/learner.rs
@@ -3,29 +3,29 @@
 use super::*;
 
 impl Ledger {
-    pub(super) fn ask_for_more(&mut self, now: Point, from: u32, out: &mut Vec<Output>) {
+    pub(super) fn ask_for_more(&mut self, now: Timestamp, from: u32, out: &mut Vec<Output>) {
         if from != self.me && now - self.fetched_at >= PAUSE {
             self.fetched_at = now;
             let from_slot = if self.applied.voters.is_empty() { 1 } else { self.applied.slot + 1 };
-            out.push(Output::Send { to: from, word: Word::Fetch(Fetch { from: from_slot }) });
+            out.push(Output::Send { to: from, word: Payload::Fetch(Fetch { from: from_slot }) });
         }
     }
 
     /// Somebody is known to have more entries.
-    pub fn is_ahead(&mut self, now: Point, other: u32, chosen: u64, out: &mut Vec<Output>) {
+    pub fn is_ahead(&mut self, now: Timestamp, other: u32, chosen: u64, out: &mut Vec<Output>) {
         if chosen > self.applied.slot || self.applied.voters.is_empty() {
             self.ask_for_more(now, other, out);
         }
     }
 
     /// A slot's entry is known, and what waits may be proposed behind it.
-    pub(super) fn learn(&mut self, now: Point, from: u32, chosen: Chosen, out: &mut Vec<Output>) {
+    pub(super) fn learn(&mut self, now: Timestamp, from: u32, chosen: Chosen, out: &mut Vec<Output>) {
         self.learn_entry(now, from, chosen, out);
         self.begin(now, out);
     }
 
     /// Slots are taken in order; what lies further ahead is asked for.
-    fn learn_entry(&mut self, now: Point, from: u32, chosen: Chosen, out: &mut Vec<Output>) {
+    fn learn_entry(&mut self, now: Timestamp, from: u32, chosen: Chosen, out: &mut Vec<Output>) {
         // Danger: whoever does not know who votes lacks what stands before the first entry.
         if chosen.slot > self.applied.slot + 1 || self.applied.voters.is_empty() {
             return self.ask_for_more(now, from, out);
@@ -37,18 +37,18 @@
         self.store(Kept::Chosen(chosen.clone()), None, out);
         if mine {
             // Whoever voted, and the others through them.
-            out.push(Output::Send { to: 0, word: Word::Chosen(chosen.clone()) });
+            out.push(Output::Send { to: 0, word: Payload::Chosen(chosen.clone()) });
         }
         let (slot, entry) = (chosen.slot, chosen.entry.clone());
         self.take_entry(chosen);
         out.push(Output::Chosen { slot });
-        if let Some(Matter::Voters(voters)) = &entry.matter
+        if let Some(EntryPayload::Voters(voters)) = &entry.payload
             && voters.voters == self.applied.voters
         {
             log::info!("ledger: {} voters from slot {} on.", voters.voters.len(), slot + 1);
         }
-        if let Some(Matter::Rejoin(rejoin)) = &entry.matter
-            && (rejoin.voter, rejoin.life) == (self.me, self.life)
+        if let Some(EntryPayload::Rejoin(rejoin)) = &entry.payload
+            && (rejoin.voter, rejoin.incarnation) == (self.me, self.incarnation)
         {
             self.votes = true;
             log::info!("ledger: Votes again.");
@@ -81,7 +81,7 @@
         }
     }
 
-    pub(super) fn fetch(&mut self, now: Point, from: u32, fetch: Fetch, out: &mut Vec<Output>) {
+    pub(super) fn fetch(&mut self, now: Timestamp, from: u32, fetch: Fetch, out: &mut Vec<Output>) {
         if from == self.me {
             return;
         }
@@ -92,11 +92,11 @@
         let snapshot = (known && whole || self.applied.slot == 0).then(|| self.applied.snapshot());
         let entries = if snapshot.is_some() { Vec::new() } else { entries };
         if snapshot.is_some() || !entries.is_empty() {
-            self.send(now, from, Word::Ledger(Entries { snapshot, entries }), out);
+            self.send(now, from, Payload::LogEntries(Entries { snapshot, entries }), out);
         }
     }
 
-    pub(super) fn entries(&mut self, now: Point, from: u32, entries: &Entries, out: &mut Vec<Output>) {
+    pub(super) fn entries(&mut self, now: Timestamp, from: u32, entries: &Entries, out: &mut Vec<Output>) {
         if let Some(snapshot) = &entries.snapshot {
             let newer = snapshot.slot > self.applied.slot;
             let known = snapshot.slot == self.applied.slot && !snapshot.voters.is_empty();
--- a/crates/arrowyard-control/src/ledger/proposer.rs
+++ b/crates/arrowyard-control/src/ledger/proposer.rs
@@ -9,22 +9,28 @@
     }
 
     /// Proposes an entry; what came of it is told by `until`.
-    pub fn enter(&mut self, now: Point, entry: Entry, until: Point, out: &mut Vec<Output>) -> ProposalId {
+    pub fn enter(
+        &mut self,
+        now: Timestamp,
+        entry: Entry,
+        until: Timestamp,
+        out: &mut Vec<Output>,
+    ) -> ProposalId {
         self.propose(now, Proposal::Enter(entry), until, out)
     }
 
     /// Asks to know all that was acknowledged so far.
-    pub fn read_all(&mut self, now: Point, until: Point, out: &mut Vec<Output>) -> ProposalId {
+    pub fn read_all(&mut self, now: Timestamp, until: Timestamp, out: &mut Vec<Output>) -> ProposalId {
         let ticket = self.propose(now, Proposal::Read { heard: BTreeSet::new(), slot: 0 }, until, out);
-        self.broadcast(now, &Word::Probe(Probe { ticket: ticket.0 }), out);
+        self.broadcast(now, &Payload::Probe(Probe { ticket: ticket.0 }), out);
         ticket
     }
 
     pub(super) fn propose(
         &mut self,
-        now: Point,
+        now: Timestamp,
         proposal: Proposal,
-        until: Point,
+        until: Timestamp,
         out: &mut Vec<Output>,
     ) -> ProposalId {
         self.last += 1;
@@ -39,7 +45,7 @@
     }
 
     /// Begins a round where there is something to enter and none is under way.
-    pub(super) fn begin(&mut self, now: Point, out: &mut Vec<Output>) {
+    pub(super) fn begin(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         if !self.wants_round()
             || self.round.is_some()
             || now < self.pause_until
@@ -49,10 +55,10 @@
         }
         self.seen += 1;
         let (slot, ballot) =
-            (self.applied.slot + 1, Ballot { round: self.seen, by: self.me, life: self.life });
+            (self.applied.slot + 1, Ballot { round: self.seen, by: self.me, incarnation: self.incarnation });
         let phase = Phase::Preparing { promised: BTreeSet::new(), best: None };
         self.round = Some(Round { slot, ballot, phase, until: now + ROUND });
-        self.broadcast(now, &Word::Prepare(Prepare { slot, ballot }), out);
+        self.broadcast(now, &Payload::Prepare(Prepare { slot, ballot }), out);
     }
 
     /// Whether there is something to enter, or to find out. Danger: what one voter accepted may be chosen.
@@ -69,14 +75,14 @@
         !self.votes && self.applied.voters.contains(&self.me)
     }
 
-    pub(super) fn lose_round(&mut self, now: Point) {
+    pub(super) fn lose_round(&mut self, now: Timestamp) {
         self.round = None;
         self.losses = (self.losses + 1).min(6);
         let most = PAUSE * f64::from(1 << self.losses);
         self.pause_until = now + PAUSE + most * self.rng.f64();
     }
 
-    pub(super) fn promise(&mut self, now: Point, from: u32, promise: &Promise, out: &mut Vec<Output>) {
+    pub(super) fn promise(&mut self, now: Timestamp, from: u32, promise: &Promise, out: &mut Vec<Output>) {
         self.seen = self.seen.max(promise.promised.round);
         let (majority, others, rejoins) = (self.majority(), self.others(), self.rejoins());
         let me = self.me;
@@ -124,17 +130,19 @@
             // Its own vote counts from this ballot on: others() voters promised it after whatever it knew before.
             self.take_vote(now, me, &accept, out);
             for to in self.applied.voters.clone().into_iter().filter(|&to| to != me) {
-                self.send(now, to, Word::Accept(accept.clone()), out);
+                self.send(now, to, Payload::Accept(accept.clone()), out);
             }
         } else {
-            self.broadcast(now, &Word::Accept(accept), out);
+            self.broadcast(now, &Payload::Accept(accept), out);
         }
     }
 
     /// What this machine would enter next.
     pub(super) fn next_entry(&self) -> Option<Entry> {
         if self.rejoins() {
-            return Some(Entry { matter: Some(Matter::Rejoin(Rejoin { voter: self.me, life: self.life })) });
+            return Some(Entry {
+                payload: Some(EntryPayload::Rejoin(Rejoin { voter: self.me, incarnation: self.incarnation })),
+            });
         }
         self.waiting.iter().find_map(|waiting| match &waiting.proposal {
             Proposal::Enter(entry) => Some(entry.clone()),
@@ -142,7 +150,7 @@
         })
     }
 
-    pub(super) fn accepted(&mut self, now: Point, from: u32, word: Accepted, out: &mut Vec<Output>) {
+    pub(super) fn accepted(&mut self, now: Timestamp, from: u32, word: Accepted, out: &mut Vec<Output>) {
         self.seen = self.seen.max(word.promised.round);
         let (majority, others, rejoins, me) = (self.majority(), self.others(), self.rejoins(), self.me);
         if !self.is_counting(word.slot, word.ballot) {
--- a/crates/arrowyard-emulator/src/operator.rs
+++ b/crates/arrowyard-emulator/src/operator.rs
@@ -2,9 +2,9 @@
 
 use std::net::SocketAddrV4;
 
-use arrowyard_runtime::http::{Messages, call};
-use arrowyard_runtime::{Conn, Event, Orders, Plane, Timers};
-use arrowyard_types::{Point, Span};
+use arrowyard_runtime::http::{HttpDecoder, format_request};
+use arrowyard_runtime::{Commands, Conn, Event, Plane, Timers};
+use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
 use crate::history::Shared;
@@ -28,20 +28,20 @@
     rng: Rng,
     timers: Timers<Due>,
     /// What is to be acknowledged next: path, base, body, and since when.
-    sending: Option<(String, u64, String, Point)>,
-    call: Option<(Conn, Messages)>,
+    sending: Option<(String, u64, String, Timestamp)>,
+    call: Option<(Conn, HttpDecoder)>,
     pub revision: u64,
-    acknowledged_at: Point,
+    acknowledged_at: Timestamp,
     /// Databases of the last change, and routers that are looked at for it.
     extra: Option<String>,
     looking: Vec<(Conn, SocketAddrV4, String)>,
-    changes: Vec<Point>,
+    changes: Vec<Timestamp>,
     services: Vec<String>,
-    apply: Span,
+    apply: TimeDelta,
     turn: usize,
     /// When it reads the configuration back, and the call that does.
-    read_at: Point,
-    reading: Option<(Conn, Messages)>,
+    read_at: Timestamp,
+    reading: Option<(Conn, HttpDecoder)>,
     /// Whether all that it sent was acknowledged.
     pub done: bool,
 }
@@ -53,7 +53,7 @@
         fronts: Vec<SocketAddrV4>,
         first: String,
         services: Vec<String>,
-        (changes, read_at): (Vec<Point>, Point),
+        (changes, read_at): (Vec<Timestamp>, Timestamp),
         history: Shared,
         seed: u64,
     ) -> Self {
@@ -63,15 +63,15 @@
             history,
             rng: Rng::with_seed(seed),
             timers: Timers::default(),
-            sending: Some(("/Config.Replace".to_string(), 0, first, Point::from_micros(0))),
+            sending: Some(("/Config.Replace".to_string(), 0, first, Timestamp::from_micros(0))),
             call: None,
             revision: 0,
-            acknowledged_at: Point::DAWN,
+            acknowledged_at: Timestamp::DISTANT_PAST,
             extra: None,
             looking: Vec::new(),
             changes,
             services,
-            apply: Span::from_millis(3000),
+            apply: TimeDelta::from_millis(3000),
             turn: seed as usize,
             read_at,
             reading: None,
@@ -85,39 +85,39 @@
     }
 
     /// Asks for the newest configuration, till it is answered.
-    fn read(&mut self, now: Point, orders: &mut Orders) {
+    fn read(&mut self, now: Timestamp, commands: &mut Commands) {
         self.turn += 1;
-        let conn = orders.dial(self.control());
-        self.reading = Some((conn, Messages::default()));
-        self.timers.set(now + Span::from_millis(1000), Due::Unread(conn));
+        let conn = commands.dial(self.control());
+        self.reading = Some((conn, HttpDecoder::default()));
+        self.timers.set(now + TimeDelta::from_millis(1000), Due::Unread(conn));
     }
 
-    fn unread(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn unread(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
         if self.reading.take_if(|(reading, _)| *reading == conn).is_some() {
-            orders.drop(conn);
-            self.timers.set(now + Span::from_millis(100), Due::Read);
+            commands.reset(conn);
+            self.timers.set(now + TimeDelta::from_millis(100), Due::Read);
         }
     }
 
-    fn send(&mut self, now: Point, orders: &mut Orders) {
+    fn send(&mut self, now: Timestamp, commands: &mut Commands) {
         if self.sending.is_some() && self.call.is_none() {
             self.turn += 1;
-            let conn = orders.dial(self.control());
-            self.call = Some((conn, Messages::default()));
-            self.timers.set(now + Span::from_millis(1000), Due::Late(conn));
+            let conn = commands.dial(self.control());
+            self.call = Some((conn, HttpDecoder::default()));
+            self.timers.set(now + TimeDelta::from_millis(1000), Due::Late(conn));
         }
     }
 
-    fn failed(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
+    fn failed(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
         if self.call.as_ref().is_some_and(|(call, _)| *call == conn) {
             self.call = None;
-            orders.drop(conn);
-            let wait = Span::from_millis(100) * (1.0 + self.rng.f64());
+            commands.reset(conn);
+            let wait = TimeDelta::from_millis(100) * (1.0 + self.rng.f64());
             self.timers.set(now + wait, Due::Send);
         }
     }
 
-    fn answered(&mut self, now: Point, status: u16) {
+    fn answered(&mut self, now: Timestamp, status: u16) {
         let Some((path, _, body, _)) = self.sending.take() else { return };
         self.history.borrow_mut().unacknowledged = None;
         match status {
@@ -151,59 +151,62 @@
 }
 
 impl Plane for Operator {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Timestamp, event: Event<'_>, commands: &mut Commands) {
         match event {
             Event::Start => {
-                self.timers.set(now + Span::from_millis(500), Due::Send);
+                self.timers.set(now + TimeDelta::from_millis(500), Due::Send);
                 self.timers.set(self.read_at, Due::Read);
             }
-            Event::Opened { conn } if self.reading.as_ref().is_some_and(|(reading, _)| *reading == conn) => {
-                orders.write(conn, &[call("GET", "/Config.Read", "control", &[], "").as_bytes()]);
+            Event::Connected { conn }
+                if self.reading.as_ref().is_some_and(|(reading, _)| *reading == conn) =>
+            {
+                commands.write(conn, &[format_request("GET", "/Config.Read", "control", &[], "").as_bytes()]);
             }
-            Event::Came { conn, bytes }
+            Event::Received { conn, bytes }
                 if self.reading.as_ref().is_some_and(|(reading, _)| *reading == conn) =>
             {
                 let Some((_, messages)) = &mut self.reading else { return };
                 messages.put(bytes);
-                match messages.response() {
+                match messages.next_response() {
                     Ok(None) => {}
                     Ok(Some(response)) if response.status == 200 => {
                         self.reading = None;
-                        orders.close(conn);
+                        commands.close(conn);
                         let body = String::from_utf8_lossy(&response.body).into_owned();
                         self.history.borrow_mut().read_back = revision(&body);
                     }
-                    _ => self.unread(now, conn, orders),
+                    _ => self.unread(now, conn, commands),
                 }
             }
-            Event::Opened { conn } => {
+            Event::Connected { conn } => {
                 if let (Some((call_conn, _)), Some((path, base, body, _))) = (&self.call, &self.sending)
                     && *call_conn == conn
                 {
                     let base = base.to_string();
-                    let text = call("POST", path, "control", &[("Arrowyard-Base-Revision", &base)], body);
-                    orders.write(conn, &[text.as_bytes()]);
+                    let text =
+                        format_request("POST", path, "control", &[("Arrowyard-Base-Revision", &base)], body);
+                    commands.write(conn, &[text.as_bytes()]);
                 } else if let Some((_, _, database)) = self.looking.iter().find(|(look, _, _)| *look == conn)
                 {
-                    orders.line(conn, &["OPEN ", database, " operator"]);
+                    commands.write_line(conn, &["OPEN ", database, " operator"]);
                 }
             }
-            Event::Came { conn, bytes } => {
+            Event::Received { conn, bytes } => {
                 if let Some((_, messages)) = self.call.as_mut().filter(|(call, _)| *call == conn) {
                     messages.put(bytes);
-                    match messages.response() {
+                    match messages.next_response() {
                         Ok(None) => {}
                         Ok(Some(response)) if response.status < 500 => {
                             self.call = None;
-                            orders.close(conn);
+                            commands.close(conn);
                             self.answered(now, response.status);
                         }
-                        _ => self.failed(now, conn, orders),
+                        _ => self.failed(now, conn, commands),
                     }
                 } else if let Some(place) = self.looking.iter().position(|(look, _, _)| *look == conn) {
                     let (_, front, database) = self.looking.remove(place);
                     let text = String::from_utf8_lossy(bytes).into_owned();
-                    orders.close(conn);
+                    commands.close(conn);
                     if text.starts_with("FAULT NODB") {
                         let what = format!("{front} does not know {database} of revision {}", self.revision);
                         self.history.borrow_mut().breach("CONFIG", now, what);
@@ -211,18 +214,18 @@
                 }
             }
             Event::Closed { conn, .. } => {
-                self.failed(now, conn, orders);
-                self.unread(now, conn, orders);
+                self.failed(now, conn, commands);
+                self.unread(now, conn, commands);
                 self.looking.retain(|(look, _, _)| *look != conn);
             }
             _ => {}
         }
         while let Some(due) = self.timers.take(now) {
             match due {
-                Due::Send => self.send(now, orders),
-                Due::Late(conn) => self.failed(now, conn, orders),
-                Due::Read => self.read(now, orders),
-                Due::Unread(conn) => self.unread(now, conn, orders),
+                Due::Send => self.send(now, commands),
+                Due::Late(conn) => self.failed(now, conn, commands),
+                Due::Read => self.read(now, commands),
+                Due::Unread(conn) => self.unread(now, conn, commands),
                 Due::Change => {
                     let revision = self.revision + 1 + self.rng.u64(0..4);
                     let database = format!("extra{revision}");
@@ -235,11 +238,11 @@
                     self.extra = Some(database);
                     self.sending = Some(("/Config.Adjust".to_string(), self.revision, body, now));
                     self.history.borrow_mut().unacknowledged = Some(now);
-                    self.send(now, orders);
+                    self.send(now, commands);
                 }
                 Due::Look(database) => {
                     for front in self.fronts.clone() {
-                        let conn = orders.dial(front);
+                        let conn = commands.dial(front);
                         self.looking.push((conn, front, database.clone()));
                     }
                 }
@@ -247,7 +250,7 @@
         }
     }
 
-    fn due(&self) -> Option<Point> {
+    fn due(&self) -> Option<Timestamp> {
         self.timers.due()
     }
 }
--- a/crates/arrowyard-emulator/src/platform.rs
+++ b/crates/arrowyard-emulator/src/platform.rs
@@ -4,9 +4,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-use arrowyard_runtime::http::{Messages, Request, answer};
-use arrowyard_runtime::{Conn, Event, Orders, Plane, Timers};
-use arrowyard_types::{Point, Span};
+use arrowyard_runtime::http::{HttpDecoder, Request, format_response};
+use arrowyard_runtime::{Commands, Conn, Event, Plane, Timers};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::history::Shared;
 use crate::shard::Shard;
@@ -15,9 +15,9 @@
 pub struct Platform {
     shards: BTreeMap<String, Rc<RefCell<Shard>>>,
     history: Shared,
-    takes: Span,
+    takes: TimeDelta,
     fences: BTreeMap<String, u64>,
-    calls: BTreeMap<Conn, Messages>,
+    calls: BTreeMap<Conn, HttpDecoder>,
     timers: Timers<Due>,
     /// Whether it answers at all.
     pub away: Rc<RefCell<bool>>,
@@ -45,10 +45,15 @@
 }
 
 /// So long after it is back, calls that hung arrive.
-const HANGS: Span = Span::from_millis(6000);
+const HANGS: TimeDelta = TimeDelta::from_millis(6000);
 
 impl Platform {
-    pub fn new(shards: &[Rc<RefCell<Shard>>], history: Shared, takes: Span, away: Rc<RefCell<bool>>) -> Self {
+    pub fn new(
+        shards: &[Rc<RefCell<Shard>>],
+        history: Shared,
+        takes: TimeDelta,
+        away: Rc<RefCell<bool>>,
+    ) -> Self {
         let shards = shards.iter().map(|shard| (shard.borrow().service.clone(), shard.clone())).collect();
         let (fences, calls, timers) = (BTreeMap::new(), BTreeMap::new(), Timers::default());
         let (hung, named) = (Vec::new(), BTreeMap::new());
@@ -60,7 +65,7 @@
         Platform { checks_fences, ..self }
     }
 
-    fn status(&mut self, now: Point, wanted: &Wanted) -> u16 {
+    fn status(&mut self, now: Timestamp, wanted: &Wanted) -> u16 {
         let Wanted { fence, service, host } = wanted;
         let known = self.fences.entry(service.clone()).or_default();
         if fence < known && self.checks_fences {
@@ -90,7 +95,7 @@
     }
 
     /// A host leads from now on. LOST: what was acknowledged must be in its log.
-    fn lead(&mut self, now: Point, wanted: &Wanted) {
+    fn lead(&mut self, now: Timestamp, wanted: &Wanted) {
         let Wanted { service, host, .. } = wanted;
         let shard = self.shards[service].clone();
         let before = self.history.borrow().acknowledged_of(service);
@@ -122,13 +127,13 @@
 }
 
 impl Plane for Platform {
-    fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
+    fn handle(&mut self, now: Timestamp, event: Event<'_>, commands: &mut Commands) {
         match event {
-            Event::Accepted { conn, .. } => drop(self.calls.insert(conn, Messages::default())),
-            Event::Came { conn, bytes } => {
+            Event::Accepted { conn, .. } => drop(self.calls.insert(conn, HttpDecoder::default())),
+            Event::Received { conn, bytes } => {
                 let Some(messages) = self.calls.get_mut(&conn) else { return };
                 messages.put(bytes);
-                if let Ok(Some(request)) = messages.request() {
+                if let Ok(Some(request)) = messages.next_request() {
                     let wanted = wanted(&request);
                     if *self.away.borrow() {
                         if self.hung.is_empty() {
@@ -137,7 +142,7 @@
                         self.hung.push(wanted);
                     } else {
                         let status = self.status(now, &wanted);
-                        orders.write(conn, &[answer(status, "{}").as_bytes()]);
+                        commands.write(conn, &[format_response(status, "{}").as_bytes()]);
                     }
                 }
             }
@@ -158,7 +163,7 @@
         }
     }
 
-    fn due(&self) -> Option<Point> {
+    fn due(&self) -> Option<Timestamp> {
         self.timers.due()
     }
 }
--- a/crates/arrowyard-peers/src/anti_entropy.rs
+++ b/crates/arrowyard-peers/src/anti_entropy.rs
@@ -3,7 +3,7 @@
 
 use std::net::SocketAddr;
 
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 use prost::Message;
 
 use crate::member::{Member, Slot};
@@ -15,7 +15,7 @@
 const MAX_PAGES: usize = 3;
 
 impl Membership {
-    pub(crate) fn send_digest(&mut self, now: Point, slot: Slot, echo: bool) {
+    pub(crate) fn send_digest(&mut self, now: Timestamp, slot: Slot, echo: bool) {
         if !self.exchange_bucket.take(now) {
             return;
         }
@@ -26,7 +26,7 @@
     }
 
     /// A digest came: what differs is sent, and asked for.
-    pub(crate) fn compare_digest(&mut self, now: Point, from: SocketAddr, told: &Datagram) {
+    pub(crate) fn compare_digest(&mut self, now: Timestamp, from: SocketAddr, told: &Datagram) {
         if told.digest.len() != DIGEST_PARTS {
             return;
         }
@@ -54,7 +54,7 @@
     }
 
     /// Rows of these parts, from a drawn one on.
-    fn send_pages(&mut self, now: Point, to: SocketAddr, parts: &[usize]) {
+    fn send_pages(&mut self, now: Timestamp, to: SocketAddr, parts: &[usize]) {
         let mut rows: Vec<Slot> =
             parts.iter().flat_map(|&part| self.table.members_in_part(part).map(|(slot, _)| slot)).collect();
         let count = rows.len();
@@ -83,7 +83,7 @@
 
     /// Rows came, and were taken as rumors are. One that is new here brings the next comparison at once, as far as the
     /// bucket goes, so that who joins need not wait for many rounds.
-    pub(crate) fn handle_page(&mut self, now: Point, _from: SocketAddr, told: &Datagram) {
+    pub(crate) fn handle_page(&mut self, now: Timestamp, _from: SocketAddr, told: &Datagram) {
         let new = told.rumors.iter().any(|rumor| self.table.slot(&rumor.name).is_none());
         if new && let Some(slot) = self.table.slot(&told.from) {
             self.next_exchange = self.next_exchange.min(now + self.config.probe_interval);
--- a/crates/arrowyard-peers/src/config.rs
+++ b/crates/arrowyard-peers/src/config.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 use ipnet::IpNet;
 use rustc_hash::FxHashMap;
 
@@ -17,21 +17,21 @@
     /// Members that are reached at another address than the one they tell.
     pub address_overrides: FxHashMap<String, SocketAddr>,
     /// Each period a router asks its observed members and one more.
-    pub probe_interval: Span,
+    pub probe_interval: TimeDelta,
     /// A question is repeated so soon, the second time by way of helpers, too.
-    pub retry_interval: Span,
+    pub retry_interval: TimeDelta,
     /// So long after the first question it counts as unanswered.
-    pub probe_timeout: Span,
+    pub probe_timeout: TimeDelta,
     /// How long a silent member is silent till it counts as lost, where two at least say so; twice that where one does.
-    pub lost_after: Span,
+    pub lost_after: TimeDelta,
     /// A member that this router heard from within this time is not silent, whoever says so.
-    pub freshness_window: Span,
+    pub freshness_window: TimeDelta,
     /// How long lost and dead members are remembered and looked for.
-    pub forget_after: Span,
+    pub forget_after: TimeDelta,
     /// A thread that comes round later than this was away.
-    pub stall_threshold: Span,
+    pub stall_threshold: TimeDelta,
     /// How often the whole view is compared with another member's.
-    pub anti_entropy_interval: Span,
+    pub anti_entropy_interval: TimeDelta,
     /// Members that each one observes by the rings, beside one in turn.
     pub observed_members: usize,
     /// Helpers of an indirect question, and members that hear of urgent news at once.
@@ -51,13 +51,13 @@
     pub push_rate: f64,
     pub exchange_rate: f64,
     /// Shares: the fleet's size may fall only after it was settled for so long; what is lost for longer counts no more.
-    pub count_settle_time: Span,
-    pub missing_grace_period: Span,
+    pub count_settle_time: TimeDelta,
+    pub missing_grace_period: TimeDelta,
 }
 
 impl Default for MembershipConfig {
     fn default() -> Self {
-        let ms = Span::from_millis;
+        let ms = TimeDelta::from_millis;
         MembershipConfig {
             fleet: String::new(),
             seeds: Vec::new(),
@@ -91,7 +91,7 @@
 impl MembershipConfig {
     /// The times of a period other than the usual one, in its proportions.
     #[must_use]
-    pub fn with_probe_interval(period: Span) -> MembershipConfig {
+    pub fn with_probe_interval(period: TimeDelta) -> MembershipConfig {
         let usual = MembershipConfig::default();
         let times = period / usual.probe_interval;
         MembershipConfig {
--- a/crates/arrowyard-peers/src/gossip.rs
+++ b/crates/arrowyard-peers/src/gossip.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::member::{Member, Slot, Standing, supersedes};
 use crate::membership::{Event, Membership};
@@ -22,7 +22,7 @@
     /// The sender of a datagram. `answers`: it repeats a question of this router's that is open, which proves that it lives.
     pub(crate) fn handle_sender(
         &mut self,
-        now: Point,
+        now: Timestamp,
         told: &Datagram,
         at: SocketAddr,
         from: SocketAddr,
@@ -78,7 +78,7 @@
     /// A member has a new life: it started anew, or spoke against what was said of it.
     fn accept_incarnation(
         &mut self,
-        now: Point,
+        now: Timestamp,
         slot: Slot,
         life: u64,
         nonce: u64,
@@ -119,12 +119,12 @@
         }
     }
 
-    fn add_member(&mut self, now: Point, told: &Datagram, at: SocketAddr) {
+    fn add_member(&mut self, now: Timestamp, told: &Datagram, at: SocketAddr) {
         self.last_heard_any = now;
         let name: Rc<str> = (&*told.from).into();
         let mut member = Member::new(name.clone(), at, told.incarnation, told.nonce, now);
         (member.last_heard, member.last_ack, member.idle) = (now, now, told.idle);
-        let _ = member.accept_datagram(told.sent_us, now, Span::ZERO);
+        let _ = member.accept_datagram(told.sent_us, now, TimeDelta::ZERO);
         if told.leaving {
             return;
         }
@@ -147,7 +147,7 @@
     }
 
     /// Somebody was heard of.
-    pub(crate) fn add_candidate(&mut self, now: Point, name: &str, at: SocketAddr, life: u64) {
+    pub(crate) fn add_candidate(&mut self, now: Timestamp, name: &str, at: SocketAddr, life: u64) {
         let known = self.candidates.iter_mut().find(|one| *one.name == *name);
         if let Some(one) = known {
             if life > one.incarnation {
@@ -170,7 +170,7 @@
     }
 
     /// A word about a member.
-    pub(crate) fn handle_rumor(&mut self, now: Point, rumor: &Rumor, by: &Rc<str>) {
+    pub(crate) fn handle_rumor(&mut self, now: Timestamp, rumor: &Rumor, by: &Rc<str>) {
         if *rumor.name == *self.local.name {
             return self.handle_rumor_about_self(now, rumor);
         }
@@ -228,7 +228,7 @@
     }
 
     /// This router heard from a member that others find silent: those that were told so are told that, too.
-    fn vouch_for(&mut self, now: Point, slot: Slot, to: &Rc<str>) {
+    fn vouch_for(&mut self, now: Timestamp, slot: Slot, to: &Rc<str>) {
         let Some(one) = self.table.get(slot) else { return };
         let age_ms = ((now - one.last_direct_evidence()).micros() / 1000) as u32;
         let by = vec![self.local.name.to_string()];
@@ -242,7 +242,7 @@
     }
 
     /// A word about a member goes to some others at once.
-    pub(crate) fn forward_rumor(&mut self, now: Point, of: Slot, rumor: &Rumor) {
+    pub(crate) fn forward_rumor(&mut self, now: Timestamp, of: Slot, rumor: &Rumor) {
         let fit = |one: &Member| one.standing == Standing::Alive;
         for to in self.table.sample(&mut self.rng, self.config.urgent_fanout, &[of], fit) {
             if self.push_bucket.take(now) {
@@ -253,12 +253,12 @@
 
     /// Others say that they hear a member that this router does not. Danger: a liar keeps the dead alive. So the word
     /// lifts silence only, no refusal and no loss, and counts for as long as that of a helper who reached it.
-    fn accept_vouching(&mut self, now: Point, slot: Slot, rumor: &Rumor, by: &Rc<str>) {
+    fn accept_vouching(&mut self, now: Timestamp, slot: Slot, rumor: &Rumor, by: &Rc<str>) {
         let lives =
             |name: &String| self.table.by_name(name).is_some_and(|one| one.standing == Standing::Alive);
         let voucher = rumor.reporters.iter().find(|name| **name != rumor.name && lives(name)).cloned();
         // Each that passes the word on adds the way's time to its age, so that it fades and does not go round for ever.
-        let heard = now - Span::from_millis(i64::from(rumor.age_ms)) - self.config.retry_interval * 0.1;
+        let heard = now - TimeDelta::from_millis(i64::from(rumor.age_ms)) - self.config.retry_interval * 0.1;
         let Some(one) = self.table.get_mut(slot) else { return };
         let old = now - heard > self.config.freshness_window
             || heard <= one.last_indirect_ack + self.config.freshness_window;
@@ -295,7 +295,7 @@
     }
 
     /// Somebody finds a member silent: one word is kept, two are checked here.
-    fn handle_suspicion(&mut self, now: Point, slot: Slot, rumor: &Rumor, by: &Rc<str>) {
+    fn handle_suspicion(&mut self, now: Timestamp, slot: Slot, rumor: &Rumor, by: &Rc<str>) {
         // Only members accuse, and only such as live.
         let accusers: Vec<Rc<str>> = rumor
             .reporters
@@ -325,7 +325,7 @@
     }
 
     /// Others speak of this router itself.
-    fn handle_rumor_about_self(&mut self, now: Point, rumor: &Rumor) {
+    fn handle_rumor_about_self(&mut self, now: Timestamp, rumor: &Rumor) {
         if rumor.nonce != self.local.nonce {
             // A former life of this name, or another process that has it.
             if rumor.claim() == Claim::Alive {
@@ -346,7 +346,7 @@
 
     /// Another process claims this name with a life that is not before this one's: a former self that is remembered, or
     /// one that runs. The first is outbid once; the second bids again, and the later one of the two gives way.
-    pub(crate) fn handle_duplicate_name(&mut self, now: Point, life: u64, nonce: u64) {
+    pub(crate) fn handle_duplicate_name(&mut self, now: Timestamp, life: u64, nonce: u64) {
         if life < self.local.incarnation {
             return;
         }
--- a/crates/arrowyard-peers/src/health.rs
+++ b/crates/arrowyard-peers/src/health.rs
@@ -1,7 +1,7 @@
 //! How well this router itself is, as far as it can tell (after Lifeguard's local health): one that is starved of its
 //! core, or cut off, finds others silent, and has to doubt itself first.
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 /// The worst score; times are stretched by one more than the score.
 const MAX_SCORE: u32 = 6;
@@ -10,7 +10,7 @@
 pub struct LocalHealth {
     score: u32,
     /// Till then this router declares nobody silent.
-    suspect_until: Point,
+    suspect_until: Timestamp,
 }
 
 impl LocalHealth {
@@ -24,7 +24,13 @@
     }
 
     /// The thread came round late. Danger: all that waited for it looks as if others had been silent.
-    pub fn record_delay(&mut self, now: Point, by: Span, away: Span, period: Span) -> bool {
+    pub fn record_delay(
+        &mut self,
+        now: Timestamp,
+        by: TimeDelta,
+        away: TimeDelta,
+        period: TimeDelta,
+    ) -> bool {
         if by >= away {
             self.score = MAX_SCORE / 2;
             self.suspect_until = now + period * 2.0;
@@ -37,18 +43,18 @@
     }
 
     /// Nobody is heard at all.
-    pub fn suspend_suspicion(&mut self, now: Point, period: Span) {
+    pub fn suspend_suspicion(&mut self, now: Timestamp, period: TimeDelta) {
         self.suspect_until = self.suspect_until.max(now + period);
     }
 
     /// An answer came that proves that this router is in touch.
     #[must_use]
-    pub fn is_suspect(&self, now: Point) -> bool {
+    pub fn is_suspect(&self, now: Timestamp) -> bool {
         now < self.suspect_until
     }
 
     #[must_use]
-    pub fn scale_timeout(&self, span: Span) -> Span {
+    pub fn scale_timeout(&self, span: TimeDelta) -> TimeDelta {
         span * (1.0 + f64::from(self.score) * 0.5)
     }
 
--- a/crates/arrowyard-peers/src/member.rs
+++ b/crates/arrowyard-peers/src/member.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use smallvec::SmallVec;
 
 use crate::message::{Claim, Rumor, hash_name, mix_bits};
@@ -73,13 +73,13 @@
     pub nonce: u64,
     pub standing: Standing,
     /// Since when it stands so.
-    pub standing_since: Point,
+    pub standing_since: Timestamp,
     /// When this router last got a datagram of this life from it, one of its answers, and one by way of a helper.
-    pub last_heard: Point,
-    pub last_ack: Point,
-    pub last_indirect_ack: Point,
+    pub last_heard: Timestamp,
+    pub last_ack: Timestamp,
+    pub last_indirect_ack: Timestamp,
     /// When this router's own questions to it were last given up.
-    pub last_probe_failure: Point,
+    pub last_probe_failure: Timestamp,
     /// Who says that it is silent: marks of their names, and the names.
     pub accusers: SmallVec<[Rc<str>; MAX_ACCUSERS]>,
     /// Who got word that nobody listens there, and when this router did.
@@ -95,12 +95,12 @@
     pub remaining_transmissions: u8,
     /// The latest datagram of this life, by its sender's clock, and the least that one ever took, by both clocks.
     pub last_sent_us: u64,
-    pub min_clock_offset: Option<Span>,
+    pub min_clock_offset: Option<TimeDelta>,
 }
 
 impl Member {
     #[must_use]
-    pub fn new(name: Rc<str>, at: SocketAddr, life: u64, nonce: u64, now: Point) -> Member {
+    pub fn new(name: Rc<str>, at: SocketAddr, life: u64, nonce: u64, now: Timestamp) -> Member {
         let of = hash_name(&name);
         Member {
             reported_by: name.clone(),
@@ -110,10 +110,10 @@
             nonce,
             standing: Standing::Alive,
             standing_since: now,
-            last_heard: Point::DAWN,
-            last_ack: Point::DAWN,
-            last_indirect_ack: Point::DAWN,
-            last_probe_failure: Point::DAWN,
+            last_heard: Timestamp::DISTANT_PAST,
+            last_ack: Timestamp::DISTANT_PAST,
+            last_indirect_ack: Timestamp::DISTANT_PAST,
+            last_probe_failure: Timestamp::DISTANT_PAST,
             accusers: SmallVec::new(),
             refused_by: SmallVec::new(),
             idle: false,
@@ -127,11 +127,11 @@
 
     /// A datagram of this life came; how late it is, or nothing if one like it came before. Danger: one that was replayed,
     /// doubled or held up looks like a sign of life. Both clocks run at their own rate, so what was least is let rise.
-    pub fn accept_datagram(&mut self, sent: u64, now: Point, since: Span) -> Option<Span> {
+    pub fn accept_datagram(&mut self, sent: u64, now: Timestamp, since: TimeDelta) -> Option<TimeDelta> {
         if sent <= self.last_sent_us {
             return None;
         }
-        let took = now - Point::from_micros(sent as i64);
+        let took = now - Timestamp::from_micros(sent as i64);
         let least = self.min_clock_offset.map_or(took, |least| took.min(least + since * MAX_CLOCK_DRIFT));
         (self.last_sent_us, self.min_clock_offset) = (sent, Some(least));
         Some(took - least)
@@ -139,18 +139,18 @@
 
     /// The latest proof of this life that this router has of its own.
     #[must_use]
-    pub fn last_evidence(&self) -> Point {
+    pub fn last_evidence(&self) -> Timestamp {
         self.last_heard.max(self.last_ack).max(self.last_indirect_ack)
     }
 
     /// The latest that it said to this router itself.
     #[must_use]
-    pub fn last_direct_evidence(&self) -> Point {
+    pub fn last_direct_evidence(&self) -> Timestamp {
         self.last_heard.max(self.last_ack)
     }
 
     #[must_use]
-    pub fn silent_for(&self, now: Point) -> Span {
+    pub fn silent_for(&self, now: Timestamp) -> TimeDelta {
         now - self.standing_since.max(self.last_evidence())
     }
 
--- a/crates/arrowyard-peers/src/membership.rs
+++ b/crates/arrowyard-peers/src/membership.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowyard_types::{PeerId, Point, Span};
+use arrowyard_types::{PeerId, TimeDelta, Timestamp};
 use fastrand::Rng;
 use prost::Message;
 
@@ -56,7 +56,7 @@
         reported_by: Rc<str>,
     },
     /// This router was away for so long: all that it held true is in doubt.
-    Stalled(Span),
+    Stalled(TimeDelta),
     /// Its life was raised: somebody doubted it, or it was away.
     IncarnationRaised(u64),
     /// Another process has the same name, and this one gives way.
@@ -95,15 +95,15 @@
     tokens: f64,
     rate: f64,
     capacity: f64,
-    refilled_at: Point,
+    refilled_at: Timestamp,
 }
 
 impl TokenBucket {
-    pub fn new(rate: f64, most: f64, at: Point) -> TokenBucket {
+    pub fn new(rate: f64, most: f64, at: Timestamp) -> TokenBucket {
         TokenBucket { tokens: most, rate, capacity: most, refilled_at: at }
     }
 
-    pub fn take(&mut self, now: Point) -> bool {
+    pub fn take(&mut self, now: Timestamp) -> bool {
         self.tokens =
             (self.tokens + (now - self.refilled_at).as_secs_f64().max(0.0) * self.rate).min(self.capacity);
         self.refilled_at = now;
@@ -127,20 +127,20 @@
     pub(crate) rotation: Vec<Slot>,
     /// Those that this router observes, and when the table was looked at for that.
     pub(crate) observed: (u64, Vec<Slot>),
-    pub(crate) next_period: Point,
+    pub(crate) next_period: Timestamp,
     pub(crate) periods: u64,
-    pub(crate) next_exchange: Point,
+    pub(crate) next_exchange: Timestamp,
     pub(crate) receive_bucket: TokenBucket,
     pub(crate) push_bucket: TokenBucket,
     /// Of digests and pages. Danger: with urgent news they share nothing, since a start of many is full of news, and
     /// whoever missed some has only the exchange to learn it by.
     pub(crate) exchange_bucket: TokenBucket,
-    pub(crate) last_heard_any: Point,
+    pub(crate) last_heard_any: Timestamp,
     pub(crate) idle: bool,
     pub(crate) leaving: bool,
     /// Raised against another process of its name: how often lately, and when last.
-    pub(crate) name_conflicts: (u32, Point),
-    pub(crate) withdrawn_until: Point,
+    pub(crate) name_conflicts: (u32, Timestamp),
+    pub(crate) withdrawn_until: Timestamp,
     pub(crate) duplicate_name: bool,
     pub(crate) router_count_estimator: RouterCountEstimator,
     pub(crate) partition: Option<(usize, usize)>,
@@ -155,7 +155,13 @@
 impl Membership {
     /// `settings` is the number of routers that the platform names.
     #[must_use]
-    pub fn new(now: Point, terms: MembershipConfig, me: LocalMember, settings: f64, seed: u64) -> Membership {
+    pub fn new(
+        now: Timestamp,
+        terms: MembershipConfig,
+        me: LocalMember,
+        settings: f64,
+        seed: u64,
+    ) -> Membership {
         let mut rng = Rng::with_seed(seed);
         let first = now + terms.probe_interval * (0.2 * rng.f64());
         let reckoner = RouterCountEstimator::new(now, settings, terms.count_settle_time);
@@ -178,7 +184,7 @@
             idle: false,
             leaving: false,
             name_conflicts: (0, now),
-            withdrawn_until: Point::DAWN,
+            withdrawn_until: Timestamp::DISTANT_PAST,
             duplicate_name: false,
             router_count_estimator: reckoner,
             partition: None,
@@ -200,14 +206,14 @@
 
     /// When time has something to do next.
     #[must_use]
-    pub fn next_deadline(&self) -> Point {
+    pub fn next_deadline(&self) -> Timestamp {
         let asks = self.probes.iter().map(|ask| ask.next_step_at);
         let relays = self.relays.iter().map(|relay| relay.deadline);
-        asks.chain(relays).fold(self.next_period, Point::min)
+        asks.chain(relays).fold(self.next_period, Timestamp::min)
     }
 
     /// Time has passed.
-    pub fn tick(&mut self, now: Point) {
+    pub fn tick(&mut self, now: Timestamp) {
         let late = now - self.next_deadline();
         let (away, period) = (self.config.stall_threshold, self.config.probe_interval);
         if self.health.record_delay(now, late, away, period) {
@@ -225,7 +231,7 @@
     /// The thread was away. Danger: what it asked before went unanswered because of itself, and what it held of the
     /// others is old. So all open questions are void, it declares nobody silent for a while, and it tells at once that it
     /// lives, by a later life than any that somebody gave up meanwhile.
-    fn resume_after_stall(&mut self, now: Point, late: Span) {
+    fn resume_after_stall(&mut self, now: Timestamp, late: TimeDelta) {
         self.probes.clear();
         self.relays.clear();
         self.last_heard_any = now;
@@ -243,7 +249,7 @@
     }
 
     /// This router lives, and serves nobody; or serves again.
-    pub fn set_idle(&mut self, now: Point, idle: bool) {
+    pub fn set_idle(&mut self, now: Timestamp, idle: bool) {
         if self.idle != idle {
             self.idle = idle;
             self.raise_incarnation();
@@ -252,7 +258,7 @@
     }
 
     /// It ends as planned. Said to several, since each datagram may be lost.
-    pub fn leave(&mut self, now: Point) {
+    pub fn leave(&mut self, now: Timestamp) {
         self.leaving = true;
         for slot in self.table.sample(&mut self.rng, 8, &[], |one| one.standing == Standing::Alive) {
             self.send_message(now, slot, Kind::Gossip, 0, "", None);
@@ -260,7 +266,7 @@
     }
 
     /// What the decision module wants all to know: passed to some members, who do not pass it on.
-    pub fn broadcast(&mut self, now: Point, bytes: &[u8]) {
+    pub fn broadcast(&mut self, now: Timestamp, bytes: &[u8]) {
         if bytes.len() > crate::message::MAX_APP_MESSAGE_BYTES {
             return;
         }
@@ -277,7 +283,7 @@
     }
 
     /// A datagram came from there.
-    pub fn receive(&mut self, now: Point, from: SocketAddr, bytes: &[u8]) {
+    pub fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
         // Danger: a flood takes the thread from the ops. What is beyond the rate is not even read.
         if !self.receive_bucket.take(now) {
             self.counts.rate_limited += 1;
@@ -356,7 +362,7 @@
     }
 
     /// The head of a datagram.
-    pub(crate) fn new_datagram(&mut self, now: Point, kind: Kind) -> Datagram {
+    pub(crate) fn new_datagram(&mut self, now: Timestamp, kind: Kind) -> Datagram {
         self.last_sent_us = (now.micros().max(1) as u64).max(self.last_sent_us + 1);
         Datagram {
             version: FORMAT_VERSION,
@@ -399,7 +405,7 @@
     }
 
     pub(crate) fn send(&mut self, to: SocketAddr, datagram: &Datagram) {
-        if self.withdrawn_until > Point::from_micros(datagram.sent_us as i64) {
+        if self.withdrawn_until > Timestamp::from_micros(datagram.sent_us as i64) {
             return;
         }
         let bytes = encode(datagram);
@@ -421,7 +427,7 @@
     /// A datagram to a member, filled with news; what is held against it goes first, so that it can speak for itself.
     pub(crate) fn send_message(
         &mut self,
-        now: Point,
+        now: Timestamp,
         slot: Slot,
         kind: Kind,
         seq: u64,
@@ -444,7 +450,7 @@
 
     /// News that others should hear at once. Each member passes it on when it first hears of it, so that it is everywhere
     /// after a few steps; a bucket bounds what that costs.
-    pub(crate) fn push_rumor(&mut self, now: Point, of: Option<Slot>) {
+    pub(crate) fn push_rumor(&mut self, now: Timestamp, of: Option<Slot>) {
         let but: Vec<Slot> = of.into_iter().collect();
         for slot in self
             .table
@@ -464,7 +470,7 @@
     }
 
     /// A member stands differently from now on.
-    pub(crate) fn set_standing(&mut self, now: Point, slot: Slot, standing: Standing, by: &Rc<str>) {
+    pub(crate) fn set_standing(&mut self, now: Timestamp, slot: Slot, standing: Standing, by: &Rc<str>) {
         let changed = self.table.update(slot, |one| {
             let was = one.standing;
             one.suspicion_count += u32::from(was == Standing::Alive && standing != Standing::Left);
--- a/crates/arrowyard-peers/src/probe.rs
+++ b/crates/arrowyard-peers/src/probe.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 
 use crate::member::{Member, Slot, Standing};
 use crate::membership::{Action, Membership};
@@ -29,9 +29,9 @@
     pub incarnation: u64,
     pub to: SocketAddr,
     pub seq: u64,
-    pub started_at: Point,
+    pub started_at: Timestamp,
     pub attempts: u8,
-    pub next_step_at: Point,
+    pub next_step_at: Timestamp,
     pub reason: ProbeReason,
     /// A helper said that it could not reach it either.
     pub nacked: bool,
@@ -44,7 +44,7 @@
     pub requester: SocketAddr,
     pub requester_seq: u64,
     pub subject: String,
-    pub deadline: Point,
+    pub deadline: Timestamp,
 }
 
 /// Somebody who was heard of and not met.
@@ -53,7 +53,7 @@
     pub address: SocketAddr,
     pub incarnation: u64,
     pub attempts: u8,
-    pub next_probe_at: Point,
+    pub next_probe_at: Timestamp,
 }
 
 /// Questions open at once at most, those on behalf of others, and those that check others' words.
@@ -66,7 +66,7 @@
 const MAX_CANDIDATE_ATTEMPTS: u8 = 3;
 
 impl Membership {
-    fn start_probe(&mut self, now: Point, slot: Slot, why: ProbeReason, after: f64) {
+    fn start_probe(&mut self, now: Timestamp, slot: Slot, why: ProbeReason, after: f64) {
         let open = |ask: &Probe| ask.slot == Some(slot) && ask.reason == why;
         if self.probes.len() >= MAX_PROBES || self.probes.iter().any(open) {
             return;
@@ -95,7 +95,7 @@
         }
     }
 
-    pub(crate) fn probe_address(&mut self, now: Point, to: SocketAddr) {
+    pub(crate) fn probe_address(&mut self, now: Timestamp, to: SocketAddr) {
         if self.probes.len() >= MAX_PROBES || self.probes.iter().any(|ask| ask.slot.is_none() && ask.to == to)
         {
             return;
@@ -122,7 +122,7 @@
     /// as many questions as there are routers; so each waits a drawn part of a retry.
     pub(crate) fn verify(
         &mut self,
-        now: Point,
+        now: Timestamp,
         slot: Slot,
         claim: Claim,
         by: &Rc<str>,
@@ -141,7 +141,7 @@
     }
 
     /// What open questions do next.
-    pub(crate) fn advance_probes(&mut self, now: Point) {
+    pub(crate) fn advance_probes(&mut self, now: Timestamp) {
         let mut at = 0;
         while at < self.probes.len() {
             if self.probes[at].next_step_at > now || self.advance_probe(now, at) {
@@ -151,7 +151,7 @@
     }
 
     /// One step of an open question; whether it stays open.
-    fn advance_probe(&mut self, now: Point, at: usize) -> bool {
+    fn advance_probe(&mut self, now: Timestamp, at: usize) -> bool {
         let (retry, verdict) = (
             self.health.scale_timeout(self.config.retry_interval),
             self.health.scale_timeout(self.config.probe_timeout),
@@ -201,7 +201,7 @@
     }
 
     /// Asks by way of helpers: what is cut between two may be open between others.
-    fn send_indirect_pings(&mut self, now: Point, slot: Slot, name: &str, seq: u64) {
+    fn send_indirect_pings(&mut self, now: Timestamp, slot: Slot, name: &str, seq: u64) {
         let fit = |one: &Member| {
             one.standing == Standing::Alive && one.last_evidence() > now - self.config.probe_interval * 20.0
         };
@@ -211,7 +211,7 @@
     }
 
     /// A question was given up.
-    fn probe_timed_out(&mut self, now: Point, ask: &Probe) {
+    fn probe_timed_out(&mut self, now: Timestamp, ask: &Probe) {
         let Some(slot) = ask.slot else { return };
         let Some(one) = self.table.get(slot).filter(|one| one.incarnation == ask.incarnation) else { return };
         // It was heard meanwhile by itself: a cut of one side, and no silence.
@@ -262,7 +262,7 @@
     }
 
     /// This router itself finds a member silent.
-    fn report_silence(&mut self, now: Point, slot: Slot, refused: bool) {
+    fn report_silence(&mut self, now: Timestamp, slot: Slot, refused: bool) {
         let me = self.local.name.clone();
         let (live, doubts) = (self.table.live().len(), self.health.is_suspect(now));
         let lost_after = self.health.scale_timeout(self.config.lost_after);
@@ -299,7 +299,7 @@
     }
 
     /// Whether anybody else was heard in these periods.
-    fn hears_other_members(&self, now: Point, slot: Slot) -> bool {
+    fn hears_other_members(&self, now: Timestamp, slot: Slot) -> bool {
         let since = now - self.config.probe_interval * 6.0;
         let heard = |one: &Member| one.last_direct_evidence() >= since;
         self.table.live().iter().any(|&other| other != slot && self.table.get(other).is_some_and(heard))
@@ -313,7 +313,7 @@
     }
 
     /// An answer to a question.
-    pub(crate) fn handle_ack(&mut self, now: Point, at: usize, datagram: &Datagram) {
+    pub(crate) fn handle_ack(&mut self, now: Timestamp, at: usize, datagram: &Datagram) {
         let ask = &self.probes[at];
         let (slot, why, seq) = (ask.slot, ask.reason.clone(), ask.seq);
         if !datagram.subject.is_empty() {
@@ -346,7 +346,7 @@
 
     /// This router has proof of its own that a member lives. What was said against it is told to it, so that it raises its
     /// life and all others hear of it.
-    pub(crate) fn confirm_alive(&mut self, now: Point, slot: Slot) {
+    pub(crate) fn confirm_alive(&mut self, now: Timestamp, slot: Slot) {
         let Some(one) = self.table.get(slot) else { return };
         if one.standing == Standing::Left || one.standing == Standing::Alive && one.accusers.is_empty() {
             return;
@@ -369,7 +369,7 @@
         }
     }
 
-    pub(crate) fn send_ack(&mut self, now: Point, from: SocketAddr, ping: &Datagram) {
+    pub(crate) fn send_ack(&mut self, now: Timestamp, from: SocketAddr, ping: &Datagram) {
         let mut ack = Datagram { seq: ping.seq, ..self.new_datagram(now, Kind::Ack) };
         // What is held against the one that asks, so that it can speak for itself.
         let against = self
@@ -381,7 +381,7 @@
         self.send(from, &ack);
     }
 
-    pub(crate) fn relay_ping(&mut self, now: Point, of: SocketAddr, asked: &Datagram) {
+    pub(crate) fn relay_ping(&mut self, now: Timestamp, of: SocketAddr, asked: &Datagram) {
         let Some(slot) = self.table.slot(&asked.subject) else { return };
         if self.relays.len() >= MAX_RELAYED_PROBES {
             return;
@@ -407,7 +407,7 @@
         self.send_message(now, slot, Kind::Ping, seq, "", None);
     }
 
-    pub(crate) fn forward_ack(&mut self, now: Point, datagram: &Datagram) {
+    pub(crate) fn forward_ack(&mut self, now: Timestamp, datagram: &Datagram) {
         let Some(at) = self.relays.iter().position(|relay| relay.seq == datagram.seq) else {
             self.counts.stale += 1;
             return;
@@ -422,7 +422,7 @@
     }
 
     /// Members that did not answer this router on behalf of another: that it tried and failed is worth a word.
-    pub(crate) fn expire_relays(&mut self, now: Point) {
+    pub(crate) fn expire_relays(&mut self, now: Timestamp) {
         while let Some(at) = self.relays.iter().position(|relay| relay.deadline <= now) {
             let relay = self.relays.swap_remove(at);
             let nack = Datagram {
@@ -435,7 +435,7 @@
     }
 
     /// What each period begins with.
-    pub(crate) fn run_period(&mut self, now: Point) {
+    pub(crate) fn run_period(&mut self, now: Timestamp) {
         self.table.expire_inactive(now - self.config.forget_after);
         if !self.table.live().is_empty() && now - self.last_heard_any > self.config.probe_interval * 2.5 {
             // Danger: whoever hears nobody is cut off itself, and would find all others dead.
@@ -473,7 +473,8 @@
     fn observed_members(&mut self) -> Vec<Slot> {
         if self.observed.0 != self.table.version {
             let mine =
-                Member::new(self.local.name.clone(), self.local.address, 1, 0, Point::DAWN).ring_positions;
+                Member::new(self.local.name.clone(), self.local.address, 1, 0, Timestamp::DISTANT_PAST)
+                    .ring_positions;
             let mut slots: Vec<Slot> = Vec::new();
             for (ring, place) in mine.iter().enumerate().take(self.config.observed_members) {
                 let new = |one: &Member| {
@@ -499,7 +500,7 @@
     }
 
     /// Silent members are asked again, and those that this router itself accuses are lost in the end.
-    fn probe_silent_members(&mut self, now: Point) {
+    fn probe_silent_members(&mut self, now: Timestamp) {
         let me = self.local.name.clone();
         if self.table.count_by_standing(Standing::Silent) == 0 {
             return;
@@ -536,7 +537,7 @@
 
     /// Candidates are asked whether they live; seeds where nobody is known, and one from time to time, since both sides of
     /// a cut may have forgotten each other.
-    fn probe_candidates(&mut self, now: Point) {
+    fn probe_candidates(&mut self, now: Timestamp) {
         let mut asked = 0;
         let mut at = 0;
         while at < self.candidates.len() && asked < self.config.max_candidate_probes {
--- a/crates/arrowyard-peers/src/router_count.rs
+++ b/crates/arrowyard-peers/src/router_count.rs
@@ -2,7 +2,7 @@
 //! and all together push a cold host over. So when it is unsure the larger number counts: the count rises at once and
 //! falls only where it was settled for a while, this router is in the larger part, and what is missing is missing for long.
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 /// The count is at most so many times what the settings say: one that invents members starves the others.
 const MAX_CONFIGURED_MULTIPLE: f64 = 4.0;
@@ -10,10 +10,10 @@
 #[derive(Clone, Debug)]
 pub struct RouterCountEstimator {
     configured: f64,
-    settle_time: Span,
+    settle_time: TimeDelta,
     estimate: f64,
     /// The largest count since it last could fall.
-    window_start: Point,
+    window_start: Timestamp,
     window_max: f64,
 }
 
@@ -31,7 +31,7 @@
 
 impl RouterCountEstimator {
     #[must_use]
-    pub fn new(now: Point, settings: f64, settle: Span) -> RouterCountEstimator {
+    pub fn new(now: Timestamp, settings: f64, settle: TimeDelta) -> RouterCountEstimator {
         let settings = settings.max(1.0);
         RouterCountEstimator {
             configured: settings,
@@ -43,13 +43,13 @@
     }
 
     /// What was counted is in doubt.
-    pub fn restart_window(&mut self, now: Point) {
+    pub fn restart_window(&mut self, now: Timestamp) {
         self.window_start = now;
         self.window_max = self.window_max.max(self.estimate).max(self.configured);
     }
 
     /// The count from now on; whether it changed.
-    pub fn update(&mut self, now: Point, sight: MembershipSample) -> bool {
+    pub fn update(&mut self, now: Timestamp, sight: MembershipSample) -> bool {
         let MembershipSample { reachable: reach, missing, long_missing: forgiven, reliable: sure } = sight;
         let whole = reach + missing + forgiven;
         let larger = reach * 2 > whole;
--- a/crates/arrowyard-peers/src/table.rs
+++ b/crates/arrowyard-peers/src/table.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use arrowyard_types::Point;
+use arrowyard_types::Timestamp;
 use fastrand::Rng;
 use rustc_hash::FxHashMap;
 
@@ -221,7 +221,7 @@
     }
 
     /// Forgets those that are over for longer than they are remembered.
-    pub fn expire_inactive(&mut self, before: Point) {
+    pub fn expire_inactive(&mut self, before: Timestamp) {
         let old: Vec<Slot> = self
             .inactive
             .iter()
--- a/crates/arrowyard-peers/src/view.rs
+++ b/crates/arrowyard-peers/src/view.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::member::{Member, Standing};
 use crate::membership::{Event, Membership};
@@ -29,7 +29,7 @@
     pub reach: Reach,
     pub incarnation: u64,
     /// How long it stands so, and by whose word.
-    pub standing_for: Span,
+    pub standing_for: TimeDelta,
     pub reported_by: Rc<str>,
     /// How many say that it is silent.
     pub accuser_count: usize,
@@ -59,7 +59,7 @@
 }
 
 impl Membership {
-    fn reachability(&self, now: Point, one: &Member) -> Reach {
+    fn reachability(&self, now: Timestamp, one: &Member) -> Reach {
         // Each member is asked in turn, so that a router with many of them asks one seldom.
         let lately = self.config.probe_interval * (self.table.live().len() as f64 + 6.0);
         if one.standing != Standing::Alive {
@@ -79,14 +79,15 @@
         Reach::Direct
     }
 
-    fn member_row(&self, now: Point, one: &Member) -> MemberRow {
+    fn member_row(&self, now: Timestamp, one: &Member) -> MemberRow {
         let standing = one.standing;
         let own = match standing {
             Standing::Alive => now - one.last_evidence() <= self.config.probe_interval * 6.0,
             Standing::Left => one.reported_by == one.name,
             Standing::Dead => one.refused_by.contains(&self.local.name),
             Standing::Silent | Standing::Lost => {
-                one.last_probe_failure >= one.last_evidence() && one.last_probe_failure > Point::DAWN
+                one.last_probe_failure >= one.last_evidence()
+                    && one.last_probe_failure > Timestamp::DISTANT_PAST
             }
         };
         MemberRow {
@@ -104,7 +105,7 @@
     }
 
     #[must_use]
-    pub fn view(&self, now: Point) -> View {
+    pub fn view(&self, now: Timestamp) -> View {
         let mut rows: Vec<MemberRow> = self.table.iter().map(|(_, one)| self.member_row(now, one)).collect();
         rows.sort_by(|a, b| a.name.cmp(&b.name));
         let sight = self.sample(now);
@@ -145,7 +146,7 @@
         self.router_count_estimator.routers()
     }
 
-    fn sample(&self, now: Point) -> MembershipSample {
+    fn sample(&self, now: Timestamp) -> MembershipSample {
         let (mut missing, mut forgiven) = (0, 0);
         let any =
             self.table.count_by_standing(Standing::Silent) + self.table.count_by_standing(Standing::Lost) > 0;
@@ -165,7 +166,7 @@
         }
     }
 
-    pub(crate) fn update_router_count(&mut self, now: Point) {
+    pub(crate) fn update_router_count(&mut self, now: Timestamp) {
         let sight = self.sample(now);
         self.router_count_estimator.update(now, sight);
         let lost = self.table.count_by_standing(Standing::Lost);
--- a/crates/arrowyard-pooler/src/routes.rs
+++ b/crates/arrowyard-pooler/src/routes.rs
@@ -4,8 +4,8 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use arrowyard_config::{Channel, Configuration, Kind, Limits, Service};
-use arrowyard_types::{Effect, GroupId, Need, OpType, OpTypeId, Span};
+use arrowyard_config::{Channel, Configuration, Limits, RouteKind, Service};
+use arrowyard_types::{Consistency, GroupId, OpType, OpTypeId, RetrySafety, TimeDelta};
 use rustc_hash::FxHashMap;
 
 /// What a statement is to the module.
@@ -25,12 +25,12 @@
 #[derive(Default)]
 pub struct OpTypes {
     rows: Vec<OpType>,
-    known: HashMap<(Kind, Statement, i64, i64, u32, i64), OpTypeId>,
+    known: HashMap<(RouteKind, Statement, i64, i64, u32, i64), OpTypeId>,
     told: usize,
 }
 
-fn millis(ms: f64) -> Span {
-    Span::from_micros((ms * 1000.0) as i64)
+fn millis(ms: f64) -> TimeDelta {
+    TimeDelta::from_micros((ms * 1000.0) as i64)
 }
 
 impl OpTypes {
@@ -47,16 +47,16 @@
             return *row;
         }
         let need = match (statement, channel.kind) {
-            (Statement::Read, Kind::BoundedStaleness | Kind::OwnRegion) => {
-                Need::Bounded(millis(channel.staleness_bound_ms))
+            (Statement::Read, RouteKind::BoundedStaleness | RouteKind::OwnRegion) => {
+                Consistency::Bounded(millis(channel.staleness_bound_ms))
             }
-            (Statement::Read, Kind::Primary) => Need::Fresh,
-            (Statement::Write | Statement::First, _) => Need::Write,
-            (Statement::Later, _) => Need::Fresh,
+            (Statement::Read, RouteKind::Primary) => Consistency::Fresh,
+            (Statement::Write | Statement::First, _) => Consistency::Write,
+            (Statement::Later, _) => Consistency::Fresh,
         };
         let effect = match statement {
-            Statement::Read | Statement::First => Effect::Retryable,
-            Statement::Write | Statement::Later => Effect::NonRetryable,
+            Statement::Read | Statement::First => RetrySafety::Retryable,
+            Statement::Write | Statement::Later => RetrySafety::NonRetryable,
         };
         let row = OpTypeId(self.rows.len() as u32);
         self.rows.push(OpType {
@@ -65,8 +65,8 @@
             value: 4.0 / f64::from(channel.priority + 1),
             // What comes late still earns something.
             late_value: 0.3,
-            effect,
-            need,
+            retry_safety: effect,
+            consistency: need,
         });
         self.known.insert(key, row);
         row
@@ -103,10 +103,10 @@
         for channel in configuration.channels() {
             // Of several prefixes the shortest stands for the database.
             let known = by_database
-                .get(&channel.plant)
+                .get(&channel.database)
                 .is_some_and(|known| known.prefix.len() <= channel.prefix.len());
             if !known {
-                by_database.insert(channel.plant.clone(), Rc::new(channel.clone()));
+                by_database.insert(channel.database.clone(), Rc::new(channel.clone()));
             }
         }
         let services =
--- a/crates/arrowyard-system/tests/helpers/mod.rs
+++ b/crates/arrowyard-system/tests/helpers/mod.rs
@@ -12,9 +12,9 @@
 use std::time::Duration;
 
 use arrowyard_emulator::{DatabaseHost, HostFaults, HostPlan, Platform, Shard};
-use arrowyard_runtime::{Plumbing, run};
+use arrowyard_runtime::{LoopConfig, run};
 use arrowyard_testbed::rig::memory;
-use arrowyard_types::Span;
+use arrowyard_types::TimeDelta;
 
 pub const LONG: Duration = Duration::from_secs(30);
 /// Lines of a log that nobody has waited for yet; a process that says more waits, and the test fails in time. These tests
@@ -130,7 +130,7 @@
         // Hosts of one service share their logs, so they share a thread: one plane that holds all of them.
         thread::spawn(move || {
             let history = Rc::default();
-            let shard = Rc::new(RefCell::new(Shard::new("s0", &ids, Span::from_millis(5))));
+            let shard = Rc::new(RefCell::new(Shard::new("s0", &ids, TimeDelta::from_millis(5))));
             let mut planes: Vec<Box<dyn arrowyard_runtime::Plane>> = Vec::new();
             let mut doors = Vec::new();
             for (copy, id) in ids.iter().enumerate() {
@@ -144,7 +144,7 @@
                     address,
                     zone: format!("zone{copy}"),
                     controls,
-                    period: Span::from_millis(300),
+                    period: TimeDelta::from_millis(300),
                     limit: 50,
                     seed: copy as u64 + 1,
                 };
@@ -153,10 +153,13 @@
                 planes.push(Box::new(host));
             }
             doors.push(platform);
-            let takes = Span::from_millis(300);
+            let takes = TimeDelta::from_millis(300);
             planes.push(Box::new(Platform::new(&[shard], history, takes, Rc::default())));
             let mut together = Together { planes, of: Default::default() };
-            drop(run(Plumbing { doors, store: None, most: 1000 }, &mut together));
+            drop(run(
+                LoopConfig { listen_addresses: doors, store: None, max_connections: 1000 },
+                &mut together,
+            ));
         });
     }
 
@@ -234,17 +237,17 @@
 impl arrowyard_runtime::Plane for Together {
     fn handle(
         &mut self,
-        now: arrowyard_types::Point,
+        now: arrowyard_types::Timestamp,
         event: arrowyard_runtime::Event<'_>,
-        orders: &mut arrowyard_runtime::Orders,
+        commands: &mut arrowyard_runtime::Commands,
     ) {
-        use arrowyard_runtime::{Door, Event, Order};
+        use arrowyard_runtime::{Command, Event, ListenerId};
         let (place, event) = match event {
-            Event::Accepted { conn, door } => {
-                self.of.insert(conn, usize::from(door.0));
-                (Some(usize::from(door.0)), Event::Accepted { conn, door: Door(0) })
+            Event::Accepted { conn, listener } => {
+                self.of.insert(conn, usize::from(listener.0));
+                (Some(usize::from(listener.0)), Event::Accepted { conn, listener: ListenerId(0) })
             }
-            Event::Opened { conn } | Event::Came { conn, .. } | Event::Closed { conn, .. } => {
+            Event::Connected { conn } | Event::Received { conn, .. } | Event::Closed { conn, .. } => {
                 (self.of.get(&conn).copied(), event)
             }
             event => (None, event),
@@ -252,19 +255,19 @@
         for (number, plane) in self.planes.iter_mut().enumerate() {
             if place.is_some_and(|place| place != number) {
                 // What one did may concern the others: they look at the time.
-                plane.handle(now, Event::Woke, orders);
+                plane.handle(now, Event::TimerExpired, commands);
             } else {
-                plane.handle(now, event, orders);
+                plane.handle(now, event, commands);
             }
-            for order in &orders.list {
-                if let Order::Dial { conn, .. } = order {
+            for order in &commands.list {
+                if let Command::Dial { conn, .. } = order {
                     self.of.entry(*conn).or_insert(number);
                 }
             }
         }
     }
 
-    fn due(&self) -> Option<arrowyard_types::Point> {
+    fn due(&self) -> Option<arrowyard_types::Timestamp> {
         self.planes.iter().filter_map(|plane| plane.due()).min()
     }
 }
