--- a/crates/arrowyard-adapter/src/router.rs
+++ b/crates/arrowyard-adapter/src/router.rs
@@ -4,7 +4,9 @@
 use std::fmt::Write;
 
 use arrowyard::Router;
-use arrowyard_platform_settings::{manifest, micros, point, span, tag};
+use arrowyard_platform_settings::{
+    address_hash, micros_from_millis, router_settings, time_delta_from_millis, timestamp_from_millis,
+};
 use arrowyard_types::*;
 use serde_json::{Map, Value};
 
@@ -52,13 +54,13 @@
             fields.get(2).and_then(Value::as_object).ok_or_else(|| fields.type_error(2, "an object"))?;
         let origin = match info.get("domain").and_then(|domain| domain.get("origin_time")) {
             None | Some(Value::Null) => Timestamp::from_micros(0),
-            Some(origin) => {
-                point(origin.as_f64().ok_or("PowerOn: params domain.origin_time has the wrong type")?)
-            }
+            Some(origin) => timestamp_from_millis(
+                origin.as_f64().ok_or("PowerOn: params domain.origin_time has the wrong type")?,
+            ),
         };
         let op_type_count = info.get("grades").and_then(Value::as_array).map_or(0, Vec::len);
         let mut actions = Vec::new();
-        let router = Router::start(now, fields.u64(1)?, manifest(info)?, &mut actions);
+        let router = Router::start(now, fields.u64(1)?, router_settings(info)?, &mut actions);
         Ok(Instance { router, hosts: Hosts::default(), origin, op_type_count, actions })
     }
 
@@ -80,8 +82,8 @@
                 group: GroupId(fields.f64_or_none(4)?.unwrap_or(0.0) as i64),
                 session: fields.hex_u64_or_none(6)?.map(SessionId),
                 is_retry: fields.u64_or_none(5)?.unwrap_or(0) & 2 != 0,
-                token_age: fields.f64_or_none(7)?.map(span),
-                deadline: point(fields.f64(8)?),
+                token_age: fields.f64_or_none(7)?.map(time_delta_from_millis),
+                deadline: timestamp_from_millis(fields.f64(8)?),
                 ..OpRequest::default()
             }),
             "AttemptEnd" => RouterEvent::SendEnded(SendResult {
@@ -89,7 +91,7 @@
                 send: SendIndex(fields.u32(2)?),
                 host: self.hosts.known_id(fields, 3)?,
                 outcome: outcome(fields, 4)?,
-                elapsed: span(fields.f64_or_none(5)?.unwrap_or(0.0)),
+                elapsed: time_delta_from_millis(fields.f64_or_none(5)?.unwrap_or(0.0)),
                 op_finished: fields.bool(6)?,
                 status: self.parse_host_status(fields, 7, 8)?,
             }),
@@ -142,9 +144,9 @@
             }]
             .into(),
             host: self.hosts.id_or_insert(fields.text(3)?),
-            address_hash: tag(fields.text(3)?),
+            address_hash: address_hash(fields.text(3)?),
             is_primary: fields.f64_or_none(4)? == Some(1.0),
-            started_at: fields.f64_or_none(5)?.filter(|&millis| millis > 0.0).map(point),
+            started_at: fields.f64_or_none(5)?.filter(|&millis| millis > 0.0).map(timestamp_from_millis),
             size: fields.f64_or_none(6)?.unwrap_or(1.0),
             zone: ZoneId(fields.u32_or_none(7)?.unwrap_or(0)),
         })
@@ -237,5 +239,5 @@
 /// The time of a batch, from its field `t` in milliseconds.
 pub fn batch_time(batch: &Map<String, Value>) -> Result<Timestamp, String> {
     let millis = batch.get("t").and_then(Value::as_f64).ok_or("batch: t is not a number")?;
-    Ok(Timestamp::from_micros(micros(millis)))
+    Ok(Timestamp::from_micros(micros_from_millis(millis)))
 }
--- a/crates/arrowyard-core/src/admit.rs
+++ b/crates/arrowyard-core/src/admission.rs
@@ -10,15 +10,15 @@
 };
 use serde_json::{Map, Value};
 
-use crate::call::Call;
-use crate::count::Count;
+use crate::client_request::ClientRequest;
+use crate::count::UsageGuard;
 use crate::limits::Limits;
 use tokio::sync::mpsc;
 
+use crate::cell_scheduler::OpOrigin;
 use crate::reply::Reply;
-use crate::ward::Claim;
 
-pub struct Gate {
+pub struct AdmissionController {
     op_types: HashMap<String, (OpTypeId, OpType)>,
     tenants: HashMap<String, TenantId>,
     next: Cell<u64>,
@@ -29,29 +29,29 @@
     /// Whether there are cells, which want to know more of an op.
     cells: bool,
     /// Whether the router belongs to a fleet.
-    pub peers: bool,
+    pub in_fleet: bool,
     /// The task that wants leases, where there is one.
-    pub leases: Option<mpsc::Sender<crate::leases::Errand>>,
+    pub leases: Option<mpsc::Sender<crate::leases::LeasesCommand>>,
 }
 
 /// An op that was admitted.
 #[derive(Debug)]
-pub struct Admitted {
-    pub ask: OpRequest,
-    pub claim: Option<Box<Claim>>,
-    pub place: Place,
+pub struct AdmittedOp {
+    pub request: OpRequest,
+    pub origin: Option<Box<OpOrigin>>,
+    pub slot: OpSlot,
 }
 
 /// An op's place among those in hand, for as long as it is kept.
 #[derive(Debug)]
-pub struct Place {
-    _open: Count,
-    _bytes: Count,
+pub struct OpSlot {
+    _open: UsageGuard,
+    _bytes: UsageGuard,
     id: u64,
     ids: Rc<RefCell<HashSet<u64>>>,
 }
 
-impl Drop for Place {
+impl Drop for OpSlot {
     fn drop(&mut self) {
         self.ids.borrow_mut().remove(&self.id);
     }
@@ -63,7 +63,7 @@
     rows.iter().map(|row| row.get("name").and_then(Value::as_str).unwrap_or_default()).collect()
 }
 
-impl Gate {
+impl AdmissionController {
     pub fn new(
         settings: &Map<String, Value>,
         manifest: &RouterSettings,
@@ -72,7 +72,7 @@
     ) -> Self {
         let rows = names(settings, "grades").into_iter().zip(OpType::rows(manifest));
         let tenants = names(settings, "parties").into_iter().enumerate();
-        Gate {
+        AdmissionController {
             op_types: (0..)
                 .zip(rows)
                 .map(|(n, (name, row))| (name.to_string(), (OpTypeId(n), row)))
@@ -84,7 +84,7 @@
             ids: Rc::default(),
             limits,
             cells,
-            peers: false,
+            in_fleet: false,
             leases: None,
         }
     }
@@ -95,7 +95,7 @@
 
     /// The op that the call asks for, with its place. Danger: more ops, or more bytes of them, than the
     /// router's memory holds.
-    pub fn admit<A>(&self, call: Call<'_>, arrived: Timestamp) -> Result<Admitted, Reply<A>> {
+    pub fn admit<A>(&self, call: ClientRequest<'_>, arrived: Timestamp) -> Result<AdmittedOp, Reply<A>> {
         let Some((op_type, row)) = self.op_types.get(call.op_type) else {
             return Err(Reply::Refused("its op type is not known"));
         };
@@ -112,23 +112,25 @@
         }
         let with_session = matches!(row.consistency, Consistency::Session | Consistency::Write);
         let bytes = call.bytes;
-        if self.open.get() >= self.limits.ops || self.bytes.get() + bytes > self.limits.held {
+        if self.open.get() >= self.limits.max_ops
+            || self.bytes.get() + bytes > self.limits.max_statement_bytes
+        {
             return Err(Reply::Busy(None));
         }
         // Danger: a client that names another's open op. Hosts turn the second away, or both.
         if !self.ids.borrow_mut().insert(call.id) {
             return Err(Reply::Refused("an op of this id is open"));
         }
-        let place = Place {
-            _open: Count::one(&self.open),
-            _bytes: Count::many(&self.bytes, bytes),
+        let place = OpSlot {
+            _open: UsageGuard::one(&self.open),
+            _bytes: UsageGuard::add(&self.bytes, bytes),
             id: call.id,
             ids: self.ids.clone(),
         };
         let op = OpId(self.next.get());
         self.next.set(op.0 + 1);
         let commit = |millis: i64| Timestamp::from_micros(millis.saturating_mul(1000));
-        let token_age = call.after.map(|after| match after {
+        let token_age = call.last_commit_ms.map(|after| match after {
             0 => TimeDelta::ZERO,
             after => (arrived - commit(after)).max(TimeDelta::from_micros(1)),
         });
@@ -139,17 +141,17 @@
             cell: CellId::default(),
             group: GroupId(call.group),
             session: call.session.filter(|_| with_session).map(SessionId),
-            is_retry: call.again,
+            is_retry: call.is_retry,
             token_age,
             min_position: None,
             pinned_host: None,
-            deadline: arrived + TimeDelta::from_millis(call.wait_ms.into()),
+            deadline: arrived + TimeDelta::from_millis(call.timeout_ms.into()),
         };
         let claim = self.cells.then(|| {
             let (tenant, address) = (call.tenant.map(Box::from), call.address);
-            Box::new(Claim { tenant, address, bytes: bytes as u64, token: call.token.filter(|_| tokened) })
+            Box::new(OpOrigin { tenant, address, bytes: bytes as u64, token: call.token.filter(|_| tokened) })
         });
-        Ok(Admitted { ask, claim, place })
+        Ok(AdmittedOp { request: ask, origin: claim, slot: place })
     }
 }
 
@@ -158,26 +160,26 @@
     use super::*;
 
     /// With room for two ops of 100 bytes.
-    fn gate() -> Gate {
-        let (waybill, manifest, limits) = Limits::told(serde_json::json!({
+    fn gate() -> AdmissionController {
+        let (waybill, manifest, limits) = Limits::for_test(serde_json::json!({
             "grades": [{"name": "look", "objective": 5.0}], "parties": [{"name": "p"}, {"name": "q"}],
             "domain": {"read_level": ["own_writes"]}, "caps": {"open_cap": 2}}));
-        let limits = Limits { held: 200, ..limits };
-        Gate::new(&waybill.settings, &manifest, Rc::new(limits), false)
+        let limits = Limits { max_statement_bytes: 200, ..limits };
+        AdmissionController::new(&waybill.settings, &manifest, Rc::new(limits), false)
     }
 
-    fn call(id: u64, bytes: usize) -> Call<'static> {
+    fn call(id: u64, bytes: usize) -> ClientRequest<'static> {
         let (op_type, tenant, session) = ("look", Some("q"), Some(0xff));
         let blank = (None, false, None);
         let (after, again, token) = blank;
-        Call {
+        ClientRequest {
             id,
             op_type,
             tenant,
             group: 4,
-            wait_ms: 80,
-            after,
-            again,
+            timeout_ms: 80,
+            last_commit_ms: after,
+            is_retry: again,
             token,
             session,
             address: None,
@@ -190,8 +192,8 @@
     #[test]
     fn names_become_ids_and_times_points() {
         let arrived = Timestamp::from_micros(5_000_000);
-        let call = Call { after: Some(4900), again: true, ..call(1, 0) };
-        let Admitted { ask, .. } = gate().admit::<()>(call, arrived).expect("there is room");
+        let call = ClientRequest { last_commit_ms: Some(4900), is_retry: true, ..call(1, 0) };
+        let AdmittedOp { request: ask, .. } = gate().admit::<()>(call, arrived).expect("there is room");
         let wanted = OpRequest {
             op: OpId(0),
             op_type: OpTypeId(0),
@@ -211,7 +213,7 @@
     #[test]
     fn ops_beyond_the_count_or_the_bytes_are_busy_replied_till_a_place_is_free() {
         let (gate, now) = (gate(), Timestamp::from_micros(0));
-        let admit = |id, length| gate.admit(call(id, length), now).map(|admitted| admitted.place);
+        let admit = |id, length| gate.admit(call(id, length), now).map(|admitted| admitted.slot);
         let (first, second) = (admit(1, 100), admit(2, 100));
         assert!(first.is_ok() && second.is_ok());
         assert_eq!(admit(3, 100).err(), Some(Refusal::Busy(None)));
@@ -223,7 +225,7 @@
     #[test]
     fn an_id_names_one_open_op_and_is_free_again_once_that_is_over() {
         let (gate, now) = (gate(), Timestamp::from_micros(0));
-        let admit = || gate.admit(call(1, 0), now).map(|admitted| admitted.place);
+        let admit = || gate.admit(call(1, 0), now).map(|admitted| admitted.slot);
         let first = admit();
         assert!(first.is_ok());
         assert!(matches!(admit().err(), Some(Refusal::Refused(_))));
--- a/crates/arrowyard-core/src/drain.rs
+++ b/crates/arrowyard-core/src/drain.rs
@@ -15,7 +15,7 @@
 pub enum Stage {
     Serving,
     /// It was told to end, and goes on accepting: others may not have heard of it yet. What it does for all is over.
-    Told,
+    Draining,
     /// No new connections; connections end between ops.
     Closing,
 }
@@ -26,23 +26,23 @@
     pub limits: Rc<Limits>,
 }
 
-pub fn signals() -> io::Result<(Signal, Signal)> {
+pub fn termination_signals() -> io::Result<(Signal, Signal)> {
     Ok((signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?))
 }
 
 impl Drain {
-    /// Returns once a signal has come and no client is left, or the last ops have had their time.
+    /// OptionalStartup once a signal has come and no client is left, or the last ops have had their time.
     pub async fn run(&self, (mut terminate, mut interrupt): (Signal, Signal)) {
         tokio::select! {
             _ = terminate.recv() => tracing::info!(clients = self.clients.get(), "SIGTERM: ending"),
             _ = interrupt.recv() => tracing::info!(clients = self.clients.get(), "SIGINT: ending"),
         }
-        self.stage.send_replace(Stage::Told);
-        sleep(self.limits.accept).await;
+        self.stage.send_replace(Stage::Draining);
+        sleep(self.limits.drain_accept_period).await;
         self.stage.send_replace(Stage::Closing);
-        let last = Instant::now() + self.limits.last;
+        let last = Instant::now() + self.limits.drain_timeout;
         while self.clients.get() > 0 && Instant::now() < last {
-            sleep(self.limits.pause).await;
+            sleep(self.limits.retry_pause).await;
         }
         tracing::info!(clients = self.clients.get(), "ended");
     }
--- a/crates/arrowyard-core/src/hints.rs
+++ b/crates/arrowyard-core/src/hints.rs
@@ -15,13 +15,13 @@
 
 /// A host is leaving, by what all routers call it.
 #[must_use]
-pub fn hint(tag: u32) -> Vec<u8> {
+pub fn encode_hint(tag: u32) -> Vec<u8> {
     [&[FORM][..], &tag.to_le_bytes()].concat()
 }
 
 /// The host that a hint names; nothing if it is none.
 #[must_use]
-pub fn hinted(bytes: &[u8]) -> Option<u32> {
+pub fn decode_hint(bytes: &[u8]) -> Option<u32> {
     match bytes {
         [FORM, a, b, c, d] if bytes.len() == LENGTH => Some(u32::from_le_bytes([*a, *b, *c, *d])),
         _ => None,
@@ -77,14 +77,14 @@
     }
 
     /// The own list has left out a host: others are to hear of it, now and again.
-    pub fn ceased(&mut self, now: Timestamp, tag: u32) {
+    pub fn host_not_ready(&mut self, now: Timestamp, tag: u32) {
         if self.own.len() < MOST || self.own.contains_key(&tag) {
             self.own.insert(tag, (now, TOLD));
         }
     }
 
     /// Hosts that are told of now.
-    pub fn tell(&mut self, now: Timestamp) -> SmallVec<[u32; 4]> {
+    pub fn take_announcements(&mut self, now: Timestamp) -> SmallVec<[u32; 4]> {
         let due = self.own.iter_mut().filter(|(_, (at, _))| *at <= now);
         let told: SmallVec<[u32; 4]> = due
             .map(|(&tag, (at, left))| {
@@ -97,7 +97,7 @@
     }
 
     /// Another router says that the host is leaving.
-    pub fn heard(&mut self, now: Timestamp, tag: u32, by: PeerId) {
+    pub fn record_hint(&mut self, now: Timestamp, tag: u32, by: PeerId) {
         // Danger: one that names thousands of hosts. What finds no room is named again by those that mean it, or is not.
         if self.hosts.len() >= MOST && !self.hosts.contains_key(&tag) {
             return;
@@ -110,7 +110,7 @@
     }
 
     /// The own list has spoken, whatever it said: it goes before others' word.
-    pub fn listed(&mut self) {
+    pub fn list_received(&mut self) {
         self.hosts.retain(|_, hint| hint.asked.is_none());
         self.closed = 0;
     }
@@ -118,7 +118,7 @@
     /// Whether the list is to be asked for now: some host was said to be leaving, the own watch had its time, and still holds
     /// it as ready. Danger: all routers ask at the moment in which the first one hears of a drain; so those whose own
     /// watch tells them in time ask nothing, and one asks once in a while, whatever it is told.
-    pub fn look(&mut self, now: Timestamp, holds_ready: impl Fn(u32) -> bool) -> bool {
+    pub fn should_fetch(&mut self, now: Timestamp, holds_ready: impl Fn(u32) -> bool) -> bool {
         let mut stale = false;
         self.hosts.retain(|tag, hint| {
             let due = hint.due <= now && hint.asked.is_none();
@@ -139,7 +139,7 @@
     /// members at least say so. Danger: a router that is cut off from discovery sends to a host that is gone for all others; and
     /// one bad router, or a few, empty another's hosts. So the word of one counts for nothing, and never more than a quarter of
     /// the hosts that are ready are closed so, till the own list speaks.
-    pub fn close(
+    pub fn hosts_to_close(
         &mut self,
         now: Timestamp,
         ready: usize,
@@ -175,49 +175,52 @@
     fn only_what_the_own_watch_did_not_tell_in_time_is_looked_at_and_seldom() {
         let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
         let by = PeerId(1);
-        hints.heard(at(0), 7, by);
-        assert!(!hints.look(at(399), |_| true), "the watch has its time");
-        assert!(!hints.look(at(400), |_| false), "it told");
-        assert!(!hints.look(at(900), |_| true), "it was looked at");
+        hints.record_hint(at(0), 7, by);
+        assert!(!hints.should_fetch(at(399), |_| true), "the watch has its time");
+        assert!(!hints.should_fetch(at(400), |_| false), "it told");
+        assert!(!hints.should_fetch(at(900), |_| true), "it was looked at");
         for tag in 0..1000 {
-            hints.heard(at(1000), tag, by);
+            hints.record_hint(at(1000), tag, by);
         }
         assert_eq!(hints.hosts.len(), MOST);
-        assert!(hints.look(at(1400), |tag| tag == 9));
-        hints.listed();
-        hints.heard(at(1500), 9, by);
-        assert!(!hints.look(at(2000), |_| true), "too soon");
-        hints.heard(at(2500), 9, by);
-        assert!(hints.look(at(2900), |_| true));
+        assert!(hints.should_fetch(at(1400), |tag| tag == 9));
+        hints.list_received();
+        hints.record_hint(at(1500), 9, by);
+        assert!(!hints.should_fetch(at(2000), |_| true), "too soon");
+        hints.record_hint(at(2500), 9, by);
+        assert!(hints.should_fetch(at(2900), |_| true));
     }
 
     #[test]
     fn where_the_own_list_cannot_be_had_the_word_of_two_closes_a_quarter_of_the_hosts_at_most() {
         let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
         for tag in 0..8 {
-            hints.heard(at(0), tag, PeerId(1));
-            hints.heard(at(0), tag, PeerId(1));
+            hints.record_hint(at(0), tag, PeerId(1));
+            hints.record_hint(at(0), tag, PeerId(1));
         }
-        assert!(hints.look(at(500), |_| true));
-        assert!(hints.close(at(1100), 8, |_| true).is_empty(), "one member's word, twice");
-        (0..8).for_each(|tag| hints.heard(at(1100), tag, PeerId(2)));
-        assert!(hints.close(at(900), 8, |_| true).is_empty(), "the list may still come");
+        assert!(hints.should_fetch(at(500), |_| true));
+        assert!(hints.hosts_to_close(at(1100), 8, |_| true).is_empty(), "one member's word, twice");
+        (0..8).for_each(|tag| hints.record_hint(at(1100), tag, PeerId(2)));
+        assert!(hints.hosts_to_close(at(900), 8, |_| true).is_empty(), "the list may still come");
         assert_eq!(
-            hints.close(at(1200), 8, |tag| tag != 0).to_vec(),
+            hints.hosts_to_close(at(1200), 8, |tag| tag != 0).to_vec(),
             [1, 2],
             "and the own list has closed one"
         );
-        assert!(hints.close(at(1300), 6, |_| true).is_empty(), "a quarter, till the own list speaks");
-        hints.listed();
-        assert!(hints.close(at(9000), 8, |_| true).is_empty(), "it has spoken");
-        assert!(Hints::new(TimeDelta::ZERO, TimeDelta::ZERO).close(at(0), 0, |_| true).is_empty());
+        assert!(
+            hints.hosts_to_close(at(1300), 6, |_| true).is_empty(),
+            "a quarter, till the own list speaks"
+        );
+        hints.list_received();
+        assert!(hints.hosts_to_close(at(9000), 8, |_| true).is_empty(), "it has spoken");
+        assert!(Hints::new(TimeDelta::ZERO, TimeDelta::ZERO).hosts_to_close(at(0), 0, |_| true).is_empty());
     }
 
     #[test]
     fn a_hint_is_none_of_the_modules_news() {
-        assert_eq!(hinted(&hint(0x1234_5678)), Some(0x1234_5678));
+        assert_eq!(decode_hint(&encode_hint(0x1234_5678)), Some(0x1234_5678));
         for other in [&[][..], &[2, 1, 2, 3], &[1, 1, 2, 3, 4], &[2, 1, 2, 3, 4, 5], &[2; 9]] {
-            assert_eq!(hinted(other), None);
+            assert_eq!(decode_hint(other), None);
         }
     }
 }
--- a/crates/arrowyard-core/src/leases.rs
+++ b/crates/arrowyard-core/src/leases.rs
@@ -28,16 +28,16 @@
 use crate::peers::mono_us;
 
 /// What others ask of the task.
-pub enum Errand {
+pub enum LeasesCommand {
     Show(oneshot::Sender<String>),
     /// Whether this router is fit to do tasks for all: it serves.
-    Fit(bool),
+    SetEligible(bool),
     /// The router ends; answered once all was given back.
     Leave(oneshot::Sender<()>),
     /// The image of this number was written, or that failed.
-    Kept(u64, bool),
+    VotesStored(u64, bool),
     /// An act of the duty has ended: the status, or why there is none.
-    Acted(usize, Result<u16, String>),
+    ActEnded(usize, Result<u16, String>),
 }
 
 const ERRANDS: usize = 256;
@@ -85,7 +85,7 @@
     failed: u64,
 }
 
-pub struct Leases {
+pub struct LeasesTask {
     candidate: Candidate,
     voter: Option<Voter>,
     clocks: Clocks,
@@ -100,8 +100,8 @@
     candidates: HashMap<CandidateId, (SocketAddr, Timestamp)>,
     doing: Vec<Doing>,
     rng: Rng,
-    errands: mpsc::Receiver<Errand>,
-    own: mpsc::Sender<Errand>,
+    errands: mpsc::Receiver<LeasesCommand>,
+    own: mpsc::Sender<LeasesCommand>,
     dropped: u64,
     writes: Rc<Cell<u64>>,
     stage: &'static str,
@@ -130,12 +130,16 @@
     read.map_err(|why| tracing::warn!("votes are lost ({why}): the other voters are asked for them")).ok()
 }
 
-impl Leases {
+impl LeasesTask {
     /// Opens the socket; the task and where its errands go.
     ///
     /// # Errors
     /// The address cannot be listened at, or a voter has no place for its votes.
-    pub async fn open(joins: Joins, name: &str, seed: u64) -> Result<(Self, mpsc::Sender<Errand>), String> {
+    pub async fn open(
+        joins: Joins,
+        name: &str,
+        seed: u64,
+    ) -> Result<(Self, mpsc::Sender<LeasesCommand>), String> {
         let Joins { fleet, listen, voters, store, terms, duties } = joins;
         let socket = UdpSocket::bind(listen).await.map_err(|e| format!("{listen}: {e}"))?;
         let local = socket.local_addr().map_err(|e| e.to_string())?;
@@ -166,7 +170,7 @@
         let (own, errands) = mpsc::channel(ERRANDS);
         let votes = me.is_some();
         tracing::info!(fleet, votes, candidate = format!("{:016x}", id.0), "leases at {local}");
-        let leases = Leases {
+        let leases = LeasesTask {
             clocks: Clocks::new(terms.voters, terms.drift_ppm),
             candidate,
             voter,
@@ -345,7 +349,7 @@
                 tokio::time::sleep(Duration::from_millis(200)).await;
             }
             writes.set(writes.get() + 1);
-            let _ = own.send(Errand::Kept(number, written.is_ok())).await;
+            let _ = own.send(LeasesCommand::VotesStored(number, written.is_ok())).await;
         }));
     }
 
@@ -401,16 +405,16 @@
                 let acted = timeout(within, call(&duty, permit, clock)).await;
                 let acted = acted.unwrap_or_else(|_| Err("no answer in time".to_string()));
                 tracing::debug!(mono_us = mono_us(), lease = duty.name, epoch, "act ends: {acted:?}");
-                let _ = own.send(Errand::Acted(at, acted)).await;
+                let _ = own.send(LeasesCommand::ActEnded(at, acted)).await;
             }));
             one.acting = true;
         }
     }
 
-    fn errand(&mut self, errand: Errand) {
+    fn errand(&mut self, errand: LeasesCommand) {
         match errand {
-            Errand::Show(client) => drop(client.send(self.report())),
-            Errand::Fit(fit) => {
+            LeasesCommand::Show(client) => drop(client.send(self.report())),
+            LeasesCommand::SetEligible(fit) => {
                 tracing::info!(mono_us = mono_us(), fit, "fit to hold leases");
                 if self.leaving.is_none() {
                     self.stops = !fit;
@@ -418,14 +422,14 @@
                 self.fit = fit;
                 self.stop();
             }
-            Errand::Leave(done) => {
+            LeasesCommand::Leave(done) => {
                 (self.stops, self.leaving) = (true, Some(done));
                 self.stop();
             }
-            Errand::Kept(number, done) => {
+            LeasesCommand::VotesStored(number, done) => {
                 self.voter.iter_mut().for_each(|voter| voter.kept(number, done));
             }
-            Errand::Acted(at, acted) => {
+            LeasesCommand::ActEnded(at, acted) => {
                 let Some(one) = self.doing.get_mut(at) else { return };
                 (one.acting, one.acts) = (false, one.acts + 1);
                 match acted {
--- a/crates/arrowyard-core/src/logger.rs
+++ b/crates/arrowyard-core/src/logger.rs
@@ -15,7 +15,7 @@
 
 /// How lines are written.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Form {
+pub enum LogFormat {
     /// For people.
     #[default]
     Text,
@@ -25,27 +25,27 @@
 
 /// What is logged, and how.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Logbook {
+pub struct LogConfig {
     /// Which router speaks.
     pub name: String,
-    pub form: Form,
+    pub format: LogFormat,
     pub level: LevelFilter,
-    /// Lines of a second at most, up to the level `info`.
-    pub lines: u32,
+    /// LineLayer of a second at most, up to the level `info`.
+    pub max_lines_per_second: u32,
 }
 
-impl Logbook {
+impl LogConfig {
     /// Of a router without an operator's file: `ARROWYARD_LOG` names the level, `info` otherwise.
-    pub fn plain(name: &str, lines: u32) -> Self {
+    pub fn from_env(name: &str, lines: u32) -> Self {
         let told = std::env::var("ARROWYARD_LOG").ok().and_then(|level| level.parse().ok());
         let level = told.unwrap_or(LevelFilter::INFO);
-        Logbook { name: name.to_string(), form: Form::Text, level, lines }
+        LogConfig { name: name.to_string(), format: LogFormat::Text, level, max_lines_per_second: lines }
     }
 }
 
 /// Starts logging; a second router in one process logs as the first.
-pub fn start(book: Logbook) {
-    let (level, lines) = (book.level, Lines { book, bound: Bound::default() });
+pub fn start(book: LogConfig) {
+    let (level, lines) = (book.level, LineLayer { book, bound: LineRateLimit::default() });
     let subscriber = tracing_subscriber::registry().with(lines.with_filter(level));
     // Fails only where one was set before, as by a second router in one test.
     let _ = tracing::subscriber::set_global_default(subscriber);
@@ -53,15 +53,15 @@
 
 /// Counts the lines of a second.
 #[derive(Default)]
-struct Bound {
+struct LineRateLimit {
     second: AtomicU64,
     lines: AtomicU32,
     dropped: AtomicU32,
 }
 
-impl Bound {
+impl LineRateLimit {
     /// How many lines were not written since the last one that was; nothing if this one is not to be either.
-    fn pass(&self, second: u64, most: u32) -> Option<u32> {
+    fn admit(&self, second: u64, most: u32) -> Option<u32> {
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
         }
@@ -73,25 +73,25 @@
     }
 }
 
-struct Lines {
-    book: Logbook,
-    bound: Bound,
+struct LineLayer {
+    book: LogConfig,
+    bound: LineRateLimit,
 }
 
 /// What an event says: its message, and its fields in order.
 #[derive(Default)]
-struct Said {
+struct EventRecord {
     message: String,
     fields: Vec<(&'static str, Value)>,
 }
 
-impl Said {
+impl EventRecord {
     fn put(&mut self, field: &Field, value: Value) {
         self.fields.push((field.name(), value));
     }
 }
 
-impl Visit for Said {
+impl Visit for EventRecord {
     fn record_debug(&mut self, field: &Field, value: &dyn std::fmt::Debug) {
         match field.name() {
             "message" => drop(write!(self.message, "{value:?}")),
@@ -123,10 +123,10 @@
     }
 }
 
-impl Said {
-    fn line(self, book: &Logbook, unix_ms: u128, level: &str, stage: &str, dropped: u32) -> String {
+impl EventRecord {
+    fn line(self, book: &LogConfig, unix_ms: u128, level: &str, stage: &str, dropped: u32) -> String {
         let (seconds, millis) = (unix_ms / 1000, unix_ms % 1000);
-        if book.form == Form::Json {
+        if book.format == LogFormat::Json {
             let mut object = Map::new();
             object.insert("unix_ms".to_string(), Value::from(unix_ms as u64));
             let head = [("router", book.name.as_str()), ("level", level), ("stage", stage)];
@@ -157,14 +157,15 @@
     }
 }
 
-impl<S: Subscriber> Layer<S> for Lines {
+impl<S: Subscriber> Layer<S> for LineLayer {
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         // Danger: whoever reads the log is slow, and a storm of lines stops the router. Who asks for a trace
         // wants all of it.
-        let most = if self.book.level <= LevelFilter::INFO { self.book.lines } else { u32::MAX };
-        let Some(dropped) = self.bound.pass(now.as_secs(), most) else { return };
-        let mut said = Said::default();
+        let most =
+            if self.book.level <= LevelFilter::INFO { self.book.max_lines_per_second } else { u32::MAX };
+        let Some(dropped) = self.bound.admit(now.as_secs(), most) else { return };
+        let mut said = EventRecord::default();
         event.record(&mut said);
         let (level, target) = (event.metadata().level().as_str(), event.metadata().target());
         let stage = target.rsplit("::").next().unwrap_or_default();
@@ -180,26 +181,32 @@
 
     #[test]
     fn lines_beyond_the_bound_are_counted_and_told_with_the_next_one() {
-        let bound = Bound::default();
+        let bound = LineRateLimit::default();
         assert_eq!(
-            [bound.pass(1, 2), bound.pass(1, 2), bound.pass(1, 2), bound.pass(1, 2)],
+            [bound.admit(1, 2), bound.admit(1, 2), bound.admit(1, 2), bound.admit(1, 2)],
             [Some(0), Some(0), None, None]
         );
-        assert_eq!([bound.pass(2, 2), bound.pass(2, 2)], [Some(2), Some(0)]);
+        assert_eq!([bound.admit(2, 2), bound.admit(2, 2)], [Some(2), Some(0)]);
     }
 
     #[test]
     fn a_line_is_one_line_whatever_is_quoted_and_json_can_be_read() {
         for (form, wanted) in
-            [(Form::Text, "1.002 n0 WARN admit: no room cell=a tenant=x y z"), (Form::Json, "")]
+            [(LogFormat::Text, "1.002 n0 WARN admit: no room cell=a tenant=x y z"), (LogFormat::Json, "")]
         {
-            let book = Logbook { name: "n0".to_string(), form, level: LevelFilter::INFO, lines: 9 };
+            let book = LogConfig {
+                name: "n0".to_string(),
+                format: form,
+                level: LevelFilter::INFO,
+                max_lines_per_second: 9,
+            };
             let fields = vec![("cell", Value::from("a")), ("tenant", Value::from("x\ny\u{1b}z"))];
-            let line = Said { message: "no room".to_string(), fields }.line(&book, 1002, "WARN", "admit", 0);
+            let line =
+                EventRecord { message: "no room".to_string(), fields }.line(&book, 1002, "WARN", "admit", 0);
             assert!(!line.contains(char::is_control), "{line}");
             match form {
-                Form::Text => assert_eq!(line, wanted),
-                Form::Json => {
+                LogFormat::Text => assert_eq!(line, wanted),
+                LogFormat::Json => {
                     let told: Value = serde_json::from_str(&line).expect("it is JSON");
                     assert_eq!((&told["tenant"], &told["unix_ms"]), (&"x\ny\u{1b}z".into(), &1002.into()));
                 }
--- a/crates/arrowyard-core/src/mail.rs
+++ b/crates/arrowyard-core/src/messages.rs
@@ -7,56 +7,56 @@
 use arrowyard_types::{CellId, HostId, HostStatus, OpId, OpRequest, Outcome, PeerId, SendIndex};
 use tokio::sync::oneshot;
 
-use crate::back::Back;
-use crate::list::List;
+use crate::cell_scheduler::OpOrigin;
+use crate::list::HostList;
 use crate::reply::Reply;
-use crate::send::End;
-use crate::ward::Claim;
+use crate::send::EndedSend;
+use crate::transport::HostTransport;
 
 /// What the other tasks tell the one that owns the module.
-pub enum Mail<B: Back> {
+pub enum RouteMessage<B: HostTransport> {
     /// With what cells want to know of it, where there are any.
-    Asked(OpRequest, Option<Box<Claim>>, Rc<B::Payload>, oneshot::Sender<Reply<B::Answer>>),
-    HungUp(OpId),
+    OpAdmitted(OpRequest, Option<Box<OpOrigin>>, Rc<B::Payload>, oneshot::Sender<Reply<B::Answer>>),
+    ClientDisconnected(OpId),
     /// The answer goes to the client, and the send goes on.
-    Begun(OpId, B::Answer),
-    SendEnded(OpId, SendIndex, HostId, End<B::Answer>),
+    AnswerBegun(OpId, B::Answer),
+    SendEnded(OpId, SendIndex, HostId, EndedSend<B::Answer>),
     /// In the name of the cell, where there are any.
-    Probed(HostId, Option<CellId>, Outcome, HostStatus),
+    ProbeEnded(HostId, Option<CellId>, Outcome, HostStatus),
     /// A host was asked for its position since a tenant moves there.
-    Watched(HostId, HostStatus),
+    PositionProbed(HostId, HostStatus),
     /// The operator's file was read anew.
-    Relayout(Box<Layout>),
+    LayoutReloaded(Box<Layout>),
     /// Somebody wants to see the cells.
-    Show(oneshot::Sender<String>),
+    ShowCells(oneshot::Sender<String>),
     /// Somebody wants to see the other routers.
     ShowPeers(oneshot::Sender<String>),
     /// Shares are reckoned by this number of routers from now on.
-    Fleet(f64),
+    RouterCountChanged(f64),
     /// What another router's module told.
-    Told(PeerId, Vec<u8>),
+    PeerMessage(PeerId, Vec<u8>),
     /// The list was stored, or that failed.
-    Saved(bool),
+    ListSaved(bool),
     /// Whether the stage comes round: ops taken and acked since the start.
-    Echo(oneshot::Sender<(u64, u64)>),
+    CheckLiveness(oneshot::Sender<(u64, u64)>),
     /// Of discovery.
-    News(News),
+    Discovery(DiscoveryEvent),
 }
 
 /// What discovery tells.
 #[derive(Debug)]
-pub enum News {
-    Listed(List),
-    ListFailed,
+pub enum DiscoveryEvent {
+    List(HostList),
+    Failed,
 }
 
 /// What discovery is asked for.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Wish {
+pub enum DiscoveryCommand {
     Watch(bool),
     Fetch,
     /// It is reached at another address from now on.
-    Move(SocketAddr),
+    SetAddress(SocketAddr),
     /// So many routers ask it.
-    Routers(f64),
+    SetRouterCount(f64),
 }
--- a/crates/arrowyard-core/src/peers.rs
+++ b/crates/arrowyard-core/src/peers.rs
@@ -16,22 +16,22 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep_until, timeout};
 
-use crate::back::Back;
 use crate::clock::Clock;
 use crate::leases;
-use crate::mail::Mail;
+use crate::messages::RouteMessage;
+use crate::transport::HostTransport;
 
 /// What others ask of the task.
-pub enum Errand {
+pub enum PeersCommand {
     /// The module has a word for all.
-    Tell(Vec<u8>),
+    Broadcast(Vec<u8>),
     Show(oneshot::Sender<String>),
     /// The router ends; answered once that was said.
     Leave(oneshot::Sender<()>),
     /// The machine there refused a datagram for this life of a member.
-    Refused(Rc<str>, u64),
+    PortRefused(Rc<str>, u64),
     /// How the route stage does: ops taken and acked since the start; nothing where it did not answer in time.
-    Serves(Option<(u64, u64)>),
+    ServiceReport(Option<(u64, u64)>),
 }
 
 /// Errands that wait at most, datagrams that are read before others get a turn, and looks under way.
@@ -75,13 +75,13 @@
     }
 }
 
-pub struct Peers<B: Back> {
+pub struct PeersTask<B: HostTransport> {
     fleet: Membership,
     socket: UdpSocket,
     clock: Clock,
-    errands: mpsc::Receiver<Errand>,
-    own: mpsc::Sender<Errand>,
-    mail: mpsc::Sender<Mail<B>>,
+    errands: mpsc::Receiver<PeersCommand>,
+    own: mpsc::Sender<PeersCommand>,
+    mail: mpsc::Sender<RouteMessage<B>>,
     shares: bool,
     news: bool,
     routers: f64,
@@ -89,12 +89,12 @@
     asked_stage: Instant,
     serving: Serving,
     /// The task that wants leases, and what it was told last.
-    leases: Option<mpsc::Sender<leases::Errand>>,
+    leases: Option<mpsc::Sender<leases::LeasesCommand>>,
     idle: bool,
     errors: u64,
 }
 
-impl<B: Back> Peers<B> {
+impl<B: HostTransport> PeersTask<B> {
     /// Opens the socket; the task and where its errands go.
     ///
     /// # Errors
@@ -105,9 +105,9 @@
         settings: f64,
         seed: u64,
         clock: Clock,
-        mail: mpsc::Sender<Mail<B>>,
-        leases: Option<mpsc::Sender<leases::Errand>>,
-    ) -> Result<(Self, mpsc::Sender<Errand>), String> {
+        mail: mpsc::Sender<RouteMessage<B>>,
+        leases: Option<mpsc::Sender<leases::LeasesCommand>>,
+    ) -> Result<(Self, mpsc::Sender<PeersCommand>), String> {
         let socket = UdpSocket::bind(belongs.listen).await.map_err(|e| format!("{}: {e}", belongs.listen))?;
         let local = socket.local_addr().map_err(|e| e.to_string())?;
         let at = belongs.advertise.unwrap_or(local);
@@ -121,7 +121,7 @@
         let decisions = Membership::new(clock.now(), belongs.config, me, settings, seed ^ nonce);
         tracing::info!(fleet, at = %at, life, "member of a fleet, datagrams at {local}");
         let moment = Instant::now();
-        let peers = Peers {
+        let peers = PeersTask {
             fleet: decisions,
             socket,
             clock,
@@ -144,7 +144,7 @@
     pub async fn run(mut self) {
         let mut buffer = vec![0; 2048];
         loop {
-            let next = self.clock.when(self.fleet.next_deadline());
+            let next = self.clock.instant_at(self.fleet.next_deadline());
             tokio::select! {
                 biased;
                 // Time goes first. Danger: after a halt a socket full of old datagrams is taken for news of now.
@@ -177,24 +177,24 @@
         }
     }
 
-    fn errand(&mut self, errand: Errand) {
+    fn errand(&mut self, errand: PeersCommand) {
         let now = self.clock.now();
         match errand {
-            Errand::Tell(bytes) if self.news => self.fleet.broadcast(now, &bytes),
-            Errand::Tell(_) => {}
-            Errand::Show(client) => drop(client.send(self.report().to_string())),
-            Errand::Leave(done) => {
+            PeersCommand::Broadcast(bytes) if self.news => self.fleet.broadcast(now, &bytes),
+            PeersCommand::Broadcast(_) => {}
+            PeersCommand::Show(client) => drop(client.send(self.report().to_string())),
+            PeersCommand::Leave(done) => {
                 self.fleet.leave(now);
                 // Whoever asked may be gone.
                 let _ = done.send(());
             }
-            Errand::Refused(name, life) => self.fleet.port_refused(&name, life),
-            Errand::Serves(told) => {
+            PeersCommand::PortRefused(name, life) => self.fleet.port_refused(&name, life),
+            PeersCommand::ServiceReport(told) => {
                 let idle = self.serving.idle(told);
                 self.fleet.set_idle(now, idle);
                 // Full of errands, it hears of it the next time.
                 if let Some(leases) = self.leases.as_ref().filter(|_| self.idle != idle)
-                    && leases.try_send(leases::Errand::Fit(!idle)).is_ok()
+                    && leases.try_send(leases::LeasesCommand::SetEligible(!idle)).is_ok()
                 {
                     self.idle = idle;
                 }
@@ -212,12 +212,12 @@
         drop(spawn_local(async move {
             let (client, answer) = oneshot::channel();
             let told = timeout(STAGE, async {
-                mail.send(Mail::Echo(client)).await.ok()?;
+                mail.send(RouteMessage::CheckLiveness(client)).await.ok()?;
                 answer.await.ok()
             });
             let told = told.await.ok().flatten();
             // A full channel has other errands that say that it lives.
-            let _ = own.try_send(Errand::Serves(told));
+            let _ = own.try_send(PeersCommand::ServiceReport(told));
         }));
     }
 
@@ -261,13 +261,13 @@
                 routers = self.routers,
                 "shares are reckoned by another number of routers"
             );
-            let _ = self.mail.send(Mail::Fleet(self.routers)).await;
+            let _ = self.mail.send(RouteMessage::RouterCountChanged(self.routers)).await;
         }
     }
 
     /// Danger: a full inbox of the route stage, and others' news before the ops of this router. It is dropped then.
     async fn hear(&self, from: PeerId, bytes: Vec<u8>) {
-        let _ = self.mail.try_send(Mail::Told(from, bytes));
+        let _ = self.mail.try_send(RouteMessage::PeerMessage(from, bytes));
     }
 
     /// Whether the machine there refuses datagrams.
@@ -289,7 +289,7 @@
                 }
             };
             if refused.await.is_some() {
-                let _ = own.try_send(Errand::Refused(name, life));
+                let _ = own.try_send(PeersCommand::PortRefused(name, life));
             }
             looks.set(looks.get() - 1);
         }));
--- a/crates/arrowyard-core/src/pool.rs
+++ b/crates/arrowyard-core/src/pool.rs
@@ -8,32 +8,32 @@
 use arrowyard_types::{HostId, Outcome};
 use tokio::time::Instant;
 
-use crate::count::Count;
+use crate::count::UsageGuard;
 use crate::limits::Limits;
 
 /// One connection to a host, as the pool sees it.
-pub trait Link: Sized {
+pub trait PooledConnection: Sized {
     /// Dials the host and is let in; the outcome, if it is not, for a send that was never written. `large` counts
     /// the bytes that large answers of all connections take.
-    fn open(
+    fn connect(
         dial: SocketAddr,
-        count: Count,
+        count: UsageGuard,
         large: Rc<Cell<usize>>,
         limits: Rc<Limits>,
     ) -> impl Future<Output = Result<Self, Outcome>>;
 
-    fn dial(&self) -> SocketAddr;
+    fn address(&self) -> SocketAddr;
 
     fn idle_since(&self) -> Instant;
 
     /// Whether it was not idle for too long, and nothing has come meanwhile, not even the end.
-    fn is_good(&self) -> bool;
+    fn is_reusable(&self) -> bool;
 
     /// It is idle from now on, and gives back the room that its last answer took.
-    fn rest(&mut self);
+    fn mark_idle(&mut self);
 }
 
-pub struct Pool<L> {
+pub struct ConnectionPool<L> {
     idle: RefCell<BTreeMap<HostId, Vec<L>>>,
     /// When a host was last done with a command.
     heard: RefCell<BTreeMap<HostId, Instant>>,
@@ -44,37 +44,37 @@
     limits: Rc<Limits>,
 }
 
-impl<L: Link> Pool<L> {
+impl<L: PooledConnection> ConnectionPool<L> {
     pub fn new(limits: Rc<Limits>) -> Rc<Self> {
         let (idle, heard, open, dialed, large) = Default::default();
-        Rc::new(Pool { idle, heard, open, dialed, large, limits })
+        Rc::new(ConnectionPool { idle, heard, open, dialed, large, limits })
     }
 
-    pub fn open(&self) -> usize {
+    pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
     /// Connections that were begun.
-    pub fn dialed(&self) -> u64 {
+    pub fn connections_started(&self) -> u64 {
         self.dialed.get()
     }
 
     /// The connection to the host that was used last, else a new one; the outcome, if there is none to be had.
-    pub async fn take(&self, host: HostId, dial: SocketAddr) -> Result<L, Outcome> {
+    pub async fn acquire(&self, host: HostId, dial: SocketAddr) -> Result<L, Outcome> {
         while let Some(link) = self.idle.borrow_mut().get_mut(&host).and_then(Vec::pop) {
-            if link.dial() == dial && link.is_good() {
+            if link.address() == dial && link.is_reusable() {
                 return Ok(link);
             }
         }
-        if self.open.get() >= self.limits.links && !self.close_oldest() {
+        if self.open.get() >= self.limits.max_host_connections && !self.close_oldest() {
             return Err(Outcome::ConnectFailed);
         }
         self.dialed.set(self.dialed.get() + 1);
-        L::open(dial, Count::one(&self.open), self.large.clone(), self.limits.clone()).await
+        L::connect(dial, UsageGuard::one(&self.open), self.large.clone(), self.limits.clone()).await
     }
 
-    pub fn put_back(&self, host: HostId, mut link: L) {
-        link.rest();
+    pub fn release(&self, host: HostId, mut link: L) {
+        link.mark_idle();
         self.heard.borrow_mut().insert(host, link.idle_since());
         self.idle.borrow_mut().entry(host).or_default().push(link);
     }
@@ -86,7 +86,7 @@
     /// A send of then was not answered. Danger: a machine that is gone or cut off leaves its connections open, and
     /// each send over one of them waits in vain and may have run. If the host was done with nothing since then,
     /// its idle connections are closed; a new one tells at once whether it is there.
-    pub fn unanswered(&self, host: HostId, since: Instant) {
+    pub fn send_timed_out(&self, host: HostId, since: Instant) {
         if self.heard.borrow().get(&host).is_none_or(|heard| *heard < since) {
             self.close_idle(host);
         }
@@ -99,8 +99,8 @@
     }
 
     /// Closes what was idle for too long, before the host does: a send that crosses the end may have run.
-    pub fn sweep(&self) {
-        self.idle.borrow_mut().values_mut().for_each(|links| links.retain(L::is_good));
+    pub fn close_expired(&self) {
+        self.idle.borrow_mut().values_mut().for_each(|links| links.retain(L::is_reusable));
     }
 }
 
@@ -110,50 +110,50 @@
 
     /// A connection that is always good.
     struct Fake {
-        dial: SocketAddr,
+        address: SocketAddr,
         since: Instant,
-        _count: Count,
+        _count: UsageGuard,
     }
 
-    impl Link for Fake {
-        async fn open(
-            dial: SocketAddr,
-            count: Count,
+    impl PooledConnection for Fake {
+        async fn connect(
+            address: SocketAddr,
+            count: UsageGuard,
             _: Rc<Cell<usize>>,
             _: Rc<Limits>,
         ) -> Result<Self, Outcome> {
-            Ok(Fake { dial, since: Instant::now(), _count: count })
+            Ok(Fake { address, since: Instant::now(), _count: count })
         }
 
-        fn dial(&self) -> SocketAddr {
-            self.dial
+        fn address(&self) -> SocketAddr {
+            self.address
         }
 
         fn idle_since(&self) -> Instant {
             self.since
         }
 
-        fn is_good(&self) -> bool {
+        fn is_reusable(&self) -> bool {
             true
         }
 
-        fn rest(&mut self) {
+        fn mark_idle(&mut self) {
             self.since = Instant::now();
         }
     }
 
     #[tokio::test]
     async fn with_no_descriptor_left_an_idle_connection_goes_first_and_then_a_dial_fails() {
-        let limits = Limits { links: 2, ..Limits::told(serde_json::json!({})).2 };
+        let limits = Limits { max_host_connections: 2, ..Limits::for_test(serde_json::json!({})).2 };
         let [one, two] = [1, 2].map(|port| SocketAddr::from(([127, 0, 0, 1], port)));
-        let pool: Rc<Pool<Fake>> = Pool::new(Rc::new(limits));
-        let first = pool.take(HostId(1), one).await.expect("there is room");
-        let second = pool.take(HostId(1), one).await.expect("there is room");
-        assert_eq!(pool.take(HostId(2), two).await.err(), Some(Outcome::ConnectFailed));
-        pool.put_back(HostId(1), first);
-        assert_eq!(pool.take(HostId(2), two).await.map(|link| link.dial), Ok(two));
-        assert_eq!(pool.dialed(), 3, "without a descriptor none is begun");
-        assert_eq!(pool.open(), 1, "the idle one was closed, the third ended just now");
+        let pool: Rc<ConnectionPool<Fake>> = ConnectionPool::new(Rc::new(limits));
+        let first = pool.acquire(HostId(1), one).await.expect("there is room");
+        let second = pool.acquire(HostId(1), one).await.expect("there is room");
+        assert_eq!(pool.acquire(HostId(2), two).await.err(), Some(Outcome::ConnectFailed));
+        pool.release(HostId(1), first);
+        assert_eq!(pool.acquire(HostId(2), two).await.map(|link| link.address), Ok(two));
+        assert_eq!(pool.connections_started(), 3, "without a descriptor none is begun");
+        assert_eq!(pool.open_connections(), 1, "the idle one was closed, the third ended just now");
         drop(second);
     }
 }
--- a/crates/arrowyard-core/src/returns.rs
+++ b/crates/arrowyard-core/src/returns.rs
@@ -14,9 +14,9 @@
 use tokio::task::{spawn_blocking, spawn_local};
 use tokio::time::timeout;
 
-use crate::back::Back;
-use crate::list::{Line, List};
-use crate::mail::Mail;
+use crate::list::{HostList, HostListEntry};
+use crate::messages::RouteMessage;
+use crate::transport::HostTransport;
 
 /// How long a start waits for its disk. Danger: a disk that hangs, and a router that never starts.
 const DISK: Duration = Duration::from_millis(500);
@@ -30,7 +30,7 @@
 /// By what a store is known to be of this deployment: its sites, its op types and what is asked of hosts. Numbers that
 /// operators tune are left out, since a new latency target is no other deployment.
 #[must_use]
-pub fn deployment(settings: &Map<String, Value>) -> u64 {
+pub fn deployment_fingerprint(settings: &Map<String, Value>) -> u64 {
     let names = settings.get("grades").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
     let names: Vec<&Value> = names.iter().filter_map(|row| row.get("name")).collect();
     let text = format!("{:?} {names:?} {:?}", settings.get("dcs"), settings.get("domain"));
@@ -46,7 +46,11 @@
 /// with the store is logged and passed over.
 ///
 /// With it the number of the stored list, if it is used: what discovery tells under a smaller one is older.
-pub async fn read(comes: &Comes, deployment: u64, known: Option<List>) -> (Option<List>, Option<i64>) {
+pub async fn load_stored_list(
+    comes: &Comes,
+    deployment: u64,
+    known: Option<HostList>,
+) -> (Option<HostList>, Option<i64>) {
     let Some(folder) = comes.store.clone() else { return (known, None) };
     let now = unix_ms();
     let loading = spawn_blocking(move || {
@@ -70,28 +74,28 @@
     };
     let age = TimeDelta::from_millis(now.saturating_sub(stored.written_ms) as i64);
     let names: Vec<String> =
-        known.iter().flat_map(|list| &list.lines).map(|line| line.host.clone()).collect();
+        known.iter().flat_map(|list| &list.entries).map(|line| line.host.clone()).collect();
     let weighed = weigh(stored, age, comes.trust, &names);
     let confidence = weighed.first().map_or(0.0, |one| one.confidence);
     let age_s = age.as_secs_f64();
     tracing::info!(age_s, hosts = weighed.len(), confidence, "a stored list is used till discovery speaks");
-    let lines = weighed.into_iter().map(|one| Line {
+    let lines = weighed.into_iter().map(|one| HostListEntry {
         host: one.host.name,
         availability: Availability::Ready,
-        dial: one.host.dial.parse().ok(),
+        address: one.host.dial.parse().ok(),
         site: Some(one.host.site),
         group: Some(one.host.group),
         size: Some(one.host.size),
-        born_ms: Some(one.host.born_ms),
-        primary: Some(false),
+        started_at_ms: Some(one.host.born_ms),
+        is_primary: Some(false),
     });
-    let mut list = known.unwrap_or(List { version: 0, whole: true, lines: Vec::new() });
-    list.lines.extend(lines);
+    let mut list = known.unwrap_or(HostList { version: 0, is_full: true, entries: Vec::new() });
+    list.entries.extend(lines);
     (Some(list), (confidence > 0.0).then_some(stored.version))
 }
 
 /// One start, and what is kept for the next.
-pub struct Returning {
+pub struct RouterStartup {
     start: Return,
     comes: Comes,
     deployment: u64,
@@ -107,7 +111,7 @@
     version: i64,
 }
 
-impl Returning {
+impl RouterStartup {
     #[must_use]
     pub fn new(
         now: Timestamp,
@@ -116,9 +120,9 @@
         router: &str,
         listed: bool,
         seed: u64,
-    ) -> Returning {
+    ) -> RouterStartup {
         let start = Return::start(now, Terms::default(), listed);
-        Returning {
+        RouterStartup {
             told: start.stage(),
             start,
             comes,
@@ -133,7 +137,7 @@
         }
     }
 
-    pub fn asked(&mut self, op: OpId, group: GroupId, write: bool) {
+    pub fn op_started(&mut self, op: OpId, group: GroupId, write: bool) {
         if !self.start.is_over() {
             self.start.asked(group, write);
             self.ops.insert(op, (group, write));
@@ -141,7 +145,7 @@
     }
 
     /// An op had its final answer.
-    pub fn answered(&mut self, now: Timestamp, op: OpId, acked: bool) {
+    pub fn op_finished(&mut self, now: Timestamp, op: OpId, acked: bool) {
         match self.ops.remove(&op) {
             Some((group, write)) if acked => self.start.acked(now, group, write),
             Some(_) => self.start.failed(),
@@ -149,13 +153,13 @@
         }
     }
 
-    pub fn listed(&mut self, now: Timestamp, version: i64) {
+    pub fn list_received(&mut self, now: Timestamp, version: i64) {
         self.start.listed(now);
         (self.changed, self.version) = (true, version);
     }
 
     /// When a client that is given back may come again.
-    pub fn after(&mut self, told: Option<TimeDelta>, most: Option<TimeDelta>) -> Option<TimeDelta> {
+    pub fn retry_after(&mut self, told: Option<TimeDelta>, most: Option<TimeDelta>) -> Option<TimeDelta> {
         most.map_or(told, |most| self.start.after(told, most, &mut self.rng))
     }
 
@@ -181,7 +185,7 @@
     }
 
     /// Whether the list is to be written now; it is said once, and till `saved` is called not again.
-    pub fn due(&mut self, now: Timestamp) -> bool {
+    pub fn should_save(&mut self, now: Timestamp) -> bool {
         let due =
             self.comes.store.is_some() && self.changed && !self.saving && now - self.saved >= self.comes.save;
         if due {
@@ -190,14 +194,18 @@
         due
     }
 
-    pub fn saved(&mut self, failed: bool) {
+    pub fn save_finished(&mut self, failed: bool) {
         self.saving = false;
         // Danger: a disk that is full is tried as often as time allows, and no more.
         self.changed |= failed;
     }
 
     /// Writes the list, on a thread of its own: a disk that hangs is waited for by nobody.
-    pub fn save<B: Back>(&self, hosts: Vec<arrowyard_store::Host>, mail: mpsc::Sender<Mail<B>>) {
+    pub fn save<B: HostTransport>(
+        &self,
+        hosts: Vec<arrowyard_store::Host>,
+        mail: mpsc::Sender<RouteMessage<B>>,
+    ) {
         let Some(folder) = self.comes.store.clone() else { return };
         let now = unix_ms();
         let snapshot = Snapshot {
@@ -222,10 +230,10 @@
                     true
                 }
             };
-            let _ = mail.send(Mail::Saved(failed)).await;
+            let _ = mail.send(RouteMessage::ListSaved(failed)).await;
         }));
     }
 }
 
 /// What a route stage has of it, if the operator's file says so.
-pub type Returns = Option<Box<Returning>>;
+pub type OptionalStartup = Option<Box<RouterStartup>>;
--- a/crates/arrowyard-core/src/roster.rs
+++ b/crates/arrowyard-core/src/roster.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use arrowyard_cells::index::CellIndex;
-use arrowyard_platform_settings::{point, tag};
+use arrowyard_platform_settings::{address_hash, timestamp_from_millis};
 use arrowyard_store::Host;
 use arrowyard_types::{
     Availability, CellId, GroupId, GroupMembership, GroupMemberships, HostEntry, HostId, ListKind,
@@ -15,14 +15,14 @@
 use tokio::time::Instant;
 
 use crate::limits::Limits;
-use crate::list::{Line, List};
+use crate::list::{HostList, HostListEntry};
 
 /// A group that is nobody's cell.
 fn whole(group: GroupId) -> GroupMemberships {
     [GroupMembership { group, primary_only: false }].into()
 }
 
-pub struct Roster {
+pub struct HostRegistry {
     ids: HashMap<String, HostId>,
     dials: Vec<Option<SocketAddr>>,
     last: Vec<HostEntry>,
@@ -42,51 +42,51 @@
     limits: Rc<Limits>,
 }
 
-impl Roster {
+impl HostRegistry {
     pub fn new(settings: &Map<String, Value>, limits: Rc<Limits>) -> Self {
         let sites = settings.get("dcs").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
         let sites = sites.iter().filter_map(Value::as_str).enumerate();
         let zones = sites.map(|(n, site)| (site.to_string(), ZoneId(n as u32))).collect();
         let (ids, dials, last, raw, views, ceased, gone) = Default::default();
         let (named, turn) = (Vec::new(), 0);
-        Roster { ids, dials, last, zones, raw, views, ceased, gone, named, turn, limits }
+        HostRegistry { ids, dials, last, zones, raw, views, ceased, gone, named, turn, limits }
     }
 
-    pub fn dial(&self, host: HostId) -> Option<SocketAddr> {
+    pub fn address(&self, host: HostId) -> Option<SocketAddr> {
         self.dials.get(host.0 as usize).copied().flatten()
     }
 
     /// The list as a note; a saved one is the router's last list before it started.
-    pub fn note(&mut self, list: &List, saved: bool) -> RouterEvent {
-        let form = match (saved, list.whole) {
+    pub fn apply_list(&mut self, list: &HostList, saved: bool) -> RouterEvent {
+        let form = match (saved, list.is_full) {
             (true, _) => ListKind::Saved,
             (false, true) => ListKind::Full,
             (false, false) => ListKind::Incremental,
         };
         RouterEvent::HostList {
             kind: form,
-            entries: list.lines.iter().map(|line| self.entry(line)).collect(),
+            entries: list.entries.iter().map(|line| self.entry(line)).collect(),
         }
     }
 
     /// From now on lines are of this whole list.
-    pub fn turn(&mut self, turn: u64) {
+    pub fn set_list_number(&mut self, turn: u64) {
         self.turn = turn;
     }
 
     /// The hosts that this whole list did not name: they are gone by it.
-    pub fn missing(&self, turn: u64) -> Vec<Line> {
+    pub fn missing_hosts(&self, turn: u64) -> Vec<HostListEntry> {
         let there = self.last.iter().zip(&self.named);
         let there = there.filter(|(entry, named)| entry.availability != Availability::Gone && **named < turn);
-        let line = |entry: &HostEntry| Line {
+        let line = |entry: &HostEntry| HostListEntry {
             host: self.raw[entry.host.0 as usize].0.clone(),
             availability: Availability::Gone,
-            dial: None,
+            address: None,
             site: None,
             group: None,
             size: None,
-            born_ms: None,
-            primary: None,
+            started_at_ms: None,
+            is_primary: None,
         };
         there.map(|(entry, _)| line(entry)).collect()
     }
@@ -95,7 +95,7 @@
     /// from now on. Danger: hosts come and go for as long as the router runs, and what is kept of each adds up.
     fn forget(&mut self) -> Option<HostId> {
         let (since, _) = self.gone.front()?;
-        if since.elapsed() < self.limits.forget {
+        if since.elapsed() < self.limits.removed_host_retention {
             return None;
         }
         let (_, name) = self.gone.pop_front()?;
@@ -103,14 +103,14 @@
     }
 
     /// The group as the cell sees it.
-    pub fn view(&mut self, group: GroupId, cell: CellId) -> GroupId {
+    pub fn cell_group(&mut self, group: GroupId, cell: CellId) -> GroupId {
         let next = GroupId(i64::MIN + self.views.len() as i64);
         *self.views.entry((group, cell)).or_insert(next)
     }
 
     /// The entries as cells divide them: each host in the views of its cells, and in those of the others as their
     /// primary only. `trust` tells for a cell how much of its size a host that started so lately is trusted with.
-    pub fn divide(
+    pub fn assign_cells(
         &mut self,
         entries: &mut [HostEntry],
         index: &CellIndex,
@@ -125,7 +125,7 @@
                     if let Some(started) = entry.started_at.filter(|_| !guest) {
                         part = part.min(trust(cell, started));
                     }
-                    GroupMembership { group: self.view(group, cell), primary_only: guest }
+                    GroupMembership { group: self.cell_group(group, cell), primary_only: guest }
                 })
                 .collect();
             entry.size = size * part;
@@ -133,12 +133,12 @@
     }
 
     /// All hosts that are there, as they were listed last.
-    pub fn all(&self) -> Vec<HostEntry> {
+    pub fn current_entries(&self) -> Vec<HostEntry> {
         self.last.iter().filter(|entry| entry.availability != Availability::Gone).cloned().collect()
     }
 
     /// The hosts that are there, for the store.
-    pub fn hosts(&self) -> Vec<Host> {
+    pub fn stored_hosts(&self) -> Vec<Host> {
         let there = self.last.iter().filter(|entry| entry.availability != Availability::Gone);
         let zone =
             |id: ZoneId| self.zones.iter().find(|(_, zone)| **zone == id).map(|(name, _)| name.clone());
@@ -146,7 +146,7 @@
             let (name, group, size) = &self.raw[entry.host.0 as usize];
             Host {
                 name: name.clone(),
-                dial: self.dial(entry.host).map(|dial| dial.to_string()).unwrap_or_default(),
+                dial: self.address(entry.host).map(|dial| dial.to_string()).unwrap_or_default(),
                 site: zone(entry.zone).unwrap_or_default(),
                 group: group.0,
                 size: *size,
@@ -159,22 +159,22 @@
     }
 
     /// What all routers call the hosts that ceased to be ready since this was asked last.
-    pub fn ceased(&mut self) -> Vec<u32> {
+    pub fn take_not_ready(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.ceased)
     }
 
     /// Whether the list holds the host that all routers call so as ready.
-    pub fn holds_ready(&self, tag: u32) -> bool {
+    pub fn is_ready(&self, tag: u32) -> bool {
         self.last.iter().any(|entry| entry.address_hash == tag && entry.availability == Availability::Ready)
     }
 
     /// How many hosts the list holds as ready.
-    pub fn ready(&self) -> usize {
+    pub fn ready_count(&self) -> usize {
         self.last.iter().filter(|entry| entry.availability == Availability::Ready).count()
     }
 
     /// The host that all routers call so is held as leaving, by others' word; its entry.
-    pub fn close(&mut self, tag: u32) -> Option<HostEntry> {
+    pub fn mark_draining(&mut self, tag: u32) -> Option<HostEntry> {
         let ready =
             |entry: &&mut HostEntry| entry.address_hash == tag && entry.availability == Availability::Ready;
         let entry = self.last.iter_mut().find(ready)?;
@@ -183,14 +183,14 @@
     }
 
     /// The hosts of a group, as lists name it, and their names.
-    pub fn members(&self, group: GroupId) -> Vec<(HostId, &str)> {
+    pub fn group_hosts(&self, group: GroupId) -> Vec<(HostId, &str)> {
         let of = |entry: &&HostEntry| self.raw[entry.host.0 as usize].1 == group;
         let there = self.last.iter().filter(|entry| entry.availability != Availability::Gone);
         there.filter(of).map(|entry| (entry.host, &*self.raw[entry.host.0 as usize].0)).collect()
     }
 
     /// The cell in whose name the host is probed: the first whose own it is, else the first that it serves.
-    pub fn cell(&self, host: HostId, index: &CellIndex) -> Option<CellId> {
+    pub fn probe_cell(&self, host: HostId, index: &CellIndex) -> Option<CellId> {
         let (name, group, _) = self.raw.get(host.0 as usize)?;
         let mut parts = index.cells_for_host(*group, name);
         let first = parts.next()?;
@@ -199,19 +199,19 @@
     }
 
     /// Whether the host started within this span.
-    pub fn is_new(&self, host: HostId, now: Timestamp, within: TimeDelta) -> bool {
+    pub fn started_within(&self, host: HostId, now: Timestamp, within: TimeDelta) -> bool {
         let started = self.last.get(host.0 as usize).and_then(|entry| entry.started_at);
         started.is_some_and(|started| now - started < within)
     }
 
-    fn entry(&mut self, line: &Line) -> HostEntry {
+    fn entry(&mut self, line: &HostListEntry) -> HostEntry {
         let known = self.ids.get(&line.host).copied();
         let host = known.or_else(|| self.forget()).unwrap_or(HostId(self.dials.len() as u32));
         let place = host.0 as usize;
         if known.is_none() {
             self.ids.insert(line.host.clone(), host);
             let (parts, zone, availability) = (whole(GroupId(0)), ZoneId(0), line.availability);
-            let tag = tag(&line.host);
+            let tag = address_hash(&line.host);
             let blank = HostEntry {
                 host,
                 address_hash: tag,
@@ -240,7 +240,7 @@
         } else if line.availability != Availability::Gone {
             self.gone.retain(|(_, name)| *name != line.host);
         }
-        self.dials[place] = line.dial.or(self.dials[place]);
+        self.dials[place] = line.address.or(self.dials[place]);
         let last = &mut self.last[place];
         if last.availability == Availability::Ready
             && line.availability != Availability::Ready
@@ -258,9 +258,10 @@
         raw.2 = line.size.unwrap_or(raw.2);
         (last.memberships, last.size) = (whole(raw.1), raw.2);
         last.zone = line.site.as_ref().and_then(|site| self.zones.get(site).copied()).unwrap_or(last.zone);
-        last.is_primary = line.primary.unwrap_or(last.is_primary && line.availability != Availability::Gone);
-        if let Some(born) = line.born_ms {
-            last.started_at = (born > 0.0).then(|| point(born));
+        last.is_primary =
+            line.is_primary.unwrap_or(last.is_primary && line.availability != Availability::Gone);
+        if let Some(born) = line.started_at_ms {
+            last.started_at = (born > 0.0).then(|| timestamp_from_millis(born));
         }
         last.clone()
     }
@@ -272,12 +273,13 @@
 
     #[tokio::test(start_paused = true)]
     async fn the_id_of_a_host_that_is_gone_is_given_away_once_its_sends_have_ended() {
-        let limits = Limits::told(serde_json::json!({})).2;
-        let mut roster = Roster::new(&Map::new(), Rc::new(limits));
+        let limits = Limits::for_test(serde_json::json!({})).2;
+        let mut roster = HostRegistry::new(&Map::new(), Rc::new(limits));
         let mut told = |host: &str, health: &str| {
             let line = serde_json::json!({"host": host, "health": health, "dial": "127.0.0.1:9"});
-            let list = List::of(&serde_json::json!({"seq": 1, "hosts": [line]})).expect("it is whole");
-            match roster.note(&list, false) {
+            let list =
+                HostList::from_json(&serde_json::json!({"seq": 1, "hosts": [line]})).expect("it is whole");
+            match roster.apply_list(&list, false) {
                 RouterEvent::HostList { entries, .. } => (entries[0].host.0, entries[0].address_hash),
                 other => panic!("{other:?}"),
             }
@@ -286,8 +288,8 @@
         assert_eq!((told("a", "DELETED").0, told("b", "DELETED").0), (0, 1));
         assert_eq!(told("b", "SERVING").0, 1);
         assert_eq!(told("c", "SERVING").0, 2, "sends to a may be under way");
-        tokio::time::advance(limits.forget).await;
-        assert_eq!(told("d", "SERVING"), (0, tag("d")));
+        tokio::time::advance(limits.removed_host_retention).await;
+        assert_eq!(told("d", "SERVING"), (0, address_hash("d")));
         assert_eq!(told("e", "SERVING").0, 3, "b is back");
         assert_eq!(told("a", "SERVING").0, 4, "the old host is a new one now");
     }
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -14,32 +14,32 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep_until};
 
-use crate::back::Back;
-use crate::book::Book;
+use crate::cell_scheduler::{CellScheduler, Placement, RELEASE_WINDOW_FACTOR, stage_name};
 use crate::clock::Clock;
-use crate::hints::{Hints, hint, hinted};
+use crate::hints::{Hints, decode_hint, encode_hint};
 use crate::limits::Limits;
-use crate::list::{Line, List};
-use crate::mail::{self, Mail, Wish};
-use crate::peers::Errand;
+use crate::list::{HostList, HostListEntry};
+use crate::messages::{self, DiscoveryCommand, RouteMessage};
+use crate::op_table::OpTable;
+use crate::peers::PeersCommand;
 use crate::reply::Reply;
-use crate::returns::{Returning, Returns};
-use crate::roster::Roster;
-use crate::send::{self, End, Order};
-use crate::ward::{NEW, Turn, Ward, stage_name};
-
-pub struct Yard<B: Back> {
-    pub roster: Roster,
-    pub back: Rc<B>,
+use crate::returns::{OptionalStartup, RouterStartup};
+use crate::roster::HostRegistry;
+use crate::send::{self, EndedSend, SendRequest};
+use crate::transport::HostTransport;
+
+pub struct RouteContext<B: HostTransport> {
+    pub hosts: HostRegistry,
+    pub transport: Rc<B>,
     pub clock: Clock,
     pub limits: Rc<Limits>,
-    pub wishes: mpsc::Sender<Wish>,
+    pub discovery: mpsc::Sender<DiscoveryCommand>,
     /// For the tasks that it starts.
-    pub mail: mpsc::Sender<Mail<B>>,
+    pub messages: mpsc::Sender<RouteMessage<B>>,
     /// Its start, and what is kept for the next, where the operator's file says so.
-    pub returns: Option<Box<Returning>>,
+    pub startup: Option<Box<RouterStartup>>,
     /// The task that belongs to a fleet, where there is one.
-    pub peers: Option<mpsc::Sender<Errand>>,
+    pub peers: Option<mpsc::Sender<PeersCommand>>,
 }
 
 /// The hosts of a move's target are asked where they are once in this part of a connect time-out.
@@ -69,11 +69,11 @@
 }
 
 /// What goes with an op that waits for its cell.
-type Rest<B> = (Rc<<B as Back>::Payload>, oneshot::Sender<Reply<<B as Back>::Answer>>);
+type Rest<B> = (Rc<<B as HostTransport>::Payload>, oneshot::Sender<Reply<<B as HostTransport>::Answer>>);
 
-pub struct Route<B: Back> {
-    yard: Yard<B>,
-    ward: Option<Ward<Mail<B>, Rest<B>>>,
+pub struct RouteTask<B: HostTransport> {
+    yard: RouteContext<B>,
+    ward: Option<CellScheduler<RouteMessage<B>, Rest<B>>>,
     ticked: Instant,
     /// Hosts that are being asked where they are since a tenant moves there.
     watched: HashSet<HostId>,
@@ -82,17 +82,17 @@
     most_after: Option<TimeDelta>,
     cold: TimeDelta,
     router: Router,
-    book: Book<B::Payload, B::Answer>,
+    book: OpTable<B::Payload, B::Answer>,
     alarms: BinaryHeap<Reverse<(Timestamp, u64, TimerId)>>,
     rung: u64,
     chores: Scheduler<Chore>,
     /// Long lists that are worked off.
-    slices: Slices<Line>,
+    slices: Slices<HostListEntry>,
     /// Connections begun by the last tally.
     dialed: u64,
     /// Hosts that others say are leaving.
     hints: Hints,
-    returns: Returns,
+    returns: OptionalStartup,
     /// By op type: whether it writes, and whether it reads its session's own writes.
     writes: Vec<bool>,
     owns: Vec<bool>,
@@ -106,12 +106,12 @@
     acked: u64,
 }
 
-impl<B: Back> Route<B> {
+impl<B: HostTransport> RouteTask<B> {
     pub fn start(
-        mut yard: Yard<B>,
+        mut yard: RouteContext<B>,
         seed: u64,
         manifest: RouterSettings,
-        known: Option<&List>,
+        known: Option<&HostList>,
         cells: Option<Layout>,
     ) -> Self {
         let mut actions = Vec::new();
@@ -122,35 +122,35 @@
         let grace = manifest.time_delta("drain_grace").max(TimeDelta::from_millis(500));
         let ward = cells.map(|layout| {
             let (rows, marks) = (OpType::rows(&manifest), manifest.flag("marks_retry"));
-            Ward::new(now, layout, yard.limits.of_cells(), rows, marks)
+            CellScheduler::new(now, layout, yard.limits.cell_capacity(), rows, marks)
         });
-        let returns = yard.returns.take();
+        let returns = yard.startup.take();
         let rows = OpType::rows(&manifest);
         let writes = rows.iter().map(|row| row.consistency == Consistency::Write).collect();
         let owns = rows.iter().map(|row| row.consistency == Consistency::Session).collect();
         // Positions of what was acked were at most so far ahead of this router's clock.
-        let floor = returns.is_some().then_some(now + yard.limits.ahead);
+        let floor = returns.is_some().then_some(now + yard.limits.max_position_lead);
         let router = Router::start(now, seed, manifest, &mut actions);
-        let mut book = Book::default();
-        book.closed = ward.is_some().then(Vec::new);
+        let mut book = OpTable::default();
+        book.closed_ops = ward.is_some().then(Vec::new);
         let (alarms, moment) = (BinaryHeap::new(), Instant::now());
         let (ticked, rung) = (moment, 0);
         let mut chores = Scheduler::new(now, Budget::default(), seed ^ CHORES);
         let limits = yard.limits.clone();
         let mut add = |chore, terms| chores.add(now, chore, terms);
-        add(Chore::List, Terms::asked("lists", Rank::First, span(limits.listed)));
-        add(Chore::Tally, Terms::every("tally", Rank::Usual, span(limits.tally)));
-        let often = span(limits.idle) * 0.125;
+        add(Chore::List, Terms::asked("lists", Rank::First, span(limits.list_slice_deadline)));
+        add(Chore::Tally, Terms::every("tally", Rank::Usual, span(limits.counters_interval)));
+        let often = span(limits.host_idle_timeout) * 0.125;
         add(Chore::Sweep, Terms { within: often, ..Terms::every("idle connections", Rank::Idle, often) });
         if yard.peers.is_some() {
-            add(Chore::Hints, Terms::every("hints", Rank::Usual, span(limits.look)));
+            add(Chore::Hints, Terms::every("hints", Rank::Usual, span(limits.startup_check_interval)));
         }
         if returns.is_some() {
-            add(Chore::Start, Terms::every("start", Rank::Usual, span(limits.look)));
-            add(Chore::Save, Terms::asked("store", Rank::Idle, span(limits.store)));
+            add(Chore::Start, Terms::every("start", Rank::Usual, span(limits.startup_check_interval)));
+            add(Chore::Save, Terms::asked("store", Rank::Idle, span(limits.list_store_deadline)));
         }
-        let slices = Slices::new(limits.slice);
-        let mut route = Route {
+        let slices = Slices::new(limits.list_slice_len);
+        let mut route = RouteTask {
             yard,
             ward,
             ticked,
@@ -182,7 +182,7 @@
         route
     }
 
-    pub async fn run(mut self, mut inbox: mpsc::Receiver<Mail<B>>) {
+    pub async fn run(mut self, mut inbox: mpsc::Receiver<RouteMessage<B>>) {
         let mut actions = Vec::new();
         let mut turns = 0_u32;
         loop {
@@ -221,7 +221,7 @@
                 RouterEvent::SendEnded(end) => ward.cell_of(end.op),
                 _ => None,
             };
-            if let Some(spare) = cell.and_then(|cell| ward.spare(now, cell)) {
+            if let Some(spare) = cell.and_then(|cell| ward.retry_budget_update(now, cell)) {
                 self.router.handle(now, spare, actions);
             }
         }
@@ -229,16 +229,19 @@
         actions.drain(..).for_each(|action| self.carry_out(now, action));
         if let Some(ward) = &mut self.ward {
             self.book
-                .closed
+                .closed_ops
                 .iter_mut()
                 .flat_map(|closed| closed.drain(..))
-                .for_each(|op| ward.closed(now, op));
+                .for_each(|op| ward.op_closed(now, op));
         }
     }
 
     /// The next note where there are cells: an alarm that is due, mail that concerns all, else the mail whose cell's
     /// turn it is. Nothing at all once nobody can send mail.
-    async fn fair_turn(&mut self, inbox: &mut mpsc::Receiver<Mail<B>>) -> Option<Option<RouterEvent>> {
+    async fn fair_turn(
+        &mut self,
+        inbox: &mut mpsc::Receiver<RouteMessage<B>>,
+    ) -> Option<Option<RouterEvent>> {
         // All that has come gets its place in its cell's line first, so that a full channel delays nobody.
         loop {
             match inbox.try_recv() {
@@ -252,64 +255,66 @@
             }
         }
         self.tick();
-        let waits = self.ward.as_ref().is_some_and(|ward| ward.waiting() > 0);
+        let waits = self.ward.as_ref().is_some_and(|ward| ward.queue_len() > 0);
         if let Some(note) = self.rung(waits) {
             return Some(Some(note));
         }
-        if let Some(mail) = self.ward.as_mut().and_then(Ward::take) {
+        if let Some(mail) = self.ward.as_mut().and_then(CellScheduler::pop) {
             return Some(self.note(mail));
         }
-        let next = self.next().min(self.ticked + self.yard.limits.tick);
+        let next = self.next().min(self.ticked + self.yard.limits.cell_tick_interval);
         tokio::select! {
             mail = inbox.recv() => mail.map(|mail| self.sort(mail)),
             () = sleep_until(next) => Some(None),
         }
     }
 
-    /// Mail of an op goes into its cell's line; what concerns all is taken at once.
-    fn sort(&mut self, mail: Mail<B>) -> Option<RouterEvent> {
+    /// RouteMessage of an op goes into its cell's line; what concerns all is taken at once.
+    fn sort(&mut self, mail: RouteMessage<B>) -> Option<RouterEvent> {
         let now = self.yard.clock.now();
         let ward = self.ward.as_mut()?;
         let waits = match mail {
-            Mail::Asked(ask, Some(claim), payload, client) => {
-                let turn = ward.place(now, ask, claim, (payload, client));
+            RouteMessage::OpAdmitted(ask, Some(claim), payload, client) => {
+                let turn = ward.admit(now, ask, claim, (payload, client));
                 self.turn(turn);
                 return None;
             }
-            Mail::SendEnded(op, ..) | Mail::HungUp(op) | Mail::Begun(op, _) => {
-                if matches!(mail, Mail::HungUp(_)) {
-                    ward.hung_up(now, op);
+            RouteMessage::SendEnded(op, ..)
+            | RouteMessage::ClientDisconnected(op)
+            | RouteMessage::AnswerBegun(op, _) => {
+                if matches!(mail, RouteMessage::ClientDisconnected(_)) {
+                    ward.client_disconnected(now, op);
                 }
-                ward.queue(op, mail)
+                ward.enqueue(op, mail)
             }
             mail => Some(mail),
         };
         waits.and_then(|mail| self.note(mail))
     }
 
-    fn turn(&mut self, turn: Turn<Rest<B>>) {
+    fn turn(&mut self, turn: Placement<Rest<B>>) {
         let Some(ward) = &mut self.ward else { return };
         match turn {
-            Turn::Go(ask, (payload, client)) => {
-                let group = self.yard.roster.view(ask.group, ask.cell);
-                let asked = Mail::Asked(OpRequest { group, ..ask }, None, payload, client);
+            Placement::Dispatch(ask, (payload, client)) => {
+                let group = self.yard.hosts.cell_group(ask.group, ask.cell);
+                let asked = RouteMessage::OpAdmitted(OpRequest { group, ..ask }, None, payload, client);
                 // It has its place, so that it is known.
-                let _ = ward.queue(ask.op, asked);
+                let _ = ward.enqueue(ask.op, asked);
             }
-            Turn::Held => {}
+            Placement::Queued => {}
             // What is given up is answered at once, and says when to come back where the settings allow that.
-            Turn::Busy(after, (_, client)) => {
-                self.book.tally.busy += 1;
+            Placement::Busy(after, (_, client)) => {
+                self.book.counters.busy += 1;
                 // Danger: a fence or a lease is further away than clients may be told; they would take it for nonsense.
                 let after = self.most_after.map(|most| after.map_or(most, |after| after.min(most)));
                 let _ = client.send(Reply::Busy(after));
             }
-            Turn::Error(RejectReason::OutcomeUnknown, (_, client)) => {
-                self.book.tally.errored += 1;
+            Placement::Error(RejectReason::OutcomeUnknown, (_, client)) => {
+                self.book.counters.errored += 1;
                 let _ = client.send(Reply::Errored);
             }
-            Turn::Error(why, (_, client)) => {
-                self.book.tally.errored += 1;
+            Placement::Error(why, (_, client)) => {
+                self.book.counters.errored += 1;
                 let _ = client.send(Reply::Refused(why.text()));
             }
         }
@@ -317,7 +322,7 @@
 
     /// What cells do as time passes.
     fn tick(&mut self) {
-        if self.ticked.elapsed() < self.yard.limits.tick {
+        if self.ticked.elapsed() < self.yard.limits.cell_tick_interval {
             return;
         }
         self.ticked = Instant::now();
@@ -332,7 +337,7 @@
     /// Logs what operators want to know.
     fn tell(&mut self) {
         let Some(ward) = &mut self.ward else { return };
-        let news = ward.news();
+        let news = ward.take_events();
         let name = |cell: CellId| ward.layout().cell(cell).name.to_string();
         let mut judged = false;
         for news in news {
@@ -366,41 +371,41 @@
     /// Asks the hosts to which a tenant moves where they are.
     fn watch(&mut self) {
         // Probes cost hosts work: each is asked again only after a part of a connect time-out.
-        let rested = self.watched_at.elapsed() >= self.yard.limits.connect.mul_f64(WATCH);
+        let rested = self.watched_at.elapsed() >= self.yard.limits.connect_timeout.mul_f64(WATCH);
         let Some(ward) = self.ward.as_mut().filter(|_| rested) else { return };
         self.watched_at = Instant::now();
-        for group in ward.watched() {
-            let hosts = self.yard.roster.members(group);
-            ward.members(group, &hosts);
+        for group in ward.groups_awaiting_positions() {
+            let hosts = self.yard.hosts.group_hosts(group);
+            ward.set_group_hosts(group, &hosts);
             for (host, _) in hosts {
-                let (back, mail) = (self.yard.back.clone(), self.yard.mail.clone());
-                let Some(dial) = self.yard.roster.dial(host) else { continue };
+                let (back, mail) = (self.yard.transport.clone(), self.yard.messages.clone());
+                let Some(dial) = self.yard.hosts.address(host) else { continue };
                 if !self.watched.insert(host) {
                     continue;
                 }
                 drop(spawn_local(async move {
                     let (outcome, word) = back.probe(host, dial).await;
                     let word = if outcome == Outcome::Acked { word } else { HostStatus::default() };
-                    let _ = mail.send(Mail::Watched(host, word)).await;
+                    let _ = mail.send(RouteMessage::PositionProbed(host, word)).await;
                 }));
             }
         }
     }
 
     /// The list as a note, as cells divide it. `saved`: the router's last one before it started; nothing for a slice.
-    fn listed(&mut self, list: &List, saved: Option<bool>) -> RouterEvent {
-        let note = self.yard.roster.note(list, saved == Some(true));
-        self.book.tally.listed += list.lines.len() as u32;
-        let ceased = self.yard.roster.ceased();
+    fn listed(&mut self, list: &HostList, saved: Option<bool>) -> RouterEvent {
+        let note = self.yard.hosts.apply_list(list, saved == Some(true));
+        self.book.counters.list_entries += list.entries.len() as u32;
+        let ceased = self.yard.hosts.take_not_ready();
         if saved != Some(true) {
-            self.hints.listed();
+            self.hints.list_received();
         }
         if let Some(returns) = self.returns.as_mut().filter(|_| saved == Some(false)) {
-            returns.listed(self.yard.clock.now(), list.version);
+            returns.list_received(self.yard.clock.now(), list.version);
         }
         if saved != Some(true) {
             let now = self.yard.clock.now();
-            ceased.into_iter().for_each(|tag| self.hints.ceased(now, tag));
+            ceased.into_iter().for_each(|tag| self.hints.host_not_ready(now, tag));
             self.tell_of_ceased(now);
         }
         match note {
@@ -413,21 +418,21 @@
 
     fn divided(&mut self, mut entries: Vec<HostEntry>) -> Vec<HostEntry> {
         let Some(ward) = &mut self.ward else { return entries };
-        let (now, within) = (self.yard.clock.now(), self.cold * NEW);
+        let (now, within) = (self.yard.clock.now(), self.cold * RELEASE_WINDOW_FACTOR);
         let index = ward.index().clone();
-        self.yard.roster.divide(&mut entries, &index, |cell, started| {
+        self.yard.hosts.assign_cells(&mut entries, &index, |cell, started| {
             if now - started >= within {
                 return 1.0;
             }
-            ward.renewed(cell, started, within);
-            ward.trust(cell)
+            ward.host_restarted(cell, started, within);
+            ward.restarted_host_trust(cell)
         });
         entries
     }
 
     /// All hosts are listed anew: cells or their trust have changed.
     fn redivide(&mut self) {
-        let entries = self.divided(self.yard.roster.all());
+        let entries = self.divided(self.yard.hosts.current_entries());
         let (now, mut actions) = (self.yard.clock.now(), Vec::new());
         self.router.handle(now, RouterEvent::HostList { kind: ListKind::Incremental, entries }, &mut actions);
         actions.into_iter().for_each(|action| self.carry_out(now, action));
@@ -439,7 +444,7 @@
             tracing::error!("cells begin with a restart; nothing changes");
             return;
         };
-        match ward.relayout(now, layout) {
+        match ward.replace_layout(now, layout) {
             Ok(()) => {
                 tracing::info!(epoch, "the operator's file holds");
                 self.redivide();
@@ -452,7 +457,10 @@
     fn next(&self) -> Instant {
         let alarm = self.alarms.peek().map(|Reverse((at, ..))| *at);
         let next = [alarm, self.chores.next_at()].into_iter().flatten().min();
-        next.map_or_else(|| Instant::now() + self.yard.limits.tally, |at| self.yard.clock.when(at))
+        next.map_or_else(
+            || Instant::now() + self.yard.limits.counters_interval,
+            |at| self.yard.clock.instant_at(at),
+        )
     }
 
     /// One turn of a chore, if one may be done; `ops`: others wait for the thread.
@@ -465,13 +473,13 @@
                 Ending::Done
             }
             Chore::Sweep => {
-                self.yard.back.sweep();
+                self.yard.transport.close_expired();
                 Ending::Done
             }
             Chore::Hints => {
-                if self.hints.look(now, |tag| self.yard.roster.holds_ready(tag)) {
+                if self.hints.should_fetch(now, |tag| self.yard.hosts.is_ready(tag)) {
                     tracing::info!("other routers say that a host is leaving: the list is asked for");
-                    wish(&self.yard.wishes, Wish::Fetch);
+                    wish(&self.yard.discovery, DiscoveryCommand::Fetch);
                 }
                 self.close_by_word(now);
                 self.tell_of_ceased(now);
@@ -480,7 +488,7 @@
             Chore::Start => {
                 if let Some(returns) = &mut self.returns {
                     returns.tick(now);
-                    if returns.due(now) {
+                    if returns.should_save(now) {
                         self.chores.ask(now, Chore::Save);
                     }
                 }
@@ -488,7 +496,7 @@
             }
             Chore::Save => {
                 if let Some(returns) = &mut self.returns {
-                    returns.save(self.yard.roster.hosts(), self.yard.mail.clone());
+                    returns.save(self.yard.hosts.stored_hosts(), self.yard.messages.clone());
                 }
                 Ending::Done
             }
@@ -499,17 +507,17 @@
 
     /// Other routers hear which hosts the own list has left out.
     fn tell_of_ceased(&mut self, now: Timestamp) {
-        let told = self.hints.tell(now);
+        let told = self.hints.take_announcements(now);
         let Some(peers) = &self.yard.peers else { return };
-        told.into_iter().for_each(|tag| drop(peers.try_send(Errand::Tell(hint(tag)))));
+        told.into_iter().for_each(|tag| drop(peers.try_send(PeersCommand::Broadcast(encode_hint(tag)))));
     }
 
     /// Closes hosts that others say are leaving, where the own list cannot be had.
     fn close_by_word(&mut self, now: Timestamp) {
-        let Yard { roster, .. } = &self.yard;
-        let tags = self.hints.close(now, roster.ready(), |tag| roster.holds_ready(tag));
+        let RouteContext { hosts: roster, .. } = &self.yard;
+        let tags = self.hints.hosts_to_close(now, roster.ready_count(), |tag| roster.is_ready(tag));
         let entries: Vec<HostEntry> =
-            tags.into_iter().filter_map(|tag| self.yard.roster.close(tag)).collect();
+            tags.into_iter().filter_map(|tag| self.yard.hosts.mark_draining(tag)).collect();
         if entries.is_empty() {
             return;
         }
@@ -528,21 +536,21 @@
         let lines = match self.slices.slice() {
             Some(Slice::Lines(lines)) => lines,
             Some(Slice::Missing(turn)) => {
-                let lines = self.yard.roster.missing(turn);
+                let lines = self.yard.hosts.missing_hosts(turn);
                 // They are closed at once, however many: what is gone is not to be sent to.
                 tracing::info!(gone = lines.len(), "a whole list leaves out hosts");
                 lines
             }
             Some(Slice::Through(number)) => {
                 if let Some(returns) = &mut self.returns {
-                    returns.listed(self.yard.clock.now(), number);
+                    returns.list_received(self.yard.clock.now(), number);
                 }
                 return if self.slices.is_empty() { Ending::Done } else { Ending::More };
             }
             None => return Ending::Done,
         };
-        self.yard.roster.turn(self.slices.turn());
-        let part = List { version: 0, whole: false, lines };
+        self.yard.hosts.set_list_number(self.slices.turn());
+        let part = HostList { version: 0, is_full: false, entries: lines };
         let note = self.listed(&part, None);
         let mut actions = Vec::new();
         self.hand_over(note, &mut actions);
@@ -561,39 +569,50 @@
     }
 
     /// What the mail tells the module; nothing where it is old news.
-    fn note(&mut self, mail: Mail<B>) -> Option<RouterEvent> {
+    fn note(&mut self, mail: RouteMessage<B>) -> Option<RouterEvent> {
         match mail {
-            Mail::Asked(mut ask, _, payload, client) => {
+            RouteMessage::OpAdmitted(mut ask, _, payload, client) => {
                 self.taken += 1;
                 if self.owns.get(ask.op_type.0 as usize) == Some(&true) {
                     ask.min_position = ask.min_position.max(self.floor);
                 }
-                if self.wanted.len() < self.yard.limits.wanted {
+                if self.wanted.len() < self.yard.limits.max_requested_groups {
                     self.wanted.insert(ask.group.0);
                 }
                 if let Some(returns) = &mut self.returns {
                     let write = self.writes.get(ask.op_type.0 as usize).copied().unwrap_or_default();
-                    returns.asked(ask.op, ask.group, write);
+                    returns.op_started(ask.op, ask.group, write);
                 }
-                self.book.open(ask.op, payload, client);
+                self.book.insert(ask.op, payload, client);
                 Some(RouterEvent::OpRequested(ask))
             }
             // The module hears of it when the send has ended, as of any other: till then it works at its host.
-            Mail::Begun(op, answer) => {
-                self.book.begin(op, answer);
+            RouteMessage::AnswerBegun(op, answer) => {
+                self.book.begin_answer(op, answer);
                 None
             }
-            Mail::HungUp(op) => self.book.hang_up(op).then_some(RouterEvent::ClientCancelled { op }),
-            Mail::SendEnded(op, send, host, End { outcome, took, word, answer }) => {
-                let finished = self.book.end(op, send, outcome, answer)?;
+            RouteMessage::ClientDisconnected(op) => {
+                self.book.client_disconnected(op).then_some(RouterEvent::ClientCancelled { op })
+            }
+            RouteMessage::SendEnded(
+                op,
+                send,
+                host,
+                EndedSend { outcome, elapsed: took, status: word, answer },
+            ) => {
+                let finished = self.book.end_send(op, send, outcome, answer)?;
                 if let Some(returns) = self.returns.as_mut().filter(|_| finished) {
-                    returns.answered(self.yard.clock.now(), op, outcome == Outcome::Acked);
+                    returns.op_finished(self.yard.clock.now(), op, outcome == Outcome::Acked);
                 }
                 let word = self.likely(word);
                 if let Some(ward) = &mut self.ward {
-                    let new = self.yard.roster.is_new(host, self.yard.clock.now(), self.cold * NEW);
+                    let new = self.yard.hosts.started_within(
+                        host,
+                        self.yard.clock.now(),
+                        self.cold * RELEASE_WINDOW_FACTOR,
+                    );
                     ward.send_ended(op, outcome, took, &word, new);
-                    ward.learnt(host, &word);
+                    ward.record_position(host, &word);
                 }
                 Some(RouterEvent::SendEnded(SendResult {
                     op,
@@ -605,78 +624,83 @@
                     status: word,
                 }))
             }
-            Mail::Probed(host, cell, outcome, word) => {
+            RouteMessage::ProbeEnded(host, cell, outcome, word) => {
                 if let (Some(ward), Some(cell)) = (&mut self.ward, cell) {
-                    ward.probed(cell);
+                    ward.end_probe(cell);
                 }
                 Some(RouterEvent::ProbeEnded { host, outcome, status: self.likely(word) })
             }
-            Mail::Watched(host, word) => {
+            RouteMessage::PositionProbed(host, word) => {
                 self.watched.remove(&host);
                 let word = self.likely(word);
-                self.ward.iter_mut().for_each(|ward| ward.learnt(host, &word));
+                self.ward.iter_mut().for_each(|ward| ward.record_position(host, &word));
                 None
             }
-            Mail::Relayout(layout) => {
+            RouteMessage::LayoutReloaded(layout) => {
                 self.relayout(*layout);
                 None
             }
-            Mail::Show(client) => {
+            RouteMessage::ShowCells(client) => {
                 let report = self.ward.as_mut().map(|ward| ward.report().to_string());
                 let _ = client.send(report.unwrap_or_default());
                 None
             }
-            Mail::ShowPeers(client) => {
-                match self.yard.peers.as_ref().map(|peers| peers.try_send(Errand::Show(client))) {
+            RouteMessage::ShowPeers(client) => {
+                match self.yard.peers.as_ref().map(|peers| peers.try_send(PeersCommand::Show(client))) {
                     Some(Ok(())) => {}
                     // The client sees that nothing came.
                     _ => tracing::warn!("the task of the fleet takes no errands"),
                 }
                 None
             }
-            Mail::Fleet(routers) => {
-                wish(&self.yard.wishes, Wish::Routers(routers));
+            RouteMessage::RouterCountChanged(routers) => {
+                wish(&self.yard.discovery, DiscoveryCommand::SetRouterCount(routers));
                 Some(RouterEvent::RouterCount { routers })
             }
-            Mail::Told(from, mut bytes) => {
-                if let Some(tag) = hinted(&bytes) {
-                    self.hints.heard(self.yard.clock.now(), tag, from);
+            RouteMessage::PeerMessage(from, mut bytes) => {
+                if let Some(tag) = decode_hint(&bytes) {
+                    self.hints.record_hint(self.yard.clock.now(), tag, from);
                     return None;
                 }
                 // Danger: another router's word that a host is primary sends writes there. It only ever takes that away.
                 arrowyard::clear_primary_claim(&mut bytes);
                 Some(RouterEvent::PeerMessage { from, bytes })
             }
-            Mail::Saved(failed) => {
-                self.returns.iter_mut().for_each(|returns| returns.saved(failed));
+            RouteMessage::ListSaved(failed) => {
+                self.returns.iter_mut().for_each(|returns| returns.save_finished(failed));
                 None
             }
-            Mail::Echo(client) => {
-                let _ = client.send((self.taken, self.acked + u64::from(self.book.tally.acked)));
+            RouteMessage::CheckLiveness(client) => {
+                let _ = client.send((self.taken, self.acked + u64::from(self.book.counters.acked)));
                 None
             }
-            Mail::News(mail::News::Listed(list)) if self.slices.has_to(list.lines.len()) => {
-                let wanted = |line: &Line| line.group.is_some_and(|group| self.wanted.contains(&group));
-                let rank = |line: &Line| match line.availability {
+            RouteMessage::Discovery(messages::DiscoveryEvent::List(list))
+                if self.slices.has_to(list.entries.len()) =>
+            {
+                let wanted =
+                    |line: &HostListEntry| line.group.is_some_and(|group| self.wanted.contains(&group));
+                let rank = |line: &HostListEntry| match line.availability {
                     Availability::Ready if wanted(line) => 1,
-                    Availability::Ready if line.primary == Some(true) => 2,
+                    Availability::Ready if line.is_primary == Some(true) => 2,
                     Availability::Ready => 3,
                     _ => 0,
                 };
-                let host = |line: &Line| line.host.clone();
-                self.slices.push(list.version, list.whole, list.lines, rank, host);
+                let host = |line: &HostListEntry| line.host.clone();
+                self.slices.push(list.version, list.is_full, list.entries, rank, host);
                 self.chores.ask(self.yard.clock.now(), Chore::List);
                 None
             }
-            Mail::News(mail::News::Listed(list)) => Some(self.listed(&list, Some(false))),
-            Mail::News(mail::News::ListFailed) => Some(RouterEvent::ListFailed),
+            RouteMessage::Discovery(messages::DiscoveryEvent::List(list)) => {
+                Some(self.listed(&list, Some(false)))
+            }
+            RouteMessage::Discovery(messages::DiscoveryEvent::Failed) => Some(RouterEvent::ListFailed),
         }
     }
 
     /// A host's word without a position that cannot be. Danger: positions never go back, so that one spoilt on the
     /// way, in the future, would make stale data look fresh for good.
     fn likely(&self, word: HostStatus) -> HostStatus {
-        let latest = self.yard.clock.now() + self.yard.limits.ahead;
+        let latest = self.yard.clock.now() + self.yard.limits.max_position_lead;
         let position = word.position.filter(|&position| position <= latest);
         if position != word.position {
             tracing::warn!(?word, "a position in the future is ignored");
@@ -685,51 +709,59 @@
     }
 
     fn carry_out(&mut self, now: Timestamp, action: Action) {
-        let Yard { roster, back, clock, wishes, mail, .. } = &self.yard;
+        let RouteContext { hosts: roster, transport: back, clock, discovery: wishes, messages: mail, .. } =
+            &self.yard;
         tracing::trace!(at = now.micros(), "{action:?}");
         match action {
             Action::Send { op, host, deadline: until } => {
-                let Some((send, payload, called_off)) = self.book.send(op) else { return };
-                self.book.tally.cold += u32::from(roster.is_new(host, now, self.cold));
-                self.ward.iter_mut().for_each(|ward| ward.sent(now, op, send));
-                let (back, clock, mail, dial) = (back.clone(), *clock, mail.clone(), roster.dial(host));
+                let Some((send, payload, called_off)) = self.book.start_send(op) else { return };
+                self.book.counters.cold_sends += u32::from(roster.started_within(host, now, self.cold));
+                self.ward.iter_mut().for_each(|ward| ward.record_send(now, op, send));
+                let (back, clock, mail, dial) = (back.clone(), *clock, mail.clone(), roster.address(host));
                 drop(spawn_local(async move {
                     let end = match dial {
                         Some(dial) => {
-                            let order = Order { host, dial, payload, until, called_off };
-                            let begun = async |answer| drop(mail.send(Mail::Begun(op, answer)).await);
+                            let order = SendRequest {
+                                host,
+                                address: dial,
+                                payload,
+                                deadline: until,
+                                cancelled: called_off,
+                            };
+                            let begun =
+                                async |answer| drop(mail.send(RouteMessage::AnswerBegun(op, answer)).await);
                             send::run(order, &*back, clock, begun).await
                         }
-                        None => End::unsent(),
+                        None => EndedSend::unsent(),
                     };
                     // The route stage is gone only when the router ends.
-                    let _ = mail.send(Mail::SendEnded(op, send, host, end)).await;
+                    let _ = mail.send(RouteMessage::SendEnded(op, send, host, end)).await;
                 }));
             }
-            Action::Cancel { op, send } => self.book.call_off(op, send),
+            Action::Cancel { op, send } => self.book.cancel_send(op, send),
             Action::BusyReply { op, retry_after } => {
                 let after = match &mut self.returns {
                     Some(returns) => {
-                        returns.answered(now, op, false);
-                        returns.after(retry_after, self.most_after)
+                        returns.op_finished(now, op, false);
+                        returns.retry_after(retry_after, self.most_after)
                     }
                     None => retry_after,
                 };
-                self.book.answer(op, Reply::Busy(after));
+                self.book.complete(op, Reply::Busy(after));
             }
             Action::ErrorReply { op } => {
-                self.returns.iter_mut().for_each(|returns| returns.answered(now, op, false));
-                self.book.answer(op, Reply::Errored);
+                self.returns.iter_mut().for_each(|returns| returns.op_finished(now, op, false));
+                self.book.complete(op, Reply::Errored);
             }
             Action::Probe { host } => {
-                self.book.tally.probes += 1;
-                let (back, mail, dial) = (back.clone(), mail.clone(), roster.dial(host));
+                self.book.counters.probes += 1;
+                let (back, mail, dial) = (back.clone(), mail.clone(), roster.address(host));
                 let (mut cell, mut full) = (None, None);
                 if let Some(ward) = &mut self.ward
-                    && let Some(of) = roster.cell(host, ward.index())
+                    && let Some(of) = roster.probe_cell(host, ward.index())
                 {
-                    let may = ward.probe(now, of);
-                    (cell, full) = (may.then_some(of), (!may).then_some(self.yard.limits.connect));
+                    let may = ward.try_start_probe(now, of);
+                    (cell, full) = (may.then_some(of), (!may).then_some(self.yard.limits.connect_timeout));
                 }
                 drop(spawn_local(async move {
                     let (outcome, word) = match (dial, full) {
@@ -740,20 +772,20 @@
                             (Outcome::NotSent, HostStatus::default())
                         }
                     };
-                    let _ = mail.send(Mail::Probed(host, cell, outcome, word)).await;
+                    let _ = mail.send(RouteMessage::ProbeEnded(host, cell, outcome, word)).await;
                 }));
             }
             Action::SetTimer { after, timer: cookie } => {
                 self.rung += 1;
                 self.alarms.push(Reverse((now + after, self.rung, cookie)));
             }
-            Action::SubscribeHostList { on } => wish(wishes, Wish::Watch(on)),
-            Action::FetchHostList => wish(wishes, Wish::Fetch),
+            Action::SubscribeHostList { on } => wish(wishes, DiscoveryCommand::Watch(on)),
+            Action::FetchHostList => wish(wishes, DiscoveryCommand::Fetch),
             Action::CloseIdleConnections { host } => back.close_idle(host),
             Action::SendPeerMessage { bytes, .. } => {
                 if let Some(peers) = &self.yard.peers {
-                    // Danger: the fleet's task hangs, and the route stage with it. News that finds no room is lost.
-                    let _ = peers.try_send(Errand::Tell(bytes));
+                    // Danger: the fleet's task hangs, and the route stage with it. DiscoveryEvent that finds no room is lost.
+                    let _ = peers.try_send(PeersCommand::Broadcast(bytes));
                 }
             }
             Action::Log { text } => tracing::info!("{text}"),
@@ -761,29 +793,29 @@
     }
 
     fn tally(&mut self) {
-        let tally = std::mem::take(&mut self.book.tally);
+        let tally = std::mem::take(&mut self.book.counters);
         self.acked += u64::from(tally.acked);
-        let dialed = self.yard.back.dialed();
+        let dialed = self.yard.transport.connections_started();
         tracing::info!(
             acked = tally.acked,
             busy = tally.busy,
             errored = tally.errored,
-            gone = tally.gone,
+            gone = tally.disconnected,
             sends = tally.sends,
             lost = tally.lost_sends,
-            repeats = tally.repeats,
-            cold = tally.cold,
+            repeats = tally.retries,
+            cold = tally.cold_sends,
             probes = tally.probes,
             dials = dialed - std::mem::replace(&mut self.dialed, dialed),
-            listed = tally.listed,
+            listed = tally.list_entries,
             open_ops = self.book.open_ops(),
-            links = self.yard.back.open(),
+            links = self.yard.transport.open_connections(),
             "tally"
         );
     }
 }
 
-fn wish(wishes: &mpsc::Sender<Wish>, wish: Wish) {
+fn wish(wishes: &mpsc::Sender<DiscoveryCommand>, wish: DiscoveryCommand) {
     // Danger: discovery hangs, and the route stage with it. It never waits for room.
     if wishes.try_send(wish).is_err() {
         tracing::warn!(?wish, "discovery takes no more wishes, one is dropped");
--- a/crates/arrowyard-core/src/waybill.rs
+++ b/crates/arrowyard-core/src/router_config.rs
@@ -5,9 +5,9 @@
 
 use serde_json::{Map, Value};
 
-use crate::list::List;
+use crate::list::HostList;
 
-pub struct Waybill {
+pub struct RouterConfig {
     pub name: String,
     pub listen: SocketAddr,
     pub discovery: SocketAddr,
@@ -15,19 +15,22 @@
     pub memory_mb: usize,
     pub sockets: usize,
     /// The list of hosts that this router had last.
-    pub known: Option<List>,
+    pub host_list: Option<HostList>,
     pub settings: Map<String, Value>,
 }
 
-impl Waybill {
-    pub fn read() -> Result<Waybill, String> {
+impl RouterConfig {
+    pub fn load() -> Result<RouterConfig, String> {
         let path = env::var("RELAY_CONFIG").map_err(|e| format!("RELAY_CONFIG: {e}"))?;
         let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
         let told: Value = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
-        Waybill::of(&told, |name| env::var(name).ok())
+        RouterConfig::from_json(&told, |name| env::var(name).ok())
     }
 
-    pub fn of(told: &Value, variable: impl Fn(&str) -> Option<String>) -> Result<Waybill, String> {
+    pub fn from_json(
+        told: &Value,
+        variable: impl Fn(&str) -> Option<String>,
+    ) -> Result<RouterConfig, String> {
         let text = |field: &str, name: &str| {
             let inside = told.get(field).and_then(Value::as_str).map(str::to_string);
             inside.or_else(|| variable(name)).ok_or_else(|| format!("neither {field} nor {name} is told"))
@@ -41,7 +44,7 @@
         };
         let seed = told.get("seed").and_then(Value::as_str).unwrap_or_default();
         let settings = told.get("settings").and_then(Value::as_object).ok_or("no settings are told")?;
-        Ok(Waybill {
+        Ok(RouterConfig {
             name: text("name", "RELAY_NAME")?,
             listen: address("listen", "RELAY_LISTEN")?,
             discovery: address("discovery", "RELAY_DISCOVERY")?,
@@ -49,7 +52,7 @@
             memory_mb: limit("memory_mb", 128),
             sockets: limit("sockets", 512),
             // Danger: a saved list that makes no sense keeps the router from starting. Discovery has a new one.
-            known: told.get("known").and_then(|known| List::of(known).ok()),
+            host_list: told.get("known").and_then(|known| HostList::from_json(known).ok()),
             settings: settings.clone(),
         })
     }
--- a/crates/arrowyard-core/src/send.rs
+++ b/crates/arrowyard-core/src/send.rs
@@ -10,72 +10,77 @@
 use tokio::sync::oneshot::{self, error::TryRecvError};
 use tokio::time::sleep_until;
 
-use crate::back::{Back, Progress};
 use crate::clock::Clock;
+use crate::transport::{HostTransport, Progress};
 
-pub struct Order<P> {
+pub struct SendRequest<P> {
     pub host: HostId,
-    pub dial: SocketAddr,
+    pub address: SocketAddr,
     pub payload: Rc<P>,
-    pub until: Timestamp,
+    pub deadline: Timestamp,
     /// Resolves when the send is called off.
-    pub called_off: oneshot::Receiver<()>,
+    pub cancelled: oneshot::Receiver<()>,
 }
 
 /// How a send ended.
 #[derive(Debug)]
-pub struct End<A> {
+pub struct EndedSend<A> {
     pub outcome: Outcome,
-    pub took: TimeDelta,
-    pub word: HostStatus,
+    pub elapsed: TimeDelta,
+    pub status: HostStatus,
     pub answer: Option<A>,
 }
 
-impl<A> End<A> {
+impl<A> EndedSend<A> {
     /// Of a send that was never tried: its op is over, its time has run out, or its host is nowhere.
     pub fn unsent() -> Self {
-        End { outcome: Outcome::NotSent, took: TimeDelta::ZERO, word: HostStatus::default(), answer: None }
+        EndedSend {
+            outcome: Outcome::NotSent,
+            elapsed: TimeDelta::ZERO,
+            status: HostStatus::default(),
+            answer: None,
+        }
     }
 }
 
 /// Carries the order out. Until the payload is wholly written it never ran, whatever happens; from then on it may
 /// have. Giving up closes the connection. `begun` is handed an answer that begins before the send has ended.
-pub async fn run<B: Back>(
-    mut order: Order<B::Payload>,
+pub async fn run<B: HostTransport>(
+    mut order: SendRequest<B::Payload>,
     back: &B,
     clock: Clock,
     begun: impl AsyncFn(B::Answer),
-) -> End<B::Answer> {
+) -> EndedSend<B::Answer> {
     let (started, progress) = (clock.now(), Progress::default());
-    if started >= order.until || order.called_off.try_recv() != Err(TryRecvError::Empty) {
-        return End::unsent();
+    if started >= order.deadline || order.cancelled.try_recv() != Err(TryRecvError::Empty) {
+        return EndedSend::unsent();
     }
-    let Order { host, dial, payload, until, mut called_off } = order;
-    let mut exchange = pin!(back.exchange(host, dial, &payload, until, clock, &progress));
+    let SendRequest { host, address, payload, deadline, mut cancelled } = order;
+    let mut exchange = pin!(back.exchange(host, address, &payload, deadline, clock, &progress));
     let (outcome, word, answer) = loop {
         tokio::select! {
             biased;
             told = &mut exchange => break told,
             // An answer begins while the exchange is polled, just before this; nobody has to be woken for it.
-            answer = poll_fn(|_| progress.begun().map_or(Poll::Pending, Poll::Ready)) => begun(answer).await,
-            _ = &mut called_off => break (Outcome::Cancelled, HostStatus::default(), None),
-            () = sleep_until(clock.when(until)) => break (Outcome::TimedOut, HostStatus::default(), None),
+            answer = poll_fn(|_| progress.take_begun_answer().map_or(Poll::Pending, Poll::Ready)) => begun(answer).await,
+            _ = &mut cancelled => break (Outcome::Cancelled, HostStatus::default(), None),
+            () = sleep_until(clock.instant_at(deadline)) => break (Outcome::TimedOut, HostStatus::default(), None),
         }
     };
-    if let Some(answer) = progress.begun() {
+    if let Some(answer) = progress.take_begun_answer() {
         begun(answer).await;
     }
     let written = progress.is_written();
     let outcome = match outcome {
         Outcome::Cancelled if !written => Outcome::NotSent,
         Outcome::TimedOut if !written => Outcome::ConnectFailed,
-        Outcome::TimedOut if progress.is_held_up() => Outcome::Cancelled,
+        Outcome::TimedOut if progress.is_client_blocked() => Outcome::Cancelled,
         outcome => outcome,
     };
     if outcome == Outcome::TimedOut {
-        back.unanswered(host, clock.when(started));
+        back.send_timed_out(host, clock.instant_at(started));
     }
-    End { outcome, took: clock.now() - started, word, answer }
+    EndedSend { outcome, elapsed: clock.now() - started, status: word, answer }
 }
 
 #[cfg(test)]
@@ -86,7 +91,7 @@
     use tokio::time::Instant;
 
     use super::*;
-    use crate::back::Told;
+    use crate::transport::ExchangeResult;
 
     /// A host that does as it is told with a send that was wholly written.
     #[derive(Clone, Copy)]
@@ -102,7 +107,7 @@
         BeginAndEnd,
     }
 
-    impl Back for Script {
+    impl HostTransport for Script {
         type Payload = ();
         type Answer = u8;
 
@@ -114,18 +119,18 @@
             _: Timestamp,
             _: Clock,
             progress: &Progress<u8>,
-        ) -> Told<u8> {
-            progress.written();
+        ) -> ExchangeResult<u8> {
+            progress.mark_written();
             match self {
                 Script::Hang => {}
-                Script::HeldUp => progress.held_up(true),
+                Script::HeldUp => progress.set_client_blocked(true),
                 Script::Freed => {
-                    progress.held_up(true);
-                    progress.held_up(false);
+                    progress.set_client_blocked(true);
+                    progress.set_client_blocked(false);
                 }
-                Script::Begin => progress.begin(7),
+                Script::Begin => progress.begin_answer(7),
                 Script::BeginAndEnd => {
-                    progress.begin(7);
+                    progress.begin_answer(7);
                     return (Outcome::Acked, HostStatus::default(), None);
                 }
             }
@@ -136,15 +141,15 @@
             (Outcome::NotSent, HostStatus::default())
         }
 
-        fn unanswered(&self, _: HostId, _: Instant) {}
+        fn send_timed_out(&self, _: HostId, _: Instant) {}
 
         fn close_idle(&self, _: HostId) {}
 
-        fn open(&self) -> usize {
+        fn open_connections(&self) -> usize {
             0
         }
 
-        fn dialed(&self) -> u64 {
+        fn connections_started(&self) -> u64 {
             0
         }
     }
@@ -155,7 +160,13 @@
         let (_call_off, called_off) = oneshot::channel();
         let until = clock.now() + TimeDelta::from_millis(50);
         let dial = SocketAddr::from(([127, 0, 0, 1], 9));
-        let order = Order { host: HostId(0), dial, payload: Rc::new(()), until, called_off };
+        let order = SendRequest {
+            host: HostId(0),
+            address: dial,
+            payload: Rc::new(()),
+            deadline: until,
+            cancelled: called_off,
+        };
         let end = run(order, &script, clock, async |answer| begun.borrow_mut().push(answer)).await;
         (end.outcome, begun.into_inner())
     }
--- a/crates/arrowyard-core/tests/hints.rs
+++ b/crates/arrowyard-core/tests/hints.rs
@@ -10,16 +10,16 @@
 #[test]
 fn a_host_that_left_is_told_of_four_times_with_pauses() {
     let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
-    hints.ceased(at(0), 7);
-    let told = |hints: &mut Hints, ms: i64| hints.tell(at(ms)).to_vec();
+    hints.host_not_ready(at(0), 7);
+    let told = |hints: &mut Hints, ms: i64| hints.take_announcements(at(ms)).to_vec();
     assert_eq!(told(&mut hints, 0), [7], "at once");
     assert!(told(&mut hints, 399).is_empty());
-    hints.ceased(at(399), 9);
+    hints.host_not_ready(at(399), 9);
     assert_eq!(told(&mut hints, 400), [7, 9]);
     assert_eq!(told(&mut hints, 800), [7, 9]);
     assert_eq!(told(&mut hints, 1_200), [7, 9]);
     assert_eq!(told(&mut hints, 1_600), [9], "four times each");
     assert!(told(&mut hints, 9_000).is_empty());
-    (0..1000).for_each(|tag| hints.ceased(at(9_000), tag));
+    (0..1000).for_each(|tag| hints.host_not_ready(at(9_000), tag));
     assert!(told(&mut hints, 9_000).len() <= 64, "a list that empties floods nobody");
 }
--- a/crates/arrowyard-daemon/src/cells.rs
+++ b/crates/arrowyard-daemon/src/cells.rs
@@ -72,7 +72,7 @@
 
 fn load(path: &Path) -> Result<Layout, String> {
     let book = arrowyard_operator_config::load(path)?;
-    arrowyard_operator_config::layout(&book)
+    arrowyard_operator_config::cell_layout(&book)
         .ok_or_else(|| format!("{}: it says nothing of cells", path.display()))
 }
 
--- a/crates/arrowyard-daemon/src/leases.rs
+++ b/crates/arrowyard-daemon/src/leases.rs
@@ -54,7 +54,8 @@
 
 fn init(told: &Init) -> Result<ExitCode, String> {
     let book = arrowyard_operator_config::load(&told.book)?;
-    let joins = arrowyard_operator_config::leases(&book).ok_or("the operator's file has no leases")?;
+    let joins =
+        arrowyard_operator_config::lease_settings(&book).ok_or("the operator's file has no leases")?;
     let names: Vec<String> = joins.voters.iter().map(|(name, _)| name.clone()).collect();
     if !names.contains(&told.name) {
         return Err(format!("{} is none of the voters", told.name));
--- a/crates/arrowyard-daemon/src/lib.rs
+++ b/crates/arrowyard-daemon/src/lib.rs
@@ -71,11 +71,11 @@
 
 fn check(file: &Path, as_json: bool) -> Result<ExitCode, String> {
     let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
-    let read = arrowyard_operator_config::read(&text);
+    let read = arrowyard_operator_config::parse(&text);
     let faults = read.as_ref().err().map(Vec::as_slice).unwrap_or_default();
     if as_json {
         let rows = faults.iter().map(|fault| {
-            json!({"line": fault.place.line, "column": fault.place.column, "field": fault.field, "what": fault.what})
+            json!({"line": fault.position.line, "column": fault.position.column, "field": fault.field, "what": fault.message})
         });
         let report = json!({"file": file, "ok": faults.is_empty(), "faults": rows.collect::<Vec<_>>()});
         println!("{report}");
--- a/crates/arrowyard-daemon/src/serve.rs
+++ b/crates/arrowyard-daemon/src/serve.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use arrowyard_core::limits::Limits;
-use arrowyard_core::waybill::Waybill;
+use arrowyard_core::router_config::RouterConfig;
 use arrowyard_front_pg::PgBack;
 use arrowyard_front_pg::take_in::{Front, Idlers};
 use arrowyard_operator_config::Yardbook;
@@ -42,7 +42,7 @@
     Ok(())
 }
 
-async fn run(waybill: Waybill, path: Option<PathBuf>, book: Option<Yardbook>) -> Result<(), String> {
+async fn run(waybill: RouterConfig, path: Option<PathBuf>, book: Option<Yardbook>) -> Result<(), String> {
     if book.as_ref().is_some_and(|book| book.flight.is_some()) {
         return Err("the operator's file has flight, which the program arrowyard-flight serves".to_string());
     }
--- a/crates/arrowyard-flight-daemon/src/main.rs
+++ b/crates/arrowyard-flight-daemon/src/main.rs
@@ -9,9 +9,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use arrowyard_core::hatch::{self, Tail};
-use arrowyard_core::waybill::Waybill;
-use arrowyard_core::{Back, Limits};
+use arrowyard_core::router_config::RouterConfig;
+use arrowyard_core::submission::{self, RetainedResources};
+use arrowyard_core::{HostTransport, Limits};
 use arrowyard_daemon::base::{Base, serve_with};
 use arrowyard_daemon::serve;
 use arrowyard_flight::ticket::Key;
@@ -56,13 +56,13 @@
     lift: T,
 ) -> Result<(SocketAddr, impl Future<Output = String> + use<B, L, T>), String>
 where
-    B: Back,
+    B: HostTransport,
     L: Fn(Errand) -> B::Payload + 'static,
-    T: Fn(B::Answer) -> (Served, Option<Tail>) + 'static,
+    T: Fn(B::Answer) -> (Served, Option<RetainedResources>) + 'static,
 {
     let listener = TcpListener::bind(at).await.map_err(|e| format!("{at}: {e}"))?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
-    let (hatch, desk) = hatch::open(limits.inbox, base.clock, base.gate.clone(), base.mail.clone());
+    let (hatch, desk) = submission::channel(limits.inbox, base.clock, base.gate.clone(), base.mail.clone());
     drop(spawn_local(desk.run(|errand| call(&errand.statement, errand.address), load, lift)));
     let (counter, own, chores) = clerk::open(limits.inbox);
     let (arrivals, arrived) = mpsc::channel(16);
@@ -84,7 +84,7 @@
     Ok((address, ended))
 }
 
-async fn run(waybill: Waybill, path: Option<PathBuf>, book: Option<Yardbook>) -> Result<(), String> {
+async fn run(waybill: RouterConfig, path: Option<PathBuf>, book: Option<Yardbook>) -> Result<(), String> {
     let told = book.as_ref().and_then(|book| book.flight.clone());
     let told = told.ok_or("arrowyard-flight needs an operator's file that has flight")?;
     let at = told.listen().parse().map_err(|e| format!("flight.listen: {e}"))?;
--- a/crates/arrowyard-front-flight/src/answer.rs
+++ b/crates/arrowyard-front-flight/src/answer.rs
@@ -6,7 +6,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use arrow_flight::FlightData;
-use arrowyard_core::hatch::Tail;
+use arrowyard_core::submission::RetainedResources;
 use arrowyard_flight::hold::{Hold, Holds, Next};
 use arrowyard_front_pg::link::Parcel;
 use arrowyard_pg::{Statement, value};
@@ -131,18 +131,21 @@
 }
 
 /// For hosts that speak Flight SQL.
-pub fn lift(answer: Answer) -> (Served, Option<Tail>) {
+pub fn lift(answer: Answer) -> (Served, Option<RetainedResources>) {
     match answer {
         Answer::Count(count) => (Served::Count(count), None),
         Answer::Flow { held, rest, room } => {
             let (done, told) = oneshot::channel();
-            (Served::Flow { held, rest, done }, Some(Tail { done: told, keep: Box::new(room) }))
+            (
+                Served::Flow { held, rest, done },
+                Some(RetainedResources { done: told, resources: Box::new(room) }),
+            )
         }
     }
 }
 
 /// For hosts that speak PostgreSQL's protocol: a row of one column, which is one batch of one binary column.
-pub fn lift_parcel(Parcel { answer, room }: Parcel) -> (Served, Option<Tail>) {
+pub fn lift_parcel(Parcel { answer, room }: Parcel) -> (Served, Option<RetainedResources>) {
     let (done, told) = oneshot::channel();
     let text = value(&answer.row).unwrap_or_default();
     // A command's tag ends with its count, as in `INSERT 0 1`.
@@ -150,7 +153,7 @@
     let count = tag.trim_end_matches('\0').rsplit(' ').next().and_then(|count| count.parse().ok());
     let value = if is_bytea(&answer.columns) { unhex(&text).unwrap_or(text) } else { text };
     let served = Served::Value { value, count: count.unwrap_or(0), done };
-    (served, Some(Tail { done: told, keep: Box::new(room) }))
+    (served, Some(RetainedResources { done: told, resources: Box::new(room) }))
 }
 
 /// The type of the one column, by its number in PostgreSQL's catalogue.
--- a/crates/arrowyard-front-flight/src/back.rs
+++ b/crates/arrowyard-front-flight/src/back.rs
@@ -9,9 +9,9 @@
 use arrow_flight::sql::{CommandStatementQuery, CommandStatementUpdate, DoPutUpdateResult, ProstMessageExt};
 use arrow_flight::{Action, FlightData, FlightDescriptor, FlightInfo, PutResult};
 use arrowyard_core::Limits;
-use arrowyard_core::back::{Back, Progress, Told};
 use arrowyard_core::clock::Clock;
-use arrowyard_core::count::Count;
+use arrowyard_core::count::UsageGuard;
+use arrowyard_core::transport::{ExchangeResult, HostTransport, Progress};
 use arrowyard_flight::batches::{Bounds, Checker};
 use arrowyard_flight::hold::{Holds, Next as Held};
 use arrowyard_flight::status::{NEVER, outcome};
@@ -91,7 +91,7 @@
 impl FlightBack {
     pub fn new(limits: Rc<Limits>, flight: FlightLimits) -> Self {
         let (lines, dials, heard, open, dialed) = Default::default();
-        let large = Large::new(limits.large / 2);
+        let large = Large::new(limits.max_large_answer_bytes / 2);
         let holds = Rc::new(RefCell::new(Holds::new(flight.held_each, flight.held_all)));
         FlightBack { lines, dials, large, heard, open, dialed, holds, limits, flight }
     }
@@ -110,13 +110,13 @@
                 return Err(Broken("the dial that was waited for failed".to_string()));
             }
         }
-        if self.open.get() >= self.limits.links && !self.close_oldest() {
+        if self.open.get() >= self.limits.max_host_connections && !self.close_oldest() {
             return Err(Broken("no connection to hosts is left".to_string()));
         }
         let dialing = Dialing { back: self, host, dial: Rc::default() };
         self.dials.borrow_mut().insert(host, dialing.dial.clone());
         self.dialed.set(self.dialed.get() + 1);
-        let opened = Line::open(dial, Count::one(&self.open), self.flight.window, &self.limits).await;
+        let opened = Line::open(dial, UsageGuard::one(&self.open), self.flight.window, &self.limits).await;
         dialing.dial.failed.set(opened.is_err());
         let line = Rc::new(opened?);
         self.lines.borrow_mut().entry(host).or_default().push(line.clone());
@@ -183,7 +183,14 @@
     async fn only(&self, mut word: HostStatus, body: &mut Body) -> Result<(Bytes, HostStatus), Fail> {
         let mut only = None;
         loop {
-            match body.next(self.limits.message, (self.limits.message, &self.large), |_| ()).await? {
+            match body
+                .next(
+                    self.limits.max_client_message_bytes,
+                    (self.limits.max_client_message_bytes, &self.large),
+                    |_| (),
+                )
+                .await?
+            {
                 Next::Message(message, _) if only.is_none() => only = Some(message),
                 Next::Message(..) => return Err(Fail::Spoilt("a second message")),
                 Next::End(trailers) => {
@@ -227,7 +234,7 @@
         let command = CommandStatementQuery { query: statement.timed(wait), transaction_id: None };
         let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
         // Danger: nothing keeps a host from running a statement as it plans it. So it may have run from here on.
-        let queued = || progress.written();
+        let queued = || progress.mark_written();
         let (_call, head, mut body) = self.call(line, "GetFlightInfo", &descriptor, wait, queued).await?;
         let (message, _) = self.only(word(&head), &mut body).await?;
         let info = FlightInfo::decode(message).map_err(|_| Fail::Spoilt("a plan that cannot be read"))?;
@@ -260,9 +267,9 @@
         let mut checker = Checker::new(Bounds { fields, unpacked });
         let (mut held, mut room) = (Vec::new(), Room::new(self.holds.clone()));
         let mut client: Option<mpsc::Sender<Piece>> = None;
-        let large = (self.limits.message, &self.large);
+        let large = (self.limits.max_client_message_bytes, &self.large);
         // Danger: a router without room for a large message makes a host that answered in time look ill.
-        let waits = |for_room| progress.held_up(for_room);
+        let waits = |for_room| progress.set_client_blocked(for_room);
         loop {
             let next = match &client {
                 None => body.next(message, large, waits).await?,
@@ -286,9 +293,9 @@
                         .take(&data.data_header, &data.data_body)
                         .map_err(|spoilt| Fail::Spoilt(spoilt.0))?;
                     if let Some(client) = &client {
-                        progress.held_up(true);
+                        progress.set_client_blocked(true);
                         client.send(Piece::Data((data, room_of))).await.map_err(|_| Fail::Left)?;
-                        progress.held_up(false);
+                        progress.set_client_blocked(false);
                         continue;
                     }
                     let passes = room.batch(size) != Held::Hold;
@@ -299,7 +306,7 @@
                             std::mem::take(&mut held),
                             std::mem::replace(&mut room, Room::new(self.holds.clone())),
                         );
-                        progress.begin(Answer::Flow { held, rest: Some(rest), room });
+                        progress.begin_answer(Answer::Flow { held, rest: Some(rest), room });
                         client = Some(more);
                         // The client has it before the next is read, or is gone.
                         tokio::task::yield_now().await;
@@ -316,9 +323,9 @@
                     let Some(client) = client else {
                         return Ok(Some(Answer::Flow { held, rest: None, room }));
                     };
-                    progress.held_up(true);
+                    progress.set_client_blocked(true);
                     client.send(Piece::End).await.map_err(|_| Fail::Left)?;
-                    progress.held_up(false);
+                    progress.set_client_blocked(false);
                     return Ok(None);
                 }
             }
@@ -331,7 +338,7 @@
             .await
             .map_err(|_| Fail::Told(Outcome::ConnectFailed, HostStatus::default()))?;
         let action = Action { r#type: REPORT.to_string(), body: Bytes::new() };
-        let wait = self.limits.connect.as_millis() as u64;
+        let wait = self.limits.connect_timeout.as_millis() as u64;
         let (_call, head, mut body) = self.call(&line, "DoAction", &action, wait, || ()).await?;
         let (message, mut word) = self.only(word(&head), &mut body).await?;
         let result = arrow_flight::Result::decode(message)
@@ -394,16 +401,16 @@
     }
 }
 
-impl Back for FlightBack {
+impl HostTransport for FlightBack {
     type Payload = Errand;
     type Answer = Answer;
 
-    fn sweep(&self) {
-        let idle = self.limits.idle;
+    fn close_expired(&self) {
+        let idle = self.limits.host_idle_timeout;
         let stays =
             |line: &Rc<Line>| line.idle_since().is_none_or(|since| line.is_open() && since.elapsed() < idle);
         self.lines.borrow_mut().values_mut().for_each(|lines| lines.retain(stays));
-        let oldest = self.limits.forget;
+        let oldest = self.limits.removed_host_retention;
         self.heard.borrow_mut().retain(|_, heard| heard.elapsed() < oldest);
     }
 
@@ -415,7 +422,7 @@
         until: Timestamp,
         clock: Clock,
         progress: &Progress<Answer>,
-    ) -> Told<Answer> {
+    ) -> ExchangeResult<Answer> {
         let line = match self.line(host, dial).await {
             Ok(line) => line,
             Err(Broken(why)) => {
@@ -427,7 +434,7 @@
         let wait = ((until - clock.now()).micros().max(0) as u64).div_ceil(1000);
         let Errand { statement, update, .. } = errand;
         let done = if *update {
-            self.update(&line, statement, wait, || progress.written())
+            self.update(&line, statement, wait, || progress.mark_written())
                 .await
                 .map(|(count, word)| (Some(Answer::Count(count)), word))
         } else {
@@ -453,7 +460,7 @@
     }
 
     async fn probe(&self, host: HostId, dial: SocketAddr) -> (Outcome, HostStatus) {
-        match timeout(self.limits.connect, self.report(host, dial)).await {
+        match timeout(self.limits.connect_timeout, self.report(host, dial)).await {
             Ok(Ok(word)) => (Outcome::Acked, word),
             Ok(Err(Fail::Told(outcome, word))) => (outcome, word),
             Ok(Err(Fail::Spoilt(_))) => (Outcome::Errored, HostStatus::default()),
@@ -463,7 +470,7 @@
     }
 
     /// Danger: a machine that is gone leaves its connections open, and each send over one of them waits in vain.
-    fn unanswered(&self, host: HostId, since: Instant) {
+    fn send_timed_out(&self, host: HostId, since: Instant) {
         if self.heard.borrow().get(&host).is_none_or(|heard| *heard < since) {
             self.lines.borrow_mut().remove(&host);
         }
@@ -476,11 +483,11 @@
         }
     }
 
-    fn open(&self) -> usize {
+    fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    fn dialed(&self) -> u64 {
+    fn connections_started(&self) -> u64 {
         self.dialed.get()
     }
 }
--- a/crates/arrowyard-front-flight/src/clerk.rs
+++ b/crates/arrowyard-front-flight/src/clerk.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 
 use arrowyard_core::clock::Clock;
-use arrowyard_core::count::Count;
+use arrowyard_core::count::UsageGuard;
 use arrowyard_flight::Fault;
 use arrowyard_flight::bind::Literal;
 use arrowyard_flight::conduct::{Conduct, LineId, Verdict};
@@ -35,7 +35,7 @@
 
 /// A connection came; its end is told when the sender of `gone` is dropped.
 pub struct Arrival {
-    pub kept: Count,
+    pub kept: UsageGuard,
     pub gone: oneshot::Receiver<()>,
     /// Sent to when the connection is to end.
     pub kick: oneshot::Sender<()>,
@@ -45,7 +45,7 @@
 struct Line {
     /// Sent to when the connection is to end.
     kick: oneshot::Sender<()>,
-    _kept: Count,
+    _kept: UsageGuard,
 }
 
 pub struct Clerk {
--- a/crates/arrowyard-front-flight/src/limits.rs
+++ b/crates/arrowyard-front-flight/src/limits.rs
@@ -57,24 +57,25 @@
 
 impl FlightLimits {
     pub fn new(limits: &Limits, asked: Asked) -> Self {
-        let message = asked.message.unwrap_or(limits.answer).max(limits.message);
-        let held_each = asked.held_each.unwrap_or(limits.large / 64);
+        let message =
+            asked.message.unwrap_or(limits.max_host_message_bytes).max(limits.max_client_message_bytes);
+        let held_each = asked.held_each.unwrap_or(limits.max_large_answer_bytes / 64);
         FlightLimits {
-            connections: asked.connections.unwrap_or((limits.clients / 4).max(1)),
+            connections: asked.connections.unwrap_or((limits.max_client_connections / 4).max(1)),
             calls: asked.calls.unwrap_or(256),
             taken_back: 128,
             taken_span: Duration::from_secs(1),
             idle: Duration::from_secs(60),
             age: Duration::from_secs(3600),
-            first: limits.last + limits.greeting,
-            metadata: limits.head as u32,
-            asked: limits.message,
+            first: limits.drain_timeout + limits.client_message_timeout,
+            metadata: limits.max_http_head_bytes as u32,
+            asked: limits.max_client_message_bytes,
             message,
             fields: 4096,
             // As packed data unpacks in practice; more is a bomb.
             unpacked: (message as u64).saturating_mul(16),
             held_each,
-            held_all: limits.large / 2,
+            held_all: limits.max_large_answer_bytes / 2,
             ahead: 2,
             window: 256 * 1024,
             streams_out: 100,
@@ -82,8 +83,8 @@
             tickets: 65_536,
             handles: asked.handles.unwrap_or(1024),
             handle_idle: Duration::from_secs(600),
-            statement: limits.message,
-            inbox: limits.inbox,
+            statement: limits.max_client_message_bytes,
+            inbox: limits.queue_capacity,
         }
     }
 }
--- a/crates/arrowyard-front-flight/src/link.rs
+++ b/crates/arrowyard-front-flight/src/link.rs
@@ -10,7 +10,7 @@
 use std::task::{Context, Poll, Waker, ready};
 
 use arrowyard_core::Limits;
-use arrowyard_core::count::Count;
+use arrowyard_core::count::UsageGuard;
 use arrowyard_flight::frames::{Frames, Sent};
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use h2::client::{Builder, ResponseFuture, SendRequest};
@@ -105,8 +105,13 @@
 impl Line {
     /// Dials the host, and waits till it has told its settings. Danger: a host that accepts and says nothing; a send
     /// over its connection would wait in vain and may have run.
-    pub async fn open(dial: SocketAddr, count: Count, window: u32, limits: &Limits) -> Result<Line, Broken> {
-        let opened = timeout(limits.connect, async {
+    pub async fn open(
+        dial: SocketAddr,
+        count: UsageGuard,
+        window: u32,
+        limits: &Limits,
+    ) -> Result<Line, Broken> {
+        let opened = timeout(limits.connect_timeout, async {
             let stream = TcpStream::connect(dial).await?;
             stream.set_nodelay(true)?;
             let seen = Shared::default();
@@ -116,7 +121,7 @@
                 .initial_window_size(window)
                 .initial_connection_window_size(window.saturating_mul(4).min(1 << 30))
                 .max_frame_size(FRAME)
-                .max_header_list_size(limits.head as u32)
+                .max_header_list_size(limits.max_http_head_bytes as u32)
                 .max_concurrent_reset_streams(64)
                 .handshake::<_, Bytes>(io)
                 .await?;
--- a/crates/arrowyard-front-flight/src/listen.rs
+++ b/crates/arrowyard-front-flight/src/listen.rs
@@ -10,7 +10,7 @@
 
 use arrow_flight::flight_service_server::FlightServiceServer;
 use arrowyard_core::Limits;
-use arrowyard_core::count::Count;
+use arrowyard_core::count::UsageGuard;
 use arrowyard_core::drain::Stage;
 use arrowyard_flight::conduct::LineId;
 use futures::stream;
@@ -120,11 +120,11 @@
                 Ok(accepted) => accepted,
                 Err(error) => {
                     tracing::warn!("a client could not be accepted: {error}");
-                    sleep(self.limits.pause).await;
+                    sleep(self.limits.retry_pause).await;
                     continue;
                 }
             };
-            let (kept, (gone, told)) = (Count::one(&self.clients), oneshot::channel());
+            let (kept, (gone, told)) = (UsageGuard::one(&self.clients), oneshot::channel());
             let ((kick, kicked), (id, line)) = (oneshot::channel(), oneshot::channel());
             if self.arrivals.send(Arrival { kept, gone: told, kick, id }).await.is_err() {
                 return;
--- a/crates/arrowyard-front-flight/src/service.rs
+++ b/crates/arrowyard-front-flight/src/service.rs
@@ -30,7 +30,7 @@
 use arrow_schema::{DataType, Field, Schema, SchemaRef};
 use arrowyard_core::Reply;
 use arrowyard_core::clock::Clock;
-use arrowyard_core::hatch::{Hatch, Shut};
+use arrowyard_core::submission::{OpSubmitter, SubmitError};
 use arrowyard_flight::Fault;
 use arrowyard_flight::bind::{self, Literal};
 use arrowyard_flight::brief::{self, Notes};
@@ -58,7 +58,7 @@
 /// What serves the calls of all connections; cloned for each.
 #[derive(Clone)]
 pub struct FlightFront {
-    pub hatch: Hatch<Errand, Served>,
+    pub hatch: OpSubmitter<Errand, Served>,
     pub counter: Counter,
     pub clock: Clock,
     pub limits: FlightLimits,
@@ -147,14 +147,14 @@
         let statement = brief::op(text, &asked.notes, || fastrand::u64(1..))?;
         let due = came + TimeDelta::from_millis(statement.wait_ms.into());
         let errand = Errand { statement, update, address: Some(asked.peer.address.ip()) };
-        match self.hatch.ask(errand).await {
+        match self.hatch.submit(errand).await {
             Ok(Reply::Acked(served)) => Ok(served),
             Ok(Reply::Busy(after)) => Err(Fault::Busy(after)),
             Ok(Reply::Errored) if self.is_over(due) => Err(Fault::OutOfTime),
             Ok(Reply::Errored) => Err(Fault::Errored),
             Ok(Reply::Refused(why)) => Err(Fault::NoOp(why.to_string())),
-            Err(Shut::Full) => Err(Fault::Busy(None)),
-            Err(Shut::Ended) => Err(Fault::Errored),
+            Err(SubmitError::Full) => Err(Fault::Busy(None)),
+            Err(SubmitError::Stopped) => Err(Fault::Errored),
         }
     }
 
--- a/crates/arrowyard-front-pg/src/back.rs
+++ b/crates/arrowyard-front-pg/src/back.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 
 use arrowyard_core::Limits;
-use arrowyard_core::back::{Back, Progress, Told};
 use arrowyard_core::clock::Clock;
-use arrowyard_core::pool::Pool;
+use arrowyard_core::pool::ConnectionPool;
+use arrowyard_core::transport::{ExchangeResult, HostTransport, Progress};
 use arrowyard_pg::Statement;
 use arrowyard_types::{HostId, HostStatus, Outcome, Timestamp};
 use bytes::BytesMut;
@@ -16,22 +16,22 @@
 use crate::probe;
 
 pub struct PgBack {
-    pool: Rc<Pool<PgLink>>,
+    pool: Rc<ConnectionPool<PgLink>>,
     limits: Rc<Limits>,
 }
 
 impl PgBack {
     pub fn new(limits: Rc<Limits>) -> Self {
-        PgBack { pool: Pool::new(limits.clone()), limits }
+        PgBack { pool: ConnectionPool::new(limits.clone()), limits }
     }
 }
 
-impl Back for PgBack {
+impl HostTransport for PgBack {
     type Payload = Statement;
     type Answer = Parcel;
 
-    fn sweep(&self) {
-        self.pool.sweep();
+    fn close_expired(&self) {
+        self.pool.close_expired();
     }
 
     async fn exchange(
@@ -42,8 +42,8 @@
         until: Timestamp,
         clock: Clock,
         progress: &Progress<Parcel>,
-    ) -> Told<Parcel> {
-        let mut link = match self.pool.take(host, dial).await {
+    ) -> ExchangeResult<Parcel> {
+        let mut link = match self.pool.acquire(host, dial).await {
             Ok(link) => link,
             Err(outcome) => return (outcome, HostStatus::default(), None),
         };
@@ -55,11 +55,11 @@
             tracing::debug!(%dial, "not written: {}", broken.0);
             return (Outcome::ConnectFailed, HostStatus::default(), None);
         }
-        progress.written();
+        progress.mark_written();
         match link.answer().await {
             Ok(told) => {
                 if told.ready {
-                    self.pool.put_back(host, link);
+                    self.pool.release(host, link);
                 }
                 let outcome = told.outcome();
                 (outcome, told.word, told.answer.filter(|_| outcome == Outcome::Acked))
@@ -75,19 +75,19 @@
         probe::run(host, dial, &self.pool, &self.limits).await
     }
 
-    fn unanswered(&self, host: HostId, since: Instant) {
-        self.pool.unanswered(host, since);
+    fn send_timed_out(&self, host: HostId, since: Instant) {
+        self.pool.send_timed_out(host, since);
     }
 
     fn close_idle(&self, host: HostId) {
         self.pool.close_idle(host);
     }
 
-    fn open(&self) -> usize {
-        self.pool.open()
+    fn open_connections(&self) -> usize {
+        self.pool.open_connections()
     }
 
-    fn dialed(&self) -> u64 {
-        self.pool.dialed()
+    fn connections_started(&self) -> u64 {
+        self.pool.connections_started()
     }
 }
--- a/crates/arrowyard-front-pg/src/link.rs
+++ b/crates/arrowyard-front-pg/src/link.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 
 use arrowyard_core::Limits;
-use arrowyard_core::count::Count;
-use arrowyard_core::pool::Link;
+use arrowyard_core::count::UsageGuard;
+use arrowyard_core::pool::PooledConnection;
 use arrowyard_pg::{Answer, Heard, Malformed, Mode, Status, code, promised, put_startup};
 use arrowyard_types::{HostStatus, Outcome, Role, Timestamp};
 use bytes::BytesMut;
@@ -24,16 +24,16 @@
     came: BytesMut,
     /// The bytes that large answers take, of all links together, and those of the one under way here.
     large: Rc<Cell<usize>>,
-    room: Option<Count>,
+    room: Option<UsageGuard>,
     limits: Rc<Limits>,
-    _count: Count,
+    _count: UsageGuard,
 }
 
 /// An answer, with the room that it takes till it is written to its client.
 #[derive(Debug, Default, PartialEq)]
 pub struct Parcel {
     pub answer: Answer,
-    pub room: Option<Count>,
+    pub room: Option<UsageGuard>,
 }
 
 /// What a host told about one command.
@@ -75,10 +75,10 @@
     }
 }
 
-impl Link for PgLink {
-    async fn open(
+impl PooledConnection for PgLink {
+    async fn connect(
         dial: SocketAddr,
-        count: Count,
+        count: UsageGuard,
         large: Rc<Cell<usize>>,
         limits: Rc<Limits>,
     ) -> Result<Self, Outcome> {
@@ -86,7 +86,7 @@
             tracing::debug!(%dial, "not connected: {}", why.0);
             Outcome::ConnectFailed
         };
-        let opened = timeout(limits.connect, async {
+        let opened = timeout(limits.connect_timeout, async {
             let stream = TcpStream::connect(dial).await?;
             stream.set_nodelay(true)?;
             let (came, idle_since) = (BytesMut::new(), Instant::now());
@@ -115,7 +115,7 @@
         }
     }
 
-    fn dial(&self) -> SocketAddr {
+    fn address(&self) -> SocketAddr {
         self.dial
     }
 
@@ -124,15 +124,15 @@
     }
 
     /// Danger: a send on a dead connection. The socket itself is asked: the runtime only knows what it saw when it last waited.
-    fn is_good(&self) -> bool {
+    fn is_reusable(&self) -> bool {
         let untouched = || {
             let looked = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
             looked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
         };
-        self.idle_since.elapsed() < self.limits.idle && self.came.is_empty() && untouched()
+        self.idle_since.elapsed() < self.limits.host_idle_timeout && self.came.is_empty() && untouched()
     }
 
-    fn rest(&mut self) {
+    fn mark_idle(&mut self) {
         (self.idle_since, self.room) = (Instant::now(), None);
         if self.came.is_empty() {
             self.came = BytesMut::new();
@@ -151,7 +151,9 @@
         loop {
             let decided = told.answer.is_some() || told.error.is_some();
             let heard = match decided {
-                true => timeout(self.limits.ready, self.next()).await.unwrap_or(Err(Broken(String::new()))),
+                true => timeout(self.limits.ready_timeout, self.next())
+                    .await
+                    .unwrap_or(Err(Broken(String::new()))),
                 false => self.next().await,
             };
             match heard {
@@ -200,11 +202,15 @@
 
     async fn next(&mut self) -> Result<Heard, Broken> {
         loop {
-            if let Some(heard) = Heard::take(&mut self.came, self.limits.answer, self.limits.aside)? {
+            if let Some(heard) = Heard::take(
+                &mut self.came,
+                self.limits.max_host_message_bytes,
+                self.limits.max_control_message_bytes,
+            )? {
                 return Ok(heard);
             }
             let missing = self.make_room()?;
-            self.came.reserve(missing.max(self.limits.read));
+            self.came.reserve(missing.max(self.limits.read_chunk_bytes));
             if self.stream.read_buf(&mut self.came).await? == 0 {
                 return Err(Broken("the host ended the connection".to_string()));
             }
@@ -217,16 +223,16 @@
     /// are more than the router's memory holds; one that finds no room breaks off.
     fn make_room(&mut self) -> Result<usize, Broken> {
         let length = promised(&self.came).unwrap_or_default() as usize;
-        if length <= self.limits.message {
+        if length <= self.limits.max_client_message_bytes {
             return Ok(0);
         }
         if self.room.is_none() {
             // Once as it came, and once as it goes out.
             let bytes = 2 * length;
-            if self.large.get() + bytes > self.limits.large {
+            if self.large.get() + bytes > self.limits.max_large_answer_bytes {
                 return Err(Broken("no room for a large answer".to_string()));
             }
-            self.room = Some(Count::many(&self.large, bytes));
+            self.room = Some(UsageGuard::add(&self.large, bytes));
         }
         Ok(length.saturating_sub(self.came.len()))
     }
@@ -262,7 +268,11 @@
         let row = [&b"D"[..], &length, &[0, 1], &(value.len() as u32).to_be_bytes(), &value].concat();
         let columns = [&b"T\0\0\0\x1a\0\x01x\0"[..], &[0; 18]].concat();
         let bytes = [columns, row, b"C\0\0\0\x06S\0Z\0\0\0\x05I".to_vec()].concat();
-        let limits = Limits { answer: 400_000, large: 700_000, ..Limits::told(serde_json::json!({})).2 };
+        let limits = Limits {
+            max_host_message_bytes: 400_000,
+            max_large_answer_bytes: 700_000,
+            ..Limits::for_test(serde_json::json!({})).2
+        };
         for (taken, fits) in [(0, true), (200_000, false)] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
             let dial = listener.local_addr().expect("it is bound");
@@ -275,7 +285,8 @@
                 std::io::Result::Ok(stream)
             });
             let large = Rc::new(Cell::new(taken));
-            let opened = PgLink::open(dial, Count::one(&Rc::default()), large.clone(), Rc::new(limits)).await;
+            let opened =
+                PgLink::connect(dial, UsageGuard::one(&Rc::default()), large.clone(), Rc::new(limits)).await;
             let told = opened.expect("it is let in").answer().await;
             assert_eq!(told.is_ok(), fits, "{told:?}");
             assert_eq!(large.get() - taken, if fits { 2 * (value.len() + 10) } else { 0 });
@@ -298,15 +309,15 @@
                 let _ = (stream.read(&mut [0; 64])?, stream.write_all(&out)?, gone.recv());
                 stream.write_all(last)
             });
-            let limits = Rc::new(Limits::told(serde_json::json!({})).2);
-            let link = PgLink::open(dial, Count::one(&Rc::default()), Rc::default(), limits)
+            let limits = Rc::new(Limits::for_test(serde_json::json!({})).2);
+            let link = PgLink::connect(dial, UsageGuard::one(&Rc::default()), Rc::default(), limits)
                 .await
                 .expect("it is let in");
-            assert!(link.is_good());
+            assert!(link.is_reusable());
             // The runtime does not come round meanwhile.
             go.send(()).expect("the host waits");
             host.join().expect("the host ends").expect("it wrote");
-            assert!(!link.is_good(), "{last:?}");
+            assert!(!link.is_reusable(), "{last:?}");
         }
     }
 
--- a/crates/arrowyard-front-pg/src/probe.rs
+++ b/crates/arrowyard-front-pg/src/probe.rs
@@ -8,19 +8,19 @@
 use tokio::time::timeout;
 
 use arrowyard_core::Limits;
-use arrowyard_core::pool::Pool;
+use arrowyard_core::pool::ConnectionPool;
 
 use crate::link::{PgLink, learn};
 
 pub async fn run(
     host: HostId,
     dial: SocketAddr,
-    pool: &Pool<PgLink>,
+    pool: &ConnectionPool<PgLink>,
     limits: &Limits,
 ) -> (Outcome, HostStatus) {
     let none = HostStatus::default();
-    let asked = timeout(limits.connect, async {
-        let mut link = match pool.take(host, dial).await {
+    let asked = timeout(limits.connect_timeout, async {
+        let mut link = match pool.acquire(host, dial).await {
             Ok(link) => link,
             Err(outcome) => return (outcome, none),
         };
@@ -31,7 +31,7 @@
         }
         let Ok(told) = link.answer().await else { return (Outcome::Reset, none) };
         if told.ready {
-            pool.put_back(host, link);
+            pool.release(host, link);
         }
         let (outcome, mut word) = (told.outcome(), told.word);
         let row = told.answer.as_ref().and_then(|parcel| value(&parcel.answer.row));
--- a/crates/arrowyard-front-pg/src/relay.rs
+++ b/crates/arrowyard-front-pg/src/relay.rs
@@ -27,7 +27,7 @@
 
 /// Writes all of it; false if the client is gone or does not take it.
 pub async fn write(client: &mut (impl AsyncWrite + Unpin), out: &mut BytesMut, limits: &Limits) -> bool {
-    let whole = matches!(timeout(limits.relay, client.write_all(out)).await, Ok(Ok(())));
+    let whole = matches!(timeout(limits.client_write_timeout, client.write_all(out)).await, Ok(Ok(())));
     out.clear();
     whole
 }
--- a/crates/arrowyard-front-pg/src/take_in.rs
+++ b/crates/arrowyard-front-pg/src/take_in.rs
@@ -5,13 +5,13 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-use arrowyard_core::admit::{Admitted, Gate};
-use arrowyard_core::clock::Beat;
-use arrowyard_core::count::Count;
+use arrowyard_core::admission::{AdmissionController, AdmittedOp};
+use arrowyard_core::clock::StallDetector;
+use arrowyard_core::count::UsageGuard;
 use arrowyard_core::drain::Stage;
 use arrowyard_core::leases;
-use arrowyard_core::mail::Mail;
-use arrowyard_core::{Call, Limits, Reply};
+use arrowyard_core::messages::RouteMessage;
+use arrowyard_core::{ClientRequest, Limits, Reply};
 use arrowyard_pg::{
     Asked, Malformed, Opening, Statement, code, greet, put_done, put_empty, put_fatal, put_ready, put_value,
 };
@@ -28,16 +28,16 @@
 use crate::relay;
 
 /// What the statement's comment says of its op.
-pub fn call(statement: &Statement, address: Option<IpAddr>) -> Call<'_> {
+pub fn call(statement: &Statement, address: Option<IpAddr>) -> ClientRequest<'_> {
     let Statement { id, wait_ms, op_type, tenant, group, after, again, token, key, .. } = statement;
-    Call {
+    ClientRequest {
         id: *id,
         op_type,
         tenant: tenant.as_deref(),
         group: *group,
-        wait_ms: *wait_ms,
-        after: *after,
-        again: *again,
+        timeout_ms: *wait_ms,
+        last_commit_ms: *after,
+        is_retry: *again,
         token: *token,
         session: *key,
         address,
@@ -47,17 +47,17 @@
 
 /// What the connections of all clients share.
 pub struct Front {
-    pub gate: Rc<Gate>,
-    pub mail: mpsc::Sender<Mail<PgBack>>,
+    pub gate: Rc<AdmissionController>,
+    pub mail: mpsc::Sender<RouteMessage<PgBack>>,
     pub clients: Rc<Cell<usize>>,
     pub idlers: Idlers,
     pub stage: watch::Receiver<Stage>,
-    pub beat: Rc<Beat>,
+    pub beat: Rc<StallDetector>,
     pub limits: Rc<Limits>,
 }
 
 /// A connection's place among those of all clients; empty once it was told to make room.
-type Place = Rc<RefCell<Option<Count>>>;
+type Place = Rc<RefCell<Option<UsageGuard>>>;
 
 /// Connections that wait for a message, the longest idle first. Those that are gone on are left in until there
 /// are too many.
@@ -89,16 +89,18 @@
     /// Whether the clients fit; idle connections go first. Danger: a client that asks as it comes is turned away
     /// while others hold places and say nothing.
     fn make_room(&self) -> bool {
-        while self.clients.get() > self.limits.clients && self.idlers.close_oldest() {}
-        self.clients.get() <= self.limits.clients
+        while self.clients.get() > self.limits.max_client_connections && self.idlers.close_oldest() {}
+        self.clients.get() <= self.limits.max_client_connections
     }
 
     /// Accepts until the router closes.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         let mut stage = self.stage.clone();
         loop {
-            while self.clients.get() >= self.limits.clients + self.limits.crowd {
-                sleep(self.limits.pause).await;
+            while self.clients.get()
+                >= self.limits.max_client_connections + self.limits.max_rejected_connections
+            {
+                sleep(self.limits.retry_pause).await;
             }
             let accepted = tokio::select! {
                 biased;
@@ -107,8 +109,8 @@
             };
             match accepted {
                 Ok((stream, _)) => {
-                    let count = Count::one(&self.clients);
-                    let full = self.clients.get() > self.limits.clients;
+                    let count = UsageGuard::one(&self.clients);
+                    let full = self.clients.get() > self.limits.max_client_connections;
                     self.make_room();
                     drop(spawn_local(Client::new(self.clone(), stream, count).serve()));
                     if full {
@@ -118,7 +120,7 @@
                 }
                 Err(error) => {
                     tracing::warn!("a client could not be accepted: {error}");
-                    sleep(self.limits.pause).await;
+                    sleep(self.limits.retry_pause).await;
                 }
             }
         }
@@ -141,7 +143,7 @@
 struct Ended;
 
 impl Client {
-    fn new(front: Rc<Front>, stream: TcpStream, count: Count) -> Self {
+    fn new(front: Rc<Front>, stream: TcpStream, count: UsageGuard) -> Self {
         let (came, out) = (BytesMut::new(), BytesMut::new());
         let place = Rc::new(RefCell::new(Some(count)));
         let address = stream.peer_addr().ok().map(|address| address.ip());
@@ -157,7 +159,7 @@
     }
 
     async fn talk(&mut self) -> Result<(), Ended> {
-        let greeting = self.front.limits.greeting;
+        let greeting = self.front.limits.client_message_timeout;
         timeout(greeting, self.open()).await.map_err(|_| Ended)??;
         loop {
             let asked = self.next().await?;
@@ -171,7 +173,7 @@
 
     async fn open(&mut self) -> Result<(), Ended> {
         loop {
-            match Opening::take(&mut self.came, self.front.limits.message) {
+            match Opening::take(&mut self.came, self.front.limits.max_client_message_bytes) {
                 Ok(Some(Opening::Startup)) => {
                     greet(&mut self.out);
                     return self.write().await;
@@ -188,10 +190,10 @@
     /// The next message. Danger: clients that let themselves in and say nothing, or never come to the end of what
     /// they say, a byte at a time; both have the time of a greeting.
     async fn next(&mut self) -> Result<Asked, Ended> {
-        let greeting = self.front.limits.greeting;
+        let greeting = self.front.limits.client_message_timeout;
         let mut begun = None;
         loop {
-            match Asked::take(&mut self.came, self.front.limits.message) {
+            match Asked::take(&mut self.came, self.front.limits.max_client_message_bytes) {
                 Ok(Some(asked)) => {
                     self.asked = true;
                     return Ok(asked);
@@ -218,7 +220,7 @@
             // The room that a large op took is given back.
             (self.came, self.out) = (BytesMut::new(), BytesMut::new());
         }
-        let closed = front.idlers.wait(&self.place, front.limits.clients);
+        let closed = front.idlers.wait(&self.place, front.limits.max_client_connections);
         let filled = tokio::select! {
             biased;
             read = self.read() => read,
@@ -228,13 +230,13 @@
         };
         if filled.is_ok() {
             // It may have spoken just as it was told to make room.
-            self.place.borrow_mut().get_or_insert_with(|| Count::one(&front.clients));
+            self.place.borrow_mut().get_or_insert_with(|| UsageGuard::one(&front.clients));
         }
         filled
     }
 
     async fn query(&mut self, text: String) -> Result<(), Ended> {
-        let arrived = self.front.beat.came();
+        let arrived = self.front.beat.earliest_arrival();
         let command = text.trim_matches(|c: char| c.is_whitespace() || c == ';');
         let word = command.split_ascii_whitespace().next().unwrap_or_default().to_ascii_uppercase();
         match word.as_str() {
@@ -243,18 +245,18 @@
             "DISCARD" => put_done(&mut self.out, "DISCARD ALL"),
             "SHOW" if self.front.gate.has_cells() && command.eq_ignore_ascii_case("show cells") => {
                 let (client, answer) = oneshot::channel();
-                self.front.mail.send(Mail::Show(client)).await.map_err(|_| Ended)?;
+                self.front.mail.send(RouteMessage::ShowCells(client)).await.map_err(|_| Ended)?;
                 put_value(&mut self.out, "cells", &answer.await.map_err(|_| Ended)?);
             }
-            "SHOW" if self.front.gate.peers && command.eq_ignore_ascii_case("show peers") => {
+            "SHOW" if self.front.gate.in_fleet && command.eq_ignore_ascii_case("show peers") => {
                 let (client, answer) = oneshot::channel();
-                self.front.mail.send(Mail::ShowPeers(client)).await.map_err(|_| Ended)?;
+                self.front.mail.send(RouteMessage::ShowPeers(client)).await.map_err(|_| Ended)?;
                 put_value(&mut self.out, "peers", &answer.await.map_err(|_| Ended)?);
             }
             "SHOW" if self.front.gate.leases.is_some() && command.eq_ignore_ascii_case("show leases") => {
                 let (client, answer) = oneshot::channel();
                 if let Some(leases) = &self.front.gate.leases {
-                    let shown = leases.send(leases::Errand::Show(client));
+                    let shown = leases.send(leases::LeasesCommand::Show(client));
                     shown.await.map_err(|_| Ended)?;
                 }
                 put_value(&mut self.out, "leases", &answer.await.map_err(|_| Ended)?);
@@ -278,7 +280,7 @@
 
     /// One op, from its admission to its final answer.
     async fn op(&mut self, statement: Statement, arrived: Timestamp) -> Result<Reply<Parcel>, Ended> {
-        let Admitted { ask, claim, place: _open } =
+        let AdmittedOp { request: ask, origin: claim, slot: _open } =
             match self.front.gate.admit(call(&statement, self.address), arrived) {
                 Ok(admitted) => admitted,
                 Err(reply) => return Ok(reply),
@@ -286,14 +288,16 @@
         let (answer, mut answered) = oneshot::channel();
         let mail = self.front.mail.clone();
         let op = ask.op;
-        mail.send(Mail::Asked(ask, claim, Rc::new(statement), answer)).await.map_err(|_| Ended)?;
+        mail.send(RouteMessage::OpAdmitted(ask, claim, Rc::new(statement), answer))
+            .await
+            .map_err(|_| Ended)?;
         loop {
-            let room = self.came.len() < self.front.limits.message;
+            let room = self.came.len() < self.front.limits.max_client_message_bytes;
             tokio::select! {
                 biased;
                 reply = &mut answered => return Ok(reply.unwrap_or(Reply::Errored)),
                 read = self.read(), if room => if read.is_err() {
-                    let _ = mail.send(Mail::HungUp(op)).await;
+                    let _ = mail.send(RouteMessage::ClientDisconnected(op)).await;
                     return Err(Ended);
                 },
             }
@@ -301,7 +305,7 @@
     }
 
     async fn read(&mut self) -> Result<(), Ended> {
-        self.came.reserve(self.front.limits.read);
+        self.came.reserve(self.front.limits.read_chunk_bytes);
         match self.stream.read_buf(&mut self.came).await {
             Ok(0) | Err(_) => Err(Ended),
             Ok(_) => Ok(()),
@@ -318,8 +322,8 @@
     async fn end<T>(&mut self) -> Result<T, Ended> {
         self.write().await?;
         let _ = self.stream.shutdown().await;
-        let (front, linger) = (self.front.clone(), self.front.limits.linger);
-        let closed = front.idlers.wait(&self.place, front.limits.clients);
+        let (front, linger) = (self.front.clone(), self.front.limits.linger_timeout);
+        let closed = front.idlers.wait(&self.place, front.limits.max_client_connections);
         let rest = async {
             while self.read().await.is_ok() {
                 self.came.clear();
--- a/crates/arrowyard-operator-config/examples/size.rs
+++ b/crates/arrowyard-operator-config/examples/size.rs
@@ -10,7 +10,7 @@
 use arrowyard_cells::index::CellIndex;
 use arrowyard_cells::tenant_move::MoveSettings;
 use arrowyard_cells::{Cells, Layout};
-use arrowyard_operator_config::{layout, read};
+use arrowyard_operator_config::{cell_layout, parse};
 use arrowyard_types::{GroupId, TimeDelta, Timestamp};
 
 fn text(tenants: usize, cells: usize, groups: usize) -> String {
@@ -52,8 +52,8 @@
 fn run(tenants: usize, cells: usize, hosts: usize) {
     let groups = hosts / 3;
     let text = text(tenants, cells, groups);
-    let (book, checked) = timed(|| read(&text).expect("nothing is wrong with it"));
-    let (taken, took) = timed(|| layout(&book).expect("it has cells"));
+    let (book, checked) = timed(|| parse(&text).expect("nothing is wrong with it"));
+    let (taken, took) = timed(|| cell_layout(&book).expect("it has cells"));
     let (mut assign, prepared) = timed(|| CellAssignment::new(&taken));
     // Copies, so that what was freed before is not counted as room.
     let before = memory();
--- a/crates/arrowyard-operator-config/src/layout.rs
+++ b/crates/arrowyard-operator-config/src/layout.rs
@@ -40,7 +40,7 @@
 
 /// The layout of a book that was checked; nothing if it has no cells. What does not refer to a cell of the book is
 /// left out, which the check does not let through.
-pub fn layout(book: &schema::Yardbook) -> Option<Layout> {
+pub fn cell_layout(book: &schema::Yardbook) -> Option<Layout> {
     let told = book.cells.as_ref()?;
     let ids: std::collections::HashMap<&str, CellId> =
         told.cell.iter().map(schema::Cell::name).zip((0..).map(CellId)).collect();
@@ -104,7 +104,7 @@
 }
 
 /// What a book that was checked says of the fleet; nothing if it names none.
-pub fn belongs(book: &schema::Yardbook) -> Option<PeerSettings> {
+pub fn peer_settings(book: &schema::Yardbook) -> Option<PeerSettings> {
     let told = book.peers.as_ref()?;
     let usual = MembershipConfig::with_probe_interval(span(told.period_ms, 500));
     let via = told.via.iter().filter_map(|via| Some((via.name().to_string(), via.at().parse().ok()?)));
@@ -127,7 +127,7 @@
 }
 
 /// What a book that was checked says of coming back; nothing if it does not.
-pub fn returns(book: &schema::Yardbook) -> Option<Comes> {
+pub fn startup_settings(book: &schema::Yardbook) -> Option<Comes> {
     let told = book.returns.as_ref()?;
     let usual = Trust::default();
     let life = told.host_life_ms.map_or(usual.life, |life| TimeDelta::from_millis(life as i64));
@@ -141,7 +141,7 @@
 }
 
 /// What a book that was checked says of leases; nothing if it does not.
-pub fn leases(book: &schema::Yardbook) -> Option<Joins> {
+pub fn lease_settings(book: &schema::Yardbook) -> Option<Joins> {
     let told = book.leases.as_ref()?;
     let usual = arrowyard_leases::Terms::default();
     let mut voters: Vec<_> =
--- a/crates/arrowyard-operator-config/src/lib.rs
+++ b/crates/arrowyard-operator-config/src/lib.rs
@@ -2,10 +2,10 @@
 //! whole, and a refusal names every fault that was found, each with its line, its column, its field, and what
 //! would be right. No I/O beyond reading the one file.
 
-mod check;
 mod layout;
-mod places;
+mod positions;
 mod scan;
+mod validate;
 
 use std::fmt;
 use std::path::Path;
@@ -13,9 +13,9 @@
 use prost::Message;
 use prost_reflect::{DescriptorPool, DynamicMessage, MessageDescriptor};
 
-pub use check::check;
-pub use layout::{belongs, layout, leases, returns};
-pub use places::{Place, Places};
+pub use layout::{cell_layout, lease_settings, peer_settings, startup_settings};
+pub use positions::{FieldPositions, Position};
+pub use validate::validate;
 
 /// The types of the schema.
 #[allow(clippy::derive_partial_eq_without_eq)]
@@ -27,26 +27,26 @@
 
 /// One thing that is wrong with a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Fault {
-    pub place: Place,
+pub struct ConfigError {
+    pub position: Position,
     /// The field's path, as in `cells.cell[1].weight`; empty where there is none.
     pub field: String,
     /// What is wrong, and what would be right.
-    pub what: String,
+    pub message: String,
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for ConfigError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Place { line, column } = self.place;
+        let Position { line, column } = self.position;
         match self.field.as_str() {
-            "" => write!(f, "{line}:{column}: {}", self.what),
-            field => write!(f, "{line}:{column}: {field}: {}", self.what),
+            "" => write!(f, "{line}:{column}: {}", self.message),
+            field => write!(f, "{line}:{column}: {field}: {}", self.message),
         }
     }
 }
 
 /// Bytes of a file at most: 100,000 tenants and a thousand cells fit many times over.
-pub const MOST_BYTES: u64 = 64 * 1024 * 1024;
+pub const MAX_FILE_BYTES: u64 = 64 * 1024 * 1024;
 
 fn root() -> MessageDescriptor {
     let pool = DescriptorPool::decode(&include_bytes!(concat!(env!("OUT_DIR"), "/yardbook.bin"))[..]);
@@ -55,7 +55,7 @@
 }
 
 /// Reads the text of a file; every fault of it, if there is one.
-pub fn read(text: &str) -> Result<Yardbook, Vec<Fault>> {
+pub fn parse(text: &str) -> Result<Yardbook, Vec<ConfigError>> {
     let root = root();
     let (places, mut faults) = scan::scan(text, &root);
     if !faults.is_empty() {
@@ -63,9 +63,9 @@
         return Err(faults);
     }
     let message = DynamicMessage::parse_text_format(root, text);
-    let message = message.map_err(|error| vec![places::of_error(text, &error)])?;
+    let message = message.map_err(|error| vec![positions::parse_error(text, &error)])?;
     let book = message.transcode_to::<Yardbook>().expect("both were made of one schema");
-    let mut faults = check(&book, &places);
+    let mut faults = validate(&book, &places);
     if faults.is_empty() {
         return Ok(book);
     }
@@ -80,12 +80,12 @@
 pub fn load(path: &Path) -> Result<Yardbook, String> {
     let name = path.display();
     let size = std::fs::metadata(path).map_err(|error| format!("{name}: {error}"))?.len();
-    if size > MOST_BYTES {
-        return Err(format!("{name}: {size} bytes, and at most {MOST_BYTES} are read"));
+    if size > MAX_FILE_BYTES {
+        return Err(format!("{name}: {size} bytes, and at most {MAX_FILE_BYTES} are read"));
     }
     let bytes = std::fs::read(path).map_err(|error| format!("{name}: {error}"))?;
     let text = String::from_utf8(bytes).map_err(|error| format!("{name}: not UTF-8 text: {error}"))?;
-    read(&text).map_err(|faults| {
+    parse(&text).map_err(|faults| {
         let lines: Vec<String> = faults.iter().map(|fault| format!("{name}:{fault}")).collect();
         lines.join("\n")
     })
--- a/crates/arrowyard-operator-config/src/scan.rs
+++ b/crates/arrowyard-operator-config/src/scan.rs
@@ -6,8 +6,8 @@
 
 use prost_reflect::{FieldDescriptor, Kind, MessageDescriptor};
 
-use crate::Fault;
-use crate::places::{Place, Places};
+use crate::ConfigError;
+use crate::positions::{FieldPositions, Position};
 
 /// How deep messages may nest.
 const DEEP: usize = 16;
@@ -25,27 +25,33 @@
     at: usize,
     line: usize,
     line_start: usize,
-    places: Places,
-    faults: Vec<Fault>,
+    places: FieldPositions,
+    faults: Vec<ConfigError>,
 }
 
 /// The rest of the text cannot be made sense of.
 struct Lost;
 
-pub fn scan(text: &str, root: &MessageDescriptor) -> (Places, Vec<Fault>) {
-    let mut scanner =
-        Scanner { text, at: 0, line: 1, line_start: 0, places: Places::default(), faults: Vec::new() };
+pub fn scan(text: &str, root: &MessageDescriptor) -> (FieldPositions, Vec<ConfigError>) {
+    let mut scanner = Scanner {
+        text,
+        at: 0,
+        line: 1,
+        line_start: 0,
+        places: FieldPositions::default(),
+        faults: Vec::new(),
+    };
     let _ = scanner.message(root, "", None, 0);
     (scanner.places, scanner.faults)
 }
 
 impl<'a> Scanner<'a> {
-    fn place(&self) -> Place {
-        Place { line: self.line, column: self.text[self.line_start..self.at].chars().count() + 1 }
+    fn place(&self) -> Position {
+        Position { line: self.line, column: self.text[self.line_start..self.at].chars().count() + 1 }
     }
 
-    fn fault(&mut self, place: Place, field: &str, what: String) {
-        self.faults.push(Fault { place, field: field.to_string(), what });
+    fn fault(&mut self, place: Position, field: &str, what: String) {
+        self.faults.push(ConfigError { position: place, field: field.to_string(), message: what });
     }
 
     fn lost<T>(&mut self, field: &str, what: String) -> Result<T, Lost> {
@@ -188,7 +194,7 @@
                 let row = if field.is_list() { format!("{inside}[{rows}]") } else { inside.clone() };
                 *rows += 1;
                 if *rows > 1 && !field.is_list() {
-                    let first = self.places.of(&row);
+                    let first = self.places.nearest(&row);
                     let what = format!("it stands twice, first in line {}; leave one", first.line);
                     self.fault(place, &inside, what);
                 } else {
--- a/crates/arrowyard-operator-config/src/check.rs
+++ b/crates/arrowyard-operator-config/src/validate.rs
@@ -6,12 +6,12 @@
 
 use ipnet::IpNet;
 
-use crate::places::Places;
+use crate::positions::FieldPositions;
 use crate::schema::{
     Cell, Cells, Flight, Lease, Leases, Log, Move, Net, Pace, Peers, Release, Repeats, Rest, Returns, Step,
     Tenant,
 };
-use crate::{Fault, Yardbook};
+use crate::{ConfigError, Yardbook};
 
 /// Cells at most, and rows of hosts in each.
 const MOST_CELLS: usize = 4096;
@@ -21,12 +21,12 @@
 const LATEST_MS: u64 = 7_258_118_400_000;
 
 struct Checker<'a> {
-    places: &'a Places,
-    faults: Vec<Fault>,
+    places: &'a FieldPositions,
+    faults: Vec<ConfigError>,
 }
 
 /// Every fault of the book.
-pub fn check(book: &Yardbook, places: &Places) -> Vec<Fault> {
+pub fn validate(book: &Yardbook, places: &FieldPositions) -> Vec<ConfigError> {
     let mut checker = Checker { places, faults: Vec::new() };
     if book.epoch == Some(0) {
         checker.fault("epoch", "it is 1 at least, and grows with each edit".to_string());
@@ -58,7 +58,11 @@
 
 impl Checker<'_> {
     fn fault(&mut self, field: &str, what: String) {
-        self.faults.push(Fault { place: self.places.of(field), field: field.to_string(), what });
+        self.faults.push(ConfigError {
+            position: self.places.nearest(field),
+            field: field.to_string(),
+            message: what,
+        });
     }
 
     fn number<T: PartialOrd + std::fmt::Display>(&mut self, field: &str, told: Option<T>, least: T, most: T) {
@@ -141,7 +145,7 @@
             self.name(&format!("{path}.name"), voter.name.as_deref());
             self.address(&format!("{path}.at"), voter.at.as_deref(), true);
             if let Some(first) = names.insert(voter.name(), row) {
-                let line = self.places.of(&format!("leases.voter[{first}]")).line;
+                let line = self.places.nearest(&format!("leases.voter[{first}]")).line;
                 self.fault(
                     &path,
                     format!("{:?} stands in line {line}, too: it would vote twice", voter.name()),
@@ -172,7 +176,7 @@
                 self.fault(&format!("{path}.path"), what);
             }
             if let Some(first) = names.insert(duty.name(), row) {
-                let line = self.places.of(&format!("leases.duty[{first}]")).line;
+                let line = self.places.nearest(&format!("leases.duty[{first}]")).line;
                 self.fault(&path, format!("{:?} stands in line {line}, too", duty.name()));
             }
         }
@@ -206,7 +210,7 @@
             self.name(&format!("{path}.name"), via.name.as_deref());
             self.address(&format!("{path}.at"), via.at.as_deref(), true);
             if let Some(first) = names.insert(via.name(), row) {
-                let line = self.places.of(&format!("peers.via[{first}]")).line;
+                let line = self.places.nearest(&format!("peers.via[{first}]")).line;
                 self.fault(&path, format!("{:?} stands in line {line}, too", via.name()));
             }
         }
@@ -235,7 +239,7 @@
             let path = format!("cells.cell[{row}]");
             self.cell(&path, cell);
             if let Some(first) = names.insert(cell.name(), row) {
-                let line = self.places.of(&format!("cells.cell[{first}]")).line;
+                let line = self.places.nearest(&format!("cells.cell[{first}]")).line;
                 self.fault(
                     &format!("{path}.name"),
                     format!("{:?} is the cell in line {line}, too", cell.name()),
@@ -334,7 +338,7 @@
             let name = name.as_deref().unwrap_or_default();
             if let Some(first) = seen.insert(name, row) {
                 let (line, other) =
-                    (self.places.of(&format!("cells.tenant[{first}]")).line, cells.tenant[first].cell());
+                    (self.places.nearest(&format!("cells.tenant[{first}]")).line, cells.tenant[first].cell());
                 let what = format!("line {line} puts tenant {name:?} in {other:?} already; leave one row");
                 self.fault(&path, what);
             }
@@ -386,7 +390,7 @@
                 continue;
             };
             if let Some(first) = seen.insert(prefix, row) {
-                let line = self.places.of(&format!("cells.net[{first}]")).line;
+                let line = self.places.nearest(&format!("cells.net[{first}]")).line;
                 self.fault(
                     &format!("cells.net[{row}].prefix"),
                     format!("{prefix} stands in line {line}, too"),
@@ -401,7 +405,7 @@
                 let mut holes = without.iter().chain(their_holes);
                 let mut shared = shared.filter(|net| !holes.any(|hole| hole.contains(net)));
                 if let Some(net) = shared.next() {
-                    let line = self.places.of(&format!("cells.net[{other}]")).line;
+                    let line = self.places.nearest(&format!("cells.net[{other}]")).line;
                     let what = format!("{net} is in the set of line {line}, too; leave it out of one");
                     self.fault(&format!("cells.net[{row}]"), what);
                 }
@@ -441,7 +445,7 @@
                 self.fault(&path, "it goes from a cell to the same".to_string());
             }
             if let Some(first) = seen.insert(one.tenant(), row) {
-                let line = self.places.of(&format!("cells.move[{first}]")).line;
+                let line = self.places.nearest(&format!("cells.move[{first}]")).line;
                 let what = format!("tenant {:?} moves in line {line} already; end that first", one.tenant());
                 self.fault(&path, what);
             }
--- a/crates/arrowyard-operator-config/tests/faults.rs
+++ b/crates/arrowyard-operator-config/tests/faults.rs
@@ -1,19 +1,19 @@
 //! Files with faults: each is found, where it stands, and none hides another.
 
-use arrowyard_operator_config::{Fault, read};
+use arrowyard_operator_config::{ConfigError, parse};
 use proptest::prelude::*;
 
-fn faults(text: &str) -> Vec<Fault> {
-    read(text).err().unwrap_or_default()
+fn faults(text: &str) -> Vec<ConfigError> {
+    parse(text).err().unwrap_or_default()
 }
 
 /// Line, column and field of each fault, and a part of what it says.
 fn has(text: &str, line: usize, column: usize, field: &str, what: &str) {
     let found = faults(text);
     let hit = found.iter().any(|fault| {
-        (fault.place.line, fault.place.column) == (line, column)
+        (fault.position.line, fault.position.column) == (line, column)
             && fault.field == field
-            && fault.what.contains(what)
+            && fault.message.contains(what)
     });
     assert!(hit, "{text}\n{found:#?}");
 }
@@ -33,12 +33,12 @@
 
 #[test]
 fn a_whole_file_is_read() {
-    let book = read(GOOD).expect("nothing is wrong with it");
+    let book = parse(GOOD).expect("nothing is wrong with it");
     let cells = book.cells.expect("it has cells");
     assert_eq!((book.epoch, cells.cell.len(), cells.cell[0].group.len()), (Some(3), 2, 2));
     assert_eq!(cells.cell[1].host, ["s-4*", "one"]);
     assert_eq!(cells.rest.and_then(|rest| rest.each), Some(2));
-    assert_eq!(read("").map(|book| book.cells.is_none()), Ok(true));
+    assert_eq!(parse("").map(|book| book.cells.is_none()), Ok(true));
 }
 
 #[test]
@@ -112,12 +112,12 @@
     fn no_text_is_too_odd(cut in 0..GOOD.len(), with in "[ -~\\n{}:\\[\\]<>\"]{0,12}", drop in 0_usize..12) {
         let text = format!("{}{with}{}", &GOOD[..cut], &GOOD[(cut + drop).min(GOOD.len())..]);
         let lines = text.lines().count().max(1);
-        match read(&text) {
+        match parse(&text) {
             Ok(_) => {}
             Err(faults) => {
                 prop_assert!(!faults.is_empty());
                 for fault in faults {
-                    prop_assert!((1..=lines + 1).contains(&fault.place.line), "{fault:?}");
+                    prop_assert!((1..=lines + 1).contains(&fault.position.line), "{fault:?}");
                 }
             }
         }
--- a/crates/arrowyard-platform-settings/src/lib.rs
+++ b/crates/arrowyard-platform-settings/src/lib.rs
@@ -4,16 +4,16 @@
 use arrowyard_types::{RouterSettings, SettingValue, TimeDelta as Time, Timestamp};
 use serde_json::{Map, Value};
 
-enum As {
+enum SettingKind {
     Flag,
     Number,
     Span,
     Text,
 }
-use As::*;
+use SettingKind::*;
 
 /// Where a setting stands on the wire (`*`: each row of a list), our name for it, and what it is.
-const NAMES: &[(&str, &str, As)] = &[
+const NAMES: &[(&str, &str, SettingKind)] = &[
     ("balancers", "routers", Number),
     ("caps.cancel", "cancel", Flag),
     ("caps.dial_timeout", "connect_timeout", Span),
@@ -88,24 +88,24 @@
 ];
 
 /// Milliseconds with fractions, as the settings give times, in microseconds.
-pub fn micros(millis: f64) -> i64 {
+pub fn micros_from_millis(millis: f64) -> i64 {
     (millis * 1000.0).round() as i64
 }
 
-pub fn point(millis: f64) -> Timestamp {
-    Timestamp::from_micros(micros(millis))
+pub fn timestamp_from_millis(millis: f64) -> Timestamp {
+    Timestamp::from_micros(micros_from_millis(millis))
 }
 
-pub fn span(millis: f64) -> Time {
-    Time::from_micros(micros(millis))
+pub fn time_delta_from_millis(millis: f64) -> Time {
+    Time::from_micros(micros_from_millis(millis))
 }
 
 /// What all routers call a host that their lists name so (FNV-1a).
-pub fn tag(name: &str) -> u32 {
+pub fn address_hash(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
-pub fn manifest(info: &Map<String, Value>) -> Result<RouterSettings, String> {
+pub fn router_settings(info: &Map<String, Value>) -> Result<RouterSettings, String> {
     let mut manifest = RouterSettings::new();
     for (path, name, kind) in NAMES {
         let (mut found, mut rest) = (None, info);
@@ -138,14 +138,14 @@
     manifest: &mut RouterSettings,
     path: &str,
     name: String,
-    kind: &As,
+    kind: &SettingKind,
     value: Option<&Value>,
 ) -> Result<(), String> {
     let Some(value) = value.filter(|value| !value.is_null()) else { return Ok(()) };
     let fact = match kind {
         Flag => value.as_bool().map(SettingValue::Flag),
         Number => value.as_f64().map(SettingValue::Number),
-        Span => value.as_f64().map(|millis| SettingValue::TimeDelta(span(millis))),
+        Span => value.as_f64().map(|millis| SettingValue::TimeDelta(time_delta_from_millis(millis))),
         Text => value.as_str().map(|word| {
             let ours = WORDS.iter().find(|(wire, _)| *wire == word).map_or(word, |(_, ours)| ours);
             SettingValue::Text(ours.to_string())
