--- a/crates/arrowyard-runtime/src/conn.rs
+++ b/crates/arrowyard-runtime/src/conn.rs
@@ -1,3 +1,5 @@
+//! A non-blocking TCP connection with its output buffer.
+
 use std::io::{self, ErrorKind, Write};
 use std::net::Shutdown;
 use std::time::Duration;
@@ -7,76 +9,77 @@
 
 use crate::commands::CloseReason;
 
-/// A peer that takes no bytes for so long counts as gone. Danger: without it a write to a machine without power hangs
-/// for as long as the kernel likes.
-const DARK: Duration = Duration::from_millis(2500);
+/// TCP user timeout: the connection is closed when sent data stays unacknowledged this long. Without it a write to a
+/// host that lost power blocks for the kernel's retransmission limit.
+const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// One socket: what is still to be written, and how far its end has got.
+/// A socket with its unsent output and the stage of its life cycle.
 pub(crate) struct Socket {
     pub stream: TcpStream,
-    pub out: Vec<u8>,
+    pub output: Vec<u8>,
     pub stage: Stage,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Stage {
-    Opening,
+    /// A non-blocking connect is in progress.
+    Connecting,
     Open,
-    /// No more events of it; what is left goes out, then it ends.
-    Ending,
-    /// Its end is sent; what still comes is thrown away.
-    Ended,
+    /// Closed by the plane: pending output is flushed before the write side is shut down.
+    Flushing,
+    /// The write side is shut down; received bytes are discarded until the peer closes.
+    Draining,
 }
 
 impl Socket {
     pub fn new(stream: TcpStream, stage: Stage) -> Self {
         let socket = SockRef::from(&stream);
-        // Both are help, not need: a socket without them still works.
+        // Failures are ignored: the socket works without either option.
         drop(socket.set_tcp_nodelay(true));
         #[cfg(target_os = "linux")]
-        drop(socket.set_tcp_user_timeout(Some(DARK)));
-        Socket { stream, out: Vec::new(), stage }
+        drop(socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_DATA_TIMEOUT)));
+        Socket { stream, output: Vec::new(), stage }
     }
 
-    /// Whether a dial came through; `None` while it is under way.
-    pub fn opened(&self) -> Option<Result<(), CloseReason>> {
+    /// The result of a non-blocking connect; `None` while it is in progress.
+    pub fn connect_result(&self) -> Option<Result<(), CloseReason>> {
         match self.stream.take_error() {
             Ok(None) => {}
             _ => return Some(Err(CloseReason::ConnectFailed)),
         }
         match self.stream.peer_addr() {
             Ok(_) => Some(Ok(())),
-            Err(fault) if fault.kind() == ErrorKind::NotConnected => None,
+            Err(error) if error.kind() == ErrorKind::NotConnected => None,
             Err(_) => Some(Err(CloseReason::ConnectFailed)),
         }
     }
 
-    /// Writes what it can of what is waiting.
+    /// Writes as much pending output as the socket accepts.
     pub fn flush(&mut self) -> io::Result<()> {
-        if self.stage == Stage::Opening {
+        if self.stage == Stage::Connecting {
             return Ok(());
         }
-        let mut done = 0;
+        let mut written = 0;
         let result = loop {
-            if done == self.out.len() {
+            if written == self.output.len() {
                 break Ok(());
             }
-            match self.stream.write(&self.out[done..]) {
+            match self.stream.write(&self.output[written..]) {
                 Ok(0) => break Err(ErrorKind::WriteZero.into()),
-                Ok(more) => done += more,
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => break Ok(()),
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-                Err(fault) => break Err(fault),
+                Ok(count) => written += count,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => break Ok(()),
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                Err(error) => break Err(error),
             }
         };
-        if done == self.out.len() {
-            self.out = Vec::new();
-            if self.stage == Stage::Ending {
-                self.stage = Stage::Ended;
+        if written == self.output.len() {
+            self.output = Vec::new();
+            if self.stage == Stage::Flushing {
+                self.stage = Stage::Draining;
                 drop(self.stream.shutdown(Shutdown::Write));
             }
         } else {
-            self.out.drain(..done);
+            self.output.drain(..written);
         }
         result
     }
--- a/crates/arrowyard-runtime/src/http.rs
+++ b/crates/arrowyard-runtime/src/http.rs
@@ -1,24 +1,26 @@
-//! As much of HTTP/1.1 as the calls of hosts, operators and the platform need. No I/O.
+//! The subset of HTTP/1.1 that is used between hosts, operators, the platform and the control plane. No I/O.
 
 use bytes::{Buf, BytesMut};
 
-/// The longest head, in bytes, and the longest body that any call may have.
+/// Maximum size of the request line or status line with all headers.
 const MAX_HEAD_BYTES: usize = 16 << 10;
+/// Maximum size of a body.
 pub const MAX_BODY_BYTES: usize = 16 << 20;
 const MAX_HEADERS: usize = 32;
 
-/// A call, whole.
+/// A complete request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Request {
     pub method: String,
     pub path: String,
     pub headers: Vec<(String, String)>,
     pub body: Vec<u8>,
-    /// Whether the connection is to end with the answer.
+    /// Whether the connection closes after the response: HTTP/1.0 or `Connection: close`.
     pub close_connection: bool,
 }
 
 impl Request {
+    /// The first header of this name, compared without case.
     pub fn header(&self, name: &str) -> Option<&str> {
         self.headers
             .iter()
@@ -27,38 +29,39 @@
     }
 }
 
-/// An answer, whole.
+/// A complete response.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Response {
     pub status: u16,
     pub body: Vec<u8>,
 }
 
-/// What a caller is told of a call that cannot be read: a status and why.
+/// A message that cannot be decoded: the status to respond with and the error text.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HttpError(pub u16, pub &'static str);
 
-/// The bytes of one connection.
+/// Decodes the requests or responses of one connection.
 #[derive(Default)]
 pub struct HttpDecoder {
-    came: BytesMut,
+    buffer: BytesMut,
 }
 
 impl HttpDecoder {
+    /// Appends received bytes.
     pub fn put(&mut self, bytes: &[u8]) {
-        self.came.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Takes the next call, once it is whole.
+    /// Removes the next request; `None` until it is complete.
     ///
     /// # Errors
-    /// When it is none, or too long; the connection cannot be used any more.
+    /// When it is malformed or too long. The connection cannot be used afterwards.
     pub fn next_request(&mut self) -> Result<Option<Request>, HttpError> {
-        let mut room = [httparse::EMPTY_HEADER; MAX_HEADERS];
-        let mut head = httparse::Request::new(&mut room);
-        let length = match head.parse(&self.came) {
-            Ok(httparse::Status::Complete(length)) => length,
-            Ok(httparse::Status::Partial) if self.came.len() <= MAX_HEAD_BYTES => return Ok(None),
+        let mut headers_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut head = httparse::Request::new(&mut headers_buffer);
+        let head_bytes = match head.parse(&self.buffer) {
+            Ok(httparse::Status::Complete(head_bytes)) => head_bytes,
+            Ok(httparse::Status::Partial) if self.buffer.len() <= MAX_HEAD_BYTES => return Ok(None),
             Ok(httparse::Status::Partial) => return Err(HttpError(431, "The head is too long.")),
             Err(_) => return Err(HttpError(400, "This is not HTTP/1.1.")),
         };
@@ -83,45 +86,46 @@
             Some(Err(_)) => return Err(HttpError(400, "The length of the body is no number.")),
         };
         request.close_connection |=
-            request.header("connection").is_some_and(|word| word.eq_ignore_ascii_case("close"));
-        if self.came.len() < length + body {
+            request.header("connection").is_some_and(|value| value.eq_ignore_ascii_case("close"));
+        if self.buffer.len() < head_bytes + body {
             return Ok(None);
         }
-        self.came.advance(length);
-        request.body = self.came.split_to(body).to_vec();
-        if self.came.is_empty() {
-            self.came = BytesMut::new();
+        self.buffer.advance(head_bytes);
+        request.body = self.buffer.split_to(body).to_vec();
+        if self.buffer.is_empty() {
+            self.buffer = BytesMut::new();
         }
         Ok(Some(request))
     }
 
-    /// Takes the next answer, once it is whole.
+    /// Removes the next response; `None` until it is complete.
     ///
     /// # Errors
-    /// When it is none, or too long.
+    /// When it is malformed or too long. The connection cannot be used afterwards.
     pub fn next_response(&mut self) -> Result<Option<Response>, HttpError> {
-        let mut room = [httparse::EMPTY_HEADER; MAX_HEADERS];
-        let mut head = httparse::Response::new(&mut room);
-        let length = match head.parse(&self.came) {
-            Ok(httparse::Status::Complete(length)) => length,
-            Ok(httparse::Status::Partial) if self.came.len() <= MAX_HEAD_BYTES => return Ok(None),
+        let mut headers_buffer = [httparse::EMPTY_HEADER; MAX_HEADERS];
+        let mut head = httparse::Response::new(&mut headers_buffer);
+        let head_bytes = match head.parse(&self.buffer) {
+            Ok(httparse::Status::Complete(head_bytes)) => head_bytes,
+            Ok(httparse::Status::Partial) if self.buffer.len() <= MAX_HEAD_BYTES => return Ok(None),
             _ => return Err(HttpError(502, "This is not HTTP/1.1.")),
         };
-        let named = head.headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"));
-        let body =
-            named.map_or(Some(0), |header| std::str::from_utf8(header.value).ok()?.trim().parse().ok());
+        let content_length =
+            head.headers.iter().find(|header| header.name.eq_ignore_ascii_case("content-length"));
+        let body = content_length
+            .map_or(Some(0), |header| std::str::from_utf8(header.value).ok()?.trim().parse().ok());
         let body: usize =
             body.filter(|&body| body <= MAX_BODY_BYTES).ok_or(HttpError(502, "The body has no length."))?;
         let status = head.code.unwrap_or_default();
-        if self.came.len() < length + body {
+        if self.buffer.len() < head_bytes + body {
             return Ok(None);
         }
-        self.came.advance(length);
-        Ok(Some(Response { status, body: self.came.split_to(body).to_vec() }))
+        self.buffer.advance(head_bytes);
+        Ok(Some(Response { status, body: self.buffer.split_to(body).to_vec() }))
     }
 }
 
-/// The words of the statuses that are used.
+/// The reason phrase of a status.
 fn reason(status: u16) -> &'static str {
     match status {
         200 => "OK",
@@ -137,15 +141,19 @@
     }
 }
 
-/// An answer with a body of JSON, or with none.
+/// Formats a response with a JSON body, or without a body if `body` is empty.
 pub fn format_response(status: u16, body: &str) -> String {
-    let kind = if body.is_empty() { "" } else { "Content-Type: application/json\r\n" };
-    format!("HTTP/1.1 {status} {}\r\n{kind}Content-Length: {}\r\n\r\n{body}", reason(status), body.len())
+    let content_type = if body.is_empty() { "" } else { "Content-Type: application/json\r\n" };
+    format!(
+        "HTTP/1.1 {status} {}\r\n{content_type}Content-Length: {}\r\n\r\n{body}",
+        reason(status),
+        body.len()
+    )
 }
 
-/// A call with a body of JSON.
-pub fn format_request(method: &str, path: &str, to: &str, headers: &[(&str, &str)], body: &str) -> String {
-    let mut text = format!("{method} {path} HTTP/1.1\r\nHost: {to}\r\n");
+/// Formats a request with a JSON body. A body is omitted if empty, except for `POST`.
+pub fn format_request(method: &str, path: &str, host: &str, headers: &[(&str, &str)], body: &str) -> String {
+    let mut text = format!("{method} {path} HTTP/1.1\r\nHost: {host}\r\n");
     headers.iter().for_each(|(name, value)| text.push_str(&format!("{name}: {value}\r\n")));
     if !body.is_empty() || method == "POST" {
         text.push_str(&format!("Content-Type: application/json\r\nContent-Length: {}\r\n", body.len()));
--- a/crates/arrowyard-runtime/src/journal.rs
+++ b/crates/arrowyard-runtime/src/journal.rs
@@ -5,11 +5,11 @@
 //!   before them. What is read back is always a prefix of what was appended, with no record missing in between.
 //! - After the first failure of a file nothing more is appended to it. A sync that failed may have dropped the pages
 //!   that it did not write, so that a later sync that succeeds proves nothing ("fsyncgate"; Rebello et al., "Can
-//!   Applications Recover from fsync Failures?", 2020). [`Journal::replace`] writes one record that stands for all
-//!   others to a new file. A start does the same with all that it reads, since it cannot know whether the process
-//!   before it met such a failure: what it reads may stand in the system's cache alone.
-//! - A generation is in service only once it is durable and every older one is durably removed. So where two are
-//!   found at a start, nothing was ever acknowledged for the newer one beyond its first record.
+//!   Applications Recover from fsync Failures?", 2020). [`Journal::replace`] writes one record that replaces all
+//!   others to a new file. A start rewrites all that it reads in the same way, since the previous process may have met
+//!   such a failure and the data may exist only in the page cache.
+//! - A generation is in service only once it is durable and every older one is durably removed. If a start finds two,
+//!   nothing was acknowledged for the newer one beyond its initial records.
 
 use std::fmt;
 use std::io;
@@ -21,15 +21,15 @@
 
 use crate::storage::JournalStorage;
 
-/// Records by their place in the journal. Place 0 marks a generation that was begun in full.
+/// Records by their index. Index 0 marks a generation whose initial records are complete.
 const RECORDS: TableDefinition<'_, u64, &[u8]> = TableDefinition::new("records");
-/// The place of the mark that a generation was begun in full.
-const MARK: u64 = 0;
-/// The checksum before each record.
+/// Index of the marker that the initial records of a generation are complete.
+const COMPLETE_MARKER_INDEX: u64 = 0;
+/// Size of the checksum before each record.
 const CHECKSUM_BYTES: usize = 4;
-/// Memory for pages; a journal is read once and then only written.
+/// Page cache size. It is small because a journal is read only at startup.
 const CACHE_BYTES: usize = 1 << 20;
-/// So many bytes of records may stand behind the last snapshot before the next one is due.
+/// Bytes of records after the last snapshot at which the next snapshot is due.
 pub const CHECKPOINT_BYTES: usize = 1 << 20;
 
 /// Why records are not durable.
@@ -37,18 +37,18 @@
 pub enum JournalError {
     /// The file system refused an operation; it may succeed later.
     Unavailable(String),
-    /// There is a file that cannot be read as a journal.
+    /// A journal file exists and cannot be read.
     Corrupt(String),
-    /// Another process, or another journal of this one, has the folder.
+    /// Another process, or another journal in this process, holds the directory lock.
     InUse,
 }
 
 impl fmt::Display for JournalError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            JournalError::Unavailable(why) => write!(f, "the disk refuses: {why}"),
-            JournalError::Corrupt(why) => write!(f, "its records cannot be read: {why}"),
-            JournalError::InUse => write!(f, "another process uses the directory"),
+            JournalError::Unavailable(reason) => write!(f, "disk unavailable: {reason}"),
+            JournalError::Corrupt(reason) => write!(f, "the journal is corrupt: {reason}"),
+            JournalError::InUse => write!(f, "the directory is in use by another process"),
         }
     }
 }
@@ -67,7 +67,7 @@
 impl From<redb::Error> for JournalError {
     fn from(error: redb::Error) -> Self {
         match error {
-            // A file that is shorter than it says is not read by trying again.
+            // A truncated file stays unreadable however often it is read.
             redb::Error::Io(ref io)
                 if !matches!(io.kind(), io::ErrorKind::InvalidData | io::ErrorKind::UnexpectedEof) =>
             {
@@ -81,113 +81,119 @@
     }
 }
 
-/// A journal and its present generation.
-pub struct Journal<F: JournalStorage> {
-    /// None after a failure, until [`Journal::replace`] has begun a new generation. Safety: it writes to its file as it
-    /// closes, so it stands before the folder, whose lock is given back last.
+/// A journal with its current generation.
+pub struct Journal<S: JournalStorage> {
+    /// `None` after a failure, until [`Journal::replace`] has started a new generation. The database writes to its file
+    /// when it closes, so this field is declared, and dropped, before the storage that holds the directory lock.
     database: Option<Database>,
-    folder: F,
-    /// The generation that was created last.
+    storage: S,
+    /// The most recently created generation.
     generation: u64,
-    /// The generation that a start is to read, as long as no newer one is in service.
+    /// The generation in service, which a restart reads.
     serving: Option<u64>,
-    /// Generations that may still be in the folder and have no meaning any more.
+    /// Obsolete generations that may still exist.
     stale: Vec<u64>,
-    last: u64,
-    bytes: usize,
+    last_index: u64,
+    bytes_since_snapshot: usize,
 }
 
-impl<F: JournalStorage> Journal<F> {
-    /// Reads the newest generation that was begun in full, oldest record first, and begins a new one with its records.
+impl<S: JournalStorage> Journal<S> {
+    /// Reads the newest complete generation, oldest record first, and starts a new generation with its records.
     ///
     /// # Errors
-    /// [`JournalError::Corrupt`] where there are files and none can be read; the caller may go on with
-    /// [`Journal::begin_anew`].
-    pub fn open(folder: F) -> Result<(Self, Vec<Vec<u8>>), JournalError> {
-        let generations = folder.generations()?;
+    /// [`JournalError::Corrupt`] if files exist and none can be read; the caller may continue with
+    /// [`Journal::create_empty`].
+    pub fn open(storage: S) -> Result<(Self, Vec<Vec<u8>>), JournalError> {
+        let generations = storage.generations()?;
         let newest = generations.last().copied().unwrap_or_default();
         let mut this = Journal {
-            folder,
+            storage,
             database: None,
             generation: newest,
             serving: None,
             stale: Vec::new(),
-            last: MARK,
-            bytes: 0,
+            last_index: COMPLETE_MARKER_INDEX,
+            bytes_since_snapshot: 0,
         };
         let mut corrupt = None;
-        for (place, &generation) in generations.iter().enumerate().rev() {
-            match read(&this.folder, generation) {
+        for (index, &generation) in generations.iter().enumerate().rev() {
+            match read_catching_panics(&this.storage, generation) {
                 Ok(Some(records)) => {
                     this.serving = Some(generation);
                     this.stale = generations.iter().copied().filter(|&other| other != generation).collect();
                     let slices: Vec<&[u8]> = records.iter().map(Vec::as_slice).collect();
-                    this.begin(&slices)?;
+                    this.start_generation(&slices)?;
                     return Ok((this, records));
                 }
-                // Its beginning was cut short: nothing was acknowledged for it.
+                // It was never completed: nothing was acknowledged for it.
                 Ok(None) => {}
-                // A beginning that was cut short may also be unreadable, but only beside the older one that it was
-                // to replace.
-                Err(JournalError::Corrupt(why)) if place > 0 => {
-                    warn!("disk: Generation {generation} was not begun in full: {why}.");
+                // An incomplete generation may also be unreadable, but only next to the older one that it was to
+                // replace.
+                Err(JournalError::Corrupt(reason)) if index > 0 => {
+                    warn!("disk: ignoring incomplete generation {generation}: {reason}");
                 }
-                Err(JournalError::Corrupt(why)) => corrupt = Some(why),
+                Err(JournalError::Corrupt(reason)) => corrupt = Some(reason),
                 Err(unavailable) => return Err(unavailable),
             }
         }
-        if let Some(why) = corrupt {
-            return Err(JournalError::Corrupt(why));
+        if let Some(reason) = corrupt {
+            return Err(JournalError::Corrupt(reason));
         }
         this.stale = generations;
-        this.begin(&[])?;
+        this.start_generation(&[])?;
         Ok((this, Vec::new()))
     }
 
-    /// Begins anew beside files that cannot be read; nothing that they held is known any more.
+    /// Starts an empty generation that replaces unreadable files.
     ///
     /// # Errors
-    /// When the disk refuses.
-    pub fn begin_anew(folder: F) -> Result<Self, JournalError> {
-        let stale = folder.generations()?;
+    /// When the disk returns an error.
+    pub fn create_empty(storage: S) -> Result<Self, JournalError> {
+        let stale = storage.generations()?;
         let generation = stale.last().copied().unwrap_or_default();
-        let mut this =
-            Journal { folder, database: None, generation, serving: None, stale, last: MARK, bytes: 0 };
-        this.begin(&[])?;
+        let mut this = Journal {
+            storage,
+            database: None,
+            generation,
+            serving: None,
+            stale,
+            last_index: COMPLETE_MARKER_INDEX,
+            bytes_since_snapshot: 0,
+        };
+        this.start_generation(&[])?;
         Ok(this)
     }
 
     /// Whether records can be appended.
-    pub fn is_well(&self) -> bool {
+    pub fn is_writable(&self) -> bool {
         self.database.is_some()
     }
 
-    /// Whether so much was appended that a snapshot should replace it.
-    pub fn wants_checkpoint(&self) -> bool {
-        self.bytes >= CHECKPOINT_BYTES
+    /// Whether enough was appended since the last snapshot for a new one.
+    pub fn checkpoint_due(&self) -> bool {
+        self.bytes_since_snapshot >= CHECKPOINT_BYTES
     }
 
-    /// Appends records; they are durable, all of them, when it returns.
+    /// Appends records. All of them are durable when this returns `Ok`.
     ///
     /// # Errors
-    /// When they may not be durable, in whole or in part. From then on every call fails until [`Journal::replace`]
-    /// has succeeded.
+    /// When some of the records may not be durable. From then on every call fails until [`Journal::replace`] succeeds.
     pub fn append<'a>(&mut self, records: impl Iterator<Item = &'a [u8]>) -> Result<(), JournalError> {
         let Some(database) = &self.database else {
-            return Err(JournalError::Unavailable("it failed before".to_string()));
+            return Err(JournalError::Unavailable("an earlier write failed".to_string()));
         };
-        let (mut last, mut bytes) = (self.last, 0);
+        let (mut last, mut bytes) = (self.last_index, 0);
         let written = commit(database, |table| {
             for record in records {
                 last += 1;
                 bytes += record.len();
-                table.insert(last, sealed(last, record).as_slice())?;
+                table.insert(last, with_checksum(last, record).as_slice())?;
             }
             Ok(())
         });
         match written {
             Ok(()) => {
-                (self.last, self.bytes) = (last, self.bytes + bytes);
+                (self.last_index, self.bytes_since_snapshot) = (last, self.bytes_since_snapshot + bytes);
                 Ok(())
             }
             Err(error) => {
@@ -197,21 +203,21 @@
         }
     }
 
-    /// Puts one record in the place of all others. After a failure it is written to a new generation.
+    /// Replaces all records by one. After a failure it is written to a new generation.
     ///
     /// # Errors
-    /// When the disk refuses; the records before it are still there, or the snapshot is.
+    /// When the disk returns an error. Either the previous records or the snapshot are then on disk.
     pub fn replace(&mut self, snapshot: &[u8]) -> Result<(), JournalError> {
-        let Some(database) = &self.database else { return self.begin(&[snapshot]) };
-        let place = self.last + 1;
+        let Some(database) = &self.database else { return self.start_generation(&[snapshot]) };
+        let index = self.last_index + 1;
         let written = commit(database, |table| {
-            table.retain(|at, _| at == MARK)?;
-            table.insert(place, sealed(place, snapshot).as_slice())?;
+            table.retain(|at, _| at == COMPLETE_MARKER_INDEX)?;
+            table.insert(index, with_checksum(index, snapshot).as_slice())?;
             Ok(())
         });
         match written {
             Ok(()) => {
-                (self.last, self.bytes) = (place, 0);
+                (self.last_index, self.bytes_since_snapshot) = (index, 0);
                 Ok(())
             }
             Err(error) => {
@@ -221,71 +227,73 @@
         }
     }
 
-    /// Begins a new generation with these records, and puts it in service once it is durable and all others are gone.
-    fn begin(&mut self, records: &[&[u8]]) -> Result<(), JournalError> {
+    /// Starts a generation with these records. It is in service once it is durable and all others are removed.
+    fn start_generation(&mut self, records: &[&[u8]]) -> Result<(), JournalError> {
         self.database = None;
-        self.remove_failed();
+        self.remove_failed_attempts();
         self.generation += 1;
         self.stale.push(self.generation);
-        let database = open(&self.folder, self.generation)?;
+        let database = open(&self.storage, self.generation)?;
         commit(&database, |table| {
-            table.insert(MARK, &[] as &[u8])?;
-            for (place, record) in (MARK + 1..).zip(records) {
-                table.insert(place, sealed(place, record).as_slice())?;
+            table.insert(COMPLETE_MARKER_INDEX, &[] as &[u8])?;
+            for (index, record) in (COMPLETE_MARKER_INDEX + 1..).zip(records) {
+                table.insert(index, with_checksum(index, record).as_slice())?;
             }
             Ok(())
         })?;
-        self.folder.sync()?;
+        self.storage.sync()?;
         self.stale.extend(self.serving);
         self.stale.retain(|&generation| generation != self.generation);
         self.remove_stale()?;
         self.serving = Some(self.generation);
-        self.last = MARK + records.len() as u64;
-        self.bytes = if records.len() > 1 { records.iter().map(|record| record.len()).sum() } else { 0 };
+        self.last_index = COMPLETE_MARKER_INDEX + records.len() as u64;
+        self.bytes_since_snapshot =
+            if records.len() > 1 { records.iter().map(|record| record.len()).sum() } else { 0 };
         self.database = Some(database);
         Ok(())
     }
 
-    /// Makes room: what earlier attempts left behind is removed, as far as that goes.
-    fn remove_failed(&mut self) {
+    /// Frees disk space by removing generations left by failed attempts. Errors are ignored.
+    fn remove_failed_attempts(&mut self) {
         for generation in self.stale.iter().filter(|&&generation| Some(generation) != self.serving) {
-            drop(self.folder.remove(*generation));
+            drop(self.storage.remove(*generation));
         }
     }
 
-    /// Removes what has no meaning any more, and makes that durable.
+    /// Durably removes obsolete generations.
     fn remove_stale(&mut self) -> Result<(), JournalError> {
-        for generation in self.folder.generations()?.iter().filter(|there| self.stale.contains(there)) {
-            self.folder.remove(*generation)?;
+        for generation in
+            self.storage.generations()?.iter().filter(|generation| self.stale.contains(generation))
+        {
+            self.storage.remove(*generation)?;
         }
-        self.folder.sync()?;
+        self.storage.sync()?;
         self.stale.clear();
         Ok(())
     }
 }
 
-/// A file that takes nothing more after its first failure: whatever `redb` does as it closes, a file that may be read
-/// at the next start stays as the failure left it.
+/// A file that rejects all modifications after the first failure, including those that `redb` makes when it closes.
 #[derive(Debug)]
-struct Fused<B> {
+struct FailStopFile<B> {
     file: B,
-    blown: AtomicBool,
+    failed: AtomicBool,
 }
 
-impl<B: StorageBackend> Fused<B> {
-    fn guarded(&self, operation: impl FnOnce(&B) -> io::Result<()>) -> io::Result<()> {
-        if self.blown.load(Ordering::SeqCst) {
-            return Err(io::Error::other("it failed before"));
+impl<B: StorageBackend> FailStopFile<B> {
+    fn modify(&self, operation: impl FnOnce(&B) -> io::Result<()>) -> io::Result<()> {
+        if self.failed.load(Ordering::SeqCst) {
+            return Err(io::Error::other("an earlier write failed"));
         }
         let done = operation(&self.file);
         if done.is_err() {
-            self.blown.store(true, Ordering::SeqCst);
+            self.failed.store(true, Ordering::SeqCst);
         }
         done
     }
 }
 
-impl<B: StorageBackend> StorageBackend for Fused<B> {
+impl<B: StorageBackend> StorageBackend for FailStopFile<B> {
     fn len(&self) -> io::Result<u64> {
         self.file.len()
     }
@@ -295,37 +303,40 @@
     }
 
     fn set_len(&self, len: u64) -> io::Result<()> {
-        self.guarded(|file| file.set_len(len))
+        self.modify(|file| file.set_len(len))
     }
 
     fn sync_data(&self) -> io::Result<()> {
-        self.guarded(StorageBackend::sync_data)
+        self.modify(StorageBackend::sync_data)
     }
 
     fn write(&self, offset: u64, data: &[u8]) -> io::Result<()> {
-        self.guarded(|file| file.write(offset, data))
+        self.modify(|file| file.write(offset, data))
     }
 }
 
-fn open<F: JournalStorage>(folder: &F, generation: u64) -> Result<Database, JournalError> {
-    let file = Fused { file: folder.open(generation)?, blown: AtomicBool::new(false) };
+fn open<S: JournalStorage>(storage: &S, generation: u64) -> Result<Database, JournalError> {
+    let file = FailStopFile { file: storage.open(generation)?, failed: AtomicBool::new(false) };
     let opened = Builder::new().set_cache_size(CACHE_BYTES).create_with_backend(file);
     opened.map_err(|error| redb::Error::from(error).into())
 }
 
-/// The records of a generation; none if it was not begun in full.
+/// The records of a generation; `None` if it is incomplete.
 ///
-/// Safety: `redb` panics at some spoilt bytes. A process that ended there would end at each of its starts.
-fn read<F: JournalStorage>(folder: &F, generation: u64) -> Result<Option<Vec<Vec<u8>>>, JournalError> {
-    let read = catch_unwind(AssertUnwindSafe(|| read_unguarded(folder, generation)));
-    read.unwrap_or_else(|_| Err(JournalError::Corrupt("its pages contradict each other".to_string())))
+/// `redb` panics on some corrupt files. The panic is caught, since the process would otherwise crash at every start.
+fn read_catching_panics<S: JournalStorage>(
+    storage: &S,
+    generation: u64,
+) -> Result<Option<Vec<Vec<u8>>>, JournalError> {
+    let read = catch_unwind(AssertUnwindSafe(|| read_records(storage, generation)));
+    read.unwrap_or_else(|_| Err(JournalError::Corrupt("the pages are inconsistent".to_string())))
 }
 
-fn read_unguarded<F: JournalStorage>(
-    folder: &F,
+fn read_records<S: JournalStorage>(
+    storage: &S,
     generation: u64,
 ) -> Result<Option<Vec<Vec<u8>>>, JournalError> {
-    let database = open(folder, generation)?;
+    let database = open(storage, generation)?;
     let transaction = database.begin_read().map_err(redb::Error::from)?;
     let table = match transaction.open_table(RECORDS) {
         Ok(table) => table,
@@ -334,38 +345,38 @@
     };
     let mut records = Vec::new();
     for entry in table.iter().map_err(redb::Error::from)? {
-        let (place, record) = entry.map_err(redb::Error::from)?;
-        if place.value() != MARK {
-            records.push(unsealed(place.value(), record.value())?);
+        let (index, record) = entry.map_err(redb::Error::from)?;
+        if index.value() != COMPLETE_MARKER_INDEX {
+            records.push(verify_checksum(index.value(), record.value())?);
         }
     }
     Ok(Some(records))
 }
 
-/// A record as it is written: behind the checksum of its place and itself. `redb` checks its pages only after a loss of
-/// power, so it would hand out a record whose bytes changed on the medium.
-fn sealed(place: u64, record: &[u8]) -> Vec<u8> {
+/// A record as it is stored: preceded by a checksum of its index and content. `redb` verifies its pages only after a
+/// crash, so it would return a record whose bytes changed on the medium.
+fn with_checksum(index: u64, record: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(CHECKSUM_BYTES + record.len());
-    bytes.extend_from_slice(&checksum(place, record));
+    bytes.extend_from_slice(&checksum(index, record));
     bytes.extend_from_slice(record);
     bytes
 }
 
-fn unsealed(place: u64, bytes: &[u8]) -> Result<Vec<u8>, JournalError> {
+fn verify_checksum(index: u64, bytes: &[u8]) -> Result<Vec<u8>, JournalError> {
     match bytes.split_first_chunk::<CHECKSUM_BYTES>() {
-        Some((sum, record)) if *sum == checksum(place, record) => Ok(record.to_vec()),
-        _ => Err(JournalError::Corrupt(format!("record {place} does not match its checksum"))),
+        Some((sum, record)) if *sum == checksum(index, record) => Ok(record.to_vec()),
+        _ => Err(JournalError::Corrupt(format!("record {index} does not match its checksum"))),
     }
 }
 
-fn checksum(place: u64, record: &[u8]) -> [u8; CHECKSUM_BYTES] {
+fn checksum(index: u64, record: &[u8]) -> [u8; CHECKSUM_BYTES] {
     let mut hasher = crc32fast::Hasher::new();
-    hasher.update(&place.to_le_bytes());
+    hasher.update(&index.to_le_bytes());
     hasher.update(record);
     hasher.finalize().to_le_bytes()
 }
 
-/// Carries out one transaction; its effects are durable when it returns.
+/// Executes one transaction, which is durable when this returns `Ok`.
 fn commit(
     database: &Database,
     write: impl FnOnce(&mut redb::Table<'_, u64, &'static [u8]>) -> Result<(), redb::StorageError>,
--- a/crates/arrowyard-runtime/src/lib.rs
+++ b/crates/arrowyard-runtime/src/lib.rs
@@ -1,5 +1,7 @@
-//! The loop under every plane: one thread with sockets, timers and signals, and one more that waits for the disk.
-//! A plane decides without I/O: it takes an [`Event`] with the time and leaves [`Orders`]; the loop carries them out.
+//! Event loop that runs a [`Plane`]: one thread for sockets, timers and signals, and a second one for the disk.
+//!
+//! A plane is a deterministic state machine without I/O. It receives an [`Event`] with the current time and appends
+//! [`Commands`]; the loop executes them after the call returns.
 
 mod commands;
 mod conn;
@@ -19,14 +21,15 @@
 
 use arrowyard_types::Timestamp;
 
-/// What decides: one function for every change of its state.
+/// A state machine driven by the event loop. All state changes happen in [`Plane::handle`].
 pub trait Plane {
+    /// Handles one event and appends the resulting commands, which the loop executes in order.
     fn handle(&mut self, now: Timestamp, event: Event<'_>, commands: &mut Commands);
 
-    /// When it wants to be woken; nothing: not before the next event.
+    /// The time of the next [`Event::TimerExpired`]; `None` to wait for another event.
     fn due(&self) -> Option<Timestamp>;
 
-    /// All that its disk must know, as one record that stands for every record before it.
+    /// The whole durable state as one record that replaces all records stored before.
     fn snapshot(&self) -> Vec<u8> {
         Vec::new()
     }
--- a/crates/arrowyard-runtime/src/run.rs
+++ b/crates/arrowyard-runtime/src/run.rs
@@ -1,3 +1,5 @@
+//! The event loop: polls sockets, signals and the disk thread, and executes the commands of a plane.
+
 use std::io::{self, ErrorKind, Read};
 use std::net::{SocketAddr, SocketAddrV4};
 use std::sync::Arc;
@@ -19,20 +21,23 @@
 const WAKER: Token = Token(0);
 const FIRST_LISTENER_TOKEN: usize = 1;
 const FIRST_CONN_TOKEN: usize = 1 << 8;
-/// Bytes read from one socket at a time, and the most of them before others have their turn.
-const READ: usize = 64 * 1024;
-const TURN: usize = 4;
-/// How long a socket whose end was sent is kept for the far end's.
-const LINGER: TimeDelta = TimeDelta::from_millis(1000);
-/// Bytes that may wait for one peer that does not read them.
-const MOST_WAITING: usize = 16 << 20;
+/// Size of the buffer for one read.
+const READ_BUFFER_BYTES: usize = 64 * 1024;
+/// Full reads from one socket before the loop serves other sockets.
+const READS_BEFORE_YIELD: usize = 4;
+/// How long a closed socket waits for the peer to close its side.
+const LINGER_TIMEOUT: TimeDelta = TimeDelta::from_millis(1000);
+/// Unsent output of one connection above which it is closed.
+const MAX_PENDING_OUTPUT_BYTES: usize = 16 << 20;
 
-/// What a program lays down for its plane.
+/// Listeners, disk and limits of an event loop.
 #[derive(Default)]
 pub struct LoopConfig {
+    /// Addresses to listen on; [`ListenerId`] is an index into them.
     pub listen_addresses: Vec<SocketAddrV4>,
+    /// The disk for [`Commands::store`], if the plane has one.
     pub store: Option<Store>,
-    /// The most connections at a time; more are closed as they come.
+    /// Open connections above which new ones are closed when accepted.
     pub max_connections: usize,
 }
 
@@ -46,28 +51,29 @@
     commands: Commands,
     store: Option<Store>,
     stopping: bool,
-    dirty: Vec<Conn>,
-    /// Connections that ended while orders were carried out; their plane is told next.
-    ended: Vec<(Conn, CloseReason)>,
+    /// Connections with new output or a pending shutdown.
+    unflushed: Vec<Conn>,
+    /// Connections that closed while commands were executed; the plane is notified next.
+    closed: Vec<(Conn, CloseReason)>,
 }
 
-/// Runs a plane until it orders a stop.
+/// Runs a plane until it issues [`Command::Stop`].
 ///
 /// # Errors
-/// When a door cannot be opened or the system's poll fails.
+/// When an address cannot be bound, a signal handler cannot be installed, or polling fails.
 pub fn run(config: LoopConfig, plane: &mut dyn Plane) -> io::Result<()> {
     let poll = Poll::new()?;
     let waker = Arc::new(Waker::new(poll.registry(), WAKER)?);
-    let signals = signals(&waker)?;
+    let signals = install_signal_handlers(&waker)?;
     let mut listeners = Vec::new();
     for (number, address) in config.listen_addresses.iter().enumerate() {
         let mut listener = TcpListener::bind(SocketAddr::V4(*address))
-            .map_err(|fault| io::Error::new(fault.kind(), format!("{address}: {fault}")))?;
+            .map_err(|error| io::Error::new(error.kind(), format!("{address}: {error}")))?;
         poll.registry().register(&mut listener, Token(FIRST_LISTENER_TOKEN + number), Interest::READABLE)?;
         listeners.push(listener);
     }
     if let Some(store) = &config.store {
-        store.wake_by(waker.clone());
+        store.set_waker(waker.clone());
     }
     let mut this = Loop {
         poll,
@@ -79,15 +85,15 @@
         commands: Commands::default(),
         store: config.store,
         stopping: false,
-        dirty: Vec::new(),
-        ended: Vec::new(),
+        unflushed: Vec::new(),
+        closed: Vec::new(),
     };
-    this.tell(plane, Event::Start);
-    this.work(plane, &signals)
+    this.deliver(plane, Event::Start);
+    this.run_until_stopped(plane, &signals)
 }
 
-/// Sets up the handlers of signals: they set a flag and wake the loop, nothing else.
-fn signals(waker: &Arc<Waker>) -> io::Result<[(Arc<AtomicBool>, Signal); 2]> {
+/// Installs signal handlers. A handler only sets a flag and wakes the loop.
+fn install_signal_handlers(waker: &Arc<Waker>) -> io::Result<[(Arc<AtomicBool>, Signal); 2]> {
     let signals = [
         (Arc::new(AtomicBool::new(false)), Signal::Terminate),
         (Arc::new(AtomicBool::new(false)), Signal::Reload),
@@ -98,7 +104,7 @@
             flag.store(true, Ordering::SeqCst);
             drop(waker.wake());
         };
-        // SAFETY: a store to an atomic and a write to a descriptor are both allowed in a handler.
+        // SAFETY: an atomic store and a write to a file descriptor are async-signal-safe.
         unsafe { signal_hook::low_level::register(number, handler)? };
     }
     Ok(signals)
@@ -109,22 +115,26 @@
         Timestamp::from_micros(self.start.elapsed().as_micros() as i64)
     }
 
-    fn work(&mut self, plane: &mut dyn Plane, signals: &[(Arc<AtomicBool>, Signal)]) -> io::Result<()> {
+    fn run_until_stopped(
+        &mut self,
+        plane: &mut dyn Plane,
+        signals: &[(Arc<AtomicBool>, Signal)],
+    ) -> io::Result<()> {
         let mut events = Events::with_capacity(256);
-        let mut buffer = vec![0; READ];
+        let mut buffer = vec![0; READ_BUFFER_BYTES];
         while !self.stopping {
             let now = self.now();
             let due = plane.due().into_iter().chain(self.lingering.due()).min();
-            let wait = due.map(|at| Duration::from_micros((at - now).micros().max(0) as u64));
-            match self.poll.poll(&mut events, wait) {
-                Err(fault) if fault.kind() != ErrorKind::Interrupted => return Err(fault),
+            let timeout = due.map(|at| Duration::from_micros((at - now).micros().max(0) as u64));
+            match self.poll.poll(&mut events, timeout) {
+                Err(error) if error.kind() != ErrorKind::Interrupted => return Err(error),
                 _ => {}
             }
             for event in &events {
                 match event.token() {
                     WAKER => {}
                     Token(token) if token < FIRST_CONN_TOKEN => {
-                        self.accept(ListenerId((token - FIRST_LISTENER_TOKEN) as u8), plane)
+                        self.accept_connections(ListenerId((token - FIRST_LISTENER_TOKEN) as u8), plane)
                     }
                     Token(token) => {
                         let conn = Conn((token - FIRST_CONN_TOKEN) as u64);
@@ -144,7 +154,7 @@
             }
             for (flag, signal) in signals {
                 if flag.swap(false, Ordering::SeqCst) {
-                    self.tell(plane, Event::Signal(*signal));
+                    self.deliver(plane, Event::Signal(*signal));
                 }
             }
             while let Some(outcome) = self.store.as_mut().and_then(|store| store.outcome(|| plane.snapshot()))
@@ -153,31 +163,31 @@
                     Outcome::Stored { ticket, durable } => Event::Stored { ticket, durable },
                     Outcome::DiskStatus { writable } => Event::DiskStatus { writable },
                 };
-                self.tell(plane, event);
+                self.deliver(plane, event);
             }
             let now = self.now();
             while let Some(conn) = self.lingering.take(now) {
-                self.forget(conn);
+                self.remove_socket(conn);
             }
             if plane.due().is_some_and(|at| at <= now) {
-                self.tell(plane, Event::TimerExpired);
+                self.deliver(plane, Event::TimerExpired);
             }
             self.flush(plane);
         }
-        info!("Ended in order.");
+        info!("shutdown complete");
         Ok(())
     }
 
-    fn tell(&mut self, plane: &mut dyn Plane, event: Event<'_>) {
+    fn deliver(&mut self, plane: &mut dyn Plane, event: Event<'_>) {
         plane.handle(self.now(), event, &mut self.commands);
-        self.carry_out();
-        while let Some((conn, reason)) = self.ended.pop() {
+        self.execute_commands();
+        while let Some((conn, reason)) = self.closed.pop() {
             plane.handle(self.now(), Event::Closed { conn, reason }, &mut self.commands);
-            self.carry_out();
+            self.execute_commands();
         }
     }
 
-    fn carry_out(&mut self) {
+    fn execute_commands(&mut self) {
         let (list, bytes) =
             (std::mem::take(&mut self.commands.list), std::mem::take(&mut self.commands.bytes));
         let mut at = 0;
@@ -188,36 +198,37 @@
                     let part = &bytes[at..at + len];
                     at += len;
                     if let Some(socket) = self.sockets.get_mut(conn) {
-                        if socket.out.is_empty() {
-                            self.dirty.push(*conn);
+                        if socket.output.is_empty() {
+                            self.unflushed.push(*conn);
                         }
-                        socket.out.extend_from_slice(part);
-                        if socket.out.len() > MOST_WAITING {
-                            self.forget(*conn);
-                            self.ended.push((*conn, CloseReason::ConnectionLost));
+                        socket.output.extend_from_slice(part);
+                        if socket.output.len() > MAX_PENDING_OUTPUT_BYTES {
+                            self.remove_socket(*conn);
+                            self.closed.push((*conn, CloseReason::ConnectionLost));
                         }
                     }
                 }
                 Command::Close { conn } => {
                     if let Some(socket) = self.sockets.get_mut(conn) {
                         socket.stage = match socket.stage {
-                            Stage::Opening => Stage::Ended,
-                            _ => Stage::Ending,
+                            Stage::Connecting => Stage::Draining,
+                            _ => Stage::Flushing,
                         };
-                        self.dirty.push(*conn);
-                        let until = Timestamp::from_micros(self.start.elapsed().as_micros() as i64) + LINGER;
+                        self.unflushed.push(*conn);
+                        let until =
+                            Timestamp::from_micros(self.start.elapsed().as_micros() as i64) + LINGER_TIMEOUT;
                         self.lingering.set(until, *conn);
                     }
                 }
                 Command::Reset { conn } => self.reset(*conn),
                 Command::Store { ticket, record } => match &mut self.store {
                     Some(store) => store.put(*ticket, record.clone()),
-                    None => error!("A record was to be kept, and there is no disk."),
+                    None => error!("disk: cannot store a record: no journal is configured"),
                 },
                 Command::Stop => self.stopping = true,
             }
         }
-        // The room is used again.
+        // Keep the allocations for the next event.
         (self.commands.list, self.commands.bytes) = (list, bytes);
         self.commands.list.clear();
         self.commands.bytes.clear();
@@ -230,12 +241,12 @@
             Ok(stream)
         });
         match opened {
-            Ok(stream) => drop(self.sockets.insert(conn, Socket::new(stream, Stage::Opening))),
-            Err(_) => self.ended.push((conn, CloseReason::ConnectFailed)),
+            Ok(stream) => drop(self.sockets.insert(conn, Socket::new(stream, Stage::Connecting))),
+            Err(_) => self.closed.push((conn, CloseReason::ConnectFailed)),
         }
     }
 
-    fn accept(&mut self, listener: ListenerId, plane: &mut dyn Plane) {
+    fn accept_connections(&mut self, listener: ListenerId, plane: &mut dyn Plane) {
         loop {
             match self.listeners[usize::from(listener.0)].accept() {
                 Ok((mut stream, _)) => {
@@ -247,11 +258,11 @@
                     let interest = Interest::READABLE | Interest::WRITABLE;
                     if self.poll.registry().register(&mut stream, token, interest).is_ok() {
                         self.sockets.insert(conn, Socket::new(stream, Stage::Open));
-                        self.tell(plane, Event::Accepted { conn, listener });
+                        self.deliver(plane, Event::Accepted { conn, listener });
                     }
                 }
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => {}
-                // Out of descriptors and the like: the next connection tries again.
+                Err(error) if error.kind() == ErrorKind::Interrupted => {}
+                // For example out of file descriptors: retried when the next connection arrives.
                 Err(_) => return,
             }
         }
@@ -259,104 +270,104 @@
 
     fn writable(&mut self, conn: Conn, plane: &mut dyn Plane) {
         let Some(socket) = self.sockets.get_mut(&conn) else { return };
-        if socket.stage == Stage::Opening {
-            match socket.opened() {
+        if socket.stage == Stage::Connecting {
+            match socket.connect_result() {
                 None => return,
                 Some(Ok(())) => {
                     socket.stage = Stage::Open;
-                    self.tell(plane, Event::Connected { conn });
+                    self.deliver(plane, Event::Connected { conn });
                 }
                 Some(Err(reason)) => {
-                    self.forget(conn);
-                    return self.tell(plane, Event::Closed { conn, reason });
+                    self.remove_socket(conn);
+                    return self.deliver(plane, Event::Closed { conn, reason });
                 }
             }
         }
-        if self.sockets.get(&conn).is_some_and(|socket| !socket.out.is_empty()) {
-            self.dirty.push(conn);
+        if self.sockets.get(&conn).is_some_and(|socket| !socket.output.is_empty()) {
+            self.unflushed.push(conn);
         }
     }
 
-    fn readable(&mut self, conn: Conn, ends: bool, buffer: &mut [u8], plane: &mut dyn Plane) {
-        for turn in 0.. {
+    fn readable(&mut self, conn: Conn, read_closed: bool, buffer: &mut [u8], plane: &mut dyn Plane) {
+        for reads in 0.. {
             let Some(socket) = self.sockets.get_mut(&conn) else { return };
-            if socket.stage == Stage::Opening {
-                if !ends {
+            if socket.stage == Stage::Connecting {
+                if !read_closed {
                     return;
                 }
-                if socket.opened() != Some(Ok(())) {
-                    self.forget(conn);
-                    return self.tell(plane, Event::Closed { conn, reason: CloseReason::ConnectFailed });
+                if socket.connect_result() != Some(Ok(())) {
+                    self.remove_socket(conn);
+                    return self.deliver(plane, Event::Closed { conn, reason: CloseReason::ConnectFailed });
                 }
                 socket.stage = Stage::Open;
-                self.tell(plane, Event::Connected { conn });
+                self.deliver(plane, Event::Connected { conn });
                 continue;
             }
-            let quiet = socket.stage != Stage::Open;
+            let closed_by_plane = socket.stage != Stage::Open;
             let reason = match socket.stream.read(buffer) {
                 Ok(0) => CloseReason::PeerClosed,
-                Ok(came) => {
-                    if !quiet {
-                        self.tell(plane, Event::Received { conn, bytes: &buffer[..came] });
+                Ok(count) => {
+                    if !closed_by_plane {
+                        self.deliver(plane, Event::Received { conn, bytes: &buffer[..count] });
                     }
-                    // A short read has emptied the socket, unless its end is there as well.
-                    if came < buffer.len() && !ends {
+                    // A short read means that the socket is empty, unless the peer has closed its side too.
+                    if count < buffer.len() && !read_closed {
                         return;
                     }
-                    if turn >= TURN && !ends {
-                        // Edge-triggered: to be told again of the rest, it is registered anew.
-                        self.renew(conn);
+                    if reads >= READS_BEFORE_YIELD && !read_closed {
+                        // Polling is edge-triggered: re-register the socket to be notified of the remaining bytes.
+                        self.reregister(conn);
                         return;
                     }
                     continue;
                 }
-                Err(fault) if fault.kind() == ErrorKind::Interrupted => continue,
-                Err(fault) if fault.kind() == ErrorKind::WouldBlock => return,
+                Err(error) if error.kind() == ErrorKind::Interrupted => continue,
+                Err(error) if error.kind() == ErrorKind::WouldBlock => return,
                 Err(_) => CloseReason::ConnectionLost,
             };
-            self.forget(conn);
-            if !quiet {
-                self.tell(plane, Event::Closed { conn, reason });
+            self.remove_socket(conn);
+            if !closed_by_plane {
+                self.deliver(plane, Event::Closed { conn, reason });
             }
             return;
         }
     }
 
-    fn renew(&mut self, conn: Conn) {
+    fn reregister(&mut self, conn: Conn) {
         if let Some(socket) = self.sockets.get_mut(&conn) {
             let token = Token(FIRST_CONN_TOKEN + conn.0 as usize);
             let interest = Interest::READABLE | Interest::WRITABLE;
             if self.poll.registry().reregister(&mut socket.stream, token, interest).is_err() {
-                self.forget(conn);
-                self.ended.push((conn, CloseReason::ConnectionLost));
+                self.remove_socket(conn);
+                self.closed.push((conn, CloseReason::ConnectionLost));
             }
         }
     }
 
-    /// Everything that was written in this turn goes out, each socket's in one piece.
+    /// Sends the output written in this iteration, with one write per socket where possible.
     fn flush(&mut self, plane: &mut dyn Plane) {
-        while let Some(conn) = self.dirty.pop() {
+        while let Some(conn) = self.unflushed.pop() {
             let Some(socket) = self.sockets.get_mut(&conn) else { continue };
-            let silent = matches!(socket.stage, Stage::Ending | Stage::Ended);
+            let closed_by_plane = matches!(socket.stage, Stage::Flushing | Stage::Draining);
             if socket.flush().is_err() {
-                self.forget(conn);
-                if !silent {
-                    self.tell(plane, Event::Closed { conn, reason: CloseReason::ConnectionLost });
+                self.remove_socket(conn);
+                if !closed_by_plane {
+                    self.deliver(plane, Event::Closed { conn, reason: CloseReason::ConnectionLost });
                 }
             }
         }
     }
 
-    /// Ends a connection at once. Danger: a plain close still delivers what waits in the system's buffers, for as long as
-    /// a slow or lossy link takes; a statement that is asked again elsewhere would run here after all.
+    /// Resets a connection (`SO_LINGER` 0). After a plain close the kernel would still deliver its send buffer, so that a
+    /// statement already retried on another host could also run on this one.
     fn reset(&mut self, conn: Conn) {
         if let Some(socket) = self.sockets.get(&conn) {
             drop(SockRef::from(&socket.stream).set_linger(Some(Duration::ZERO)));
         }
-        self.forget(conn);
+        self.remove_socket(conn);
     }
 
-    fn forget(&mut self, conn: Conn) {
+    fn remove_socket(&mut self, conn: Conn) {
         if let Some(mut socket) = self.sockets.remove(&conn) {
             drop(self.poll.registry().deregister(&mut socket.stream));
         }
--- a/crates/arrowyard-runtime/src/storage.rs
+++ b/crates/arrowyard-runtime/src/storage.rs
@@ -1,6 +1,5 @@
-//! The files under a journal. A journal is written to one file, a *generation*, until that file fails; see
-//! [`Journal`](crate::Journal). The trait stands between the journal and the file system, so that tests can bring
-//! storage faults about under the code that ships.
+//! File access for the journal, which writes to one file per *generation*; see [`Journal`](crate::Journal). Tests
+//! implement [`JournalStorage`] to inject storage faults.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io;
@@ -10,16 +9,17 @@
 use log::warn;
 use redb::StorageBackend;
 
-/// How the file of a generation is named, with its number behind.
+/// File name of a generation, followed by its number.
 const PREFIX: &str = "journal-";
-/// The file whose lock says that a process uses the directory.
+/// Lock file that a process holds while it uses the directory.
 const LOCK: &str = "lock";
 
 /// A directory that holds the generations of one journal.
 pub trait JournalStorage: Send {
+    /// The file of one generation.
     type File: StorageBackend;
 
-    /// The numbers of the generations that are there, in ascending order.
+    /// The numbers of the existing generations, in ascending order.
     ///
     /// # Errors
     /// When the directory cannot be listed.
@@ -40,12 +40,12 @@
     /// Makes creations and removals durable.
     ///
     /// # Errors
-    /// When the directory cannot be synced; nothing is known then of what was created or removed.
+    /// When the directory cannot be synced. Each creation and removal since the last sync may or may not be durable.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A directory of the file system. Its lock is held as long as this lives: two processes that wrote to one generation
-/// would each find a file that neither of them left.
+/// A locked directory of the file system. The lock is held until this is dropped, because two processes that write to
+/// one generation would corrupt it.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
@@ -53,14 +53,14 @@
 }
 
 impl Directory {
-    /// Creates the directory, if need be, makes its name durable, and locks it.
+    /// Creates the directory if it does not exist, makes its name durable, and locks it.
     ///
     /// # Errors
     /// [`io::ErrorKind::ResourceBusy`] while another [`Directory`], of this process or of another one, holds the lock;
     /// otherwise when it cannot be created or its parent cannot be synced.
     pub fn create(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
-        // Safety: without its name a directory takes all of its files with it at a loss of power.
+        // If the directory entry is not durable, a power loss removes the directory with all its files.
         if let Some(parent) = path.parent() {
             File::open(parent)?.sync_all()?;
         }
@@ -72,16 +72,21 @@
     }
 }
 
-/// Takes a lock that the system gives back when the file is closed, also at the end of a killed process.
+/// Locks a file. The kernel releases the lock when the process ends, even if it is killed.
 fn lock(path: &Path) -> io::Result<File> {
     let file = OpenOptions::new().write(true).create(true).truncate(false).open(path)?;
     match file.try_lock() {
         Ok(()) => {}
         Err(TryLockError::WouldBlock) => {
-            return Err(io::Error::new(io::ErrorKind::ResourceBusy, "another process uses the directory"));
+            return Err(io::Error::new(
+                io::ErrorKind::ResourceBusy,
+                "the directory is in use by another process",
+            ));
+        }
+        // Some file systems do not support locks; the journal works without one if only one process uses it.
+        Err(TryLockError::Error(error)) => {
+            warn!("disk: {}: cannot lock the directory: {error}", path.display())
         }
-        // Some file systems have no locks; the journal is no worse for it as long as it has one process.
-        Err(TryLockError::Error(error)) => warn!("disk: {}: no lock: {error}.", path.display()),
     }
     Ok(file)
 }
--- a/crates/arrowyard-runtime/src/store.rs
+++ b/crates/arrowyard-runtime/src/store.rs
@@ -1,8 +1,8 @@
-//! The disk's thread: it appends the records of a plane to its [`Journal`] and tells which are durable.
+//! The disk thread: appends the records of a plane to its [`Journal`] and reports which of them are durable.
 //!
-//! Once the disk has refused anything, every record is answered as not kept, the plane is told, and from then on its
-//! snapshot is written to a new generation again and again until that succeeds. The plane's memory is authoritative
-//! meanwhile: it holds all that was ever acknowledged, so a snapshot of it stands for every record before.
+//! After the first disk error every record is reported as not durable and the plane is notified. The thread then retries
+//! to write a snapshot of the plane to a new generation until that succeeds. The plane's memory holds everything that was
+//! acknowledged, so the snapshot replaces all earlier records.
 
 use std::path::Path;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
@@ -16,72 +16,74 @@
 use crate::journal::{Journal, JournalError};
 use crate::storage::{Directory, JournalStorage};
 
-/// A disk that refused is tried again after so long.
-const RETRY: Duration = Duration::from_millis(200);
-/// A store that is dropped waits so long for its journal to be closed; one whose disk hangs is left behind.
-const CLOSE: Duration = Duration::from_millis(1000);
+/// Interval between attempts to recover from a disk error.
+const RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// How long dropping a store waits for its journal to close. If the disk hangs, the thread is abandoned.
+const CLOSE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// What the disk's thread tells.
+/// An event that the disk thread reports.
 #[derive(Debug)]
 pub enum DiskEvent {
-    /// A record is durable, or may not be.
+    /// Whether a record is durable.
     Stored { ticket: u64, durable: bool },
-    /// One record is wanted that stands for all before it.
+    /// Requests a snapshot of the plane, which replaces all earlier records.
     Snapshot(Sender<Vec<u8>>),
-    /// The disk refuses writes, or takes them again.
+    /// The disk stopped accepting records, or accepts them again.
     DiskStatus { writable: bool },
 }
 
-/// A record with the number under which its fate is told.
-type Numbered = (u64, Vec<u8>);
-type Wake = Arc<OnceLock<Arc<Waker>>>;
+/// A record with the ticket under which its result is reported.
+type TicketedRecord = (u64, Vec<u8>);
+type SharedWaker = Arc<OnceLock<Arc<Waker>>>;
 
-/// The records of one process, in order, on a disk that a thread of its own waits for.
+/// The journal of one process, written by a thread of its own.
 #[derive(Debug)]
 pub struct Store {
-    /// None once the store is being closed.
+    /// `None` once the store is being closed.
     thread: Option<Thread>,
-    wake: Wake,
-    /// Disconnected once the journal is closed and its folder's lock is given back.
+    waker: SharedWaker,
+    /// Disconnected once the journal is closed and the directory lock is released.
     closed: Receiver<()>,
 }
 
-/// What is said to the disk's thread and heard from it. The thread ends when this is dropped.
+/// Channels to and from the disk thread, which ends when they are dropped.
 #[derive(Debug)]
 struct Thread {
-    records: Sender<Numbered>,
-    said: Receiver<DiskEvent>,
+    records: Sender<TicketedRecord>,
+    events: Receiver<DiskEvent>,
 }
 
 impl Drop for Store {
     fn drop(&mut self) {
         self.thread = None;
-        if self.closed.recv_timeout(CLOSE) == Err(RecvTimeoutError::Timeout) {
-            warn!("disk: It did not close the journal in time.");
+        if self.closed.recv_timeout(CLOSE_TIMEOUT) == Err(RecvTimeoutError::Timeout) {
+            warn!("disk: the journal was not closed in time");
         }
     }
 }
 
-/// What was on disk at a start.
+/// Contents of the journal at startup.
 #[derive(Debug, Default)]
 pub struct Recovered {
     /// The records, oldest first.
     pub records: Vec<Vec<u8>>,
-    /// Whether there were records that cannot be read: then nothing is known of what was promised before.
+    /// Whether the journal was unreadable. Promises made before the restart are then unknown.
     pub corrupt: bool,
 }
 
-/// Opens the journal in a directory and reads what it holds.
+/// Opens the journal in a directory and reads its records. An unreadable journal is replaced by an empty one.
 ///
 /// # Errors
-/// When the disk refuses; it may be well later.
+/// When the disk returns an error or the directory is in use; a later attempt may succeed.
 pub fn open(path: &Path) -> Result<(Store, Recovered), JournalError> {
     let opened = Journal::open(Directory::create(path)?);
     let (journal, recovered) = match opened {
         Ok((journal, records)) => (journal, Recovered { records, corrupt: false }),
-        Err(JournalError::Corrupt(why)) => {
-            error!("disk: {why}; it begins anew, and this machine's word counts for nothing at first.");
-            let journal = Journal::begin_anew(Directory::create(path)?)?;
+        Err(JournalError::Corrupt(reason)) => {
+            error!(
+                "disk: {reason}; starting with an empty journal, without a vote until the voters readmit this node"
+            );
+            let journal = Journal::create_empty(Directory::create(path)?)?;
             (journal, Recovered { records: Vec::new(), corrupt: true })
         }
         Err(unavailable) => return Err(unavailable),
@@ -91,69 +93,69 @@
 }
 
 fn spawn<F: JournalStorage + 'static>(journal: Journal<F>) -> Result<Store, JournalError> {
-    let (say, said) = channel();
-    let (records, wanted) = channel();
-    let wake: Wake = Arc::default();
-    let (open, closed) = channel();
-    let mut disk = Disk { journal, wanted, say, wake: wake.clone() };
+    let (event_sender, events) = channel();
+    let (records, requests) = channel();
+    let waker: SharedWaker = Arc::default();
+    let (closed_guard, closed) = channel();
+    let mut disk = Disk { journal, requests, events: event_sender, waker: waker.clone() };
     thread::Builder::new().name("disk".to_string()).spawn(move || {
-        while disk.turn().is_some() {}
+        while disk.step().is_some() {}
         drop(disk);
-        drop::<Sender<()>>(open);
+        drop::<Sender<()>>(closed_guard);
     })?;
-    Ok(Store { thread: Some(Thread { records, said }), wake, closed })
+    Ok(Store { thread: Some(Thread { records, events }), waker, closed })
 }
 
-/// The state of the disk's thread.
+/// State of the disk thread.
 struct Disk<F: JournalStorage> {
     journal: Journal<F>,
-    wanted: Receiver<Numbered>,
-    say: Sender<DiskEvent>,
-    wake: Wake,
+    requests: Receiver<TicketedRecord>,
+    events: Sender<DiskEvent>,
+    waker: SharedWaker,
 }
 
 impl<F: JournalStorage> Disk<F> {
-    /// One step of its work; none once the process has no more use for it.
-    fn turn(&mut self) -> Option<()> {
-        if !self.journal.is_well() {
+    /// Handles one batch of records; `None` once the store is dropped.
+    fn step(&mut self) -> Option<()> {
+        if !self.journal.is_writable() {
             return self.recover();
         }
-        let first = self.wanted.recv().ok()?;
-        // Whatever waits by now shares one sync.
-        let batch: Vec<Numbered> = std::iter::once(first).chain(self.wanted.try_iter()).collect();
+        let first = self.requests.recv().ok()?;
+        // All records queued by now share one sync.
+        let batch: Vec<TicketedRecord> = std::iter::once(first).chain(self.requests.try_iter()).collect();
         let written = self.journal.append(batch.iter().map(|(_, record)| record.as_slice()));
         if let Err(error) = &written {
-            error!("disk: {} records were not kept: {error}.", batch.len());
-            self.tell(DiskEvent::DiskStatus { writable: false })?;
+            error!("disk: failed to store {} records: {error}", batch.len());
+            self.send(DiskEvent::DiskStatus { writable: false })?;
         }
         for (ticket, _) in batch {
-            self.tell(DiskEvent::Stored { ticket, durable: written.is_ok() })?;
+            self.send(DiskEvent::Stored { ticket, durable: written.is_ok() })?;
         }
-        self.wake();
-        if self.journal.wants_checkpoint() {
+        self.wake_loop();
+        if self.journal.checkpoint_due() {
             let snapshot = self.snapshot()?;
             if let Err(error) = self.journal.replace(&snapshot) {
-                error!("disk: A snapshot was not kept: {error}.");
-                self.tell(DiskEvent::DiskStatus { writable: false })?;
-                self.wake();
+                error!("disk: failed to store a snapshot: {error}");
+                self.send(DiskEvent::DiskStatus { writable: false })?;
+                self.wake_loop();
             }
         }
         Some(())
     }
 
-    /// Refuses records for a while, and then tries to begin a new generation.
+    /// Rejects records for the retry interval, then tries to start a new generation.
     fn recover(&mut self) -> Option<()> {
-        match self.wanted.recv_timeout(RETRY) {
+        match self.requests.recv_timeout(RETRY_INTERVAL) {
             Ok((ticket, _)) => {
-                self.tell(DiskEvent::Stored { ticket, durable: false })?;
-                self.wake();
-                // The wait is over by time alone, or records that keep coming would put it off for ever.
-                thread::sleep(RETRY);
-                let late: Vec<Numbered> = self.wanted.try_iter().collect();
-                for (ticket, _) in late {
-                    self.tell(DiskEvent::Stored { ticket, durable: false })?;
+                self.send(DiskEvent::Stored { ticket, durable: false })?;
+                self.wake_loop();
+                // Wait a fixed time: a steady stream of records must not postpone the attempt.
+                thread::sleep(RETRY_INTERVAL);
+                let queued: Vec<TicketedRecord> = self.requests.try_iter().collect();
+                for (ticket, _) in queued {
+                    self.send(DiskEvent::Stored { ticket, durable: false })?;
                 }
-                self.wake();
+                self.wake_loop();
             }
             Err(RecvTimeoutError::Timeout) => {}
             Err(RecvTimeoutError::Disconnected) => return None,
@@ -161,32 +163,32 @@
         let snapshot = self.snapshot()?;
         match self.journal.replace(&snapshot) {
             Ok(()) => {
-                info!("disk: It takes records again.");
-                self.tell(DiskEvent::DiskStatus { writable: true })?;
-                self.wake();
+                info!("disk: recovered, accepting records again");
+                self.send(DiskEvent::DiskStatus { writable: true })?;
+                self.wake_loop();
             }
-            Err(error) => warn!("disk: Still no record can be kept: {error}."),
+            Err(error) => warn!("disk: still unavailable: {error}"),
         }
         Some(())
     }
 
     fn snapshot(&self) -> Option<Vec<u8>> {
-        let (send, snapshot) = channel();
-        self.tell(DiskEvent::Snapshot(send))?;
-        self.wake();
+        let (reply, snapshot) = channel();
+        self.send(DiskEvent::Snapshot(reply))?;
+        self.wake_loop();
         snapshot.recv().ok()
     }
 
-    fn tell(&self, said: DiskEvent) -> Option<()> {
-        self.say.send(said).ok()
+    fn send(&self, event: DiskEvent) -> Option<()> {
+        self.events.send(event).ok()
     }
 
-    fn wake(&self) {
-        self.wake.get().into_iter().for_each(|waker| drop(waker.wake()));
+    fn wake_loop(&self) {
+        self.waker.get().into_iter().for_each(|waker| drop(waker.wake()));
     }
 }
 
-/// What became of the disk or of one record.
+/// The result of storing one record, or a change of the disk status.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Outcome {
     Stored { ticket: u64, durable: bool },
@@ -194,24 +196,26 @@
 }
 
 impl Store {
-    pub(crate) fn wake_by(&self, waker: Arc<Waker>) {
-        drop(self.wake.set(waker));
+    /// Sets the waker that notifies the event loop of new outcomes.
+    pub(crate) fn set_waker(&self, waker: Arc<Waker>) {
+        drop(self.waker.set(waker));
     }
 
+    /// Queues a record for the disk thread.
     pub(crate) fn put(&mut self, ticket: u64, record: Vec<u8>) {
         let sent = self.thread.as_ref().is_some_and(|thread| thread.records.send((ticket, record)).is_ok());
         if !sent {
-            error!("disk: Its thread is gone.");
+            error!("disk: the disk thread has ended");
         }
     }
 
-    /// The next outcome that is known. Hands out snapshots on the way.
+    /// The next outcome. Answers snapshot requests that precede it.
     pub(crate) fn outcome(&mut self, snapshot: impl Fn() -> Vec<u8>) -> Option<Outcome> {
         loop {
-            match self.thread.as_ref()?.said.try_recv().ok()? {
+            match self.thread.as_ref()?.events.try_recv().ok()? {
                 DiskEvent::Stored { ticket, durable } => return Some(Outcome::Stored { ticket, durable }),
                 DiskEvent::DiskStatus { writable } => return Some(Outcome::DiskStatus { writable }),
-                DiskEvent::Snapshot(to) => drop(to.send(snapshot())),
+                DiskEvent::Snapshot(reply) => drop(reply.send(snapshot())),
             }
         }
     }
--- a/crates/arrowyard-runtime/tests/journal.rs
+++ b/crates/arrowyard-runtime/tests/journal.rs
@@ -82,7 +82,7 @@
                 5 | 6 => process.replace(&mut journal),
                 _ => process.append(&mut journal, rng.u64(1..4)),
             }
-            if !journal.is_well() && rng.bool() {
+            if !journal.is_writable() && rng.bool() {
                 folder.mend();
                 process.replace(&mut journal);
             }
@@ -119,7 +119,7 @@
     assert_eq!(process.acknowledged, 3);
     // The disk is well again; still nothing counts before a snapshot stands in a new file.
     process.append(&mut journal, 1);
-    assert_eq!((process.acknowledged, journal.is_well()), (3, false));
+    assert_eq!((process.acknowledged, journal.is_writable()), (3, false));
     process.replace(&mut journal);
     process.append(&mut journal, 1);
     assert_eq!(process.acknowledged, 6);
@@ -154,7 +154,7 @@
     drop(journal);
     folder.spoil();
     assert!(matches!(Journal::open(folder.clone()), Err(JournalError::Corrupt(_))));
-    drop(Journal::begin_anew(folder.clone()).expect("the disk works"));
+    drop(Journal::create_empty(folder.clone()).expect("the disk works"));
     assert_eq!(start(&folder, "anew").1, 0);
 }
 
@@ -167,7 +167,7 @@
     let mut checkpoints = 0;
     for _ in 0..600 {
         journal.append([large.as_slice()].into_iter()).expect("the disk works");
-        if journal.wants_checkpoint() {
+        if journal.checkpoint_due() {
             journal.replace(&large).expect("the disk works");
             checkpoints += 1;
         }
@@ -206,7 +206,7 @@
                 assert!(covered == process.acknowledged || covered == before_last, "{context}: {covered}");
             }
             Err(JournalError::Corrupt(_)) => {
-                drop(Journal::begin_anew(folder.clone()).expect("the disk works"));
+                drop(Journal::create_empty(folder.clone()).expect("the disk works"));
                 assert_eq!(start(&folder, &context).1, 0);
             }
             Err(error) => panic!("{context}: {error}"),
--- a/crates/arrowyard-system/tests/processes.rs
+++ b/crates/arrowyard-system/tests/processes.rs
@@ -104,7 +104,7 @@
     router.says("sessions are to end");
     let answer = client.ask("COMMIT");
     assert!(answer.iter().any(|line| line.starts_with("SETTLED i-0")), "{answer:?}");
-    router.says("Ended in order");
+    router.says("shutdown complete");
     let mut rest = Vec::new();
     reader.stream.read_to_end(&mut rest).expect("it closed in order");
     assert!(rest.is_empty());
