--- a/crates/arrowyard-config/src/change.rs
+++ b/crates/arrowyard-config/src/change.rs
@@ -1,6 +1,8 @@
+//! Changes of the operator configuration.
+
 use crate::{ConfigError, Configuration};
 
-/// Whether a change brings a whole configuration or named items of it.
+/// Whether a change replaces the configuration or adjusts named items of it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeKind {
     Replace,
@@ -11,20 +13,21 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Change {
     pub kind: ChangeKind,
-    /// The version that it builds on.
+    /// The revision that the change is based on.
     pub base: u64,
+    /// JSON.
     pub body: Vec<u8>,
 }
 
 impl Change {
-    /// What the configuration is after it.
+    /// The configuration after the change.
     ///
     /// # Errors
-    /// Why it is not taken.
-    pub fn apply(&self, to: &Configuration) -> Result<Configuration, ConfigError> {
+    /// Why the change is rejected.
+    pub fn apply(&self, current: &Configuration) -> Result<Configuration, ConfigError> {
         match self.kind {
-            ChangeKind::Replace => to.replace(&self.body),
-            ChangeKind::Adjust => to.adjust(&self.body),
+            ChangeKind::Replace => current.replace(&self.body),
+            ChangeKind::Adjust => current.adjust(&self.body),
         }
     }
 }
--- a/crates/arrowyard-config/src/lib.rs
+++ b/crates/arrowyard-config/src/lib.rs
@@ -1,5 +1,4 @@
-//! What a process of the system is told: its settings file, and the operator's configuration. Both are read whole and
-//! checked whole. No I/O.
+//! The settings file of a process and the operator configuration: parsing and validation. No I/O.
 
 mod change;
 mod configuration;
--- a/crates/arrowyard-config/src/settings.rs
+++ b/crates/arrowyard-config/src/settings.rs
@@ -1,13 +1,16 @@
+//! The settings file of a process.
+
 use std::collections::BTreeMap;
 use std::net::{Ipv4Addr, SocketAddrV4};
 
 use serde::Deserialize;
 
-/// What the platform tells a process in its settings file. Fields that are not known are passed over; those that are
-/// not told have the value named here.
+/// Settings of a process, written by the platform. Unknown fields are ignored; missing optional fields have
+/// defaults.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Settings {
+    /// Name of the machine.
     pub node: String,
     #[serde(default)]
     pub role: String,
@@ -15,25 +18,28 @@
     pub zone: String,
     #[serde(default)]
     pub region: String,
-    /// Zone to region.
+    /// Region of each zone.
     #[serde(default)]
     pub zones: BTreeMap<String, String>,
+    /// Listening addresses by name: `control`, `front`, `readiness`.
     #[serde(default)]
     pub bind_addrs: BTreeMap<String, SocketAddrV4>,
-    /// The first and the last port that are free for what the system's processes say to each other.
+    /// First and last port of the range for connections between the processes of the system.
     pub internal_ports: (u16, u16),
-    /// `control` addresses of up to three machines.
+    /// `control` addresses of up to three control machines.
     #[serde(default)]
     pub seeds: Vec<SocketAddrV4>,
-    /// Whether the whole system starts for the first time.
+    /// Whether the deployment starts for the first time.
     #[serde(default)]
     pub bootstrap: bool,
     #[serde(default)]
     pub counts_loss: bool,
     #[serde(default)]
     pub limits: MachineLimits,
+    /// Directory for durable state; none on machines without a disk.
     #[serde(default)]
     pub data_dir: Option<String>,
+    /// Heartbeat interval of hosts.
     #[serde(rename = "beat-period-ms", default = "default_heartbeat_interval_ms")]
     pub heartbeat_interval_ms: u64,
     #[serde(default)]
@@ -48,7 +54,7 @@
     1200
 }
 
-/// The machine's limits.
+/// Resource limits of the process.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct MachineLimits {
@@ -62,7 +68,7 @@
     }
 }
 
-/// What may be lost at once while all rules are kept.
+/// Failures at the same time that the deployment must tolerate.
 #[derive(Clone, Copy, Debug, Default, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Tolerance {
@@ -71,7 +77,7 @@
     pub regions: u32,
 }
 
-/// The figures of the rules.
+/// Time bounds and guarantees of the environment.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case", default)]
 pub struct Envelope {
@@ -85,7 +91,7 @@
     pub apply_ms: f64,
     pub revert_slack_ms: f64,
     pub recovery_s: f64,
-    /// Whether the platform refuses a call whose fence is lower than one that it has seen.
+    /// Whether the platform rejects a call with a fencing token below one that it has seen.
     pub fence_checked: bool,
 }
 
@@ -107,7 +113,7 @@
     }
 }
 
-/// Where duties are carried out.
+/// API of the platform, through which duties are executed.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct PlatformApi {
@@ -122,7 +128,7 @@
     50.0
 }
 
-/// What is wrong with a settings file, all of it, each with its place.
+/// All faults of a settings file, each with its field.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct SettingsError(pub Vec<String>);
 
@@ -133,16 +139,16 @@
 }
 
 impl Settings {
-    /// Reads a settings file.
+    /// Parses and validates a settings file.
     ///
     /// # Errors
-    /// Every fault that is found, with its place.
+    /// All faults found, each with its field.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let settings: Settings =
-            serde_saphyr::from_str(text).map_err(|fault| SettingsError(vec![fault.to_string()]))?;
+            serde_saphyr::from_str(text).map_err(|error| SettingsError(vec![error.to_string()]))?;
         let mut faults = Vec::new();
-        let mut check = |sound: bool, fault: &str| {
-            if !sound {
+        let mut check = |valid: bool, fault: &str| {
+            if !valid {
                 faults.push(fault.to_string())
             }
         };
@@ -160,7 +166,7 @@
         if faults.is_empty() { Ok(settings) } else { Err(SettingsError(faults)) }
     }
 
-    /// Where control processes meet each other and the routers, on each machine.
+    /// Address on a control machine to which control machines and routers connect.
     pub fn internal(&self, machine: Ipv4Addr) -> SocketAddrV4 {
         SocketAddrV4::new(machine, self.internal_ports.0)
     }
--- a/crates/arrowyard-config/tests/configuration.rs
+++ b/crates/arrowyard-config/tests/configuration.rs
@@ -86,7 +86,7 @@
         let before = Configuration::default().replace(body(5, before.iter().collect()).as_bytes()).expect("valid");
         let after = before.replace(body(6, routes).as_bytes()).expect("valid");
         let difference = before.difference(&after).expect("named items lead there");
-        prop_assert!(before.adjust(difference.as_bytes()).is_ok_and(|led| led.is_same(&after)));
+        prop_assert!(before.adjust(difference.as_bytes()).is_ok_and(|led| led.is_equivalent(&after)));
     }
 }
 
--- a/crates/arrowyard-messages/src/lib.rs
+++ b/crates/arrowyard-messages/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the system's own processes say to each other: control to control, and control to routers. A frame is its
-//! length, four bytes with the highest first, and a message of protobuf. No I/O.
+//! Messages between control machines, and between control machines and routers. A frame is a protobuf
+//! message preceded by its length as a big-endian 32-bit integer. No I/O.
 
 mod frame;
 mod message;
--- a/crates/arrowyard-messages/src/message.rs
+++ b/crates/arrowyard-messages/src/message.rs
@@ -1,4 +1,4 @@
-//! The messages. Machines are named by their address, a number of 32 bits.
+//! The messages. A machine is identified by its IPv4 address as a 32-bit integer.
 
 use std::net::Ipv4Addr;
 
@@ -6,7 +6,7 @@
 
 use crate::relay::{RelayedRequest, RelayedResponse};
 
-/// One thing that is said.
+/// A message with exactly one payload.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Frame {
     #[prost(
@@ -16,6 +16,7 @@
     pub payload: Option<Payload>,
 }
 
+/// The payload of a [`Frame`].
 #[derive(Clone, PartialEq, Eq, Hash, Oneof)]
 pub enum Payload {
     #[prost(message, tag = "1")]
@@ -70,7 +71,7 @@
     RelayedResponse(RelayedResponse),
 }
 
-/// The first frame on a connection, from both ends.
+/// The first frame on a connection, sent by both ends.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Hello {
     #[prost(string, tag = "1")]
@@ -79,67 +80,73 @@
     pub ip: u32,
     #[prost(string, tag = "3")]
     pub zone: String,
-    /// Drawn anew at each start of the process.
+    /// A random number drawn at each start of the process.
     #[prost(fixed64, tag = "4")]
     pub incarnation: u64,
+    /// Whether the sender is a control machine; otherwise it is a router.
     #[prost(bool, tag = "5")]
     pub control: bool,
+    /// Control machines that the sender knows.
     #[prost(message, repeated, tag = "6")]
     pub view: Vec<KnownControl>,
 }
 
-/// A control machine that somebody knows of.
+/// A control machine in the membership view of the sender.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct KnownControl {
     #[prost(fixed32, tag = "1")]
     pub ip: u32,
     #[prost(string, tag = "2")]
     pub zone: String,
-    /// Rounds of exchange since it was last heard of itself.
+    /// Rounds of view exchange since its own last message.
     #[prost(uint32, tag = "3")]
     pub age: u32,
 }
 
-/// Between control machines: still here, and whom it knows.
+/// Heartbeat between control machines.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Heartbeat {
-    /// Entries that it has in its ledger.
+    /// Highest slot known to be chosen.
     #[prost(uint64, tag = "1")]
     pub chosen: u64,
     #[prost(message, repeated, tag = "2")]
     pub view: Vec<KnownControl>,
-    /// Routers that are connected to it.
+    /// Number of routers connected to the sender.
     #[prost(uint32, tag = "3")]
     pub routers: u32,
-    /// A sum over its cell's hosts, by which two cells see that they differ.
+    /// Digest of the host registry, by which two machines detect that their registries differ.
     #[prost(fixed64, tag = "4")]
     pub digest: u64,
+    /// Whether the sender votes.
     #[prost(bool, tag = "5")]
     pub votes: bool,
+    /// Hosts from which the sender receives no heartbeats.
     #[prost(message, repeated, tag = "6")]
     pub silent: Vec<SilentHost>,
-    /// Whether its disk refuses or hangs.
+    /// Whether its disk returns errors or hangs.
     #[prost(bool, tag = "7")]
     pub disk_failing: bool,
-    /// From a voter: control machines that it has heard of lately.
+    /// From a voter: control machines from which it has recently received messages.
     #[prost(fixed32, repeated, tag = "8")]
     pub reachable: Vec<u32>,
-    /// Whether it was told to end.
+    /// Whether the sender is shutting down.
     #[prost(bool, tag = "9")]
     pub shutting_down: bool,
 }
 
-/// A host that does not call any more, for so many milliseconds.
+/// A host that sends no heartbeats.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct SilentHost {
     #[prost(string, tag = "1")]
     pub id: String,
+    /// Time since its last heartbeat.
     #[prost(uint64, tag = "2")]
     pub silent_ms: u64,
 }
 
-/// Rounds are told apart by their number, then by who began them, then by its life. Safety: a machine may forget with its
-/// disk which rounds it began; of two lives no two rounds are the same, or one ballot could stand for two entries.
+/// A ballot, ordered by round, then by proposer, then by the incarnation of the proposer. A machine that
+/// loses its disk may start the same round again; the incarnation keeps the two ballots distinct, so that
+/// one ballot never proposes two entries.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Message)]
 pub struct Ballot {
     #[prost(uint64, tag = "1")]
@@ -150,6 +157,7 @@
     pub incarnation: u64,
 }
 
+/// Asks a voter to promise a ballot for a slot.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct Prepare {
     #[prost(uint64, tag = "1")]
@@ -158,19 +166,22 @@
     pub ballot: Ballot,
 }
 
+/// The response to [`Prepare`].
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Promise {
     #[prost(uint64, tag = "1")]
     pub slot: u64,
     #[prost(message, required, tag = "2")]
     pub ballot: Ballot,
-    /// The highest that it promised; above `ballot` it is a refusal.
+    /// The highest ballot that the voter promised. If it is above `ballot`, this is a rejection.
     #[prost(message, required, tag = "3")]
     pub promised: Ballot,
+    /// The proposal that the voter accepted for this slot.
     #[prost(message, optional, tag = "4")]
     pub accepted: Option<Accept>,
 }
 
+/// Asks a voter to accept an entry for a slot.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Accept {
     #[prost(uint64, tag = "1")]
@@ -181,6 +192,7 @@
     pub entry: Entry,
 }
 
+/// The response to [`Accept`].
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct Accepted {
     #[prost(uint64, tag = "1")]
@@ -191,7 +203,7 @@
     pub promised: Ballot,
 }
 
-/// A slot's entry is known to be chosen.
+/// Announces that an entry is chosen for a slot.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Chosen {
     #[prost(uint64, tag = "1")]
@@ -200,14 +212,14 @@
     pub entry: Entry,
 }
 
-/// Asks for what is chosen from a slot on.
+/// Requests the chosen entries from a slot on.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct Fetch {
     #[prost(uint64, tag = "1")]
     pub from: u64,
 }
 
-/// Entries from a slot on, or a snapshot that stands for all before them.
+/// Chosen entries of the replicated log, with a snapshot that replaces the entries before them.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct LogEntries {
     #[prost(message, optional, tag = "1")]
@@ -216,30 +228,31 @@
     pub entries: Vec<Chosen>,
 }
 
-/// What all entries up to a slot lead to.
+/// The state that results from all entries up to a slot.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Snapshot {
-    /// The last slot that is in it.
+    /// The last slot included.
     #[prost(uint64, tag = "1")]
     pub slot: u64,
+    /// The operator configuration as JSON; empty if there is none.
     #[prost(bytes = "vec", tag = "2")]
     pub configuration: Vec<u8>,
     #[prost(message, repeated, tag = "3")]
     pub duties: Vec<Duty>,
     #[prost(fixed32, repeated, tag = "4")]
     pub voters: Vec<u32>,
-    /// Of the last changes.
+    /// The most recent configuration changes.
     #[prost(message, repeated, tag = "5")]
     pub applied_changes: Vec<AppliedChange>,
-    /// The newest revision of which it is not remembered which change brought it; 0 for none.
+    /// The newest revision whose change is no longer in `applied_changes`; 0 for none.
     #[prost(uint64, tag = "6")]
     pub forgotten: u64,
-    /// The deployment whose entries these are: a digest of its first entry.
+    /// Identifies the deployment: a digest of the first entry of its log.
     #[prost(fixed64, tag = "7")]
     pub deployment: u64,
 }
 
-/// A change that was taken, and the digest by which it is known again.
+/// A configuration change that was applied, with the digest that identifies a repeated request.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct AppliedChange {
     #[prost(uint64, tag = "1")]
@@ -248,42 +261,47 @@
     pub digest: Vec<u8>,
 }
 
-/// What is agreed on in one slot.
+/// An entry of the replicated log.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Entry {
     #[prost(oneof = "EntryPayload", tags = "1, 2, 3, 4, 5")]
     pub payload: Option<EntryPayload>,
 }
 
+/// The payload of an [`Entry`].
 #[derive(Clone, PartialEq, Eq, Hash, Oneof)]
 pub enum EntryPayload {
     #[prost(message, tag = "1")]
     Configuration(ConfigRevision),
     #[prost(message, tag = "2")]
     Duty(Duty),
-    /// A voter whose disk was lost votes again from here on.
+    /// A voter that lost its disk votes again in later slots.
     #[prost(message, tag = "3")]
     Rejoin(Rejoin),
-    /// Who votes in the slots behind it: one more, or one less.
+    /// The voter set for later slots. It differs from the previous one by one voter.
     #[prost(message, tag = "4")]
     Voters(Voters),
-    /// Which host is to be made primary. Its slot is the fence of the calls to the platform for it.
+    /// The host to promote to primary. The slot of the entry is the fencing token of the calls to the
+    /// platform.
     #[prost(message, tag = "5")]
     Decision(Decision),
 }
 
-/// A change of the configuration as the operator sent it.
+/// A configuration change as the operator sent it.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct ConfigRevision {
+    /// Whether `body` is a full configuration instead of named items to change.
     #[prost(bool, tag = "1")]
     pub whole: bool,
+    /// The revision that the change is based on.
     #[prost(uint64, tag = "2")]
     pub base: u64,
     #[prost(bytes = "vec", tag = "3")]
     pub body: Vec<u8>,
 }
 
-/// Who holds a duty; its fence is the slot in which that was agreed. In an entry `fence` is that of the holder before.
+/// The holder of a duty. `fence` is the slot in which it was chosen; in an entry it is the fence of the
+/// previous holder.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Duty {
     #[prost(string, tag = "1")]
@@ -298,7 +316,8 @@
     pub fence: u64,
 }
 
-/// A decision of the holder of the duty, in the life and under the fence in which it holds it.
+/// A promotion decided by the holder of the duty, valid for the incarnation and fence under which it holds
+/// the duty.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Decision {
     #[prost(string, tag = "1")]
@@ -309,14 +328,15 @@
     pub holder: u32,
     #[prost(fixed64, tag = "4")]
     pub incarnation: u64,
-    /// Of the duty, as the holder took it up.
+    /// Fence of the duty when the holder acquired it.
     #[prost(uint64, tag = "5")]
     pub duty_fence: u64,
-    /// Tells two decisions of one holder apart.
+    /// Distinguishes the decisions of one holder.
     #[prost(uint64, tag = "6")]
     pub number: u64,
 }
 
+/// A voter that lost its disk and votes again.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct Rejoin {
     #[prost(fixed32, tag = "1")]
@@ -325,15 +345,17 @@
     pub incarnation: u64,
 }
 
+/// A voter set.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Voters {
     #[prost(fixed32, repeated, tag = "1")]
     pub voters: Vec<u32>,
-    /// In an entry: who voted before it. It holds only on top of these.
+    /// In an entry: the previous voter set. The entry takes effect only if this is the current one.
     #[prost(fixed32, repeated, tag = "2")]
     pub before: Vec<u32>,
 }
 
+/// Life cycle phase of a database host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Enumeration)]
 pub enum Phase {
     InService = 0,
@@ -341,13 +363,14 @@
     Gone = 2,
 }
 
+/// Replication role of a database host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Enumeration)]
 pub enum DbRole {
     Replica = 0,
     Primary = 1,
 }
 
-/// A database host, as its newest call told of it.
+/// A database host as its latest heartbeat describes it.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Host {
     #[prost(string, tag = "1")]
@@ -366,11 +389,12 @@
     pub phase: i32,
     #[prost(enumeration = "DbRole", tag = "8")]
     pub role: i32,
+    /// Sequence number of that heartbeat.
     #[prost(uint64, tag = "9")]
     pub call_seq: u64,
 }
 
-/// Between control machines: hosts that changed, or all that it has.
+/// Between control machines: changed hosts, or the whole host registry if `whole` is set.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct HostUpdate {
     #[prost(message, repeated, tag = "1")]
@@ -379,41 +403,45 @@
     pub whole: bool,
 }
 
-/// Between control machines: a host says that it leaves, or that it has left. Whoever has that on its disk says so.
+/// Between control machines: a host is draining or gone. The receiver confirms with [`DepartureStored`] once
+/// this is on its disk.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct DepartureNotice {
-    /// Of the machine that asks.
+    /// Number that the sender gave to the notice.
     #[prost(uint64, tag = "1")]
     pub number: u64,
     #[prost(message, required, tag = "2")]
     pub host: Host,
 }
 
-/// The departure of this number is on the sender's disk.
+/// The [`DepartureNotice`] of this number is on the disk of the sender.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct DepartureStored {
     #[prost(uint64, tag = "1")]
     pub number: u64,
 }
 
-/// To a router: all that it must know, as of a number.
+/// To a router: the complete state of its feed.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct FeedSnapshot {
+    /// Sequence number in the feed.
     #[prost(uint64, tag = "1")]
     pub number: u64,
+    /// The last slot included in the configuration.
     #[prost(uint64, tag = "2")]
     pub slot: u64,
     #[prost(bytes = "vec", tag = "3")]
     pub configuration: Vec<u8>,
     #[prost(message, repeated, tag = "4")]
     pub hosts: Vec<Host>,
+    /// Number of routers in the deployment.
     #[prost(uint32, tag = "5")]
     pub routers: u32,
     #[prost(message, repeated, tag = "6")]
     pub view: Vec<KnownControl>,
 }
 
-/// To a router: what changed, under the next number.
+/// To a router: an incremental update with the next sequence number of the feed.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct FeedUpdate {
     #[prost(uint64, tag = "1")]
@@ -422,14 +450,14 @@
     pub revised: Vec<ChosenRevision>,
     #[prost(message, repeated, tag = "3")]
     pub hosts: Vec<Host>,
-    /// 0: as before.
+    /// Number of routers in the deployment; 0 if unchanged.
     #[prost(uint32, tag = "4")]
     pub routers: u32,
     #[prost(message, repeated, tag = "5")]
     pub view: Vec<KnownControl>,
 }
 
-/// A change of the configuration in the order of slots.
+/// A configuration change with the slot in which it was chosen.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct ChosenRevision {
     #[prost(uint64, tag = "1")]
@@ -438,64 +466,65 @@
     pub revised: ConfigRevision,
 }
 
-/// From a router: it has all up to this number; or, if `lost`, it needs the whole again.
+/// From a router: the updates up to this number are applied. If `lost` is set, it needs a [`FeedSnapshot`].
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct FeedAck {
     #[prost(uint64, tag = "1")]
     pub number: u64,
     #[prost(bool, tag = "2")]
     pub lost: bool,
-    /// The revision of the configuration that it serves by.
+    /// The configuration revision that the router has in force.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
 }
 
-/// From a router, and between control machines: this primary does not answer.
+/// From a router, and between control machines: this primary does not respond.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Suspect {
     #[prost(string, tag = "1")]
     pub service: String,
     #[prost(string, tag = "2")]
     pub host: String,
-    /// Who saw it first.
+    /// Address of the machine that first suspected it.
     #[prost(fixed32, tag = "3")]
     pub by: u32,
 }
 
-/// From a router, by way of its control machine, to whoever divides: what its services need of hosts.
+/// From a router through its control machine to the allocator: the demand of its services at each host.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct DemandReport {
-    /// The life of the router's process.
+    /// Incarnation of the router.
     #[prost(fixed64, tag = "1")]
     pub router: u64,
-    /// Rises with each word of this life.
+    /// Sequence number of the report within this incarnation.
     #[prost(uint64, tag = "2")]
     pub echo: u64,
     #[prost(message, repeated, tag = "3")]
     pub hosts: Vec<HostDemand>,
 }
 
-/// What one router needs of one host.
+/// The demand of one router at one host.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct HostDemand {
     #[prost(string, tag = "1")]
     pub host: String,
-    /// Statements that the host runs at a time.
+    /// Number of statements that the host executes concurrently.
     #[prost(uint32, tag = "2")]
     pub slots: u32,
-    /// The last part that the router took up, by whom.
+    /// Fence of the allocator whose allocation the router applied last.
     #[prost(uint64, tag = "3")]
     pub fence: u64,
+    /// Number of that allocation.
     #[prost(uint64, tag = "4")]
     pub answers: u64,
     #[prost(message, repeated, tag = "5")]
     pub services: Vec<ServiceDemand>,
-    /// The databases that the host holds a copy of.
+    /// The service that the host is a replica of.
     #[prost(string, tag = "6")]
     pub group: String,
 }
 
-/// Of one service, in thousandths of a place.
+/// The demand of one service, in thousandths of a concurrent statement.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct ServiceDemand {
     #[prost(string, tag = "1")]
@@ -506,7 +535,7 @@
     pub waiting_milli: u32,
 }
 
-/// From whoever divides to one router, by way of its control machine.
+/// From the allocator through a control machine to one router.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct HostAllocations {
     #[prost(fixed64, tag = "1")]
@@ -517,28 +546,29 @@
     pub allocations: Vec<HostAllocation>,
 }
 
-/// A router's part of one host. Services that are not named go free.
+/// The share of one host that a router may use. Services without a cap are not limited.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct HostAllocation {
     #[prost(string, tag = "1")]
     pub host: String,
     #[prost(uint64, tag = "2")]
     pub number: u64,
-    /// The router's word that this answers.
+    /// Sequence number of the [`DemandReport`] that this is based on.
     #[prost(uint64, tag = "3")]
     pub echo: u64,
     #[prost(bool, tag = "4")]
     pub overloaded: bool,
     #[prost(message, repeated, tag = "5")]
     pub caps: Vec<ServiceCap>,
-    /// The host's places in thousandths, and how many routers share them.
+    /// Capacity of the host in thousandths of a concurrent statement.
     #[prost(uint32, tag = "6")]
     pub capacity_milli: u32,
+    /// Number of routers that share the host.
     #[prost(uint32, tag = "7")]
     pub routers: u32,
 }
 
-/// How many of a service's statements may be under way, in thousandths.
+/// Limit on the in-flight statements of one service, in thousandths.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct ServiceCap {
     #[prost(string, tag = "1")]
@@ -547,37 +577,39 @@
     pub cap_milli: u32,
 }
 
-/// From whoever divides to all control machines and all routers: tell what you need of these hosts.
+/// From the allocator to all control machines and routers: requests demand reports for these overloaded
+/// hosts.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct OverloadedHosts {
     #[prost(string, repeated, tag = "1")]
     pub hosts: Vec<String>,
 }
 
-/// From whoever holds the duty, by way of all control machines, to all routers: the services whose primary is being
-/// replaced because it does not answer. It is said again and again while that lasts, and stands for all said before.
+/// From the holder of the duty through all control machines to all routers: the services whose unresponsive
+/// primary is being replaced. It is repeated during the replacement, and each message supersedes all earlier
+/// ones.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Replacements {
-    /// Of the duty, as its holder took it up.
+    /// Fence of the duty when the holder acquired it.
     #[prost(uint64, tag = "1")]
     pub fence: u64,
     #[prost(message, repeated, tag = "2")]
     pub services: Vec<Replacement>,
 }
 
-/// Of this service's hosts only the candidate may have commits acknowledged.
+/// During the replacement, routers acknowledge commits of this service only from the candidate.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Replacement {
     #[prost(string, tag = "1")]
     pub service: String,
     #[prost(string, tag = "2")]
     pub candidate: String,
-    /// Above the term of whoever is replaced.
+    /// A term above that of the replaced primary.
     #[prost(uint64, tag = "3")]
     pub term: u64,
 }
 
-/// From a router, and between control machines: a primary that is replaced answered that it leads no more.
+/// From a router, and between control machines: a replaced primary confirmed that it is demoted.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Demotion {
     #[prost(string, tag = "1")]
@@ -586,30 +618,33 @@
     pub host: String,
 }
 
-/// Asks a voter what it has accepted behind its last chosen slot; it promises nothing.
+/// Asks a voter for the highest slots that it knows, without a promise.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct Probe {
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
 }
 
+/// The response to [`Probe`].
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct Probed {
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
-    /// The last slot that it knows to be chosen, and the highest in which it accepted anything.
+    /// The last slot known to be chosen.
     #[prost(uint64, tag = "2")]
     pub chosen: u64,
+    /// The highest slot in which it accepted an entry.
     #[prost(uint64, tag = "3")]
     pub accepted: u64,
     #[prost(bool, tag = "4")]
     pub votes: bool,
-    /// Entries of voters that are still undecided here are below this ballot.
+    /// The highest ballot that the voter promised.
     #[prost(message, required, tag = "5")]
     pub promised: Ballot,
 }
 
 impl Phase {
+    /// The name in status reports.
     pub fn as_str(self) -> &'static str {
         match self {
             Phase::InService => "in_service",
@@ -620,17 +655,18 @@
 }
 
 impl DbRole {
+    /// The name in status reports.
     pub fn as_str(self) -> &'static str {
         if self == DbRole::Primary { "primary" } else { "replica" }
     }
 }
 
-/// A machine's number.
+/// The identifier of a machine.
 pub fn ip_to_u32(ip: Ipv4Addr) -> u32 {
     u32::from(ip)
 }
 
-/// A frame of a word.
+/// Encodes a payload as a frame with its length prefix.
 pub fn encode_payload(payload: Payload) -> Vec<u8> {
     crate::encode_frame(&Frame { payload: Some(payload) })
 }
--- a/crates/arrowyard-protocol/src/fault_code.rs
+++ b/crates/arrowyard-protocol/src/fault_code.rs
@@ -1,4 +1,6 @@
-/// The code of a fault.
+//! Codes of `FAULT` responses.
+
+/// The code of a `FAULT` response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FaultCode {
     Saturated,
@@ -14,18 +16,18 @@
     Malformed,
     NoDatabase,
     Oversize,
-    /// A code that this page does not know.
+    /// A code that this version does not know.
     Other,
 }
 
-/// What an answer, or its absence, says of whether a request may have run.
+/// Whether a statement may have been executed, as far as a response or its absence tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ExecutionStatus {
-    /// Nothing of it ran or is kept.
+    /// Nothing was executed or persisted.
     NotRun,
-    /// It ran, and failed.
+    /// It was executed and failed.
     Ran,
-    /// It may have run.
+    /// It may have been executed.
     MayHaveRun,
 }
 
@@ -46,15 +48,18 @@
         (FaultCode::Oversize, "OVERSIZE"),
     ];
 
+    /// Parses a code; unknown codes become [`FaultCode::Other`].
     pub fn parse(word: &str) -> FaultCode {
         FaultCode::ALL.iter().find(|(_, name)| *name == word).map_or(FaultCode::Other, |(code, _)| *code)
     }
 
+    /// The code on the wire.
     pub fn as_str(self) -> &'static str {
         FaultCode::ALL.iter().find(|(code, _)| *code == self).map_or("UNKNOWN", |(_, name)| name)
     }
 
-    /// What a host's fault says. Danger: only what the page on the protocol promises counts as not run.
+    /// Whether the statement may have been executed. Only codes for which the protocol guarantees it count
+    /// as not run; a retry after any other code could execute the statement twice.
     pub fn execution_status(self) -> ExecutionStatus {
         match self {
             FaultCode::Saturated
--- a/crates/arrowyard-protocol/src/lib.rs
+++ b/crates/arrowyard-protocol/src/lib.rs
@@ -1,5 +1,6 @@
-//! The wire that clients and hosts speak: a message is a line of words parted by blanks, the last field runs to the
-//! line's end. This package reads and writes lines; it knows no sockets and no sessions.
+//! The line protocol between clients, routers and hosts. A message is one line of fields separated by
+//! spaces; the last field extends to the end of the line. This package parses and formats lines, without I/O
+//! or session state.
 
 mod fault_code;
 mod line;
@@ -15,8 +16,8 @@
 pub use response::{Observed, Response, TransactionState};
 pub use statement::{AccessMode, Statement};
 
-/// The longest message, in bytes. Source: the page on the protocol.
+/// Maximum length of a message in bytes, without its line terminator.
 pub const MAX_LINE_BYTES: usize = 1 << 20;
 
-/// The id of a statement that is the system's own.
+/// The id of statements that a router issues itself, such as health checks.
 pub const INTERNAL_STATEMENT_ID: &str = "-";
--- a/crates/arrowyard-protocol/src/line.rs
+++ b/crates/arrowyard-protocol/src/line.rs
@@ -1,12 +1,14 @@
+//! Splits received bytes into lines.
+
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::MAX_LINE_BYTES;
 
-/// A message is longer than the wire allows.
+/// the message exceeds the maximum line length
 #[derive(Clone, Copy, Debug, PartialEq, Eq, displaydoc::Display)]
 pub struct LineTooLong;
 
-/// The first word of a line and the rest after the blanks.
+/// Splits a line into its first word and the text after the following spaces.
 pub fn split_word(line: &str) -> (&str, &str) {
     match line.split_once(' ') {
         Some((word, rest)) => (word, rest.trim_start_matches(' ')),
@@ -14,46 +16,47 @@
     }
 }
 
-/// The bytes of one connection that came and are not yet read.
+/// Decodes the lines received on one connection.
 #[derive(Default)]
 pub struct LineDecoder {
-    came: BytesMut,
-    /// How far the search for a line's end got: bytes are looked at once.
-    seen: usize,
+    buffer: BytesMut,
+    /// Offset up to which no line end was found, so that each byte is scanned once.
+    scanned: usize,
 }
 
 impl LineDecoder {
+    /// Appends received bytes.
     pub fn put(&mut self, bytes: &[u8]) {
-        self.came.extend_from_slice(bytes);
+        self.buffer.extend_from_slice(bytes);
     }
 
-    /// Bytes that came and are not yet taken.
+    /// Number of buffered bytes.
     pub fn waiting(&self) -> usize {
-        self.came.len()
+        self.buffer.len()
     }
 
-    /// Takes the next line, without its end, once it is whole.
+    /// Removes the next line without its terminator; `None` until it is complete.
     ///
     /// # Errors
-    /// When more bytes came than a message may have.
+    /// When the line exceeds [`MAX_LINE_BYTES`].
     pub fn take(&mut self) -> Result<Option<Bytes>, LineTooLong> {
-        let Some(end) = self.came[self.seen..].iter().position(|&byte| byte == b'\n') else {
-            self.seen = self.came.len();
-            return if self.seen > MAX_LINE_BYTES { Err(LineTooLong) } else { Ok(None) };
+        let Some(end) = self.buffer[self.scanned..].iter().position(|&byte| byte == b'\n') else {
+            self.scanned = self.buffer.len();
+            return if self.scanned > MAX_LINE_BYTES { Err(LineTooLong) } else { Ok(None) };
         };
-        let end = self.seen + end;
-        self.seen = 0;
-        let mut line = self.came.split_to(end).freeze();
-        self.came.advance(1);
+        let end = self.scanned + end;
+        self.scanned = 0;
+        let mut line = self.buffer.split_to(end).freeze();
+        self.buffer.advance(1);
         if line.len() > MAX_LINE_BYTES {
             return Err(LineTooLong);
         }
         if line.last() == Some(&b'\r') {
             line.truncate(line.len() - 1);
         }
-        // A connection at rest holds no memory of its largest message.
-        if self.came.is_empty() {
-            self.came = BytesMut::new();
+        // Free the buffer so that an idle connection does not keep the size of its largest message.
+        if self.buffer.is_empty() {
+            self.buffer = BytesMut::new();
         }
         Ok(Some(line))
     }
--- a/crates/arrowyard-protocol/src/position.rs
+++ b/crates/arrowyard-protocol/src/position.rs
@@ -1,15 +1,19 @@
+//! Positions in the replication log of a host.
+
 use std::fmt;
 
-/// A position in a host's log. Danger: positions compare by their term first; a higher number of an older term is a
-/// commit that a promote may have cut back.
+/// A position in the replication log of a host. Positions are ordered by term first: a commit with a higher
+/// number in an older term may have been truncated by a promotion.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
+    /// Incremented by each promotion.
     pub term: u64,
+    /// Number of the commit.
     pub number: u64,
 }
 
 impl Position {
-    /// Reads `TERM.NUMBER`; nothing for `-` and all else.
+    /// Parses `TERM.NUMBER`; `None` for `-` and anything else.
     pub fn parse(text: &str) -> Option<Self> {
         let (term, number) = text.split_once('.')?;
         let digits = |part: &str| part.bytes().all(|byte| byte.is_ascii_digit());
--- a/crates/arrowyard-protocol/src/request.rs
+++ b/crates/arrowyard-protocol/src/request.rs
@@ -1,6 +1,8 @@
+//! Messages from clients to routers and from routers to hosts.
+
 use crate::split_word;
 
-/// What a client says, and a router to a host.
+/// A message from a client to a router, or from a router to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Request<'a> {
     Open { database: &'a str, user: &'a str },
@@ -9,7 +11,7 @@
 }
 
 impl<'a> Request<'a> {
-    /// Reads one line, without its end. Nothing for what is none of these.
+    /// Parses one line without its terminator; `None` if it is not a valid request.
     pub fn parse(line: &'a str) -> Option<Self> {
         let (word, rest) = split_word(line);
         match word {
--- a/crates/arrowyard-protocol/src/response.rs
+++ b/crates/arrowyard-protocol/src/response.rs
@@ -1,6 +1,8 @@
+//! Messages from hosts to routers and from routers to clients.
+
 use crate::{FaultCode, Position, split_word};
 
-/// The state of a session after each statement.
+/// The transaction state of a session after a statement.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum TransactionState {
     #[default]
@@ -16,6 +18,7 @@
         (TransactionState::Failed, "E"),
     ];
 
+    /// The letter of this state on the wire.
     pub fn letter(self) -> &'static str {
         Self::LETTERS.iter().find(|(state, _)| *state == self).map_or("I", |(_, letter)| letter)
     }
@@ -25,17 +28,21 @@
     }
 }
 
-/// What a host answers, a line at a time.
+/// One line of the response to a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Response<'a> {
+    /// A row of the result.
     Row(&'a str),
+    /// The statement succeeded; the field is its stamp, or `-`.
     Settled(&'a str),
+    /// The statement failed.
     Fault { code: FaultCode, text: &'a str },
+    /// The end of a response, with the host's applied log position if it is known.
     Idle { state: TransactionState, position: Option<Position> },
 }
 
 impl<'a> Response<'a> {
-    /// Reads one line, without its end. Nothing for what is none of these.
+    /// Parses one line without its terminator; `None` if it is not a valid response.
     pub fn parse(line: &'a str) -> Option<Self> {
         let (word, rest) = split_word(line);
         match word {
@@ -57,17 +64,19 @@
     }
 }
 
-/// What a host tells of itself when asked with `OBSERVE`.
+/// The replication state that a host reports for `OBSERVE`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Observed {
+    /// Whether the host is a primary.
     pub primary: bool,
     pub term: u64,
-    /// What it has received, which may be more than it has applied.
+    /// Log position received, which may be ahead of the position applied.
     pub received: Position,
 }
 
 impl Observed {
-    /// Reads the row: role, term, position received, term held, lag in ms, busy, connections.
+    /// Parses the row: role, term, position received, term held, lag in ms, busy, connections. The last four
+    /// are ignored.
     pub fn parse(row: &str) -> Option<Self> {
         let mut fields = row.split_ascii_whitespace();
         let primary = match fields.next()? {
--- a/crates/arrowyard-protocol/src/statement.rs
+++ b/crates/arrowyard-protocol/src/statement.rs
@@ -1,3 +1,5 @@
+//! Text of statements.
+
 use crate::split_word;
 
 /// Whether a prepared statement reads or writes.
@@ -8,40 +10,60 @@
 }
 
 impl AccessMode {
+    /// The keyword on the wire.
     pub fn as_str(self) -> &'static str {
         if self == AccessMode::Read { "READ" } else { "WRITE" }
     }
 }
 
-/// The text of a statement.
+/// A parsed statement.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Statement<'a> {
-    Begin { read: bool },
+    /// Begins a transaction, read-only if `read` is set.
+    Begin {
+        read: bool,
+    },
     Commit,
     Abort,
     Read,
     Write,
-    Assign { name: &'a str, value: &'a str },
-    Define { name: &'a str, mode: AccessMode, shape: &'a str },
-    Run { name: &'a str, rest: &'a str },
-    Undefine { name: &'a str },
+    /// Sets a session variable.
+    Assign {
+        name: &'a str,
+        value: &'a str,
+    },
+    /// Prepares a statement of the given shape.
+    Define {
+        name: &'a str,
+        mode: AccessMode,
+        shape: &'a str,
+    },
+    /// Executes a prepared statement.
+    Run {
+        name: &'a str,
+        rest: &'a str,
+    },
+    /// Drops a prepared statement.
+    Undefine {
+        name: &'a str,
+    },
 }
 
 impl<'a> Statement<'a> {
-    /// Reads the text of a statement. Nothing for what is none of these.
+    /// Parses the text of a statement; `None` if it is not a valid statement.
     pub fn parse(text: &'a str) -> Option<Self> {
         let (word, rest) = split_word(text);
-        let named = |name: &str| !name.is_empty();
+        let non_empty = |name: &str| !name.is_empty();
         match word {
             "BEGIN" if rest.is_empty() => Some(Statement::Begin { read: false }),
             "BEGIN" if rest == "READ" => Some(Statement::Begin { read: true }),
             "COMMIT" if rest.is_empty() => Some(Statement::Commit),
             "ABORT" if rest.is_empty() => Some(Statement::Abort),
-            "READ" if named(rest) => Some(Statement::Read),
-            "WRITE" if named(rest) => Some(Statement::Write),
+            "READ" if non_empty(rest) => Some(Statement::Read),
+            "WRITE" if non_empty(rest) => Some(Statement::Write),
             "ASSIGN" => {
                 let (name, value) = split_word(rest);
-                named(name).then_some(Statement::Assign { name, value })
+                non_empty(name).then_some(Statement::Assign { name, value })
             }
             "DEFINE" => {
                 let (name, rest) = split_word(rest);
@@ -51,13 +73,13 @@
                     "WRITE" => AccessMode::Write,
                     _ => return None,
                 };
-                (named(name) && named(shape)).then_some(Statement::Define { name, mode, shape })
+                (non_empty(name) && non_empty(shape)).then_some(Statement::Define { name, mode, shape })
             }
             "RUN" => {
                 let (name, rest) = split_word(rest);
-                named(name).then_some(Statement::Run { name, rest })
+                non_empty(name).then_some(Statement::Run { name, rest })
             }
-            "UNDEFINE" => named(rest).then_some(Statement::Undefine { name: rest }),
+            "UNDEFINE" => non_empty(rest).then_some(Statement::Undefine { name: rest }),
             _ => None,
         }
     }
--- a/crates/arrowyard-runtime/src/commands.rs
+++ b/crates/arrowyard-runtime/src/commands.rs
@@ -6,7 +6,8 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Conn(pub u64);
 
-/// Identifies a listener by its index in [`LoopConfig::listen_addresses`](crate::LoopConfig::listen_addresses).
+/// Identifies a listener by its index in
+/// [`LoopConfig::listen_addresses`](crate::LoopConfig::listen_addresses).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListenerId(pub u8);
 
--- a/crates/arrowyard-runtime/src/conn.rs
+++ b/crates/arrowyard-runtime/src/conn.rs
@@ -9,8 +9,8 @@
 
 use crate::commands::CloseReason;
 
-/// TCP user timeout: the connection is closed when sent data stays unacknowledged this long. Without it a write to a
-/// host that lost power blocks for the kernel's retransmission limit.
+/// TCP user timeout: the connection is closed when sent data stays unacknowledged this long. Without it a
+/// write to a host that lost power blocks for the kernel's retransmission limit.
 const UNACKNOWLEDGED_DATA_TIMEOUT: Duration = Duration::from_millis(2500);
 
 /// A socket with its unsent output and the stage of its life cycle.
--- a/crates/arrowyard-runtime/src/journal.rs
+++ b/crates/arrowyard-runtime/src/journal.rs
@@ -1,15 +1,16 @@
 //! A journal of records that survive a loss of power, kept with `redb`.
 //!
 //! Invariants:
-//! - [`Journal::append`] returns `Ok` only once the records would survive a loss of power, together with all records
-//!   before them. What is read back is always a prefix of what was appended, with no record missing in between.
-//! - After the first failure of a file nothing more is appended to it. A sync that failed may have dropped the pages
-//!   that it did not write, so that a later sync that succeeds proves nothing ("fsyncgate"; Rebello et al., "Can
-//!   Applications Recover from fsync Failures?", 2020). [`Journal::replace`] writes one record that replaces all
-//!   others to a new file. A start rewrites all that it reads in the same way, since the previous process may have met
-//!   such a failure and the data may exist only in the page cache.
-//! - A generation is in service only once it is durable and every older one is durably removed. If a start finds two,
-//!   nothing was acknowledged for the newer one beyond its initial records.
+//! - [`Journal::append`] returns `Ok` only once the records would survive a loss of power, together with all
+//!   records before them. What is read back is always a prefix of what was appended, with no record missing
+//!   in between.
+//! - After the first failure of a file nothing more is appended to it. A sync that failed may have dropped
+//!   the pages that it did not write, so that a later sync that succeeds proves nothing ("fsyncgate";
+//!   Rebello et al., "Can Applications Recover from fsync Failures?", 2020). [`Journal::replace`] writes one
+//!   record that replaces all others to a new file. A start rewrites all that it reads in the same way,
+//!   since the previous process may have met such a failure and the data may exist only in the page cache.
+//! - A generation is in service only once it is durable and every older one is durably removed. If a start
+//!   finds two, nothing was acknowledged for the newer one beyond its initial records.
 
 use std::fmt;
 use std::io;
@@ -83,8 +84,9 @@
 
 /// A journal with its current generation.
 pub struct Journal<S: JournalStorage> {
-    /// `None` after a failure, until [`Journal::replace`] has started a new generation. The database writes to its file
-    /// when it closes, so this field is declared, and dropped, before the storage that holds the directory lock.
+    /// `None` after a failure, until [`Journal::replace`] has started a new generation. The database writes
+    /// to its file when it closes, so this field is declared, and dropped, before the storage that holds the
+    /// directory lock.
     database: Option<Database>,
     storage: S,
     /// The most recently created generation.
@@ -98,7 +100,8 @@
 }
 
 impl<S: JournalStorage> Journal<S> {
-    /// Reads the newest complete generation, oldest record first, and starts a new generation with its records.
+    /// Reads the newest complete generation, oldest record first, and starts a new generation with its
+    /// records.
     ///
     /// # Errors
     /// [`JournalError::Corrupt`] if files exist and none can be read; the caller may continue with
@@ -127,8 +130,8 @@
                 }
                 // It was never completed: nothing was acknowledged for it.
                 Ok(None) => {}
-                // An incomplete generation may also be unreadable, but only next to the older one that it was to
-                // replace.
+                // An incomplete generation may also be unreadable, but only next to the older one that it
+                // was to replace.
                 Err(JournalError::Corrupt(reason)) if index > 0 => {
                     warn!("disk: ignoring incomplete generation {generation}: {reason}");
                 }
@@ -177,7 +180,8 @@
     /// Appends records. All of them are durable when this returns `Ok`.
     ///
     /// # Errors
-    /// When some of the records may not be durable. From then on every call fails until [`Journal::replace`] succeeds.
+    /// When some of the records may not be durable. From then on every call fails until [`Journal::replace`]
+    /// succeeds.
     pub fn append<'a>(&mut self, records: impl Iterator<Item = &'a [u8]>) -> Result<(), JournalError> {
         let Some(database) = &self.database else {
             return Err(JournalError::Unavailable("an earlier write failed".to_string()));
@@ -227,7 +231,8 @@
         }
     }
 
-    /// Starts a generation with these records. It is in service once it is durable and all others are removed.
+    /// Starts a generation with these records. It is in service once it is durable and all others are
+    /// removed.
     fn start_generation(&mut self, records: &[&[u8]]) -> Result<(), JournalError> {
         self.database = None;
         self.remove_failed_attempts();
@@ -273,7 +278,8 @@
     }
 }
 
-/// A file that rejects all modifications after the first failure, including those that `redb` makes when it closes.
+/// A file that rejects all modifications after the first failure, including those that `redb` makes when it
+/// closes.
 #[derive(Debug)]
 struct FailStopFile<B> {
     file: B,
@@ -323,7 +329,8 @@
 
 /// The records of a generation; `None` if it is incomplete.
 ///
-/// `redb` panics on some corrupt files. The panic is caught, since the process would otherwise crash at every start.
+/// `redb` panics on some corrupt files. The panic is caught, since the process would otherwise crash at
+/// every start.
 fn read_catching_panics<S: JournalStorage>(
     storage: &S,
     generation: u64,
@@ -353,8 +360,8 @@
     Ok(Some(records))
 }
 
-/// A record as it is stored: preceded by a checksum of its index and content. `redb` verifies its pages only after a
-/// crash, so it would return a record whose bytes changed on the medium.
+/// A record as it is stored: preceded by a checksum of its index and content. `redb` verifies its pages only
+/// after a crash, so it would return a record whose bytes changed on the medium.
 fn with_checksum(index: u64, record: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(CHECKSUM_BYTES + record.len());
     bytes.extend_from_slice(&checksum(index, record));
--- a/crates/arrowyard-runtime/src/lib.rs
+++ b/crates/arrowyard-runtime/src/lib.rs
@@ -1,7 +1,8 @@
-//! Event loop that runs a [`Plane`]: one thread for sockets, timers and signals, and a second one for the disk.
+//! Event loop that runs a [`Plane`]: one thread for sockets, timers and signals, and a second one for the
+//! disk.
 //!
-//! A plane is a deterministic state machine without I/O. It receives an [`Event`] with the current time and appends
-//! [`Commands`]; the loop executes them after the call returns.
+//! A plane is a deterministic state machine without I/O. It receives an [`Event`] with the current time and
+//! appends [`Commands`]; the loop executes them after the call returns.
 
 mod commands;
 mod conn;
--- a/crates/arrowyard-runtime/src/run.rs
+++ b/crates/arrowyard-runtime/src/run.rs
@@ -315,7 +315,8 @@
                         return;
                     }
                     if reads >= READS_BEFORE_YIELD && !read_closed {
-                        // Polling is edge-triggered: re-register the socket to be notified of the remaining bytes.
+                        // Polling is edge-triggered: re-register the socket to be notified of the remaining
+                        // bytes.
                         self.reregister(conn);
                         return;
                     }
@@ -358,8 +359,8 @@
         }
     }
 
-    /// Resets a connection (`SO_LINGER` 0). After a plain close the kernel would still deliver its send buffer, so that a
-    /// statement already retried on another host could also run on this one.
+    /// Resets a connection (`SO_LINGER` 0). After a plain close the kernel would still deliver its send
+    /// buffer, so that a statement already retried on another host could also run on this one.
     fn reset(&mut self, conn: Conn) {
         if let Some(socket) = self.sockets.get(&conn) {
             drop(SockRef::from(&socket.stream).set_linger(Some(Duration::ZERO)));
--- a/crates/arrowyard-runtime/src/storage.rs
+++ b/crates/arrowyard-runtime/src/storage.rs
@@ -1,5 +1,5 @@
-//! File access for the journal, which writes to one file per *generation*; see [`Journal`](crate::Journal). Tests
-//! implement [`JournalStorage`] to inject storage faults.
+//! File access for the journal, which writes to one file per *generation*; see [`Journal`](crate::Journal).
+//! Tests implement [`JournalStorage`] to inject storage faults.
 
 use std::fs::{self, File, OpenOptions, TryLockError};
 use std::io;
@@ -31,7 +31,8 @@
     /// When the file cannot be opened or created.
     fn open(&self, generation: u64) -> io::Result<Self::File>;
 
-    /// Removes a generation. Whether the removal survives a loss of power is known only after [`Folder::sync`].
+    /// Removes a generation. Whether the removal survives a loss of power is known only after
+    /// [`Folder::sync`].
     ///
     /// # Errors
     /// When the file cannot be removed.
@@ -40,12 +41,13 @@
     /// Makes creations and removals durable.
     ///
     /// # Errors
-    /// When the directory cannot be synced. Each creation and removal since the last sync may or may not be durable.
+    /// When the directory cannot be synced. Each creation and removal since the last sync may or may not be
+    /// durable.
     fn sync(&self) -> io::Result<()>;
 }
 
-/// A locked directory of the file system. The lock is held until this is dropped, because two processes that write to
-/// one generation would corrupt it.
+/// A locked directory of the file system. The lock is held until this is dropped, because two processes that
+/// write to one generation would corrupt it.
 #[derive(Debug)]
 pub struct Directory {
     path: PathBuf,
@@ -56,8 +58,8 @@
     /// Creates the directory if it does not exist, makes its name durable, and locks it.
     ///
     /// # Errors
-    /// [`io::ErrorKind::ResourceBusy`] while another [`Directory`], of this process or of another one, holds the lock;
-    /// otherwise when it cannot be created or its parent cannot be synced.
+    /// [`io::ErrorKind::ResourceBusy`] while another [`Directory`], of this process or of another one, holds
+    /// the lock; otherwise when it cannot be created or its parent cannot be synced.
     pub fn create(path: &Path) -> io::Result<Self> {
         fs::create_dir_all(path)?;
         // If the directory entry is not durable, a power loss removes the directory with all its files.
--- a/crates/arrowyard-runtime/src/store.rs
+++ b/crates/arrowyard-runtime/src/store.rs
@@ -1,8 +1,8 @@
 //! The disk thread: appends the records of a plane to its [`Journal`] and reports which of them are durable.
 //!
-//! After the first disk error every record is reported as not durable and the plane is notified. The thread then retries
-//! to write a snapshot of the plane to a new generation until that succeeds. The plane's memory holds everything that was
-//! acknowledged, so the snapshot replaces all earlier records.
+//! After the first disk error every record is reported as not durable and the plane is notified. The thread
+//! then retries to write a snapshot of the plane to a new generation until that succeeds. The plane's memory
+//! holds everything that was acknowledged, so the snapshot replaces all earlier records.
 
 use std::path::Path;
 use std::sync::mpsc::{Receiver, RecvTimeoutError, Sender, channel};
@@ -71,7 +71,8 @@
     pub corrupt: bool,
 }
 
-/// Opens the journal in a directory and reads its records. An unreadable journal is replaced by an empty one.
+/// Opens the journal in a directory and reads its records. An unreadable journal is replaced by an empty
+/// one.
 ///
 /// # Errors
 /// When the disk returns an error or the directory is in use; a later attempt may succeed.
