--- a/crates/arrowyard-config/tests/configuration.rs
+++ b/crates/arrowyard-config/tests/configuration.rs
@@ -1,4 +1,4 @@
-//! What is invalid is refused with its place; what is valid comes back as it was sent.
+//! Configuration and settings: round trips, validation errors, differences and adjustments.
 
 use arrowyard_config::{Change, ChangeKind, ConfigError, Configuration, RouteKind, Settings};
 use proptest::prelude::*;
@@ -9,15 +9,15 @@
   "services":[{"name":"s1","probe-path":"/health","conn-limit":53,"sync-replicas":1}],"limits":{"tx-idle-ms":3000},"later":[1]}"#;
 
 fn first() -> Configuration {
-    Configuration::default().replace(FIRST.as_bytes()).expect("it is valid")
+    Configuration::default().replace(FIRST.as_bytes()).expect("valid configuration")
 }
 
-fn refused(body: &str) -> String {
-    first().replace(body.as_bytes()).expect_err("it is invalid").to_string()
+fn rejection(body: &str) -> String {
+    first().replace(body.as_bytes()).expect_err("invalid configuration").to_string()
 }
 
 #[test]
-fn what_is_valid_comes_back_as_it_was_sent() {
+fn valid_configuration_round_trips_with_unknown_fields() {
     let read = first();
     let body = read.body();
     assert_eq!(Configuration::default().replace(body.as_bytes()), Ok(read));
@@ -31,35 +31,35 @@
 }
 
 #[test]
-fn what_is_invalid_is_refused_with_its_place() {
-    assert!(refused(&FIRST[..FIRST.len() - 9]).contains("cannot be read"));
-    assert!(refused("[]").contains("cannot be read"));
+fn invalid_configuration_is_rejected_with_the_path() {
+    assert!(rejection(&FIRST[..FIRST.len() - 9]).contains("cannot be read"));
+    assert!(rejection("[]").contains("cannot be read"));
     let channel = |fields: &str| {
         format!(
             r#"{{"revision":9,"channels":[{{"name":"a","service":"s1",{fields}}}],"services":[{{"name":"s1"}}]}}"#
         )
     };
-    assert!(refused(&channel(r#""deadline-ms":0"#)).contains("/channels/0/deadline-ms"));
-    assert!(refused(&channel(r#""deadline-ms":"soon""#)).contains("/channels/0/deadline-ms"));
-    assert!(refused(&channel(r#""deadline-ms":-5"#)).contains("/channels/0/deadline-ms"));
-    assert!(refused(&channel(r#""kind":"any""#)).contains("/channels/0/kind"));
+    assert!(rejection(&channel(r#""deadline-ms":0"#)).contains("/channels/0/deadline-ms"));
+    assert!(rejection(&channel(r#""deadline-ms":"soon""#)).contains("/channels/0/deadline-ms"));
+    assert!(rejection(&channel(r#""deadline-ms":-5"#)).contains("/channels/0/deadline-ms"));
+    assert!(rejection(&channel(r#""kind":"any""#)).contains("/channels/0/kind"));
     let unknown =
         FIRST.replace("7", "9").replace(r#""service":"s1","staleness"#, r#""service":"s9","staleness"#);
-    assert!(refused(&unknown).contains("/channels/1/service"));
+    assert!(rejection(&unknown).contains("/channels/1/service"));
     let same = FIRST.replace("\"revision\":7", "\"revision\":9").replace("db2", "db1");
-    assert!(refused(&same).contains("/channels/1"));
+    assert!(rejection(&same).contains("/channels/1"));
     assert_eq!(first().replace(FIRST.as_bytes()), Err(ConfigError::Old(7, 7)));
 }
 
 #[test]
-fn a_difference_leads_to_the_other_configuration_and_is_none_where_named_items_do_not() {
+fn difference_reaches_the_other_configuration_or_is_none() {
     let next = |text: &str| {
         first().replace(text.replace("\"revision\":7", "\"revision\":9").as_bytes()).expect("valid")
     };
     let small = next(&FIRST.replace("\"deadline-ms\":800", "\"deadline-ms\":900"));
     let body = first().difference(&small).expect("one route differs");
     assert_eq!(first().adjust(body.as_bytes()), Ok(small));
-    assert!(!body.contains("db2"), "the other route is not told: {body}");
+    assert!(!body.contains("db2"), "unchanged routes are omitted: {body}");
     let other_field = next(&FIRST.replace("\"later\":[1]", "\"later\":[2]"));
     assert_eq!(first().difference(&other_field), None);
     let without_limits = next(&FIRST.replace(",\"limits\":{\"tx-idle-ms\":3000}", ""));
@@ -68,7 +68,7 @@
 
 proptest! {
     #[test]
-    fn differences_of_drawn_configurations_lead_from_one_to_the_other(
+    fn differences_of_random_configurations_reach_the_other(
         before in prop::collection::btree_map("[a-f]", 1u32..4, 0..6),
         after in prop::collection::btree_map("[a-f]", 1u32..4, 0..6),
         reversed: bool,
@@ -85,13 +85,13 @@
         }
         let before = Configuration::default().replace(body(5, before.iter().collect()).as_bytes()).expect("valid");
         let after = before.replace(body(6, routes).as_bytes()).expect("valid");
-        let difference = before.difference(&after).expect("named items lead there");
-        prop_assert!(before.adjust(difference.as_bytes()).is_ok_and(|led| led.is_equivalent(&after)));
+        let difference = before.difference(&after).expect("an adjustment reaches it");
+        prop_assert!(before.adjust(difference.as_bytes()).is_ok_and(|adjusted| adjusted.is_equivalent(&after)));
     }
 }
 
 #[test]
-fn named_items_are_added_replaced_and_removed() {
+fn adjustment_adds_replaces_and_removes_items() {
     let body = r#"{"revision":9,"upsert":{"channels":[{"name":"b","plant":"db3","service":"s1","deadline-ms":10},{"name":"c","plant":"db4","service":"s1"}]},"remove":{"channels":["a","never"]}}"#;
     let change = Change { kind: ChangeKind::Adjust, base: 7, body: body.into() };
     let next = change.apply(&first()).expect("it is valid");
@@ -100,12 +100,12 @@
     assert_eq!(names, [("b", "db3"), ("c", "db4")]);
     assert_eq!(next.revision, 9);
     let orphan = r#"{"revision":9,"remove":{"services":["s1"]}}"#;
-    assert!(first().adjust(orphan.as_bytes()).is_err(), "routes would name a service that is not there");
+    assert!(first().adjust(orphan.as_bytes()).is_err(), "a route references a missing service");
 }
 
 proptest! {
     #[test]
-    fn whatever_comes_is_read_or_refused(body in prop::collection::vec(any::<u8>(), 0..300), cut in 0usize..400) {
+    fn arbitrary_bytes_do_not_panic(body in prop::collection::vec(any::<u8>(), 0..300), cut in 0usize..400) {
         drop(Configuration::default().replace(&body));
         let part = &FIRST.as_bytes()[..cut.min(FIRST.len())];
         prop_assert_eq!(Configuration::default().replace(part).is_ok(), part.len() == FIRST.len());
@@ -116,8 +116,8 @@
 const SETTINGS: &str = "node: \"edge-1\"\nip: \"10.1.0.8\"\nzone: \"a\"\ninternal-ports:\n  - 7440\n  - 7455\nnew-field: {x: 1}\n";
 
 #[test]
-fn settings_are_checked_whole_and_unknown_fields_passed_over() {
-    let read = Settings::parse(SETTINGS).expect("they are sound");
+fn settings_report_all_faults_and_ignore_unknown_fields() {
+    let read = Settings::parse(SETTINGS).expect("valid settings");
     assert_eq!(
         (read.internal_ports, read.bootstrap, read.heartbeat_interval_ms),
         ((7440, 7455), false, 1200)
--- a/crates/arrowyard-config/tests/shares.rs
+++ b/crates/arrowyard-config/tests/shares.rs
@@ -1,4 +1,4 @@
-//! What the operator promises kinds of requests: read, refused with its place, changed by name.
+//! Shares in the operator configuration: parsing, validation errors and adjustments.
 
 use arrowyard_config::{Change, ChangeKind, Configuration, Share};
 
@@ -13,15 +13,15 @@
     Configuration::default().replace(text.as_bytes()).expect("it is valid")
 }
 
-fn refused(route: &str, shares: &str) -> String {
+fn rejection(route: &str, shares: &str) -> String {
     let text = body(3, route, shares);
-    Configuration::default().replace(text.as_bytes()).expect_err("it is invalid").to_string()
+    Configuration::default().replace(text.as_bytes()).expect_err("invalid configuration").to_string()
 }
 
 const POSTINGS: &str = r#","arrowyard-shares":[{"name":"postings","weight":3,"least":0.4,"lends":false},{"name":"status","most":0.5,"borrows":false}]"#;
 
 #[test]
-fn routes_count_as_what_the_operator_names_or_as_their_kind_and_priority() {
+fn routes_use_the_named_share_or_the_default() {
     let read = read(&body(3, r#","arrowyard-share":"postings""#, POSTINGS));
     let shares: Vec<&str> = read.channels().map(|channel| channel.share.as_str()).collect();
     assert_eq!(shares, ["postings", "bounded_staleness/2"]);
@@ -37,13 +37,13 @@
     };
     assert_eq!(read.shares().next(), Some(&postings));
     assert!(read.division_enabled());
-    let again = Configuration::default().replace(read.body().as_bytes()).expect("its own text is valid");
+    let again = Configuration::default().replace(read.body().as_bytes()).expect("round trip");
     assert_eq!(again, read);
 }
 
 #[test]
-fn promises_that_cannot_be_kept_are_refused_with_their_place() {
-    for (route, shares, place) in [
+fn invalid_shares_are_rejected_with_the_path() {
+    for (route, shares, path) in [
         (r#","arrowyard-share":"nobody""#, POSTINGS, "/channels/0/arrowyard-share"),
         (r#","arrowyard-share":7"#, POSTINGS, "/channels/0/arrowyard-share"),
         (
@@ -59,13 +59,13 @@
         ("", r#","arrowyard-shares":{}"#, "/arrowyard-shares"),
         ("", r#","arrowyard-division":1"#, "/arrowyard-division"),
     ] {
-        let said = refused(route, shares);
-        assert!(said.contains(place), "{said}, not {place}");
+        let error = rejection(route, shares);
+        assert!(error.contains(path), "{error}, not {path}");
     }
 }
 
 #[test]
-fn weights_change_services_come_and_go_and_the_division_is_turned_off() {
+fn adjustment_changes_shares_and_disables_division() {
     let first = read(&body(3, r#","arrowyard-share":"postings""#, POSTINGS));
     let adjust = |base, body: &str| Change { kind: ChangeKind::Adjust, base, body: body.into() };
     let next = adjust(
@@ -77,7 +77,7 @@
     let weights: Vec<(&str, f64)> = next.shares().map(|share| (share.name.as_str(), share.weight)).collect();
     assert_eq!(weights, [("postings", 9.0), ("new", 1.0)]);
     assert!(!next.division_enabled() && !read(&next.body()).division_enabled());
-    // One that a route still counts as cannot go.
+    // A share that a route references cannot be removed.
     let gone = adjust(4, r#"{"revision":5,"remove":{"arrowyard-shares":["postings"]}}"#).apply(&next);
-    assert!(gone.expect_err("a route names it").to_string().contains("/channels/0/arrowyard-share"));
+    assert!(gone.expect_err("a route references it").to_string().contains("/channels/0/arrowyard-share"));
 }
--- a/crates/arrowyard-protocol/tests/wire.rs
+++ b/crates/arrowyard-protocol/tests/wire.rs
@@ -1,4 +1,4 @@
-//! Lines come whole or not at all, in whatever pieces they arrive; nothing that is said is read as something else.
+//! Line decoding and parsing of requests, statements and responses.
 
 use arrowyard_protocol::{
     AccessMode, ExecutionStatus, FaultCode, LineDecoder, MAX_LINE_BYTES, Position, Request, Response,
@@ -8,7 +8,7 @@
 
 proptest! {
     #[test]
-    fn lines_come_whole_in_whatever_pieces(lines in prop::collection::vec("[ -~]{0,40}", 0..12), cuts in prop::collection::vec(1usize..9, 1..200)) {
+    fn lines_are_decoded_from_arbitrary_chunks(lines in prop::collection::vec("[ -~]{0,40}", 0..12), cuts in prop::collection::vec(1usize..9, 1..200)) {
         let sent: Vec<u8> = lines.iter().flat_map(|line| [line.as_bytes(), b"\r\n"].concat()).collect();
         let (mut read, mut buffer, mut rest) = (Vec::new(), LineDecoder::default(), sent.as_slice());
         for cut in cuts.iter().cycle() {
@@ -19,7 +19,7 @@
             buffer.put(piece);
             rest = left;
             while let Some(line) = buffer.take().expect("short lines") {
-                read.push(String::from_utf8(line.to_vec()).expect("what was sent"));
+                read.push(String::from_utf8(line.to_vec()).expect("UTF-8 line"));
             }
         }
         prop_assert_eq!(read, lines);
@@ -27,7 +27,7 @@
     }
 
     #[test]
-    fn whatever_comes_is_read_or_refused(line in "\\PC{0,60}") {
+    fn arbitrary_lines_do_not_panic(line in "\\PC{0,60}") {
         let _ = Request::parse(&line);
         let _ = Response::parse(&line);
         let _ = Statement::parse(&line);
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn a_line_without_end_is_given_up_at_the_longest() {
+fn unterminated_line_is_rejected_above_the_maximum() {
     let mut lines = LineDecoder::default();
     lines.put(&vec![b'x'; MAX_LINE_BYTES]);
     assert_eq!(lines.take(), Ok(None));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_pages_own_examples() {
+fn messages_are_parsed() {
     assert_eq!(
         Request::parse("OPEN lepu270 u3f1"),
         Some(Request::Open { database: "lepu270", user: "u3f1" })
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn only_what_the_page_promises_counts_as_not_run() {
+fn only_guaranteed_codes_count_as_not_run() {
     for code in ["SATURATED", "REVERTED", "LAGGING", "READONLY", "MISROUTED", "OVERLOAD", "UNDEFINED"] {
         assert_eq!(FaultCode::parse(code).execution_status(), ExecutionStatus::NotRun, "{code}");
     }
--- a/crates/arrowyard-runtime/src/storage.rs
+++ b/crates/arrowyard-runtime/src/storage.rs
@@ -32,7 +32,7 @@
     fn open(&self, generation: u64) -> io::Result<Self::File>;
 
     /// Removes a generation. Whether the removal survives a loss of power is known only after
-    /// [`Folder::sync`].
+    /// [`JournalStorage::sync`].
     ///
     /// # Errors
     /// When the file cannot be removed.
--- a/crates/arrowyard-runtime/tests/journal.rs
+++ b/crates/arrowyard-runtime/tests/journal.rs
@@ -1,15 +1,15 @@
-//! The journal that ships, on a disk that fails: whatever it acknowledged is read back, in order and without a gap.
+//! Journal on a disk with injected faults: acknowledged records are read back in order and without gaps.
 
 mod faulty;
 
 use arrowyard_runtime::{Directory, Journal, JournalError};
 use fastrand::Rng;
-use faulty::{Fault, FaultyFolder};
+use faulty::{Fault, FaultyStorage};
 
-/// What the process holds in memory, and what its disk acknowledged.
+/// Records that the process holds in memory and that its disk acknowledged.
 #[derive(Default)]
 struct Process {
-    /// Records are numbered; a snapshot stands for all up to a number.
+    /// Number of the last record. A snapshot replaces all records up to its number.
     last: u64,
     acknowledged: u64,
 }
@@ -22,26 +22,26 @@
     format!("snapshot {number}").into_bytes()
 }
 
-/// The last number that records lead to. Panics at a gap.
-fn covered(records: &[Vec<u8>], context: &str) -> u64 {
-    let mut covered = 0;
+/// The number of the last record. Panics at a gap.
+fn last_record(records: &[Vec<u8>], context: &str) -> u64 {
+    let mut last_record = 0;
     for record in records {
-        let text = String::from_utf8(record.clone()).expect("it is what was written");
-        let (kind, number) = text.split_once(' ').expect("a kind and a number");
-        let number: u64 = number.parse().expect("a number");
+        let text = String::from_utf8(record.clone()).expect("UTF-8 record");
+        let (kind, number) = text.split_once(' ').expect("kind and number");
+        let number: u64 = number.parse().expect("number");
         match kind {
-            "snapshot" => covered = number,
+            "snapshot" => last_record = number,
             _ => {
-                assert_eq!(number, covered + 1, "{context}: a gap in {records:?}");
-                covered = number;
+                assert_eq!(number, last_record + 1, "{context}: a gap in {records:?}");
+                last_record = number;
             }
         }
     }
-    covered
+    last_record
 }
 
 impl Process {
-    fn append(&mut self, journal: &mut Journal<FaultyFolder>, count: u64) {
+    fn append(&mut self, journal: &mut Journal<FaultyStorage>, count: u64) {
         let first = self.last + 1;
         self.last += count;
         let records: Vec<Vec<u8>> = (first..=self.last).map(record).collect();
@@ -50,145 +50,148 @@
         }
     }
 
-    fn replace(&mut self, journal: &mut Journal<FaultyFolder>) {
+    fn replace(&mut self, journal: &mut Journal<FaultyStorage>) {
         if journal.replace(&snapshot(self.last)).is_ok() {
             self.acknowledged = self.last;
         }
     }
 }
 
-fn start(folder: &FaultyFolder, context: &str) -> (Journal<FaultyFolder>, u64) {
+fn open_journal(storage: &FaultyStorage, context: &str) -> (Journal<FaultyStorage>, u64) {
     let (journal, records) =
-        Journal::open(folder.clone()).unwrap_or_else(|error| panic!("{context}: {error}"));
-    let covered = covered(&records, context);
-    (journal, covered)
+        Journal::open(storage.clone()).unwrap_or_else(|error| panic!("{context}: {error}"));
+    let last_record = last_record(&records, context);
+    (journal, last_record)
 }
 
-/// One life after the other on one disk, each ended by a loss of power or a kill at a drawn operation.
-fn play(seed: u64) {
-    let (folder, mut rng) = (FaultyFolder::new(seed), Rng::with_seed(seed ^ 0x5eed));
+/// Restarts the process several times on one disk. Each run ends by a power loss or a kill at a random
+/// operation.
+fn run_with_faults(seed: u64) {
+    let (storage, mut rng) = (FaultyStorage::new(seed), Rng::with_seed(seed ^ 0x5eed));
     let mut process = Process::default();
-    for life in 0..6 {
-        let context = format!("seed {seed}, life {life}");
-        let (mut journal, covered) = start(&folder, &context);
-        assert!(covered >= process.acknowledged, "{context}: {covered} of {}", process.acknowledged);
-        process = Process { last: covered, acknowledged: covered };
+    for run in 0..6 {
+        let context = format!("seed {seed}, run {run}");
+        let (mut journal, last_record) = open_journal(&storage, &context);
+        assert!(last_record >= process.acknowledged, "{context}: {last_record} of {}", process.acknowledged);
+        process = Process { last: last_record, acknowledged: last_record };
         for _ in 0..rng.u32(1..25) {
             match rng.u32(0..12) {
-                0 => folder.fail_after(rng.u32(0..12), Fault::Refuse),
-                1 => folder.fail_after(rng.u32(0..12), Fault::CutShort),
-                2 => folder.fail_after(rng.u32(0..4), Fault::FailSync),
-                3 | 4 => folder.mend(),
+                0 => storage.fail_after(rng.u32(0..12), Fault::RejectAll),
+                1 => storage.fail_after(rng.u32(0..12), Fault::TruncateWrite),
+                2 => storage.fail_after(rng.u32(0..4), Fault::FailSync),
+                3 | 4 => storage.repair(),
                 5 | 6 => process.replace(&mut journal),
                 _ => process.append(&mut journal, rng.u64(1..4)),
             }
             if !journal.is_writable() && rng.bool() {
-                folder.mend();
+                storage.repair();
                 process.replace(&mut journal);
             }
         }
-        // The machine may stop in the middle of an operation.
-        folder.fail_after(rng.u32(0..15), Fault::Refuse);
+        // The machine may stop during an operation.
+        storage.fail_after(rng.u32(0..15), Fault::RejectAll);
         process.append(&mut journal, 1);
         process.replace(&mut journal);
         match rng.u32(0..6) {
-            // The process is killed: what it wrote stays, durable or not.
+            // The process is killed: its writes stay in the page cache.
             0 => std::mem::forget(journal),
             1 => drop(journal),
             _ => {
                 std::mem::forget(journal);
-                folder.lose_power();
+                storage.lose_power();
             }
         }
-        folder.mend();
+        storage.repair();
     }
 }
 
 #[test]
-fn whatever_was_acknowledged_is_read_back_after_any_fault_and_loss_of_power() {
-    (0..900).for_each(play);
+fn acknowledged_records_survive_faults_and_power_loss() {
+    (0..900).for_each(run_with_faults);
 }
 
 #[test]
-fn a_sync_that_failed_is_not_taken_for_a_later_one() {
-    let folder = FaultyFolder::new(1);
-    let (mut journal, mut process) = (start(&folder, "first").0, Process::default());
+fn failed_sync_invalidates_later_appends_until_a_snapshot() {
+    let storage = FaultyStorage::new(1);
+    let (mut journal, mut process) = (open_journal(&storage, "first").0, Process::default());
     process.append(&mut journal, 3);
-    folder.fail_after(0, Fault::FailSync);
+    storage.fail_after(0, Fault::FailSync);
     process.append(&mut journal, 1);
     assert_eq!(process.acknowledged, 3);
-    // The disk is well again; still nothing counts before a snapshot stands in a new file.
+    // The disk works again, but nothing is acknowledged before a snapshot is in a new file.
     process.append(&mut journal, 1);
     assert_eq!((process.acknowledged, journal.is_writable()), (3, false));
     process.replace(&mut journal);
     process.append(&mut journal, 1);
     assert_eq!(process.acknowledged, 6);
-    folder.lose_power();
+    storage.lose_power();
     std::mem::forget(journal);
-    assert_eq!(start(&folder, "second").1, 6);
+    assert_eq!(open_journal(&storage, "second").1, 6);
 }
 
 #[test]
-fn a_disk_that_is_full_for_long_is_tried_again_and_again_and_leaves_nothing_behind() {
-    let folder = FaultyFolder::new(2);
-    let (mut journal, mut process) = (start(&folder, "first").0, Process::default());
+fn retries_on_a_full_disk_leave_no_files_behind() {
+    let storage = FaultyStorage::new(2);
+    let (mut journal, mut process) = (open_journal(&storage, "first").0, Process::default());
     process.append(&mut journal, 3);
-    let before = folder.bytes();
+    let before = storage.bytes();
     for _ in 0..50 {
-        folder.fail_after(6, Fault::Refuse);
+        storage.fail_after(6, Fault::RejectAll);
         process.append(&mut journal, 1);
         process.replace(&mut journal);
         assert_eq!(process.acknowledged, 3);
-        folder.mend();
+        storage.repair();
     }
     process.replace(&mut journal);
     assert_eq!(process.acknowledged, process.last);
-    assert!(folder.bytes() <= before * 2, "{} bytes after {before}", folder.bytes());
+    assert!(storage.bytes() <= before * 2, "{} bytes after {before}", storage.bytes());
 }
 
 #[test]
-fn a_journal_that_is_spoilt_is_told_apart_and_begun_anew_only_when_asked() {
-    let folder = FaultyFolder::new(3);
-    let (mut journal, mut process) = (start(&folder, "first").0, Process::default());
+fn corrupt_journal_is_reported_and_replaced_only_on_request() {
+    let storage = FaultyStorage::new(3);
+    let (mut journal, mut process) = (open_journal(&storage, "first").0, Process::default());
     process.append(&mut journal, 3);
     drop(journal);
-    folder.spoil();
-    assert!(matches!(Journal::open(folder.clone()), Err(JournalError::Corrupt(_))));
-    drop(Journal::create_empty(folder.clone()).expect("the disk works"));
-    assert_eq!(start(&folder, "anew").1, 0);
+    storage.corrupt_headers();
+    assert!(matches!(Journal::open(storage.clone()), Err(JournalError::Corrupt(_))));
+    drop(Journal::create_empty(storage.clone()).expect("disk works"));
+    assert_eq!(open_journal(&storage, "new").1, 0);
 }
 
 #[test]
-fn its_size_is_bounded_however_long_it_runs() {
+fn checkpoints_bound_the_file_size() {
     let path = std::env::temp_dir().join(format!("arrowyard-journal-{}", std::process::id()));
-    let open = || Journal::open(Directory::create(&path).expect("it can be made")).expect("it can be read");
+    let open = || {
+        Journal::open(Directory::create(&path).expect("creates the directory")).expect("opens the journal")
+    };
     let (mut journal, _) = open();
     let large = vec![7_u8; 20_000];
     let mut checkpoints = 0;
     for _ in 0..600 {
-        journal.append([large.as_slice()].into_iter()).expect("the disk works");
+        journal.append([large.as_slice()].into_iter()).expect("disk works");
         if journal.checkpoint_due() {
-            journal.replace(&large).expect("the disk works");
+            journal.replace(&large).expect("disk works");
             checkpoints += 1;
         }
     }
     assert!(checkpoints >= 10);
-    let entries = std::fs::read_dir(&path).expect("it is there").flatten();
+    let entries = std::fs::read_dir(&path).expect("directory exists").flatten();
     let bytes: u64 = entries.map(|entry| entry.metadata().expect("a file").len()).sum();
     assert!(bytes <= 16 << 20, "{bytes} bytes");
     drop(journal);
     assert!(open().1.len() <= 60);
-    std::fs::remove_dir_all(&path).expect("it was ours");
+    std::fs::remove_dir_all(&path).expect("removes the directory");
 }
 
-/// A medium that gives back other bytes than were written: a start tells that its file is spoilt, or reads what was
-/// written, in order and without a gap. What was appended last may be taken for a write that was cut short.
+/// On a medium that returns wrong bytes a start reports a corrupt file, or reads the records in order and
+/// without gaps. The last append may be missing, since it looks like a truncated write.
 #[test]
-fn spoilt_bytes_are_told_apart_and_never_end_the_process() {
+fn corrupt_bytes_are_detected_without_a_panic() {
     for seed in 0..1500 {
         let context = format!("seed {seed}");
-        let (folder, mut rng) = (FaultyFolder::new(seed), Rng::with_seed(seed));
-        let (mut journal, mut process) = (start(&folder, &context).0, Process::default());
+        let (storage, mut rng) = (FaultyStorage::new(seed), Rng::with_seed(seed));
+        let (mut journal, mut process) = (open_journal(&storage, &context).0, Process::default());
         let mut before_last = 0;
         for _ in 0..rng.u32(1..6) {
             before_last = process.acknowledged;
@@ -199,15 +202,18 @@
         } else {
             drop(journal);
         }
-        folder.spoil_by_lot(&mut rng);
-        match Journal::open(folder.clone()) {
+        storage.corrupt_randomly(&mut rng);
+        match Journal::open(storage.clone()) {
             Ok((_, records)) => {
-                let covered = covered(&records, &context);
-                assert!(covered == process.acknowledged || covered == before_last, "{context}: {covered}");
+                let last_record = last_record(&records, &context);
+                assert!(
+                    last_record == process.acknowledged || last_record == before_last,
+                    "{context}: {last_record}"
+                );
             }
             Err(JournalError::Corrupt(_)) => {
-                drop(Journal::create_empty(folder.clone()).expect("the disk works"));
-                assert_eq!(start(&folder, &context).1, 0);
+                drop(Journal::create_empty(storage.clone()).expect("disk works"));
+                assert_eq!(open_journal(&storage, &context).1, 0);
             }
             Err(error) => panic!("{context}: {error}"),
         }
--- a/crates/arrowyard-runtime/tests/parts.rs
+++ b/crates/arrowyard-runtime/tests/parts.rs
@@ -1,4 +1,4 @@
-//! HTTP in whatever pieces; a store that gives back what it was told was kept, whatever was torn behind it; timers.
+//! HTTP decoding, timers, and the store with its event loop.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -13,49 +13,49 @@
 
 proptest! {
     #[test]
-    fn calls_come_whole_in_whatever_pieces(body in "[a-z]{0,60}", cut in 1usize..40) {
+    fn requests_are_decoded_from_arbitrary_chunks(body in "[a-z]{0,60}", cut in 1usize..40) {
         let text = format_request("POST", "/Config.Replace", "h", &[("Arrowyard-Base-Revision", "5")], &body).repeat(2);
-        let (mut messages, mut seen) = (HttpDecoder::default(), 0);
+        let (mut decoder, mut decoded) = (HttpDecoder::default(), 0);
         for piece in text.as_bytes().chunks(cut) {
-            messages.put(piece);
-            while let Some(request) = messages.next_request().expect("a sound call") {
+            decoder.put(piece);
+            while let Some(request) = decoder.next_request().expect("valid request") {
                 prop_assert_eq!(request.header("arrowyard-base-revision"), Some("5"));
                 prop_assert_eq!(request.body, body.as_bytes());
-                seen += 1;
+                decoded += 1;
             }
         }
-        prop_assert_eq!(seen, 2);
+        prop_assert_eq!(decoded, 2);
     }
 
     #[test]
-    fn whatever_comes_is_read_or_refused(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
-        let mut messages = HttpDecoder::default();
-        messages.put(&bytes);
-        let _ = messages.next_request();
-        let mut messages = HttpDecoder::default();
-        messages.put(&bytes);
-        let _ = messages.next_response();
+    fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..400)) {
+        let mut decoder = HttpDecoder::default();
+        decoder.put(&bytes);
+        let _ = decoder.next_request();
+        let mut decoder = HttpDecoder::default();
+        decoder.put(&bytes);
+        let _ = decoder.next_response();
     }
 }
 
 #[test]
-fn a_call_that_is_too_long_or_of_no_length_is_refused() {
-    let refused = |text: &str| {
-        let mut messages = HttpDecoder::default();
-        messages.put(text.as_bytes());
-        messages.next_request().expect_err("it is refused").0
+fn oversized_and_unsized_requests_are_rejected() {
+    let rejection_status = |text: &str| {
+        let mut decoder = HttpDecoder::default();
+        decoder.put(text.as_bytes());
+        decoder.next_request().expect_err("request is rejected").0
     };
-    assert_eq!(refused("POST / HTTP/1.1\r\nContent-Length: 99999999999\r\n\r\n"), 413);
-    assert_eq!(refused("POST / HTTP/1.1\r\nContent-Length: many\r\n\r\n"), 400);
-    assert_eq!(refused("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"), 501);
-    assert_eq!(refused(&format!("GET /{} HTTP/1.1\r\nx: ", "a".repeat(20_000))), 431);
-    let mut messages = HttpDecoder::default();
-    messages.put(format_response(412, "{\"error\":\"x\"}").as_bytes());
-    assert_eq!(messages.next_response().expect("sound").expect("whole").status, 412);
+    assert_eq!(rejection_status("POST / HTTP/1.1\r\nContent-Length: 99999999999\r\n\r\n"), 413);
+    assert_eq!(rejection_status("POST / HTTP/1.1\r\nContent-Length: many\r\n\r\n"), 400);
+    assert_eq!(rejection_status("POST / HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"), 501);
+    assert_eq!(rejection_status(&format!("GET /{} HTTP/1.1\r\nx: ", "a".repeat(20_000))), 431);
+    let mut decoder = HttpDecoder::default();
+    decoder.put(format_response(412, "{\"error\":\"x\"}").as_bytes());
+    assert_eq!(decoder.next_response().expect("valid response").expect("complete response").status, 412);
 }
 
 #[test]
-fn timers_go_off_in_order_and_not_before() {
+fn timers_expire_in_order() {
     let (mut timers, at) = (Timers::default(), |ms| Timestamp::from_micros(ms));
     timers.set(at(30), 'c');
     let key = timers.set(at(20), 'x');
@@ -67,26 +67,26 @@
     assert_eq!(all, ['a', 'b', 'c']);
 }
 
-fn folder() -> PathBuf {
+fn directory() -> PathBuf {
     static NEXT: AtomicU32 = AtomicU32::new(0);
     let name = format!("arrowyard-runtime-{}-{}", std::process::id(), NEXT.fetch_add(1, Ordering::SeqCst));
     std::env::temp_dir().join(name)
 }
 
-/// Orders records kept, one after the other, and ends when all are.
-struct Keeper {
+/// Stores records one after the other and stops when all are durable.
+struct StoreRecords {
     records: Vec<Vec<u8>>,
     next: usize,
     snapshots: std::cell::Cell<u32>,
 }
 
-impl Plane for Keeper {
+impl Plane for StoreRecords {
     fn handle(&mut self, _: Timestamp, event: Event<'_>, commands: &mut Commands) {
         match event {
             Event::Start => {}
             Event::Stored { ticket, durable } => {
                 assert!(durable);
-                assert_eq!(ticket as usize, self.next, "in the order in which they were asked for");
+                assert_eq!(ticket as usize, self.next, "records become durable in order");
                 self.next += 1;
             }
             _ => return,
@@ -107,18 +107,19 @@
     }
 }
 
-fn keep(folder: &Path, records: Vec<Vec<u8>>) -> u32 {
-    let (store, _) = open_store(folder).expect("the folder can be used");
-    let mut plane = Keeper { records, next: 0, snapshots: std::cell::Cell::new(0) };
+fn store_all(directory: &Path, records: Vec<Vec<u8>>) -> u32 {
+    let (store, _) = open_store(directory).expect("opens the store");
+    let mut plane = StoreRecords { records, next: 0, snapshots: std::cell::Cell::new(0) };
     run(LoopConfig { store: Some(store), max_connections: 4, ..LoopConfig::default() }, &mut plane)
-        .expect("it runs");
+        .expect("event loop runs");
     plane.snapshots.get()
 }
 
-/// What a start finds. A disk that is busy may close the journal of the life before only after its store was dropped.
-fn recovered(folder: &Path) -> Recovered {
+/// Opens the journal again. The disk thread may release the directory lock only after the previous store was
+/// dropped.
+fn recover(directory: &Path) -> Recovered {
     loop {
-        match open_store(folder) {
+        match open_store(directory) {
             Ok((_, recovered)) => return recovered,
             Err(JournalError::InUse) => std::thread::yield_now(),
             Err(error) => panic!("{error}"),
@@ -127,38 +128,38 @@
 }
 
 #[test]
-fn a_journal_has_one_process_at_a_time() {
-    let folder = folder();
-    let (store, _) = open_store(&folder).expect("the folder can be used");
-    assert!(matches!(open_store(&folder), Err(JournalError::InUse)));
+fn journal_is_locked_while_open() {
+    let directory = directory();
+    let (store, _) = open_store(&directory).expect("opens the store");
+    assert!(matches!(open_store(&directory), Err(JournalError::InUse)));
     drop(store);
-    assert!(!recovered(&folder).corrupt);
-    fs::remove_dir_all(&folder).expect("it was ours");
+    assert!(!recover(&directory).corrupt);
+    fs::remove_dir_all(&directory).expect("removes the directory");
 }
 
 #[test]
-fn what_was_kept_is_there_at_each_later_start() {
-    let folder = folder();
+fn stored_records_are_recovered_at_each_start() {
+    let directory = directory();
     let records: Vec<Vec<u8>> = (0..20).map(|n| format!("record {n}").into_bytes()).collect();
-    keep(&folder, records.clone());
+    store_all(&directory, records.clone());
     for _ in 0..3 {
-        let recovered = recovered(&folder);
+        let recovered = recover(&directory);
         assert_eq!((recovered.records, recovered.corrupt), (records.clone(), false));
     }
-    fs::remove_dir_all(&folder).expect("it was ours");
+    fs::remove_dir_all(&directory).expect("removes the directory");
 }
 
 #[test]
-fn a_long_log_is_cut_behind_a_snapshot() {
-    let folder = folder();
+fn snapshot_replaces_a_long_journal() {
+    let directory = directory();
     let records: Vec<Vec<u8>> = (0..60).map(|n: u32| vec![n as u8; 100_000]).collect();
-    let snapshots = keep(&folder, records);
-    let read = recovered(&folder).records;
-    assert!(snapshots >= 1, "six megabytes are more than one segment");
+    let snapshots = store_all(&directory, records);
+    let read = recover(&directory).records;
+    assert!(snapshots >= 1, "six megabytes exceed the checkpoint size");
     assert!(
         read.iter().any(|record| record.starts_with(b"snapshot of")),
-        "a snapshot stands for what was cut"
+        "the snapshot replaces earlier records"
     );
     assert_eq!(read.iter().rev().find(|record| record.len() == 100_000).map(|record| record[0]), Some(59));
-    fs::remove_dir_all(&folder).expect("it was ours");
+    fs::remove_dir_all(&directory).expect("removes the directory");
 }
--- a/crates/arrowyard-system/src/bin/arrowyard-control.rs
+++ b/crates/arrowyard-system/src/bin/arrowyard-control.rs
@@ -1,4 +1,4 @@
-//! The control plane as a program: hosts, routers, the configuration, duties.
+//! The control plane program.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -7,40 +7,43 @@
 
 use arrowyard_control::Control;
 use arrowyard_runtime::{LoopConfig, Recovered, Store, open_store, run};
-use arrowyard_system as works;
-use arrowyard_system::show::{self, Part};
+use arrowyard_system::show::{self, View};
+use arrowyard_system::{init_logging, load_settings, random_incarnation, settings_path, settings_reloader};
 use bpaf::Bpaf;
 
-/// The directory of the journal, in the data directory.
-const JOURNAL: &str = "journal";
-/// A disk that refuses at a start is tried again after so long.
-const DISK_RETRY: Duration = Duration::from_millis(200);
+/// Directory of the journal within the data directory.
+const JOURNAL_DIRECTORY: &str = "journal";
+/// Interval between attempts to open the journal at startup.
+const DISK_RETRY_INTERVAL: Duration = Duration::from_millis(200);
+/// File descriptors that are not available for accepted connections.
+const RESERVED_DESCRIPTORS: usize = 300;
+const MIN_CONNECTIONS: usize = 64;
 
-/// A control machine: knows hosts and routers, agrees on the configuration, replaces primaries.
+/// A control machine: tracks hosts and routers, replicates the configuration, replaces failed primaries.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 enum Command {
-    /// Serves until it is told to end.
+    /// Runs until it receives SIGTERM.
     #[bpaf(command)]
     Run {
-        /// The settings file; without it ARROWYARD_SETTINGS names it.
+        /// Settings file; defaults to the value of ARROWYARD_SETTINGS.
         #[bpaf(argument("FILE"))]
         settings: Option<PathBuf>,
-        /// How much is logged: error, warn, info, debug.
+        /// Log level: error, warn, info, debug.
         #[bpaf(argument("LEVEL"), fallback(log::LevelFilter::Info))]
         log: log::LevelFilter,
     },
-    /// Shows what a control machine knows.
+    /// Shows the status of a control machine.
     #[bpaf(command)]
     Show {
-        /// Its control address.
+        /// Control address of the machine.
         #[bpaf(positional("ADDRESS"))]
         address: SocketAddr,
         /// members, routers, hosts, duties or shares.
         #[bpaf(positional("PART"))]
-        part: Part,
+        view: View,
     },
-    /// Checks a settings file.
+    /// Validates a settings file.
     #[bpaf(command)]
     Check {
         #[bpaf(positional("FILE"))]
@@ -49,56 +52,56 @@
 }
 
 fn serve(path: PathBuf) -> Result<(), String> {
-    let mut settings = works::settings(&path)?;
+    let mut settings = load_settings(&path)?;
     let control = settings.bind_addrs.get("control").copied();
-    let control = control.ok_or("bind-addrs.control: is not told, and a control machine needs it")?;
-    let doors = vec![control, settings.internal(settings.ip)];
-    let most = settings.limits.fd_limit.saturating_sub(300).max(64);
+    let control = control.ok_or("bind-addrs.control: is missing, and a control machine requires it")?;
+    let listen_addresses = vec![control, settings.internal(settings.ip)];
+    let max_connections = settings.limits.fd_limit.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTIONS);
     let (store, recovered) = match &settings.data_dir {
-        Some(folder) => {
-            let (store, recovered) = wait_for_disk(&Path::new(folder).join(JOURNAL));
+        Some(data_dir) => {
+            let (store, recovered) = wait_for_disk(&Path::new(data_dir).join(JOURNAL_DIRECTORY));
             (Some(store), recovered)
         }
         None => (None, Recovered::default()),
     };
-    // Safety: a machine that forgot what it promised must not found the system once more.
+    // A machine that lost its promises must not bootstrap the deployment again.
     settings.bootstrap &= !recovered.corrupt;
     let records = recovered.records;
     let mut plane =
-        Control::open(settings, works::incarnation(), &records, store.is_some(), works::reread(path))?;
-    run(LoopConfig { listen_addresses: doors, store, max_connections: most }, &mut plane)
-        .map_err(|fault| fault.to_string())
+        Control::open(settings, random_incarnation(), &records, store.is_some(), settings_reloader(path))?;
+    run(LoopConfig { listen_addresses, store, max_connections }, &mut plane)
+        .map_err(|error| error.to_string())
 }
 
-/// Opens the journal. While the disk refuses, nothing is known of what this machine promised, so it waits.
-fn wait_for_disk(folder: &Path) -> (Store, Recovered) {
+/// Opens the journal, retrying on disk errors: without it the promises that this machine made are unknown.
+fn wait_for_disk(path: &Path) -> (Store, Recovered) {
     loop {
-        match open_store(folder) {
+        match open_store(path) {
             Ok(opened) => return opened,
-            Err(error) => log::error!("disk: {}: {error}; it is tried again.", folder.display()),
+            Err(error) => log::error!("disk: cannot open {}, retrying: {error}", path.display()),
         }
-        std::thread::sleep(DISK_RETRY);
+        std::thread::sleep(DISK_RETRY_INTERVAL);
     }
 }
 
 fn main() -> ExitCode {
-    let done = match command().run() {
+    let result = match command().run() {
         Command::Run { settings, log } => {
-            works::log(log);
-            serve(works::path(settings))
+            init_logging(log);
+            serve(settings_path(settings))
         }
-        Command::Show { address, part } => {
-            let text = show::fetch(address).and_then(|status| show::shown(&status, part));
+        Command::Show { address, view } => {
+            let text = show::fetch(address).and_then(|status| show::render(&status, view));
             text.map(|text| print!("{text}"))
         }
-        Command::Check { settings } => works::settings(&works::path(settings)).map(|settings| {
-            println!("{}: the settings are sound.", settings.node);
+        Command::Check { settings } => load_settings(&settings_path(settings)).map(|settings| {
+            println!("{}: the settings are valid", settings.node);
         }),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
--- a/crates/arrowyard-system/src/bin/arrowyard-sluice.rs
+++ b/crates/arrowyard-system/src/bin/arrowyard-sluice.rs
@@ -1,28 +1,33 @@
-//! The data plane as a program: clients before, hosts behind.
+//! The data plane program: a router between clients and database hosts.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 
 use arrowyard_pooler::Sluice;
 use arrowyard_runtime::{LoopConfig, run};
-use arrowyard_system as works;
+use arrowyard_system::{init_logging, load_settings, random_incarnation, settings_path, settings_reloader};
 use bpaf::Bpaf;
 
-/// A router: shares the connections of database hosts among sessions, and sends each statement where it belongs.
+/// File descriptors that are not available for accepted connections.
+const RESERVED_DESCRIPTORS: usize = 300;
+const MIN_CONNECTIONS: usize = 64;
+
+/// A router: shares the connections of database hosts among sessions, and sends each statement where it
+/// belongs.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 enum Command {
-    /// Serves until it is told to end.
+    /// Runs until it receives SIGTERM.
     #[bpaf(command)]
     Run {
-        /// The settings file; without it ARROWYARD_SETTINGS names it.
+        /// Settings file; defaults to the value of ARROWYARD_SETTINGS.
         #[bpaf(argument("FILE"))]
         settings: Option<PathBuf>,
-        /// How much is logged: error, warn, info, debug.
+        /// Log level: error, warn, info, debug.
         #[bpaf(argument("LEVEL"), fallback(log::LevelFilter::Info))]
         log: log::LevelFilter,
     },
-    /// Checks a settings file.
+    /// Validates a settings file.
     #[bpaf(command)]
     Check {
         #[bpaf(positional("FILE"))]
@@ -31,32 +36,32 @@
 }
 
 fn serve(path: PathBuf) -> Result<(), String> {
-    let settings = works::settings(&path)?;
-    let door = |name: &str| {
+    let settings = load_settings(&path)?;
+    let bind_address = |name: &str| {
         let address = settings.bind_addrs.get(name).copied();
-        address.ok_or_else(|| format!("bind-addrs.{name}: is not told, and a router needs it"))
+        address.ok_or_else(|| format!("bind-addrs.{name}: is missing, and a router requires it"))
     };
-    let doors = vec![door("front")?, door("readiness")?];
-    let most = settings.limits.fd_limit.saturating_sub(300).max(64);
-    let mut plane = Sluice::new(settings, works::incarnation(), works::reread(path));
-    run(LoopConfig { listen_addresses: doors, store: None, max_connections: most }, &mut plane)
-        .map_err(|fault| fault.to_string())
+    let listen_addresses = vec![bind_address("front")?, bind_address("readiness")?];
+    let max_connections = settings.limits.fd_limit.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTIONS);
+    let mut plane = Sluice::new(settings, random_incarnation(), settings_reloader(path));
+    run(LoopConfig { listen_addresses, store: None, max_connections }, &mut plane)
+        .map_err(|error| error.to_string())
 }
 
 fn main() -> ExitCode {
-    let done = match command().run() {
+    let result = match command().run() {
         Command::Run { settings, log } => {
-            works::log(log);
-            serve(works::path(settings))
+            init_logging(log);
+            serve(settings_path(settings))
         }
-        Command::Check { settings } => works::settings(&works::path(settings)).map(|settings| {
-            println!("{}: the settings are sound.", settings.node);
+        Command::Check { settings } => load_settings(&settings_path(settings)).map(|settings| {
+            println!("{}: the settings are valid", settings.node);
         }),
     };
-    match done {
+    match result {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
--- a/crates/arrowyard-system/src/lib.rs
+++ b/crates/arrowyard-system/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the programs of the whole system share: the settings file, the log, the loop.
+//! Shared by the programs `arrowyard-control` and `arrowyard-sluice`: settings file and logging.
 
 pub mod show;
 
@@ -9,48 +9,52 @@
 
 use arrowyard_config::Settings;
 
-/// The variable that names the settings file, and where it lies otherwise.
-pub const VARIABLE: &str = "ARROWYARD_SETTINGS";
-const USUAL: &str = "/etc/arrowyard/local.yaml";
+/// Environment variable with the path of the settings file.
+pub const SETTINGS_VARIABLE: &str = "ARROWYARD_SETTINGS";
+/// Path of the settings file without an argument or environment variable.
+const DEFAULT_SETTINGS_PATH: &str = "/etc/arrowyard/local.yaml";
 
-/// The path of the settings file.
-pub fn path(named: Option<PathBuf>) -> PathBuf {
-    named.or_else(|| std::env::var_os(VARIABLE).map(PathBuf::from)).unwrap_or_else(|| PathBuf::from(USUAL))
+/// The path of the settings file: the argument, the environment variable or the default.
+pub fn settings_path(argument: Option<PathBuf>) -> PathBuf {
+    argument
+        .or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(PathBuf::from))
+        .unwrap_or_else(|| PathBuf::from(DEFAULT_SETTINGS_PATH))
 }
 
-/// Reads and checks the settings file.
+/// Reads and validates the settings file.
 ///
 /// # Errors
-/// Every fault, with its place.
-pub fn settings(path: &PathBuf) -> Result<Settings, String> {
-    let text = fs::read_to_string(path).map_err(|fault| format!("{}: {fault}", path.display()))?;
-    Settings::parse(&text).map_err(|fault| format!("{}: {fault}", path.display()))
+/// When the file cannot be read; otherwise all faults, each with its field.
+pub fn load_settings(path: &PathBuf) -> Result<Settings, String> {
+    let text = fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?;
+    Settings::parse(&text).map_err(|error| format!("{}: {error}", path.display()))
 }
 
-/// Reads the settings file again; only what is new and sound is told.
-pub fn reread(path: PathBuf) -> Box<dyn FnMut() -> Option<Settings>> {
+/// Returns a function that reads the settings file again. It returns the settings if they changed and are
+/// valid.
+pub fn settings_reloader(path: PathBuf) -> Box<dyn FnMut() -> Option<Settings>> {
     let mut last = fs::read(&path).unwrap_or_default();
     Box::new(move || {
-        let now = fs::read(&path).ok()?;
-        if now == last {
+        let current = fs::read(&path).ok()?;
+        if current == last {
             return None;
         }
-        last.clone_from(&now);
-        match Settings::parse(&String::from_utf8_lossy(&now)) {
+        last.clone_from(&current);
+        match Settings::parse(&String::from_utf8_lossy(&current)) {
             Ok(settings) => {
-                log::info!("settings: They were read again.");
+                log::info!("settings: reloaded");
                 Some(settings)
             }
-            Err(fault) => {
-                log::warn!("settings: They are left as they were: {fault}.");
+            Err(error) => {
+                log::warn!("settings: invalid file ignored, keeping the current settings: {error}");
                 None
             }
         }
     })
 }
 
-/// Sets up the log: short sentences to standard error, each behind the name of its part.
-pub fn log(level: log::LevelFilter) {
+/// Sets up logging to standard error. Messages start with the name of their component.
+pub fn init_logging(level: log::LevelFilter) {
     static ONCE: OnceLock<Mutex<()>> = OnceLock::new();
     ONCE.get_or_init(|| {
         let set = fern::Dispatch::new()
@@ -59,14 +63,14 @@
             .chain(std::io::stderr())
             .apply();
         if set.is_err() {
-            drop(writeln!(std::io::stderr(), "log: There is one already."));
+            drop(writeln!(std::io::stderr(), "log: a logger is already installed"));
         }
         Mutex::new(())
     });
 }
 
-/// A number that no other life of a process has: of the machine's own randomness.
-pub fn incarnation() -> u64 {
+/// A random non-zero number that identifies this run of the process.
+pub fn random_incarnation() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     std::collections::hash_map::RandomState::new().build_hasher().finish() | 1
 }
--- a/crates/arrowyard-system/tests/show.rs
+++ b/crates/arrowyard-system/tests/show.rs
@@ -4,7 +4,7 @@
 use std::net::TcpListener;
 use std::thread;
 
-use arrowyard_system::show::{Part, fetch, shown};
+use arrowyard_system::show::{View, fetch, render};
 
 const STATUS: &str = r#"{"node":"core-0","revision":9,"slot":12,"votes":true,"voters":["10.0.0.1","10.0.0.2"],
     "controls":["10.0.0.2"],"routers-all":3,"routers":[{"node":"edge-0","revision":9},{"node":"edge-1","revision":7}],
@@ -16,7 +16,7 @@
 
 #[test]
 fn each_part_is_a_table() {
-    let part = |part: &str| shown(STATUS, part.parse().expect("a part")).expect("it can be read");
+    let part = |part: &str| render(STATUS, part.parse().expect("a part")).expect("it can be read");
     let lines = |text: &str| text.lines().map(str::to_string).collect::<Vec<_>>();
     assert_eq!(
         lines(&part("routers")),
@@ -42,10 +42,10 @@
             "i-1   status    8.50  8.40  40.00  yes   1200"
         ]
     );
-    let calm = shown(&STATUS.replace("\"divides\":true", "\"divides\":false"), Part::Shares)
+    let calm = render(&STATUS.replace("\"divides\":true", "\"divides\":false"), View::Shares)
         .expect("it can be read");
     assert!(calm.contains("another machine"), "{calm}");
-    assert!("everything".parse::<Part>().is_err());
+    assert!("everything".parse::<View>().is_err());
 }
 
 #[test]
@@ -54,26 +54,26 @@
         ("", "control machine"),
         ("<html>", "control machine"),
         ("[1]", "missing"),
-        (r#"{"revision":1}"#, "routers is no list"),
-        (r#"{"revision":1,"routers":{}}"#, "routers is no list"),
+        (r#"{"revision":1}"#, "routers is not a list"),
+        (r#"{"revision":1,"routers":{}}"#, "routers is not a list"),
         (r#"{"revision":1,"routers":[{"node":"e"}]}"#, "revision is missing"),
         (r#"{"revision":[],"routers":[]}"#, "revision is neither"),
     ] {
-        let fault = shown(text, Part::Routers).expect_err(text);
+        let fault = render(text, View::Routers).expect_err(text);
         assert!(fault.contains(place), "{text}: {fault}");
     }
-    let every = [Part::Members, Part::Routers, Part::Hosts, Part::Duties];
-    assert!(every.into_iter().all(|part| shown("{}", part).is_err()));
+    let every = [View::Members, View::Routers, View::Hosts, View::Duties];
+    assert!(every.into_iter().all(|part| render("{}", part).is_err()));
 }
 
 /// Something else at the address, or an answer that breaks off, is told; nothing hangs.
 #[test]
 fn what_answers_otherwise_is_told() {
     for (answer, told) in [
-        (&b"SSH-2.0-x\r\n"[..], "no control machine"),
+        (&b"SSH-2.0-x\r\n"[..], "not a control machine"),
         (b"HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n", "404"),
-        (b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{", "breaks off"),
-        (b"", "breaks off"),
+        (b"HTTP/1.1 200 OK\r\nContent-Length: 90\r\n\r\n{", "incomplete"),
+        (b"", "incomplete"),
     ] {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
         let address = listener.local_addr().expect("it is bound");
