--- a/src/choice.rs
+++ b/src/choice.rs
@@ -72,8 +72,8 @@
         let available = |host: &HostId| is_replica(host) && self.view(*host).available;
         let replicas: HostIds = group.members.iter().copied().filter(available).collect();
         // If most replicas are unhealthy the cause is likely shared: all that still answer stay in use.
-        let shared = replicas.iter().filter(|&&h| self.view(h).is_usable()).count() * 2 < replicas.len();
-        let usable = |h: &HostId| self.view(*h).is_usable() || shared && !self.view(*h).unresponsive;
+        let mostly_down = replicas.iter().filter(|&&h| self.view(h).is_usable()).count() * 2 < replicas.len();
+        let usable = |h: &HostId| self.view(*h).is_usable() || mostly_down && !self.view(*h).unresponsive;
         let fit: HostIds = replicas.iter().copied().filter(|h| self.is_fresh(op, *h) && usable(h)).collect();
         candidates = fit.iter().copied().filter(has_room).collect();
         if candidates.iter().any(|&host| !op.sends.has_tried(host)) {
--- a/src/health.rs
+++ b/src/health.rs
@@ -7,7 +7,7 @@
 use crate::state::{Host, HostView};
 
 /// Health test: the probability of a wrong verdict, and the share of failed sends that counts as healthy.
-const WRONG_VERDICTS: f64 = 0.002;
+const ERROR_PROBABILITY: f64 = 0.002;
 const TOLERATED_FAILURES: f64 = 0.1;
 /// Initial and least in-flight limit of a host, summed over all routers.
 const INITIAL_LIMIT: f64 = 64.0;
@@ -72,7 +72,7 @@
                     if result.outcome != Outcome::Cancelled {
                         self.update_health(now, true, settings);
                         self.reduce_limit(now, 0.8, settings);
-                        self.note_answer(self.view.last_answer_at <= now - result.elapsed);
+                        self.track_unanswered(self.view.last_answer_at <= now - result.elapsed);
                     }
                 }
             }
@@ -84,14 +84,14 @@
                 self.view.probing = false;
                 self.view.failed_probes = if status.is_some() { 0 } else { self.view.failed_probes + 1 };
                 if let Some(status) = status {
-                    self.note_answer(false);
+                    self.track_unanswered(false);
                     let as_of = status.position.unwrap_or_default() - TimeDelta::from_micros(1);
                     self.set_status(now, status, as_of);
                 }
             }
             HostEvent::RoleAssigned(role) => {
                 if role == Role::Primary {
-                    self.note_answer(false);
+                    self.track_unanswered(false);
                 }
                 self.set_status(now, HostStatus { role: Some(role), ..HostStatus::default() }, now);
             }
@@ -161,7 +161,7 @@
     pub fn update_health(&mut self, now: Timestamp, failed: bool, settings: &RouterSettings) {
         let (healthy, unhealthy) = (TOLERATED_FAILURES, (1.0 + TOLERATED_FAILURES) / 2.0);
         let odds = if failed { unhealthy / healthy } else { (1.0 - unhealthy) / (1.0 - healthy) };
-        let bound = ((1.0 - WRONG_VERDICTS) / WRONG_VERDICTS).ln();
+        let bound = ((1.0 - ERROR_PROBABILITY) / ERROR_PROBABILITY).ln();
         self.evidence = (self.evidence + odds.ln()).clamp(0.0, bound);
         if failed && self.evidence >= bound {
             (self.view.ejected, self.view.half_open) = (true, false);
@@ -171,7 +171,7 @@
         }
     }
 
-    pub fn note_answer(&mut self, unanswered: bool) {
+    pub fn track_unanswered(&mut self, unanswered: bool) {
         self.unanswered_sends = if unanswered { self.unanswered_sends + 1 } else { 0 };
         self.view.unresponsive = self.unanswered_sends >= 2;
     }
@@ -195,7 +195,7 @@
         settings: &RouterSettings,
     ) {
         self.view.last_answer_at = now;
-        self.note_answer(false);
+        self.track_unanswered(false);
         self.set_status(now, result.status, now);
         if result.status.role == Some(Role::Primary) {
             self.view.position = self.view.position.max(now - result.elapsed);
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -6,7 +6,7 @@
 use crate::queues::{HostEvent, Queues, encode_host_status};
 use crate::state::{Dispatcher, HostView, Op};
 
-/// How long a read waits for a probe of a replica, as a share of the shortest latency target.
+/// A read's wait for a probe, and the base of the backoff, as a share of the shortest latency target.
 pub const PROBE_WAIT_SHARE: f64 = 0.1;
 /// Least time between two probes of a host, as a share of the shortest staleness bound.
 const PROBE_GAP_SHARE: f64 = 0.125;
@@ -38,8 +38,8 @@
             let view = self.view(*host);
             // A replica far behind cannot be within the bound before it has applied what it lacks.
             let gap = ((view.lag - self.min_bound) * 0.5).min(max_gap).max(self.min_bound * PROBE_GAP_SHARE);
-            let rested = view.probed_at < op.arrived_at && self.now - view.probed_at >= gap;
-            view.is_usable() && self.has_room(*host, 1.0) && !view.probing && rested
+            let gap_elapsed = view.probed_at < op.arrived_at && self.now - view.probed_at >= gap;
+            view.is_usable() && self.has_room(*host, 1.0) && !view.probing && gap_elapsed
         };
         // Ties are broken at random: routers that probe the same replica first would all send it their reads.
         let due: HostIds = replicas.iter().copied().filter(due).collect();
@@ -54,8 +54,8 @@
         let gap_timeouts = BROADCAST_GAP_TIMEOUTS * self.settings.number_or("routers", 1.0);
         let gap = self.settings.time_delta("connect_timeout") * gap_timeouts;
         let view = *self.view(host);
-        let is_news = view.broadcast_probe && status.position > Some(view.position);
-        if is_news && self.now - self.last_broadcast_at >= gap {
+        let is_newer = view.broadcast_probe && status.position > Some(view.position);
+        if is_newer && self.now - self.last_broadcast_at >= gap {
             self.last_broadcast_at = self.now;
             let bytes = encode_host_status(view.address_hash, status);
             queues.actions.push(Action::SendPeerMessage { to: None, bytes });
--- a/tests/invariants.rs
+++ b/tests/invariants.rs
@@ -162,8 +162,8 @@
         let Some(age) = self.started.get(&host).map(|at| now - *at).filter(|age| *age < ms(8000)) else {
             return true;
         };
-        let sent = |host: u32, span: i64| {
-            self.sends.iter().filter(|(at, to)| *to == host && now - *at <= ms(span)).count() as f64
+        let sent = |host: u32, window_ms: i64| {
+            self.sends.iter().filter(|(at, to)| *to == host && now - *at <= ms(window_ms)).count() as f64
         };
         let busiest = (0..8).map(|other| sent(other, 4500)).fold(0.0, f64::max);
         sent(host, 1500) <= 1.0 + 2.0 * (0.25 + 0.75 * (age / ms(8000))) * busiest
@@ -260,7 +260,7 @@
                 let session = (op_type == SESSION || op_type >= DEDUPLICATED).then_some(SessionId(session));
                 let token_age = (carried_tokens && op_type == SESSION).then(|| ms(age));
                 let (group, deadline) = (GroupId(i64::from(group)), harness.now + ms(deadline));
-                let ask = OpRequest {
+                let request = OpRequest {
                     op,
                     op_type: OpTypeId(op_type),
                     group,
@@ -269,7 +269,7 @@
                     deadline,
                     ..OpRequest::default()
                 };
-                harness.handle(RouterEvent::OpRequested(ask));
+                harness.handle(RouterEvent::OpRequested(request));
                 requested.push(op);
             }
             Step::EndSend { index, outcome, primary, lag_ms } if !harness.sends.is_empty() => {
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -386,11 +386,11 @@
     harness.request(10, BOUNDED, None);
     let probed = harness.probes[0].0;
     harness.answer_probes(0);
-    let mut tells = harness.trace.iter().filter_map(|(_, event)| match event {
+    let mut messages = harness.trace.iter().filter_map(|(_, event)| match event {
         Ok(Action::SendPeerMessage { to: None, bytes }) => Some(bytes.clone()),
         _ => None,
     });
-    let bytes = tells.next_back().expect("a peer message");
+    let bytes = messages.next_back().expect("a peer message");
     for cut in [&bytes[..8], &[], &[&bytes[..], &[0]].concat()] {
         other.handle(RouterEvent::PeerMessage { from: PeerId(1), bytes: cut.to_vec() });
         let op = other.request(20 + cut.len() as u64, BOUNDED, None);
@@ -451,16 +451,16 @@
 fn primary_only_member_takes_writes_and_no_replica_reads() {
     let mut harness = Harness::with_known_primary(settings(true, false, false));
     // A further group of hosts 0, 1 and 3, in which 0, the primary, and 3 are primary-only members.
-    let view = |host, guest| {
+    let entry_of = |host, primary_only| {
         let parts = [GroupId(0), GroupId(9)]
-            .map(|group| GroupMembership { group, primary_only: guest && group == GroupId(9) });
+            .map(|group| GroupMembership { group, primary_only: primary_only && group == GroupId(9) });
         HostEntry {
             memberships: parts.as_slice().into(),
             ..entry(host, Availability::Ready, host == 0, None)
         }
     };
-    harness.list_hosts(vec![view(0, true), view(1, false), view(3, true)]);
-    let ask = |harness: &mut Harness, op: u64, op_type: u32| {
+    harness.list_hosts(vec![entry_of(0, true), entry_of(1, false), entry_of(3, true)]);
+    let request = |harness: &mut Harness, op: u64, op_type: u32| {
         let (op, deadline) = (OpId(op), harness.now + ms(OP_TIMEOUT_MS));
         let group = GroupId(9);
         harness.handle(RouterEvent::OpRequested(OpRequest {
@@ -475,11 +475,11 @@
         op
     };
     for op in 0..40 {
-        let read = ask(&mut harness, 10 + op, ANY);
+        let read = request(&mut harness, 10 + op, ANY);
         assert_eq!(harness.hosts_of(read), [1]);
         harness.end_all_sends(Outcome::Acked);
     }
-    let write = ask(&mut harness, 100, NON_RETRYABLE);
+    let write = request(&mut harness, 100, NON_RETRYABLE);
     assert_eq!(harness.hosts_of(write), [0]);
     harness.end_all_sends(Outcome::Acked);
     // A primary-only member that is promoted takes writes.
@@ -487,12 +487,12 @@
     let status =
         HostStatus { role: Some(Role::Primary), position: Some(harness.now), ..HostStatus::default() };
     harness.handle(RouterEvent::ProbeEnded { host: HostId(3), outcome: Outcome::Acked, status });
-    let write = ask(&mut harness, 101, NON_RETRYABLE);
+    let write = request(&mut harness, 101, NON_RETRYABLE);
     assert_eq!(harness.hosts_of(write), [3]);
     // A host that left the group gets none of its ops.
     harness.end_all_sends(Outcome::Acked);
     harness.list_hosts(vec![entry(1, Availability::Ready, false, None)]);
-    let read = ask(&mut harness, 102, ANY);
+    let read = request(&mut harness, 102, ANY);
     assert!(!harness.hosts_of(read).contains(&1));
 }
 
@@ -555,9 +555,11 @@
     let mut settings = settings(true, false, false);
     for (binds, then) in [(true, false), (false, true)] {
         settings.insert("removal_not_binding".to_string(), SettingValue::Flag(!binds));
-        let takes = |told: &[Availability]| {
+        let takes = |availabilities: &[Availability]| {
             let mut harness = Harness::with_known_primary(settings.clone());
-            told.iter().for_each(|&told| harness.list_hosts(vec![entry(1, told, false, None)]));
+            availabilities
+                .iter()
+                .for_each(|&availability| harness.list_hosts(vec![entry(1, availability, false, None)]));
             (10..60).any(|op| {
                 let op = harness.request(op, ANY, None);
                 let hosts = harness.hosts_of(op);
