--- a/crates/arrowyard-cells/src/admission.rs
+++ b/crates/arrowyard-cells/src/admission.rs
@@ -1,5 +1,5 @@
-//! All that cells decide, put together: an op is asked about once as it comes, and again while it is held; its sends
-//! and its end are told. What comes back says where it may go.
+//! Admission control of the router's cells. Each op is submitted to `admit` on arrival, and again after it
+//! was held; its sends and its end are recorded. The decision says in which cell and group the op may run.
 
 use std::collections::BTreeMap;
 use std::net::IpAddr;
@@ -19,17 +19,17 @@
     MoveBlocker, MoveConflict, MoveOp, MoveSettings, Placement, Stage, Step, TenantMove, WriteOutcome,
 };
 
-/// How much of each divided thing the router has.
+/// Total amounts that are divided among the cells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Capacity {
-    /// Ops in hand, and the bytes of their statements.
+    /// In-flight ops, and the bytes of their statements.
     pub ops: u64,
     pub bytes: u64,
-    /// Probes under way.
+    /// Concurrent health probes.
     pub probes: u64,
 }
 
-/// What an op's client says, as far as cells care.
+/// Properties of an op that admission depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct OpContext<'a> {
     pub tenant: Option<&'a str>,
@@ -37,61 +37,61 @@
     pub group: GroupId,
     pub bytes: u64,
     pub consistency: Consistency,
-    /// What names the session: its ops keep to one of several cells.
+    /// Identifies the session. Its ops stay in one of the tenant's cells while that has capacity.
     pub session: Option<u64>,
-    /// The token, in op types whose repeats have one effect.
+    /// Idempotency token, for op types whose retries are deduplicated.
     pub token: Option<u64>,
     pub is_retry: bool,
     pub deadline: Timestamp,
 }
 
-/// A place that an op has: told back when it ends.
+/// Capacity held by an admitted or held op. It has to be returned with `Cells::release`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionPermit {
     pub cell: CellId,
     bytes: u64,
-    /// The move whose source it writes to, or that holds it.
-    moving: Option<MoveId>,
+    /// The move whose source the op writes to, or that holds the op.
+    move_id: Option<MoveId>,
     held: bool,
     token: Option<u64>,
 }
 
-/// A tenant that moves.
+/// Identifies a tenant move within this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct MoveId(u32);
 
-/// What is decided of an op as it comes.
+/// Decision on an op.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AdmissionDecision {
-    /// It goes on in this cell, to this group as the lists name it; a session's read has to see this much at least.
+    /// The op may run in this cell, on `group` as the host lists name it. Reads of a session have to observe
+    /// at least `min_position`.
     Admit { permit: AdmissionPermit, group: GroupId, min_position: Option<Timestamp> },
-    /// It waits, at most until this point; then, and whenever something changed, its place is given back (`ended`)
-    /// and it is asked about anew.
+    /// The op waits, at most until `until`. Then, or when `Cells::tick` reports a change, the permit has to
+    /// be released and the op submitted again.
     Hold { permit: AdmissionPermit, until: Timestamp },
-    /// Nothing of it was sent. Come back after this span, if one is known.
+    /// Nothing was sent. The client may retry after `retry_after`, if that is known.
     Busy { cell: Option<CellId>, retry_after: Option<TimeDelta>, reason: RejectReason },
-    /// It cannot be an op here, or may have run where it cannot be asked for any more.
+    /// The op belongs to no cell, or it may have run where its outcome can no longer be determined.
     Error { reason: RejectReason },
 }
 
-/// Why an op does not go on.
+/// Why an op is not admitted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RejectReason {
     NoCell(NoCellReason),
-    /// The tenant's cell does not serve the group.
     GroupNotServed,
     OpCapacity,
     ByteCapacity,
     ConcurrencyLimit,
     RetryBudget,
-    /// A write, and the file's word on who writes where is too old.
+    /// The layout's lease has expired, so that the placement of writes may be out of date.
     LeaseExpired,
     MoveFenced,
     OutcomeUnknown,
 }
 
 impl RejectReason {
-    /// For logs and clients.
+    /// Message for logs and clients.
     pub fn text(self) -> &'static str {
         match self {
             RejectReason::NoCell(NoCellReason::TenantNotAssigned) => "the tenant has no cell",
@@ -110,42 +110,43 @@
     }
 }
 
-/// How a send ended, as far as cells care.
+/// Outcome of a send, as far as cells depend on it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendOutcome {
     Acked,
-    /// An answer that is no ack and no refusal, or none at all.
+    /// A response that is neither an ack nor a refusal, or no response.
     Failed,
-    /// It provably never ran: turned away, a miss, no connection.
+    /// The op provably did not run: it was refused, or there was no connection.
     NotExecuted,
 }
 
-/// Something that operators want to know.
+/// Changes that are reported to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CellEvent {
     ReleaseVerdict(VerdictChange),
-    /// Hosts of the cell that started anew are trusted little.
+    /// Restarted hosts of the cell get reduced trust.
     RolloutBlocked(CellId, RolloutBlocked),
     MoveStageChanged(Box<str>, Stage),
     MoveBlocked(Box<str>, MoveBlocker),
 }
 
-/// A file that is refused whole; the old layout stays.
+/// Why a layout is rejected as a whole. The current layout stays in effect.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum LayoutError {
-    /// It is older than the one that is held, or another of the same epoch.
+    /// Its epoch is older than the current one, or the same with different content.
     Epoch { held: u64, offered: u64 },
-    /// It contradicts a move.
+    /// It contradicts the state of the tenant's move.
     Move(Box<str>, MoveConflict),
-    /// A move is missing that is not over.
+    /// It lacks the tenant's move, which has not finished.
     MoveMissing(Box<str>),
-    /// A move begins to fence while other routers may act on the old lease still.
+    /// The move's fence begins while other routers may still act on the previous lease.
     FenceTooEarly(Box<str>),
-    /// A move has a fence, and nothing bounds how long other routers act on the file before, which has no lease.
+    /// The move has a fence, but the previous layout has no lease that bounds how long other routers act on
+    /// it.
     NoLease(Box<str>),
 }
 
-/// The state of one cell.
+/// State of one cell.
 #[derive(Debug)]
 struct CellState {
     concurrency_limit: Option<ConcurrencyLimit>,
@@ -153,7 +154,7 @@
     counters: CellCounters,
 }
 
-/// What a cell did since the last tally.
+/// Counts since the previous report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CellCounters {
     pub admitted: u32,
@@ -163,7 +164,7 @@
     pub further_sends: u32,
 }
 
-/// The cells of one router.
+/// Admission state of all cells of one router.
 #[derive(Debug)]
 pub struct Cells {
     layout: Layout,
@@ -175,36 +176,36 @@
     cells: Vec<CellState>,
     moves: BTreeMap<MoveId, TenantMove>,
     next_move: u32,
-    moving: FxHashMap<Box<str>, MoveId>,
+    move_by_tenant: FxHashMap<Box<str>, MoveId>,
     rollout: Option<Rollout>,
-    terms: MoveSettings,
+    move_settings: MoveSettings,
     events: Vec<CellEvent>,
     last_reported: FxHashMap<Box<str>, (Stage, Option<MoveBlocker>)>,
 }
 
-fn parts(layout: &Layout) -> impl Iterator<Item = (f64, f64)> + '_ {
+fn cell_weights(layout: &Layout) -> impl Iterator<Item = (f64, f64)> + '_ {
     layout.cells.iter().map(|cell| (cell.weight, cell.guaranteed_fraction))
 }
 
-/// When a client had better come back whose cell had no room: a few ops have ended by then.
+/// Retry delay when a cell lacks capacity: some of its ops have ended by then.
 const CAPACITY_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(20);
 
 impl Cells {
-    pub fn new(now: Timestamp, layout: Layout, totals: Capacity, terms: MoveSettings) -> Self {
-        let room = |total| Bulkhead::new(total, parts(&layout), layout.reclaim_period);
+    pub fn new(now: Timestamp, layout: Layout, capacity: Capacity, move_settings: MoveSettings) -> Self {
+        let bulkhead = |total| Bulkhead::new(total, cell_weights(&layout), layout.reclaim_period);
         let mut cells = Cells {
             index: CellIndex::new(&layout),
             assignment: CellAssignment::new(&layout),
-            ops: room(totals.ops),
-            bytes: room(totals.bytes),
-            probes: room(totals.probes),
+            ops: bulkhead(capacity.ops),
+            bytes: bulkhead(capacity.bytes),
+            probes: bulkhead(capacity.probes),
             cells: Vec::new(),
             moves: BTreeMap::new(),
             next_move: 0,
-            moving: FxHashMap::default(),
+            move_by_tenant: FxHashMap::default(),
             rollout: layout.rollout.clone().map(Rollout::new),
             layout,
-            terms,
+            move_settings,
             events: Vec::new(),
             last_reported: FxHashMap::default(),
         };
@@ -220,36 +221,37 @@
         &self.index
     }
 
-    /// Whether this layout may follow the one that is held.
+    /// Checks whether the layout may replace the current one, without changing any state.
     ///
     /// # Errors
-    /// Why not. Nothing has changed then, nor does it if it may.
+    /// Why the layout is rejected.
     pub fn check_layout(&self, layout: &Layout) -> Result<(), LayoutError> {
         if layout.epoch <= self.layout.epoch {
             return Err(LayoutError::Epoch { held: self.layout.epoch, offered: layout.epoch });
         }
         let layout = layout.clone().aligned(&self.layout, |_| false);
-        for moving in self.moves.values() {
-            let tenant = &moving.config.tenant;
+        for tenant_move in self.moves.values() {
+            let tenant = &tenant_move.config.tenant;
             match layout.moves.iter().find(|row| row.tenant == *tenant) {
-                Some(row) => {
-                    moving.check_config(row).map_err(|reason| LayoutError::Move(tenant.clone(), reason))?
-                }
-                None if moving.stage() == Stage::Open || moving.config.step == Step::Cancelled => {}
-                // Where the group stays, the tenant's row says all.
-                None if moving.stage() == Stage::Done && moving.config.groups.is_none() => {}
+                Some(row) => tenant_move
+                    .check_config(row)
+                    .map_err(|reason| LayoutError::Move(tenant.clone(), reason))?,
+                None if tenant_move.stage() == Stage::Open || tenant_move.config.step == Step::Cancelled => {}
+                // If the data stays in its group, the tenant's assignment replaces the finished move.
+                None if tenant_move.stage() == Stage::Done && tenant_move.config.groups.is_none() => {}
                 None => return Err(LayoutError::MoveMissing(tenant.clone())),
             }
         }
         for row in layout.moves.iter().filter(|row| row.groups.is_some()) {
-            let known = self.layout.moves.iter().find(|old| old.tenant == row.tenant);
-            let announced = known.is_some_and(|old| old.fence_at == row.fence_at);
+            let existing = self.layout.moves.iter().find(|old| old.tenant == row.tenant);
+            let announced = existing.is_some_and(|old| old.fence_at == row.fence_at);
             let Some(lease) = self.layout.lease else {
-                // Danger: one that only has the old file, without an end, goes on for ever.
+                // Without a lease, routers that miss the new layout would keep writing to the source
+                // forever.
                 let new = row.fence_at.is_some() && !announced;
                 return if new { Err(LayoutError::NoLease(row.tenant.clone())) } else { Ok(()) };
             };
-            // Danger: a router that only has the old file goes on writing to the source until its lease ends.
+            // A router that misses the new layout keeps writing to the source until its lease ends.
             if !announced && row.fence_at.is_some_and(|at| at < lease.expires_at + lease.max_clock_skew) {
                 return Err(LayoutError::FenceTooEarly(row.tenant.clone()));
             }
@@ -257,10 +259,11 @@
         Ok(())
     }
 
-    /// Takes a layout that follows, or refuses it whole; the same one again is taken for nothing new.
+    /// Replaces the layout, or rejects it as a whole. A layout equal to the current one is accepted without
+    /// effect.
     ///
     /// # Errors
-    /// Why it is refused; nothing has changed then.
+    /// Why the layout is rejected; no state has changed.
     pub fn replace_layout(&mut self, now: Timestamp, layout: Layout) -> Result<(), LayoutError> {
         let aligned =
             layout.clone().aligned(&self.layout, |id| self.ops.used(id) == 0 && self.probes.used(id) == 0);
@@ -269,9 +272,9 @@
         }
         self.check_layout(&layout)?;
         let old = std::mem::replace(&mut self.layout, aligned);
-        self.ops.resize(parts(&self.layout), self.layout.reclaim_period);
-        self.bytes.resize(parts(&self.layout), self.layout.reclaim_period);
-        self.probes.resize(parts(&self.layout), self.layout.reclaim_period);
+        self.ops.resize(cell_weights(&self.layout), self.layout.reclaim_period);
+        self.bytes.resize(cell_weights(&self.layout), self.layout.reclaim_period);
+        self.probes.resize(cell_weights(&self.layout), self.layout.reclaim_period);
         (self.index, self.assignment) = (CellIndex::new(&self.layout), CellAssignment::new(&self.layout));
         if old.rollout != self.layout.rollout {
             self.rollout = self.layout.rollout.clone().map(Rollout::new);
@@ -280,101 +283,106 @@
         Ok(())
     }
 
-    /// Brings cells and moves in line with the layout.
+    /// Updates the state of cells and moves to the layout.
     fn rebuild_state(&mut self, now: Timestamp, old: Option<&Layout>) {
-        let repeats = self.layout.retry_budget;
+        let retry_budget_config = self.layout.retry_budget;
         let mut cells = std::mem::take(&mut self.cells).into_iter();
-        let renewed = self.layout.cells.iter().enumerate().map(|(id, row)| {
-            // An id that names another cell by now starts anew.
+        let states = self.layout.cells.iter().enumerate().map(|(id, row)| {
+            // State is kept only if the id still belongs to the cell of the same name.
             let same = old.is_some_and(|old| old.cells.get(id).is_some_and(|was| was.name == row.name));
-            let known = cells.next().filter(|_| same);
-            let (concurrency_limit, retry_budget, counters) = known.map_or_else(Default::default, |cell| {
-                (cell.concurrency_limit, cell.retry_budget, cell.counters)
-            });
-            let paced = |terms: ConcurrencyLimitConfig| {
-                let mut concurrency_limit = concurrency_limit.unwrap_or_else(|| ConcurrencyLimit::new(terms));
-                concurrency_limit.set_config(terms);
+            let existing = cells.next().filter(|_| same);
+            let (concurrency_limit, retry_budget, counters) = existing
+                .map_or_else(Default::default, |cell| {
+                    (cell.concurrency_limit, cell.retry_budget, cell.counters)
+                });
+            let limit_for = |config: ConcurrencyLimitConfig| {
+                let mut concurrency_limit =
+                    concurrency_limit.unwrap_or_else(|| ConcurrencyLimit::new(config));
+                concurrency_limit.set_config(config);
                 concurrency_limit
             };
-            let budgeted = |terms| {
-                let mut retry_budget = retry_budget.unwrap_or_else(|| RetryBudget::new(terms));
-                retry_budget.set_config(terms);
+            let budget_for = |config| {
+                let mut retry_budget = retry_budget.unwrap_or_else(|| RetryBudget::new(config));
+                retry_budget.set_config(config);
                 retry_budget
             };
             CellState {
-                concurrency_limit: row.concurrency_limit.map(paced),
-                retry_budget: repeats.map(budgeted),
+                concurrency_limit: row.concurrency_limit.map(limit_for),
+                retry_budget: retry_budget_config.map(budget_for),
                 counters,
             }
         });
-        self.cells = renewed.collect();
+        self.cells = states.collect();
         let mut moves = BTreeMap::new();
         for row in &self.layout.moves {
-            let known = self.moves.iter().find(|(_, moving)| moving.is_same_move(row)).map(|(id, _)| *id);
-            let known = known.and_then(|id| Some((id, self.moves.remove(&id)?)));
-            let (id, moving) = match known {
-                Some((id, mut moving)) => {
-                    moving.apply_config(now, row.clone());
-                    (id, moving)
+            let existing =
+                self.moves.iter().find(|(_, tenant_move)| tenant_move.is_same_move(row)).map(|(id, _)| *id);
+            let existing = existing.and_then(|id| Some((id, self.moves.remove(&id)?)));
+            let (id, tenant_move) = match existing {
+                Some((id, mut tenant_move)) => {
+                    tenant_move.apply_config(now, row.clone());
+                    (id, tenant_move)
                 }
                 None => {
                     self.next_move += 1;
-                    (MoveId(self.next_move), TenantMove::new(now, row.clone(), self.terms))
+                    (MoveId(self.next_move), TenantMove::new(now, row.clone(), self.move_settings))
                 }
             };
-            moves.insert(id, moving);
+            moves.insert(id, tenant_move);
         }
         self.moves = moves;
-        self.moving = self.moves.iter().map(|(id, moving)| (moving.config.tenant.clone(), *id)).collect();
-        self.last_reported.retain(|tenant, _| self.moving.contains_key(tenant));
+        self.move_by_tenant =
+            self.moves.iter().map(|(id, tenant_move)| (tenant_move.config.tenant.clone(), *id)).collect();
+        self.last_reported.retain(|tenant, _| self.move_by_tenant.contains_key(tenant));
     }
 
-    /// Where an op goes that came just now, or is held.
+    /// Decides on an op that has arrived, or that was held until now.
     pub fn admit(&mut self, now: Timestamp, op: &OpContext) -> AdmissionDecision {
-        let assigned = match self.assignment.cells_for(op.tenant, op.address, op.group) {
-            Ok(assigned) => assigned,
+        let assigned_cells = match self.assignment.cells_for(op.tenant, op.address, op.group) {
+            Ok(assigned_cells) => assigned_cells,
             Err(reason) => return AdmissionDecision::Error { reason: RejectReason::NoCell(reason) },
         };
-        // Danger: who writes where may have changed since this file was written. What is written here is lost then,
-        // and what is read with a bound is older than that.
+        // After the lease another layout may be in effect: a write here could be lost, and a bounded read
+        // could be older than its bound.
         if op.consistency != Consistency::Any
             && self.layout.lease.is_some_and(|lease| now >= lease.expires_at - lease.max_clock_skew)
         {
-            return self.busy(assigned[0], None, RejectReason::LeaseExpired);
+            return self.busy(assigned_cells[0], None, RejectReason::LeaseExpired);
         }
-        let moving = op.tenant.and_then(|tenant| self.moving.get(tenant).copied());
-        if let Some(id) = moving
+        let move_id = op.tenant.and_then(|tenant| self.move_by_tenant.get(tenant).copied());
+        if let Some(id) = move_id
             && self.moves[&id].config.client_group.is_none_or(|named| named == op.group)
         {
             return self.admit_moving(now, id, op);
         }
-        self.admit_in(now, &assigned, op, op.group, None, None)
+        self.admit_in(now, &assigned_cells, op, op.group, None, None)
     }
 
     fn admit_moving(&mut self, now: Timestamp, id: MoveId, op: &OpContext) -> AdmissionDecision {
-        let Some(moving) = self.moves.get_mut(&id) else {
+        let Some(tenant_move) = self.moves.get_mut(&id) else {
             return AdmissionDecision::Error { reason: RejectReason::OutcomeUnknown };
         };
-        let (need, token, is_retry, deadline) = (op.consistency, op.token, op.is_retry, op.deadline);
-        let (from, to) = (moving.config.from, moving.config.to);
-        let groups = moving.config.groups.unwrap_or((op.group, op.group));
-        match moving.place(now, MoveOp { consistency: need, token, is_retry, deadline }) {
+        let (consistency, token, is_retry, deadline) = (op.consistency, op.token, op.is_retry, op.deadline);
+        let (from, to) = (tenant_move.config.from, tenant_move.config.to);
+        let groups = tenant_move.config.groups.unwrap_or((op.group, op.group));
+        match tenant_move.place(now, MoveOp { consistency, token, is_retry, deadline }) {
             Placement::Source => {
-                let counted = (need == Consistency::Write).then_some(id);
-                let verdict = self.admit_in(now, &[from], op, groups.0, None, counted);
-                let moving = self.moves.get_mut(&id).filter(|_| counted.is_some());
-                if let (AdmissionDecision::Admit { .. }, Some(moving)) = (verdict, moving) {
-                    moving.record_send(now, token);
+                let move_id = (consistency == Consistency::Write).then_some(id);
+                let decision = self.admit_in(now, &[from], op, groups.0, None, move_id);
+                let tenant_move = self.moves.get_mut(&id).filter(|_| move_id.is_some());
+                if let (AdmissionDecision::Admit { .. }, Some(tenant_move)) = (decision, tenant_move) {
+                    tenant_move.record_send(now, token);
                 }
-                verdict
+                decision
             }
             Placement::Target(min_position) => self.admit_in(now, &[to], op, groups.1, min_position, None),
             Placement::Hold(until) => {
-                // Danger: what a fence holds is bounded, in count here and in bytes by the cell's room.
-                let full = u64::from(moving.held_writes()) >= (self.ops.share(from).0 / 4).max(1);
-                let after = moving.config.switch_at.map(|at| at - now);
-                if full {
-                    return self.busy(from, after, RejectReason::MoveFenced);
+                // Bounds what a fence holds: in number here, and in bytes by the cell's share.
+                let hold_limit_reached =
+                    u64::from(tenant_move.held_writes()) >= (self.ops.share(from).0 / 4).max(1);
+                let retry_after = tenant_move.config.switch_at.map(|at| at - now);
+                if hold_limit_reached {
+                    return self.busy(from, retry_after, RejectReason::MoveFenced);
                 }
                 match self.admit_in(now, &[from], op, groups.0, None, Some(id)) {
                     AdmissionDecision::Admit { permit, .. } => {
@@ -384,7 +392,7 @@
                     refused => refused,
                 }
             }
-            Placement::Busy(after) => self.busy(from, Some(after), RejectReason::MoveFenced),
+            Placement::Busy(retry_after) => self.busy(from, Some(retry_after), RejectReason::MoveFenced),
             Placement::OutcomeUnknown => {
                 self.cells[from.0 as usize].counters.errors += 1;
                 AdmissionDecision::Error { reason: RejectReason::OutcomeUnknown }
@@ -395,34 +403,34 @@
     fn admit_in(
         &mut self,
         now: Timestamp,
-        assigned: &[CellId],
+        assigned_cells: &[CellId],
         op: &OpContext,
         group: GroupId,
         min_position: Option<Timestamp>,
-        moving: Option<MoveId>,
+        move_id: Option<MoveId>,
     ) -> AdmissionDecision {
         let serving = |id: &CellId| self.index.serves(*id, group);
-        let mut turn: AssignedCells = assigned.iter().copied().filter(serving).collect();
-        if turn.is_empty() {
+        let mut candidates: AssignedCells = assigned_cells.iter().copied().filter(serving).collect();
+        if candidates.is_empty() {
             return AdmissionDecision::Error { reason: RejectReason::GroupNotServed };
         }
-        // A session keeps to one of its tenant's cells while that has room.
-        let start = op.session.map_or(0, |session| session as usize % turn.len());
-        turn.rotate_left(start);
+        // A session stays in one of its tenant's cells while that has capacity.
+        let start = op.session.map_or(0, |session| session as usize % candidates.len());
+        candidates.rotate_left(start);
         let mut last = None;
-        for cell in turn {
+        for cell in candidates {
             match self.acquire(now, cell, op) {
                 Ok(()) => {
                     self.cells[cell.0 as usize].counters.admitted += 1;
                     let permit =
-                        AdmissionPermit { cell, bytes: op.bytes, moving, held: false, token: op.token };
+                        AdmissionPermit { cell, bytes: op.bytes, move_id, held: false, token: op.token };
                     return AdmissionDecision::Admit { permit, group, min_position };
                 }
                 Err(refusal) => last = last.or(Some((cell, refusal))),
             }
         }
-        let (cell, (reason, after)) = last.expect("it was refused by one cell at least");
-        self.busy(cell, after, reason)
+        let (cell, (reason, retry_after)) = last.expect("at least one cell refused the op");
+        self.busy(cell, retry_after, reason)
     }
 
     fn busy(
@@ -442,17 +450,12 @@
         op: &OpContext,
     ) -> Result<(), (RejectReason, Option<TimeDelta>)> {
         let cell = &mut self.cells[id.0 as usize];
-        if cell
-            .concurrency_limit
-            .is_some_and(|concurrency_limit| self.ops.used(id) >= concurrency_limit.limit())
-        {
+        if cell.concurrency_limit.is_some_and(|limit| self.ops.used(id) >= limit.limit()) {
             return Err((RejectReason::ConcurrencyLimit, Some(CAPACITY_RETRY_AFTER)));
         }
-        if op.is_retry
-            && cell.retry_budget.as_ref().is_some_and(|retry_budget| retry_budget.remaining(now) == 0)
-        {
-            let after = cell.retry_budget.as_ref().map(RetryBudget::retry_after);
-            return Err((RejectReason::RetryBudget, after));
+        if op.is_retry && cell.retry_budget.as_ref().is_some_and(|budget| budget.remaining(now) == 0) {
+            let retry_after = cell.retry_budget.as_ref().map(RetryBudget::retry_after);
+            return Err((RejectReason::RetryBudget, retry_after));
         }
         self.ops
             .try_acquire(now, id, 1)
@@ -467,7 +470,7 @@
         Ok(())
     }
 
-    /// A send of the op goes out: its first, or a further one.
+    /// Records that a send of the op goes out: the first one, or a further one.
     pub fn record_send(&mut self, now: Timestamp, permit: &AdmissionPermit, first: bool) {
         let cell = &mut self.cells[permit.cell.0 as usize];
         if let Some(retry_budget) = &mut cell.retry_budget {
@@ -477,12 +480,13 @@
         cell.counters.further_sends += u32::from(!first);
     }
 
-    /// How many further sends the cell may make now; none: as many as it likes.
+    /// How many further sends the cell may make now; `None` if it has no budget.
     pub fn remaining_retries(&self, now: Timestamp, cell: CellId) -> Option<u32> {
-        self.cells[cell.0 as usize].retry_budget.as_ref().map(|retry_budget| retry_budget.remaining(now))
+        self.cells[cell.0 as usize].retry_budget.as_ref().map(|budget| budget.remaining(now))
     }
 
-    /// A send ended, after so many latency targets; `new` if its host started anew since the cell's trial began.
+    /// Records the end of a send. `latency` is in latency targets; `new` says whether the host restarted
+    /// during the cell's release trial.
     pub fn record_send_end(
         &mut self,
         permit: &AdmissionPermit,
@@ -499,96 +503,98 @@
             _ => {}
         }
         if let Some(rollout) = self.rollout.as_mut().filter(|_| outcome != SendOutcome::NotExecuted) {
-            let last_reported =
-                rollout.record_outcome(new.then_some(permit.cell), outcome == SendOutcome::Failed);
-            self.events.extend(last_reported.map(CellEvent::ReleaseVerdict));
+            let change = rollout.record_outcome(new.then_some(permit.cell), outcome == SendOutcome::Failed);
+            self.events.extend(change.map(CellEvent::ReleaseVerdict));
         }
     }
 
-    /// The op is over and none of its sends is out: its place is free. `ran` is what became of it, `position` where
-    /// its write was acked.
+    /// Returns the op's capacity once it has ended and no send is in flight. `outcome` is what became of it,
+    /// and `position` where its write was acknowledged.
     pub fn release(
         &mut self,
         now: Timestamp,
         permit: AdmissionPermit,
-        ran: WriteOutcome,
+        outcome: WriteOutcome,
         position: Option<Timestamp>,
     ) {
         self.ops.release(permit.cell, 1);
         self.bytes.release(permit.cell, permit.bytes);
-        match permit.moving.and_then(|id| self.moves.get_mut(&id)) {
-            Some(moving) if permit.held => moving.release_held(),
-            Some(moving) => moving.record_end(now, permit.token, ran, position),
+        match permit.move_id.and_then(|id| self.moves.get_mut(&id)) {
+            Some(tenant_move) if permit.held => tenant_move.release_held(),
+            Some(tenant_move) => tenant_move.record_end(now, permit.token, outcome, position),
             None => {}
         }
     }
 
-    /// Whether a host of the cell may be probed now. Danger: a cell whose hosts all hang has a probe at each of them
-    /// for as long as a probe may last, and they take the connections of all others.
+    /// Starts a probe of a host of the cell if the cell's share allows one. This keeps the probes of a cell
+    /// whose hosts all hang from taking the connections of other cells.
     pub fn try_start_probe(&mut self, now: Timestamp, cell: CellId) -> bool {
         self.probes.try_acquire(now, cell, 1).is_ok()
     }
 
-    /// Such a probe ended.
+    /// Ends a probe that `try_start_probe` allowed.
     pub fn end_probe(&mut self, cell: CellId) {
         self.probes.release(cell, 1);
     }
 
-    /// A host of a cell started anew.
+    /// Records that a host of the cell restarted at `at`.
     pub fn host_restarted(&mut self, cell: CellId, at: Timestamp, within: TimeDelta) {
         if let Some(rollout) = &mut self.rollout {
             rollout.host_restarted(cell, at, within);
         }
     }
 
-    /// The part of its size with which a host of the cell that started anew is trusted.
+    /// Fraction of its size that a restarted host of the cell counts with.
     pub fn restarted_host_trust(&mut self, cell: CellId) -> f64 {
         match self.rollout.as_ref().map(|rollout| rollout.check_rollout(cell)) {
-            Some(Err(held)) => {
-                self.events.push(CellEvent::RolloutBlocked(cell, held));
+            Some(Err(blocked)) => {
+                self.events.push(CellEvent::RolloutBlocked(cell, blocked));
                 UNVERIFIED_TRUST
             }
             _ => 1.0,
         }
     }
 
-    /// The groups whose hosts' positions are waited for.
+    /// Target groups whose hosts' positions are needed by moves that wait for their switch.
     pub fn groups_awaiting_positions(&self) -> SmallVec<[GroupId; 4]> {
-        let waits = |moving: &&TenantMove| matches!(moving.stage(), Stage::Fenced | Stage::Drained);
-        let waiting = self.moves.values().filter(waits);
-        waiting.filter_map(|moving| moving.config.groups.map(|(_, to)| to)).collect()
+        let waits_for_positions =
+            |tenant_move: &&TenantMove| matches!(tenant_move.stage(), Stage::Fenced | Stage::Drained);
+        let waiting = self.moves.values().filter(waits_for_positions);
+        waiting.filter_map(|tenant_move| tenant_move.config.groups.map(|(_, to)| to)).collect()
     }
 
-    /// The hosts of a group, with their names in the lists.
+    /// Sets the hosts of a group and their names in the host lists.
     pub fn set_group_hosts(&mut self, group: GroupId, hosts: &[(HostId, &str)]) {
-        for moving in self.moves.values_mut() {
-            if moving.config.groups.is_some_and(|(_, to)| to == group) {
-                moving.set_target_hosts(hosts);
+        for tenant_move in self.moves.values_mut() {
+            if tenant_move.config.groups.is_some_and(|(_, to)| to == group) {
+                tenant_move.set_target_hosts(hosts);
             }
         }
     }
 
-    /// A host said where it is.
+    /// Records the position that a host reported, and whether the host is a primary.
     pub fn record_position(&mut self, host: HostId, position: Timestamp, primary: bool) {
-        self.moves.values_mut().for_each(|moving| moving.record_position(host, position, primary));
+        self.moves.values_mut().for_each(|tenant_move| tenant_move.record_position(host, position, primary));
     }
 
-    /// Time has passed. Whether held ops should be asked about again.
+    /// Advances moves. Returns whether a move changed its stage, so that held ops have to be submitted
+    /// again.
     pub fn tick(&mut self, now: Timestamp) -> bool {
         let mut changed = false;
-        for moving in self.moves.values_mut() {
-            let stuck = moving.tick(now);
-            let state = (moving.stage(), stuck);
-            let tenant = &moving.config.tenant;
+        for tenant_move in self.moves.values_mut() {
+            let blocker = tenant_move.tick(now);
+            let state = (tenant_move.stage(), blocker);
+            let tenant = &tenant_move.config.tenant;
             let before = self.last_reported.insert(tenant.clone(), state);
             changed |= before.is_none_or(|(stage, _)| stage != state.0);
             if before.is_none_or(|(stage, _)| stage != state.0) {
                 self.events.push(CellEvent::MoveStageChanged(tenant.clone(), state.0));
             }
-            // How many are out changes all the time; that some are is told once.
-            let kind = |stuck: Option<MoveBlocker>| stuck.map(|stuck| std::mem::discriminant(&stuck));
-            if let Some(stuck) = stuck.filter(|_| kind(stuck) != before.and_then(|(_, s)| kind(s))) {
-                self.events.push(CellEvent::MoveBlocked(tenant.clone(), stuck));
+            // The number of writes in flight changes constantly, so that only a new kind of blocker is
+            // reported.
+            let kind = |blocker: Option<MoveBlocker>| blocker.map(|blocker| std::mem::discriminant(&blocker));
+            if let Some(blocker) = blocker.filter(|_| kind(blocker) != before.and_then(|(_, s)| kind(s))) {
+                self.events.push(CellEvent::MoveBlocked(tenant.clone(), blocker));
             }
         }
         changed
@@ -598,7 +604,7 @@
         std::mem::take(&mut self.events)
     }
 
-    /// What each cell holds and did.
+    /// Status of each cell; resets the counters.
     pub fn report(&mut self) -> Vec<CellStatus> {
         let state = |(id, cell): (CellId, &mut CellState)| CellStatus {
             name: self.layout.cell(id).name.clone(),
@@ -608,22 +614,27 @@
             borrowed: self.ops.borrowed(id),
             bytes: self.bytes.used(id),
             probes: self.probes.used(id),
-            concurrency_limit: cell.concurrency_limit.map(|concurrency_limit| concurrency_limit.limit()),
+            concurrency_limit: cell.concurrency_limit.map(|limit| limit.limit()),
             release_verdict: self.rollout.as_ref().map(|rollout| rollout.verdict(id)),
             counters: std::mem::take(&mut cell.counters),
         };
         (0..).map(CellId).zip(&mut self.cells).map(state).collect()
     }
 
-    /// Each move: the tenant, this router's stage, writes that are out, tokens that are noted.
+    /// Each move: the tenant, this router's stage, writes in flight, and recorded tokens.
     pub fn moves(&self) -> impl Iterator<Item = (&str, Stage, u32, usize)> {
-        self.moves.values().map(|moving| {
-            (&*moving.config.tenant, moving.stage(), moving.writes_in_flight(), moving.token_count())
+        self.moves.values().map(|tenant_move| {
+            (
+                &*tenant_move.config.tenant,
+                tenant_move.stage(),
+                tenant_move.writes_in_flight(),
+                tenant_move.token_count(),
+            )
         })
     }
 }
 
-/// What operators are shown of a cell.
+/// Status of a cell for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellStatus {
     pub name: Box<str>,
--- a/crates/arrowyard-cells/src/assignment.rs
+++ b/crates/arrowyard-cells/src/assignment.rs
@@ -1,6 +1,6 @@
-//! Who belongs where: a row of the file, else weighted rendezvous hashing, or shuffle sharding. The same name goes
-//! to the same cells at every router and after every restart, and a new cell, or one more weight, draws tenants to
-//! that cell only.
+//! Assigns tenants to cells: by explicit assignment, otherwise by weighted rendezvous hashing to one cell,
+//! or to several (shuffle sharding). A name maps to the same cells on every router and after every restart,
+//! and adding a cell or raising its weight moves tenants only to that cell.
 
 use arrowyard_types::{CellId, GroupId};
 use fastrand::Rng;
@@ -10,13 +10,14 @@
 use crate::layout::Layout;
 use crate::networks::NetworkTable;
 
-/// The cells of one tenant, the first choice first.
+/// Cells of one tenant, in order of preference.
 pub type AssignedCells = SmallVec<[CellId; 4]>;
 
-/// Tenants without a row whose cells are kept, so that they are worked out once.
+/// Maximum number of cached results for hashed tenants.
 const MAX_CACHED_TENANTS: usize = 65_536;
 
-/// A name as a number that is evenly spread and everywhere the same (FNV-1a, then the finish of splitmix).
+/// Stable, evenly distributed hash of a name: FNV-1a followed by the SplitMix64 finalizer. Assignments
+/// depend on it, so that it must not change between versions.
 pub fn stable_hash(name: &str) -> u64 {
     let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3);
     mix(name.bytes().fold(0xcbf2_9ce4_8422_2325, step))
@@ -28,32 +29,32 @@
     z ^ (z >> 31)
 }
 
-/// A tenant's score in a cell: the cell with the highest gets it. With u even in (0, 1), -w / ln u is the highest
-/// for a share of tenants that follows w, and depends on no other cell.
+/// Rendezvous score of a tenant in a cell; the cell with the highest score wins. For u uniform in (0, 1), -w
+/// / ln u is the maximum with a probability proportional to the weight w, independently of all other cells.
 fn score(tenant: u64, cell: u64, weight: f64) -> f64 {
-    let even = ((mix(tenant ^ cell.rotate_left(32)) >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
-    -weight / even.ln()
+    let uniform = ((mix(tenant ^ cell.rotate_left(32)) >> 11) as f64 + 0.5) / (1_u64 << 53) as f64;
+    -weight / uniform.ln()
 }
 
-/// Finds cells. Rows are looked up, all else is hashed once and kept.
+/// Finds the cells of ops. Explicit assignments are looked up; hashed ones are cached.
 #[derive(Clone, Debug)]
 pub struct CellAssignment {
-    rows: FxHashMap<Box<str>, CellId>,
-    /// Cells that take hashed tenants: id, spread name, weight.
+    explicit: FxHashMap<Box<str>, CellId>,
+    /// Cells that accept hashed tenants: id, hash of the name, weight.
     hashed_cells: Vec<(CellId, u64, f64)>,
     cells_per_tenant: Option<usize>,
     cache: FxHashMap<u64, AssignedCells>,
     networks: NetworkTable,
-    /// Groups that one cell alone lists.
+    /// Groups that exactly one cell lists.
     sole_cells: FxHashMap<GroupId, CellId>,
 }
 
-/// Why an op has no cell.
+/// Why an op belongs to no cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoCellReason {
-    /// No row names the tenant, and tenants are not placed.
+    /// The tenant has no explicit assignment, and tenants are not hashed to cells.
     TenantNotAssigned,
-    /// No tenant is named, and neither the address nor the group tells.
+    /// No tenant is named, and neither the client's address nor the group identifies a cell.
     NoTenantOrMatch,
 }
 
@@ -63,12 +64,12 @@
         let mut sole_cells = FxHashMap::default();
         for id in layout.ids() {
             for &group in &layout.cell(id).groups {
-                // Several cells of one group: the group does not tell.
+                // A group that several cells list does not identify one.
                 sole_cells.entry(group).and_modify(|of| *of = None).or_insert(Some(id));
             }
         }
         CellAssignment {
-            rows: layout.tenants.clone(),
+            explicit: layout.tenants.clone(),
             hashed_cells: hashed_cells
                 .map(|id| (id, stable_hash(&layout.cell(id).name), layout.cell(id).weight))
                 .collect(),
@@ -79,7 +80,7 @@
         }
     }
 
-    /// The cells of a tenant that no row names, by hashing.
+    /// Cells of a tenant without an explicit assignment.
     pub fn cells_by_hash(&self, tenant: u64, cells_per_tenant: usize) -> AssignedCells {
         let mut best: SmallVec<[(f64, CellId); 4]> = SmallVec::new();
         for &(id, cell, weight) in &self.hashed_cells {
@@ -93,50 +94,51 @@
         best.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// The cells of an op, the first choice first.
+    /// Cells of an op, in order of preference.
     ///
     /// # Errors
-    /// The op has none: it is an error, and never another cell's.
+    /// The op belongs to no cell. It must not run in any other.
     pub fn cells_for(
         &mut self,
         tenant: Option<&str>,
         address: Option<std::net::IpAddr>,
         group: GroupId,
     ) -> Result<AssignedCells, NoCellReason> {
-        let one = |id: CellId| AssignedCells::from_slice(&[id]);
+        let single = |id: CellId| AssignedCells::from_slice(&[id]);
         if let Some(name) = tenant {
-            if let Some(&id) = self.rows.get(name) {
-                return Ok(one(id));
+            if let Some(&id) = self.explicit.get(name) {
+                return Ok(single(id));
             }
             let cells_per_tenant = self.cells_per_tenant.ok_or(NoCellReason::TenantNotAssigned)?;
             let key = stable_hash(name);
-            if let Some(homes) = self.cache.get(&key) {
-                return Ok(homes.clone());
+            if let Some(cells) = self.cache.get(&key) {
+                return Ok(cells.clone());
             }
-            let homes = self.cells_by_hash(key, cells_per_tenant);
-            // Danger: names without end, each kept. What is dropped is worked out again.
+            let cells = self.cells_by_hash(key, cells_per_tenant);
+            // Bounds memory when clients use unlimited tenant names; evicted results are computed again.
             if self.cache.len() >= MAX_CACHED_TENANTS {
                 self.cache.clear();
             }
-            self.cache.insert(key, homes.clone());
-            return Ok(homes);
+            self.cache.insert(key, cells.clone());
+            return Ok(cells);
         }
         let by_address = address.and_then(|address| self.networks.lookup(address));
         by_address
             .or_else(|| self.sole_cells.get(&group).copied())
-            .map(one)
+            .map(single)
             .ok_or(NoCellReason::NoTenantOrMatch)
     }
 }
 
-/// How likely it is that two tenants share all, and any, of their cells.
+/// Probabilities that two tenants share all of their cells, and at least one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Odds {
     pub share_all: f64,
     pub share_any: f64,
 }
 
-/// Of `each` cells out of `cells`, drawn evenly: 1 / C(n, k) and 1 - C(n - k, k) / C(n, k).
+/// Sharing probabilities when each tenant uses k of n equally weighted cells: 1 / C(n, k) for all, and 1 -
+/// C(n - k, k) / C(n, k) for any.
 pub fn sharing_odds(cells: usize, cells_per_tenant: usize) -> Odds {
     let (n, k) = (cells as f64, cells_per_tenant.min(cells) as f64);
     let steps = || (0..cells_per_tenant.min(cells)).map(|i| i as f64);
@@ -145,32 +147,33 @@
     Odds { share_all: all, share_any: 1.0 - none }
 }
 
-/// The same by drawing pairs of tenants and placing them; what uneven weights make of the odds shows here only.
+/// Estimates the sharing probabilities by assigning random pairs of tenants. Unlike `sharing_odds` it takes
+/// weights into account.
 pub fn sampled_sharing_odds(layout: &Layout, pairs: usize, seed: u64) -> Odds {
-    let (assign, mut rng) = (CellAssignment::new(layout), Rng::with_seed(seed));
+    let (assignment, mut rng) = (CellAssignment::new(layout), Rng::with_seed(seed));
     let cells_per_tenant = layout.cells_per_hashed_tenant.unwrap_or(1);
     let (mut all, mut any) = (0_usize, 0_usize);
     for _ in 0..pairs {
-        let [one, two] =
-            [rng.u64(..), rng.u64(..)].map(|tenant| assign.cells_by_hash(tenant, cells_per_tenant));
-        let shared = one.iter().filter(|id| two.contains(id)).count();
+        let [first, second] =
+            [rng.u64(..), rng.u64(..)].map(|tenant| assignment.cells_by_hash(tenant, cells_per_tenant));
+        let shared = first.iter().filter(|id| second.contains(id)).count();
         all += usize::from(shared == cells_per_tenant);
         any += usize::from(shared > 0);
     }
-    let part = |count: usize| count as f64 / pairs.max(1) as f64;
-    Odds { share_all: part(all), share_any: part(any) }
+    let fraction = |count: usize| count as f64 / pairs.max(1) as f64;
+    Odds { share_all: fraction(all), share_any: fraction(any) }
 }
 
-/// A tenant whose cells one layout and another name differently.
+/// A tenant that two layouts assign to different cells.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReassignedTenant {
     pub tenant: Box<str>,
-    /// Names of cells; none: the tenant has no cell.
+    /// Cell names; empty if the tenant has no cell.
     pub from: Vec<Box<str>>,
     pub to: Vec<Box<str>>,
 }
 
-/// Which of these tenants, and of those that either layout names, go elsewhere; by name.
+/// Tenants of either layout and of `others` whose assignment differs, sorted by name.
 pub fn reassigned_tenants<'a>(
     old: &'a Layout,
     new: &'a Layout,
@@ -182,10 +185,10 @@
     names.sort_unstable();
     names.dedup();
     let cells = |assign: &mut CellAssignment, layout: &Layout, name: &str| -> Vec<Box<str>> {
-        let homes = assign.cells_for(Some(name), None, GroupId(0)).unwrap_or_default();
-        let mut homes: Vec<Box<str>> = homes.iter().map(|&id| layout.cell(id).name.clone()).collect();
-        homes.sort_unstable();
-        homes
+        let cells = assign.cells_for(Some(name), None, GroupId(0)).unwrap_or_default();
+        let mut cells: Vec<Box<str>> = cells.iter().map(|&id| layout.cell(id).name.clone()).collect();
+        cells.sort_unstable();
+        cells
     };
     let moved = names.into_iter().map(|name| ReassignedTenant {
         tenant: name.into(),
--- a/crates/arrowyard-cells/src/concurrency_limit.rs
+++ b/crates/arrowyard-cells/src/concurrency_limit.rs
@@ -1,18 +1,18 @@
-//! A limit on a cell's ops in hand that follows the latency of its answers: the gradient form. A slow average is
-//! what the cell's hosts take when all is well; as long as a quick average stays near it the limit grows by its
-//! root, and by as much as the quick one is slower it shrinks. Latency is counted in latency targets, so that op
-//! types of unlike length can be averaged.
+//! Adaptive concurrency limit of a cell, by the latency gradient. A slow moving average is the baseline
+//! latency of the cell's hosts. While a fast moving average stays close to it, the limit grows by its square
+//! root; when the fast average rises, the limit shrinks in proportion. Latency is expressed in multiples of
+//! the op type's latency target, so that op types of different length can be averaged.
 
 use crate::layout::ConcurrencyLimitConfig;
 
-/// How much slower than the slow average the quick one may be before the limit shrinks.
+/// Ratio of the fast to the slow average above which the limit shrinks.
 const LATENCY_TOLERANCE: f64 = 1.5;
-/// The weight of one answer in the quick and in the slow average.
+/// Weights of one response in the fast and in the slow average.
 const FAST_WEIGHT: f64 = 0.1;
 const SLOW_WEIGHT: f64 = 0.002;
-/// How far one answer moves the limit towards what the gradient says.
+/// Fraction by which one response moves the limit towards its target.
 const LIMIT_SMOOTHING: f64 = 0.2;
-/// What an unanswered send leaves of the limit.
+/// Factor that a failed send applies to the limit.
 const FAILURE_FACTOR: f64 = 0.9;
 
 #[derive(Clone, Copy, Debug)]
@@ -21,7 +21,7 @@
     limit: f64,
     fast_average: Option<f64>,
     slow_average: f64,
-    /// Outcomes till the limit may be cut for a lost one again: about one round.
+    /// Outcomes until a failure may cut the limit again: about one round of in-flight ops.
     outcomes_until_cut: u32,
 }
 
@@ -44,7 +44,7 @@
         self.limit as u64
     }
 
-    /// An answer that took `used` latency targets, while so many ops were in hand.
+    /// Records a response that took `latency` latency targets while `in_flight` ops were in flight.
     pub fn record_response(&mut self, latency: f64, in_flight: u64) {
         let latency = latency.clamp(1e-3, 100.0);
         let fast = self.fast_average.map_or(latency, |fast| fast + (latency - fast) * FAST_WEIGHT);
@@ -55,21 +55,22 @@
         };
         self.fast_average = Some(fast);
         self.outcomes_until_cut = self.outcomes_until_cut.saturating_sub(1);
-        // After a jam the slow average is too high; it comes down as fast as the quick one.
+        // After congestion the slow average is too high; it follows the fast one down at the fast rate.
         if fast < self.slow_average * 0.5 {
             self.slow_average += (fast - self.slow_average) * FAST_WEIGHT;
         }
-        // Danger: a cell with little to do seems to bear any limit, and finds out in its first flood.
+        // An underused cell does not test its limit. Growing it then would leave it without effect in the
+        // next burst.
         if (in_flight as f64) < self.limit * 0.5 && fast <= self.slow_average * LATENCY_TOLERANCE {
             return;
         }
         let gradient = (LATENCY_TOLERANCE * self.slow_average / fast).clamp(0.5, 1.0);
-        let wanted = self.limit * gradient + self.limit.sqrt();
-        self.limit += (wanted - self.limit) * LIMIT_SMOOTHING / self.limit.max(1.0).sqrt();
+        let target = self.limit * gradient + self.limit.sqrt();
+        self.limit += (target - self.limit) * LIMIT_SMOOTHING / self.limit.max(1.0).sqrt();
         self.limit = self.limit.clamp(self.config.min, self.config.max);
     }
 
-    /// A send timed out or was turned away.
+    /// Records a send that timed out or was refused for lack of capacity.
     pub fn record_failure(&mut self) {
         if self.outcomes_until_cut > 0 {
             self.outcomes_until_cut -= 1;
--- a/crates/arrowyard-cells/src/fair_queue.rs
+++ b/crates/arrowyard-cells/src/fair_queue.rs
@@ -1,21 +1,21 @@
-//! Fair turns: start-time fair queueing over cells. However much one cell has waiting, another's next item waits
-//! for at most one item of each other cell, by weight.
+//! Start-time fair queueing over cells. However long one cell's queue is, the next item of another waits for
+//! at most one item of each other cell, scaled by weight.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
 use arrowyard_types::CellId;
 
-/// What one item of the weight 1 takes of virtual time.
+/// Virtual time that an item of a cell with weight 1 takes.
 const UNIT_WEIGHT_COST: f64 = 1_048_576.0;
 
-/// Items that wait, by cell.
+/// Queued items by cell.
 #[derive(Debug)]
 pub struct FairQueue<T> {
     queues: Vec<CellQueue<T>>,
-    /// The cells that have items, by the start tag of their first one; of equal tags, the cell that came first.
+    /// Non-empty cells by the start tag of their first item; on equal tags the cell that became ready first.
     heads: BinaryHeap<Reverse<(u64, u64, CellId)>>,
-    /// The start tag of the item taken last.
+    /// Start tag of the item that was dequeued last.
     virtual_time: u64,
     arrivals: u64,
     len: usize,
@@ -23,16 +23,16 @@
 
 #[derive(Debug)]
 struct CellQueue<T> {
-    /// What one item takes of virtual time.
+    /// Virtual time that one item takes.
     cost: u64,
     items: VecDeque<T>,
-    /// The start tag of its first item, and where its last one ends.
+    /// Start tag of the first item, and finish tag of the last one.
     first_start: u64,
     last_finish: u64,
 }
 
 fn cost(weight: f64) -> u64 {
-    // A cell that is gone has no weight; what waits of it comes out all the same.
+    // A removed cell has weight zero; its remaining items are still dequeued.
     ((UNIT_WEIGHT_COST / weight.max(1e-6)) as u64).max(1)
 }
 
@@ -59,7 +59,7 @@
 
     pub fn push(&mut self, cell: CellId, item: T) {
         let queue = &mut self.queues[cell.0 as usize];
-        // A cell that was idle begins now: it saves up nothing.
+        // An idle cell starts at the current virtual time, so that it accumulates no credit.
         let start = queue.last_finish.max(self.virtual_time);
         queue.last_finish = start + queue.cost;
         if queue.items.is_empty() {
@@ -71,7 +71,7 @@
         self.len += 1;
     }
 
-    /// The item whose start tag is the least.
+    /// Dequeues the item with the lowest start tag.
     pub fn pop(&mut self) -> Option<T> {
         let Reverse((start, _, cell)) = self.heads.pop()?;
         let queue = &mut self.queues[cell.0 as usize];
@@ -86,7 +86,7 @@
         Some(item)
     }
 
-    /// Other weights. Cells keep their ids, and there may be more of them.
+    /// Changes the weights. Cells keep their ids and queued items; there may be more cells than before.
     pub fn set_weights(&mut self, weights: impl Iterator<Item = f64>) {
         let mut next = FairQueue::new(weights);
         for (id, queue) in (0..).map(CellId).zip(self.queues.drain(..)) {
--- a/crates/arrowyard-cells/src/index.rs
+++ b/crates/arrowyard-cells/src/index.rs
@@ -1,5 +1,5 @@
-//! Which cells serve a group and hold a host, looked up: with many cells a look at each of them for every host of a
-//! list, or for every op, is too slow.
+//! Lookup tables from groups and host names to cells, so that neither an op nor a host listing scans every
+//! cell.
 
 use arrowyard_types::{CellId, GroupId};
 use rustc_hash::FxHashMap;
@@ -7,19 +7,19 @@
 
 use crate::layout::Layout;
 
-type Ids = SmallVec<[CellId; 4]>;
+type CellIds = SmallVec<[CellId; 4]>;
 
-/// Made once of a layout.
+/// Built once per layout.
 #[derive(Clone, Debug, Default)]
 pub struct CellIndex {
-    groups: FxHashMap<GroupId, Ids>,
-    /// Cells that list no groups, and serve those that nobody lists.
+    groups: FxHashMap<GroupId, CellIds>,
+    /// Cells that list no groups. They serve every group that no cell lists.
     unrestricted: Vec<CellId>,
-    exact_names: FxHashMap<Box<str>, Ids>,
-    /// What names begin with, and the lengths that occur.
-    prefixes: FxHashMap<Box<str>, Ids>,
+    exact_names: FxHashMap<Box<str>, CellIds>,
+    /// Host name prefixes (patterns that end in `*`), and the prefix lengths that occur.
+    prefixes: FxHashMap<Box<str>, CellIds>,
     prefix_lengths: Vec<usize>,
-    /// By cell: whether it names no hosts, and has those that nobody names.
+    /// By cell id: whether the cell lists no hosts and therefore owns every host that no cell lists.
     hostless: Vec<bool>,
 }
 
@@ -38,9 +38,9 @@
             }
             for pattern in &cell.hosts {
                 match pattern.strip_suffix('*') {
-                    Some(start) => {
-                        index.prefixes.entry(start.into()).or_default().push(id);
-                        index.prefix_lengths.push(start.len());
+                    Some(prefix) => {
+                        index.prefixes.entry(prefix.into()).or_default().push(id);
+                        index.prefix_lengths.push(prefix.len());
                     }
                     None => index.exact_names.entry(pattern.clone()).or_default().push(id),
                 }
@@ -51,7 +51,7 @@
         index
     }
 
-    /// The cells in which ops of the group may be: those that list it, else those that list none.
+    /// Cells that serve the group: those that list it, or else those that list no groups.
     pub fn cells_serving(&self, group: GroupId) -> &[CellId] {
         self.groups.get(&group).map_or(&self.unrestricted, |ids| ids)
     }
@@ -63,22 +63,23 @@
         }
     }
 
-    /// The cells that name the host.
-    fn owners(&self, host: &str) -> Ids {
+    /// Cells whose patterns match the host name.
+    fn owners(&self, host: &str) -> CellIds {
         let mut owners = self.exact_names.get(host).cloned().unwrap_or_default();
         for &length in &self.prefix_lengths {
-            let start = host.get(..length).and_then(|start| self.prefixes.get(start));
-            owners.extend(start.into_iter().flatten().copied());
+            let prefix = host.get(..length).and_then(|prefix| self.prefixes.get(prefix));
+            owners.extend(prefix.into_iter().flatten().copied());
         }
         owners
     }
 
-    /// The cells that a group's host takes part in, and whether only as the group's primary. `host` is its name.
+    /// Cells that use a host of the group, each with whether the host serves that cell only as the group's
+    /// primary.
     pub fn cells_for_host(&self, group: GroupId, host: &str) -> impl Iterator<Item = (CellId, bool)> {
         let owners = self.owners(host);
         self.cells_serving(group).iter().map(move |&id| {
-            let own = owners.contains(&id) || owners.is_empty() && self.hostless[id.0 as usize];
-            (id, !own)
+            let owned = owners.contains(&id) || owners.is_empty() && self.hostless[id.0 as usize];
+            (id, !owned)
         })
     }
 }
--- a/crates/arrowyard-cells/src/layout.rs
+++ b/crates/arrowyard-cells/src/layout.rs
@@ -1,4 +1,4 @@
-//! What a file of the operator's says of cells, checked, under our names.
+//! The validated cell configuration, with names resolved to ids.
 
 use arrowyard_types::{CellId, GroupId, TimeDelta, Timestamp};
 use ipnet::IpNet;
@@ -6,18 +6,19 @@
 
 use crate::tenant_move::MoveConfig;
 
-/// Everything that is set about cells; whole, and replaced as a whole.
+/// The complete cell configuration. It is always replaced as a whole.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Layout {
-    /// Grows with each edit.
+    /// Increases with every edit of the configuration.
     pub epoch: u64,
     pub cells: Vec<Cell>,
-    /// Tenants that a row names.
+    /// Tenants that are assigned explicitly.
     pub tenants: FxHashMap<Box<str>, CellId>,
     pub networks: Vec<NetworkRule>,
-    /// To how many cells a tenant goes that no row names; none: its ops are errors.
+    /// Number of cells that a tenant without an explicit assignment is hashed to. `None`: its ops are
+    /// rejected.
     pub cells_per_hashed_tenant: Option<usize>,
-    /// After a cell asked for its own room, nobody borrows for so long.
+    /// How long borrowing is suspended after a cell asked for its own capacity while it was lent out.
     pub reclaim_period: TimeDelta,
     pub retry_budget: Option<RetryBudgetConfig>,
     pub rollout: Option<RolloutConfig>,
@@ -29,20 +30,20 @@
 pub struct Cell {
     pub name: Box<str>,
     pub weight: f64,
-    /// Groups of its own; a group that no cell lists is served by all cells that list none.
+    /// Groups that the cell serves. A group that no cell lists is served by all cells that list none.
     pub groups: Vec<GroupId>,
-    /// Names of its hosts, or what they begin with, then with a `*`.
+    /// Host names of the cell; a trailing `*` matches a prefix.
     pub hosts: Vec<Box<str>>,
-    /// The part of its share that is never lent.
+    /// Fraction of the cell's share that is never lent to other cells.
     pub guaranteed_fraction: f64,
-    /// Whether tenants without a row may be placed here.
+    /// Whether tenants without an explicit assignment may be hashed to this cell.
     pub accepts_hashed_tenants: bool,
     pub concurrency_limit: Option<ConcurrencyLimitConfig>,
-    /// It was in an earlier layout only. Its id stays taken as long as ops have it.
+    /// The cell was part of an earlier layout only. Its id stays reserved while ops still use it.
     pub removed: bool,
 }
 
-/// A limit on ops in hand that follows latency: at the start, at least, at most.
+/// Bounds of the adaptive limit on in-flight ops.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConcurrencyLimitConfig {
     pub initial: f64,
@@ -50,7 +51,7 @@
     pub max: f64,
 }
 
-/// Clients without a tenant, by address.
+/// Assigns clients that name no tenant by their address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkRule {
     pub included: Vec<IpNet>,
@@ -60,9 +61,9 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
-    /// Of the first sends of a window.
+    /// Retries allowed per first send within the window.
     pub retry_ratio: f64,
-    /// In a window, however few first sends there were.
+    /// Retries that are always allowed within the window, however few first sends there were.
     pub min_retries: u32,
     pub window: TimeDelta,
 }
@@ -74,7 +75,8 @@
     pub error_probability: f64,
 }
 
-/// Until when the file's word on who writes where holds, and how far apart two clocks may be.
+/// How long the layout may be used for writes and bounded reads, and the largest difference between two
+/// routers' clocks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
     pub expires_at: Timestamp,
@@ -96,28 +98,28 @@
 }
 
 impl Layout {
-    /// The same layout with cells by the ids that they have in an older one, so that what is held by an id stays
-    /// that cell's. A cell that is not in it any more keeps its place, without share or hosts; its id is given to
-    /// a new cell once it is `free`.
+    /// Renumbers the cells so that a cell that is also in `old` keeps its id, and state held by id stays
+    /// valid. A cell that is no longer configured keeps its place without weight, groups or hosts; its id is
+    /// given to a new cell once `free` returns true for it.
     pub fn aligned(mut self, old: &Layout, free: impl Fn(CellId) -> bool) -> Layout {
         let mut cells = std::mem::take(&mut self.cells);
-        let mut places: Vec<Option<Cell>> = vec![None; old.cells.len()];
+        let mut slots: Vec<Option<Cell>> = vec![None; old.cells.len()];
         let mut ids = vec![CellId(0); cells.len()];
-        let mut new = Vec::new();
-        for (row, cell) in cells.drain(..).enumerate() {
+        let mut unplaced = Vec::new();
+        for (index, cell) in cells.drain(..).enumerate() {
             match old.ids().find(|&id| old.cell(id).name == cell.name) {
-                Some(id) => (ids[row], places[id.0 as usize]) = (id, Some(cell)),
-                None => new.push((row, cell)),
+                Some(id) => (ids[index], slots[id.0 as usize]) = (id, Some(cell)),
+                None => unplaced.push((index, cell)),
             }
         }
-        for (row, cell) in new {
-            let place =
-                old.ids().find(|&id| places[id.0 as usize].is_none() && old.cell(id).removed && free(id));
-            let place = place.map_or(places.len(), |id| id.0 as usize);
-            if place == places.len() {
-                places.push(None);
+        for (index, cell) in unplaced {
+            let slot =
+                old.ids().find(|&id| slots[id.0 as usize].is_none() && old.cell(id).removed && free(id));
+            let slot = slot.map_or(slots.len(), |id| id.0 as usize);
+            if slot == slots.len() {
+                slots.push(None);
             }
-            (ids[row], places[place]) = (CellId(place as u32), Some(cell));
+            (ids[index], slots[slot]) = (CellId(slot as u32), Some(cell));
         }
         let removed = |id: usize| Cell {
             removed: true,
@@ -127,15 +129,15 @@
             hosts: Vec::new(),
             ..old.cells[id].clone()
         };
-        let filled = places.into_iter().enumerate();
+        let filled = slots.into_iter().enumerate();
         self.cells = filled.map(|(id, cell)| cell.unwrap_or_else(|| removed(id))).collect();
         let renumber = |id: &mut CellId| *id = ids[id.0 as usize];
         self.tenants.values_mut().for_each(renumber);
         self.networks.iter_mut().for_each(|net| renumber(&mut net.cell));
         self.rollout.iter_mut().for_each(|rollout| rollout.order.iter_mut().for_each(renumber));
-        for row in &mut self.moves {
-            renumber(&mut row.from);
-            renumber(&mut row.to);
+        for config in &mut self.moves {
+            renumber(&mut config.from);
+            renumber(&mut config.to);
         }
         self
     }
--- a/crates/arrowyard-cells/src/lib.rs
+++ b/crates/arrowyard-cells/src/lib.rs
@@ -1,8 +1,11 @@
-//! What cells decide. A cell is a subset of the hosts with a share of the router; tenants and groups are confined
-//! to cells, so that a flood, a bad tenant or a bad release harms one of them only. No I/O, no clock: the caller
-//! passes the time. Which host an op goes to, whether it goes again and what hosts' trouble turns away is the
-//! decision module's; here is decided which cell an op belongs to, what room the cell has, and where a tenant's
-//! writes may go while it moves.
+//! Cell-based isolation for the router. A cell is a subset of the hosts together with a share of the
+//! router's capacity. Tenants and groups are confined to cells, so that overload, a misbehaving tenant or a
+//! bad release affects a single cell.
+//!
+//! This crate decides which cell an op belongs to, whether that cell has capacity for it, how many retries
+//! the cell may send, and where a tenant's ops go while the tenant moves between cells. Choosing a host,
+//! retrying a send and circuit breaking belong to the decision module. The crate does no I/O and reads no
+//! clock: the caller passes the time.
 
 pub mod admission;
 pub mod assignment;
--- a/crates/arrowyard-cells/src/retry_budget.rs
+++ b/crates/arrowyard-cells/src/retry_budget.rs
@@ -1,12 +1,13 @@
-//! A budget of repeated attempts: further sends and clients' marked retries, against first sends. Over any window
-//! they are at most a share of the first sends, or a small number that is always allowed, whichever is more.
+//! Retry budget of a cell: limits further sends and clients' marked retries relative to first sends. Over
+//! any window the retries stay within a ratio of the first sends, or within a fixed minimum if that is
+//! larger.
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::layout::RetryBudgetConfig;
 
-/// A window is kept as so many slices.
-const SLICES: i64 = 16;
+/// Number of slices that a window is divided into.
+const SLICES_PER_WINDOW: i64 = 16;
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Slice {
@@ -15,12 +16,12 @@
     retries: u32,
 }
 
-/// The budget of one cell.
+/// Retry budget of one cell.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     config: RetryBudgetConfig,
-    /// The window, and one more that it may touch.
-    slices: [Slice; SLICES as usize + 1],
+    /// The slices of a window, plus one, since a window that is not aligned touches one more.
+    slices: [Slice; SLICES_PER_WINDOW as usize + 1],
 }
 
 impl RetryBudget {
@@ -29,7 +30,7 @@
     }
 
     pub fn set_config(&mut self, config: RetryBudgetConfig) {
-        // Slices of another length say nothing.
+        // Counts of slices of a different length cannot be converted.
         *self = if config.window == self.config.window {
             RetryBudget { config, ..self.clone() }
         } else {
@@ -37,13 +38,13 @@
         };
     }
 
-    fn number(&self, now: Timestamp) -> i64 {
-        now.micros().div_euclid((self.config.window.micros() / SLICES).max(1))
+    fn slice_number(&self, now: Timestamp) -> i64 {
+        now.micros().div_euclid((self.config.window.micros() / SLICES_PER_WINDOW).max(1))
     }
 
-    fn slice(&mut self, now: Timestamp) -> &mut Slice {
-        let number = self.number(now);
-        let slice = &mut self.slices[number.rem_euclid(SLICES + 1) as usize];
+    fn current_slice(&mut self, now: Timestamp) -> &mut Slice {
+        let number = self.slice_number(now);
+        let slice = &mut self.slices[number.rem_euclid(SLICES_PER_WINDOW + 1) as usize];
         if slice.number != number {
             *slice = Slice { number, ..Slice::default() };
         }
@@ -51,40 +52,40 @@
     }
 
     pub fn record_first_send(&mut self, now: Timestamp) {
-        let slice = self.slice(now);
+        let slice = self.current_slice(now);
         slice.first_sends = slice.first_sends.saturating_add(1);
     }
 
-    /// How many more attempts may be repeated now. Danger: a window that straddles slices. Repeats count in every
-    /// slice that the window touches, first sends only in those that lie wholly within it.
+    /// How many more retries are allowed now. Retries count in every slice that the window touches, first
+    /// sends only in slices that lie entirely within it, so that a window across slice boundaries never
+    /// exceeds the ratio.
     pub fn remaining(&self, now: Timestamp) -> u32 {
-        let number = self.number(now);
-        let within = |from: i64| {
-            self.slices.iter().filter(move |s| (number - s.number) >= 0 && s.number > number - from)
+        let number = self.slice_number(now);
+        let last_slices = |count: i64| {
+            self.slices.iter().filter(move |s| (number - s.number) >= 0 && s.number > number - count)
         };
-        let retries: u32 = within(SLICES + 1).map(|slice| slice.retries).sum();
-        let first_sends: u32 = within(SLICES).map(|slice| slice.first_sends).sum();
+        let retries: u32 = last_slices(SLICES_PER_WINDOW + 1).map(|slice| slice.retries).sum();
+        let first_sends: u32 = last_slices(SLICES_PER_WINDOW).map(|slice| slice.first_sends).sum();
         let allowed = (f64::from(first_sends) * self.config.retry_ratio) as u32;
         allowed.max(self.config.min_retries).saturating_sub(retries)
     }
 
-    /// Counts one that was repeated.
     pub fn record_retry(&mut self, now: Timestamp) {
-        let slice = self.slice(now);
+        let slice = self.current_slice(now);
         slice.retries = slice.retries.saturating_add(1);
     }
 
-    /// Whether one more may be repeated; if so, it counts.
+    /// Records a retry if the budget allows one, and returns whether it does.
     pub fn try_spend(&mut self, now: Timestamp) -> bool {
-        let may = self.remaining(now) > 0;
-        if may {
+        let allowed = self.remaining(now) > 0;
+        if allowed {
             self.record_retry(now);
         }
-        may
+        allowed
     }
 
-    /// After this span the oldest slice falls out of the window, and there may be room again.
+    /// Length of one slice: after it the oldest slice leaves the window, which may free budget.
     pub fn retry_after(&self) -> TimeDelta {
-        TimeDelta::from_micros(self.config.window.micros() / SLICES)
+        TimeDelta::from_micros(self.config.window.micros() / SLICES_PER_WINDOW)
     }
 }
--- a/crates/arrowyard-cells/src/rollout.rs
+++ b/crates/arrowyard-cells/src/rollout.rs
@@ -1,21 +1,23 @@
-//! The blast radius of a release. Cells get a new release one after the other; what their hosts do after they
-//! started anew is judged against what all other hosts do meanwhile, by Wald's sequential test. Until a cell is judged good,
-//! hosts of the next ones that start anew are trusted little. Nothing is moved by the router on its own.
+//! Limits the blast radius of a host release. Cells receive a release one after another. The outcomes of
+//! hosts that restarted are compared with those of all other hosts by Wald's sequential probability ratio
+//! test. Until a cell's release is verified, restarted hosts of the cells after it receive only a small part
+//! of their traffic. The router never moves a release by itself.
 
 use arrowyard_types::{CellId, TimeDelta, Timestamp};
 
 use crate::layout::RolloutConfig;
 
-/// A new host is trusted with this part of its size while a cell before it is not judged good.
+/// Fraction of its size that a restarted host counts with while the release of an earlier cell is
+/// unverified.
 pub const UNVERIFIED_TRUST: f64 = 0.1;
-/// The error rate that others have at least: a test against never would call the first error a verdict.
+/// Lower bound of the baseline error rate. With a baseline of zero a single error would fail the release.
 const MIN_ERROR_RATE: f64 = 0.002;
-/// The weight of one outcome in the others' error rate.
+/// Weight of one outcome in the moving average of the baseline error rate.
 const ERROR_RATE_SMOOTHING: f64 = 0.002;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseVerdict {
-    /// Nothing of it started anew, or too little is known.
+    /// No host restarted, or there is not enough evidence.
     Open,
     Good,
     Bad,
@@ -23,34 +25,34 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Trial {
-    /// The log of the odds that it is bad.
+    /// Log-likelihood ratio of a bad release against a good one.
     evidence: f64,
     verdict: ReleaseVerdict,
-    /// When the last of its hosts started anew.
+    /// When a host of the cell last restarted.
     last_restart: Option<Timestamp>,
 }
 
-/// The trials of the cells, in the order of the release.
+/// Release trials of the cells, in rollout order.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     config: RolloutConfig,
     trials: Vec<Trial>,
-    /// The error rate of hosts that did not start anew.
+    /// Error rate of hosts that did not restart.
     baseline_error_rate: f64,
 }
 
-/// A verdict that was just reached.
+/// A verdict that has just changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VerdictChange {
     pub cell: CellId,
     pub verdict: ReleaseVerdict,
 }
 
-/// Why the release is not widened to a cell.
+/// Why the release is not extended to a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RolloutBlocked {
     pub blocked_by: CellId,
-    /// Whether it was judged bad; else it is not judged yet.
+    /// Whether the release failed there; otherwise it is unverified.
     pub failed: bool,
 }
 
@@ -64,8 +66,8 @@
         self.config.order.iter().position(|&other| other == cell)
     }
 
-    /// A host of the cell started anew, at this point. A trial begins with the first of a release; hosts that follow
-    /// within the span belong to it.
+    /// Records that a host of the cell restarted at `at`. Restarts within `within` of the previous one
+    /// belong to the same trial; a later one starts a new trial.
     pub fn host_restarted(&mut self, cell: CellId, at: Timestamp, within: TimeDelta) {
         let Some(position) = self.position(cell) else { return };
         let trial = &mut self.trials[position];
@@ -75,9 +77,10 @@
         trial.last_restart = Some(at).max(trial.last_restart);
     }
 
-    /// An outcome of a host: of a cell, if it started anew there since the cell's trial began; else of no cell.
-    pub fn record_outcome(&mut self, new: Option<CellId>, failed: bool) -> Option<VerdictChange> {
-        let Some(position) = new.and_then(|cell| self.position(cell)) else {
+    /// Records the outcome of a send. `new` is the host's cell if the host restarted during that cell's
+    /// trial, and `None` for all other hosts.
+    pub fn record_outcome(&mut self, restarted_in: Option<CellId>, failed: bool) -> Option<VerdictChange> {
+        let Some(position) = restarted_in.and_then(|cell| self.position(cell)) else {
             self.baseline_error_rate +=
                 (f64::from(u8::from(failed)) - self.baseline_error_rate) * ERROR_RATE_SMOOTHING;
             return None;
@@ -91,8 +94,8 @@
         }
         let likelihood_ratio =
             if failed { failing_rate / baseline } else { (1.0 - failing_rate) / (1.0 - baseline) };
-        // Danger: a release that goes bad late has good odds saved up. The test goes on after a good verdict, from
-        // its bound.
+        // The test continues after a good verdict, and the clamp bounds its accumulated evidence: without it
+        // a release that degrades late would be detected late.
         trial.evidence = (trial.evidence + likelihood_ratio.ln()).clamp(-bound, bound);
         let verdict = match trial.evidence {
             evidence if evidence >= bound => ReleaseVerdict::Bad,
@@ -108,14 +111,14 @@
         self.position(cell).map_or(ReleaseVerdict::Open, |position| self.trials[position].verdict)
     }
 
-    /// Whether hosts of the cell that start anew are trusted fully.
+    /// Whether restarted hosts of the cell may receive their full share of traffic.
     ///
     /// # Errors
-    /// The first cell before it whose release is bad, or not known to be good.
+    /// The first earlier cell whose release failed or is unverified.
     pub fn check_rollout(&self, cell: CellId) -> Result<(), RolloutBlocked> {
-        let before = self.position(cell).map_or(&[][..], |position| &self.trials[..position]);
-        let held = before.iter().position(|trial| trial.verdict != ReleaseVerdict::Good);
-        held.map_or(Ok(()), |position| {
+        let earlier = self.position(cell).map_or(&[][..], |position| &self.trials[..position]);
+        let blocking = earlier.iter().position(|trial| trial.verdict != ReleaseVerdict::Good);
+        blocking.map_or(Ok(()), |position| {
             let failed = self.trials[position].verdict == ReleaseVerdict::Bad;
             Err(RolloutBlocked { blocked_by: self.config.order[position], failed })
         })
--- a/crates/arrowyard-cells/src/tenant_move.rs
+++ b/crates/arrowyard-cells/src/tenant_move.rs
@@ -1,19 +1,21 @@
-//! A tenant moves from a cell to another, and its data from a group to another, losing no turn.
+//! Moves a tenant from one cell to another, and its data from one group to another, without losing a write.
 //!
-//! The copy is made by a program of the operator's; the file tells how far it is, and each router by itself keeps
-//! its ops safe. Routers share nothing but clocks that are a known skew apart, so that times are announced ahead:
-//! from the fence on no router sends a write of the tenant that could have an effect behind the copy, and from the
-//! switch on no router reads the source where a bound is kept. A lease stops those that never heard of the move.
+//! An operator's program makes the copy, and the configuration says how far it is. Routers share no state,
+//! only clocks whose skew is bounded. Times are therefore announced in advance: from the fence on, no router
+//! sends a write of the tenant that could take effect after the copy, and from the switch on, no router
+//! serves a bounded read from the source. The lease of the layout stops routers that have not received the
+//! move.
 //!
-//! | stage | writes | reads | danger |
+//! | stage | writes | reads | hazard |
 //! | --- | --- | --- | --- |
-//! | open | source; tokens and positions are noted | source | a write that is out still when the copy ends |
-//! | fenced | held or busy-replied; till the copy's end a repeat may settle at the source what may have run | source | a write that lands behind the copy |
-//! | drained | the same; no write of the tenant is out | source; with a bound, only till the switch is due | other routers have switched |
-//! | switched | target; a repeat of a token that the source acked goes there while it remembers | target, from the floor on | a repeat that the target never saw |
-//! | done | target | target, from the floor on | |
+//! | open | source; tokens and positions are recorded | source | a write still in flight when the copy ends |
+//! | fenced | held or rejected as busy; until the copy ends, a retry may settle an unknown outcome at the source | source | a write that takes effect after the copy |
+//! | drained | as fenced; no write of the tenant is in flight | source; bounded reads only until the switch is due | other routers have switched |
+//! | switched | target; a retry of a token that the source acked goes to the source while it retains the token | target, from the minimum position on | a retry that the target has never seen |
+//! | done | target | target, from the minimum position on | |
 //!
-//! Up to the switch a cancelled move leaves all as it was. After it, the way back is a new move.
+//! Until the switch, cancelling a move restores the initial state. Afterwards the tenant can only be moved
+//! back by a new move.
 
 use std::collections::VecDeque;
 
@@ -21,10 +23,10 @@
 use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
 
-/// Tokens of one move that are noted.
+/// Maximum number of tokens recorded for one move.
 const MAX_TOKENS: usize = 65_536;
 
-/// How far the file says a move is.
+/// Progress of a move according to the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Step {
     Planned,
@@ -35,29 +37,30 @@
     Cancelled,
 }
 
-/// A move, as the file tells it.
+/// A move as configured.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MoveConfig {
     pub tenant: Box<str>,
     pub from: CellId,
     pub to: CellId,
-    /// The groups that hold the data before and after the switch; none: the group stays.
+    /// The groups that hold the data before and after the switch. `None`: the data stays in its group.
     pub groups: Option<(GroupId, GroupId)>,
-    /// The group that clients name; none: any.
+    /// The group that the tenant's clients name. `None`: any group.
     pub client_group: Option<GroupId>,
     pub step: Step,
     pub fence_at: Option<Timestamp>,
     pub switch_at: Option<Timestamp>,
-    /// The source's position up to which all was copied, and the target's from which on it holds that.
+    /// The source position up to which everything was copied, and the target position from which on the
+    /// target holds all of it.
     pub copied_through: Option<Timestamp>,
     pub target_floor: Option<Timestamp>,
-    /// The target's primary whose position that is, by its name in the lists.
+    /// Name in the host lists of the target's primary that `target_floor` was read from.
     pub target_host: Option<Box<str>>,
-    /// How long the source remembers tokens.
+    /// How long the source retains tokens for deduplication.
     pub token_retention: TimeDelta,
 }
 
-/// How far this router is.
+/// Progress of a move on this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
     Open,
@@ -67,7 +70,7 @@
     Done,
 }
 
-/// What became of a write at the source, or of all writes of a token.
+/// Outcome of a write at the source, or of all writes with one token.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum WriteOutcome {
     NotExecuted,
@@ -82,69 +85,70 @@
     outcome: WriteOutcome,
 }
 
-/// What all moves of a router are told once.
+/// Settings that all moves of a router share.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveSettings {
-    /// Whether clients mark what they ask again.
+    /// Whether clients mark their retries.
     pub clients_mark_retries: bool,
-    /// Writes that are out at the fence have ended after this: the longest op timeout.
+    /// Longest op timeout: a write in flight at the fence has ended by then.
     pub max_op_timeout: TimeDelta,
-    /// How far apart two clocks may be.
+    /// Largest difference between two routers' clocks.
     pub max_clock_skew: TimeDelta,
 }
 
-/// An op of the tenant, as far as a move cares.
+/// Properties of an op of the tenant that its placement depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveOp {
     pub consistency: Consistency,
-    /// The token, if repeats of it have one effect.
+    /// Idempotency token, if retries with it are deduplicated.
     pub token: Option<u64>,
-    /// Whether the client says that it asks again.
+    /// Whether the client marked the op as a retry.
     pub is_retry: bool,
     pub deadline: Timestamp,
 }
 
-/// Where it goes.
+/// Where an op goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Placement {
     Source,
-    /// With what a session's read must see at least.
+    /// The target; a session's reads have to observe at least this position.
     Target(Option<Timestamp>),
-    /// It waits till the move is further, at most until this point; then it is asked about again.
+    /// The op waits until the move progresses, at most until this time, and is then submitted again.
     Hold(Timestamp),
-    /// Nothing of it was sent; come back after this span.
+    /// Nothing was sent; the client may retry after this time.
     Busy(TimeDelta),
-    /// It may have run where it cannot be asked for any more.
+    /// The op may have run where its outcome can no longer be determined.
     OutcomeUnknown,
 }
 
-/// Why a move does not go on at this router.
+/// Why a move does not progress on this router.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveBlocker {
-    /// Writes of the tenant are out.
+    /// Writes of the tenant to the source are in flight.
     WritesInFlight(u32),
-    /// The copy ends before this point, up to which writes were, or may have been, acked; it has to be taken further.
+    /// The copy ends before this position, up to which writes were or may have been acknowledged.
     CopyIncomplete { needed: Timestamp, copied: Timestamp },
-    /// The switch is announced for later.
+    /// The switch is announced for a later time.
     SwitchNotDue(Timestamp),
-    /// Fewer than most of the target's hosts are known to hold the copy.
+    /// No majority of the target's hosts is known to hold the copy.
     TargetNotCaughtUp { caught_up: usize, hosts: usize },
-    /// The target's primary is not known, or is not the host that the file names: the copy has to be looked at again.
+    /// The target's primary is unknown, or is not the host that confirmed the copy. The copy has to be
+    /// verified again.
     TargetPrimaryUnconfirmed,
-    /// The file has not said that it is switched.
+    /// The configuration has not reached the next step.
     ConfigNotAdvanced,
-    /// Repeats may still be asked for.
+    /// The source still retains tokens, so that retries may arrive.
     TokensRetained,
 }
 
-/// A file that a router refuses, for what it says of a move.
+/// Why a configuration of a move is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum MoveConflict {
-    /// It goes back behind the switch.
+    /// It reverts or cancels a move that has switched.
     AfterSwitch,
-    /// It moves the fence that has been reached.
+    /// It moves a fence that was reached.
     FencePostponed,
-    /// It is another move of the tenant, and this one is not over.
+    /// It is a different move of the tenant, and the current one has not finished.
     OtherMoveActive,
 }
 
@@ -155,20 +159,19 @@
     stage: Stage,
     tokens: FxHashMap<u64, TokenRecord>,
     token_order: VecDeque<(Timestamp, u64)>,
-    /// Writes that were let through to the source and have not ended.
+    /// Writes sent to the source that have not ended.
     writes_in_flight: u32,
-    /// Writes that are held.
     held_writes: u32,
     last_acked: Option<Timestamp>,
-    /// Positions of the target's hosts, as learnt.
+    /// Last reported positions of the target's hosts.
     positions: SmallVec<[(HostId, Timestamp); 4]>,
-    /// The target's primary, as learnt last, and the host whose position the file's floor is.
+    /// The last known primary of the target, and the host that `target_floor` was read from.
     target_primary: Option<HostId>,
     copy_confirmed_by: Option<HostId>,
 }
 
 impl TenantMove {
-    /// A move that this router learns of now; of what was before it knows nothing.
+    /// Starts to track a move; earlier writes are unknown to this router.
     pub fn new(now: Timestamp, config: MoveConfig, settings: MoveSettings) -> Self {
         let (tokens, token_order, positions) = Default::default();
         let (stage, writes_in_flight, held_writes, last_acked) = (Stage::Open, 0, 0, None);
@@ -206,28 +209,28 @@
         self.tokens.len()
     }
 
-    /// Whether it is the same move as the row's.
+    /// Whether the configuration describes this move.
     pub fn is_same_move(&self, config: &MoveConfig) -> bool {
         let MoveConfig { tenant, from, to, groups, .. } = &self.config;
         (tenant, from, to, groups) == (&config.tenant, &config.from, &config.to, &config.groups)
     }
 
-    /// Whether a row of the file goes with what this router has done. A file that jumps over a step goes through
-    /// it: what a step demands is asked at each.
+    /// Checks whether a configuration is consistent with the state of this router. It may skip steps: the
+    /// conditions of each stage in between still apply.
     ///
     /// # Errors
-    /// The file contradicts it, and is refused whole.
+    /// Why the configuration is rejected.
     pub fn check_config(&self, config: &MoveConfig) -> Result<(), MoveConflict> {
         if !self.is_same_move(config) {
-            let over = self.config.step == Step::Cancelled || self.stage == Stage::Done;
-            return if over { Ok(()) } else { Err(MoveConflict::OtherMoveActive) };
+            let finished = self.config.step == Step::Cancelled || self.stage == Stage::Done;
+            return if finished { Ok(()) } else { Err(MoveConflict::OtherMoveActive) };
         }
-        // Danger: the target has writes that the source never saw. Back behind the switch they would be lost.
-        let back = config.step < Step::Switched || config.step == Step::Cancelled;
-        if self.stage >= Stage::Switched && back {
+        // The target may have writes that the source lacks. They would be lost.
+        let reverts = config.step < Step::Switched || config.step == Step::Cancelled;
+        if self.stage >= Stage::Switched && reverts {
             return Err(MoveConflict::AfterSwitch);
         }
-        // Danger: the fence moves to later while another router has begun to copy behind the old one.
+        // Another router may already rely on the reached fence as the end of writes.
         let fence = |config: &MoveConfig| config.fence_at.filter(|_| config.step != Step::Cancelled);
         let later =
             fence(config) > fence(&self.config) || fence(config).is_none() && config.step != Step::Cancelled;
@@ -241,10 +244,10 @@
         Ok(())
     }
 
-    /// Takes what was accepted, of the same move.
+    /// Applies a configuration that `check_config` accepted.
     pub fn apply_config(&mut self, now: Timestamp, config: MoveConfig) {
         if config.target_host != self.config.target_host {
-            // Till the target's hosts are named anew.
+            // Unknown until the target's hosts are set again.
             self.copy_confirmed_by = None;
         }
         self.config = config;
@@ -254,19 +257,19 @@
         self.tick(now);
     }
 
-    /// Goes on as far as all that a stage demands is given; tells what is missing for the next.
+    /// Advances through all stages whose conditions are met, and returns what blocks the next one.
     pub fn tick(&mut self, now: Timestamp) -> Option<MoveBlocker> {
         self.expire_tokens(now);
         loop {
             self.stage = match self.stage {
                 _ if self.config.step == Step::Cancelled => return None,
                 Stage::Open => {
-                    // By the earliest clock.
+                    // On the clock that runs furthest ahead.
                     let announced =
                         self.config.fence_at.is_some_and(|at| now >= at - self.settings.max_clock_skew);
-                    let told = self.config.step >= Step::Fenced;
+                    let step_fenced = self.config.step >= Step::Fenced;
                     if !(announced
-                        || told && (self.config.groups.is_none() || self.config.fence_at.is_none()))
+                        || step_fenced && (self.config.groups.is_none() || self.config.fence_at.is_none()))
                     {
                         return None;
                     }
@@ -292,7 +295,7 @@
         }
     }
 
-    /// No write that was let through to the source has an effect later than this.
+    /// No write sent to the source takes effect later than this.
     fn settled_at(&self) -> Option<Timestamp> {
         self.config.fence_at.map(|at| at + self.settings.max_op_timeout + self.settings.max_clock_skew)
     }
@@ -301,57 +304,56 @@
         if self.config.step < Step::Switched {
             return Some(MoveBlocker::ConfigNotAdvanced);
         }
-        // One group: there is no copy, and nothing that could be lost.
+        // Without a change of group there is no copy to wait for.
         self.config.groups?;
-        let told = self
+        let announced_values = self
             .settled_at()
             .zip(self.config.switch_at)
             .zip(self.config.copied_through.zip(self.config.target_floor));
-        let Some(((settled, switch), (copied, floor))) = told else {
+        let Some(((settled, switch_at), (copied, floor))) = announced_values else {
             return Some(MoveBlocker::ConfigNotAdvanced);
         };
-        // Danger: a copy that ended before the last write that a client may hold an ack for, here or at another
-        // router.
+        // The copy has to include every write that a client may hold an ack for, from this router or
+        // another.
         let needed = settled.max(self.last_acked.unwrap_or(settled));
         if needed > copied {
             return Some(MoveBlocker::CopyIncomplete { needed, copied });
         }
-        if now < switch {
-            return Some(MoveBlocker::SwitchNotDue(switch));
+        if now < switch_at {
+            return Some(MoveBlocker::SwitchNotDue(switch_at));
         }
-        // Danger: the target's primary dies before the switch, and with it its newest records, the copy's among them.
-        // Positions of the one that takes over run on, and say nothing of that. So it has to be the host that the
-        // copy was confirmed by.
+        // If the target's primary fails before the switch, its newest records, and with them part of the
+        // copy, may be lost, while the positions of its successor still advance. The primary must therefore
+        // be the host that confirmed the copy.
         if self.copy_confirmed_by.is_none() || self.target_primary != self.copy_confirmed_by {
             return Some(MoveBlocker::TargetPrimaryUnconfirmed);
         }
-        // Danger: the target's primary dies right after the switch, and a host without the newest records takes
-        // over. Most of its hosts have to hold the copy, as this router has learnt itself.
+        // If the target's primary fails right after the switch, a host without the newest records may take
+        // over. A majority of the target's hosts must be known to hold the copy.
         let caught_up = self.positions.iter().filter(|(_, position)| *position >= floor).count();
         let hosts = self.positions.len();
         (caught_up * 2 <= hosts || hosts == 0).then_some(MoveBlocker::TargetNotCaughtUp { caught_up, hosts })
     }
 
-    /// Whether the source may remember a token of a write that was first sent there before the fence.
+    /// Whether the source may still retain the token of a write first sent there before the fence.
     fn source_retains_tokens(&self, now: Timestamp) -> bool {
         self.config
             .fence_at
             .is_some_and(|at| now < at + self.config.token_retention + self.settings.max_clock_skew)
     }
 
-    /// The hosts of the target with their names, and what is known of their positions; a host that is not known has
-    /// none.
+    /// Sets the target's hosts and their names, keeping known positions. A new host has none.
     pub fn set_target_hosts(&mut self, hosts: &[(HostId, &str)]) {
-        let named = |(_, name): &&(HostId, &str)| self.config.target_host.as_deref() == Some(*name);
-        self.copy_confirmed_by = hosts.iter().find(named).map(|(host, _)| *host);
+        let confirms = |(_, name): &&(HostId, &str)| self.config.target_host.as_deref() == Some(*name);
+        self.copy_confirmed_by = hosts.iter().find(confirms).map(|(host, _)| *host);
         let old = std::mem::take(&mut self.positions);
         let known =
             |host: HostId| old.iter().find(|(other, _)| *other == host).map(|(_, position)| *position);
         self.positions = hosts.iter().map(|&(host, _)| (host, known(host).unwrap_or_default())).collect();
     }
 
-    /// A host said where it is, and whether it is the primary. Danger: after a failover of the target its newest
-    /// records are lost, and positions go back; the last word counts here, not the highest.
+    /// Records the position that a host reported, and whether it is the primary. After a failover positions
+    /// may go back, so that the latest report counts, not the highest.
     pub fn record_position(&mut self, host: HostId, position: Timestamp, primary: bool) {
         let Some(known) = self.positions.iter_mut().find(|(other, _)| *other == host) else { return };
         known.1 = position;
@@ -362,8 +364,8 @@
         }
     }
 
-    /// Danger: tokens without end. One that is dropped too early is not known any more, and its marked repeat is
-    /// answered with an error, not sent.
+    /// Bounds the memory for tokens. A marked retry of an expired token is rejected with an error, never
+    /// sent.
     fn expire_tokens(&mut self, now: Timestamp) {
         while let Some(&(at, token)) = self.token_order.front() {
             let old = at + self.config.token_retention * 2.0 + self.settings.max_op_timeout < now;
@@ -375,32 +377,35 @@
         }
     }
 
-    /// Where an op of the tenant may go now. A write that goes to the source is followed by `sent`.
+    /// Decides where an op of the tenant goes now. A write sent to the source has to be recorded with
+    /// `record_send`.
     pub fn place(&mut self, now: Timestamp, op: MoveOp) -> Placement {
         self.tick(now);
         let switched = self.stage >= Stage::Switched;
         if op.consistency != Consistency::Write {
-            // Danger: others have switched, and what they write the source never sees.
-            let due = self
+            // Other routers may have switched, and their writes never reach the source.
+            let switch_at = self
                 .config
                 .switch_at
                 .filter(|_| self.config.groups.is_some() && self.config.step != Step::Cancelled);
-            let late = due.is_some_and(|at| now >= at - self.settings.max_clock_skew)
+            let switch_due = switch_at.is_some_and(|at| now >= at - self.settings.max_clock_skew)
                 && op.consistency != Consistency::Any;
             return match switched {
                 true => Placement::Target(self.config.target_floor),
-                false if late && self.stage >= Stage::Fenced => self.hold_or_busy(now, op.deadline),
+                false if switch_due && self.stage >= Stage::Fenced => self.hold_or_busy(now, op.deadline),
                 false => Placement::Source,
             };
         }
-        // Danger: sessions roam. What never ran by way of this router may have by another's.
+        // Sessions move between routers: a token that never ran through this router may have run through
+        // another.
         let known = op.token.and_then(|token| self.tokens.get(&token).copied());
         let known = known.filter(|record| record.outcome != WriteOutcome::NotExecuted);
         let remembered = |record: &TokenRecord| {
             now + self.settings.max_clock_skew < record.first_at + self.config.token_retention
         };
         match self.stage {
-            // Danger: a client that waits for longer than any op type, whose write ends behind the copy.
+            // Rejects writes whose deadline is beyond the longest op timeout, since they could take effect
+            // after the copy.
             Stage::Open
                 if self.config.step != Step::Cancelled && !self.completes_before_copy_end(op.deadline) =>
             {
@@ -414,7 +419,7 @@
                 Some(record) if record.outcome == WriteOutcome::Acked && remembered(&record) => {
                     Placement::Source
                 }
-                // What may have run is settled by its repeat, as long as the copy goes on.
+                // Until the copy ends, a retry at the source settles an unknown outcome.
                 Some(record) if remembered(&record) && self.completes_before_copy_end(op.deadline) => {
                     Placement::Source
                 }
@@ -427,17 +432,18 @@
                 }
                 _ => self.hold_or_busy(now, op.deadline),
             },
-            // The group stays: the same hosts hold the token wherever the repeat goes.
+            // The data stays in its group: the same hosts deduplicate the token from either cell.
             Stage::Switched | Stage::Done if self.config.groups.is_none() => Placement::Target(None),
             Stage::Switched | Stage::Done => match known {
                 Some(record) if record.outcome == WriteOutcome::Acked && remembered(&record) => {
                     Placement::Source
                 }
-                // Danger: a repeat at the source that did not run there would run now, behind the copy; at the target
-                // it would run a second time. It may have run, and that is all that can be said.
+                // At the source a retry of a write that never ran there would take effect after the copy; at
+                // the target it could run a second time.
                 Some(_) => Placement::OutcomeUnknown,
                 None if op.token.is_none() || !self.source_retains_tokens(now) => Placement::Target(None),
-                // Danger: sessions roam, and this router may have started anew: a repeat of what it never saw.
+                // The first send may have gone through another router, or through this one before its
+                // restart.
                 None if op.is_retry => Placement::OutcomeUnknown,
                 None if !self.settings.clients_mark_retries => {
                     let at = self.config.fence_at.unwrap_or(now)
@@ -450,14 +456,14 @@
         }
     }
 
-    /// Whether a write that ends by then has its effect before the copy's end.
+    /// Whether a write with this deadline takes effect before the copy ends.
     fn completes_before_copy_end(&self, deadline: Timestamp) -> bool {
         self.settled_at().is_none_or(|settled| deadline + self.settings.max_clock_skew <= settled)
     }
 
     fn hold_or_busy(&self, now: Timestamp, deadline: Timestamp) -> Placement {
-        // Danger: the fence holds a rush of writes until they are all given up at their deadlines. What cannot be
-        // answered in time is given up at once, with when to come back.
+        // Holding writes that cannot be answered in time would only let them time out. Those are rejected at
+        // once with a retry delay.
         let half = now + (deadline - now) * 0.5;
         let soon = (self.config.token_retention * 0.25).max(TimeDelta::from_millis(50));
         match self.config.switch_at {
@@ -475,7 +481,7 @@
         self.held_writes = self.held_writes.saturating_sub(1);
     }
 
-    /// A write was let through to the source.
+    /// Records that a write was sent to the source.
     pub fn record_send(&mut self, now: Timestamp, token: Option<u64>) {
         self.writes_in_flight += 1;
         if self.stage == Stage::Drained {
@@ -494,7 +500,7 @@
         }
     }
 
-    /// A write at the source ended: what became of it, and at which position it was acked.
+    /// Records the end of a write at the source: its outcome, and the position of its ack.
     pub fn record_end(
         &mut self,
         now: Timestamp,
@@ -506,11 +512,11 @@
         let record = token.and_then(|token| self.tokens.get_mut(&token));
         let before = record.as_ref().map(|record| record.outcome);
         if let Some(record) = record {
-            // Never is never only if no other send of it may have run.
+            // A token counts as not executed only if no other send of it may have run.
             record.outcome =
                 if record.outcome == WriteOutcome::InFlight { outcome } else { record.outcome.max(outcome) };
         }
-        // A repeat of what was acked already is acked anew without a new record.
+        // A retry of an acknowledged write is acknowledged again without a new record.
         if outcome == WriteOutcome::Acked && before != Some(WriteOutcome::Acked) {
             self.last_acked = self.last_acked.max(Some(position.unwrap_or(now)));
         }
