--- a/crates/arrowyard-peers/src/anti_entropy.rs
+++ b/crates/arrowyard-peers/src/anti_entropy.rs
@@ -1,5 +1,5 @@
-//! Whole views are compared by digests, and only the parts that differ are sent, some rows at a time: on joining, from
-//! time to time, and when a cut may have healed.
+//! Anti-entropy: members compare digests of their whole views and send the partitions that differ, a few
+//! rows at a time. It runs on joining, periodically, and when a partition may have healed.
 
 use std::net::SocketAddr;
 
@@ -11,52 +11,54 @@
 use crate::message::{CHECKSUM_BYTES, DIGEST_PARTS, Datagram, Kind};
 use crate::table::{digest_contribution, member_digest};
 
-/// Pages that one comparison brings at most.
+/// Maximum number of pages sent per comparison.
 const MAX_PAGES: usize = 3;
 
 impl Membership {
-    pub(crate) fn send_digest(&mut self, now: Timestamp, slot: Slot, echo: bool) {
+    pub(crate) fn send_digest(&mut self, now: Timestamp, slot: Slot, wants_reply: bool) {
         if !self.exchange_bucket.take(now) {
             return;
         }
         let digest = self.table.digest().to_vec();
-        let mut datagram = Datagram { digest, wants_reply: echo, ..self.new_datagram(now, Kind::Digest) };
+        let mut datagram = Datagram { digest, wants_reply, ..self.new_datagram(now, Kind::Digest) };
         self.piggyback_rumors(&mut datagram, None);
         self.send_to_member(slot, datagram);
     }
 
-    /// A digest came: what differs is sent, and asked for.
-    pub(crate) fn compare_digest(&mut self, now: Timestamp, from: SocketAddr, told: &Datagram) {
-        if told.digest.len() != DIGEST_PARTS {
+    /// Compares a received digest; sends the rows that differ and, if requested, the own digest.
+    pub(crate) fn compare_digest(&mut self, now: Timestamp, from: SocketAddr, datagram: &Datagram) {
+        if datagram.digest.len() != DIGEST_PARTS {
             return;
         }
-        // Neither digest covers its own router, so that theirs lacks them and mine lacks me.
-        let theirs = self.table.by_name(&told.from).map(member_digest).unwrap_or_default();
-        let mine = digest_contribution(&self.local.name, self.local.incarnation);
-        let differ: Vec<usize> = (0..DIGEST_PARTS)
+        // A view does not contain its own router, so that each digest lacks its sender.
+        let sender = self.table.by_name(&datagram.from).map(member_digest).unwrap_or_default();
+        let local = digest_contribution(&self.local.name, self.local.incarnation);
+        let differing: Vec<usize> = (0..DIGEST_PARTS)
             .filter(|&part| {
-                let own = self.table.digest()[part] ^ if mine.0 == part { mine.1 } else { 0 };
-                let their = told.digest[part] ^ if theirs.0 == part { theirs.1 } else { 0 };
-                own != their
+                let own_digest = self.table.digest()[part] ^ if local.0 == part { local.1 } else { 0 };
+                let sender_digest = datagram.digest[part] ^ if sender.0 == part { sender.1 } else { 0 };
+                own_digest != sender_digest
             })
             .collect();
-        if differ.is_empty() {
+        if differing.is_empty() {
             return;
         }
-        // While views differ they are compared each period: after a start of many the last few rows are learnt so.
+        // While views differ, they are compared every period.
         self.next_exchange = self.next_exchange.min(now + self.config.probe_interval);
-        self.send_pages(now, from, &differ);
-        if told.wants_reply && self.exchange_bucket.take(now) {
+        self.send_pages(now, from, &differing);
+        if datagram.wants_reply && self.exchange_bucket.take(now) {
             let digest = self.table.digest().to_vec();
             let datagram = Datagram { digest, wants_reply: false, ..self.new_datagram(now, Kind::Digest) };
             self.send(from, &datagram);
         }
     }
 
-    /// Rows of these parts, from a drawn one on.
-    fn send_pages(&mut self, now: Timestamp, to: SocketAddr, parts: &[usize]) {
-        let mut rows: Vec<Slot> =
-            parts.iter().flat_map(|&part| self.table.members_in_part(part).map(|(slot, _)| slot)).collect();
+    /// Sends rows of these partitions, starting at a random one.
+    fn send_pages(&mut self, now: Timestamp, to: SocketAddr, differing_parts: &[usize]) {
+        let mut rows: Vec<Slot> = differing_parts
+            .iter()
+            .flat_map(|&part| self.table.members_in_part(part).map(|(slot, _)| slot))
+            .collect();
         let count = rows.len();
         if count > 0 {
             rows.rotate_left(self.rng.usize(..count));
@@ -67,13 +69,13 @@
                 return;
             }
             let mut page = self.new_datagram(now, Kind::Page);
-            let mut room = self.config.max_datagram_bytes - page.encoded_len() - CHECKSUM_BYTES;
+            let mut remaining_bytes = self.config.max_datagram_bytes - page.encoded_len() - CHECKSUM_BYTES;
             while let Some(rumor) = rows.peek().and_then(|&slot| self.table.get(slot)).map(Member::rumor) {
                 let length = rumor.encoded_len() + 3;
-                if length > room {
+                if length > remaining_bytes {
                     break;
                 }
-                room -= length;
+                remaining_bytes -= length;
                 page.rumors.push(rumor);
                 rows.next();
             }
@@ -81,11 +83,11 @@
         }
     }
 
-    /// Rows came, and were taken as rumors are. One that is new here brings the next comparison at once, as far as the
-    /// bucket goes, so that who joins need not wait for many rounds.
-    pub(crate) fn handle_page(&mut self, now: Timestamp, _from: SocketAddr, told: &Datagram) {
-        let new = told.rumors.iter().any(|rumor| self.table.slot(&rumor.name).is_none());
-        if new && let Some(slot) = self.table.slot(&told.from) {
+    /// Handles a page whose rows were processed as rumors. If it named an unknown member, the next
+    /// comparison follows at once within the rate limit, so that joining takes few rounds.
+    pub(crate) fn handle_page(&mut self, now: Timestamp, _from: SocketAddr, datagram: &Datagram) {
+        let names_unknown = datagram.rumors.iter().any(|rumor| self.table.slot(&rumor.name).is_none());
+        if names_unknown && let Some(slot) = self.table.slot(&datagram.from) {
             self.next_exchange = self.next_exchange.min(now + self.config.probe_interval);
             if self.candidates.len() < self.config.max_candidates / 2 {
                 self.send_digest(now, slot, false);
--- a/crates/arrowyard-peers/src/config.rs
+++ b/crates/arrowyard-peers/src/config.rs
@@ -1,4 +1,4 @@
-//! Every size, count and time of membership; filled once at start.
+//! Configuration of membership: sizes, counts and intervals.
 
 use std::net::SocketAddr;
 
@@ -8,49 +8,50 @@
 
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
-    /// The fleet's name; what names another is dropped.
+    /// Name of the fleet; datagrams of other fleets are dropped.
     pub fleet: String,
-    /// Where members are asked for when nobody is known, and from time to time.
+    /// Addresses that are contacted while no member is known, and periodically.
     pub seeds: Vec<SocketAddr>,
-    /// From where datagrams are taken, and where members may be; all if empty.
+    /// Networks that datagrams are accepted from and that members may be in. Empty: all.
     pub allowed_networks: Vec<IpNet>,
-    /// Members that are reached at another address than the one they tell.
+    /// Members that are reached at a different address than they advertise, by name.
     pub address_overrides: FxHashMap<String, SocketAddr>,
-    /// Each period a router asks its observed members and one more.
+    /// Length of a period. In each, a router probes its observed members and one more.
     pub probe_interval: TimeDelta,
-    /// A question is repeated so soon, the second time by way of helpers, too.
+    /// Delay before an unanswered ping is repeated; the second ping goes through helpers, too.
     pub retry_interval: TimeDelta,
-    /// So long after the first question it counts as unanswered.
+    /// Time after the first ping at which a probe has failed.
     pub probe_timeout: TimeDelta,
-    /// How long a silent member is silent till it counts as lost, where two at least say so; twice that where one does.
+    /// Silence after which a member with at least two accusers is lost; doubled with a single accuser.
     pub lost_after: TimeDelta,
-    /// A member that this router heard from within this time is not silent, whoever says so.
+    /// A member that this router heard from within this time is not suspected on the word of others.
     pub freshness_window: TimeDelta,
-    /// How long lost and dead members are remembered and looked for.
+    /// How long lost and dead members are remembered and probed.
     pub forget_after: TimeDelta,
-    /// A thread that comes round later than this was away.
+    /// A `tick` that is late by at least this much counts as a stall of this router.
     pub stall_threshold: TimeDelta,
-    /// How often the whole view is compared with another member's.
+    /// Interval at which the whole view is compared with that of another member.
     pub anti_entropy_interval: TimeDelta,
-    /// Members that each one observes by the rings, beside one in turn.
+    /// Members observed by ring order, in addition to one in rotation.
     pub observed_members: usize,
-    /// Helpers of an indirect question, and members that hear of urgent news at once.
+    /// Helpers of an indirect probe, and members that an urgent rumor is pushed to.
     pub indirect_probe_helpers: usize,
     pub urgent_fanout: usize,
-    /// Members and remembered ones at most; those heard of and not yet met at most.
+    /// Limits on members (including inactive ones) and on candidates, which are known by name only.
     pub max_members: usize,
     pub max_candidates: usize,
-    /// Candidates that are asked in a period.
+    /// Candidates probed per period.
     pub max_candidate_probes: usize,
-    /// Bytes of a datagram.
+    /// Maximum size of a datagram.
     pub max_datagram_bytes: usize,
-    /// Datagrams a second that are read, those beyond are dropped unread; and a burst of them.
+    /// Datagrams accepted per second, and their burst; others are dropped unread.
     pub receive_rate: f64,
     pub receive_burst: f64,
-    /// Datagrams a second that are sent beside questions and answers: urgent news, and digests and pages.
+    /// Datagrams sent per second besides probes and acks: urgent rumors, and digests with their pages.
     pub push_rate: f64,
     pub exchange_rate: f64,
-    /// Shares: the fleet's size may fall only after it was settled for so long; what is lost for longer counts no more.
+    /// For the router count: how long it has to be stable before it may fall, and how long a missing member
+    /// counts.
     pub count_settle_time: TimeDelta,
     pub missing_grace_period: TimeDelta,
 }
@@ -89,45 +90,46 @@
 }
 
 impl MembershipConfig {
-    /// The times of a period other than the usual one, in its proportions.
+    /// The default configuration with its intervals scaled to another probe interval.
     #[must_use]
-    pub fn with_probe_interval(period: TimeDelta) -> MembershipConfig {
-        let usual = MembershipConfig::default();
-        let times = period / usual.probe_interval;
+    pub fn with_probe_interval(probe_interval: TimeDelta) -> MembershipConfig {
+        let default = MembershipConfig::default();
+        let factor = probe_interval / default.probe_interval;
         MembershipConfig {
-            probe_interval: period,
-            retry_interval: usual.retry_interval * times,
-            probe_timeout: usual.probe_timeout * times,
-            freshness_window: usual.freshness_window * times,
-            stall_threshold: usual.stall_threshold * times.max(1.0),
-            anti_entropy_interval: usual.anti_entropy_interval * times,
-            // Halts do not shorten with the period.
-            lost_after: usual.lost_after * times.max(1.0),
-            ..usual
+            probe_interval,
+            retry_interval: default.retry_interval * factor,
+            probe_timeout: default.probe_timeout * factor,
+            freshness_window: default.freshness_window * factor,
+            stall_threshold: default.stall_threshold * factor.max(1.0),
+            anti_entropy_interval: default.anti_entropy_interval * factor,
+            // The length of stalls does not depend on the probe interval.
+            lost_after: default.lost_after * factor.max(1.0),
+            ..default
         }
     }
 
     #[must_use]
-    pub fn allows_address(&self, at: SocketAddr) -> bool {
-        self.allowed_networks.is_empty() || self.allowed_networks.iter().any(|net| net.contains(&at.ip()))
+    pub fn allows_address(&self, address: SocketAddr) -> bool {
+        self.allowed_networks.is_empty()
+            || self.allowed_networks.iter().any(|net| net.contains(&address.ip()))
     }
 
-    /// Where a member of this name that tells this address is reached from here.
+    /// Address at which this router reaches a member that advertises `at`.
     #[must_use]
-    pub fn reachable_address(&self, name: &str, at: SocketAddr) -> SocketAddr {
-        self.address_overrides.get(name).copied().unwrap_or(at)
+    pub fn reachable_address(&self, name: &str, address: SocketAddr) -> SocketAddr {
+        self.address_overrides.get(name).copied().unwrap_or(address)
     }
 }
 
-/// How this router belongs to its fleet, from the operator's file.
+/// Membership settings from the operator's file.
 #[derive(Clone, Debug)]
 pub struct PeerSettings {
     pub listen: SocketAddr,
-    /// Where the others reach it; where it listens if absent.
+    /// Address at which the other members reach this router; `listen` if absent.
     pub advertise: Option<SocketAddr>,
     pub config: MembershipConfig,
-    /// The number of routers in reach replaces the one of the settings.
+    /// Whether the number of reachable routers replaces the configured one.
     pub count_members: bool,
-    /// What the module wants to tell the others goes out, and what they tell comes in.
+    /// Whether messages of the decision module are exchanged with other members.
     pub relay_app_messages: bool,
 }
--- a/crates/arrowyard-peers/src/lib.rs
+++ b/crates/arrowyard-peers/src/lib.rs
@@ -1,10 +1,12 @@
-//! Routers that know each other. Each router holds a table of the fleet's members and asks a few of them, a constant
-//! number however large the fleet is, whether they live; what it finds out travels with the same datagrams. Here is what
-//! is decided: whom to ask, when silence counts, whose word counts, when to doubt oneself, and how many routers there are.
-//! No I/O and no clock: the caller hands in datagrams and the time, and carries out the deeds that come back.
+//! Router membership and failure detection in the style of SWIM. Each router keeps a table of the fleet's
+//! members and probes a constant number of them per period, independent of the size of the fleet. What it
+//! learns is piggybacked on the same datagrams. The crate decides which members to probe, when silence
+//! counts as a failure, which reports take precedence, when this router has to suspect itself, and how many
+//! routers there are. It does no I/O and reads no clock: the caller passes in datagrams and the time, and
+//! carries out the returned actions.
 //!
-//! `docs/notes/peers.md` says which ways were weighed; the pieces are SWIM's indirect questions and incarnations,
-//! Lifeguard's doubt about oneself, and Rapid's several observers of each member.
+//! Based on SWIM (indirect probes, suspicion, incarnations), Lifeguard (local health) and Rapid (several
+//! observers per member).
 
 mod anti_entropy;
 mod config;
--- a/crates/arrowyard-peers/src/member.rs
+++ b/crates/arrowyard-peers/src/member.rs
@@ -1,4 +1,4 @@
-//! What is kept of one member, and which of two words about it counts.
+//! State of one member, and the precedence of reports about it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -8,21 +8,21 @@
 
 use crate::message::{Claim, Rumor, hash_name, mix_bits};
 
-/// A place in the table.
+/// Index of a member in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Slot(pub u32);
 
-/// How a member stands.
+/// Standing of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Standing {
     Alive,
-    /// It answers nobody just now: halted, starved, cut off or dead, which silence alone does not tell.
+    /// It does not answer: stalled, starved, partitioned or dead.
     Silent,
-    /// Silent for so long that nobody waits for it; dead, or in a part of the fleet that is cut off.
+    /// Silent beyond the suspicion timeout: dead, or on the other side of a partition.
     Lost,
-    /// Its machine says that the process is no more.
+    /// Its machine reported that the process no longer exists.
     Dead,
-    /// It ended as planned.
+    /// It shut down as planned.
     Left,
 }
 
@@ -38,75 +38,75 @@
         }
     }
 
-    /// Whether it may act: it lives, or nobody can tell.
+    /// Whether the process may still be running.
     #[must_use]
     pub fn may_act(self) -> bool {
         matches!(self, Standing::Alive | Standing::Silent | Standing::Lost)
     }
 
-    /// Whether nobody asks it any more in the ordinary rounds.
+    /// Whether regular probes skip the member.
     #[must_use]
     pub fn is_inactive(self) -> bool {
         matches!(self, Standing::Lost | Standing::Dead | Standing::Left)
     }
 }
 
-/// Whether a word of this life and claim replaces what is held. Danger: a late datagram about a former life, or about the
-/// same life before its end, brings the dead back. So only a later life does, and within one life words only get worse.
+/// Whether a report with this incarnation and claim replaces the current standing. A higher incarnation
+/// always does. Within one incarnation a claim only replaces a weaker one, so that a late datagram cannot
+/// bring a dead member back.
 #[must_use]
-pub fn supersedes(life: u64, claim: Claim, held: u64, standing: Standing) -> bool {
-    (life, claim as i32) > (held, standing.claim() as i32)
+pub fn supersedes(incarnation: u64, claim: Claim, current_incarnation: u64, standing: Standing) -> bool {
+    (incarnation, claim as i32) > (current_incarnation, standing.claim() as i32)
 }
 
-/// How far two clocks may drift apart, as a share of the time.
+/// Largest drift between two clocks, as a fraction of elapsed time.
 const MAX_CLOCK_DRIFT: f64 = 0.001;
 
-/// How many accusers are remembered.
 pub const MAX_ACCUSERS: usize = 3;
 
 #[derive(Clone, Debug)]
 pub struct Member {
     pub name: Rc<str>,
-    /// Where it says that it is.
+    /// The address that it advertises.
     pub address: SocketAddr,
     pub incarnation: u64,
     pub nonce: u64,
     pub standing: Standing,
-    /// Since when it stands so.
     pub standing_since: Timestamp,
-    /// When this router last got a datagram of this life from it, one of its answers, and one by way of a helper.
+    /// When this router last received a datagram of this incarnation, an ack, and an ack through a helper.
     pub last_heard: Timestamp,
     pub last_ack: Timestamp,
     pub last_indirect_ack: Timestamp,
-    /// When this router's own questions to it were last given up.
+    /// When a probe of this router last failed.
     pub last_probe_failure: Timestamp,
-    /// Who says that it is silent: marks of their names, and the names.
+    /// Names of the members that report it silent.
     pub accusers: SmallVec<[Rc<str>; MAX_ACCUSERS]>,
-    /// Who got word that nobody listens there, and when this router did.
+    /// Names of the members whose datagrams its port refused.
     pub refused_by: SmallVec<[Rc<str>; MAX_ACCUSERS]>,
     pub idle: bool,
-    /// Whose word it stands by.
+    /// Name of the member whose report led to the standing.
     pub reported_by: Rc<str>,
-    /// How often its standing went from alive to silent.
+    /// How often the standing changed from alive to silent.
     pub suspicion_count: u32,
-    /// Places on the rings by which members observe each other.
+    /// Positions on the rings by which members observe each other.
     pub ring_positions: [u64; 2],
-    /// How often the news of it is still passed on.
+    /// How often the rumor about it will still be sent.
     pub remaining_transmissions: u8,
-    /// The latest datagram of this life, by its sender's clock, and the least that one ever took, by both clocks.
+    /// Sender's timestamp of the latest datagram of this incarnation, in microseconds, and the smallest
+    /// difference seen between receive and send time.
     pub last_sent_us: u64,
     pub min_clock_offset: Option<TimeDelta>,
 }
 
 impl Member {
     #[must_use]
-    pub fn new(name: Rc<str>, at: SocketAddr, life: u64, nonce: u64, now: Timestamp) -> Member {
-        let of = hash_name(&name);
+    pub fn new(name: Rc<str>, address: SocketAddr, incarnation: u64, nonce: u64, now: Timestamp) -> Member {
+        let name_hash = hash_name(&name);
         Member {
             reported_by: name.clone(),
             name,
-            address: at,
-            incarnation: life,
+            address,
+            incarnation,
             nonce,
             standing: Standing::Alive,
             standing_since: now,
@@ -118,32 +118,34 @@
             refused_by: SmallVec::new(),
             idle: false,
             suspicion_count: 0,
-            ring_positions: [mix_bits(of ^ 1), mix_bits(of ^ 2)],
+            ring_positions: [mix_bits(name_hash ^ 1), mix_bits(name_hash ^ 2)],
             remaining_transmissions: 0,
             last_sent_us: 0,
             min_clock_offset: None,
         }
     }
 
-    /// A datagram of this life came; how late it is, or nothing if one like it came before. Danger: one that was replayed,
-    /// doubled or held up looks like a sign of life. Both clocks run at their own rate, so what was least is let rise.
-    pub fn accept_datagram(&mut self, sent: u64, now: Timestamp, since: TimeDelta) -> Option<TimeDelta> {
-        if sent <= self.last_sent_us {
+    /// Accepts a datagram of this incarnation. Returns how much later it arrived than the fastest one, or
+    /// `None` if it is not newer than an earlier one, so that replayed, duplicated and delayed datagrams are
+    /// no sign of life. The smallest difference may rise over `since`, because the two clocks drift.
+    pub fn accept_datagram(&mut self, sent_us: u64, now: Timestamp, since: TimeDelta) -> Option<TimeDelta> {
+        if sent_us <= self.last_sent_us {
             return None;
         }
-        let took = now - Timestamp::from_micros(sent as i64);
-        let least = self.min_clock_offset.map_or(took, |least| took.min(least + since * MAX_CLOCK_DRIFT));
-        (self.last_sent_us, self.min_clock_offset) = (sent, Some(least));
-        Some(took - least)
+        let delay = now - Timestamp::from_micros(sent_us as i64);
+        let min_delay =
+            self.min_clock_offset.map_or(delay, |min_delay| delay.min(min_delay + since * MAX_CLOCK_DRIFT));
+        (self.last_sent_us, self.min_clock_offset) = (sent_us, Some(min_delay));
+        Some(delay - min_delay)
     }
 
-    /// The latest proof of this life that this router has of its own.
+    /// Latest evidence of this incarnation, direct or through a helper.
     #[must_use]
     pub fn last_evidence(&self) -> Timestamp {
         self.last_heard.max(self.last_ack).max(self.last_indirect_ack)
     }
 
-    /// The latest that it said to this router itself.
+    /// Latest evidence received directly from the member.
     #[must_use]
     pub fn last_direct_evidence(&self) -> Timestamp {
         self.last_heard.max(self.last_ack)
@@ -156,7 +158,7 @@
 
     #[must_use]
     pub fn rumor(&self) -> Rumor {
-        let by = if self.standing == Standing::Silent || self.standing == Standing::Lost {
+        let reporters = if self.standing == Standing::Silent || self.standing == Standing::Lost {
             self.accusers.iter().map(ToString::to_string).collect()
         } else if self.standing == Standing::Dead {
             self.refused_by.iter().map(ToString::to_string).collect()
@@ -169,17 +171,17 @@
             claim: self.standing.claim() as i32,
             address: self.address.to_string(),
             nonce: self.nonce,
-            reporters: by,
+            reporters,
             refused: !self.refused_by.is_empty(),
             idle: self.idle,
             age_ms: 0,
         }
     }
 
-    pub fn add_accuser(&mut self, by: &Rc<str>) -> bool {
-        let new = !self.accusers.contains(by) && self.accusers.len() < MAX_ACCUSERS;
+    pub fn add_accuser(&mut self, reporter: &Rc<str>) -> bool {
+        let new = !self.accusers.contains(reporter) && self.accusers.len() < MAX_ACCUSERS;
         if new {
-            self.accusers.push(by.clone());
+            self.accusers.push(reporter.clone());
         }
         new
     }
--- a/crates/arrowyard-peers/src/membership.rs
+++ b/crates/arrowyard-peers/src/membership.rs
@@ -1,4 +1,4 @@
-//! One router's part in the fleet: what it holds, what it is told, and what it does as time passes.
+//! The membership state machine of one router: its state, received datagrams, and timers.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -17,27 +17,29 @@
 use crate::router_count::RouterCountEstimator;
 use crate::table::MemberTable;
 
-/// Who this router is.
+/// Identity of this router.
 #[derive(Clone, Debug)]
 pub struct LocalMember {
     pub name: Rc<str>,
-    /// Where the others reach it.
+    /// Address at which other members reach it.
     pub address: SocketAddr,
-    /// Of its start: Unix time in milliseconds. It is raised where the fleet remembers a later one.
+    /// Incarnation: Unix time of the start in milliseconds. It is raised above any higher value that the
+    /// fleet remembers.
     pub incarnation: u64,
-    /// Drawn at the start: two processes of one name are told apart by it. The one with the lesser keeps the name.
+    /// Identifies the process, to tell two processes of one name apart. The one with the lower nonce keeps
+    /// the name.
     pub nonce: u64,
 }
 
-/// What is to be done.
+/// What the caller has to do.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     Send {
         to: SocketAddr,
         bytes: Vec<u8>,
     },
-    /// Whether the machine there refuses datagrams, which says that nobody listens: a send over a connected socket, and
-    /// `Fleet::refused` if so.
+    /// Send the datagram over a connected socket and call `Membership::port_refused` if the port is
+    /// unreachable, which means that no process listens there.
     CheckPort {
         to: SocketAddr,
         name: Rc<str>,
@@ -46,7 +48,7 @@
     },
 }
 
-/// What operators want to know.
+/// Events for operators.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     StandingChanged {
@@ -55,22 +57,22 @@
         standing: Standing,
         reported_by: Rc<str>,
     },
-    /// This router was away for so long: all that it held true is in doubt.
+    /// This router stalled for this time, so that its view is unreliable.
     Stalled(TimeDelta),
-    /// Its life was raised: somebody doubted it, or it was away.
+    /// This router raised its incarnation, to refute a report or after a stall.
     IncarnationRaised(u64),
-    /// Another process has the same name, and this one gives way.
+    /// Another process has the same name. `yields` says whether this one withdraws.
     DuplicateName {
         yields: bool,
     },
-    /// It is in a part of the fleet: so many in reach of so many.
+    /// Part of the fleet is unreachable, or all of it is reachable again.
     Partition {
         reachable: usize,
         total: usize,
     },
 }
 
-/// Datagrams by what became of them.
+/// Numbers of datagrams by what became of them.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct DatagramCounts {
     pub sent: u64,
@@ -83,13 +85,13 @@
     pub unsupported_version: u64,
     pub other_fleet: u64,
     pub disallowed_address: u64,
-    /// Of this process itself or of a former life; doubled or replayed.
+    /// From this process itself or an earlier incarnation, replayed, or duplicated.
     pub stale: u64,
     /// Candidates that never answered.
     pub unanswered_candidates: u64,
 }
 
-/// A bucket that fills with time.
+/// Token bucket that refills over time.
 #[derive(Clone, Debug)]
 pub(crate) struct TokenBucket {
     tokens: f64,
@@ -99,17 +101,17 @@
 }
 
 impl TokenBucket {
-    pub fn new(rate: f64, most: f64, at: Timestamp) -> TokenBucket {
-        TokenBucket { tokens: most, rate, capacity: most, refilled_at: at }
+    pub fn new(rate: f64, capacity: f64, now: Timestamp) -> TokenBucket {
+        TokenBucket { tokens: capacity, rate, capacity, refilled_at: now }
     }
 
     pub fn take(&mut self, now: Timestamp) -> bool {
         self.tokens =
             (self.tokens + (now - self.refilled_at).as_secs_f64().max(0.0) * self.rate).min(self.capacity);
         self.refilled_at = now;
-        let there = self.tokens >= 1.0;
-        self.tokens -= f64::from(u8::from(there));
-        there
+        let available = self.tokens >= 1.0;
+        self.tokens -= f64::from(u8::from(available));
+        available
     }
 }
 
@@ -123,22 +125,22 @@
     pub(crate) probes: Vec<Probe>,
     pub(crate) relays: Vec<RelayedProbe>,
     pub(crate) candidates: Vec<Candidate>,
-    /// Members that are asked in turn.
+    /// Members still to be probed in the current round of the rotation.
     pub(crate) rotation: Vec<Slot>,
-    /// Those that this router observes, and when the table was looked at for that.
+    /// Members that this router observes, and the table version that they were computed from.
     pub(crate) observed: (u64, Vec<Slot>),
     pub(crate) next_period: Timestamp,
     pub(crate) periods: u64,
     pub(crate) next_exchange: Timestamp,
     pub(crate) receive_bucket: TokenBucket,
     pub(crate) push_bucket: TokenBucket,
-    /// Of digests and pages. Danger: with urgent news they share nothing, since a start of many is full of news, and
-    /// whoever missed some has only the exchange to learn it by.
+    /// Limits digests and pages. Separate from `push_bucket`: when many members join, urgent rumors would
+    /// use up all tokens, and members that missed rumors depend on anti-entropy.
     pub(crate) exchange_bucket: TokenBucket,
     pub(crate) last_heard_any: Timestamp,
     pub(crate) idle: bool,
     pub(crate) leaving: bool,
-    /// Raised against another process of its name: how often lately, and when last.
+    /// Conflicts with another process of the same name within the window, and the time of the last one.
     pub(crate) name_conflicts: (u32, Timestamp),
     pub(crate) withdrawn_until: Timestamp,
     pub(crate) duplicate_name: bool,
@@ -146,27 +148,28 @@
     pub(crate) partition: Option<(usize, usize)>,
     last_sent_us: u64,
     pub counts: DatagramCounts,
-    /// What is to be done, what happened, and what the others' modules told; taken by the caller.
+    /// Output for the caller to take: actions, events, and messages of other members' decision modules.
     pub actions: Vec<Action>,
     pub events: Vec<Event>,
     pub app_messages: Vec<(PeerId, Vec<u8>)>,
 }
 
 impl Membership {
-    /// `settings` is the number of routers that the platform names.
+    /// Creates the state of a router that joins. `settings` is the configured number of routers.
     #[must_use]
     pub fn new(
         now: Timestamp,
-        terms: MembershipConfig,
-        me: LocalMember,
-        settings: f64,
+        config: MembershipConfig,
+        local: LocalMember,
+        configured_routers: f64,
         seed: u64,
     ) -> Membership {
         let mut rng = Rng::with_seed(seed);
-        let first = now + terms.probe_interval * (0.2 * rng.f64());
-        let reckoner = RouterCountEstimator::new(now, settings, terms.count_settle_time);
+        let first_period = now + config.probe_interval * (0.2 * rng.f64());
+        let router_count_estimator =
+            RouterCountEstimator::new(now, configured_routers, config.count_settle_time);
         Membership {
-            fleet_hash: hash_name(&terms.fleet),
+            fleet_hash: hash_name(&config.fleet),
             table: MemberTable::default(),
             health: LocalHealth::default(),
             probes: Vec::new(),
@@ -174,19 +177,19 @@
             candidates: Vec::new(),
             rotation: Vec::new(),
             observed: (u64::MAX, Vec::new()),
-            next_period: first,
+            next_period: first_period,
             periods: 0,
-            next_exchange: first,
-            receive_bucket: TokenBucket::new(terms.receive_rate, terms.receive_burst, now),
-            push_bucket: TokenBucket::new(terms.push_rate, terms.push_rate, now),
-            exchange_bucket: TokenBucket::new(terms.exchange_rate, terms.exchange_rate, now),
+            next_exchange: first_period,
+            receive_bucket: TokenBucket::new(config.receive_rate, config.receive_burst, now),
+            push_bucket: TokenBucket::new(config.push_rate, config.push_rate, now),
+            exchange_bucket: TokenBucket::new(config.exchange_rate, config.exchange_rate, now),
             last_heard_any: now,
             idle: false,
             leaving: false,
             name_conflicts: (0, now),
             withdrawn_until: Timestamp::DISTANT_PAST,
             duplicate_name: false,
-            router_count_estimator: reckoner,
+            router_count_estimator,
             partition: None,
             last_sent_us: 0,
             counts: DatagramCounts::default(),
@@ -194,8 +197,8 @@
             events: Vec::new(),
             app_messages: Vec::new(),
             rng,
-            config: terms,
-            local: me,
+            config,
+            local,
         }
     }
 
@@ -204,19 +207,19 @@
         &self.local
     }
 
-    /// When time has something to do next.
+    /// When `tick` is due.
     #[must_use]
     pub fn next_deadline(&self) -> Timestamp {
-        let asks = self.probes.iter().map(|ask| ask.next_step_at);
+        let probes = self.probes.iter().map(|probe| probe.next_step_at);
         let relays = self.relays.iter().map(|relay| relay.deadline);
-        asks.chain(relays).fold(self.next_period, Timestamp::min)
+        probes.chain(relays).fold(self.next_period, Timestamp::min)
     }
 
-    /// Time has passed.
+    /// Advances timers and probes.
     pub fn tick(&mut self, now: Timestamp) {
         let late = now - self.next_deadline();
-        let (away, period) = (self.config.stall_threshold, self.config.probe_interval);
-        if self.health.record_delay(now, late, away, period) {
+        let (stall_threshold, period) = (self.config.stall_threshold, self.config.probe_interval);
+        if self.health.record_delay(now, late, stall_threshold, period) {
             self.resume_after_stall(now, late);
         }
         self.advance_probes(now);
@@ -228,9 +231,9 @@
         }
     }
 
-    /// The thread was away. Danger: what it asked before went unanswered because of itself, and what it held of the
-    /// others is old. So all open questions are void, it declares nobody silent for a while, and it tells at once that it
-    /// lives, by a later life than any that somebody gave up meanwhile.
+    /// Recovers from a stall. Probes failed because of this router itself, and its view is old. Open probes
+    /// are dropped, no member is reported as silent for a while, and a higher incarnation is announced at
+    /// once to refute reports that arose meanwhile.
     fn resume_after_stall(&mut self, now: Timestamp, late: TimeDelta) {
         self.probes.clear();
         self.relays.clear();
@@ -248,7 +251,7 @@
         self.events.push(Event::IncarnationRaised(self.local.incarnation));
     }
 
-    /// This router lives, and serves nobody; or serves again.
+    /// Announces whether this router serves ops.
     pub fn set_idle(&mut self, now: Timestamp, idle: bool) {
         if self.idle != idle {
             self.idle = idle;
@@ -257,23 +260,22 @@
         }
     }
 
-    /// It ends as planned. Said to several, since each datagram may be lost.
+    /// Announces a planned shutdown to several members, since a datagram may be lost.
     pub fn leave(&mut self, now: Timestamp) {
         self.leaving = true;
-        for slot in self.table.sample(&mut self.rng, 8, &[], |one| one.standing == Standing::Alive) {
+        for slot in self.table.sample(&mut self.rng, 8, &[], |member| member.standing == Standing::Alive) {
             self.send_message(now, slot, Kind::Gossip, 0, "", None);
         }
     }
 
-    /// What the decision module wants all to know: passed to some members, who do not pass it on.
+    /// Sends a message of the decision module to some members, who do not forward it.
     pub fn broadcast(&mut self, now: Timestamp, bytes: &[u8]) {
         if bytes.len() > crate::message::MAX_APP_MESSAGE_BYTES {
             return;
         }
-        for slot in self
-            .table
-            .sample(&mut self.rng, self.config.urgent_fanout, &[], |one| one.standing == Standing::Alive)
-        {
+        for slot in self.table.sample(&mut self.rng, self.config.urgent_fanout, &[], |member| {
+            member.standing == Standing::Alive
+        }) {
             if self.push_bucket.take(now) {
                 let datagram =
                     Datagram { app_message: bytes.to_vec(), ..self.new_datagram(now, Kind::AppMessage) };
@@ -282,19 +284,19 @@
         }
     }
 
-    /// A datagram came from there.
+    /// Processes a datagram received from this address.
     pub fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]) {
-        // Danger: a flood takes the thread from the ops. What is beyond the rate is not even read.
+        // Datagrams beyond the rate are dropped unread, so that a flood does not take the thread from ops.
         if !self.receive_bucket.take(now) {
             self.counts.rate_limited += 1;
             return;
         }
         let datagram = match decode(bytes, self.config.max_datagram_bytes, self.fleet_hash) {
             Ok(datagram) => datagram,
-            Err(why) => return self.count_drop(why),
+            Err(reason) => return self.count_drop(reason),
         };
-        let at = datagram.address.parse().ok().filter(|&at| self.config.allows_address(at));
-        let Some(at) = at.filter(|_| self.config.allows_address(from)) else {
+        let address = datagram.address.parse().ok().filter(|&address| self.config.allows_address(address));
+        let Some(address) = address.filter(|_| self.config.allows_address(from)) else {
             return self.count_drop(DropReason::DisallowedAddress);
         };
         if *datagram.from == *self.local.name {
@@ -302,7 +304,7 @@
                 self.counts.stale += 1;
             } else {
                 self.handle_duplicate_name(now, datagram.incarnation, datagram.nonce);
-                // The other one has to hear of this one, too.
+                // The other process has to learn of this one, too.
                 if self.push_bucket.take(now) {
                     let bytes = self.new_datagram(now, Kind::Gossip);
                     self.send(from, &bytes);
@@ -312,22 +314,23 @@
         }
         self.counts.received += 1;
         self.counts.received_bytes += bytes.len() as u64;
-        let open = |fleet: &Membership| fleet.probes.iter().position(|ask| ask.seq == datagram.seq);
-        let answers = datagram.kind() == Kind::Ack && open(self).is_some();
-        self.handle_sender(now, &datagram, at, from, answers);
-        let by: Rc<str> = self
+        let open_probe =
+            |membership: &Membership| membership.probes.iter().position(|probe| probe.seq == datagram.seq);
+        let answers = datagram.kind() == Kind::Ack && open_probe(self).is_some();
+        self.handle_sender(now, &datagram, address, from, answers);
+        let reporter: Rc<str> = self
             .table
             .by_name(&datagram.from)
-            .map_or_else(|| (&*datagram.from).into(), |one| one.name.clone());
+            .map_or_else(|| (&*datagram.from).into(), |member| member.name.clone());
         for rumor in &datagram.rumors {
-            self.handle_rumor(now, rumor, &by);
+            self.handle_rumor(now, rumor, &reporter);
         }
         match datagram.kind() {
             Kind::Ping => self.send_ack(now, from, &datagram),
             Kind::Ack => {
-                // A later life of the sender may have voided the question meanwhile.
-                match open(self) {
-                    Some(ask) => self.handle_ack(now, ask, &datagram),
+                // A new incarnation of the sender may have removed the probe.
+                match open_probe(self) {
+                    Some(probe) => self.handle_ack(now, probe, &datagram),
                     None if answers => {}
                     None => self.forward_ack(now, &datagram),
                 }
@@ -335,8 +338,8 @@
             Kind::Nack => {
                 self.probes
                     .iter_mut()
-                    .filter(|ask| ask.seq == datagram.seq)
-                    .for_each(|ask| ask.nacked = true);
+                    .filter(|probe| probe.seq == datagram.seq)
+                    .for_each(|probe| probe.nacked = true);
             }
             Kind::IndirectPing => self.relay_ping(now, from, &datagram),
             Kind::Digest => self.compare_digest(now, from, &datagram),
@@ -350,9 +353,9 @@
         }
     }
 
-    fn count_drop(&mut self, why: DropReason) {
+    fn count_drop(&mut self, reason: DropReason) {
         let counts = &mut self.counts;
-        *match why {
+        *match reason {
             DropReason::TooLarge => &mut counts.too_large,
             DropReason::Malformed => &mut counts.malformed,
             DropReason::UnsupportedVersion => &mut counts.unsupported_version,
@@ -361,7 +364,7 @@
         } += 1;
     }
 
-    /// The head of a datagram.
+    /// A datagram with its header filled in.
     pub(crate) fn new_datagram(&mut self, now: Timestamp, kind: Kind) -> Datagram {
         self.last_sent_us = (now.micros().max(1) as u64).max(self.last_sent_us + 1);
         Datagram {
@@ -380,25 +383,26 @@
         }
     }
 
-    /// Fills the rest of a datagram with news.
+    /// Fills the remaining space with `about` and pending rumors.
     pub(crate) fn piggyback_rumors(&mut self, datagram: &mut Datagram, about: Option<Rumor>) {
-        let mut room = self.config.max_datagram_bytes.saturating_sub(datagram.encoded_len() + CHECKSUM_BYTES);
-        let mut put = |datagram: &mut Datagram, rumor: Rumor| {
+        let mut remaining_bytes =
+            self.config.max_datagram_bytes.saturating_sub(datagram.encoded_len() + CHECKSUM_BYTES);
+        let mut try_push = |datagram: &mut Datagram, rumor: Rumor| {
             let length = rumor.encoded_len() + 3;
-            let fits = length <= room;
+            let fits = length <= remaining_bytes;
             if fits {
-                room -= length;
+                remaining_bytes -= length;
                 datagram.rumors.push(rumor);
             }
             fits
         };
         if let Some(about) = about {
-            put(datagram, about);
+            try_push(datagram, about);
         }
         for _ in 0..self.table.pending_rumors().min(8) {
             let Some(slot) = self.table.next_rumor() else { break };
             let Some(rumor) = self.table.get(slot).map(Member::rumor) else { continue };
-            if !put(datagram, rumor) {
+            if !try_push(datagram, rumor) {
                 break;
             }
         }
@@ -415,7 +419,7 @@
     }
 
     pub(crate) fn member_address(&self, slot: Slot) -> Option<SocketAddr> {
-        self.table.get(slot).map(|one| self.config.reachable_address(&one.name, one.address))
+        self.table.get(slot).map(|member| self.config.reachable_address(&member.name, member.address))
     }
 
     pub(crate) fn send_to_member(&mut self, slot: Slot, datagram: Datagram) {
@@ -424,75 +428,83 @@
         }
     }
 
-    /// A datagram to a member, filled with news; what is held against it goes first, so that it can speak for itself.
+    /// Sends a datagram with piggybacked rumors to a member. A report against the recipient goes first, so
+    /// that it can refute it.
     pub(crate) fn send_message(
         &mut self,
         now: Timestamp,
         slot: Slot,
         kind: Kind,
         seq: u64,
-        about: &str,
-        of: Option<Rumor>,
+        subject: &str,
+        rumor: Option<Rumor>,
     ) {
-        let against =
-            self.table.get(slot).filter(|one| one.standing != Standing::Alive || !one.accusers.is_empty());
-        let against = against.map(|one| {
-            let mut rumor = one.rumor();
+        let accusation = self
+            .table
+            .get(slot)
+            .filter(|member| member.standing != Standing::Alive || !member.accusers.is_empty());
+        let accusation = accusation.map(|member| {
+            let mut rumor = member.rumor();
             if rumor.claim() == Claim::Alive {
                 rumor.claim = Claim::Suspect as i32;
             }
             rumor
         });
-        let mut datagram = Datagram { seq, subject: about.to_string(), ..self.new_datagram(now, kind) };
-        self.piggyback_rumors(&mut datagram, of.or(against));
+        let mut datagram = Datagram { seq, subject: subject.to_string(), ..self.new_datagram(now, kind) };
+        self.piggyback_rumors(&mut datagram, rumor.or(accusation));
         self.send_to_member(slot, datagram);
     }
 
-    /// News that others should hear at once. Each member passes it on when it first hears of it, so that it is everywhere
-    /// after a few steps; a bucket bounds what that costs.
-    pub(crate) fn push_rumor(&mut self, now: Timestamp, of: Option<Slot>) {
-        let but: Vec<Slot> = of.into_iter().collect();
-        for slot in self
-            .table
-            .sample(&mut self.rng, self.config.urgent_fanout, &but, |one| one.standing == Standing::Alive)
-        {
+    /// Pushes an urgent rumor to some members. Each forwards it on first receipt, so that it reaches all in
+    /// a logarithmic number of steps; a token bucket bounds the cost.
+    pub(crate) fn push_rumor(&mut self, now: Timestamp, subject: Option<Slot>) {
+        let excluded: Vec<Slot> = subject.into_iter().collect();
+        for slot in self.table.sample(&mut self.rng, self.config.urgent_fanout, &excluded, |member| {
+            member.standing == Standing::Alive
+        }) {
             if !self.push_bucket.take(now) {
                 return;
             }
-            let rumor = of.and_then(|of| self.table.get(of)).map(Member::rumor);
+            let rumor = subject.and_then(|slot| self.table.get(slot)).map(Member::rumor);
             self.send_message(now, slot, Kind::Gossip, 0, "", rumor);
         }
     }
 
-    /// How often news is passed on: with the logarithm of the members.
+    /// How often a rumor is sent: proportional to the logarithm of the number of members.
     pub(crate) fn retransmit_limit(&self) -> u8 {
         (3.0 * ((self.table.live().len() + 2) as f64).log2()).ceil().clamp(4.0, 60.0) as u8
     }
 
-    /// A member stands differently from now on.
-    pub(crate) fn set_standing(&mut self, now: Timestamp, slot: Slot, standing: Standing, by: &Rc<str>) {
-        let changed = self.table.update(slot, |one| {
-            let was = one.standing;
-            one.suspicion_count += u32::from(was == Standing::Alive && standing != Standing::Left);
-            if was != standing {
-                one.standing_since = now;
+    /// Changes the standing of a member.
+    pub(crate) fn set_standing(
+        &mut self,
+        now: Timestamp,
+        slot: Slot,
+        standing: Standing,
+        reporter: &Rc<str>,
+    ) {
+        let changed = self.table.update(slot, |member| {
+            let previous = member.standing;
+            member.suspicion_count += u32::from(previous == Standing::Alive && standing != Standing::Left);
+            if previous != standing {
+                member.standing_since = now;
             }
-            (one.standing, one.reported_by) = (standing, by.clone());
+            (member.standing, member.reported_by) = (standing, reporter.clone());
             if standing == Standing::Alive {
-                one.accusers.clear();
-                one.refused_by.clear();
+                member.accusers.clear();
+                member.refused_by.clear();
             }
-            (was != standing).then(|| (one.name.clone(), one.incarnation))
+            (previous != standing).then(|| (member.name.clone(), member.incarnation))
         });
         let Some(Some((name, life))) = changed else { return };
         self.events.push(Event::StandingChanged {
             name,
             incarnation: life,
             standing,
-            reported_by: by.clone(),
+            reported_by: reporter.clone(),
         });
-        let times = self.retransmit_limit();
-        self.table.queue_rumor(slot, times);
+        let transmissions = self.retransmit_limit();
+        self.table.queue_rumor(slot, transmissions);
         self.push_rumor(now, Some(slot));
     }
 }
--- a/crates/arrowyard-peers/src/message.rs
+++ b/crates/arrowyard-peers/src/message.rs
@@ -1,15 +1,14 @@
-//! What members send each other: one form of datagram, in protobuf's encoding. A datagram says which form it has and
-//! which form its reader has to know at least; fields of later forms are passed over. Tag 100 is kept for a seal.
+//! Datagrams between members, encoded as protobuf. Each states its format version and the lowest version
+//! that its reader has to understand; unknown fields are skipped. Tag 100 is reserved for an authenticator.
 
 use std::net::SocketAddr;
 
 use prost::Message;
 
-/// The form that is written, and the latest that is understood.
+/// The version that is written, and the latest one that is understood.
 pub const FORMAT_VERSION: u32 = 1;
-/// Bytes of a name.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Bytes of what the module tells others.
+/// Maximum size of a message of the decision module.
 pub const MAX_APP_MESSAGE_BYTES: usize = 256;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
@@ -18,17 +17,17 @@
     None = 0,
     Ping = 1,
     Ack = 2,
-    /// Asks a helper to ask a member.
+    /// Asks a helper to ping a member.
     IndirectPing = 3,
-    /// A helper could not reach it either.
+    /// The helper received no ack from the member.
     Nack = 4,
-    /// News only.
+    /// Carries rumors only.
     Gossip = 5,
-    /// A digest of the view, to be compared.
+    /// A digest of the view, for comparison.
     Digest = 6,
     /// Rows of the view.
     Page = 7,
-    /// What the decision module tells the others.
+    /// A message of the decision module.
     AppMessage = 8,
 }
 
@@ -43,7 +42,7 @@
     Left = 5,
 }
 
-/// A word about a member. It counts for this life of it only.
+/// A report about a member. It applies to the stated incarnation only.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Rumor {
     #[prost(string, tag = "1")]
@@ -54,19 +53,19 @@
     pub claim: i32,
     #[prost(string, tag = "4")]
     pub address: String,
-    /// Which process has the name: drawn at its start.
+    /// Identifies the process that holds the name.
     #[prost(fixed64, tag = "5")]
     pub nonce: u64,
-    /// Who says so of their own knowledge, three at most.
+    /// Members that know it first-hand, at most three.
     #[prost(string, repeated, tag = "6")]
     pub reporters: Vec<String>,
-    /// Its machine refused a datagram there: nobody listens.
+    /// The member's port refused a datagram: no process listens there.
     #[prost(bool, tag = "7")]
     pub refused: bool,
-    /// It lives, and serves nobody.
+    /// The member is alive but serves no ops.
     #[prost(bool, tag = "8")]
     pub idle: bool,
-    /// Of a word that it lives by another's ears: how many milliseconds ago it was heard.
+    /// With the claim that the member is alive: milliseconds since the reporter heard from it.
     #[prost(uint32, tag = "9")]
     pub age_ms: u32,
 }
@@ -89,115 +88,114 @@
     pub address: String,
     #[prost(enumeration = "Kind", tag = "8")]
     pub kind: i32,
-    /// Of a question, repeated in its answer: an answer from before proves nothing.
+    /// Sequence number of a probe, repeated in its ack.
     #[prost(fixed64, tag = "9")]
     pub seq: u64,
-    /// Whom a helper is to ask, or has asked.
+    /// The member that a helper has to ping, or has pinged.
     #[prost(string, tag = "10")]
     pub subject: String,
     #[prost(message, repeated, tag = "11")]
     pub rumors: Vec<Rumor>,
-    /// Of the view, by parts of the names.
+    /// Digest of the view, by partition of the names.
     #[prost(fixed64, repeated, tag = "12")]
     pub digest: Vec<u64>,
-    /// The sender wants pages back, too.
+    /// The sender requests a digest in return.
     #[prost(bool, tag = "13")]
     pub wants_reply: bool,
     #[prost(bytes = "vec", tag = "14")]
     pub app_message: Vec<u8>,
-    /// The sender lives, and serves nobody.
+    /// The sender is alive but serves no ops.
     #[prost(bool, tag = "15")]
     pub idle: bool,
-    /// The sender is ending as planned.
+    /// The sender is shutting down as planned.
     #[prost(bool, tag = "16")]
     pub leaving: bool,
-    /// When it was sent, in microseconds of the sender's own clock, never twice the same: what is replayed, doubled or
-    /// held up on the way is told by it.
+    /// Send time in microseconds of the sender's clock, strictly increasing. It identifies replayed,
+    /// duplicated and delayed datagrams.
     #[prost(uint64, tag = "17")]
     pub sent_us: u64,
 }
 
-/// Parts that a view's digest has.
+/// Number of partitions of a view's digest.
 pub const DIGEST_PARTS: usize = 16;
 
-/// Why a datagram was dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
     TooLarge,
     Malformed,
-    /// It needs a later form.
+    /// It requires a later format version.
     UnsupportedVersion,
     OtherFleet,
-    /// From outside the allowed ranges, or it names an address there.
+    /// Its source, or the address it advertises, is outside the allowed networks.
     DisallowedAddress,
 }
 
-fn name_ok(name: &str) -> bool {
+fn is_valid_name(name: &str) -> bool {
     !name.is_empty() && name.len() <= MAX_NAME_BYTES && !name.chars().any(char::is_control)
 }
 
-/// Bytes of the checksum that a datagram begins with (CRC-32C of the rest, the lowest byte first). Danger: one bit that
-/// changed on the way makes a word about a later life of another name; the network's own check of 16 bits lets some through.
+/// Size of the checksum at the start of a datagram: CRC-32C of the rest, little-endian. UDP's 16-bit
+/// checksum misses some bit errors, and one of them can forge a report with a higher incarnation.
 pub const CHECKSUM_BYTES: usize = 4;
 
-/// The bytes of a datagram.
+/// Encodes a datagram.
 #[must_use]
 pub fn encode(datagram: &Datagram) -> Vec<u8> {
     let mut bytes = vec![0; CHECKSUM_BYTES];
     bytes.reserve(datagram.encoded_len());
-    datagram.encode(&mut bytes).expect("a vector has room");
-    let check = crc32c::crc32c(&bytes[CHECKSUM_BYTES..]);
-    bytes[..CHECKSUM_BYTES].copy_from_slice(&check.to_le_bytes());
+    datagram.encode(&mut bytes).expect("encoding into a Vec cannot fail");
+    let checksum = crc32c::crc32c(&bytes[CHECKSUM_BYTES..]);
+    bytes[..CHECKSUM_BYTES].copy_from_slice(&checksum.to_le_bytes());
     bytes
 }
 
-/// Reads what came; lengths are checked before anything of it is kept.
+/// Decodes and validates a datagram of at most `most` bytes.
 ///
 /// # Errors
-/// Why it is dropped.
-pub fn decode(bytes: &[u8], most: usize, fleet: u64) -> Result<Datagram, DropReason> {
-    if bytes.len() > most {
+/// Why the datagram is dropped.
+pub fn decode(bytes: &[u8], max_bytes: usize, fleet_hash: u64) -> Result<Datagram, DropReason> {
+    if bytes.len() > max_bytes {
         return Err(DropReason::TooLarge);
     }
-    let (check, rest) = bytes.split_first_chunk::<CHECKSUM_BYTES>().ok_or(DropReason::Malformed)?;
-    if u32::from_le_bytes(*check) != crc32c::crc32c(rest) {
+    let (checksum, rest) = bytes.split_first_chunk::<CHECKSUM_BYTES>().ok_or(DropReason::Malformed)?;
+    if u32::from_le_bytes(*checksum) != crc32c::crc32c(rest) {
         return Err(DropReason::Malformed);
     }
     let datagram = Datagram::decode(rest).map_err(|_| DropReason::Malformed)?;
     if datagram.min_version > FORMAT_VERSION {
         return Err(DropReason::UnsupportedVersion);
     }
-    if datagram.fleet_hash != fleet {
+    if datagram.fleet_hash != fleet_hash {
         return Err(DropReason::OtherFleet);
     }
-    let rumor_ok = |rumor: &Rumor| {
-        name_ok(&rumor.name)
+    let is_valid_rumor = |rumor: &Rumor| {
+        is_valid_name(&rumor.name)
             && rumor.incarnation > 0
             && rumor.claim() != Claim::None
             && rumor.reporters.len() <= 3
-            && rumor.reporters.iter().all(|by| name_ok(by))
+            && rumor.reporters.iter().all(|reporter| is_valid_name(reporter))
             && rumor.address.parse::<SocketAddr>().is_ok()
     };
-    let whole = datagram.version > 0
-        && name_ok(&datagram.from)
+    let valid = datagram.version > 0
+        && is_valid_name(&datagram.from)
         && datagram.incarnation > 0
         && datagram.kind() != Kind::None
-        && (datagram.subject.is_empty() || name_ok(&datagram.subject))
+        && (datagram.subject.is_empty() || is_valid_name(&datagram.subject))
         && matches!(datagram.digest.len(), 0 | DIGEST_PARTS)
         && datagram.app_message.len() <= MAX_APP_MESSAGE_BYTES
         && datagram.address.parse::<SocketAddr>().is_ok()
-        && datagram.rumors.iter().all(rumor_ok);
-    if whole { Ok(datagram) } else { Err(DropReason::Malformed) }
+        && datagram.rumors.iter().all(is_valid_rumor);
+    if valid { Ok(datagram) } else { Err(DropReason::Malformed) }
 }
 
-/// The mark of a fleet's name (FNV-1a, 64 bits), and of other texts.
+/// 64-bit FNV-1a hash of a name.
 #[must_use]
 pub fn hash_name(text: &str) -> u64 {
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// Scatters a number (the finaliser of SplitMix64).
+/// Finalizer of SplitMix64.
 #[must_use]
 pub fn mix_bits(mut number: u64) -> u64 {
     number = (number ^ (number >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/arrowyard-peers/src/probe.rs
+++ b/crates/arrowyard-peers/src/probe.rs
@@ -1,4 +1,4 @@
-//! Questions: whom to ask whether it lives, by way of whom else, and what an unanswered one means.
+//! Probes: which members to ping, through which helpers, and what a failed probe means.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -9,22 +9,22 @@
 use crate::membership::{Action, Membership};
 use crate::message::{Claim, Datagram, Kind, Rumor, encode};
 
-/// Why somebody is asked.
+/// Why a probe is sent.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ProbeReason {
-    /// It is this router's to observe, or its turn.
+    /// The member is observed by this router, or is next in rotation.
     Scheduled,
-    /// Others say that it is silent or over; the word counts only if it does not answer here either.
+    /// Others report it as silent or inactive. The report takes effect only if this probe fails, too.
     Verify(Claim, Rc<str>),
-    /// It is over, and may be back: a cut has healed.
+    /// It is inactive but may have recovered, for example after a partition.
     CheckRecovery,
-    /// Somebody lives there who was not met yet.
+    /// An address where a member may be that is not known yet.
     Introduce,
 }
 
-/// A question that is open.
+/// A probe in progress.
 pub struct Probe {
-    /// A member; nothing where only an address is known.
+    /// The member; `None` if only its address is known.
     pub slot: Option<Slot>,
     pub incarnation: u64,
     pub to: SocketAddr,
@@ -33,12 +33,12 @@
     pub attempts: u8,
     pub next_step_at: Timestamp,
     pub reason: ProbeReason,
-    /// A helper said that it could not reach it either.
+    /// A helper reported that it received no ack either.
     pub nacked: bool,
     pub refused: bool,
 }
 
-/// A question on behalf of another.
+/// A probe on behalf of another member.
 pub struct RelayedProbe {
     pub seq: u64,
     pub requester: SocketAddr,
@@ -47,7 +47,7 @@
     pub deadline: Timestamp,
 }
 
-/// Somebody who was heard of and not met.
+/// A process that is known by name only and has not answered yet.
 pub struct Candidate {
     pub name: Rc<str>,
     pub address: SocketAddr,
@@ -56,52 +56,52 @@
     pub next_probe_at: Timestamp,
 }
 
-/// Questions open at once at most, those on behalf of others, and those that check others' words.
+/// Limits on concurrent probes, probes on behalf of others, and verifications of reports.
 const MAX_PROBES: usize = 256;
 const MAX_RELAYED_PROBES: usize = 128;
 const MAX_VERIFICATIONS: usize = 64;
-/// Silent members that are asked again in a period.
 const SILENT_PROBES_PER_PERIOD: usize = 4;
-/// How often a candidate is asked.
 const MAX_CANDIDATE_ATTEMPTS: u8 = 3;
 
 impl Membership {
-    fn start_probe(&mut self, now: Timestamp, slot: Slot, why: ProbeReason, after: f64) {
-        let open = |ask: &Probe| ask.slot == Some(slot) && ask.reason == why;
+    fn start_probe(&mut self, now: Timestamp, slot: Slot, reason: ProbeReason, after: f64) {
+        let open = |probe: &Probe| probe.slot == Some(slot) && probe.reason == reason;
         if self.probes.len() >= MAX_PROBES || self.probes.iter().any(open) {
             return;
         }
-        let Some((to, life)) = self.member_address(slot).zip(self.table.get(slot).map(|one| one.incarnation))
+        let Some((to, incarnation)) =
+            self.member_address(slot).zip(self.table.get(slot).map(|member| member.incarnation))
         else {
             return;
         };
         let (seq, next) = (self.rng.u64(1..), now + self.config.retry_interval * after);
-        let ask = Probe {
+        let probe = Probe {
             slot: Some(slot),
-            incarnation: life,
+            incarnation,
             to,
             seq,
             started_at: next,
             attempts: 0,
             next_step_at: next,
-            reason: why,
+            reason,
             nacked: false,
             refused: false,
         };
-        self.probes.push(ask);
+        self.probes.push(probe);
         if after == 0.0 {
-            let at = self.probes.len() - 1;
-            self.advance_probe(now, at);
+            let index = self.probes.len() - 1;
+            self.advance_probe(now, index);
         }
     }
 
     pub(crate) fn probe_address(&mut self, now: Timestamp, to: SocketAddr) {
-        if self.probes.len() >= MAX_PROBES || self.probes.iter().any(|ask| ask.slot.is_none() && ask.to == to)
+        if self.probes.len() >= MAX_PROBES
+            || self.probes.iter().any(|probe| probe.slot.is_none() && probe.to == to)
         {
             return;
         }
-        let (seq, next, why) = (self.rng.u64(1..), now, ProbeReason::Introduce);
-        let ask = Probe {
+        let (seq, next, reason) = (self.rng.u64(1..), now, ProbeReason::Introduce);
+        let probe = Probe {
             slot: None,
             incarnation: 0,
             to,
@@ -109,86 +109,96 @@
             started_at: now,
             attempts: 0,
             next_step_at: next,
-            reason: why,
+            reason,
             nacked: false,
             refused: false,
         };
-        self.probes.push(ask);
-        let at = self.probes.len() - 1;
-        self.advance_probe(now, at);
+        self.probes.push(probe);
+        let index = self.probes.len() - 1;
+        self.advance_probe(now, index);
     }
 
-    /// Others' word about a member is checked. Danger: all check at the same moment, and one that is only slow gets
-    /// as many questions as there are routers; so each waits a drawn part of a retry.
+    /// Verifies a report about a member. The probe is delayed by a random part of the retry interval, since
+    /// otherwise all routers would probe a slow member at the same moment.
     pub(crate) fn verify(
         &mut self,
         now: Timestamp,
         slot: Slot,
         claim: Claim,
-        by: &Rc<str>,
+        reporter: &Rc<str>,
         rumor: Option<&Rumor>,
     ) {
-        let checks = self.probes.iter().filter(|ask| matches!(ask.reason, ProbeReason::Verify(..)));
-        if checks.clone().any(|ask| ask.slot == Some(slot)) || checks.count() >= MAX_VERIFICATIONS {
+        let verifications =
+            self.probes.iter().filter(|probe| matches!(probe.reason, ProbeReason::Verify(..)));
+        if verifications.clone().any(|probe| probe.slot == Some(slot))
+            || verifications.count() >= MAX_VERIFICATIONS
+        {
             return;
         }
-        // Passed on as it is heard, not once it was checked: else each step of its way would take as long as a check.
+        // The rumor is forwarded before it is verified; otherwise each hop would take as long as a
+        // verification.
         if let Some(rumor) = rumor {
             self.forward_rumor(now, slot, rumor);
         }
         let after = self.rng.f64();
-        self.start_probe(now, slot, ProbeReason::Verify(claim, by.clone()), after);
+        self.start_probe(now, slot, ProbeReason::Verify(claim, reporter.clone()), after);
     }
 
-    /// What open questions do next.
+    /// Advances the probes that are due.
     pub(crate) fn advance_probes(&mut self, now: Timestamp) {
-        let mut at = 0;
-        while at < self.probes.len() {
-            if self.probes[at].next_step_at > now || self.advance_probe(now, at) {
-                at += 1;
+        let mut index = 0;
+        while index < self.probes.len() {
+            if self.probes[index].next_step_at > now || self.advance_probe(now, index) {
+                index += 1;
             }
         }
     }
 
-    /// One step of an open question; whether it stays open.
-    fn advance_probe(&mut self, now: Timestamp, at: usize) -> bool {
-        let (retry, verdict) = (
+    /// Advances one probe, and returns whether it is still in progress.
+    fn advance_probe(&mut self, now: Timestamp, index: usize) -> bool {
+        let (retry_interval, probe_timeout) = (
             self.health.scale_timeout(self.config.retry_interval),
             self.health.scale_timeout(self.config.probe_timeout),
         );
-        let ask = &mut self.probes[at];
-        let (step, seq, slot, to, checks) =
-            (ask.attempts, ask.seq, ask.slot, ask.to, matches!(ask.reason, ProbeReason::Verify(..)));
-        // A check has others' word behind it, and asks twice; a recall and a first meeting once.
-        let steps = match ask.reason {
+        let probe = &mut self.probes[index];
+        let (step, seq, slot, to, verifying) = (
+            probe.attempts,
+            probe.seq,
+            probe.slot,
+            probe.to,
+            matches!(probe.reason, ProbeReason::Verify(..)),
+        );
+        // A verification already has another member's report, so that it pings twice; the other kinds ping
+        // once.
+        let steps = match probe.reason {
             ProbeReason::Scheduled => 3,
             ProbeReason::Verify(..) => 2,
             ProbeReason::CheckRecovery | ProbeReason::Introduce => 1,
         };
         if step >= steps {
-            let ask = self.probes.swap_remove(at);
-            self.probe_timed_out(now, &ask);
+            let probe = self.probes.swap_remove(index);
+            self.probe_timed_out(now, &probe);
             return false;
         }
-        ask.attempts += 1;
-        ask.next_step_at = if step + 1 < steps {
-            now + retry
-        } else if checks {
-            (ask.started_at + retry * 2.0).max(now + retry)
+        probe.attempts += 1;
+        probe.next_step_at = if step + 1 < steps {
+            now + retry_interval
+        } else if verifying {
+            (probe.started_at + retry_interval * 2.0).max(now + retry_interval)
         } else {
-            (ask.started_at + verdict).max(now + retry)
+            (probe.started_at + probe_timeout).max(now + retry_interval)
         };
         match slot {
             Some(slot) => {
                 self.send_message(now, slot, Kind::Ping, seq, "", None);
-                let name = self.table.get(slot).map(|one| (one.name.clone(), one.incarnation));
-                let Some((name, life)) = name else { return true };
-                if step >= 1 && !checks {
+                let name = self.table.get(slot).map(|member| (member.name.clone(), member.incarnation));
+                let Some((name, incarnation)) = name else { return true };
+                if step >= 1 && !verifying {
                     self.send_indirect_pings(now, slot, &name, seq);
                 }
-                if checks && step == 0 || step == 2 {
+                if verifying && step == 0 || step == 2 {
                     let bytes = encode(&self.new_datagram(now, Kind::Gossip));
-                    self.actions.push(Action::CheckPort { to, name, incarnation: life, bytes });
+                    self.actions.push(Action::CheckPort { to, name, incarnation, bytes });
                 }
             }
             None => {
@@ -200,219 +210,230 @@
         true
     }
 
-    /// Asks by way of helpers: what is cut between two may be open between others.
+    /// Pings through helpers, since only the path between these two members may be cut.
     fn send_indirect_pings(&mut self, now: Timestamp, slot: Slot, name: &str, seq: u64) {
-        let fit = |one: &Member| {
-            one.standing == Standing::Alive && one.last_evidence() > now - self.config.probe_interval * 20.0
+        let eligible = |member: &Member| {
+            member.standing == Standing::Alive
+                && member.last_evidence() > now - self.config.probe_interval * 20.0
         };
-        for helper in self.table.sample(&mut self.rng, self.config.indirect_probe_helpers, &[slot], fit) {
+        for helper in self.table.sample(&mut self.rng, self.config.indirect_probe_helpers, &[slot], eligible)
+        {
             self.send_message(now, helper, Kind::IndirectPing, seq, name, None);
         }
     }
 
-    /// A question was given up.
-    fn probe_timed_out(&mut self, now: Timestamp, ask: &Probe) {
-        let Some(slot) = ask.slot else { return };
-        let Some(one) = self.table.get(slot).filter(|one| one.incarnation == ask.incarnation) else { return };
-        // It was heard meanwhile by itself: a cut of one side, and no silence.
-        if one.last_evidence() >= ask.started_at {
+    /// Handles a probe that got no ack.
+    fn probe_timed_out(&mut self, now: Timestamp, probe: &Probe) {
+        let Some(slot) = probe.slot else { return };
+        let Some(member) = self.table.get(slot).filter(|member| member.incarnation == probe.incarnation)
+        else {
+            return;
+        };
+        // The member was heard in the meantime, so that only one direction is cut.
+        if member.last_evidence() >= probe.started_at {
             return;
         }
         let live = self.table.live().len();
-        match &ask.reason {
+        match &probe.reason {
             ProbeReason::CheckRecovery | ProbeReason::Introduce => {}
             ProbeReason::Scheduled => {
-                // Danger: the fault may be here. With helpers about, one of them has to have tried, too.
+                // The fault may be local. If there are other members, at least one helper has to have
+                // failed, too.
                 let alone = live <= 1;
-                if !ask.nacked && !ask.refused && !alone {
+                if !probe.nacked && !probe.refused && !alone {
                     self.health.record_failure();
                     return;
                 }
-                if self.health.is_suspect(now) && !ask.refused {
+                if self.health.is_suspect(now) && !probe.refused {
                     return;
                 }
-                self.report_silence(now, slot, ask.refused);
+                self.report_silence(now, slot, probe.refused);
             }
-            ProbeReason::Verify(claim, by) => {
-                if self.health.is_suspect(now) && !ask.refused {
+            ProbeReason::Verify(claim, reporter) => {
+                if self.health.is_suspect(now) && !probe.refused {
                     return;
                 }
                 let standing = match claim {
                     Claim::Suspect => Standing::Silent,
                     Claim::Lost => Standing::Lost,
-                    Claim::Dead if ask.refused => Standing::Dead,
-                    // Here nobody says that the process is no more; it may be a cut.
+                    Claim::Dead if probe.refused => Standing::Dead,
+                    // No refusal was seen here: the member may be partitioned.
                     Claim::Dead => Standing::Silent,
                     Claim::Left => Standing::Left,
                     _ => return,
                 };
-                let by = by.clone();
-                if let Some(one) = self.table.get_mut(slot) {
-                    one.last_probe_failure = now;
+                let reporter = reporter.clone();
+                if let Some(member) = self.table.get_mut(slot) {
+                    member.last_probe_failure = now;
                 }
-                let held = self.table.get(slot).map(|one| one.standing);
+                let held = self.table.get(slot).map(|member| member.standing);
                 if held.is_some_and(|held| standing > held) {
-                    self.set_standing(now, slot, standing, &by);
+                    self.set_standing(now, slot, standing, &reporter);
                 }
-                if ask.refused {
+                if probe.refused {
                     self.report_silence(now, slot, true);
                 }
             }
         }
     }
 
-    /// This router itself finds a member silent.
+    /// Reports a member as silent on the basis of this router's own probes.
     fn report_silence(&mut self, now: Timestamp, slot: Slot, refused: bool) {
-        let me = self.local.name.clone();
-        let (live, doubts) = (self.table.live().len(), self.health.is_suspect(now));
+        let local_name = self.local.name.clone();
+        let (live, suspects_itself) = (self.table.live().len(), self.health.is_suspect(now));
         let lost_after = self.health.scale_timeout(self.config.lost_after);
-        // A single word of a refusal may be a wall that refuses this router alone, so that a second one has to say so,
-        // where there is anybody. (The last of a fleet hears nobody; that it is refused it still knows.)
-        let alone = refused && !self.hears_other_members(now, slot);
-        let Some(one) = self.table.get_mut(slot) else { return };
-        one.last_probe_failure = now;
-        if refused && !one.refused_by.contains(&me) {
-            one.refused_by.push(me.clone());
-        }
-        // Nor may nobody else know it: all others started since. Then this router's own questions have to do, for long.
-        let long = one.silent_for(now) >= lost_after;
-        let dead = one.refused_by.len() >= 2 || refused && (alone || long);
-        if doubts && !dead {
+        // A firewall may refuse only this router, so that a second member has to confirm a refusal, unless
+        // no other member is heard.
+        let unconfirmable = refused && !self.hears_other_members(now, slot);
+        let Some(member) = self.table.get_mut(slot) else { return };
+        member.last_probe_failure = now;
+        if refused && !member.refused_by.contains(&local_name) {
+            member.refused_by.push(local_name.clone());
+        }
+        // If all others restarted since, no one can confirm. Then a long silence towards this router
+        // suffices.
+        let long_silent = member.silent_for(now) >= lost_after;
+        let dead = member.refused_by.len() >= 2 || refused && (unconfirmable || long_silent);
+        if suspects_itself && !dead {
             return;
         }
-        one.add_accuser(&me);
-        let (standing, agreed) = (one.standing, one.accusers.len() >= 2 || live <= 2 || long);
+        member.add_accuser(&local_name);
+        let (standing, confirmed) = (member.standing, member.accusers.len() >= 2 || live <= 2 || long_silent);
         if dead && standing < Standing::Dead {
-            self.set_standing(now, slot, Standing::Dead, &me);
-        } else if standing == Standing::Alive && agreed {
-            self.set_standing(now, slot, Standing::Silent, &me);
+            self.set_standing(now, slot, Standing::Dead, &local_name);
+        } else if standing == Standing::Alive && confirmed {
+            self.set_standing(now, slot, Standing::Silent, &local_name);
         } else if standing == Standing::Alive {
-            // Said again with each question that fails. Danger: who heard it too early, when it had just heard from the
-            // member, passed the word over, and nobody would ever say it again.
+            // Repeated with every failed probe: members that had just heard from the accused ignored the
+            // earlier report.
             let times = self.retransmit_limit();
             self.table.queue_rumor(slot, times);
             let mut rumor = self.table.get(slot).map(Member::rumor).unwrap_or_default();
             rumor.claim = Claim::Suspect as i32;
-            rumor.reporters = vec![me.to_string()];
+            rumor.reporters = vec![local_name.to_string()];
             self.forward_rumor(now, slot, &rumor);
         }
     }
 
-    /// Whether anybody else was heard in these periods.
+    /// Whether any other member was heard directly in the last periods.
     fn hears_other_members(&self, now: Timestamp, slot: Slot) -> bool {
         let since = now - self.config.probe_interval * 6.0;
-        let heard = |one: &Member| one.last_direct_evidence() >= since;
+        let heard = |member: &Member| member.last_direct_evidence() >= since;
         self.table.live().iter().any(|&other| other != slot && self.table.get(other).is_some_and(heard))
     }
 
-    /// The machine there says that nobody listens.
-    pub fn port_refused(&mut self, name: &str, life: u64) {
+    /// Records that the port of a member refused a datagram of `Action::CheckPort`.
+    pub fn port_refused(&mut self, name: &str, incarnation: u64) {
         let Some(slot) = self.table.slot(name) else { return };
-        let of = |ask: &&mut Probe| ask.slot == Some(slot) && ask.incarnation == life;
-        self.probes.iter_mut().filter(of).for_each(|ask| ask.refused = true);
+        let matches = |probe: &&mut Probe| probe.slot == Some(slot) && probe.incarnation == incarnation;
+        self.probes.iter_mut().filter(matches).for_each(|probe| probe.refused = true);
     }
 
-    /// An answer to a question.
-    pub(crate) fn handle_ack(&mut self, now: Timestamp, at: usize, datagram: &Datagram) {
-        let ask = &self.probes[at];
-        let (slot, why, seq) = (ask.slot, ask.reason.clone(), ask.seq);
+    /// Handles the ack of the probe at index `at`.
+    pub(crate) fn handle_ack(&mut self, now: Timestamp, index: usize, datagram: &Datagram) {
+        let probe = &self.probes[index];
+        let (slot, reason, seq) = (probe.slot, probe.reason.clone(), probe.seq);
         if !datagram.subject.is_empty() {
-            // By way of a helper, who speaks of the member that was asked about.
-            let Some(slot) =
-                slot.filter(|&slot| self.table.get(slot).is_some_and(|one| *one.name == *datagram.subject))
+            // The ack came through a helper and names the member it is about.
+            let Some(slot) = slot
+                .filter(|&slot| self.table.get(slot).is_some_and(|member| *member.name == *datagram.subject))
             else {
                 return;
             };
-            if let Some(one) = self.table.get_mut(slot) {
-                one.last_indirect_ack = now;
+            if let Some(member) = self.table.get_mut(slot) {
+                member.last_indirect_ack = now;
             }
-            self.probes.retain(|ask| ask.seq != seq);
+            self.probes.retain(|probe| probe.seq != seq);
             self.confirm_alive(now, slot);
             return;
         }
-        self.probes.swap_remove(at);
+        self.probes.swap_remove(index);
         self.health.record_success();
         let Some(slot) = self.table.slot(&datagram.from) else { return };
-        if let Some(one) = self.table.get_mut(slot).filter(|one| one.incarnation == datagram.incarnation) {
-            one.last_ack = now;
-            if matches!(why, ProbeReason::Verify(Claim::Left, _)) && datagram.leaving {
-                let by = one.name.clone();
-                self.set_standing(now, slot, Standing::Left, &by);
+        if let Some(member) =
+            self.table.get_mut(slot).filter(|member| member.incarnation == datagram.incarnation)
+        {
+            member.last_ack = now;
+            if matches!(reason, ProbeReason::Verify(Claim::Left, _)) && datagram.leaving {
+                let reporter = member.name.clone();
+                self.set_standing(now, slot, Standing::Left, &reporter);
                 return;
             }
             self.confirm_alive(now, slot);
         }
     }
 
-    /// This router has proof of its own that a member lives. What was said against it is told to it, so that it raises its
-    /// life and all others hear of it.
+    /// Records first-hand evidence that a member is alive. The member is sent what was reported against it,
+    /// so that it refutes with a higher incarnation.
     pub(crate) fn confirm_alive(&mut self, now: Timestamp, slot: Slot) {
-        let Some(one) = self.table.get(slot) else { return };
-        if one.standing == Standing::Left || one.standing == Standing::Alive && one.accusers.is_empty() {
+        let Some(member) = self.table.get(slot) else { return };
+        if member.standing == Standing::Left
+            || member.standing == Standing::Alive && member.accusers.is_empty()
+        {
             return;
         }
-        let (was, me) = (one.standing, self.local.name.clone());
+        let (was, local_name) = (member.standing, self.local.name.clone());
         if self.push_bucket.take(now) {
             self.send_message(now, slot, Kind::Gossip, 0, "", None);
         }
         if was == Standing::Alive {
-            if let Some(one) = self.table.get_mut(slot) {
-                one.accusers.clear();
-                one.refused_by.clear();
+            if let Some(member) = self.table.get_mut(slot) {
+                member.accusers.clear();
+                member.refused_by.clear();
             }
             return;
         }
-        self.set_standing(now, slot, Standing::Alive, &me);
+        self.set_standing(now, slot, Standing::Alive, &local_name);
         if was.is_inactive() {
-            // A cut has healed, perhaps: the whole view is compared at once.
+            // A partition may have healed, so that the whole view is compared at once.
             self.send_digest(now, slot, true);
         }
     }
 
     pub(crate) fn send_ack(&mut self, now: Timestamp, from: SocketAddr, ping: &Datagram) {
         let mut ack = Datagram { seq: ping.seq, ..self.new_datagram(now, Kind::Ack) };
-        // What is held against the one that asks, so that it can speak for itself.
-        let against = self
+        // Sends what is held against the sender, so that it can refute.
+        let accusation = self
             .table
             .by_name(&ping.from)
-            .filter(|one| one.standing != Standing::Alive || one.incarnation > ping.incarnation);
-        let against = against.map(Member::rumor);
-        self.piggyback_rumors(&mut ack, against);
+            .filter(|member| member.standing != Standing::Alive || member.incarnation > ping.incarnation);
+        let accusation = accusation.map(Member::rumor);
+        self.piggyback_rumors(&mut ack, accusation);
         self.send(from, &ack);
     }
 
-    pub(crate) fn relay_ping(&mut self, now: Timestamp, of: SocketAddr, asked: &Datagram) {
-        let Some(slot) = self.table.slot(&asked.subject) else { return };
+    pub(crate) fn relay_ping(&mut self, now: Timestamp, requester: SocketAddr, request: &Datagram) {
+        let Some(slot) = self.table.slot(&request.subject) else { return };
         if self.relays.len() >= MAX_RELAYED_PROBES {
             return;
         }
-        if self.table.get(slot).is_some_and(|one| now - one.last_heard <= self.config.retry_interval) {
-            // It was heard here just now, though it may hear nobody.
+        if self.table.get(slot).is_some_and(|member| now - member.last_heard <= self.config.retry_interval) {
+            // The member was heard here just now, even if it does not receive datagrams.
             let ack = Datagram {
-                seq: asked.seq,
-                subject: asked.subject.clone(),
+                seq: request.seq,
+                subject: request.subject.clone(),
                 ..self.new_datagram(now, Kind::Ack)
             };
-            return self.send(of, &ack);
+            return self.send(requester, &ack);
         }
         let seq = self.rng.u64(1..);
         let until = now + self.config.retry_interval * 1.5;
         self.relays.push(RelayedProbe {
             seq,
-            requester: of,
-            requester_seq: asked.seq,
-            subject: asked.subject.clone(),
+            requester,
+            requester_seq: request.seq,
+            subject: request.subject.clone(),
             deadline: until,
         });
         self.send_message(now, slot, Kind::Ping, seq, "", None);
     }
 
     pub(crate) fn forward_ack(&mut self, now: Timestamp, datagram: &Datagram) {
-        let Some(at) = self.relays.iter().position(|relay| relay.seq == datagram.seq) else {
+        let Some(index) = self.relays.iter().position(|relay| relay.seq == datagram.seq) else {
             self.counts.stale += 1;
             return;
         };
-        let relay = self.relays.swap_remove(at);
+        let relay = self.relays.swap_remove(index);
         let ack = Datagram {
             seq: relay.requester_seq,
             subject: relay.subject,
@@ -421,10 +442,10 @@
         self.send(relay.requester, &ack);
     }
 
-    /// Members that did not answer this router on behalf of another: that it tried and failed is worth a word.
+    /// Sends nacks for relayed probes that timed out.
     pub(crate) fn expire_relays(&mut self, now: Timestamp) {
-        while let Some(at) = self.relays.iter().position(|relay| relay.deadline <= now) {
-            let relay = self.relays.swap_remove(at);
+        while let Some(index) = self.relays.iter().position(|relay| relay.deadline <= now) {
+            let relay = self.relays.swap_remove(index);
             let nack = Datagram {
                 seq: relay.requester_seq,
                 subject: relay.subject,
@@ -434,11 +455,11 @@
         }
     }
 
-    /// What each period begins with.
+    /// Starts a period: expiry, probes, and anti-entropy.
     pub(crate) fn run_period(&mut self, now: Timestamp) {
         self.table.expire_inactive(now - self.config.forget_after);
         if !self.table.live().is_empty() && now - self.last_heard_any > self.config.probe_interval * 2.5 {
-            // Danger: whoever hears nobody is cut off itself, and would find all others dead.
+            // A router that hears no one is probably cut off itself, and would declare all others dead.
             self.health.suspend_suspicion(now, self.config.probe_interval * 1.5);
         }
         self.update_router_count(now);
@@ -452,37 +473,37 @@
             self.start_probe(now, slot, ProbeReason::Scheduled, 0.0);
         }
         self.probe_silent_members(now);
-        let over = self.table.inactive();
-        if !over.is_empty() {
-            let slot = over[self.rng.usize(..over.len())];
-            if self.table.get(slot).is_some_and(|one| one.standing != Standing::Left) {
+        let inactive = self.table.inactive();
+        if !inactive.is_empty() {
+            let slot = inactive[self.rng.usize(..inactive.len())];
+            if self.table.get(slot).is_some_and(|member| member.standing != Standing::Left) {
                 self.start_probe(now, slot, ProbeReason::CheckRecovery, 0.0);
             }
         }
         self.probe_candidates(now);
         if now >= self.next_exchange {
             self.next_exchange = now + self.config.anti_entropy_interval;
-            let fit = |one: &Member| one.standing == Standing::Alive;
-            for slot in self.table.sample(&mut self.rng, 1, &[], fit) {
+            let eligible = |member: &Member| member.standing == Standing::Alive;
+            for slot in self.table.sample(&mut self.rng, 1, &[], eligible) {
                 self.send_digest(now, slot, true);
             }
         }
     }
 
-    /// Those whose places on the rings follow this router's: each member has as many observers as there are rings.
+    /// Members that follow this router on the rings. Each member has as many observers as there are rings.
     fn observed_members(&mut self) -> Vec<Slot> {
         if self.observed.0 != self.table.version {
-            let mine =
+            let own_positions =
                 Member::new(self.local.name.clone(), self.local.address, 1, 0, Timestamp::DISTANT_PAST)
                     .ring_positions;
             let mut slots: Vec<Slot> = Vec::new();
-            for (ring, place) in mine.iter().enumerate().take(self.config.observed_members) {
-                let new = |one: &Member| {
+            for (ring, place) in own_positions.iter().enumerate().take(self.config.observed_members) {
+                let unobserved = |member: &Member| {
                     !slots
                         .iter()
-                        .any(|&slot| self.table.get(slot).is_some_and(|other| other.name == one.name))
+                        .any(|&slot| self.table.get(slot).is_some_and(|other| other.name == member.name))
                 };
-                slots.extend(self.table.ring_successor(ring, *place, new));
+                slots.extend(self.table.ring_successor(ring, *place, unobserved));
             }
             self.observed = (self.table.version, slots);
         }
@@ -496,22 +517,24 @@
         }
         self.rotation
             .pop()
-            .filter(|&slot| self.table.get(slot).is_some_and(|one| !one.standing.is_inactive()))
+            .filter(|&slot| self.table.get(slot).is_some_and(|member| !member.standing.is_inactive()))
     }
 
-    /// Silent members are asked again, and those that this router itself accuses are lost in the end.
+    /// Probes silent members again, and declares those lost that this router itself has accused for long
+    /// enough.
     fn probe_silent_members(&mut self, now: Timestamp) {
-        let me = self.local.name.clone();
+        let local_name = self.local.name.clone();
         if self.table.count_by_standing(Standing::Silent) == 0 {
             return;
         }
-        let silent = |slot: &Slot| self.table.get(*slot).is_some_and(|one| one.standing == Standing::Silent);
+        let silent =
+            |slot: &Slot| self.table.get(*slot).is_some_and(|member| member.standing == Standing::Silent);
         let mut silent: Vec<Slot> = self.table.live().iter().copied().filter(silent).collect();
         self.rng.shuffle(&mut silent);
-        // Danger: one that is silent here by others' word, and answered them since, is asked by nobody here for as many
-        // periods as there are members.
+        // Without this, a member that only others accused and that has recovered since would not be probed
+        // until its turn in the rotation.
         for slot in silent.iter().copied().take(SILENT_PROBES_PER_PERIOD) {
-            let own = self.table.get(slot).is_some_and(|one| one.accusers.contains(&me));
+            let own = self.table.get(slot).is_some_and(|member| member.accusers.contains(&local_name));
             self.start_probe(
                 now,
                 slot,
@@ -524,38 +547,39 @@
         }
         let live = self.table.live().len();
         for slot in silent {
-            let accuses = |one: &&Member| one.accusers.contains(&me);
-            let Some(one) = self.table.get(slot).filter(accuses) else { continue };
-            let agreed = one.accusers.len() >= 2 || live <= 2;
-            let wait = self.health.scale_timeout(self.config.lost_after) * if agreed { 1.0 } else { 2.0 };
-            let lately = now - one.last_probe_failure <= self.config.probe_interval * 4.0;
-            if one.silent_for(now) >= wait && lately {
-                self.set_standing(now, slot, Standing::Lost, &me);
+            let accuses = |member: &&Member| member.accusers.contains(&local_name);
+            let Some(member) = self.table.get(slot).filter(accuses) else { continue };
+            let confirmed = member.accusers.len() >= 2 || live <= 2;
+            let lost_after =
+                self.health.scale_timeout(self.config.lost_after) * if confirmed { 1.0 } else { 2.0 };
+            let recently_failed = now - member.last_probe_failure <= self.config.probe_interval * 4.0;
+            if member.silent_for(now) >= lost_after && recently_failed {
+                self.set_standing(now, slot, Standing::Lost, &local_name);
             }
         }
     }
 
-    /// Candidates are asked whether they live; seeds where nobody is known, and one from time to time, since both sides of
-    /// a cut may have forgotten each other.
+    /// Probes candidates. Seeds are probed while no member is known, and one of them periodically, since
+    /// both sides of a partition may have forgotten each other.
     fn probe_candidates(&mut self, now: Timestamp) {
-        let mut asked = 0;
-        let mut at = 0;
-        while at < self.candidates.len() && asked < self.config.max_candidate_probes {
-            let one = &mut self.candidates[at];
-            if one.next_probe_at > now {
-                at += 1;
+        let mut probed = 0;
+        let mut index = 0;
+        while index < self.candidates.len() && probed < self.config.max_candidate_probes {
+            let candidate = &mut self.candidates[index];
+            if candidate.next_probe_at > now {
+                index += 1;
                 continue;
             }
-            if one.attempts >= MAX_CANDIDATE_ATTEMPTS || self.table.slot(&one.name).is_some() {
-                self.counts.unanswered_candidates += u64::from(one.attempts >= MAX_CANDIDATE_ATTEMPTS);
-                self.candidates.swap_remove(at);
+            if candidate.attempts >= MAX_CANDIDATE_ATTEMPTS || self.table.slot(&candidate.name).is_some() {
+                self.counts.unanswered_candidates += u64::from(candidate.attempts >= MAX_CANDIDATE_ATTEMPTS);
+                self.candidates.swap_remove(index);
                 continue;
             }
-            one.attempts += 1;
-            one.next_probe_at = now + self.config.probe_interval * 1.5;
-            let to = self.config.reachable_address(&one.name, one.address);
-            asked += 1;
-            at += 1;
+            candidate.attempts += 1;
+            candidate.next_probe_at = now + self.config.probe_interval * 1.5;
+            let to = self.config.reachable_address(&candidate.name, candidate.address);
+            probed += 1;
+            index += 1;
             self.probe_address(now, to);
         }
         let seeds = self.config.seeds.clone();
--- a/crates/arrowyard-peers/src/router_count.rs
+++ b/crates/arrowyard-peers/src/router_count.rs
@@ -1,10 +1,12 @@
-//! How many routers there are, as far as shares go. Danger: a router that takes the others for gone spends their share,
-//! and all together push a cold host over. So when it is unsure the larger number counts: the count rises at once and
-//! falls only where it was settled for a while, this router is in the larger part, and what is missing is missing for long.
+//! Estimates the number of routers that share the capacity of the hosts. If routers underestimate it, each
+//! uses the shares of others, and together they overload the hosts. When in doubt the larger number is used:
+//! the estimate rises at once, and falls only if it was stable for the settle time, this router is in the
+//! majority, and the missing members have been missing for long.
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
-/// The count is at most so many times what the settings say: one that invents members starves the others.
+/// Upper bound of the estimate as a multiple of the configured number. It limits the effect of a member that
+/// reports nonexistent members.
 const MAX_CONFIGURED_MULTIPLE: f64 = 4.0;
 
 #[derive(Clone, Debug)]
@@ -12,63 +14,65 @@
     configured: f64,
     settle_time: TimeDelta,
     estimate: f64,
-    /// The largest count since it last could fall.
+    /// Start of the current settle window, and the largest number seen in it.
     window_start: Timestamp,
     window_max: f64,
 }
 
-/// What the view says in a moment.
+/// Member counts at one moment.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MembershipSample {
-    /// This router and those in reach.
+    /// This router and the members that are alive.
     pub reachable: usize,
-    /// And those that may act, though nobody reaches them: missing for less than is forgiven, and for longer.
+    /// Members that may still be running but are unreachable: for less than the grace period, and for
+    /// longer.
     pub missing: usize,
     pub long_missing: usize,
-    /// It joined, and does not doubt itself.
+    /// Whether this router has joined and does not suspect itself.
     pub reliable: bool,
 }
 
 impl RouterCountEstimator {
     #[must_use]
-    pub fn new(now: Timestamp, settings: f64, settle: TimeDelta) -> RouterCountEstimator {
-        let settings = settings.max(1.0);
+    pub fn new(now: Timestamp, configured: f64, settle_time: TimeDelta) -> RouterCountEstimator {
+        let configured = configured.max(1.0);
         RouterCountEstimator {
-            configured: settings,
-            settle_time: settle,
-            estimate: settings,
+            configured,
+            settle_time,
+            estimate: configured,
             window_start: now,
-            window_max: settings,
+            window_max: configured,
         }
     }
 
-    /// What was counted is in doubt.
+    /// Restarts the settle window because the counts are unreliable.
     pub fn restart_window(&mut self, now: Timestamp) {
         self.window_start = now;
         self.window_max = self.window_max.max(self.estimate).max(self.configured);
     }
 
-    /// The count from now on; whether it changed.
-    pub fn update(&mut self, now: Timestamp, sight: MembershipSample) -> bool {
-        let MembershipSample { reachable: reach, missing, long_missing: forgiven, reliable: sure } = sight;
-        let whole = reach + missing + forgiven;
-        let larger = reach * 2 > whole;
-        let unsure = !sure || !larger;
-        // In the smaller part of a cut all count that ever were there.
-        let told = if unsure { (whole as f64).max(self.configured) } else { (reach + missing) as f64 };
-        let told = told.clamp(1.0, self.configured * MAX_CONFIGURED_MULTIPLE);
-        let before = self.estimate;
-        if unsure {
+    /// Updates the estimate, and returns whether it changed.
+    pub fn update(&mut self, now: Timestamp, sample: MembershipSample) -> bool {
+        let MembershipSample { reachable, missing, long_missing, reliable } = sample;
+        let total = reachable + missing + long_missing;
+        let majority = reachable * 2 > total;
+        let uncertain = !reliable || !majority;
+        // In doubt, and in the minority of a partition, unreachable members count in full.
+        let count =
+            if uncertain { (total as f64).max(self.configured) } else { (reachable + missing) as f64 };
+        let count = count.clamp(1.0, self.configured * MAX_CONFIGURED_MULTIPLE);
+        let previous = self.estimate;
+        if uncertain {
             self.restart_window(now);
         }
-        self.window_max = self.window_max.max(told);
-        if told > self.estimate {
-            (self.estimate, self.window_start, self.window_max) = (told, now, told);
+        self.window_max = self.window_max.max(count);
+        if count > self.estimate {
+            (self.estimate, self.window_start, self.window_max) = (count, now, count);
         } else if now - self.window_start >= self.settle_time {
-            // The largest that was seen in the whole time: a count that comes and goes stays where it was.
-            (self.estimate, self.window_start, self.window_max) = (self.window_max, now, told);
+            // Uses the maximum of the whole window, so that a fluctuating count does not lower the estimate.
+            (self.estimate, self.window_start, self.window_max) = (self.window_max, now, count);
         }
-        self.estimate != before
+        self.estimate != previous
     }
 
     #[must_use]
--- a/crates/arrowyard-peers/src/table.rs
+++ b/crates/arrowyard-peers/src/table.rs
@@ -1,4 +1,4 @@
-//! The table of members: bounded, with the news that is still to be passed on and a digest of those that live.
+//! The bounded table of members, with the queue of rumors to disseminate and a digest of the active members.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
@@ -15,17 +15,17 @@
     members: Vec<Option<Member>>,
     free: Vec<u32>,
     names: FxHashMap<Rc<str>, Slot>,
-    /// Those that are alive or silent, in no order, and each one's place there.
+    /// Alive and silent members in no order, and the index of each.
     live: Vec<Slot>,
     live_positions: FxHashMap<Slot, usize>,
-    /// Those that are lost or dead, in no order.
+    /// Lost, dead and left members in no order.
     inactive: Vec<Slot>,
-    /// Whose news is passed on, the least told first.
+    /// Members whose rumor is still to be sent, the least often sent first.
     pending_rumors: VecDeque<Slot>,
     digest: [u64; DIGEST_PARTS],
-    /// How many stand how.
+    /// Number of members by standing.
     counts: [usize; 5],
-    /// Grows with each change of who lives.
+    /// Increases whenever the set of active members or an incarnation changes.
     pub version: u64,
 }
 
@@ -37,9 +37,9 @@
     if member.standing.is_inactive() { 0 } else { digest_contribution(&member.name, member.incarnation).1 }
 }
 
-/// What a member that lives adds to the digest: in which part, and what.
-pub fn digest_contribution(name: &str, life: u64) -> (usize, u64) {
-    (digest_part(name), mix_bits(hash_name(name) ^ life.rotate_left(17)))
+/// What an active member contributes to the digest: the partition and the value.
+pub fn digest_contribution(name: &str, incarnation: u64) -> (usize, u64) {
+    (digest_part(name), mix_bits(hash_name(name) ^ incarnation.rotate_left(17)))
 }
 
 pub fn member_digest(member: &Member) -> (usize, u64) {
@@ -60,7 +60,10 @@
     }
 
     pub fn iter(&self) -> impl Iterator<Item = (Slot, &Member)> {
-        self.members.iter().enumerate().filter_map(|(at, one)| Some((Slot(at as u32), one.as_ref()?)))
+        self.members
+            .iter()
+            .enumerate()
+            .filter_map(|(index, member)| Some((Slot(index as u32), member.as_ref()?)))
     }
 
     pub fn len(&self) -> usize {
@@ -79,26 +82,30 @@
         &self.digest
     }
 
-    /// Names of one part, for a page.
-    pub fn members_in_part(&self, of: usize) -> impl Iterator<Item = (Slot, &Member)> {
-        self.iter().filter(move |(_, member)| digest_part(&member.name) == of)
+    /// Members in one digest partition.
+    pub fn members_in_part(&self, part: usize) -> impl Iterator<Item = (Slot, &Member)> {
+        self.iter().filter(move |(_, member)| digest_part(&member.name) == part)
     }
 
-    /// Makes room for one more; whether there is some. The longest remembered that is over gives way.
-    fn make_room(&mut self, most: usize) -> bool {
-        if self.len() < most {
+    /// Makes room for one more member by removing the one that has been inactive longest. Returns whether
+    /// there is room.
+    fn make_room(&mut self, max_members: usize) -> bool {
+        if self.len() < max_members {
             return true;
         }
-        let oldest =
-            self.inactive.iter().copied().min_by_key(|&slot| self.get(slot).map(|one| one.standing_since));
+        let oldest = self
+            .inactive
+            .iter()
+            .copied()
+            .min_by_key(|&slot| self.get(slot).map(|member| member.standing_since));
         oldest.is_some_and(|slot| {
             self.remove(slot);
             true
         })
     }
 
-    pub fn add(&mut self, member: Member, most: usize) -> Option<Slot> {
-        if !self.make_room(most) {
+    pub fn add(&mut self, member: Member, max_members: usize) -> Option<Slot> {
+        if !self.make_room(max_members) {
             return None;
         }
         let slot = self.free.pop().unwrap_or(self.members.len() as u32);
@@ -117,31 +124,31 @@
         if let Some(member) = self.members.get_mut(slot.0 as usize).and_then(Option::take) {
             self.names.remove(&member.name);
             self.free.push(slot.0);
-            self.pending_rumors.retain(|one| *one != slot);
+            self.pending_rumors.retain(|other| *other != slot);
         }
     }
 
-    /// Changes a member; the lists and the digest follow.
+    /// Updates a member together with the lists and the digest.
     pub fn update<T>(&mut self, slot: Slot, change: impl FnOnce(&mut Member) -> T) -> Option<T> {
-        let before = self.get(slot).map(|one| (one.standing.is_inactive(), one.incarnation))?;
+        let before = self.get(slot).map(|member| (member.standing.is_inactive(), member.incarnation))?;
         self.unindex_member(slot);
-        let one = self.members.get_mut(slot.0 as usize)?.as_mut()?;
-        let done = change(one);
-        let after = (one.standing.is_inactive(), one.incarnation);
+        let member = self.members.get_mut(slot.0 as usize)?.as_mut()?;
+        let result = change(member);
+        let after = (member.standing.is_inactive(), member.incarnation);
         self.index_member(slot);
         self.version += u64::from(before != after);
-        Some(done)
+        Some(result)
     }
 
-    /// Changes what neither lists, counts nor digest depend on: all but its life and how it stands.
+    /// A member for changes that affect neither lists nor digest: anything but its incarnation and standing.
     pub fn get_mut(&mut self, slot: Slot) -> Option<&mut Member> {
         self.members.get_mut(slot.0 as usize)?.as_mut()
     }
 
     fn index_member(&mut self, slot: Slot) {
         let Some(member) = self.get(slot) else { return };
-        let (standing, (of, stamp)) = (member.standing, member_digest(member));
-        self.digest[of] ^= stamp;
+        let (standing, (part, value)) = (member.standing, member_digest(member));
+        self.digest[part] ^= value;
         self.counts[standing as usize] += 1;
         if standing.is_inactive() {
             self.inactive.push(slot);
@@ -153,58 +160,58 @@
 
     fn unindex_member(&mut self, slot: Slot) {
         let Some(member) = self.get(slot) else { return };
-        let (standing, (of, stamp)) = (member.standing, member_digest(member));
-        self.digest[of] ^= stamp;
+        let (standing, (part, value)) = (member.standing, member_digest(member));
+        self.digest[part] ^= value;
         self.counts[standing as usize] -= 1;
         match self.live_positions.remove(&slot) {
-            Some(at) => {
-                self.live.swap_remove(at);
-                if let Some(&moved) = self.live.get(at) {
-                    self.live_positions.insert(moved, at);
+            Some(index) => {
+                self.live.swap_remove(index);
+                if let Some(&moved) = self.live.get(index) {
+                    self.live_positions.insert(moved, index);
                 }
             }
-            None => self.inactive.retain(|one| *one != slot),
+            None => self.inactive.retain(|other| *other != slot),
         }
     }
 
-    /// Some that live, other than these, each at most once.
+    /// Samples up to `count` distinct active members that satisfy `fit` and are not in `but`.
     pub fn sample(
         &self,
         rng: &mut Rng,
         count: usize,
-        but: &[Slot],
-        fit: impl Fn(&Member) -> bool,
+        excluded: &[Slot],
+        eligible: impl Fn(&Member) -> bool,
     ) -> Vec<Slot> {
-        let mut drawn = Vec::new();
+        let mut sampled = Vec::new();
         if self.live.is_empty() {
-            return drawn;
+            return sampled;
         }
-        // From a random place on in steps: a constant number of looks, however many there are.
+        // Bounds the number of draws independently of the size of the table.
         for _ in 0..count * 4 + 8 {
             let slot = self.live[rng.usize(..self.live.len())];
-            let fits = self.get(slot).is_some_and(&fit);
-            if fits && !but.contains(&slot) && !drawn.contains(&slot) {
-                drawn.push(slot);
-                if drawn.len() == count {
+            let is_eligible = self.get(slot).is_some_and(&eligible);
+            if is_eligible && !excluded.contains(&slot) && !sampled.contains(&slot) {
+                sampled.push(slot);
+                if sampled.len() == count {
                     break;
                 }
             }
         }
-        drawn
+        sampled
     }
 
-    /// News of it is passed on so often.
+    /// Queues the rumor about a member to be sent `times` times.
     pub fn queue_rumor(&mut self, slot: Slot, times: u8) {
         let Some(member) = self.get_mut(slot) else { return };
         let queued = member.remaining_transmissions > 0;
         member.remaining_transmissions = times;
         if queued {
-            self.pending_rumors.retain(|one| *one != slot);
+            self.pending_rumors.retain(|other| *other != slot);
         }
         self.pending_rumors.push_front(slot);
     }
 
-    /// The next of whom news is told; it is told once less then.
+    /// The next member whose rumor is to be sent; counts as one transmission.
     pub fn next_rumor(&mut self) -> Option<Slot> {
         let slot = self.pending_rumors.pop_front()?;
         if let Some(member) = self.get_mut(slot) {
@@ -220,24 +227,29 @@
         self.pending_rumors.len()
     }
 
-    /// Forgets those that are over for longer than they are remembered.
+    /// Removes members that became inactive before this time.
     pub fn expire_inactive(&mut self, before: Timestamp) {
-        let old: Vec<Slot> = self
+        let expired: Vec<Slot> = self
             .inactive
             .iter()
             .copied()
             .filter(|&slot| self.get(slot).is_none_or(|member| member.standing_since < before))
             .collect();
-        old.into_iter().for_each(|slot| self.remove(slot));
+        expired.into_iter().for_each(|slot| self.remove(slot));
     }
 
-    /// The next on this ring after the place, among those that live and are fit.
-    pub fn ring_successor(&self, ring: usize, place: u64, fit: impl Fn(&Member) -> bool) -> Option<Slot> {
-        let fit = |slot: &&Slot| self.get(**slot).is_some_and(&fit);
-        let far = |slot: &&Slot| {
-            self.get(**slot).map_or(u64::MAX, |one| one.ring_positions[ring].wrapping_sub(place))
+    /// The first active member that satisfies `fit` at or after this position on a ring.
+    pub fn ring_successor(
+        &self,
+        ring: usize,
+        position: u64,
+        eligible: impl Fn(&Member) -> bool,
+    ) -> Option<Slot> {
+        let eligible = |slot: &&Slot| self.get(**slot).is_some_and(&eligible);
+        let distance = |slot: &&Slot| {
+            self.get(**slot).map_or(u64::MAX, |member| member.ring_positions[ring].wrapping_sub(position))
         };
-        self.live.iter().filter(fit).min_by_key(far).copied()
+        self.live.iter().filter(eligible).min_by_key(distance).copied()
     }
 
     pub fn count_by_standing(&self, standing: Standing) -> usize {
--- a/crates/arrowyard-peers/src/view.rs
+++ b/crates/arrowyard-peers/src/view.rs
@@ -1,4 +1,4 @@
-//! What a router holds true of its fleet, for the rest of the program and for operators.
+//! A router's view of its fleet, for the rest of the program and for operators.
 
 use std::rc::Rc;
 
@@ -8,16 +8,16 @@
 use crate::membership::{Event, Membership};
 use crate::router_count::MembershipSample;
 
-/// How a member is reached from here.
+/// How this router reaches a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reach {
-    /// It answers this router.
+    /// It answers this router's probes.
     Direct,
-    /// This router hears it, and gets no answers: it does not hear this router.
+    /// This router receives its datagrams, but no acks: the member does not receive those of this router.
     InboundOnly,
-    /// Helpers reach it, this router does not.
+    /// Only helpers get acks from it.
     ViaHelpers,
-    /// Known by others' word, not asked yet or not lately.
+    /// Known from rumors, and not probed recently.
     Reported,
     None,
 }
@@ -28,15 +28,15 @@
     pub standing: Standing,
     pub reach: Reach,
     pub incarnation: u64,
-    /// How long it stands so, and by whose word.
+    /// How long it has had its standing, and whose report led to it.
     pub standing_for: TimeDelta,
     pub reported_by: Rc<str>,
-    /// How many say that it is silent.
+    /// Number of members that report it silent.
     pub accuser_count: usize,
-    /// Whether this router knows it of its own.
+    /// Whether this router has first-hand evidence of the standing.
     pub confirmed_locally: bool,
     pub idle: bool,
-    /// How often it fell silent.
+    /// How often it became silent.
     pub suspicion_count: u32,
 }
 
@@ -45,32 +45,33 @@
     pub name: Rc<str>,
     pub incarnation: u64,
     pub rows: Vec<MemberRow>,
-    /// This router and those that are alive.
+    /// This router and the members that are alive.
     pub reachable: usize,
-    /// And those that may act though nobody hears them.
+    /// The reachable ones, and those that may still be running but are unreachable.
     pub total: usize,
-    /// It doubts itself: it was away, or hears nobody.
+    /// This router stalled, or hears no member.
     pub suspects_itself: bool,
     pub health_score: u32,
-    /// Another process has its name.
+    /// Another process has the name of this router.
     pub duplicate_name: bool,
-    /// Routers that shares are reckoned by.
+    /// Number of routers that capacity is divided by.
     pub router_count: f64,
 }
 
 impl Membership {
-    fn reachability(&self, now: Timestamp, one: &Member) -> Reach {
-        // Each member is asked in turn, so that a router with many of them asks one seldom.
-        let lately = self.config.probe_interval * (self.table.live().len() as f64 + 6.0);
-        if one.standing != Standing::Alive {
+    fn reachability(&self, now: Timestamp, member: &Member) -> Reach {
+        // The rotation probes each member once per round, and a round takes as many periods as there are
+        // members.
+        let rotation_time = self.config.probe_interval * (self.table.live().len() as f64 + 6.0);
+        if member.standing != Standing::Alive {
             return Reach::None;
         }
-        let last = one.last_ack.max(one.last_heard).max(one.last_indirect_ack);
-        if now - last > lately {
+        let last = member.last_ack.max(member.last_heard).max(member.last_indirect_ack);
+        if now - last > rotation_time {
             return Reach::Reported;
         }
-        if one.last_indirect_ack > one.last_ack && now - one.last_indirect_ack <= lately {
-            return if now - one.last_heard <= self.config.probe_interval * 6.0 {
+        if member.last_indirect_ack > member.last_ack && now - member.last_indirect_ack <= rotation_time {
+            return if now - member.last_heard <= self.config.probe_interval * 6.0 {
                 Reach::InboundOnly
             } else {
                 Reach::ViaHelpers
@@ -79,41 +80,42 @@
         Reach::Direct
     }
 
-    fn member_row(&self, now: Timestamp, one: &Member) -> MemberRow {
-        let standing = one.standing;
-        let own = match standing {
-            Standing::Alive => now - one.last_evidence() <= self.config.probe_interval * 6.0,
-            Standing::Left => one.reported_by == one.name,
-            Standing::Dead => one.refused_by.contains(&self.local.name),
+    fn member_row(&self, now: Timestamp, member: &Member) -> MemberRow {
+        let standing = member.standing;
+        let confirmed_locally = match standing {
+            Standing::Alive => now - member.last_evidence() <= self.config.probe_interval * 6.0,
+            Standing::Left => member.reported_by == member.name,
+            Standing::Dead => member.refused_by.contains(&self.local.name),
             Standing::Silent | Standing::Lost => {
-                one.last_probe_failure >= one.last_evidence()
-                    && one.last_probe_failure > Timestamp::DISTANT_PAST
+                member.last_probe_failure >= member.last_evidence()
+                    && member.last_probe_failure > Timestamp::DISTANT_PAST
             }
         };
         MemberRow {
-            name: one.name.clone(),
+            name: member.name.clone(),
             standing,
-            reach: self.reachability(now, one),
-            incarnation: one.incarnation,
-            standing_for: now - one.standing_since,
-            reported_by: one.reported_by.clone(),
-            accuser_count: one.accusers.len(),
-            confirmed_locally: own,
-            idle: one.idle,
-            suspicion_count: one.suspicion_count,
+            reach: self.reachability(now, member),
+            incarnation: member.incarnation,
+            standing_for: now - member.standing_since,
+            reported_by: member.reported_by.clone(),
+            accuser_count: member.accusers.len(),
+            confirmed_locally,
+            idle: member.idle,
+            suspicion_count: member.suspicion_count,
         }
     }
 
     #[must_use]
     pub fn view(&self, now: Timestamp) -> View {
-        let mut rows: Vec<MemberRow> = self.table.iter().map(|(_, one)| self.member_row(now, one)).collect();
+        let mut rows: Vec<MemberRow> =
+            self.table.iter().map(|(_, member)| self.member_row(now, member)).collect();
         rows.sort_by(|a, b| a.name.cmp(&b.name));
-        let sight = self.sample(now);
+        let counts = self.sample(now);
         View {
             name: self.local.name.clone(),
             incarnation: self.local.incarnation,
-            reachable: sight.reachable,
-            total: sight.reachable + sight.missing + sight.long_missing,
+            reachable: counts.reachable,
+            total: counts.reachable + counts.missing + counts.long_missing,
             suspects_itself: self.health.is_suspect(now),
             health_score: self.health.score(),
             duplicate_name: self.duplicate_name,
@@ -122,25 +124,25 @@
         }
     }
 
-    /// How a member stands here.
+    /// Standing of a member, if it is known.
     #[must_use]
     pub fn standing(&self, name: &str) -> Option<Standing> {
-        self.table.by_name(name).map(|one| one.standing)
+        self.table.by_name(name).map(|member| member.standing)
     }
 
-    /// Members that are held alive, without this router.
+    /// Number of members that are alive, without this router.
     #[must_use]
     pub fn alive_count(&self) -> usize {
         self.table.live().len() - self.table.count_by_standing(Standing::Silent)
     }
 
-    /// All that is remembered: members, those that are over, candidates, questions.
+    /// Number of tracked entries: members including inactive ones, candidates, and open probes.
     #[must_use]
     pub fn tracked_entries(&self) -> usize {
         self.table.len() + self.candidates.len() + self.probes.len() + self.relays.len()
     }
 
-    /// Routers that shares are reckoned by.
+    /// Number of routers that capacity is divided by.
     #[must_use]
     pub fn router_count(&self) -> f64 {
         self.router_count_estimator.routers()
@@ -150,10 +152,10 @@
         let (mut missing, mut forgiven) = (0, 0);
         let any =
             self.table.count_by_standing(Standing::Silent) + self.table.count_by_standing(Standing::Lost) > 0;
-        for (_, one) in self.table.iter().filter(|_| any) {
-            if matches!(one.standing, Standing::Silent | Standing::Lost) {
-                let long = now - one.standing_since > self.config.missing_grace_period;
-                *(if long { &mut forgiven } else { &mut missing }) += 1;
+        for (_, member) in self.table.iter().filter(|_| any) {
+            if matches!(member.standing, Standing::Silent | Standing::Lost) {
+                let past_grace = now - member.standing_since > self.config.missing_grace_period;
+                *(if past_grace { &mut forgiven } else { &mut missing }) += 1;
             }
         }
         let reach = 1 + self.alive_count() + usize::from(self.duplicate_name);
@@ -167,14 +169,14 @@
     }
 
     pub(crate) fn update_router_count(&mut self, now: Timestamp) {
-        let sight = self.sample(now);
-        self.router_count_estimator.update(now, sight);
+        let counts = self.sample(now);
+        self.router_count_estimator.update(now, counts);
         let lost = self.table.count_by_standing(Standing::Lost);
-        let whole = sight.reachable + sight.missing + sight.long_missing;
-        let part = (lost > 0).then_some((sight.reachable, whole));
-        if part != self.partition {
-            self.partition = part;
-            self.events.push(Event::Partition { reachable: sight.reachable, total: whole });
+        let total = counts.reachable + counts.missing + counts.long_missing;
+        let partition = (lost > 0).then_some((counts.reachable, total));
+        if partition != self.partition {
+            self.partition = partition;
+            self.events.push(Event::Partition { reachable: counts.reachable, total });
         }
     }
 }
