--- a/crates/arrowyard-cells/tests/admission.rs
+++ b/crates/arrowyard-cells/tests/admission.rs
@@ -1,4 +1,5 @@
-//! The desk that puts the parts of cells together: what one cell uses up is its own, and what a new layout keeps.
+//! Admission across cells: isolation of one cell's resources from the others, and state that survives a new
+//! layout.
 
 use arrowyard_cells::admission::{
     AdmissionPermit, Capacity, CellEvent, LayoutError, OpContext, RejectReason,
@@ -45,7 +46,7 @@
     }
 }
 
-fn desk(layout: Layout) -> Cells {
+fn new_cells(layout: Layout) -> Cells {
     let terms = MoveSettings {
         clients_mark_retries: true,
         max_op_timeout: TimeDelta::from_millis(500),
@@ -54,7 +55,7 @@
     Cells::new(ms(0), layout, Capacity { ops: 40, bytes: 1000, probes: 8 }, terms)
 }
 
-fn ask(
+fn admit(
     cells: &mut Cells,
     now: i64,
     tenant: &str,
@@ -63,7 +64,7 @@
 ) -> Result<AdmissionPermit, (RejectReason, Option<TimeDelta>)> {
     let (address, session, token, group) = (None, None, None, GroupId(1));
     let (need, due) = (Consistency::Any, ms(now + 500));
-    let facts = OpContext {
+    let op = OpContext {
         tenant: Some(tenant),
         address,
         group,
@@ -74,89 +75,93 @@
         is_retry: again,
         deadline: due,
     };
-    match cells.admit(ms(now), &facts) {
-        AdmissionDecision::Admit { permit: pass, .. } => Ok(pass),
+    match cells.admit(ms(now), &op) {
+        AdmissionDecision::Admit { permit, .. } => Ok(permit),
         AdmissionDecision::Busy { reason: why, retry_after: after, .. } => Err((why, after)),
         other => panic!("{other:?}"),
     }
 }
 
 #[test]
-fn a_cell_has_its_ops_and_bytes_and_gets_them_back() {
-    let mut cells = desk(layout(1));
-    let passes: Vec<AdmissionPermit> =
-        (0..30).map_while(|_| ask(&mut cells, 0, "ann", false, 1).ok()).collect();
-    assert_eq!(passes.len(), 30, "its 20, and the 10 of the other's that are not guaranteed");
+fn ops_and_bytes_of_a_cell_are_limited_and_returned() {
+    let mut cells = new_cells(layout(1));
+    let permits: Vec<AdmissionPermit> =
+        (0..30).map_while(|_| admit(&mut cells, 0, "ann", false, 1).ok()).collect();
+    assert_eq!(permits.len(), 30, "its own 20, and 10 of the other cell that are not guaranteed");
     assert!(
-        matches!(ask(&mut cells, 0, "ann", false, 1), Err((RejectReason::OpCapacity, Some(after))) if after > TimeDelta::ZERO)
+        matches!(admit(&mut cells, 0, "ann", false, 1), Err((RejectReason::OpCapacity, Some(after))) if after > TimeDelta::ZERO)
     );
     assert_eq!(
-        ask(&mut cells, 0, "bob", false, 900).map_err(|(why, _)| why),
+        admit(&mut cells, 0, "bob", false, 900).map_err(|(why, _)| why),
         Err(RejectReason::ByteCapacity)
     );
-    assert!(ask(&mut cells, 0, "bob", false, 1).is_ok());
-    passes.into_iter().for_each(|pass| cells.release(ms(1), pass, WriteOutcome::Acked, None));
+    assert!(admit(&mut cells, 0, "bob", false, 1).is_ok());
+    permits.into_iter().for_each(|permit| cells.release(ms(1), permit, WriteOutcome::Acked, None));
     let report = cells.report();
-    assert_eq!(
-        (report[0].ops, report[0].bytes, report[1].ops),
-        (0, 0, 1),
-        "nothing of what was refused is held"
-    );
+    assert_eq!((report[0].ops, report[0].bytes, report[1].ops), (0, 0, 1), "a refused op holds no capacity");
     assert_eq!((report[0].counters.admitted, report[0].counters.busy, report[1].counters.busy), (30, 1, 1));
 }
 
 #[test]
-fn repeats_are_counted_by_cell_from_clients_and_from_further_sends() {
+fn retries_of_clients_and_further_sends_count_against_the_budget_of_the_cell() {
     let window = TimeDelta::from_millis(1600);
-    let mut cells = desk(Layout {
+    let mut cells = new_cells(Layout {
         retry_budget: Some(RetryBudgetConfig { retry_ratio: 0.5, min_retries: 2, window }),
         ..layout(1)
     });
     assert_eq!((cells.remaining_retries(ms(10), A), cells.remaining_retries(ms(10), B)), (Some(2), Some(2)));
-    let pass = ask(&mut cells, 10, "ann", true, 1).expect("one of two");
+    let permit = admit(&mut cells, 10, "ann", true, 1).expect("the budget allows two retries");
     assert_eq!(cells.remaining_retries(ms(10), A), Some(1));
-    cells.record_send(ms(10), &pass, false);
+    cells.record_send(ms(10), &permit, false);
     assert_eq!((cells.remaining_retries(ms(10), A), cells.remaining_retries(ms(10), B)), (Some(0), Some(2)));
     assert_eq!(
-        ask(&mut cells, 10, "ann", true, 1),
+        admit(&mut cells, 10, "ann", true, 1),
         Err((RejectReason::RetryBudget, Some(TimeDelta::from_millis(100))))
     );
-    assert!(ask(&mut cells, 10, "ann", false, 1).is_ok() && ask(&mut cells, 10, "bob", true, 1).is_ok());
-    // First sends earn repeats, from the next slice on at half a repeat each.
-    (0..10).for_each(|_| cells.record_send(ms(10), &pass, true));
+    assert!(admit(&mut cells, 10, "ann", false, 1).is_ok() && admit(&mut cells, 10, "bob", true, 1).is_ok());
+    // Each first send earns half a retry, from the next slice on.
+    (0..10).for_each(|_| cells.record_send(ms(10), &permit, true));
     assert_eq!(cells.remaining_retries(ms(10), A), Some(3));
     assert_eq!(cells.report()[0].counters.first_sends, 10);
-    // Behind the window all is as at the start.
+    // After the window the budget is back at its minimum.
     assert_eq!(cells.remaining_retries(ms(5000), A), Some(2));
-    assert_eq!(desk(layout(1)).remaining_retries(ms(10), A), None, "no budget is told where there is none");
+    assert_eq!(
+        new_cells(layout(1)).remaining_retries(ms(10), A),
+        None,
+        "a cell without a budget reports none"
+    );
     let mut budget = RetryBudget::new(RetryBudgetConfig { retry_ratio: 0.0, min_retries: 1, window });
     assert!(budget.try_spend(ms(10)) && !budget.try_spend(ms(10)));
     budget.set_config(RetryBudgetConfig { retry_ratio: 0.0, min_retries: 2, window });
-    assert!(budget.try_spend(ms(10)) && !budget.try_spend(ms(10)), "what was spent stays spent");
+    assert!(budget.try_spend(ms(10)) && !budget.try_spend(ms(10)), "spent retries stay spent");
     budget.set_config(RetryBudgetConfig { retry_ratio: 0.0, min_retries: 2, window: window * 2.0 });
-    assert!(budget.try_spend(ms(10)), "another window begins anew");
+    assert!(budget.try_spend(ms(10)), "another window length resets the budget");
 }
 
 #[test]
-fn a_cells_limit_follows_its_own_answers() {
-    let mut paced = layout(1);
-    paced.cells[0].concurrency_limit = Some(ConcurrencyLimitConfig { initial: 4.0, min: 2.0, max: 50.0 });
-    let mut cells = desk(paced);
-    let passes: Vec<AdmissionPermit> =
-        (0..4).map(|_| ask(&mut cells, 0, "ann", false, 1).expect("the limit is 4")).collect();
+fn the_concurrency_limit_of_a_cell_follows_its_own_responses() {
+    let mut limited = layout(1);
+    limited.cells[0].concurrency_limit = Some(ConcurrencyLimitConfig { initial: 4.0, min: 2.0, max: 50.0 });
+    let mut cells = new_cells(limited);
+    let permits: Vec<AdmissionPermit> =
+        (0..4).map(|_| admit(&mut cells, 0, "ann", false, 1).expect("the limit is 4")).collect();
     assert_eq!(
-        ask(&mut cells, 0, "ann", false, 1).map_err(|(why, _)| why),
+        admit(&mut cells, 0, "ann", false, 1).map_err(|(why, _)| why),
         Err(RejectReason::ConcurrencyLimit)
     );
-    assert!(ask(&mut cells, 0, "bob", false, 1).is_ok());
-    (0..400).for_each(|_| cells.record_send_end(&passes[0], SendOutcome::Acked, 0.3, false));
-    let grown = cells.report()[0].concurrency_limit;
-    assert_eq!(grown, Some(8), "up to twice what is in hand: more was never tried");
-    (0..400).for_each(|_| cells.record_send_end(&passes[0], SendOutcome::NotExecuted, 0.3, false));
-    assert_eq!(cells.report()[0].concurrency_limit, grown, "what never ran says nothing");
-    (0..400).for_each(|_| cells.record_send_end(&passes[0], SendOutcome::Failed, 1.0, false));
+    assert!(admit(&mut cells, 0, "bob", false, 1).is_ok());
+    (0..400).for_each(|_| cells.record_send_end(&permits[0], SendOutcome::Acked, 0.3, false));
+    let grown_limit = cells.report()[0].concurrency_limit;
+    assert_eq!(grown_limit, Some(8), "grows to twice the ops in flight, since more was never tested");
+    (0..400).for_each(|_| cells.record_send_end(&permits[0], SendOutcome::NotExecuted, 0.3, false));
+    assert_eq!(
+        cells.report()[0].concurrency_limit,
+        grown_limit,
+        "sends that did not run have no effect on the limit"
+    );
+    (0..400).for_each(|_| cells.record_send_end(&permits[0], SendOutcome::Failed, 1.0, false));
     assert_eq!(cells.report()[0].concurrency_limit, Some(2));
-    // A layout that changes nothing of the cell keeps its limit.
+    // A layout that does not change the cell keeps its limit.
     let mut next = cells.layout().clone();
     (next.epoch, next.cells[0].weight) = (2, 3.0);
     assert_eq!(cells.replace_layout(ms(1), next), Ok(()));
@@ -164,11 +169,11 @@
 }
 
 #[test]
-fn the_trust_of_new_hosts_waits_for_the_cells_before() {
+fn restarted_hosts_get_full_trust_only_after_earlier_cells_are_verified() {
     let release = RolloutConfig { order: vec![A, B], error_rate_ratio: 3.0, error_probability: 0.001 };
-    let mut cells = desk(Layout { rollout: Some(release), ..layout(1) });
-    let (canary, other) = (ask(&mut cells, 0, "ann", false, 1), ask(&mut cells, 0, "bob", false, 1));
-    let (canary, other) = (canary.expect("there is room"), other.expect("there is room"));
+    let mut cells = new_cells(Layout { rollout: Some(release), ..layout(1) });
+    let (canary, other) = (admit(&mut cells, 0, "ann", false, 1), admit(&mut cells, 0, "bob", false, 1));
+    let (canary, other) = (canary.expect("the cell has capacity"), other.expect("the cell has capacity"));
     let within = TimeDelta::from_millis(1000);
     cells.host_restarted(A, ms(0), within);
     assert_eq!((cells.restarted_host_trust(A), cells.restarted_host_trust(B)), (1.0, 0.1));
@@ -187,7 +192,7 @@
     assert_eq!(
         cells.report()[0].release_verdict,
         Some(ReleaseVerdict::Open),
-        "what never ran says nothing of the release"
+        "sends that did not run are no evidence on the release"
     );
     (0..4000).for_each(|_| cells.record_send_end(&canary, SendOutcome::Acked, 0.2, true));
     assert_eq!(
@@ -199,23 +204,23 @@
         (cells.report()[0].release_verdict, cells.restarted_host_trust(B)),
         (Some(ReleaseVerdict::Bad), 0.1)
     );
-    let judged: Vec<ReleaseVerdict> = cells
+    let verdict: Vec<ReleaseVerdict> = cells
         .take_events()
         .iter()
         .filter_map(
             |news| if let CellEvent::ReleaseVerdict(verdict) = news { Some(verdict.verdict) } else { None },
         )
         .collect();
-    assert_eq!(judged, [ReleaseVerdict::Good, ReleaseVerdict::Bad]);
-    // The next release begins anew; the same terms in a new layout keep the verdict.
+    assert_eq!(verdict, [ReleaseVerdict::Good, ReleaseVerdict::Bad]);
+    // A later release starts a new trial; a new layout with the same rollout keeps the verdict.
     let next = Layout { epoch: 2, ..cells.layout().clone() };
     assert_eq!((cells.replace_layout(ms(1), next), cells.restarted_host_trust(B)), (Ok(()), 0.1));
     cells.host_restarted(A, ms(60_000), within);
     assert_eq!(cells.report()[0].release_verdict, Some(ReleaseVerdict::Open));
 }
 
-fn moving(epoch: u64, tenant: &str, step: Step, fence: Option<i64>, groups: bool) -> Layout {
-    let row = MoveConfig {
+fn layout_with_move(epoch: u64, tenant: &str, step: Step, fence: Option<i64>, groups: bool) -> Layout {
+    let move_config = MoveConfig {
         tenant: tenant.into(),
         from: A,
         to: B,
@@ -230,70 +235,76 @@
         token_retention: TimeDelta::from_millis(1000),
     };
     let lease = Some(Lease { expires_at: ms(2000), max_clock_skew: TimeDelta::from_millis(10) });
-    Layout { moves: vec![row], lease, ..layout(epoch) }
+    Layout { moves: vec![move_config], lease, ..layout(epoch) }
 }
 
 #[test]
-fn a_move_may_be_left_out_before_it_fences_and_not_after() {
-    let leased = |epoch| Layout { moves: Vec::new(), ..moving(epoch, "ann", Step::Planned, None, true) };
-    let mut planned = desk(moving(1, "ann", Step::Planned, None, true));
+fn a_layout_may_drop_a_move_before_its_fence_but_not_after() {
+    let leased =
+        |epoch| Layout { moves: Vec::new(), ..layout_with_move(epoch, "ann", Step::Planned, None, true) };
+    let mut planned = new_cells(layout_with_move(1, "ann", Step::Planned, None, true));
     assert_eq!(planned.replace_layout(ms(1), leased(2)), Ok(()));
     assert_eq!(planned.moves().count(), 0);
-    let mut fenced = desk(moving(1, "ann", Step::Fenced, Some(100), true));
+    let mut fenced = new_cells(layout_with_move(1, "ann", Step::Fenced, Some(100), true));
     fenced.tick(ms(150));
     assert_eq!(fenced.replace_layout(ms(151), leased(2)), Err(LayoutError::MoveMissing("ann".into())));
-    assert_eq!(fenced.replace_layout(ms(152), moving(3, "ann", Step::Cancelled, Some(100), true)), Ok(()));
+    assert_eq!(
+        fenced.replace_layout(ms(152), layout_with_move(3, "ann", Step::Cancelled, Some(100), true)),
+        Ok(())
+    );
     assert_eq!(fenced.replace_layout(ms(153), leased(4)), Ok(()));
-    // Where the group stays, the move is over with the tenant's row in its new place.
-    let mut same = desk(moving(1, "ann", Step::Done, Some(100), false));
-    same.tick(ms(5000));
-    assert_eq!(same.moves().map(|(_, stage, ..)| stage).collect::<Vec<_>>(), [Stage::Done]);
-    assert_eq!(same.replace_layout(ms(5001), leased(2)), Ok(()));
-    let mut groups = desk(moving(1, "ann", Step::Fenced, Some(100), true));
+    // If the data stays in its group, a finished move may be dropped once the tenant's assignment points to
+    // the target.
+    let mut same_group = new_cells(layout_with_move(1, "ann", Step::Done, Some(100), false));
+    same_group.tick(ms(5000));
+    assert_eq!(same_group.moves().map(|(_, stage, ..)| stage).collect::<Vec<_>>(), [Stage::Done]);
+    assert_eq!(same_group.replace_layout(ms(5001), leased(2)), Ok(()));
+    let mut groups = new_cells(layout_with_move(1, "ann", Step::Fenced, Some(100), true));
     groups.tick(ms(150));
     assert_eq!(groups.groups_awaiting_positions().to_vec(), [GroupId(2)]);
     assert_eq!(groups.replace_layout(ms(151), leased(2)), Err(LayoutError::MoveMissing("ann".into())));
 }
 
 #[test]
-fn a_fence_comes_after_the_last_lease_that_was_given_without_it() {
-    let planned = || desk(moving(1, "ann", Step::Planned, None, true));
-    let fenced = |at| planned().replace_layout(ms(1), moving(2, "ann", Step::Fenced, Some(at), true));
+fn a_fence_before_the_end_of_the_previous_lease_is_rejected() {
+    let planned = || new_cells(layout_with_move(1, "ann", Step::Planned, None, true));
+    let fenced =
+        |at| planned().replace_layout(ms(1), layout_with_move(2, "ann", Step::Fenced, Some(at), true));
     assert_eq!((fenced(2009), fenced(2010)), (Err(LayoutError::FenceTooEarly("ann".into())), Ok(())));
-    // Of another tenant, too, though one move is known.
-    let mut known = desk(moving(1, "ann", Step::Planned, Some(2500), true));
-    assert_eq!(known.groups_awaiting_positions().to_vec(), [], "nothing is waited for before the fence");
+    // The lease also covers the move of another tenant while one move is known.
+    let mut cells = new_cells(layout_with_move(1, "ann", Step::Planned, Some(2500), true));
+    assert_eq!(cells.groups_awaiting_positions().to_vec(), [], "no positions are needed before the fence");
     let two = |epoch, at| {
-        let mut two = moving(epoch, "ann", Step::Planned, Some(2500), true);
-        two.moves.push(moving(epoch, "bob", Step::Planned, Some(at), true).moves.remove(0));
+        let mut two = layout_with_move(epoch, "ann", Step::Planned, Some(2500), true);
+        two.moves.push(layout_with_move(epoch, "bob", Step::Planned, Some(at), true).moves.remove(0));
         two
     };
-    assert_eq!(known.replace_layout(ms(1), two(2, 1500)), Err(LayoutError::FenceTooEarly("bob".into())));
-    assert_eq!(known.replace_layout(ms(1), two(3, 2500)), Ok(()));
-    assert_eq!(known.moves().count(), 2);
-    // The two go on by themselves.
-    known.tick(ms(2500));
-    assert!(known.moves().all(|(_, stage, ..)| stage == Stage::Drained));
+    assert_eq!(cells.replace_layout(ms(1), two(2, 1500)), Err(LayoutError::FenceTooEarly("bob".into())));
+    assert_eq!(cells.replace_layout(ms(1), two(3, 2500)), Ok(()));
+    assert_eq!(cells.moves().count(), 2);
+    // The two moves progress independently.
+    cells.tick(ms(2500));
+    assert!(cells.moves().all(|(_, stage, ..)| stage == Stage::Drained));
     let mut one = two(4, 2500);
     one.moves[0].step = Step::Cancelled;
-    assert_eq!(known.replace_layout(ms(2501), one), Ok(()));
+    assert_eq!(cells.replace_layout(ms(2501), one), Ok(()));
     let stages: Vec<(String, Stage)> =
-        known.moves().map(|(name, stage, ..)| (name.to_string(), stage)).collect();
+        cells.moves().map(|(name, stage, ..)| (name.to_string(), stage)).collect();
     assert_eq!(stages, [("ann".to_string(), Stage::Open), ("bob".to_string(), Stage::Drained)]);
 }
 
 #[test]
-fn a_cells_probes_leave_the_others_theirs() {
-    let mut cells = desk(layout(1));
-    let begun = (0..8).filter(|_| cells.try_start_probe(ms(0), A)).count();
-    assert_eq!(begun, 6, "its 4, and the 2 of the other's that are not guaranteed");
+fn probes_of_one_cell_leave_the_guaranteed_share_of_others() {
+    let mut cells = new_cells(layout(1));
+    let started = (0..8).filter(|_| cells.try_start_probe(ms(0), A)).count();
+    assert_eq!(started, 6, "its own 4, and 2 of the other cell that are not guaranteed");
     assert!(
         cells.try_start_probe(ms(0), B) && cells.try_start_probe(ms(0), B),
-        "what is guaranteed was never lent"
+        "the guaranteed share was not lent"
     );
-    assert!(!cells.try_start_probe(ms(0), B), "the rest is lent, and called back");
+    assert!(!cells.try_start_probe(ms(0), B), "the rest is lent and being reclaimed");
     cells.end_probe(A);
-    assert!(!cells.try_start_probe(ms(1), A), "it comes back to its owner");
+    assert!(!cells.try_start_probe(ms(1), A), "released capacity is reserved for its owner");
     assert!(cells.try_start_probe(ms(1), B));
     assert_eq!(cells.report().iter().map(|state| state.probes).collect::<Vec<_>>(), [5, 3]);
 }
--- a/crates/arrowyard-cells/tests/tenant_moves.rs
+++ b/crates/arrowyard-cells/tests/tenant_moves.rs
@@ -1,6 +1,6 @@
-//! A plain model of a move: two groups that remember tokens, a copy, clients that repeat, several routers that share
-//! nothing, hear late or never, and start anew. It shares no code with the package; it checks what clients hold acks
-//! for against what the target has in the end.
+//! Tenant moves against a model that shares no code with the package: two groups that deduplicate tokens, a
+//! copy, clients that retry, and several routers that share no state, receive layouts late or never, and
+//! restart. It compares the acks that clients hold with the final content of the target.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -14,15 +14,16 @@
 
 const SOURCE: i64 = 1;
 const TARGET: i64 = 2;
-/// How long hosts remember tokens, and how long clients repeat: a repeat has to reach its host in time.
-const MEMORY: i64 = 1800;
-const PATIENCE: i64 = 1200;
-const TIMEOUT: i64 = 500;
-const SKEW: i64 = 20;
-const LEASE: i64 = 3000;
-const FENCE: i64 = 3100;
-const COPIED: i64 = FENCE + TIMEOUT + SKEW + 40;
-const SWITCH: i64 = COPIED + 300;
+/// How long hosts retain tokens, and how long clients retry. A retry has to arrive while its token is
+/// retained.
+const TOKEN_RETENTION: i64 = 1800;
+const CLIENT_RETRY_PERIOD: i64 = 1200;
+const OP_TIMEOUT: i64 = 500;
+const MAX_CLOCK_SKEW: i64 = 20;
+const LEASE_END: i64 = 3000;
+const FENCE_AT: i64 = 3100;
+const COPIED_THROUGH: i64 = FENCE_AT + OP_TIMEOUT + MAX_CLOCK_SKEW + 40;
+const SWITCH_AT: i64 = COPIED_THROUGH + 300;
 const END: i64 = 9000;
 
 fn ms(millis: i64) -> Timestamp {
@@ -33,7 +34,7 @@
     TimeDelta::from_millis(millis)
 }
 
-fn row(step: Step) -> MoveConfig {
+fn move_config(step: Step) -> MoveConfig {
     let announced = step >= Step::Fenced;
     let copied = step >= Step::Switched && step != Step::Cancelled;
     MoveConfig {
@@ -43,17 +44,17 @@
         groups: Some((GroupId(SOURCE), GroupId(TARGET))),
         client_group: Some(GroupId(SOURCE)),
         step,
-        fence_at: announced.then_some(ms(FENCE)),
-        switch_at: announced.then_some(ms(SWITCH)),
-        copied_through: copied.then_some(ms(COPIED)),
-        target_floor: copied.then_some(ms(COPIED + 50)),
+        fence_at: announced.then_some(ms(FENCE_AT)),
+        switch_at: announced.then_some(ms(SWITCH_AT)),
+        copied_through: copied.then_some(ms(COPIED_THROUGH)),
+        target_floor: copied.then_some(ms(COPIED_THROUGH + 50)),
         target_host: copied.then(|| "x".into()),
-        token_retention: span(MEMORY),
+        token_retention: span(TOKEN_RETENTION),
     }
 }
 
-/// The file at each step; each has a lease, the first one's ends before the fence.
-fn file(step: Option<Step>) -> Layout {
+/// The layout at each step. Each has a lease; the first one ends before the fence.
+fn layout_at(step: Option<Step>) -> Layout {
     let cell = |name: &str| Cell {
         name: name.into(),
         weight: 1.0,
@@ -66,7 +67,7 @@
     };
     let epoch = step.map_or(1, |step| 2 + step as u64);
     let home = CellId(u32::from(step == Some(Step::Done)));
-    let until = if step.is_some_and(|step| step >= Step::Fenced) { END * 2 } else { LEASE };
+    let until = if step.is_some_and(|step| step >= Step::Fenced) { END * 2 } else { LEASE_END };
     Layout {
         epoch,
         cells: vec![cell("a"), cell("b")],
@@ -76,23 +77,23 @@
         reclaim_period: span(100),
         retry_budget: None,
         rollout: None,
-        lease: Some(Lease { expires_at: ms(until), max_clock_skew: span(SKEW) }),
-        moves: step.map(row).into_iter().collect(),
+        lease: Some(Lease { expires_at: ms(until), max_clock_skew: span(MAX_CLOCK_SKEW) }),
+        moves: step.map(move_config).into_iter().collect(),
     }
 }
 
-fn desk(now: i64, layout: Layout, marks: bool) -> Cells {
+fn new_cells(now: i64, layout: Layout, marks_retries: bool) -> Cells {
     let terms = MoveSettings {
-        clients_mark_retries: marks,
-        max_op_timeout: span(TIMEOUT),
-        max_clock_skew: span(SKEW),
+        clients_mark_retries: marks_retries,
+        max_op_timeout: span(OP_TIMEOUT),
+        max_clock_skew: span(MAX_CLOCK_SKEW),
     };
     let mut cells = Cells::new(ms(now), layout, Capacity { ops: 400, bytes: 1 << 20, probes: 8 }, terms);
     cells.set_group_hosts(GroupId(TARGET), &[(HostId(1), "x"), (HostId(2), "y"), (HostId(3), "z")]);
     cells
 }
 
-fn facts(need: Consistency, token: Option<u64>, again: bool, due: i64) -> OpContext<'static> {
+fn op_context(need: Consistency, token: Option<u64>, is_retry: bool, deadline: i64) -> OpContext<'static> {
     let (tenant, address, group) = (Some("t"), None, GroupId(SOURCE));
     OpContext {
         tenant,
@@ -102,39 +103,39 @@
         consistency: need,
         session: Some(7),
         token,
-        is_retry: again,
-        deadline: ms(due),
+        is_retry,
+        deadline: ms(deadline),
     }
 }
 
-/// A group as it is written: turns with their positions, and the tokens that it remembers.
+/// The writes of a group with their positions, and the tokens that it retains.
 #[derive(Default)]
-struct Log {
-    turns: Vec<(i64, u64)>,
+struct GroupLog {
+    writes: Vec<(i64, u64)>,
     tokens: HashMap<u64, (i64, i64)>,
 }
 
-impl Log {
-    /// Where the turn was applied, now or when its token was first seen.
+impl GroupLog {
+    /// The position of the write: now, or where its token was first seen.
     fn apply(&mut self, now: i64, token: u64) -> i64 {
         if let Some(&(first, position)) = self.tokens.get(&token)
-            && now < first + MEMORY
+            && now < first + TOKEN_RETENTION
         {
             return position;
         }
-        self.turns.push((now, token));
+        self.writes.push((now, token));
         self.tokens.insert(token, (now, now));
         now
     }
 }
 
 enum Event {
-    /// A client asks for its turn: token, since when, whether it asks again.
-    Ask(u64, i64, bool),
-    /// A held op is asked about anew.
-    Again(usize, u64, i64, bool, AdmissionPermit, u64),
-    /// A send reaches its group; whether its answer gets through, and when its router hears of the end.
-    Run(usize, i64, u64, i64, AdmissionPermit, u64, bool, i64),
+    /// A client sends a write: token, time of its first attempt, whether it is marked as a retry.
+    Submit(u64, i64, bool),
+    /// A held op is submitted again.
+    Resubmit(usize, u64, i64, bool, AdmissionPermit, u64),
+    /// A send reaches its group; whether its response arrives, and when its router learns of the end.
+    Execute(usize, i64, u64, i64, AdmissionPermit, u64, bool, i64),
     Ended(usize, u64, i64, AdmissionPermit, WriteOutcome, Option<i64>, u64),
     Read,
     File(usize, Step),
@@ -145,14 +146,14 @@
     rng: Rng,
     events: BTreeMap<(i64, u64), Event>,
     number: u64,
-    /// With how far its clock is off, and a number that tells its starts apart.
+    /// Each with the offset of its clock, and the number of its restarts.
     routers: Vec<(Cells, i64, u64)>,
-    source: Log,
-    target: Log,
+    source: GroupLog,
+    target: GroupLog,
     copied: bool,
     acked: Vec<(u64, i64)>,
-    marks: bool,
-    given: [u32; 4],
+    marks_retries: bool,
+    decisions: [u32; 4],
 }
 
 impl World {
@@ -161,146 +162,208 @@
         self.events.insert((when, self.number), event);
     }
 
-    fn ask(&mut self, now: i64, router: usize, token: u64, since: i64, again: bool) {
-        let (cells, off, life) = &mut self.routers[router];
-        let life = *life;
-        let due = now + TIMEOUT;
-        let verdict = cells
-            .admit(ms(now + *off), &facts(Consistency::Write, Some(token), again && self.marks, due + *off));
-        match verdict {
-            AdmissionDecision::Admit { permit: pass, group, .. } => {
-                self.given[usize::from(group.0 == TARGET)] += 1;
+    fn ask(&mut self, now: i64, router: usize, token: u64, first_attempt_at: i64, is_retry: bool) {
+        let (cells, clock_offset, start_number) = &mut self.routers[router];
+        let start_number = *start_number;
+        let deadline = now + OP_TIMEOUT;
+        let decision = cells.admit(
+            ms(now + *clock_offset),
+            &op_context(
+                Consistency::Write,
+                Some(token),
+                is_retry && self.marks_retries,
+                deadline + *clock_offset,
+            ),
+        );
+        match decision {
+            AdmissionDecision::Admit { permit, group, .. } => {
+                self.decisions[usize::from(group.0 == TARGET)] += 1;
                 let send = now + self.rng.i64(1..40);
                 match self.rng.u8(0..10) {
-                    // Never: the host turned it away.
+                    // The host refuses it.
                     0 => self.at(
                         send,
-                        Event::Ended(router, token, since, pass, WriteOutcome::NotExecuted, None, life),
+                        Event::Ended(
+                            router,
+                            token,
+                            first_attempt_at,
+                            permit,
+                            WriteOutcome::NotExecuted,
+                            None,
+                            start_number,
+                        ),
                     ),
-                    // It runs late, and its answer is lost.
+                    // It runs late, and its response is lost.
                     1 => {
-                        let late = self.rng.i64(40..TIMEOUT);
+                        let late = self.rng.i64(40..OP_TIMEOUT);
                         self.at(
                             now + late,
-                            Event::Run(router, group.0, token, since, pass, life, false, due),
+                            Event::Execute(
+                                router,
+                                group.0,
+                                token,
+                                first_attempt_at,
+                                permit,
+                                start_number,
+                                false,
+                                deadline,
+                            ),
                         );
                     }
-                    // It never runs, and nobody knows.
-                    2 => self
-                        .at(due, Event::Ended(router, token, since, pass, WriteOutcome::Unknown, None, life)),
-                    3 => {
-                        self.at(send, Event::Run(router, group.0, token, since, pass, life, false, send + 5))
-                    }
-                    _ => self.at(send, Event::Run(router, group.0, token, since, pass, life, true, send + 5)),
+                    // It never runs, but the router cannot know.
+                    2 => self.at(
+                        deadline,
+                        Event::Ended(
+                            router,
+                            token,
+                            first_attempt_at,
+                            permit,
+                            WriteOutcome::Unknown,
+                            None,
+                            start_number,
+                        ),
+                    ),
+                    3 => self.at(
+                        send,
+                        Event::Execute(
+                            router,
+                            group.0,
+                            token,
+                            first_attempt_at,
+                            permit,
+                            start_number,
+                            false,
+                            send + 5,
+                        ),
+                    ),
+                    _ => self.at(
+                        send,
+                        Event::Execute(
+                            router,
+                            group.0,
+                            token,
+                            first_attempt_at,
+                            permit,
+                            start_number,
+                            true,
+                            send + 5,
+                        ),
+                    ),
                 }
             }
-            AdmissionDecision::Hold { permit: pass, until } => {
-                let wake = (until.micros() / 1000 - self.routers[router].1).min(now + 25);
-                assert!(wake <= due, "held beyond its time");
-                self.at(wake.max(now + 1), Event::Again(router, token, since, again, pass, life));
+            AdmissionDecision::Hold { permit, until } => {
+                let resubmit_at = (until.micros() / 1000 - self.routers[router].1).min(now + 25);
+                assert!(resubmit_at <= deadline, "held beyond its deadline");
+                self.at(
+                    resubmit_at.max(now + 1),
+                    Event::Resubmit(router, token, first_attempt_at, is_retry, permit, start_number),
+                );
             }
             AdmissionDecision::Busy { reason: why, retry_after: after, .. } => {
-                self.given[2] += 1;
+                self.decisions[2] += 1;
                 assert!(matches!(why, RejectReason::MoveFenced | RejectReason::LeaseExpired), "{why:?}");
                 assert!(
                     why == RejectReason::LeaseExpired || after.is_some_and(|after| after > TimeDelta::ZERO)
                 );
                 let back = after.map_or(200, |after| after.micros() / 1000);
-                self.retry(now + back, token, since, again);
+                self.retry(now + back, token, first_attempt_at, is_retry);
             }
             AdmissionDecision::Error { reason: why } => {
-                self.given[3] += 1;
+                self.decisions[3] += 1;
                 assert_eq!(why, RejectReason::OutcomeUnknown);
             }
         }
     }
 
-    /// Clients repeat for 1.2 s after they first asked.
-    fn retry(&mut self, when: i64, token: u64, since: i64, again: bool) {
-        if when <= since + PATIENCE {
-            self.at(when, Event::Ask(token, since, again));
+    /// Clients retry for 1.2 s after their first attempt.
+    fn retry(&mut self, when: i64, token: u64, first_attempt_at: i64, is_retry: bool) {
+        if when <= first_attempt_at + CLIENT_RETRY_PERIOD {
+            self.at(when, Event::Submit(token, first_attempt_at, is_retry));
         }
     }
 
     fn step(&mut self, now: i64, event: Event) {
-        if now >= COPIED && !self.copied {
+        if now >= COPIED_THROUGH && !self.copied {
             self.copied = true;
-            let copied = self.source.turns.iter().filter(|(at, _)| *at <= COPIED);
-            self.target.turns.extend(copied);
+            let copied = self.source.writes.iter().filter(|(at, _)| *at <= COPIED_THROUGH);
+            self.target.writes.extend(copied);
         }
         match event {
-            Event::Ask(token, since, again) => {
-                // Sessions keep to a router, but for some that roam.
+            Event::Submit(token, first_attempt_at, is_retry) => {
+                // Most sessions stay with a router; some move between routers.
                 let router = if self.rng.u8(0..4) == 0 { self.rng.usize(0..3) } else { (token % 3) as usize };
-                self.ask(now, router, token, since, again);
+                self.ask(now, router, token, first_attempt_at, is_retry);
             }
-            Event::Again(router, token, since, again, pass, life) => {
-                if self.routers[router].2 == life {
-                    let (cells, off, _) = &mut self.routers[router];
-                    cells.release(ms(now + *off), pass, WriteOutcome::NotExecuted, None);
-                    self.ask(now, router, token, since, again);
+            Event::Resubmit(router, token, first_attempt_at, is_retry, permit, start_number) => {
+                if self.routers[router].2 == start_number {
+                    let (cells, clock_offset, _) = &mut self.routers[router];
+                    cells.release(ms(now + *clock_offset), permit, WriteOutcome::NotExecuted, None);
+                    self.ask(now, router, token, first_attempt_at, is_retry);
                 }
             }
-            Event::Run(router, group, token, since, pass, life, answered, ends) => {
+            Event::Execute(router, group, token, first_attempt_at, permit, start_number, answered, ends) => {
                 let log = if group == TARGET { &mut self.target } else { &mut self.source };
                 let position = log.apply(now, token);
-                let (ran, told) = if answered {
+                let (outcome, reported) = if answered {
                     (WriteOutcome::Acked, Some(position))
                 } else {
                     (WriteOutcome::Unknown, None)
                 };
-                self.at(ends, Event::Ended(router, token, since, pass, ran, told, life));
+                self.at(
+                    ends,
+                    Event::Ended(router, token, first_attempt_at, permit, outcome, reported, start_number),
+                );
             }
-            Event::Ended(router, token, since, pass, ran, position, life) => {
-                let (cells, off, alive) = &mut self.routers[router];
-                if *alive != life {
-                    // The router died meanwhile, and its client's connection with it.
+            Event::Ended(router, token, first_attempt_at, permit, outcome, position, start_number) => {
+                let (cells, clock_offset, current_start_number) = &mut self.routers[router];
+                if *current_start_number != start_number {
+                    // The router restarted, and the client's connection was lost with it.
                     return;
                 }
-                cells.release(ms(now + *off), pass, ran, position.map(ms));
-                match ran {
+                cells.release(ms(now + *clock_offset), permit, outcome, position.map(ms));
+                match outcome {
                     WriteOutcome::Acked => self.acked.push((token, now)),
-                    // What never ran is busy-replied; the client's repeat is marked all the same.
+                    // An op that did not run is rejected as busy; the client's retry is marked all the same.
                     _ => {
                         let back = now + self.rng.i64(1..300);
-                        self.retry(back, token, since, true);
+                        self.retry(back, token, first_attempt_at, true);
                     }
                 }
             }
             Event::Read => {
                 let router = self.rng.usize(0..3);
-                let (cells, off, _) = &mut self.routers[router];
-                let read = facts(Consistency::Session, None, false, now + TIMEOUT + *off);
-                match cells.admit(ms(now + *off), &read) {
-                    AdmissionDecision::Admit { permit: pass, group, min_position: floor } => {
-                        cells.release(ms(now + *off), pass, WriteOutcome::NotExecuted, None);
+                let (cells, clock_offset, _) = &mut self.routers[router];
+                let read = op_context(Consistency::Session, None, false, now + OP_TIMEOUT + *clock_offset);
+                match cells.admit(ms(now + *clock_offset), &read) {
+                    AdmissionDecision::Admit { permit, group, min_position: floor } => {
+                        cells.release(ms(now + *clock_offset), permit, WriteOutcome::NotExecuted, None);
                         if group.0 == TARGET {
-                            assert_eq!(floor, row(Step::Switched).target_floor);
+                            assert_eq!(floor, move_config(Step::Switched).target_floor);
                         } else {
-                            // The source has all that was acked before.
+                            // The source has every write that was acknowledged before.
                             let missing = self
                                 .acked
                                 .iter()
-                                .find(|(turn, _)| !self.source.turns.iter().any(|(_, t)| t == turn));
-                            assert_eq!(missing, None, "a read of the source at {now} that misses a turn");
+                                .find(|(write, _)| !self.source.writes.iter().any(|(_, t)| t == write));
+                            assert_eq!(missing, None, "a read of the source at {now} misses an acked write");
                         }
                     }
                     AdmissionDecision::Busy { reason: RejectReason::MoveFenced, .. } => {
-                        assert!(now >= SWITCH - 2 * SKEW, "at {now}")
+                        assert!(now >= SWITCH_AT - 2 * MAX_CLOCK_SKEW, "at {now}")
                     }
                     AdmissionDecision::Busy { reason: RejectReason::LeaseExpired, .. } => {
-                        assert!(now >= LEASE - 2 * SKEW, "at {now}")
+                        assert!(now >= LEASE_END - 2 * MAX_CLOCK_SKEW, "at {now}")
                     }
-                    AdmissionDecision::Hold { permit: pass, .. } => {
-                        cells.release(ms(now + *off), pass, WriteOutcome::NotExecuted, None)
+                    AdmissionDecision::Hold { permit, .. } => {
+                        cells.release(ms(now + *clock_offset), permit, WriteOutcome::NotExecuted, None)
                     }
                     other => panic!("{other:?}"),
                 }
             }
             Event::File(router, step) => {
-                let (cells, off, _) = &mut self.routers[router];
-                let now = ms(now + *off);
-                if cells.replace_layout(now, file(Some(step))).is_ok() {
+                let (cells, clock_offset, _) = &mut self.routers[router];
+                let now = ms(now + *clock_offset);
+                if cells.replace_layout(now, layout_at(Some(step))).is_ok() {
                     cells.set_group_hosts(
                         GroupId(TARGET),
                         &[(HostId(1), "x"), (HostId(2), "y"), (HostId(3), "z")],
@@ -308,43 +371,48 @@
                 }
             }
             Event::Restart(router, step) => {
-                let (_, off, life) = self.routers[router];
-                self.routers[router] = (desk(now + off, file(step), self.marks), off, life + 1);
+                let (_, clock_offset, start_number) = self.routers[router];
+                self.routers[router] = (
+                    new_cells(now + clock_offset, layout_at(step), self.marks_retries),
+                    clock_offset,
+                    start_number + 1,
+                );
             }
         }
-        // Two of three hosts of the target follow, the third stands still.
-        for (cells, off, _) in &mut self.routers {
+        // Two of the target's three hosts keep up, the third does not.
+        for (cells, clock_offset, _) in &mut self.routers {
             cells.record_position(HostId(1), ms(now), true);
             cells.record_position(HostId(2), ms(now - 10), false);
-            cells.tick(ms(now + *off));
+            cells.tick(ms(now + *clock_offset));
         }
     }
 }
 
-fn run(seed: u64, marks: bool, jumps: bool, restarts: usize) -> World {
+fn run(seed: u64, marks_retries: bool, skips_steps: bool, restarts: usize) -> World {
     let mut rng = Rng::with_seed(seed);
     let routers = (0..3)
         .map(|_| {
-            let off = rng.i64(-SKEW / 2..=SKEW / 2);
-            (desk(off, file(None), marks), off, 0)
+            let clock_offset = rng.i64(-MAX_CLOCK_SKEW / 2..=MAX_CLOCK_SKEW / 2);
+            (new_cells(clock_offset, layout_at(None), marks_retries), clock_offset, 0)
         })
         .collect();
     let (events, source, target, acked) = Default::default();
-    let (number, copied, given) = (0, false, [0; 4]);
-    let mut world = World { rng, events, number, routers, source, target, copied, acked, marks, given };
+    let (number, copied, decisions) = (0, false, [0; 4]);
+    let mut world =
+        World { rng, events, number, routers, source, target, copied, acked, marks_retries, decisions };
     let steps = [
         (300, Step::Planned),
         (900, Step::Copying),
         (2000, Step::Fenced),
-        (COPIED, Step::Switched),
+        (COPIED_THROUGH, Step::Switched),
         (7000, Step::Done),
     ];
     for router in 0..3 {
-        // One router may hear of nothing from some step on.
-        let deaf = if router == 2 && world.rng.bool() { world.rng.usize(0..5) } else { 5 };
-        for (when, step) in steps.into_iter().take(deaf) {
-            let misses = jumps && world.rng.u8(0..3) == 0;
-            if !misses {
+        // One router may stop receiving layouts at some step.
+        let last_step_received = if router == 2 && world.rng.bool() { world.rng.usize(0..5) } else { 5 };
+        for (when, step) in steps.into_iter().take(last_step_received) {
+            let skipped = skips_steps && world.rng.u8(0..3) == 0;
+            if !skipped {
                 let late = world.rng.i64(0..900);
                 world.at(when + late, Event::File(router, step));
             }
@@ -358,7 +426,7 @@
     }
     for token in 0..220 {
         let when = world.rng.i64(0..END - 2000);
-        world.at(when, Event::Ask(token, when, false));
+        world.at(when, Event::Submit(token, when, false));
         let when = world.rng.i64(0..END - 2000);
         world.at(when, Event::Read);
     }
@@ -370,14 +438,14 @@
 
 fn check(world: &World) {
     let mut times: HashMap<u64, u32> = HashMap::new();
-    for (_, turn) in &world.target.turns {
-        *times.entry(*turn).or_default() += 1;
+    for (_, write) in &world.target.writes {
+        *times.entry(*write).or_default() += 1;
     }
-    for (turn, at) in &world.acked {
-        assert!(times.contains_key(turn), "turn {turn}, acked at {at}, is missing");
+    for (write, at) in &world.acked {
+        assert!(times.contains_key(write), "write {write}, acked at {at}, is missing");
     }
-    for (turn, times) in times {
-        assert_eq!(times, 1, "turn {turn} was applied {times} times");
+    for (write, times) in times {
+        assert_eq!(times, 1, "write {write} was applied {times} times");
     }
 }
 
@@ -390,23 +458,23 @@
     })]
 
     #[test]
-    fn no_acked_turn_is_missing_and_none_is_applied_twice(
+    fn no_acked_write_is_lost_or_applied_twice(
         seed in any::<u64>(),
-        marks in prop::bool::weighted(0.8),
-        jumps in any::<bool>(),
+        marks_retries in prop::bool::weighted(0.8),
+        skips_steps in any::<bool>(),
         restarts in 0_usize..4,
     ) {
-        check(&run(seed, marks, jumps, restarts));
+        check(&run(seed, marks_retries, skips_steps, restarts));
     }
 }
 
 #[test]
-fn a_move_without_trouble_ends_and_writes_go_on_at_the_target() {
+fn a_move_without_faults_finishes_and_writes_continue_at_the_target() {
     let world = run(1, true, false, 0);
     check(&world);
-    let [source, target, busy, unsure] = world.given;
-    assert!(source > 60 && target > 60 && busy > 0, "{source} {target} {busy} {unsure}");
-    assert!(unsure < 20, "{unsure}");
+    let [source, target, busy, unknown] = world.decisions;
+    assert!(source > 60 && target > 60 && busy > 0, "{source} {target} {busy} {unknown}");
+    assert!(unknown < 20, "{unknown}");
     for (cells, ..) in world.routers.iter().take(2) {
         assert_eq!(
             cells.moves().map(|(_, stage, out, _)| (stage, out)).collect::<Vec<_>>(),
@@ -415,243 +483,267 @@
     }
 }
 
-/// A router at a step of the move, at the time, with a write of token 1 that ended so.
-fn noted(ran: WriteOutcome, step: Step, now: i64) -> Cells {
-    let mut cells = desk(0, file(Some(Step::Planned)), true);
-    if ran == WriteOutcome::NotExecuted {
-        let AdmissionDecision::Admit { permit: pass, .. } =
-            cells.admit(ms(2900), &facts(Consistency::Write, Some(1), false, 3400))
+/// The cells of a router at a step of the move, after a write with token 1 had the given outcome.
+fn cells_after_write(outcome: WriteOutcome, step: Step, now: i64) -> Cells {
+    let mut cells = new_cells(0, layout_at(Some(Step::Planned)), true);
+    if outcome == WriteOutcome::NotExecuted {
+        let AdmissionDecision::Admit { permit, .. } =
+            cells.admit(ms(2900), &op_context(Consistency::Write, Some(1), false, 3400))
         else {
-            panic!("nothing is fenced yet")
+            panic!("the fence has not been reached")
         };
-        cells.release(ms(2950), pass, ran, None);
+        cells.release(ms(2950), permit, outcome, None);
     }
-    let mut cells = match ran {
+    let mut cells = match outcome {
         WriteOutcome::NotExecuted => cells,
-        _ => desk(0, file(Some(Step::Planned)), true),
+        _ => new_cells(0, layout_at(Some(Step::Planned)), true),
     };
-    let go = cells.admit(ms(2900), &facts(Consistency::Write, Some(1), false, 3400));
-    let AdmissionDecision::Admit { permit: pass, .. } = go else { panic!("{go:?}") };
-    if ran != WriteOutcome::InFlight {
-        cells.release(ms(2950), pass, ran, (ran == WriteOutcome::Acked).then_some(ms(2940)));
+    let decision = cells.admit(ms(2900), &op_context(Consistency::Write, Some(1), false, 3400));
+    let AdmissionDecision::Admit { permit, .. } = decision else { panic!("{decision:?}") };
+    if outcome != WriteOutcome::InFlight {
+        cells.release(ms(2950), permit, outcome, (outcome == WriteOutcome::Acked).then_some(ms(2940)));
     }
-    let fenced = cells.replace_layout(ms(2990), file(Some(Step::Fenced)));
+    let fenced = cells.replace_layout(ms(2990), layout_at(Some(Step::Fenced)));
     assert_eq!(fenced, Ok(()));
     if step >= Step::Switched {
-        assert_eq!(cells.replace_layout(ms(now.min(SWITCH)), file(Some(step))), Ok(()));
+        assert_eq!(cells.replace_layout(ms(now.min(SWITCH_AT)), layout_at(Some(step))), Ok(()));
         cells.set_group_hosts(GroupId(TARGET), &[(HostId(1), "x"), (HostId(2), "y"), (HostId(3), "z")]);
-        [1, 2].into_iter().for_each(|host| cells.record_position(HostId(host), ms(COPIED + 60), host == 1));
+        [1, 2]
+            .into_iter()
+            .for_each(|host| cells.record_position(HostId(host), ms(COPIED_THROUGH + 60), host == 1));
     }
     cells.tick(ms(now));
     cells
 }
 
 #[test]
-fn a_repeat_goes_where_its_first_send_left_it() {
-    let repeat = |ran, step, now: i64| {
-        let mut cells = noted(ran, step, now);
-        match cells.admit(ms(now), &facts(Consistency::Write, Some(1), true, now + 300)) {
+fn a_retry_follows_the_outcome_of_its_first_send() {
+    let retry = |outcome, step, now: i64| {
+        let mut cells = cells_after_write(outcome, step, now);
+        match cells.admit(ms(now), &op_context(Consistency::Write, Some(1), true, now + 300)) {
             AdmissionDecision::Admit { group, .. } => Ok(group.0),
             AdmissionDecision::Hold { .. } => Err("held"),
             AdmissionDecision::Busy { .. } => Err("busy"),
             AdmissionDecision::Error { .. } => Err("unsure"),
         }
     };
-    // Behind the fence, as long as the copy goes on: what may have run is settled at the source.
-    for ran in [WriteOutcome::Acked, WriteOutcome::Unknown, WriteOutcome::InFlight] {
-        assert_eq!(repeat(ran, Step::Fenced, FENCE + 10), Ok(SOURCE), "{ran:?}");
+    // After the fence, until the copy ends, a retry settles an unknown outcome at the source.
+    for outcome in [WriteOutcome::Acked, WriteOutcome::Unknown, WriteOutcome::InFlight] {
+        assert_eq!(retry(outcome, Step::Fenced, FENCE_AT + 10), Ok(SOURCE), "{outcome:?}");
     }
     assert_eq!(
-        repeat(WriteOutcome::NotExecuted, Step::Fenced, FENCE + 10),
+        retry(WriteOutcome::NotExecuted, Step::Fenced, FENCE_AT + 10),
         Ok(SOURCE),
-        "it may have run by another router"
+        "it may have run through another router"
+    );
+    // After the end of the copy only retries without an effect of their own may go to the source.
+    let late = COPIED_THROUGH + 10;
+    assert_eq!(retry(WriteOutcome::Acked, Step::Fenced, late), Ok(SOURCE));
+    assert_eq!(retry(WriteOutcome::Unknown, Step::Fenced, late), Err("unsure"));
+    // After the switch an acked write goes to the source while it retains the token; others go nowhere while
+    // it may.
+    let switched = SWITCH_AT + 5;
+    assert_eq!(retry(WriteOutcome::Acked, Step::Switched, switched), Ok(SOURCE));
+    assert_eq!(retry(WriteOutcome::NotExecuted, Step::Switched, switched), Err("unsure"));
+    assert_eq!(
+        retry(WriteOutcome::NotExecuted, Step::Switched, FENCE_AT + TOKEN_RETENTION + MAX_CLOCK_SKEW),
+        Ok(TARGET)
     );
-    // Behind the copy: only what has no effect of its own any more.
-    let late = COPIED + 10;
-    assert_eq!(repeat(WriteOutcome::Acked, Step::Fenced, late), Ok(SOURCE));
-    assert_eq!(repeat(WriteOutcome::Unknown, Step::Fenced, late), Err("unsure"));
-    // Switched: an acked one goes to the source while it remembers, the rest nowhere as long as it may remember.
-    let switched = SWITCH + 5;
-    assert_eq!(repeat(WriteOutcome::Acked, Step::Switched, switched), Ok(SOURCE));
-    assert_eq!(repeat(WriteOutcome::NotExecuted, Step::Switched, switched), Err("unsure"));
-    assert_eq!(repeat(WriteOutcome::NotExecuted, Step::Switched, FENCE + MEMORY + SKEW), Ok(TARGET));
-    assert_eq!(repeat(WriteOutcome::Unknown, Step::Switched, switched), Err("unsure"));
-    assert_eq!(repeat(WriteOutcome::Acked, Step::Switched, 2900 + MEMORY + 10), Err("unsure"));
+    assert_eq!(retry(WriteOutcome::Unknown, Step::Switched, switched), Err("unsure"));
+    assert_eq!(retry(WriteOutcome::Acked, Step::Switched, 2900 + TOKEN_RETENTION + 10), Err("unsure"));
 }
 
 #[test]
-fn from_the_earliest_clocks_fence_on_no_write_goes_to_the_source() {
-    // Danger: a router whose clock is behind lets a write through that another's copy has left behind it.
+fn no_write_goes_to_the_source_after_the_fence_on_any_clock() {
+    // A router whose clock is behind must not send a write that another router's copy no longer includes.
     let write = |now: i64| {
-        let mut cells = desk(0, file(Some(Step::Fenced)), true);
+        let mut cells = new_cells(0, layout_at(Some(Step::Fenced)), true);
         cells.tick(ms(now));
-        place(&mut cells, now, facts(Consistency::Write, Some(1), false, now + TIMEOUT))
+        placement(&mut cells, now, op_context(Consistency::Write, Some(1), false, now + OP_TIMEOUT))
     };
-    assert_eq!(write(FENCE - SKEW - TIMEOUT - 1), "source");
-    assert_eq!(write(FENCE - SKEW - 1), "source", "the fence is nowhere reached");
-    assert_ne!(write(FENCE - SKEW), "source", "by the earliest clock it is");
-    assert_ne!(write(FENCE - 1), "source");
+    assert_eq!(write(FENCE_AT - MAX_CLOCK_SKEW - OP_TIMEOUT - 1), "source");
+    assert_eq!(write(FENCE_AT - MAX_CLOCK_SKEW - 1), "source", "no clock has reached the fence");
+    assert_ne!(write(FENCE_AT - MAX_CLOCK_SKEW), "source", "the earliest clock has reached the fence");
+    assert_ne!(write(FENCE_AT - 1), "source");
 }
 
 #[test]
-fn a_rush_at_the_fence_is_held_in_bounds_and_given_back_at_once_beyond_them() {
-    let mut cells = noted(WriteOutcome::NotExecuted, Step::Fenced, SWITCH - 100);
-    let verdicts: Vec<AdmissionDecision> = (10..500)
+fn a_burst_at_the_fence_is_held_up_to_the_limit_and_rejected_beyond_it() {
+    let mut cells = cells_after_write(WriteOutcome::NotExecuted, Step::Fenced, SWITCH_AT - 100);
+    let decisions: Vec<AdmissionDecision> = (10..500)
         .map(|token| {
-            cells.admit(ms(SWITCH - 100), &facts(Consistency::Write, Some(token), false, SWITCH + 400))
-        })
-        .collect();
-    let held: Vec<AdmissionPermit> = verdicts
-        .iter()
-        .filter_map(|verdict| {
-            if let AdmissionDecision::Hold { permit: pass, .. } = verdict { Some(*pass) } else { None }
+            cells.admit(
+                ms(SWITCH_AT - 100),
+                &op_context(Consistency::Write, Some(token), false, SWITCH_AT + 400),
+            )
         })
         .collect();
-    assert_eq!(held.len(), 50, "a quarter of its cell's share of 200");
-    let back = |verdict: &&AdmissionDecision| matches!(verdict, AdmissionDecision::Busy { retry_after: Some(after), .. } if *after == span(100));
-    assert_eq!(verdicts.iter().filter(back).count(), 440);
-    // One that cannot be answered in time is not held at all.
-    let short = cells.admit(ms(SWITCH - 100), &facts(Consistency::Write, Some(900), false, SWITCH + 50));
+    let held: Vec<AdmissionPermit> =
+        decisions
+            .iter()
+            .filter_map(|decision| {
+                if let AdmissionDecision::Hold { permit, .. } = decision { Some(*permit) } else { None }
+            })
+            .collect();
+    assert_eq!(held.len(), 50, "a quarter of the cell's share of 200");
+    let back = |decision: &&AdmissionDecision| matches!(decision, AdmissionDecision::Busy { retry_after: Some(after), .. } if *after == span(100));
+    assert_eq!(decisions.iter().filter(back).count(), 440);
+    // A write that cannot be answered in time is not held.
+    let short =
+        cells.admit(ms(SWITCH_AT - 100), &op_context(Consistency::Write, Some(900), false, SWITCH_AT + 50));
     assert!(matches!(short, AdmissionDecision::Busy { reason: RejectReason::MoveFenced, .. }), "{short:?}");
-    held.into_iter().for_each(|pass| cells.release(ms(SWITCH - 90), pass, WriteOutcome::NotExecuted, None));
+    held.into_iter()
+        .for_each(|permit| cells.release(ms(SWITCH_AT - 90), permit, WriteOutcome::NotExecuted, None));
     assert_eq!(cells.report()[0].ops, 0);
 }
 
 #[test]
-fn the_switch_waits_for_the_copy_for_most_of_the_target_and_for_its_time() {
+fn the_switch_waits_for_the_copy_a_majority_of_the_target_and_its_time() {
     let stage = |cells: &Cells| cells.moves().next().map(|(_, stage, ..)| stage);
-    // Acked behind the end of the copy.
-    let mut late = noted(WriteOutcome::InFlight, Step::Switched, SWITCH + 5);
-    assert_eq!(stage(&late), Some(Stage::Fenced), "its write is out");
-    let pass = late.admit(ms(FENCE + 1), &facts(Consistency::Write, Some(1), true, FENCE + 300));
-    let AdmissionDecision::Admit { permit: pass, .. } = pass else { panic!("{pass:?}") };
-    late.release(ms(SWITCH + 6), pass, WriteOutcome::Acked, Some(ms(COPIED + 5)));
-    late.release(ms(SWITCH + 6), pass, WriteOutcome::Acked, Some(ms(COPIED + 5)));
+    // A write that was acked after the end of the copy.
+    let mut late = cells_after_write(WriteOutcome::InFlight, Step::Switched, SWITCH_AT + 5);
+    assert_eq!(stage(&late), Some(Stage::Fenced), "a write is in flight");
+    let decision =
+        late.admit(ms(FENCE_AT + 1), &op_context(Consistency::Write, Some(1), true, FENCE_AT + 300));
+    let AdmissionDecision::Admit { permit, .. } = decision else { panic!("{decision:?}") };
+    late.release(ms(SWITCH_AT + 6), permit, WriteOutcome::Acked, Some(ms(COPIED_THROUGH + 5)));
+    late.release(ms(SWITCH_AT + 6), permit, WriteOutcome::Acked, Some(ms(COPIED_THROUGH + 5)));
     assert_eq!(stage(&late), Some(Stage::Drained));
-    // The target's newest records are lost with its primary before the switch: what was learnt last counts.
-    let mut lost = noted(WriteOutcome::Acked, Step::Switched, SWITCH - 5);
+    // The target loses its newest records with its primary before the switch: the last reported position
+    // counts.
+    let mut lost = cells_after_write(WriteOutcome::Acked, Step::Switched, SWITCH_AT - 5);
     assert_eq!(stage(&lost), Some(Stage::Drained));
-    lost.record_position(HostId(1), ms(COPIED - 500), true);
-    lost.tick(ms(SWITCH + 5));
+    lost.record_position(HostId(1), ms(COPIED_THROUGH - 500), true);
+    lost.tick(ms(SWITCH_AT + 5));
     assert_eq!(stage(&lost), Some(Stage::Drained));
-    lost.record_position(HostId(3), ms(COPIED + 70), false);
-    lost.tick(ms(SWITCH + 6));
+    lost.record_position(HostId(3), ms(COPIED_THROUGH + 70), false);
+    lost.tick(ms(SWITCH_AT + 6));
     assert_eq!(stage(&lost), Some(Stage::Switched));
-    // Another host took over at the target before the switch: its positions run on, without the copy.
-    let mut over = noted(WriteOutcome::Acked, Step::Switched, SWITCH - 5);
-    over.record_position(HostId(2), ms(SWITCH), true);
-    over.record_position(HostId(1), ms(SWITCH), false);
-    over.tick(ms(SWITCH + 5));
+    // Another host became primary of the target before the switch: its positions advance without the copy.
+    let mut over = cells_after_write(WriteOutcome::Acked, Step::Switched, SWITCH_AT - 5);
+    over.record_position(HostId(2), ms(SWITCH_AT), true);
+    over.record_position(HostId(1), ms(SWITCH_AT), false);
+    over.tick(ms(SWITCH_AT + 5));
     assert_eq!(stage(&over), Some(Stage::Drained));
-    // The copy was looked at again.
-    let mut again = Layout { epoch: 9, ..file(Some(Step::Switched)) };
-    again.moves[0].target_host = Some("y".into());
-    assert_eq!(over.replace_layout(ms(SWITCH + 6), again), Ok(()));
+    // The copy is confirmed again, by the new primary.
+    let mut confirmed = Layout { epoch: 9, ..layout_at(Some(Step::Switched)) };
+    confirmed.moves[0].target_host = Some("y".into());
+    assert_eq!(over.replace_layout(ms(SWITCH_AT + 6), confirmed), Ok(()));
     over.set_group_hosts(GroupId(TARGET), &[(HostId(1), "x"), (HostId(2), "y"), (HostId(3), "z")]);
-    over.tick(ms(SWITCH + 7));
+    over.tick(ms(SWITCH_AT + 7));
     assert_eq!(stage(&over), Some(Stage::Switched));
 }
 
 #[test]
-fn files_that_go_back_jump_or_contradict_are_refused_whole() {
-    let mut cells = noted(WriteOutcome::Acked, Step::Switched, SWITCH + 5);
+fn layouts_that_revert_or_contradict_a_move_are_rejected() {
+    let mut cells = cells_after_write(WriteOutcome::Acked, Step::Switched, SWITCH_AT + 5);
     let before = cells.layout().clone();
     assert_eq!(
-        cells.replace_layout(ms(SWITCH + 6), file(Some(Step::Copying))),
+        cells.replace_layout(ms(SWITCH_AT + 6), layout_at(Some(Step::Copying))),
         Err(LayoutError::Epoch { held: 5, offered: 3 })
     );
-    let later = |step, epoch| Layout { epoch, ..file(step) };
+    let later = |step, epoch| Layout { epoch, ..layout_at(step) };
     let back = later(Some(Step::Cancelled), 9);
     assert_eq!(
-        cells.replace_layout(ms(SWITCH + 6), back),
+        cells.replace_layout(ms(SWITCH_AT + 6), back),
         Err(LayoutError::Move("t".into(), MoveConflict::AfterSwitch))
     );
     assert_eq!(
-        cells.replace_layout(ms(SWITCH + 6), later(None, 9)),
+        cells.replace_layout(ms(SWITCH_AT + 6), later(None, 9)),
         Err(LayoutError::MoveMissing("t".into()))
     );
     assert_eq!(*cells.layout(), before);
-    assert_eq!(cells.replace_layout(ms(SWITCH + 6), file(Some(Step::Switched))), Ok(()), "the same again");
-    // A fence that other routers cannot know of yet.
-    let mut fresh = desk(0, file(Some(Step::Planned)), true);
+    assert_eq!(
+        cells.replace_layout(ms(SWITCH_AT + 6), layout_at(Some(Step::Switched))),
+        Ok(()),
+        "the same layout again"
+    );
+    // A fence that other routers may not know of yet.
+    let mut fresh = new_cells(0, layout_at(Some(Step::Planned)), true);
     let mut early = later(Some(Step::Fenced), 9);
-    early.moves[0].fence_at = Some(ms(LEASE - 100));
+    early.moves[0].fence_at = Some(ms(LEASE_END - 100));
     assert_eq!(fresh.replace_layout(ms(100), early), Err(LayoutError::FenceTooEarly("t".into())));
-    // A fence that was reached is not put off.
-    let mut fenced = noted(WriteOutcome::Acked, Step::Fenced, FENCE + 5);
-    let mut off = later(Some(Step::Fenced), 9);
-    off.moves[0].fence_at = Some(ms(FENCE + 3000));
+    // A fence that was reached cannot be postponed.
+    let mut fenced = cells_after_write(WriteOutcome::Acked, Step::Fenced, FENCE_AT + 5);
+    let mut postponed = later(Some(Step::Fenced), 9);
+    postponed.moves[0].fence_at = Some(ms(FENCE_AT + 3000));
     assert_eq!(
-        fenced.replace_layout(ms(FENCE + 6), off),
+        fenced.replace_layout(ms(FENCE_AT + 6), postponed),
         Err(LayoutError::Move("t".into(), MoveConflict::FencePostponed))
     );
-    // Cancelled in time, all is as it was.
-    assert_eq!(fenced.replace_layout(ms(FENCE + 7), later(Some(Step::Cancelled), 10)), Ok(()));
-    let go = fenced.admit(ms(FENCE + 8), &facts(Consistency::Write, Some(5), false, FENCE + 300));
-    assert!(matches!(go, AdmissionDecision::Admit { group: GroupId(SOURCE), .. }), "{go:?}");
+    // Cancelling in time restores the initial state.
+    assert_eq!(fenced.replace_layout(ms(FENCE_AT + 7), later(Some(Step::Cancelled), 10)), Ok(()));
+    let decision =
+        fenced.admit(ms(FENCE_AT + 8), &op_context(Consistency::Write, Some(5), false, FENCE_AT + 300));
+    assert!(matches!(decision, AdmissionDecision::Admit { group: GroupId(SOURCE), .. }), "{decision:?}");
 }
 
 #[test]
-fn a_router_whose_file_is_too_old_keeps_to_reads_without_a_bound() {
-    let mut cells = desk(0, file(None), true);
+fn a_router_with_an_expired_lease_serves_only_unbounded_reads() {
+    let mut cells = new_cells(0, layout_at(None), true);
     let write = |cells: &mut Cells, now: i64| {
-        cells.admit(ms(now), &facts(Consistency::Write, Some(3), false, now + 300))
+        cells.admit(ms(now), &op_context(Consistency::Write, Some(3), false, now + 300))
     };
-    assert!(matches!(write(&mut cells, LEASE - SKEW - 1), AdmissionDecision::Admit { .. }));
+    assert!(matches!(write(&mut cells, LEASE_END - MAX_CLOCK_SKEW - 1), AdmissionDecision::Admit { .. }));
     assert!(matches!(
-        write(&mut cells, LEASE - SKEW),
+        write(&mut cells, LEASE_END - MAX_CLOCK_SKEW),
         AdmissionDecision::Busy { reason: RejectReason::LeaseExpired, .. }
     ));
-    let read = cells.admit(ms(LEASE + 500), &facts(Consistency::Any, None, false, LEASE + 800));
+    let read = cells.admit(ms(LEASE_END + 500), &op_context(Consistency::Any, None, false, LEASE_END + 800));
     assert!(matches!(read, AdmissionDecision::Admit { .. }));
-    let bounded = cells.admit(ms(LEASE), &facts(Consistency::Bounded(span(300)), None, false, LEASE + 800));
+    let bounded = cells
+        .admit(ms(LEASE_END), &op_context(Consistency::Bounded(span(300)), None, false, LEASE_END + 800));
     assert!(matches!(bounded, AdmissionDecision::Busy { reason: RejectReason::LeaseExpired, .. }));
-    // Nothing bounds how long others act on a file that has no lease.
-    let mut unleased = desk(0, Layout { lease: None, ..file(None) }, true);
+    // Without a lease nothing bounds how long other routers act on a layout.
+    let mut unleased = new_cells(0, Layout { lease: None, ..layout_at(None) }, true);
     assert_eq!(
-        unleased.replace_layout(ms(1), file(Some(Step::Fenced))),
+        unleased.replace_layout(ms(1), layout_at(Some(Step::Fenced))),
         Err(LayoutError::NoLease("t".into()))
     );
 }
 
 #[test]
-fn at_no_time_does_a_repeat_go_where_it_could_run_a_second_time_or_behind_the_copy() {
+fn a_retry_never_runs_twice_or_after_the_copy() {
     let mut places: BTreeMap<&str, u32> = BTreeMap::new();
-    for ran in [WriteOutcome::NotExecuted, WriteOutcome::InFlight, WriteOutcome::Unknown, WriteOutcome::Acked]
+    for outcome in
+        [WriteOutcome::NotExecuted, WriteOutcome::InFlight, WriteOutcome::Unknown, WriteOutcome::Acked]
     {
         for step in [Step::Planned, Step::Fenced, Step::Switched] {
             for delay in [0, 300, 1100, 1300] {
-                // The first send was at 2900; the stage is the one that the time and the file make.
-                for now in [2960, FENCE + 10, COPIED + 10, SWITCH + 5].map(|at: i64| at.max(2900 + delay)) {
-                    let mut cells = noted(ran, step.max(Step::Fenced), now);
-                    let again = cells.admit(ms(now), &facts(Consistency::Write, Some(1), true, now + 300));
+                // The first send was at 2900; the stage follows from the time and the layout.
+                for now in [2960, FENCE_AT + 10, COPIED_THROUGH + 10, SWITCH_AT + 5]
+                    .map(|at: i64| at.max(2900 + delay))
+                {
+                    let mut cells = cells_after_write(outcome, step.max(Step::Fenced), now);
+                    let retry =
+                        cells.admit(ms(now), &op_context(Consistency::Write, Some(1), true, now + 300));
                     let stage = cells.moves().next().map(|(_, stage, ..)| stage);
-                    let place = match again {
+                    let placement = match retry {
                         AdmissionDecision::Admit { group, .. } if group.0 == SOURCE => "source",
                         AdmissionDecision::Admit { .. } => "target",
                         AdmissionDecision::Hold { .. } | AdmissionDecision::Busy { .. } => "later",
                         AdmissionDecision::Error { .. } => "unsure",
                     };
-                    *places.entry(place).or_default() += 1;
-                    let case = format!("{ran:?}, {step:?}, at {now}: {place} in {stage:?}");
-                    let copied = now + 300 > FENCE + TIMEOUT;
+                    *places.entry(placement).or_default() += 1;
+                    let case = format!("{outcome:?}, {step:?}, at {now}: {placement} in {stage:?}");
+                    let copied = now + 300 > FENCE_AT + OP_TIMEOUT;
                     assert!(
-                        !(place == "target" && now < FENCE + MEMORY),
+                        !(placement == "target" && now < FENCE_AT + TOKEN_RETENTION),
                         "it may have run at the source: {case}"
                     );
                     assert!(
-                        !(place == "source" && copied && ran != WriteOutcome::Acked),
-                        "behind the copy: {case}"
+                        !(placement == "source" && copied && outcome != WriteOutcome::Acked),
+                        "after the copy: {case}"
                     );
                     assert!(
-                        !(place == "source" && now > 2900 + MEMORY),
-                        "the source has forgotten it: {case}"
+                        !(placement == "source" && now > 2900 + TOKEN_RETENTION),
+                        "the source no longer retains the token: {case}"
                     );
                     assert!(
-                        !(place == "later" && ran >= WriteOutcome::InFlight),
-                        "busy, though it may have run: {case}"
+                        !(placement == "later" && outcome >= WriteOutcome::InFlight),
+                        "rejected as busy although it may have run: {case}"
                     );
-                    assert!(!(place == "target" && stage < Some(Stage::Switched)), "{case}");
+                    assert!(!(placement == "target" && stage < Some(Stage::Switched)), "{case}");
                 }
             }
         }
@@ -660,28 +752,27 @@
 }
 
 #[test]
-fn a_tenant_that_moved_moves_back_under_the_name_that_its_clients_use() {
-    let mut cells = noted(WriteOutcome::Acked, Step::Switched, SWITCH + 5);
-    assert_eq!(cells.replace_layout(ms(SWITCH + 10), file(Some(Step::Done))), Ok(()));
-    cells.tick(ms(FENCE + MEMORY + SKEW));
-    let go = |cells: &mut Cells, now: i64| match cells
-        .admit(ms(now), &facts(Consistency::Write, Some(77), false, now + 300))
+fn a_moved_tenant_can_move_back_under_the_same_client_group() {
+    let mut cells = cells_after_write(WriteOutcome::Acked, Step::Switched, SWITCH_AT + 5);
+    assert_eq!(cells.replace_layout(ms(SWITCH_AT + 10), layout_at(Some(Step::Done))), Ok(()));
+    cells.tick(ms(FENCE_AT + TOKEN_RETENTION + MAX_CLOCK_SKEW));
+    let group_of_write = |cells: &mut Cells, now: i64| match cells
+        .admit(ms(now), &op_context(Consistency::Write, Some(77), false, now + 300))
     {
-        AdmissionDecision::Admit { permit: pass, group, .. } => {
-            cells.release(ms(now), pass, WriteOutcome::NotExecuted, None);
+        AdmissionDecision::Admit { permit, group, .. } => {
+            cells.release(ms(now), permit, WriteOutcome::NotExecuted, None);
             group.0
         }
         other => panic!("{other:?}"),
     };
-    assert_eq!(go(&mut cells, 6000), TARGET);
+    assert_eq!(group_of_write(&mut cells, 6000), TARGET);
     let back = |step, epoch| {
-        let mut layout = Layout { epoch, ..file(Some(Step::Done)) };
+        let mut layout = Layout { epoch, ..layout_at(Some(Step::Done)) };
         let (fence, one) = (7000, &mut layout.moves[0]);
         (one.from, one.to, one.step) = (CellId(1), CellId(0), step);
         one.groups = Some((GroupId(TARGET), GroupId(SOURCE)));
         (one.fence_at, one.switch_at) = (Some(ms(fence)), Some(ms(fence + 800)));
         (one.copied_through, one.target_floor) = (Some(ms(fence + 600)), Some(ms(fence + 610)));
-        // Others may act on the old lease; here it has no end that matters.
         layout
     };
     assert_eq!(
@@ -690,28 +781,28 @@
     );
     let leased = Layout {
         epoch: 8,
-        lease: Some(Lease { expires_at: ms(6900), max_clock_skew: span(SKEW) }),
-        ..file(Some(Step::Done))
+        lease: Some(Lease { expires_at: ms(6900), max_clock_skew: span(MAX_CLOCK_SKEW) }),
+        ..layout_at(Some(Step::Done))
     };
     assert_eq!(cells.replace_layout(ms(6001), leased), Ok(()));
     assert_eq!(cells.replace_layout(ms(6002), back(Step::Planned, 9)), Ok(()));
-    assert_eq!(go(&mut cells, 6500), TARGET, "its data is there till the switch");
+    assert_eq!(group_of_write(&mut cells, 6500), TARGET, "the data stays there until the switch");
     assert_eq!(cells.replace_layout(ms(7700), back(Step::Switched, 10)), Ok(()));
     cells.set_group_hosts(GroupId(SOURCE), &[(HostId(7), "x"), (HostId(8), "y")]);
     [(7, true), (8, false)]
         .into_iter()
         .for_each(|(host, primary)| cells.record_position(HostId(host), ms(7790), primary));
-    assert_eq!(go(&mut cells, 7801), SOURCE);
+    assert_eq!(group_of_write(&mut cells, 7801), SOURCE);
 }
 
-fn place(cells: &mut Cells, now: i64, wanted: OpContext) -> &'static str {
-    match cells.admit(ms(now), &wanted) {
-        AdmissionDecision::Admit { permit: pass, group, .. } => {
-            cells.release(ms(now), pass, WriteOutcome::NotExecuted, None);
+fn placement(cells: &mut Cells, now: i64, op: OpContext) -> &'static str {
+    match cells.admit(ms(now), &op) {
+        AdmissionDecision::Admit { permit, group, .. } => {
+            cells.release(ms(now), permit, WriteOutcome::NotExecuted, None);
             if group.0 == SOURCE { "source" } else { "target" }
         }
-        AdmissionDecision::Hold { permit: pass, .. } => {
-            cells.release(ms(now), pass, WriteOutcome::NotExecuted, None);
+        AdmissionDecision::Hold { permit, .. } => {
+            cells.release(ms(now), permit, WriteOutcome::NotExecuted, None);
             "held"
         }
         AdmissionDecision::Busy { .. } => "busy",
@@ -720,119 +811,128 @@
 }
 
 #[test]
-fn what_a_router_never_saw_is_asked_for_only_while_the_copy_goes_on() {
-    let repeat = |now: i64| facts(Consistency::Write, Some(50), true, now + 300);
-    let fenced = || noted(WriteOutcome::Acked, Step::Fenced, FENCE + 5);
-    assert_eq!(place(&mut fenced(), FENCE + 10, repeat(FENCE + 10)), "source");
-    assert_eq!(place(&mut fenced(), COPIED + 10, repeat(COPIED + 10)), "unsure");
-    // Before the fence, a client that waits for longer than any op type: its write could end behind the copy.
-    let long = |due| facts(Consistency::Write, Some(51), false, due);
+fn a_retry_unknown_to_the_router_goes_to_the_source_only_until_the_copy_ends() {
+    let retry = |now: i64| op_context(Consistency::Write, Some(50), true, now + 300);
+    let fenced = || cells_after_write(WriteOutcome::Acked, Step::Fenced, FENCE_AT + 5);
+    assert_eq!(placement(&mut fenced(), FENCE_AT + 10, retry(FENCE_AT + 10)), "source");
+    assert_eq!(placement(&mut fenced(), COPIED_THROUGH + 10, retry(COPIED_THROUGH + 10)), "unsure");
+    // Before the fence, a write with a longer deadline than any op type could take effect after the copy.
+    let long = |deadline| op_context(Consistency::Write, Some(51), false, deadline);
     assert_eq!(
-        place(&mut noted(WriteOutcome::Acked, Step::Fenced, 2995), 2995, long(FENCE + TIMEOUT)),
+        placement(
+            &mut cells_after_write(WriteOutcome::Acked, Step::Fenced, 2995),
+            2995,
+            long(FENCE_AT + OP_TIMEOUT)
+        ),
         "source"
     );
     assert_eq!(
-        place(&mut noted(WriteOutcome::Acked, Step::Fenced, 2995), 2995, long(FENCE + TIMEOUT + SKEW)),
+        placement(
+            &mut cells_after_write(WriteOutcome::Acked, Step::Fenced, 2995),
+            2995,
+            long(FENCE_AT + OP_TIMEOUT + MAX_CLOCK_SKEW)
+        ),
         "busy"
     );
-    let mut cancelled = noted(WriteOutcome::Acked, Step::Fenced, FENCE + 5);
-    let row = Layout { epoch: 9, ..file(Some(Step::Cancelled)) };
-    assert_eq!(cancelled.replace_layout(ms(FENCE + 6), row), Ok(()));
-    assert_eq!(place(&mut cancelled, FENCE + 7, long(FENCE + 7 + 5000)), "source");
+    let mut cancelled = cells_after_write(WriteOutcome::Acked, Step::Fenced, FENCE_AT + 5);
+    let cancelled_layout = Layout { epoch: 9, ..layout_at(Some(Step::Cancelled)) };
+    assert_eq!(cancelled.replace_layout(ms(FENCE_AT + 6), cancelled_layout), Ok(()));
+    assert_eq!(placement(&mut cancelled, FENCE_AT + 7, long(FENCE_AT + 7 + 5000)), "source");
 }
 
 #[test]
-fn a_move_within_one_group_needs_no_copy_and_sends_repeats_on() {
-    let alone = |epoch, step| {
-        let mut layout = Layout { epoch, ..file(Some(step)) };
+fn a_move_within_one_group_needs_no_copy_and_forwards_retries() {
+    let one_group = |epoch, step| {
+        let mut layout = Layout { epoch, ..layout_at(Some(step)) };
         (layout.moves[0].groups, layout.moves[0].client_group) = (None, None);
         (layout.moves[0].fence_at, layout.moves[0].switch_at) = (None, None);
         layout
     };
-    let mut cells = desk(0, alone(2, Step::Planned), true);
-    let go = cells.admit(ms(10), &facts(Consistency::Write, Some(1), false, 400));
-    let AdmissionDecision::Admit { permit: pass, .. } = go else { panic!("{go:?}") };
-    assert_eq!(pass.cell, CellId(0));
-    assert_eq!(cells.replace_layout(ms(20), alone(3, Step::Fenced)), Ok(()));
-    assert_eq!(place(&mut cells, 30, facts(Consistency::Write, Some(1), true, 400)), "busy");
-    assert_eq!(cells.replace_layout(ms(40), alone(4, Step::Switched)), Ok(()));
+    let mut cells = new_cells(0, one_group(2, Step::Planned), true);
+    let decision = cells.admit(ms(10), &op_context(Consistency::Write, Some(1), false, 400));
+    let AdmissionDecision::Admit { permit, .. } = decision else { panic!("{decision:?}") };
+    assert_eq!(permit.cell, CellId(0));
+    assert_eq!(cells.replace_layout(ms(20), one_group(3, Step::Fenced)), Ok(()));
+    assert_eq!(placement(&mut cells, 30, op_context(Consistency::Write, Some(1), true, 400)), "busy");
+    assert_eq!(cells.replace_layout(ms(40), one_group(4, Step::Switched)), Ok(()));
     assert_eq!(
         cells.moves().map(|(_, stage, out, tokens)| (stage, out, tokens)).next(),
         Some((Stage::Fenced, 1, 1))
     );
-    cells.release(ms(50), pass, WriteOutcome::Unknown, None);
-    let again = cells.admit(ms(60), &facts(Consistency::Write, Some(1), true, 400));
+    cells.release(ms(50), permit, WriteOutcome::Unknown, None);
+    let retry = cells.admit(ms(60), &op_context(Consistency::Write, Some(1), true, 400));
     assert!(
-        matches!(again, AdmissionDecision::Admit { permit: pass, group: GroupId(SOURCE), .. } if pass.cell == CellId(1)),
-        "{again:?}"
+        matches!(retry, AdmissionDecision::Admit { permit, group: GroupId(SOURCE), .. } if permit.cell == CellId(1)),
+        "{retry:?}"
     );
 }
 
 #[test]
-fn a_move_is_over_once_the_source_has_forgotten_and_tokens_are_forgotten_with_it() {
-    let mut cells = noted(WriteOutcome::Acked, Step::Switched, SWITCH + 5);
+fn a_move_finishes_and_drops_tokens_after_the_source_retention() {
+    let mut cells = cells_after_write(WriteOutcome::Acked, Step::Switched, SWITCH_AT + 5);
     let stage = |cells: &Cells| cells.moves().next().map(|(_, stage, _, tokens)| (stage, tokens));
-    assert_eq!(cells.replace_layout(ms(SWITCH + 6), file(Some(Step::Done))), Ok(()));
-    assert!(!cells.tick(ms(SWITCH + 7)), "a stage is news once");
-    cells.tick(ms(FENCE + MEMORY + SKEW - 1));
-    assert_eq!(stage(&cells), Some((Stage::Switched, 1)), "the source remembers");
-    assert!(cells.tick(ms(FENCE + MEMORY + SKEW)));
+    assert_eq!(cells.replace_layout(ms(SWITCH_AT + 6), layout_at(Some(Step::Done))), Ok(()));
+    assert!(!cells.tick(ms(SWITCH_AT + 7)), "a stage change is reported once");
+    cells.tick(ms(FENCE_AT + TOKEN_RETENTION + MAX_CLOCK_SKEW - 1));
+    assert_eq!(stage(&cells), Some((Stage::Switched, 1)), "the source still retains the token");
+    assert!(cells.tick(ms(FENCE_AT + TOKEN_RETENTION + MAX_CLOCK_SKEW)));
     assert_eq!(stage(&cells), Some((Stage::Done, 1)));
-    cells.tick(ms(2900 + 2 * MEMORY + TIMEOUT + 1));
+    cells.tick(ms(2900 + 2 * TOKEN_RETENTION + OP_TIMEOUT + 1));
     assert_eq!(stage(&cells), Some((Stage::Done, 0)));
-    // What is told of a stuck move is told once.
-    let mut stuck = noted(WriteOutcome::InFlight, Step::Fenced, FENCE + 5);
-    let told = |cells: &mut Cells| cells.take_events().len();
-    told(&mut stuck);
-    stuck.tick(ms(FENCE + 6));
-    assert_eq!(told(&mut stuck), 0);
+    // A blocked move is reported once.
+    let mut blocked = cells_after_write(WriteOutcome::InFlight, Step::Fenced, FENCE_AT + 5);
+    let reported = |cells: &mut Cells| cells.take_events().len();
+    reported(&mut blocked);
+    blocked.tick(ms(FENCE_AT + 6));
+    assert_eq!(reported(&mut blocked), 0);
 }
 
 #[test]
-fn a_primary_that_ceases_to_be_one_no_longer_confirms_the_copy() {
-    let mut cells = noted(WriteOutcome::Acked, Step::Switched, SWITCH - 5);
-    cells.record_position(HostId(1), ms(SWITCH), false);
-    cells.tick(ms(SWITCH + 5));
+fn a_demoted_primary_no_longer_confirms_the_copy() {
+    let mut cells = cells_after_write(WriteOutcome::Acked, Step::Switched, SWITCH_AT - 5);
+    cells.record_position(HostId(1), ms(SWITCH_AT), false);
+    cells.tick(ms(SWITCH_AT + 5));
     assert_eq!(cells.moves().next().map(|(_, stage, ..)| stage), Some(Stage::Drained));
-    cells.record_position(HostId(1), ms(SWITCH), true);
-    cells.tick(ms(SWITCH + 6));
+    cells.record_position(HostId(1), ms(SWITCH_AT), true);
+    cells.tick(ms(SWITCH_AT + 6));
     assert_eq!(cells.moves().next().map(|(_, stage, ..)| stage), Some(Stage::Switched));
 }
 
 #[test]
-fn held_ops_give_their_places_back() {
-    let mut cells = noted(WriteOutcome::NotExecuted, Step::Fenced, SWITCH - 100);
+fn released_held_ops_free_the_hold_limit() {
+    let mut cells = cells_after_write(WriteOutcome::NotExecuted, Step::Fenced, SWITCH_AT - 100);
     for round in 0..5 {
-        // Each round fills what the fence holds at most.
-        let wanted = |token| facts(Consistency::Write, Some(token), false, SWITCH + 400);
-        let verdicts: Vec<AdmissionDecision> =
-            (100..160).map(|token| cells.admit(ms(SWITCH - 100), &wanted(token))).collect();
-        let passes = verdicts.iter().filter_map(|v| {
-            if let AdmissionDecision::Hold { permit: pass, .. } = v { Some(*pass) } else { None }
+        // Each round fills the fence up to its limit.
+        let op_of = |token| op_context(Consistency::Write, Some(token), false, SWITCH_AT + 400);
+        let decisions: Vec<AdmissionDecision> =
+            (100..160).map(|token| cells.admit(ms(SWITCH_AT - 100), &op_of(token))).collect();
+        let permits = decisions.iter().filter_map(|v| {
+            if let AdmissionDecision::Hold { permit, .. } = v { Some(*permit) } else { None }
         });
-        let passes: Vec<AdmissionPermit> = passes.collect();
-        assert_eq!(passes.len(), 50, "round {round}");
-        passes
+        let permits: Vec<AdmissionPermit> = permits.collect();
+        assert_eq!(permits.len(), 50, "round {round}");
+        permits
             .into_iter()
-            .for_each(|pass| cells.release(ms(SWITCH - 90), pass, WriteOutcome::NotExecuted, None));
+            .for_each(|permit| cells.release(ms(SWITCH_AT - 90), permit, WriteOutcome::NotExecuted, None));
     }
-    assert_eq!(cells.moves().next().map(|(.., out, _)| out), Some(0), "what is held is not out");
+    assert_eq!(cells.moves().next().map(|(.., out, _)| out), Some(0), "held writes are not in flight");
 }
 
 #[test]
-fn a_target_that_is_full_gives_writes_back_and_the_source_gets_none_of_them() {
-    let mut switched = noted(WriteOutcome::Acked, Step::Switched, SWITCH + 5);
-    // Another tenant fills the target's cell: its own room, and all that is lent.
+fn a_full_target_rejects_writes_instead_of_using_the_source() {
+    let mut switched = cells_after_write(WriteOutcome::Acked, Step::Switched, SWITCH_AT + 5);
+    // Another tenant uses the whole share of the target's cell and everything that it can borrow.
     let other = |cells: &mut Cells, token| {
-        let wanted = facts(Consistency::Write, Some(token), false, SWITCH + 400);
-        let wanted = OpContext { tenant: Some("u"), group: GroupId(TARGET), ..wanted };
-        cells.admit(ms(SWITCH + 6), &wanted)
+        let op = op_context(Consistency::Write, Some(token), false, SWITCH_AT + 400);
+        let op = OpContext { tenant: Some("u"), group: GroupId(TARGET), ..op };
+        cells.admit(ms(SWITCH_AT + 6), &op)
     };
     let filled = (1000..1400)
         .filter(|&token| matches!(other(&mut switched, token), AdmissionDecision::Admit { .. }))
         .count();
     assert!(filled > 0);
-    let write = switched.admit(ms(SWITCH + 7), &facts(Consistency::Write, Some(2000), false, SWITCH + 400));
+    let write = switched
+        .admit(ms(SWITCH_AT + 7), &op_context(Consistency::Write, Some(2000), false, SWITCH_AT + 400));
     assert!(
         matches!(
             write,
@@ -840,33 +940,38 @@
         ),
         "{write:?}"
     );
-    // A repeat of what the source acked is still the source's, within the room of its cell.
-    let repeat = switched.admit(ms(SWITCH + 7), &facts(Consistency::Write, Some(1), true, SWITCH + 400));
-    assert!(matches!(repeat, AdmissionDecision::Admit { group: GroupId(SOURCE), .. }), "{repeat:?}");
+    // A retry of a write that the source acked still goes to the source, within the capacity of its cell.
+    let retry =
+        switched.admit(ms(SWITCH_AT + 7), &op_context(Consistency::Write, Some(1), true, SWITCH_AT + 400));
+    assert!(matches!(retry, AdmissionDecision::Admit { group: GroupId(SOURCE), .. }), "{retry:?}");
 }
 
 #[test]
-fn a_move_to_a_group_without_a_known_primary_or_hosts_waits_and_can_be_cancelled() {
-    let mut cells = desk(0, file(Some(Step::Planned)), true);
-    assert_eq!(cells.replace_layout(ms(2990), file(Some(Step::Fenced))), Ok(()));
-    assert_eq!(cells.replace_layout(ms(SWITCH), file(Some(Step::Switched))), Ok(()));
-    // Its hosts are gone, or drain and were taken off the list; then some are back, and none says that it is primary.
+fn a_move_without_a_known_target_primary_waits_and_can_be_cancelled() {
+    let mut cells = new_cells(0, layout_at(Some(Step::Planned)), true);
+    assert_eq!(cells.replace_layout(ms(2990), layout_at(Some(Step::Fenced))), Ok(()));
+    assert_eq!(cells.replace_layout(ms(SWITCH_AT), layout_at(Some(Step::Switched))), Ok(()));
+    // The target has no known hosts; then some hosts, none of which reports that it is primary.
     for hosts in [&[][..], &[(HostId(1), "x"), (HostId(2), "y")]] {
         cells.set_group_hosts(GroupId(TARGET), hosts);
-        hosts.iter().for_each(|(host, _)| cells.record_position(*host, ms(SWITCH), false));
-        cells.tick(ms(SWITCH + 5));
+        hosts.iter().for_each(|(host, _)| cells.record_position(*host, ms(SWITCH_AT), false));
+        cells.tick(ms(SWITCH_AT + 5));
         assert_eq!(cells.moves().next().map(|(_, stage, ..)| stage), Some(Stage::Drained));
         assert_eq!(
-            place(&mut cells, SWITCH + 6, facts(Consistency::Write, Some(9), false, SWITCH + 400)),
+            placement(
+                &mut cells,
+                SWITCH_AT + 6,
+                op_context(Consistency::Write, Some(9), false, SWITCH_AT + 400)
+            ),
             "busy"
         );
     }
     assert_eq!(
-        cells.replace_layout(ms(SWITCH + 7), Layout { epoch: 9, ..file(Some(Step::Cancelled)) }),
+        cells.replace_layout(ms(SWITCH_AT + 7), Layout { epoch: 9, ..layout_at(Some(Step::Cancelled)) }),
         Ok(())
     );
     assert_eq!(
-        place(&mut cells, SWITCH + 8, facts(Consistency::Write, Some(9), false, SWITCH + 400)),
+        placement(&mut cells, SWITCH_AT + 8, op_context(Consistency::Write, Some(9), false, SWITCH_AT + 400)),
         "source"
     );
 }
