--- a/crates/arrowyard-cells/src/admission.rs
+++ b/crates/arrowyard-cells/src/admission.rs
@@ -32,22 +32,30 @@
 /// Properties of an op that admission depends on.
 #[derive(Clone, Copy, Debug)]
 pub struct OpContext<'a> {
+    /// Tenant named by the client.
     pub tenant: Option<&'a str>,
+    /// Address of the client.
     pub address: Option<IpAddr>,
+    /// Group named by the client.
     pub group: GroupId,
+    /// Size of the op's statements.
     pub bytes: u64,
+    /// Whether the op writes, or how fresh its reads have to be.
     pub consistency: Consistency,
     /// Identifies the session. Its ops stay in one of the tenant's cells while that has capacity.
     pub session: Option<u64>,
     /// Idempotency token, for op types whose retries are deduplicated.
     pub token: Option<u64>,
+    /// Whether the client marked the op as a retry.
     pub is_retry: bool,
+    /// When the client stops waiting.
     pub deadline: Timestamp,
 }
 
 /// Capacity held by an admitted or held op. It has to be returned with `Cells::release`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AdmissionPermit {
+    /// The cell whose capacity is held.
     pub cell: CellId,
     bytes: u64,
     /// The move whose source the op writes to, or that holds the op.
@@ -157,10 +165,15 @@
 /// Counts since the previous report.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CellCounters {
+    /// Admitted ops.
     pub admitted: u32,
+    /// Ops rejected as busy.
     pub busy: u32,
+    /// Ops rejected because their outcome is unknown.
     pub errors: u32,
+    /// First sends of ops.
     pub first_sends: u32,
+    /// Sends after the first one.
     pub further_sends: u32,
 }
 
@@ -191,6 +204,7 @@
 const CAPACITY_RETRY_AFTER: TimeDelta = TimeDelta::from_millis(20);
 
 impl Cells {
+    /// Creates the cells of a layout and divides `capacity` among them.
     pub fn new(now: Timestamp, layout: Layout, capacity: Capacity, move_settings: MoveSettings) -> Self {
         let bulkhead = |total| Bulkhead::new(total, cell_weights(&layout), layout.reclaim_period);
         let mut cells = Cells {
@@ -213,10 +227,12 @@
         cells
     }
 
+    /// The current layout.
     pub fn layout(&self) -> &Layout {
         &self.layout
     }
 
+    /// The lookup tables of the current layout.
     pub fn index(&self) -> &CellIndex {
         &self.index
     }
@@ -600,6 +616,7 @@
         changed
     }
 
+    /// Returns the events since the previous call.
     pub fn take_events(&mut self) -> Vec<CellEvent> {
         std::mem::take(&mut self.events)
     }
@@ -637,14 +654,24 @@
 /// Status of a cell for operators.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CellStatus {
+    /// Name of the cell.
     pub name: Box<str>,
+    /// In-flight ops.
     pub ops: u64,
+    /// The cell's share of the op capacity.
     pub share: u64,
+    /// The part of the share that is never lent.
     pub guaranteed: u64,
+    /// In-flight ops beyond the share.
     pub borrowed: u64,
+    /// Bytes of the statements of in-flight ops.
     pub bytes: u64,
+    /// Concurrent health probes.
     pub probes: u64,
+    /// The adaptive limit on in-flight ops, if one is configured.
     pub concurrency_limit: Option<u64>,
+    /// Verdict on the cell's release, if a rollout is configured.
     pub release_verdict: Option<ReleaseVerdict>,
+    /// Counts since the previous report.
     pub counters: CellCounters,
 }
--- a/crates/arrowyard-cells/src/assignment.rs
+++ b/crates/arrowyard-cells/src/assignment.rs
@@ -59,6 +59,7 @@
 }
 
 impl CellAssignment {
+    /// Prepares the assignment of a layout.
     pub fn new(layout: &Layout) -> Self {
         let hashed_cells = layout.ids().filter(|&id| layout.cell(id).accepts_hashed_tenants);
         let mut sole_cells = FxHashMap::default();
@@ -133,7 +134,9 @@
 /// Probabilities that two tenants share all of their cells, and at least one.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Odds {
+    /// Probability that the tenants share all cells.
     pub share_all: f64,
+    /// Probability that the tenants share at least one cell.
     pub share_any: f64,
 }
 
@@ -167,9 +170,11 @@
 /// A tenant that two layouts assign to different cells.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReassignedTenant {
+    /// Name of the tenant.
     pub tenant: Box<str>,
     /// Cell names; empty if the tenant has no cell.
     pub from: Vec<Box<str>>,
+    /// Cell names; empty if the tenant has no cell.
     pub to: Vec<Box<str>>,
 }
 
--- a/crates/arrowyard-cells/src/bulkhead.rs
+++ b/crates/arrowyard-cells/src/bulkhead.rs
@@ -69,6 +69,7 @@
         *self = next;
     }
 
+    /// Amount that the cell uses.
     pub fn used(&self, cell: CellId) -> u64 {
         self.shares[cell.0 as usize].used
     }
--- a/crates/arrowyard-cells/src/concurrency_limit.rs
+++ b/crates/arrowyard-cells/src/concurrency_limit.rs
@@ -15,6 +15,7 @@
 /// Factor that a failed send applies to the limit.
 const FAILURE_FACTOR: f64 = 0.9;
 
+/// The adaptive limit of one cell.
 #[derive(Clone, Copy, Debug)]
 pub struct ConcurrencyLimit {
     config: ConcurrencyLimitConfig,
@@ -26,6 +27,7 @@
 }
 
 impl ConcurrencyLimit {
+    /// Creates a limit at its initial value.
     pub fn new(config: ConcurrencyLimitConfig) -> Self {
         ConcurrencyLimit {
             config,
@@ -36,10 +38,12 @@
         }
     }
 
+    /// Applies new bounds and keeps the averages.
     pub fn set_config(&mut self, config: ConcurrencyLimitConfig) {
         *self = ConcurrencyLimit { config, limit: self.limit.clamp(config.min, config.max), ..*self };
     }
 
+    /// The current limit on in-flight ops.
     pub fn limit(&self) -> u64 {
         self.limit as u64
     }
--- a/crates/arrowyard-cells/src/fair_queue.rs
+++ b/crates/arrowyard-cells/src/fair_queue.rs
@@ -37,6 +37,7 @@
 }
 
 impl<T> FairQueue<T> {
+    /// Creates an empty queue for cells with these weights, in order of their ids.
     pub fn new(weights: impl Iterator<Item = f64>) -> Self {
         let queue =
             |weight| CellQueue { cost: cost(weight), items: VecDeque::new(), first_start: 0, last_finish: 0 };
@@ -49,14 +50,17 @@
         }
     }
 
+    /// Number of queued items of all cells.
     pub fn len(&self) -> usize {
         self.len
     }
 
+    /// Whether no item is queued.
     pub fn is_empty(&self) -> bool {
         self.len == 0
     }
 
+    /// Queues an item of a cell.
     pub fn push(&mut self, cell: CellId, item: T) {
         let queue = &mut self.queues[cell.0 as usize];
         // An idle cell starts at the current virtual time, so that it accumulates no credit.
--- a/crates/arrowyard-cells/src/index.rs
+++ b/crates/arrowyard-cells/src/index.rs
@@ -24,6 +24,7 @@
 }
 
 impl CellIndex {
+    /// Builds the lookup tables of a layout.
     pub fn new(layout: &Layout) -> Self {
         let mut index = CellIndex::default();
         for id in layout.ids() {
@@ -56,6 +57,7 @@
         self.groups.get(&group).map_or(&self.unrestricted, |ids| ids)
     }
 
+    /// Whether the cell serves the group.
     pub fn serves(&self, id: CellId, group: GroupId) -> bool {
         match self.groups.get(&group) {
             Some(ids) => ids.contains(&id),
--- a/crates/arrowyard-cells/src/layout.rs
+++ b/crates/arrowyard-cells/src/layout.rs
@@ -11,24 +11,33 @@
 pub struct Layout {
     /// Increases with every edit of the configuration.
     pub epoch: u64,
+    /// The cells; a `CellId` is an index into them.
     pub cells: Vec<Cell>,
     /// Tenants that are assigned explicitly.
     pub tenants: FxHashMap<Box<str>, CellId>,
+    /// Cells of clients that name no tenant, by address.
     pub networks: Vec<NetworkRule>,
     /// Number of cells that a tenant without an explicit assignment is hashed to. `None`: its ops are
     /// rejected.
     pub cells_per_hashed_tenant: Option<usize>,
     /// How long borrowing is suspended after a cell asked for its own capacity while it was lent out.
     pub reclaim_period: TimeDelta,
+    /// Retry budget of each cell. `None`: unlimited.
     pub retry_budget: Option<RetryBudgetConfig>,
+    /// Order in which cells receive host releases. `None`: releases are not tested.
     pub rollout: Option<RolloutConfig>,
+    /// Validity of the layout. `None`: unlimited.
     pub lease: Option<Lease>,
+    /// Configured tenant moves.
     pub moves: Vec<MoveConfig>,
 }
 
+/// Configuration of one cell.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Cell {
+    /// Unique name.
     pub name: Box<str>,
+    /// Weight of the cell's share of the router's capacity, and of its hashed tenants.
     pub weight: f64,
     /// Groups that the cell serves. A group that no cell lists is served by all cells that list none.
     pub groups: Vec<GroupId>,
@@ -38,6 +47,7 @@
     pub guaranteed_fraction: f64,
     /// Whether tenants without an explicit assignment may be hashed to this cell.
     pub accepts_hashed_tenants: bool,
+    /// Adaptive limit on in-flight ops. `None`: only the share limits them.
     pub concurrency_limit: Option<ConcurrencyLimitConfig>,
     /// The cell was part of an earlier layout only. Its id stays reserved while ops still use it.
     pub removed: bool,
@@ -46,32 +56,44 @@
 /// Bounds of the adaptive limit on in-flight ops.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ConcurrencyLimitConfig {
+    /// Limit at the start.
     pub initial: f64,
+    /// Lower bound.
     pub min: f64,
+    /// Upper bound.
     pub max: f64,
 }
 
 /// Assigns clients that name no tenant by their address.
 #[derive(Clone, Debug, PartialEq)]
 pub struct NetworkRule {
+    /// Networks that the rule applies to.
     pub included: Vec<IpNet>,
+    /// Networks within `included` that it does not apply to.
     pub excluded: Vec<IpNet>,
+    /// The cell of these clients.
     pub cell: CellId,
 }
 
+/// Limits on retries, per cell.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryBudgetConfig {
     /// Retries allowed per first send within the window.
     pub retry_ratio: f64,
     /// Retries that are always allowed within the window, however few first sends there were.
     pub min_retries: u32,
+    /// Length of the sliding window.
     pub window: TimeDelta,
 }
 
+/// Order of a host release over the cells, and the parameters of its test.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutConfig {
+    /// Cells in rollout order; the first one is the canary.
     pub order: Vec<CellId>,
+    /// Ratio of a bad release's error rate to the baseline.
     pub error_rate_ratio: f64,
+    /// Probability of a wrong verdict, in either direction.
     pub error_probability: f64,
 }
 
@@ -79,19 +101,24 @@
 /// routers' clocks.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Lease {
+    /// When the lease ends.
     pub expires_at: Timestamp,
+    /// Largest difference between two routers' clocks.
     pub max_clock_skew: TimeDelta,
 }
 
 impl Layout {
+    /// The cell of an id.
     pub fn cell(&self, id: CellId) -> &Cell {
         &self.cells[id.0 as usize]
     }
 
+    /// Ids of all cells, including removed ones.
     pub fn ids(&self) -> impl Iterator<Item = CellId> + use<> {
         (0..self.cells.len() as u32).map(CellId)
     }
 
+    /// Id of the configured cell with this name.
     pub fn cell_named(&self, name: &str) -> Option<CellId> {
         self.ids().find(|&id| &*self.cell(id).name == name && !self.cell(id).removed)
     }
--- a/crates/arrowyard-cells/src/networks.rs
+++ b/crates/arrowyard-cells/src/networks.rs
@@ -32,6 +32,7 @@
 }
 
 impl NetworkTable {
+    /// Builds the table of these rules.
     pub fn new(rules: &[NetworkRule]) -> Self {
         let mut table = NetworkTable::default();
         for NetworkRule { included, excluded, cell } in rules {
@@ -56,6 +57,7 @@
         table
     }
 
+    /// Cell of the longest network that contains the address.
     pub fn lookup(&self, address: IpAddr) -> Option<CellId> {
         // IPv4 clients of a dual-stack socket arrive as IPv4-mapped IPv6 addresses.
         let address = address.to_canonical();
--- a/crates/arrowyard-cells/src/retry_budget.rs
+++ b/crates/arrowyard-cells/src/retry_budget.rs
@@ -25,10 +25,12 @@
 }
 
 impl RetryBudget {
+    /// Creates a budget without any recorded sends.
     pub fn new(config: RetryBudgetConfig) -> Self {
         RetryBudget { config, slices: Default::default() }
     }
 
+    /// Applies a new configuration. Counts are kept unless the window length changes.
     pub fn set_config(&mut self, config: RetryBudgetConfig) {
         // Counts of slices of a different length cannot be converted.
         *self = if config.window == self.config.window {
@@ -51,6 +53,7 @@
         slice
     }
 
+    /// Records a first send.
     pub fn record_first_send(&mut self, now: Timestamp) {
         let slice = self.current_slice(now);
         slice.first_sends = slice.first_sends.saturating_add(1);
@@ -70,6 +73,7 @@
         allowed.max(self.config.min_retries).saturating_sub(retries)
     }
 
+    /// Records a retry, whether the budget allows it or not.
     pub fn record_retry(&mut self, now: Timestamp) {
         let slice = self.current_slice(now);
         slice.retries = slice.retries.saturating_add(1);
--- a/crates/arrowyard-cells/src/rollout.rs
+++ b/crates/arrowyard-cells/src/rollout.rs
@@ -15,6 +15,7 @@
 /// Weight of one outcome in the moving average of the baseline error rate.
 const ERROR_RATE_SMOOTHING: f64 = 0.002;
 
+/// Verdict on the release of a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ReleaseVerdict {
     /// No host restarted, or there is not enough evidence.
@@ -44,19 +45,23 @@
 /// A verdict that has just changed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct VerdictChange {
+    /// The cell whose verdict changed.
     pub cell: CellId,
+    /// The new verdict.
     pub verdict: ReleaseVerdict,
 }
 
 /// Why the release is not extended to a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RolloutBlocked {
+    /// The first earlier cell without a good verdict.
     pub blocked_by: CellId,
     /// Whether the release failed there; otherwise it is unverified.
     pub failed: bool,
 }
 
 impl Rollout {
+    /// Creates a rollout without evidence on any cell.
     pub fn new(config: RolloutConfig) -> Self {
         let trial = Trial { evidence: 0.0, verdict: ReleaseVerdict::Open, last_restart: None };
         Rollout { trials: vec![trial; config.order.len()], config, baseline_error_rate: MIN_ERROR_RATE }
@@ -107,6 +112,7 @@
         changed.then(|| VerdictChange { cell: self.config.order[position], verdict })
     }
 
+    /// Verdict on the cell's release; open if the cell is not part of the rollout.
     pub fn verdict(&self, cell: CellId) -> ReleaseVerdict {
         self.position(cell).map_or(ReleaseVerdict::Open, |position| self.trials[position].verdict)
     }
--- a/crates/arrowyard-cells/src/tenant_move.rs
+++ b/crates/arrowyard-cells/src/tenant_move.rs
@@ -6,13 +6,16 @@
 //! serves a bounded read from the source. The lease of the layout stops routers that have not received the
 //! move.
 //!
-//! | stage | writes | reads | hazard |
-//! | --- | --- | --- | --- |
-//! | open | source; tokens and positions are recorded | source | a write still in flight when the copy ends |
-//! | fenced | held or rejected as busy; until the copy ends, a retry may settle an unknown outcome at the source | source | a write that takes effect after the copy |
-//! | drained | as fenced; no write of the tenant is in flight | source; bounded reads only until the switch is due | other routers have switched |
-//! | switched | target; a retry of a token that the source acked goes to the source while it retains the token | target, from the minimum position on | a retry that the target has never seen |
-//! | done | target | target, from the minimum position on | |
+//! Per stage:
+//!
+//! - Open: writes and reads go to the source; tokens and positions of writes are recorded.
+//! - Fenced: writes are held or rejected as busy. Until the copy ends, a retry may settle an unknown outcome at
+//!   the source. Reads go to the source. A write in flight must not take effect after the copy.
+//! - Drained: as fenced, and no write of the tenant is in flight. Bounded reads go to the source only until the
+//!   switch is due, since other routers may have switched.
+//! - Switched: writes go to the target, and reads from the minimum position on. A retry of a token that the
+//!   source acked goes to the source while it retains the token, since the target has never seen it.
+//! - Done: all ops go to the target, reads from the minimum position on.
 //!
 //! Until the switch, cancelling a move restores the initial state. Afterwards the tenant can only be moved
 //! back by a new move.
@@ -40,15 +43,21 @@
 /// A move as configured.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MoveConfig {
+    /// Name of the tenant.
     pub tenant: Box<str>,
+    /// The source cell.
     pub from: CellId,
+    /// The target cell.
     pub to: CellId,
     /// The groups that hold the data before and after the switch. `None`: the data stays in its group.
     pub groups: Option<(GroupId, GroupId)>,
     /// The group that the tenant's clients name. `None`: any group.
     pub client_group: Option<GroupId>,
+    /// Progress according to the configuration.
     pub step: Step,
+    /// When the fence begins.
     pub fence_at: Option<Timestamp>,
+    /// When routers may switch to the target.
     pub switch_at: Option<Timestamp>,
     /// The source position up to which everything was copied, and the target position from which on the
     /// target holds all of it.
@@ -99,11 +108,13 @@
 /// Properties of an op of the tenant that its placement depends on.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct MoveOp {
+    /// Whether the op writes, or how fresh its reads have to be.
     pub consistency: Consistency,
     /// Idempotency token, if retries with it are deduplicated.
     pub token: Option<u64>,
     /// Whether the client marked the op as a retry.
     pub is_retry: bool,
+    /// When the client stops waiting.
     pub deadline: Timestamp,
 }
 
@@ -152,8 +163,10 @@
     OtherMoveActive,
 }
 
+/// State of one move on this router.
 #[derive(Clone, Debug)]
 pub struct TenantMove {
+    /// The move as configured last.
     pub config: MoveConfig,
     settings: MoveSettings,
     stage: Stage,
@@ -193,18 +206,22 @@
         moving
     }
 
+    /// Progress on this router.
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
+    /// Writes sent to the source that have not ended.
     pub fn writes_in_flight(&self) -> u32 {
         self.writes_in_flight
     }
 
+    /// Writes that wait for the switch.
     pub fn held_writes(&self) -> u32 {
         self.held_writes
     }
 
+    /// Number of recorded tokens.
     pub fn token_count(&self) -> usize {
         self.tokens.len()
     }
@@ -473,10 +490,12 @@
         }
     }
 
+    /// Records that a write is held.
     pub fn add_held(&mut self) {
         self.held_writes += 1;
     }
 
+    /// Records that a held write was released.
     pub fn release_held(&mut self) {
         self.held_writes = self.held_writes.saturating_sub(1);
     }
--- a/crates/arrowyard-peers/src/config.rs
+++ b/crates/arrowyard-peers/src/config.rs
@@ -6,6 +6,7 @@
 use ipnet::IpNet;
 use rustc_hash::FxHashMap;
 
+/// Configuration of membership.
 #[derive(Clone, Debug)]
 pub struct MembershipConfig {
     /// Name of the fleet; datagrams of other fleets are dropped.
@@ -108,6 +109,7 @@
         }
     }
 
+    /// Whether the address is in the allowed networks.
     #[must_use]
     pub fn allows_address(&self, address: SocketAddr) -> bool {
         self.allowed_networks.is_empty()
@@ -124,9 +126,11 @@
 /// Membership settings from the operator's file.
 #[derive(Clone, Debug)]
 pub struct PeerSettings {
+    /// Address of the datagram socket.
     pub listen: SocketAddr,
     /// Address at which the other members reach this router; `listen` if absent.
     pub advertise: Option<SocketAddr>,
+    /// Configuration of membership.
     pub config: MembershipConfig,
     /// Whether the number of reachable routers replaces the configured one.
     pub count_members: bool,
--- a/crates/arrowyard-peers/src/health.rs
+++ b/crates/arrowyard-peers/src/health.rs
@@ -6,6 +6,7 @@
 /// Highest score. Each point adds half of the base value to a timeout.
 const MAX_SCORE: u32 = 6;
 
+/// Health score of this router, and whether its suspicions are suspended.
 #[derive(Clone, Debug, Default)]
 pub struct LocalHealth {
     score: u32,
@@ -14,6 +15,7 @@
 }
 
 impl LocalHealth {
+    /// Records an ack.
     pub fn record_success(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
@@ -54,11 +56,13 @@
         now < self.suspect_until
     }
 
+    /// Lengthens a timeout according to the score.
     #[must_use]
     pub fn scale_timeout(&self, timeout: TimeDelta) -> TimeDelta {
         timeout * (1.0 + f64::from(self.score) * 0.5)
     }
 
+    /// The score; zero is healthy.
     #[must_use]
     pub fn score(&self) -> u32 {
         self.score
--- a/crates/arrowyard-peers/src/member.rs
+++ b/crates/arrowyard-peers/src/member.rs
@@ -27,6 +27,7 @@
 }
 
 impl Standing {
+    /// The claim that reports this standing.
     #[must_use]
     pub fn claim(self) -> Claim {
         match self {
@@ -64,14 +65,20 @@
 
 pub const MAX_ACCUSERS: usize = 3;
 
+/// What this router knows of another member.
 #[derive(Clone, Debug)]
 pub struct Member {
+    /// Unique name.
     pub name: Rc<str>,
     /// The address that it advertises.
     pub address: SocketAddr,
+    /// Highest known incarnation.
     pub incarnation: u64,
+    /// Identifies the process that holds the name.
     pub nonce: u64,
+    /// Current standing.
     pub standing: Standing,
+    /// When the standing last changed.
     pub standing_since: Timestamp,
     /// When this router last received a datagram of this incarnation, an ack, and an ack through a helper.
     pub last_heard: Timestamp,
@@ -83,6 +90,7 @@
     pub accusers: SmallVec<[Rc<str>; MAX_ACCUSERS]>,
     /// Names of the members whose datagrams its port refused.
     pub refused_by: SmallVec<[Rc<str>; MAX_ACCUSERS]>,
+    /// Whether the member serves no ops.
     pub idle: bool,
     /// Name of the member whose report led to the standing.
     pub reported_by: Rc<str>,
@@ -99,6 +107,7 @@
 }
 
 impl Member {
+    /// A member that is alive from now on, without evidence of its own.
     #[must_use]
     pub fn new(name: Rc<str>, address: SocketAddr, incarnation: u64, nonce: u64, now: Timestamp) -> Member {
         let name_hash = hash_name(&name);
@@ -151,11 +160,13 @@
         self.last_heard.max(self.last_ack)
     }
 
+    /// Time since the last evidence, or since the standing changed if that is later.
     #[must_use]
     pub fn silent_for(&self, now: Timestamp) -> TimeDelta {
         now - self.standing_since.max(self.last_evidence())
     }
 
+    /// The rumor that reports the current standing.
     #[must_use]
     pub fn rumor(&self) -> Rumor {
         let reporters = if self.standing == Standing::Silent || self.standing == Standing::Lost {
@@ -178,6 +189,7 @@
         }
     }
 
+    /// Adds a member that reports this one silent. Returns whether it is new and there was room.
     pub fn add_accuser(&mut self, reporter: &Rc<str>) -> bool {
         let new = !self.accusers.contains(reporter) && self.accusers.len() < MAX_ACCUSERS;
         if new {
--- a/crates/arrowyard-peers/src/membership.rs
+++ b/crates/arrowyard-peers/src/membership.rs
@@ -20,6 +20,7 @@
 /// Identity of this router.
 #[derive(Clone, Debug)]
 pub struct LocalMember {
+    /// Unique name in the fleet.
     pub name: Rc<str>,
     /// Address at which other members reach it.
     pub address: SocketAddr,
@@ -115,6 +116,7 @@
     }
 }
 
+/// Membership of one router.
 pub struct Membership {
     pub(crate) config: MembershipConfig,
     pub(crate) local: LocalMember,
@@ -202,6 +204,7 @@
         }
     }
 
+    /// Identity of this router.
     #[must_use]
     pub fn local(&self) -> &LocalMember {
         &self.local
--- a/crates/arrowyard-peers/src/message.rs
+++ b/crates/arrowyard-peers/src/message.rs
@@ -7,10 +7,12 @@
 
 /// The version that is written, and the latest one that is understood.
 pub const FORMAT_VERSION: u32 = 1;
+/// Maximum length of a member's name.
 pub const MAX_NAME_BYTES: usize = 64;
 /// Maximum size of a message of the decision module.
 pub const MAX_APP_MESSAGE_BYTES: usize = 256;
 
+/// Kind of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum Kind {
@@ -31,6 +33,7 @@
     AppMessage = 8,
 }
 
+/// What a rumor claims about a member, from weakest to strongest.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, prost::Enumeration)]
 #[repr(i32)]
 pub enum Claim {
@@ -70,6 +73,7 @@
     pub age_ms: u32,
 }
 
+/// A datagram: the sender's own state, piggybacked rumors, and the fields of its kind.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Datagram {
     #[prost(uint32, tag = "1")]
@@ -119,6 +123,7 @@
 /// Number of partitions of a view's digest.
 pub const DIGEST_PARTS: usize = 16;
 
+/// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DropReason {
     TooLarge,
--- a/crates/arrowyard-peers/src/router_count.rs
+++ b/crates/arrowyard-peers/src/router_count.rs
@@ -9,6 +9,7 @@
 /// reports nonexistent members.
 const MAX_CONFIGURED_MULTIPLE: f64 = 4.0;
 
+/// Estimator of the number of routers.
 #[derive(Clone, Debug)]
 pub struct RouterCountEstimator {
     configured: f64,
@@ -33,6 +34,7 @@
 }
 
 impl RouterCountEstimator {
+    /// Starts at the configured number of routers.
     #[must_use]
     pub fn new(now: Timestamp, configured: f64, settle_time: TimeDelta) -> RouterCountEstimator {
         let configured = configured.max(1.0);
@@ -75,6 +77,7 @@
         self.estimate != previous
     }
 
+    /// The current estimate.
     #[must_use]
     pub fn routers(&self) -> f64 {
         self.estimate
--- a/crates/arrowyard-peers/src/table.rs
+++ b/crates/arrowyard-peers/src/table.rs
@@ -10,6 +10,7 @@
 use crate::member::{Member, Slot, Standing};
 use crate::message::{DIGEST_PARTS, hash_name, mix_bits};
 
+/// Table of known members.
 #[derive(Default)]
 pub struct MemberTable {
     members: Vec<Option<Member>>,
@@ -42,6 +43,7 @@
     (digest_part(name), mix_bits(hash_name(name) ^ incarnation.rotate_left(17)))
 }
 
+/// What a member contributes to the digest; inactive members contribute zero.
 pub fn member_digest(member: &Member) -> (usize, u64) {
     (digest_part(&member.name), digest_value(member))
 }
--- a/crates/arrowyard-peers/src/view.rs
+++ b/crates/arrowyard-peers/src/view.rs
@@ -22,6 +22,7 @@
     None,
 }
 
+/// One member in a view.
 #[derive(Clone, Debug)]
 pub struct MemberRow {
     pub name: Rc<str>,
@@ -40,6 +41,7 @@
     pub suspicion_count: u32,
 }
 
+/// A router's view at one moment.
 #[derive(Clone, Debug)]
 pub struct View {
     pub name: Rc<str>,
@@ -105,6 +107,7 @@
         }
     }
 
+    /// The current view, sorted by name.
     #[must_use]
     pub fn view(&self, now: Timestamp) -> View {
         let mut rows: Vec<MemberRow> =
--- a/crates/arrowyard-peers/tests/router_count.rs
+++ b/crates/arrowyard-peers/tests/router_count.rs
@@ -1,4 +1,4 @@
-//! How many routers shares are reckoned by, beside a plain rule worked out over the whole past.
+//! The router count estimate against a plain rule over the whole history.
 
 use arrowyard_peers::RouterCountEstimator;
 use arrowyard_types::{TimeDelta, Timestamp};
@@ -10,72 +10,77 @@
     Timestamp::from_micros(1_000_000_000 + ms * 1000)
 }
 
-fn sight(reach: usize, missing: usize, forgiven: usize, sure: bool) -> arrowyard_peers::MembershipSample {
-    arrowyard_peers::MembershipSample { reachable: reach, missing, long_missing: forgiven, reliable: sure }
+fn sample(
+    reachable: usize,
+    missing: usize,
+    long_missing: usize,
+    reliable: bool,
+) -> arrowyard_peers::MembershipSample {
+    arrowyard_peers::MembershipSample { reachable, missing, long_missing, reliable }
 }
 
 #[test]
-fn it_rises_at_once_and_falls_when_it_was_settled() {
-    let mut count = RouterCountEstimator::new(at(0), 10.0, SETTLE);
-    count.update(at(0), sight(3, 0, 0, true));
-    assert_eq!(count.routers(), 10.0, "the settings hold till then");
-    count.update(at(9_000), sight(3, 0, 0, true));
-    assert_eq!(count.routers(), 10.0);
-    count.update(at(10_000), sight(3, 0, 0, true));
-    count.update(at(20_000), sight(3, 0, 0, true));
-    assert_eq!(count.routers(), 3.0);
-    count.update(at(20_500), sight(12, 0, 0, true));
-    assert_eq!(count.routers(), 12.0);
+fn the_estimate_rises_at_once_and_falls_after_settling() {
+    let mut estimator = RouterCountEstimator::new(at(0), 10.0, SETTLE);
+    estimator.update(at(0), sample(3, 0, 0, true));
+    assert_eq!(estimator.routers(), 10.0, "the configured number holds until the window ends");
+    estimator.update(at(9_000), sample(3, 0, 0, true));
+    assert_eq!(estimator.routers(), 10.0);
+    estimator.update(at(10_000), sample(3, 0, 0, true));
+    estimator.update(at(20_000), sample(3, 0, 0, true));
+    assert_eq!(estimator.routers(), 3.0);
+    estimator.update(at(20_500), sample(12, 0, 0, true));
+    assert_eq!(estimator.routers(), 12.0);
 }
 
 #[test]
-fn the_smaller_part_of_a_cut_takes_nobody_for_gone() {
-    let mut count = RouterCountEstimator::new(at(0), 4.0, SETTLE);
+fn the_minority_of_a_partition_keeps_counting_missing_members() {
+    let mut estimator = RouterCountEstimator::new(at(0), 4.0, SETTLE);
     for second in 0..200 {
-        count.update(at(second * 1000), sight(2, 0, 6, true));
-        assert!(count.routers() >= 8.0 || second == 0, "{second}: {}", count.routers());
+        estimator.update(at(second * 1000), sample(2, 0, 6, true));
+        assert!(estimator.routers() >= 8.0 || second == 0, "{second}: {}", estimator.routers());
     }
-    // Nor does the larger one at first, and later it does.
-    let mut count = RouterCountEstimator::new(at(0), 8.0, SETTLE);
+    // The majority does not lower its estimate at first either, but does so later.
+    let mut estimator = RouterCountEstimator::new(at(0), 8.0, SETTLE);
     for second in 0..60 {
-        count.update(at(second * 1000), sight(6, 2, 0, true));
-        assert_eq!(count.routers(), 8.0);
+        estimator.update(at(second * 1000), sample(6, 2, 0, true));
+        assert_eq!(estimator.routers(), 8.0);
     }
     for second in 60..90 {
-        count.update(at(second * 1000), sight(6, 0, 2, true));
+        estimator.update(at(second * 1000), sample(6, 0, 2, true));
     }
-    assert_eq!(count.routers(), 6.0);
+    assert_eq!(estimator.routers(), 6.0);
 }
 
 #[test]
-fn one_that_invents_members_takes_a_bounded_part_of_the_shares() {
-    let mut count = RouterCountEstimator::new(at(0), 5.0, SETTLE);
-    count.update(at(0), sight(2000, 0, 0, true));
-    assert_eq!(count.routers(), 20.0);
+fn invented_members_raise_the_estimate_only_to_the_bound() {
+    let mut estimator = RouterCountEstimator::new(at(0), 5.0, SETTLE);
+    estimator.update(at(0), sample(2000, 0, 0, true));
+    assert_eq!(estimator.routers(), 20.0);
 }
 
 proptest! {
-    /// Whatever is seen: the count is never below what was there within the time to settle, nor below the whole while
-    /// this router is unsure, and it is the largest of some time lately.
+    /// The estimate is never below any count seen within the settle time, nor below the total while this
+    /// router is uncertain, and never above the largest count seen.
     #[test]
-    fn it_is_never_below_what_was_seen_lately(
+    fn the_estimate_is_never_below_recent_counts(
         steps in prop::collection::vec((1_i64..4000, 1_usize..30, 0_usize..10, 0_usize..10, prop::bool::weighted(0.9)), 1..200),
     ) {
-        let settings = 10.0;
-        let mut count = RouterCountEstimator::new(at(0), settings, SETTLE);
-        let mut past: Vec<(i64, f64)> = vec![(0, settings)];
+        let configured = 10.0;
+        let mut estimator = RouterCountEstimator::new(at(0), configured, SETTLE);
+        let mut history: Vec<(i64, f64)> = vec![(0, configured)];
         let mut now = 0;
-        for (step, reach, missing, forgiven, sure) in steps {
+        for (step, reachable, missing, long_missing, reliable) in steps {
             now += step;
-            count.update(at(now), sight(reach, missing, forgiven, sure));
-            let whole = (reach + missing + forgiven) as f64;
-            let unsure = !sure || reach * 2 <= reach + missing + forgiven;
-            let wanted = if unsure { whole.max(settings) } else { (reach + missing) as f64 };
-            past.push((now, wanted.min(settings * 4.0)));
-            let least = past.iter().filter(|(when, _)| now - when < 10_000).map(|(_, wanted)| *wanted).fold(1.0, f64::max);
-            let most = past.iter().map(|(_, wanted)| *wanted).fold(1.0, f64::max);
-            prop_assert!(count.routers() >= least, "{} at {now}, {least} were seen lately", count.routers());
-            prop_assert!(count.routers() <= most);
+            estimator.update(at(now), sample(reachable, missing, long_missing, reliable));
+            let total = (reachable + missing + long_missing) as f64;
+            let uncertain = !reliable || reachable * 2 <= reachable + missing + long_missing;
+            let count = if uncertain { total.max(configured) } else { (reachable + missing) as f64 };
+            history.push((now, count.min(configured * 4.0)));
+            let least = history.iter().filter(|(when, _)| now - when < 10_000).map(|(_, count)| *count).fold(1.0, f64::max);
+            let most = history.iter().map(|(_, count)| *count).fold(1.0, f64::max);
+            prop_assert!(estimator.routers() >= least, "{} at {now}, but {least} were counted recently", estimator.routers());
+            prop_assert!(estimator.routers() <= most);
         }
     }
 }
