--- a/crates/arrowyard-control/src/control/shares.rs
+++ b/crates/arrowyard-control/src/control/fair_shares.rs
@@ -56,7 +56,12 @@
     ) {
         if self.shares.allotter.is_none() {
             // It is passed on once, to the holder alone.
-            let holder = self.ledger.applied().duties.get(crate::applied::DUTY).map(|duty| duty.holder);
+            let holder = self
+                .ledger
+                .applied()
+                .duties
+                .get(crate::applied_state::PROMOTION_DUTY)
+                .map(|duty| duty.holder);
             if let Some(holder) = holder.filter(|holder| from.is_none() && *holder != self.me) {
                 self.say_to_peer(holder, &Payload::DemandReport(needs), commands);
             }
