--- a/crates/arrowyard-cells/src/tenant_move.rs
+++ b/crates/arrowyard-cells/src/tenant_move.rs
@@ -9,10 +9,10 @@
 //! Per stage:
 //!
 //! - Open: writes and reads go to the source; tokens and positions of writes are recorded.
-//! - Fenced: writes are held or rejected as busy. Until the copy ends, a retry may settle an unknown outcome at
-//!   the source. Reads go to the source. A write in flight must not take effect after the copy.
-//! - Drained: as fenced, and no write of the tenant is in flight. Bounded reads go to the source only until the
-//!   switch is due, since other routers may have switched.
+//! - Fenced: writes are held or rejected as busy. Until the copy ends, a retry may settle an unknown outcome
+//!   at the source. Reads go to the source. A write in flight must not take effect after the copy.
+//! - Drained: as fenced, and no write of the tenant is in flight. Bounded reads go to the source only until
+//!   the switch is due, since other routers may have switched.
 //! - Switched: writes go to the target, and reads from the minimum position on. A retry of a token that the
 //!   source acked goes to the source while it retains the token, since the target has never seen it.
 //! - Done: all ops go to the target, reads from the minimum position on.
