--- a/crates/arrowyard-control/src/control/departures.rs
+++ b/crates/arrowyard-control/src/control/departures.rs
@@ -12,7 +12,7 @@
 use arrowyard_types::{TimeDelta, Timestamp};
 
 use super::Control;
-use crate::record::Kept;
+use crate::record::RecordKind;
 
 /// A departure that no majority has kept in so long is not acknowledged; a host waits for a second at most.
 const KEPT: TimeDelta = TimeDelta::from_millis(800);
@@ -139,8 +139,8 @@
     }
 
     fn keep_departure(&mut self, now: Timestamp, host: &Host, commands: &mut Commands) -> u64 {
-        let kept = Kept::Departing(host.clone());
-        self.with_ledger(now, commands, |ledger, out| ledger.keep(kept, out))
+        let kept = RecordKind::Departing(host.clone());
+        self.with_ledger(now, commands, |ledger, out| ledger.store_record(kept, out))
     }
 
     /// Another control machine was told that a host leaves or has left.
@@ -152,7 +152,7 @@
         commands: &mut Commands,
     ) {
         let DepartureNotice { number, host } = departing;
-        if self.cell.told(now, host.clone()) {
+        if self.cell.merge_report(now, host.clone()) {
             if host.phase() == Phase::Gone {
                 self.left.push((now, host.clone()));
             }
