--- a/crates/arrowyard-config/src/configuration.rs
+++ b/crates/arrowyard-config/src/configuration.rs
@@ -96,9 +96,9 @@
     /// it cannot be read: {0}
     Unreadable(String),
     /// {0}: {1}
-    Wrong(String, &'static str),
+    Invalid(String, &'static str),
     /// revision: {0} is not above {1}, which is in place
-    Old(u64, u64),
+    StaleRevision(u64, u64),
 }
 
 /// A parsed item with its JSON as it was sent.
@@ -123,7 +123,7 @@
 }
 
 fn invalid(path: impl Into<String>, what: &'static str) -> ConfigError {
-    ConfigError::Wrong(path.into(), what)
+    ConfigError::Invalid(path.into(), what)
 }
 
 fn required_string(item: &Value, field: &str, path: &str) -> Result<String, ConfigError> {
@@ -490,7 +490,7 @@
     /// Checks references between items and that the revision is above the current one.
     fn validated(self, current: u64) -> Result<Self, ConfigError> {
         if self.revision <= current {
-            return Err(ConfigError::Old(self.revision, current));
+            return Err(ConfigError::StaleRevision(self.revision, current));
         }
         let services: BTreeSet<&str> = self.services().map(|service| service.name.as_str()).collect();
         let shares: BTreeSet<&str> = self.shares().map(|share| share.name.as_str()).collect();
--- a/crates/arrowyard-config/tests/configuration.rs
+++ b/crates/arrowyard-config/tests/configuration.rs
@@ -48,7 +48,7 @@
     assert!(rejection(&unknown).contains("/channels/1/service"));
     let same = FIRST.replace("\"revision\":7", "\"revision\":9").replace("db2", "db1");
     assert!(rejection(&same).contains("/channels/1"));
-    assert_eq!(first().replace(FIRST.as_bytes()), Err(ConfigError::Old(7, 7)));
+    assert_eq!(first().replace(FIRST.as_bytes()), Err(ConfigError::StaleRevision(7, 7)));
 }
 
 #[test]
--- a/crates/arrowyard-control/src/control/api.rs
+++ b/crates/arrowyard-control/src/control/api.rs
@@ -200,7 +200,7 @@
     ) {
         let applied = self.ledger.applied();
         let alone = if revised.whole { Configuration::default().replace(&revised.body).err() } else { None };
-        if let Some(refusal) = alone.filter(|refusal| !matches!(refusal, ConfigError::Old(..))) {
+        if let Some(refusal) = alone.filter(|refusal| !matches!(refusal, ConfigError::StaleRevision(..))) {
             return self.refuse(conn, &refusal, commands);
         }
         let revision = revision(&revised.body);
--- a/crates/arrowyard-protocol/src/fault_code.rs
+++ b/crates/arrowyard-protocol/src/fault_code.rs
@@ -49,8 +49,8 @@
     ];
 
     /// Parses a code; unknown codes become [`FaultCode::Other`].
-    pub fn parse(word: &str) -> FaultCode {
-        FaultCode::ALL.iter().find(|(_, name)| *name == word).map_or(FaultCode::Other, |(code, _)| *code)
+    pub fn parse(code: &str) -> FaultCode {
+        FaultCode::ALL.iter().find(|(_, name)| *name == code).map_or(FaultCode::Other, |(known, _)| *known)
     }
 
     /// The code on the wire.
--- a/crates/arrowyard-protocol/src/request.rs
+++ b/crates/arrowyard-protocol/src/request.rs
@@ -13,8 +13,8 @@
 impl<'a> Request<'a> {
     /// Parses one line without its terminator; `None` if it is not a valid request.
     pub fn parse(line: &'a str) -> Option<Self> {
-        let (word, rest) = split_word(line);
-        match word {
+        let (keyword, rest) = split_word(line);
+        match keyword {
             "OPEN" => {
                 let (database, user) = split_word(rest);
                 (!database.is_empty()).then_some(Request::Open { database, user })
--- a/crates/arrowyard-protocol/src/response.rs
+++ b/crates/arrowyard-protocol/src/response.rs
@@ -44,8 +44,8 @@
 impl<'a> Response<'a> {
     /// Parses one line without its terminator; `None` if it is not a valid response.
     pub fn parse(line: &'a str) -> Option<Self> {
-        let (word, rest) = split_word(line);
-        match word {
+        let (keyword, rest) = split_word(line);
+        match keyword {
             "ROW" => Some(Response::Row(rest)),
             "SETTLED" => Some(Response::Settled(rest)),
             "FAULT" => {
--- a/crates/arrowyard-protocol/src/statement.rs
+++ b/crates/arrowyard-protocol/src/statement.rs
@@ -52,9 +52,9 @@
 impl<'a> Statement<'a> {
     /// Parses the text of a statement; `None` if it is not a valid statement.
     pub fn parse(text: &'a str) -> Option<Self> {
-        let (word, rest) = split_word(text);
+        let (keyword, rest) = split_word(text);
         let non_empty = |name: &str| !name.is_empty();
-        match word {
+        match keyword {
             "BEGIN" if rest.is_empty() => Some(Statement::Begin { read: false }),
             "BEGIN" if rest == "READ" => Some(Statement::Begin { read: true }),
             "COMMIT" if rest.is_empty() => Some(Statement::Commit),
