--- a/crates/arrowyard-control/src/applied_state.rs
+++ b/crates/arrowyard-control/src/applied_state.rs
@@ -1,4 +1,5 @@
-//! What the entries of the ledger lead to: the configuration, who holds the duty, who votes, which changes were taken.
+//! State machine of the replicated log: configuration, duty holders, voters and recently applied
+//! changes.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -7,56 +8,56 @@
 use prost::Message;
 use sha2::{Digest as _, Sha256};
 
-/// The duty of whoever replaces primaries.
+/// The duty of replacing primaries.
 pub const PROMOTION_DUTY: &str = "promote";
 
-/// So many changes are remembered by their digest, for calls that are sent again.
+/// Number of applied changes whose digests are kept to recognize retried calls.
 pub const MAX_REMEMBERED_CHANGES: usize = 2048;
 
-/// The SHA-256 of a whole change.
+/// SHA-256 of a complete change.
 pub type ChangeDigest = [u8; 32];
 
-/// How a change that an operator sends stands to the configuration in place.
+/// Status of an operator's change relative to the current configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ChangeStatus {
-    /// It was taken.
+    /// It has been applied.
     Applied,
-    /// It builds on the configuration in place.
+    /// It builds on the current configuration.
     Applicable,
-    /// It builds on one that is not known here yet.
+    /// It builds on a revision that is not known here yet.
     BaseUnknown,
-    /// It was not taken and never will be: another change has built on the same version.
+    /// It was not applied and never will be: another change was applied on top of its base revision.
     Superseded,
-    /// So many changes have been taken since that it is not known any more whether this one was.
+    /// Too many changes have been applied since to tell whether this one was.
     HistoryExpired,
 }
 
-/// Whether one list of voters follows another by one seat, in or out. Danger: of two lists that differ by more,
-/// majorities need not have a machine in common that has all entries on its disk.
-fn is_one_step(before: &[u32], next: &[u32]) -> bool {
-    let lacks = |from: &[u32], of: &[u32]| from.iter().filter(|ip| !of.contains(ip)).count();
-    next.is_sorted_by(|a, b| a < b) && !next.is_empty() && lacks(next, before) + lacks(before, next) == 1
+/// Whether `next` differs from `before` by exactly one voter. Safety: majorities of voter sets that
+/// differ by more need not share a machine that has every entry on disk.
+fn differs_by_one(before: &[u32], next: &[u32]) -> bool {
+    let missing = |from: &[u32], of: &[u32]| from.iter().filter(|ip| !of.contains(ip)).count();
+    next.is_sorted_by(|a, b| a < b) && !next.is_empty() && missing(next, before) + missing(before, next) == 1
 }
 
-/// What all chosen entries lead to.
+/// State that results from applying all chosen entries.
 #[derive(Clone, Debug, Default)]
 pub struct AppliedState {
-    /// The last slot that is in it.
+    /// Last applied slot.
     pub slot: u64,
     pub configuration: Configuration,
-    /// Whether the first configuration has come.
+    /// Whether a configuration has been applied.
     pub has_configuration: bool,
     pub duties: BTreeMap<String, Duty>,
     pub voters: Vec<u32>,
-    taken: VecDeque<(u64, ChangeDigest)>,
-    /// The newest revision that is not among them any more.
-    forgotten: u64,
-    /// A digest of the first entry, by which two deployments are told apart; 0 before there is one.
+    applied_changes: VecDeque<(u64, ChangeDigest)>,
+    /// Newest revision whose digest has been discarded.
+    discarded_through: u64,
+    /// Digest of the first entry, which identifies the deployment; 0 before there is one.
     deployment: u64,
 }
 
-/// The digest by which a change is known again: over its kind, the version that it builds on and its body, so that two
-/// operators who choose the same number for different changes are told apart.
+/// Identifies a change by its kind, base revision and body, so that two different changes with the same
+/// revision number are told apart.
 pub fn change_digest(revised: &ConfigRevision) -> ChangeDigest {
     let mut hash = Sha256::new();
     hash.update([u8::from(revised.whole)]);
@@ -65,11 +66,12 @@
     hash.finalize().into()
 }
 
-/// Names a deployment by its first entry. That is a ballot for the duty, with the life of its holder, a number drawn at
-/// random: operators' changes are taken only once all seats are filled, by the holder of the duty.
+/// Identifies a deployment by its first entry. That entry assigns the duty and contains the random
+/// incarnation of its holder: operators' changes are accepted only by a duty holder with a complete
+/// voter set.
 fn deployment(first: &Entry) -> u64 {
     let digest: ChangeDigest = Sha256::digest(first.encode_to_vec()).into();
-    let (head, _) = digest.split_first_chunk::<8>().expect("a digest is longer");
+    let (head, _) = digest.split_first_chunk::<8>().expect("a SHA-256 digest has 32 bytes");
     u64::from_le_bytes(*head) | 1
 }
 
@@ -79,44 +81,45 @@
 }
 
 impl AppliedState {
-    /// The digest of the change that brought a revision, if it is remembered.
+    /// Digest of the change that produced `revision`, if it is remembered.
     pub fn applied_change(&self, revision: u64) -> Option<ChangeDigest> {
-        self.taken.iter().find(|(taken, _)| *taken == revision).map(|(_, digest)| *digest)
+        self.applied_changes.iter().find(|(applied, _)| *applied == revision).map(|(_, digest)| *digest)
     }
 
-    /// How a change that is to bring a revision stands. Invariant: versions only rise, and every change up to this one is
-    /// known here; so a change that builds on an older version and is not among those taken never will be taken.
+    /// Status of a change that is to produce `revision`. Invariant: revisions only increase and every
+    /// change up to the current one is known, so a change with an older base that was not applied never
+    /// will be.
     pub fn change_status(&self, revised: &ConfigRevision, revision: Option<u64>) -> ChangeStatus {
-        let taken = revision.and_then(|revision| self.applied_change(revision));
+        let applied = revision.and_then(|revision| self.applied_change(revision));
         let current = self.configuration.revision;
-        if taken.is_some_and(|taken| taken == change_digest(revised)) {
+        if applied.is_some_and(|applied| applied == change_digest(revised)) {
             ChangeStatus::Applied
         } else if revised.base > current {
             ChangeStatus::BaseUnknown
         } else if revised.base == current {
             ChangeStatus::Applicable
-        } else if revision.is_some_and(|revision| revision <= self.forgotten) {
+        } else if revision.is_some_and(|revision| revision <= self.discarded_through) {
             ChangeStatus::HistoryExpired
         } else {
             ChangeStatus::Superseded
         }
     }
 
-    fn remember(&mut self, revised: &ConfigRevision) {
-        self.taken.push_back((self.configuration.revision, change_digest(revised)));
-        while self.taken.len() > MAX_REMEMBERED_CHANGES {
-            let oldest = self.taken.pop_front();
-            self.forgotten = oldest.map_or(self.forgotten, |(revision, _)| revision);
+    fn record_change(&mut self, revised: &ConfigRevision) {
+        self.applied_changes.push_back((self.configuration.revision, change_digest(revised)));
+        while self.applied_changes.len() > MAX_REMEMBERED_CHANGES {
+            let oldest = self.applied_changes.pop_front();
+            self.discarded_through = oldest.map_or(self.discarded_through, |(revision, _)| revision);
         }
     }
 
-    /// Whether an entry would still do what it was meant for.
+    /// Whether the precondition of an entry holds.
     pub fn is_applicable(&self, entry: &Entry) -> bool {
         match &entry.payload {
             Some(EntryPayload::Configuration(revised)) => revised.base == self.configuration.revision,
             Some(EntryPayload::Duty(duty)) => duty.fence == self.duty_fence(&duty.duty),
             Some(EntryPayload::Voters(next)) => {
-                next.before == self.voters && is_one_step(&self.voters, &next.voters)
+                next.before == self.voters && differs_by_one(&self.voters, &next.voters)
             }
             Some(EntryPayload::Decision(decision)) => self.duties.get(PROMOTION_DUTY).is_some_and(|duty| {
                 (duty.holder, duty.incarnation, duty.fence)
@@ -126,12 +129,13 @@
         }
     }
 
-    /// The fence of a duty; 0 before it had a holder.
+    /// Fencing token of a duty; 0 before it had a holder.
     pub fn duty_fence(&self, duty: &str) -> u64 {
         self.duties.get(duty).map_or(0, |duty| duty.fence)
     }
 
-    /// Takes the entry of the next slot. Every machine takes the same entries in the same order, and comes to the same.
+    /// Applies the entry of the next slot. Deterministic: every machine reaches the same state from the
+    /// same entries.
     pub fn apply(&mut self, entry: &Entry) {
         self.slot += 1;
         if self.slot == 1 {
@@ -145,16 +149,18 @@
                 if let Ok(configuration) = to_change(revised).apply(&self.configuration) {
                     self.configuration = configuration;
                     self.has_configuration = true;
-                    self.remember(revised);
+                    self.record_change(revised);
                 }
             }
             Some(EntryPayload::Duty(duty)) => {
-                // The slot is the fence: it rises with every change of holder and cannot come twice.
+                // The slot serves as the fencing token: it increases with every change of holder and is
+                // never reused.
                 let duty = Duty { fence: self.slot, ..duty.clone() };
                 self.duties.insert(duty.duty.clone(), duty);
             }
             Some(EntryPayload::Voters(voters)) => self.voters = voters.voters.clone(),
-            // A decision changes nothing here: what counts is that its slot is above that of every one before.
+            // A decision changes no state; its slot serves as a fencing token above those of all earlier
+            // decisions.
             Some(EntryPayload::Rejoin(_) | EntryPayload::Decision(_)) | None => {}
         }
     }
@@ -170,35 +176,37 @@
             duties: self.duties.values().cloned().collect(),
             voters: self.voters.clone(),
             applied_changes: self
-                .taken
+                .applied_changes
                 .iter()
                 .map(|(revision, digest)| AppliedChange { revision: *revision, digest: digest.to_vec() })
                 .collect(),
-            forgotten: self.forgotten,
+            forgotten: self.discarded_through,
             deployment: self.deployment,
         }
     }
 
-    /// Whether a snapshot is of another deployment than the entries that are known here.
+    /// Whether a snapshot belongs to another deployment than the entries known here.
     pub fn is_foreign(&self, snapshot: &Snapshot) -> bool {
         self.deployment != 0 && snapshot.deployment != self.deployment
     }
 
+    /// Restores the state from a snapshot.
+    ///
     /// # Errors
-    /// When it cannot be read.
+    /// When the snapshot cannot be decoded.
     pub fn restore(snapshot: &Snapshot) -> Result<Self, String> {
-        let taken = |taken: &AppliedChange| {
-            let digest = ChangeDigest::try_from(taken.digest.as_slice());
+        let decode = |change: &AppliedChange| {
+            let digest = ChangeDigest::try_from(change.digest.as_slice());
             digest
-                .map(|digest| (taken.revision, digest))
-                .map_err(|_| "a digest of another length".to_string())
+                .map(|digest| (change.revision, digest))
+                .map_err(|_| "a change digest has the wrong length".to_string())
         };
         let mut applied = AppliedState {
             slot: snapshot.slot,
             duties: snapshot.duties.iter().map(|duty| (duty.duty.clone(), duty.clone())).collect(),
             voters: snapshot.voters.clone(),
-            taken: snapshot.applied_changes.iter().map(taken).collect::<Result<_, _>>()?,
-            forgotten: snapshot.forgotten,
+            applied_changes: snapshot.applied_changes.iter().map(decode).collect::<Result<_, _>>()?,
+            discarded_through: snapshot.forgotten,
             deployment: snapshot.deployment,
             ..AppliedState::default()
         };
--- a/crates/arrowyard-control/src/control.rs
+++ b/crates/arrowyard-control/src/control.rs
@@ -28,7 +28,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::applied_state::PROMOTION_DUTY;
-use crate::promotion::{LeaderWatch, Promotions};
+use crate::promotion::{PrimaryWatch, Promotions};
 use crate::{DutyElection, HostRegistry, Output, PeerView, ProposalId, ReplicatedLog};
 
 use api::Caller;
@@ -95,7 +95,7 @@
     duty: DutyElection,
     promotions: Promotions,
     /// By service of the configuration.
-    leaders: BTreeMap<String, LeaderWatch>,
+    primary_watches: BTreeMap<String, PrimaryWatch>,
     /// The replacements of primaries that routers were told of last.
     told_replacements: Vec<arrowyard_messages::Replacement>,
     /// Under which fence the duty is carried out, since this machine took it up.
@@ -176,7 +176,7 @@
             view,
             duty,
             promotions: Promotions::default(),
-            leaders: BTreeMap::new(),
+            primary_watches: BTreeMap::new(),
             told_replacements: Vec::new(),
             fence: None,
             confirmed: None,
--- a/crates/arrowyard-control/src/control/duty.rs
+++ b/crates/arrowyard-control/src/control/duty.rs
@@ -90,13 +90,13 @@
     pub(super) fn look(&mut self, now: Timestamp, commands: &mut Commands) {
         let services: Vec<String> =
             self.ledger.applied().configuration.services().map(|service| service.name.clone()).collect();
-        if self.leaders.len() > services.len() {
+        if self.primary_watches.len() > services.len() {
             let known: BTreeSet<&String> = services.iter().collect();
-            self.leaders.retain(|service, _| known.contains(service));
+            self.primary_watches.retain(|service, _| known.contains(service));
         }
         for service in &services {
-            let leader = self.leaders.entry(service.clone()).or_default();
-            leader.update(now, service, &self.cell);
+            let primary_watch = self.primary_watches.entry(service.clone()).or_default();
+            primary_watch.update(now, service, &self.cell);
         }
         if self.fence.is_none() {
             return;
@@ -105,7 +105,7 @@
         let sight = HostsSnapshot { registry: &self.cell, silent: &self.silent, departed: &self.left };
         for service in &services {
             let promotion = self.promotions.get_or_create(service);
-            promotion.set_leader_watch(&self.leaders[service]);
+            promotion.set_primary_watch(&self.primary_watches[service]);
             if let Some(primary) = sight.registry.primary(service)
                 && sight.silent.contains_key(&primary.id)
             {
--- a/crates/arrowyard-control/src/control/feed.rs
+++ b/crates/arrowyard-control/src/control/feed.rs
@@ -100,7 +100,7 @@
 
     /// Whether a router has said nothing for so long that it is gone.
     pub(super) fn router_silent(&self, now: Timestamp, conn: Conn) -> bool {
-        matches ! ( self . lines . get ( & conn ) , Some ( Line :: Router ( router ) ) if now - router . heard_at >= SILENT )
+        matches!(self.lines.get(&conn), Some(Line::Router(router)) if now - router.heard_at >= SILENT)
     }
 
     /// Every router gets the change under its own next number.
--- a/crates/arrowyard-control/src/control/platform.rs
+++ b/crates/arrowyard-control/src/control/platform.rs
@@ -64,7 +64,7 @@
         commands: &mut Commands,
     ) {
         let stage = &self.promotions.get_or_create(service).stage;
-        let is_repeated = matches ! ( stage , Stage :: Promoting { retries , .. } if * retries > 0 );
+        let is_repeated = matches!(stage, Stage::Promoting { retries, .. } if *retries > 0);
         let decided = self.decisions.by_service.get(service);
         let is_valid = |decided: &&Decided| is_repeated && decided.host == host && now < decided.until;
         let agreed = decided.filter(is_valid).and_then(|decided| Some((decided.fence?, decided.until)));
--- a/crates/arrowyard-control/src/duty.rs
+++ b/crates/arrowyard-control/src/duty.rs
@@ -1,4 +1,4 @@
-//! A singleton task of the control plane: who owns it, and when it falls vacant.
+//! Election of the holder of a singleton duty of the control plane.
 
 use arrowyard_messages::{Duty, Entry, EntryPayload};
 use arrowyard_types::{TimeDelta, Timestamp};
@@ -6,85 +6,95 @@
 
 use crate::AppliedState;
 
-/// A holder that nobody heard of for so long has left its duty vacant. Safety: a holder that is cut off must have noticed
-/// by then and have laid the duty down. It does so after 1.75 s: by the others' silence (a peer is away after 1.5 s, and
-/// that is looked at each 0.25 s) or by their word that they do not hear it (after 1.25 s, and their beats are 0.5 s
-/// apart).
-const VACANT: TimeDelta = TimeDelta::from_millis(2000);
-/// Whoever sees a vacancy waits up to so long before it asks for a ballot: mostly one is enough.
-const SPREAD: TimeDelta = TimeDelta::from_millis(250);
+/// A holder that no machine has heard from for this long is replaced. Safety: a partitioned holder must
+/// have given up the duty by then. It does so within 1.75 s: peers count as unreachable after 1.5 s of
+/// silence, checked every 0.25 s, or after they report (1.25 s without a heartbeat, heartbeats every
+/// 0.5 s) that they do not hear it.
+const VACANCY_TIMEOUT: TimeDelta = TimeDelta::from_millis(2000);
+/// Random delay before a machine proposes itself for a vacant duty, so that usually only one does.
+const MAX_CANDIDACY_DELAY: TimeDelta = TimeDelta::from_millis(250);
 
-/// One duty that one control machine does for all. Whoever holds it, and with which fence, is an entry of the ledger.
+/// A singleton duty held by one control machine at a time. The holder and its fencing token are entries
+/// of the replicated log.
 #[derive(Debug)]
 pub struct DutyElection {
     pub duty: &'static str,
     me: u32,
     incarnation: u64,
     node: String,
-    /// When its holder was last heard of, and of which ballot it is the winner.
-    holder_at: Timestamp,
+    /// When the holder was last heard from, and the fencing token of that holder.
+    holder_seen_at: Timestamp,
     fence: u64,
-    try_at: Option<Timestamp>,
+    candidacy_at: Option<Timestamp>,
 }
 
 impl DutyElection {
     pub fn new(duty: &'static str, me: u32, incarnation: u64, node: &str, now: Timestamp) -> Self {
-        DutyElection { duty, me, incarnation, node: node.to_string(), holder_at: now, fence: 0, try_at: None }
+        DutyElection {
+            duty,
+            me,
+            incarnation,
+            node: node.to_string(),
+            holder_seen_at: now,
+            fence: 0,
+            candidacy_at: None,
+        }
     }
 
-    /// The fence under which this machine holds it.
+    /// Fencing token of the duty if this machine holds it.
     pub fn held_fence(&self, applied: &AppliedState) -> Option<u64> {
         let duty = applied.duties.get(self.duty)?;
         ((duty.holder, duty.incarnation) == (self.me, self.incarnation)).then_some(duty.fence)
     }
 
-    /// Somebody else has heard of these machines since then. Safety: a way between two machines that is cut is no vacancy.
-    /// `life` is what is known here of a machine's present life: a holder that has started again holds nothing any more.
+    /// Records that a peer has heard from these machines since the given time. Safety: a broken link
+    /// between two machines does not make the duty vacant. `incarnation` returns the known incarnation of a
+    /// machine: a restarted holder no longer holds the duty.
     pub fn record_indirect_contact(
         &mut self,
         since: Timestamp,
-        hears: &[u32],
+        reachable: &[u32],
         incarnation: impl FnOnce(u32) -> Option<u64>,
         applied: &AppliedState,
     ) {
-        if let Some(duty) = applied.duties.get(self.duty).filter(|duty| hears.contains(&duty.holder))
+        if let Some(duty) = applied.duties.get(self.duty).filter(|duty| reachable.contains(&duty.holder))
             && incarnation(duty.holder).is_none_or(|incarnation| incarnation == duty.incarnation)
         {
-            self.holder_at = self.holder_at.max(since);
+            self.holder_seen_at = self.holder_seen_at.max(since);
         }
     }
 
-    /// A control machine was heard of, in this life.
+    /// Records a message from a control machine in this incarnation.
     pub fn record_contact(&mut self, now: Timestamp, ip: u32, incarnation: u64, applied: &AppliedState) {
         if applied
             .duties
             .get(self.duty)
             .is_some_and(|duty| (duty.holder, duty.incarnation) == (ip, incarnation))
         {
-            self.holder_at = now;
+            self.holder_seen_at = now;
         }
     }
 
-    /// What is to be entered now, if the duty is vacant and it is this machine's turn to ask.
+    /// Returns the entry to propose if the duty is vacant and this machine's random delay has passed.
     pub fn poll_candidacy(&mut self, now: Timestamp, applied: &AppliedState, rng: &mut Rng) -> Option<Entry> {
         let fence = applied.duty_fence(self.duty);
         if fence != self.fence {
-            (self.fence, self.holder_at, self.try_at) = (fence, now, None);
+            (self.fence, self.holder_seen_at, self.candidacy_at) = (fence, now, None);
         }
         if self.held_fence(applied).is_some() {
-            self.holder_at = now;
+            self.holder_seen_at = now;
         }
-        let vacant = fence == 0 || now - self.holder_at >= VACANT;
+        let vacant = fence == 0 || now - self.holder_seen_at >= VACANCY_TIMEOUT;
         if !vacant {
-            self.try_at = None;
+            self.candidacy_at = None;
             return None;
         }
-        let at = *self.try_at.get_or_insert_with(|| now + SPREAD * rng.f64());
+        let at = *self.candidacy_at.get_or_insert_with(|| now + MAX_CANDIDACY_DELAY * rng.f64());
         if now < at {
             return None;
         }
-        // The next try, should this one come to nothing.
-        self.try_at = Some(now + VACANT);
+        // Time of the next attempt if this one fails.
+        self.candidacy_at = Some(now + VACANCY_TIMEOUT);
         let (duty, node) = (self.duty.to_string(), self.node.clone());
         Some(Entry {
             payload: Some(EntryPayload::Duty(Duty {
@@ -98,6 +108,6 @@
     }
 
     pub fn due(&self) -> Option<Timestamp> {
-        self.try_at
+        self.candidacy_at
     }
 }
--- a/crates/arrowyard-control/src/host_registry.rs
+++ b/crates/arrowyard-control/src/host_registry.rs
@@ -3,24 +3,27 @@
 use arrowyard_messages::{DbRole, Host, Phase};
 use arrowyard_types::{TimeDelta, Timestamp};
 
-/// A host that is gone is remembered so long, so that nobody's old word brings it back.
-const REMEMBERED: TimeDelta = TimeDelta::from_millis(600_000);
-/// A call with a lower number than the last counts again after so long: its host began to count anew.
-const ANEW: TimeDelta = TimeDelta::from_millis(5_000);
-/// The same for a host that said that it leaves. Calls may come seconds late: one from before must not bring it back.
-const ANEW_IN_SERVICE: TimeDelta = TimeDelta::from_millis(30_000);
-
-/// The hosts that control knows of; the cell of a zone hears its hosts' calls, the others hear of them from it.
+/// Departed hosts are kept for this long, so that a stale report does not add them again.
+const DEPARTED_RETENTION: TimeDelta = TimeDelta::from_millis(600_000);
+/// A heartbeat with a lower sequence number is accepted after this much silence: the host has restarted
+/// its sequence.
+const SEQUENCE_RESET_TIMEOUT: TimeDelta = TimeDelta::from_millis(5_000);
+/// The same for a draining host. Heartbeats may be delayed by seconds; one sent before the drain must
+/// not put the host back in service.
+const DRAINING_SEQUENCE_RESET_TIMEOUT: TimeDelta = TimeDelta::from_millis(30_000);
+
+/// Database hosts known to the control plane. The control machine of a zone receives the heartbeats of
+/// its hosts; the others receive its reports.
 #[derive(Debug, Default)]
 pub struct HostRegistry {
     hosts: BTreeMap<String, HostEntry>,
-    /// Danger: services in their thousands that each look through all hosts. So each knows its own.
+    /// Index by service: scanning all hosts for each of thousands of services would be too slow.
     by_service: BTreeMap<String, BTreeSet<String>>,
     digest: u64,
 }
 
-/// What one host adds to the sum over all.
-fn part(host: &Host) -> u64 {
+/// Contribution of one host to the digest over all hosts (FNV-1a).
+fn host_digest(host: &Host) -> u64 {
     let numbers = [host.ip, host.port, host.phase as u32, host.role as u32];
     let bytes = numbers.iter().flat_map(|number| number.to_le_bytes());
     host.id
@@ -33,64 +36,65 @@
 struct HostEntry {
     host: Host,
     changed_at: Timestamp,
-    /// When it last called here itself.
-    called_at: Option<Timestamp>,
+    /// Time of its last heartbeat to this machine.
+    last_heartbeat: Option<Timestamp>,
 }
 
-/// A word of a host, with what it does not tell taken from what is known. A host that was never heard of may be told to
-/// have left by its name alone; and one that has left stays gone, whatever else becomes known of it.
-fn merged(known: &Host, word: Host) -> Host {
-    if word.service.is_empty() {
-        return Host { phase: word.phase, call_seq: word.call_seq.max(known.call_seq), ..known.clone() };
+/// Completes a report with what is known of the host. A departed host that was never seen may be
+/// reported by its id alone; once departed, a host stays departed whatever else becomes known of it.
+fn complete_report(known: &Host, report: Host) -> Host {
+    if report.service.is_empty() {
+        return Host { phase: report.phase, call_seq: report.call_seq.max(known.call_seq), ..known.clone() };
     }
-    let phase = if known.phase() == Phase::Gone { known.phase } else { word.phase };
-    Host { phase, ..word }
+    let phase = if known.phase() == Phase::Gone { known.phase } else { report.phase };
+    Host { phase, ..report }
 }
 
-/// What routers are told of a host: all but the number of its call.
-fn same(one: &Host, other: &Host) -> bool {
+/// Whether two records are the same apart from the sequence number, which routers do not receive.
+fn is_equivalent(one: &Host, other: &Host) -> bool {
     Host { call_seq: 0, ..one.clone() } == Host { call_seq: 0, ..other.clone() }
 }
 
 impl HostRegistry {
-    /// A host called here. Whether something changed that others must hear of.
+    /// Records a heartbeat received here. Returns whether something changed that others must be told.
     pub fn record_heartbeat(&mut self, now: Timestamp, host: Host) -> bool {
-        let anew = self.hosts.get(&host.id).is_some_and(|kept| {
-            let silence = match kept.host.phase() {
+        let sequence_reset = self.hosts.get(&host.id).is_some_and(|entry| {
+            let silence = match entry.host.phase() {
                 Phase::Gone => return false,
-                Phase::Draining => ANEW_IN_SERVICE,
-                Phase::InService => ANEW,
+                Phase::Draining => DRAINING_SEQUENCE_RESET_TIMEOUT,
+                Phase::InService => SEQUENCE_RESET_TIMEOUT,
             };
-            kept.called_at.is_some_and(|at| now - at >= silence)
+            entry.last_heartbeat.is_some_and(|at| now - at >= silence)
         });
         let id = host.id.clone();
-        let changed = self.take(now, host, anew);
-        if let Some(kept) = self.hosts.get_mut(&id) {
-            kept.called_at = Some(now);
+        let changed = self.merge(now, host, sequence_reset);
+        if let Some(entry) = self.hosts.get_mut(&id) {
+            entry.last_heartbeat = Some(now);
         }
         changed
     }
 
-    /// A host as it was known before this start. Those of the own zone are to call here soon, or are missed.
+    /// Restores a host recorded before a restart. Hosts of the local zone are expected to send heartbeats
+    /// here.
     pub fn restore_host(&mut self, now: Timestamp, host: Host, zone: &str) {
-        let called_at = (host.zone == zone && host.phase() != Phase::Gone).then_some(now);
-        self.put(HostEntry { host, changed_at: now, called_at });
-    }
-
-    /// Every change of what is known of a host: the list of its service and the sum go with it.
-    fn put(&mut self, kept: HostEntry) {
-        self.digest = self.digest.wrapping_add(part(&kept.host));
-        let (id, service) = (kept.host.id.clone(), kept.host.service.clone());
-        if let Some(old) = self.hosts.insert(id.clone(), kept) {
-            self.digest = self.digest.wrapping_sub(part(&old.host));
-            if old.host.service != service {
-                self.leave(&old.host);
+        let last_heartbeat = (host.zone == zone && host.phase() != Phase::Gone).then_some(now);
+        self.insert_entry(HostEntry { host, changed_at: now, last_heartbeat });
+    }
+
+    /// Replaces the entry of a host, and updates the service index and the digest.
+    fn insert_entry(&mut self, entry: HostEntry) {
+        self.digest = self.digest.wrapping_add(host_digest(&entry.host));
+        let (id, service) = (entry.host.id.clone(), entry.host.service.clone());
+        if let Some(previous) = self.hosts.insert(id.clone(), entry) {
+            self.digest = self.digest.wrapping_sub(host_digest(&previous.host));
+            if previous.host.service != service {
+                self.unindex(&previous.host);
             }
         }
         self.by_service.entry(service).or_default().insert(id);
     }
 
-    fn leave(&mut self, host: &Host) {
+    fn unindex(&mut self, host: &Host) {
         if let Some(ids) = self.by_service.get_mut(&host.service) {
             ids.remove(&host.id);
             if ids.is_empty() {
@@ -99,88 +103,92 @@
         }
     }
 
-    fn of(&self, service: &str) -> impl Iterator<Item = &HostEntry> {
+    fn entries_of(&self, service: &str) -> impl Iterator<Item = &HostEntry> {
         self.by_service.get(service).into_iter().flatten().filter_map(|id| self.hosts.get(id))
     }
 
-    /// A host calls another control machine now.
+    /// Records that a host sends its heartbeats to another control machine.
     pub fn clear_heartbeat(&mut self, id: &str) {
-        if let Some(kept) = self.hosts.get_mut(id) {
-            kept.called_at = None;
+        if let Some(entry) = self.hosts.get_mut(id) {
+            entry.last_heartbeat = None;
         }
     }
 
-    /// Somebody else's word of a host. Whether it was news.
+    /// Merges a report from a peer. Returns whether it changed the registry.
     pub fn merge_report(&mut self, now: Timestamp, host: Host) -> bool {
-        self.take(now, host, false)
+        self.merge(now, host, false)
     }
 
-    /// Higher numbers win, whoever brings them, and a host that left stays gone: machines that tell each other what
-    /// they have come to the same, in whatever order.
-    fn take(&mut self, now: Timestamp, host: Host, anew: bool) -> bool {
+    /// The higher sequence number wins whatever its source, and a departed host stays departed, so machines
+    /// that exchange reports converge in any order.
+    fn merge(&mut self, now: Timestamp, host: Host, sequence_reset: bool) -> bool {
         match self.hosts.get(&host.id) {
             None => {
-                self.put(HostEntry { host, changed_at: now, called_at: None });
+                self.insert_entry(HostEntry { host, changed_at: now, last_heartbeat: None });
                 true
             }
-            Some(kept) => {
-                let host = merged(&kept.host, host);
-                let gone = (kept.host.phase() == Phase::Gone, host.phase() == Phase::Gone);
-                let newer = host.call_seq > kept.host.call_seq || anew;
-                // Of a host that left, more may become known than that it did.
-                let is_named = kept.host.service.is_empty() && !host.service.is_empty();
-                if gone.0 && !is_named || !newer && !gone.1 {
+            Some(entry) => {
+                let host = complete_report(&entry.host, host);
+                let (was_gone, is_gone) = (entry.host.phase() == Phase::Gone, host.phase() == Phase::Gone);
+                let newer = host.call_seq > entry.host.call_seq || sequence_reset;
+                // The details of a host known only as departed may arrive later.
+                let adds_details = entry.host.service.is_empty() && !host.service.is_empty();
+                if was_gone && !adds_details || !newer && !is_gone {
                     return false;
                 }
-                let changed = !same(&kept.host, &host);
-                let (changed_at, called_at) = (if changed { now } else { kept.changed_at }, kept.called_at);
+                let changed = !is_equivalent(&entry.host, &host);
+                let (changed_at, last_heartbeat) =
+                    (if changed { now } else { entry.changed_at }, entry.last_heartbeat);
                 if changed {
-                    self.put(HostEntry { host, changed_at, called_at });
-                } else if let Some(kept) = self.hosts.get_mut(&host.id) {
-                    kept.host.call_seq = host.call_seq;
+                    self.insert_entry(HostEntry { host, changed_at, last_heartbeat });
+                } else if let Some(entry) = self.hosts.get_mut(&host.id) {
+                    entry.host.call_seq = host.call_seq;
                 }
                 changed
             }
         }
     }
 
-    /// Forgets hosts that are gone for long.
+    /// Removes hosts that departed long ago.
     pub fn remove_expired(&mut self, now: Timestamp) {
-        let old = |kept: &&HostEntry| kept.host.phase() == Phase::Gone && now - kept.changed_at >= REMEMBERED;
-        let gone: Vec<Host> = self.hosts.values().filter(old).map(|kept| kept.host.clone()).collect();
-        for host in gone {
+        let expired = |entry: &&HostEntry| {
+            entry.host.phase() == Phase::Gone && now - entry.changed_at >= DEPARTED_RETENTION
+        };
+        let departed: Vec<Host> =
+            self.hosts.values().filter(expired).map(|entry| entry.host.clone()).collect();
+        for host in departed {
             self.hosts.remove(&host.id);
-            self.digest = self.digest.wrapping_sub(part(&host));
-            self.leave(&host);
+            self.digest = self.digest.wrapping_sub(host_digest(&host));
+            self.unindex(&host);
         }
     }
 
     pub fn get(&self, id: &str) -> Option<&Host> {
-        self.hosts.get(id).map(|kept| &kept.host)
+        self.hosts.get(id).map(|entry| &entry.host)
     }
 
-    /// When a host last called here itself.
+    /// When a host last sent a heartbeat to this machine.
     pub fn last_heartbeat_at(&self, id: &str) -> Option<Timestamp> {
-        self.hosts.get(id).and_then(|kept| kept.called_at)
+        self.hosts.get(id).and_then(|entry| entry.last_heartbeat)
     }
 
     pub fn hosts(&self) -> impl Iterator<Item = &Host> {
-        self.hosts.values().map(|kept| &kept.host)
+        self.hosts.values().map(|entry| &entry.host)
     }
 
-    /// The hosts of a service that are not gone.
+    /// Hosts of a service that have not departed.
     pub fn members(&self, service: &str) -> impl Iterator<Item = &Host> {
-        self.of(service).map(|kept| &kept.host).filter(|host| host.phase() != Phase::Gone)
+        self.entries_of(service).map(|entry| &entry.host).filter(|host| host.phase() != Phase::Gone)
     }
 
-    /// Who is primary of a service: of several that say so, the one that began to say so last.
+    /// The primary of a service; if several hosts report that role, the one that changed last.
     pub fn primary(&self, service: &str) -> Option<&Host> {
         let leads =
-            |kept: &&HostEntry| kept.host.phase() != Phase::Gone && kept.host.role() == DbRole::Primary;
-        self.of(service).filter(leads).max_by_key(|kept| kept.changed_at).map(|kept| &kept.host)
+            |entry: &&HostEntry| entry.host.phase() != Phase::Gone && entry.host.role() == DbRole::Primary;
+        self.entries_of(service).filter(leads).max_by_key(|entry| entry.changed_at).map(|entry| &entry.host)
     }
 
-    /// A sum over all hosts by which two machines see whether they know the same, whatever the order.
+    /// Order-independent digest over all hosts, by which machines detect that their registries differ.
     pub fn digest(&self) -> u64 {
         self.digest
     }
--- a/crates/arrowyard-control/src/lib.rs
+++ b/crates/arrowyard-control/src/lib.rs
@@ -1,5 +1,5 @@
-//! The control plane: which hosts and routers there are, what the configuration is, who holds a duty. All of it
-//! decides without I/O; `arrowyard-runtime` carries out what it orders.
+//! Control plane: membership of hosts and routers, the replicated configuration, and singleton duties.
+//! All decisions are made without I/O; `arrowyard-runtime` carries out the commands that they produce.
 
 mod applied_state;
 mod control;
--- a/crates/arrowyard-control/src/peer_view.rs
+++ b/crates/arrowyard-control/src/peer_view.rs
@@ -3,68 +3,68 @@
 use arrowyard_messages::KnownControl;
 use fastrand::Rng;
 
-/// Control machines that one process knows of: a part of them, exchanged between neighbours (Voulgaris, Gavidia and van
-/// Steen, "CYCLON"). A machine that is gone ages in every view and falls out.
+/// Partial view of the control machines, exchanged between neighbours (Voulgaris, Gavidia and van
+/// Steen, "CYCLON"). Entries of failed machines age in every view and are removed.
 #[derive(Clone, Debug, Default)]
 pub struct PeerView {
-    known: BTreeMap<u32, KnownControl>,
+    machines: BTreeMap<u32, KnownControl>,
 }
 
-/// Machines in one view, those told in one exchange, and the age at which one falls out.
-const MOST: usize = 24;
-const TOLD: usize = 8;
-const OLD: u32 = 60;
+/// Machines in one view, machines sent in one exchange, and the age at which an entry is removed.
+const MAX_MACHINES: usize = 24;
+const SAMPLE_SIZE: usize = 8;
+const MAX_AGE: u32 = 60;
 
 impl PeerView {
-    /// It was heard of itself just now.
+    /// Records direct contact with a machine.
     pub fn record_contact(&mut self, ip: u32, zone: &str) {
-        self.known.insert(ip, KnownControl { ip, zone: zone.to_string(), age: 0 });
-        self.bound();
+        self.machines.insert(ip, KnownControl { ip, zone: zone.to_string(), age: 0 });
+        self.evict_oldest();
     }
 
-    /// A machine that it was told of in the settings, not known to be up. Its zone is not told.
+    /// Adds a machine from the settings; it is not known to be up, and its zone is unknown.
     pub fn add_seed(&mut self, ip: u32) {
-        self.known.entry(ip).or_insert(KnownControl { ip, zone: String::new(), age: OLD / 2 });
-        self.bound();
+        self.machines.entry(ip).or_insert(KnownControl { ip, zone: String::new(), age: MAX_AGE / 2 });
+        self.evict_oldest();
     }
 
-    /// What another view holds; the younger word of a machine counts.
+    /// Merges the sample of another view; the younger entry of a machine is kept.
     pub fn merge(&mut self, others: &[KnownControl], me: u32) {
-        for other in others.iter().filter(|other| other.ip != me && other.age < OLD) {
-            match self.known.get_mut(&other.ip) {
+        for other in others.iter().filter(|other| other.ip != me && other.age < MAX_AGE) {
+            match self.machines.get_mut(&other.ip) {
                 Some(known) if known.age <= other.age => {}
-                _ => drop(self.known.insert(other.ip, other.clone())),
+                _ => drop(self.machines.insert(other.ip, other.clone())),
             }
         }
-        self.bound();
+        self.evict_oldest();
     }
 
-    /// A round has passed.
+    /// Ages all entries by one round and removes expired ones.
     pub fn increment_ages(&mut self) {
-        self.known.values_mut().for_each(|known| known.age += 1);
-        self.known.retain(|_, known| known.age < OLD);
+        self.machines.values_mut().for_each(|known| known.age += 1);
+        self.machines.retain(|_, known| known.age < MAX_AGE);
     }
 
-    fn bound(&mut self) {
-        while self.known.len() > MOST {
-            let oldest = self.known.values().max_by_key(|known| known.age).map(|known| known.ip);
-            oldest.map(|ip| self.known.remove(&ip));
+    fn evict_oldest(&mut self) {
+        while self.machines.len() > MAX_MACHINES {
+            let oldest = self.machines.values().max_by_key(|known| known.age).map(|known| known.ip);
+            oldest.map(|ip| self.machines.remove(&ip));
         }
     }
 
-    /// Some of it, for a neighbour.
+    /// A random sample to send to a neighbour.
     pub fn sample(&self, rng: &mut Rng) -> Vec<KnownControl> {
-        let mut all: Vec<KnownControl> = self.known.values().cloned().collect();
+        let mut all: Vec<KnownControl> = self.machines.values().cloned().collect();
         rng.shuffle(&mut all);
-        all.truncate(TOLD);
+        all.truncate(SAMPLE_SIZE);
         all
     }
 
     pub fn machines(&self) -> impl Iterator<Item = &KnownControl> {
-        self.known.values()
+        self.machines.values()
     }
 
     pub fn zone(&self, ip: u32) -> Option<&str> {
-        self.known.get(&ip).map(|known| known.zone.as_str())
+        self.machines.get(&ip).map(|known| known.zone.as_str())
     }
 }
--- a/crates/arrowyard-control/src/promotion/mod.rs
+++ b/crates/arrowyard-control/src/promotion/mod.rs
@@ -1,12 +1,13 @@
-//! Who is to be primary of a service when its primary is gone, or is about to go. Nothing here is done twice at a time:
-//! a service is in one [`Stage`], and `Promotion::handle_reply` makes every change of it.
+//! Promotion of a new primary when the current one has failed or is draining. A service is in exactly
+//! one [`Stage`]; `Promotion::handle_reply` and `Promotion::poll` change it.
 //!
-//! No acknowledged commit may be missing at the host that takes over. A commit is acknowledged once one replica has
-//! it, so every replica that could have acknowledged is made to stop receiving (`PAUSE`) and the one that has most is
-//! named; positions compare by term first. While the old primary still serves, the candidate alone goes on receiving: what
-//! is acknowledged until the change, it has.
+//! Safety: the new primary must have every acknowledged commit. A commit is acknowledged once one
+//! replica has received it, so every replica that could have acknowledged one is made to stop receiving
+//! (`PAUSE`), and the one that has received most is promoted; positions compare by term first. In a
+//! planned change the old primary still serves and the candidate alone keeps receiving, so it has
+//! whatever is acknowledged until the change.
 
-mod leader_watch;
+mod primary_watch;
 mod request;
 mod stage;
 mod survey;
@@ -18,71 +19,75 @@
 use arrowyard_protocol::{Observed, Position};
 use arrowyard_types::{TimeDelta, Timestamp};
 
-pub use leader_watch::LeaderWatch;
+pub use primary_watch::PrimaryWatch;
 pub use request::{PromotionRequest, Reply, RowKind, is_redundant};
 pub use stage::Stage;
 
 use crate::HostRegistry;
 
-/// A primary that does not answer is asked again after the first of these, and nobody hears of it for the second.
-const AGAIN: TimeDelta = TimeDelta::from_millis(80);
-const COOL: TimeDelta = TimeDelta::from_millis(400);
-/// Hosts that did not answer are asked again after so long; a candidate that still receives, and the platform, likewise; one
-/// that was to stop receiving and is to go on.
-const RETRY: TimeDelta = TimeDelta::from_millis(150);
-const HELD: TimeDelta = TimeDelta::from_millis(1000);
-/// A question to stop receiving that a router relays may arrive so long after it was asked.
-const LATE_PAUSE: TimeDelta = TimeDelta::from_millis(1000);
-const CATCH_UP: TimeDelta = TimeDelta::from_millis(15);
-/// An old primary that lives has so long to yield; once it has, hosts that joined it before have so long to be heard of.
-const YIELDS: TimeDelta = TimeDelta::from_millis(40);
-const NEWCOMERS: TimeDelta = TimeDelta::from_millis(500);
-/// A candidate has so long to receive what the others have; the platform so long to make it primary.
-const PATIENCE: TimeDelta = TimeDelta::from_millis(1500);
-const SETTLE: TimeDelta = TimeDelta::from_millis(4000);
-/// So many questions in a row must stay without an answer.
-const SURE: u32 = 2;
-
-/// One service's change of primary.
+/// Delay before an unresponsive primary is asked again, and the interval after a completed check or
+/// change during which suspicions are ignored.
+const RECHECK_DELAY: TimeDelta = TimeDelta::from_millis(80);
+const COOLDOWN: TimeDelta = TimeDelta::from_millis(400);
+/// Interval at which unanswered requests are repeated, and at which paused replicas are told to
+/// continue.
+const RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(150);
+const CONTINUE_INTERVAL: TimeDelta = TimeDelta::from_millis(1000);
+/// A pause request relayed by a router may arrive this long after it was sent.
+const MAX_PAUSE_DELAY: TimeDelta = TimeDelta::from_millis(1000);
+const CATCH_UP_INTERVAL: TimeDelta = TimeDelta::from_millis(15);
+/// Time for a live old primary to yield, and time after that for replicas that joined it earlier to
+/// send a heartbeat.
+const YIELD_TIMEOUT: TimeDelta = TimeDelta::from_millis(40);
+const NEW_REPLICA_WAIT: TimeDelta = TimeDelta::from_millis(500);
+/// Time for the candidate to catch up, and for the platform to make it primary.
+const CATCH_UP_TIMEOUT: TimeDelta = TimeDelta::from_millis(1500);
+const CONFIRM_TIMEOUT: TimeDelta = TimeDelta::from_millis(4000);
+/// Number of consecutive requests that must stay unanswered before a primary counts as failed.
+const FAILURE_THRESHOLD: u32 = 2;
+
+/// State of a service's change of primary.
 #[derive(Clone, Debug)]
 pub struct Promotion {
     service: String,
     pub stage: Stage,
     wake_at: Option<Timestamp>,
-    quiet_until: Timestamp,
-    /// Hosts that were asked to stop receiving, and have not said since that they go on.
-    held: BTreeSet<String>,
+    cooldown_until: Timestamp,
+    /// Hosts that were paused and have not confirmed since that they continue.
+    paused_hosts: BTreeSet<String>,
     paused_at: Timestamp,
-    /// What the primary had after a replica fell silent: whoever has as much has all that this replica acknowledged.
+    /// Position of the primary after a replica fell silent: a host that has received as much has everything
+    /// that the replica acknowledged.
     floors: BTreeMap<String, Position>,
-    /// Replicas that were silent when the primary was asked for that.
-    floor_of: BTreeSet<String>,
-    floor_at: Timestamp,
-    /// Rises each time that hosts are asked to stop.
+    /// Replicas that were silent when the primary's position was requested.
+    floor_pending: BTreeSet<String>,
+    floor_requested_at: Timestamp,
+    /// Number of pause rounds so far.
     attempt: u64,
-    /// The service's hosts as they were when the last survey was complete, and a term above all of theirs.
+    /// Hosts of the service when the last survey was complete, and a term above all of theirs.
     surveyed_hosts: BTreeSet<String>,
     next_term: u64,
-    /// Whether the old primary has yielded in this change: nothing can be acknowledged for it any more.
+    /// Whether the old primary has yielded in this change and can acknowledge nothing more.
     has_yielded: bool,
-    leader: LeaderWatch,
+    primary_watch: PrimaryWatch,
 }
 
-/// Times and turns are left out: a model checker takes two for the same that differ in nothing else.
+/// Excludes timestamps and the attempt number, so that a model checker treats promotions that differ
+/// only in these as the same state.
 impl Hash for Promotion {
     fn hash<H: Hasher>(&self, state: &mut H) {
         (&self.service, &self.stage, self.wake_at.is_some()).hash(state);
-        (&self.held, &self.floors, &self.floor_of, self.has_yielded).hash(state);
-        self.leader.is_open().hash(state);
+        (&self.paused_hosts, &self.floors, &self.floor_pending, self.has_yielded).hash(state);
+        self.primary_watch.is_primary_missing().hash(state);
     }
 }
 
-/// What is known of the hosts when something is decided.
+/// What is known of the hosts at the time of a decision.
 pub struct HostsSnapshot<'a> {
     pub registry: &'a HostRegistry,
-    /// Hosts that do not call any more, and since when.
+    /// Hosts that stopped sending heartbeats, and since when.
     pub silent: &'a BTreeMap<String, Timestamp>,
-    /// Hosts that left, with the time and their address.
+    /// Departed hosts with the time of their departure.
     pub departed: &'a [(Timestamp, Host)],
 }
 
@@ -92,17 +97,17 @@
             service: service.to_string(),
             stage: Stage::Idle,
             wake_at: None,
-            quiet_until: Timestamp::DISTANT_PAST,
-            held: BTreeSet::new(),
+            cooldown_until: Timestamp::DISTANT_PAST,
+            paused_hosts: BTreeSet::new(),
             paused_at: Timestamp::DISTANT_PAST,
             floors: BTreeMap::new(),
-            floor_of: BTreeSet::new(),
-            floor_at: Timestamp::DISTANT_PAST,
+            floor_pending: BTreeSet::new(),
+            floor_requested_at: Timestamp::DISTANT_PAST,
             attempt: 0,
             surveyed_hosts: BTreeSet::new(),
             next_term: 0,
             has_yielded: false,
-            leader: LeaderWatch::default(),
+            primary_watch: PrimaryWatch::default(),
         }
     }
 
@@ -110,13 +115,14 @@
         self.wake_at
     }
 
-    /// How often hosts were asked to stop.
+    /// Number of pause rounds so far.
     pub fn attempt(&self) -> u64 {
         self.attempt
     }
 
-    /// The candidate, while a primary that does not answer is replaced. Safety: the replicas that were surveyed receive
-    /// nothing from it any more, but one that joins it now does, and it would acknowledge what the candidate lacks.
+    /// The replacement to announce while a failed primary is replaced. Safety: the surveyed replicas no
+    /// longer receive from the old primary, but a replica that joins it now would, and would let it
+    /// acknowledge commits that the candidate lacks.
     pub fn replacement(&self) -> Option<Replacement> {
         let (Stage::Yielding { candidate, .. }
         | Stage::Promoting { candidate, planned: false, .. }
@@ -131,47 +137,47 @@
         })
     }
 
-    /// Begins the survey again if a host has joined the service since it was complete. Whether it did: then the decision
-    /// that came of it must not be carried out.
+    /// Restarts the survey if a host has joined the service since it was complete. Returns whether it did;
+    /// the decision based on the old survey must not be carried out then.
     pub fn survey_newcomers(
         &mut self,
         now: Timestamp,
-        sight: &HostsSnapshot<'_>,
-        asks: &mut Vec<PromotionRequest>,
+        hosts: &HostsSnapshot<'_>,
+        requests: &mut Vec<PromotionRequest>,
     ) -> bool {
         let (old, planned, retries) = match self.stage.clone() {
             Stage::Yielding { old, .. } => (old, false, 0),
             Stage::Promoting { old, planned, retries, .. } => (old, planned, retries),
             _ => return false,
         };
-        let joined = self.members(sight).iter().any(|host| !self.surveyed_hosts.contains(&host.id));
+        let joined = self.members(hosts).iter().any(|host| !self.surveyed_hosts.contains(&host.id));
         if joined {
-            // After a call to the platform whose answer was lost, the old primary may follow a new one by now: then its
-            // word is needed as that of all others is.
+            // After a platform call without a response, the old primary may already follow a new one; its
+            // response is then needed like that of any other host.
             let old = old.filter(|_| retries == 0);
             let planned = planned && old.is_some();
-            self.survey(now, old, planned, sight, asks);
+            self.survey(now, old, planned, hosts, requests);
         }
         joined
     }
 
-    /// As an owner of the duty begins: what was seen of the leader before.
-    pub fn set_leader_watch(&mut self, leader: &LeaderWatch) {
-        self.leader.clone_from(leader);
+    /// Takes over the primary status observed before this machine held the duty.
+    pub fn set_primary_watch(&mut self, primary_watch: &PrimaryWatch) {
+        self.primary_watch.clone_from(primary_watch);
     }
 
-    /// Takes a silent replica for one that acknowledged nothing, without asking the primary. For a model checker, which has
-    /// to find what that loses.
+    /// Treats a silent replica as one that acknowledged nothing, without asking the primary. Only for a
+    /// model checker, which has to detect the resulting data loss.
     pub fn assume_no_floor(&mut self, host: &str) {
         self.floors.insert(host.to_string(), Position::default());
     }
 
-    /// Whether a host is still to be asked to go on receiving.
+    /// Whether a host is still to be told to continue receiving.
     pub fn is_paused(&self, host: &str) -> bool {
-        self.held.contains(host)
+        self.paused_hosts.contains(host)
     }
 
-    fn go(&mut self, stage: Stage, wake_at: Option<Timestamp>) {
+    fn set_stage(&mut self, stage: Stage, wake_at: Option<Timestamp>) {
         if std::mem::discriminant(&self.stage) != std::mem::discriminant(&stage) {
             log::info!("promotion: {}: {}.", self.service, stage);
         }
@@ -181,98 +187,104 @@
         (self.stage, self.wake_at) = (stage, wake_at);
     }
 
-    fn members<'a>(&self, sight: &HostsSnapshot<'a>) -> Vec<&'a Host> {
-        sight.registry.members(&self.service).collect()
+    fn members<'a>(&self, hosts: &HostsSnapshot<'a>) -> Vec<&'a Host> {
+        hosts.registry.members(&self.service).collect()
     }
 
-    /// Somebody says that a host, as primary, does not answer.
+    /// Handles a report that a host does not respond as primary.
     pub fn suspect_primary(
         &mut self,
         now: Timestamp,
         host: &str,
-        sight: &HostsSnapshot<'_>,
-        asks: &mut Vec<PromotionRequest>,
+        hosts: &HostsSnapshot<'_>,
+        requests: &mut Vec<PromotionRequest>,
     ) {
-        let primary = sight.registry.primary(&self.service).is_some_and(|primary| primary.id == host);
-        if self.stage == Stage::Idle && primary && now >= self.quiet_until {
-            asks.push(PromotionRequest::Observe { host: host.to_string() });
-            self.go(Stage::Checking { host: host.to_string(), silent: 0 }, None);
+        let primary = hosts.registry.primary(&self.service).is_some_and(|primary| primary.id == host);
+        if self.stage == Stage::Idle && primary && now >= self.cooldown_until {
+            requests.push(PromotionRequest::Observe { host: host.to_string() });
+            self.set_stage(Stage::Checking { host: host.to_string(), timeouts: 0 }, None);
         }
     }
 
-    /// Time has passed, or the hosts changed.
-    pub fn poll(&mut self, now: Timestamp, sight: &HostsSnapshot<'_>, asks: &mut Vec<PromotionRequest>) {
-        // Danger: a floor holds for one silence. A host that is back, and silent again, has acknowledged more meanwhile;
-        // so it is forgotten at whatever stage, well before a new silence can be noticed.
-        self.floors.retain(|host, _| sight.silent.contains_key(host));
-        self.floor_of.retain(|host| sight.silent.contains_key(host));
-        self.leader.update(now, &self.service, sight.registry);
-        let woke = self.wake_at.is_some_and(|at| at <= now);
-        if woke {
+    /// Advances the promotion after time has passed or the hosts have changed.
+    pub fn poll(&mut self, now: Timestamp, hosts: &HostsSnapshot<'_>, requests: &mut Vec<PromotionRequest>) {
+        // Safety: a floor is valid for one silence only. A host that was back in between has acknowledged
+        // more, so its floor is removed in every stage, well before a new silence can be detected.
+        self.floors.retain(|host, _| hosts.silent.contains_key(host));
+        self.floor_pending.retain(|host| hosts.silent.contains_key(host));
+        self.primary_watch.update(now, &self.service, hosts.registry);
+        let timer_fired = self.wake_at.is_some_and(|at| at <= now);
+        if timer_fired {
             self.wake_at = None;
         }
         match self.stage.clone() {
             Stage::Idle => {
-                self.ask_for_floors(now, sight, asks);
+                self.request_floors(now, hosts, requests);
                 let known =
-                    |host: &String| sight.registry.get(host).is_some_and(|host| host.phase() != Phase::Gone);
-                self.held.retain(known);
-                if self.wake_at.is_none() && !self.held.is_empty() {
-                    // Danger: a question that was lost would leave a replica without its log for good.
-                    asks.extend(
-                        self.held.iter().map(|host| PromotionRequest::Continue { host: host.clone() }),
+                    |host: &String| hosts.registry.get(host).is_some_and(|host| host.phase() != Phase::Gone);
+                self.paused_hosts.retain(known);
+                if self.wake_at.is_none() && !self.paused_hosts.is_empty() {
+                    // Repeat the request: a replica whose request was lost would stay paused for good.
+                    requests.extend(
+                        self.paused_hosts
+                            .iter()
+                            .map(|host| PromotionRequest::Continue { host: host.clone() }),
                     );
-                    self.wake_at = Some(now + HELD);
+                    self.wake_at = Some(now + CONTINUE_INTERVAL);
                 }
-                let primary = sight.registry.primary(&self.service);
+                let primary = hosts.registry.primary(&self.service);
                 let candidates = || {
-                    self.members(sight)
+                    self.members(hosts)
                         .into_iter()
                         .any(|host| host.role() == DbRole::Replica && host.phase() == Phase::InService)
                 };
                 if let Some(old) = primary.filter(|old| old.phase() == Phase::Draining)
-                    && now >= self.quiet_until
+                    && now >= self.cooldown_until
                     && candidates()
                 {
-                    self.survey(now, Some(old.id.clone()), true, sight, asks);
-                } else if self.leader.is_leaderless(now, sight.registry) {
-                    self.survey(now, None, false, sight, asks);
+                    self.survey(now, Some(old.id.clone()), true, hosts, requests);
+                } else if self.primary_watch.needs_primary(now, hosts.registry) {
+                    self.survey(now, None, false, hosts, requests);
                 }
             }
-            Stage::Checking { host, .. } if woke => asks.push(PromotionRequest::Observe { host }),
-            Stage::Surveying { old, planned, rows, unanswered } if woke => {
-                self.ask_again(now, old, planned, (rows, unanswered), sight, asks);
+            Stage::Checking { host, .. } if timer_fired => requests.push(PromotionRequest::Observe { host }),
+            Stage::Surveying { old, planned, rows, unanswered } if timer_fired => {
+                self.continue_survey(now, old, planned, (rows, unanswered), hosts, requests);
             }
-            Stage::Fencing { old, candidate, asked, term, rows } if woke => {
-                // Whoever did not answer is asked again; whoever left meanwhile is not waited for but by its log.
-                let missing = asked.iter().filter(|host| !rows.contains_key(*host));
+            Stage::Fencing { old, candidate, pending_hosts, term, rows } if timer_fired => {
+                // Repeat the request to hosts that did not respond; departed hosts are no longer waited
+                // for.
+                let missing = pending_hosts.iter().filter(|host| !rows.contains_key(*host));
                 let known = missing
-                    .filter(|host| sight.registry.get(host).is_some_and(|host| host.phase() != Phase::Gone));
+                    .filter(|host| hosts.registry.get(host).is_some_and(|host| host.phase() != Phase::Gone));
                 let known: Vec<String> = known.cloned().collect();
-                self.pause(now, known.iter(), term, asks);
-                let asked = rows.keys().cloned().chain(known).collect();
-                self.go(Stage::Fencing { old, candidate, asked, term, rows }, Some(now + RETRY));
-                self.paused(now, sight, asks);
+                self.pause(now, known.iter(), term, requests);
+                let pending_hosts = rows.keys().cloned().chain(known).collect();
+                self.set_stage(
+                    Stage::Fencing { old, candidate, pending_hosts, term, rows },
+                    Some(now + RETRY_INTERVAL),
+                );
+                self.finish_fencing(now, hosts, requests);
             }
-            Stage::CatchingUp { old, candidate, includes_old, until, .. } if woke => {
+            Stage::CatchingUp { old, candidate, includes_old, until, .. } if timer_fired => {
                 if now >= until {
-                    return self.abort(now, asks);
+                    return self.abort(now, requests);
                 }
-                asks.extend(old.filter(|_| !includes_old).map(|host| PromotionRequest::Observe { host }));
-                asks.push(PromotionRequest::Observe { host: candidate });
+                requests.extend(old.filter(|_| !includes_old).map(|host| PromotionRequest::Observe { host }));
+                requests.push(PromotionRequest::Observe { host: candidate });
             }
-            Stage::Yielding { .. } if woke => self.end_yielding(now, sight, asks),
-            Stage::Promoting { candidate, .. } if woke => {
-                asks.push(PromotionRequest::Promote { service: self.service.clone(), host: candidate });
+            Stage::Yielding { .. } if timer_fired => self.end_yielding(now, hosts, requests),
+            Stage::Promoting { candidate, .. } if timer_fired => {
+                requests.push(PromotionRequest::Promote { service: self.service.clone(), host: candidate });
             }
             Stage::Confirming { candidate, until, .. } => {
-                if sight.registry.primary(&self.service).is_some_and(|primary| primary.id == candidate) {
-                    // A change of primary lets all go on.
-                    self.held.clear();
-                    self.quiet_until = now + COOL;
-                    self.go(Stage::Idle, None);
+                if hosts.registry.primary(&self.service).is_some_and(|primary| primary.id == candidate) {
+                    // A change of primary ends the pause of all replicas.
+                    self.paused_hosts.clear();
+                    self.cooldown_until = now + COOLDOWN;
+                    self.set_stage(Stage::Idle, None);
                 } else if now >= until {
-                    self.survey(now, None, false, sight, asks);
+                    self.survey(now, None, false, hosts, requests);
                 } else {
                     self.wake_at = Some(until);
                 }
@@ -281,168 +293,194 @@
         }
     }
 
-    /// A replica is silent: what has the primary? Once for each silence, since every such question takes a slot there.
-    fn ask_for_floors(
+    /// Asks the primary for its position when a replica falls silent; once per silence, since each request
+    /// occupies a slot at the primary.
+    fn request_floors(
         &mut self,
         now: Timestamp,
-        sight: &HostsSnapshot<'_>,
-        asks: &mut Vec<PromotionRequest>,
+        hosts: &HostsSnapshot<'_>,
+        requests: &mut Vec<PromotionRequest>,
     ) {
-        let Some(primary) = sight.registry.primary(&self.service).map(|host| host.id.clone()) else { return };
+        let Some(primary) = hosts.registry.primary(&self.service).map(|host| host.id.clone()) else { return };
         let lacks = |host: &&Host| {
-            host.id != primary && sight.silent.contains_key(&host.id) && !self.floors.contains_key(&host.id)
+            host.id != primary && hosts.silent.contains_key(&host.id) && !self.floors.contains_key(&host.id)
         };
         let of: BTreeSet<String> =
-            self.members(sight).into_iter().filter(lacks).map(|host| host.id.clone()).collect();
-        if !of.is_empty() && now - self.floor_at >= RETRY && !sight.silent.contains_key(&primary) {
-            (self.floor_of, self.floor_at) = (of, now);
-            asks.push(PromotionRequest::Observe { host: primary });
+            self.members(hosts).into_iter().filter(lacks).map(|host| host.id.clone()).collect();
+        if !of.is_empty()
+            && now - self.floor_requested_at >= RETRY_INTERVAL
+            && !hosts.silent.contains_key(&primary)
+        {
+            (self.floor_pending, self.floor_requested_at) = (of, now);
+            requests.push(PromotionRequest::Observe { host: primary });
         }
     }
 
-    /// Takes what came back.
+    /// Handles a reply of a host, a router or the platform.
     pub fn handle_reply(
         &mut self,
         now: Timestamp,
         reply: Reply,
-        sight: &HostsSnapshot<'_>,
-        asks: &mut Vec<PromotionRequest>,
+        hosts: &HostsSnapshot<'_>,
+        requests: &mut Vec<PromotionRequest>,
     ) {
         match &reply {
-            // Safety: it may be asked to stop again by now, or the last question to stop may arrive only now.
+            // Safety: the host may have been paused again meanwhile, or a delayed pause request may still
+            // arrive.
             Reply::Row { host, kind: RowKind::Continue, .. }
-                if self.stage == Stage::Idle && now - self.paused_at >= LATE_PAUSE =>
+                if self.stage == Stage::Idle && now - self.paused_at >= MAX_PAUSE_DELAY =>
             {
-                self.held.remove(host);
+                self.paused_hosts.remove(host);
             }
             Reply::Row { kind: RowKind::Observe, row, .. } if row.primary => {
-                let floors = std::mem::take(&mut self.floor_of).into_iter();
+                let floors = std::mem::take(&mut self.floor_pending).into_iter();
                 self.floors.extend(floors.map(|host| (host, row.received)));
             }
             _ => {}
         }
         match (self.stage.clone(), reply) {
-            (Stage::Checking { host, silent }, Reply::Silent { host: of }) if host == of => {
-                if silent + 1 < SURE {
-                    return self.go(Stage::Checking { host, silent: silent + 1 }, Some(now + AGAIN));
+            (Stage::Checking { host, timeouts }, Reply::Silent { host: of }) if host == of => {
+                if timeouts + 1 < FAILURE_THRESHOLD {
+                    return self.set_stage(
+                        Stage::Checking { host, timeouts: timeouts + 1 },
+                        Some(now + RECHECK_DELAY),
+                    );
                 }
-                self.survey(now, Some(host), false, sight, asks);
+                self.survey(now, Some(host), false, hosts, requests);
             }
             (Stage::Checking { host, .. }, Reply::Row { host: of, .. } | Reply::Busy { host: of })
                 if host == of =>
             {
-                self.quiet_until = now + COOL;
-                self.go(Stage::Idle, None);
+                self.cooldown_until = now + COOLDOWN;
+                self.set_stage(Stage::Idle, None);
             }
-            // Somebody else leads than who was thought to, or whoever was thought to be gone. Danger: its own word that it
-            // leads may be late, as after a change that another holder made; what it acknowledges, no candidate needs to have.
+            // Another host is primary than the one assumed to be, or the one assumed to have failed.
+            // Safety: a host that reports this itself may be stale, as after a change made by another duty
+            // holder; the candidate need not have what it acknowledges.
             (stage, Reply::Row { host, row, .. }) if row.primary && stage.ends_with(&host) => {
-                self.abort(now, asks);
+                self.abort(now, requests);
             }
             (Stage::Surveying { old, planned, mut rows, mut unanswered }, Reply::Row { host, row, .. }) => {
                 unanswered.remove(&host);
                 rows.insert(host, row);
                 let wake_at = self.wake_at;
-                self.go(Stage::Surveying { old, planned, rows, unanswered }, wake_at);
-                self.surveyed(now, sight, asks);
+                self.set_stage(Stage::Surveying { old, planned, rows, unanswered }, wake_at);
+                self.finish_survey(now, hosts, requests);
             }
             (Stage::Surveying { old, planned, rows, mut unanswered }, Reply::Silent { host }) => {
                 unanswered.insert(host);
                 let wake_at = self.wake_at;
-                self.go(Stage::Surveying { old, planned, rows, unanswered }, wake_at);
-                self.surveyed(now, sight, asks);
+                self.set_stage(Stage::Surveying { old, planned, rows, unanswered }, wake_at);
+                self.finish_survey(now, hosts, requests);
             }
             (
-                Stage::Fencing { old, candidate, asked, term, mut rows },
+                Stage::Fencing { old, candidate, pending_hosts, term, mut rows },
                 Reply::Row { host, kind: RowKind::Pause(attempt), row },
-            ) if attempt == self.attempt && asked.contains(&host) => {
+            ) if attempt == self.attempt && pending_hosts.contains(&host) => {
                 rows.insert(host, row);
                 let wake_at = self.wake_at;
-                self.go(Stage::Fencing { old, candidate, asked, term, rows }, wake_at);
-                self.paused(now, sight, asks);
+                self.set_stage(Stage::Fencing { old, candidate, pending_hosts, term, rows }, wake_at);
+                self.finish_fencing(now, hosts, requests);
             }
             (
                 Stage::CatchingUp { old, candidate, required, includes_old, until },
                 Reply::Row { host, row, .. },
             ) if host == candidate => {
                 if includes_old && row.received >= required {
-                    return self.promote(old, candidate, true, asks);
+                    return self.promote(old, candidate, true, requests);
                 }
                 let stage = Stage::CatchingUp { old, candidate, required, includes_old, until };
-                self.go(stage, Some(now + CATCH_UP));
+                self.set_stage(stage, Some(now + CATCH_UP_INTERVAL));
             }
-            // Safety: a candidate that receives nothing has all that the others have, and lacks what the old primary holds
-            // back; a host that joins it would let it acknowledge that.
+            // Safety: a candidate that receives nothing has as much as the other replicas, but lacks what
+            // the old primary holds back. So a planned change needs the position of the old primary.
             (Stage::CatchingUp { old, candidate, required, until, .. }, Reply::Row { host, row, .. })
                 if old.as_ref() == Some(&host) =>
             {
                 let required = required.max(row.received);
-                asks.push(PromotionRequest::Observe { host: candidate.clone() });
+                requests.push(PromotionRequest::Observe { host: candidate.clone() });
                 let stage = Stage::CatchingUp { old, candidate, required, includes_old: true, until };
-                self.go(stage, Some(now + RETRY));
+                self.set_stage(stage, Some(now + RETRY_INTERVAL));
             }
             (Stage::CatchingUp { old, candidate, .. }, Reply::Silent { host })
                 if host == candidate || old.as_ref() == Some(&host) =>
             {
-                self.abort(now, asks);
+                self.abort(now, requests);
             }
             (Stage::Yielding { old, candidate }, Reply::Yielded) if !self.has_yielded => {
                 self.has_yielded = true;
-                self.go(Stage::Yielding { old, candidate }, Some(now + NEWCOMERS));
+                self.set_stage(Stage::Yielding { old, candidate }, Some(now + NEW_REPLICA_WAIT));
             }
             (Stage::Promoting { old, candidate, planned, retries }, Reply::Platform { status }) => {
                 match status {
                     200..=299 => {
-                        let until = now + SETTLE;
-                        self.go(Stage::Confirming { candidate, planned, until }, Some(now + RETRY));
+                        let until = now + CONFIRM_TIMEOUT;
+                        self.set_stage(
+                            Stage::Confirming { candidate, planned, until },
+                            Some(now + RETRY_INTERVAL),
+                        );
                     }
-                    409 => self.survey(now, None, false, sight, asks),
-                    // Danger: a call without an answer may have been carried out. The same host is named again: another
-                    // one would lead a term later, without what this one took meanwhile.
+                    409 => self.survey(now, None, false, hosts, requests),
+                    // Safety: an unanswered call may have been carried out. The same host is named again:
+                    // another one would become primary a term later, without the commits that this one took
+                    // meanwhile.
                     _ if retries < 6 => {
-                        let pause = RETRY * f64::from(1 << retries.min(3));
+                        let pause = RETRY_INTERVAL * f64::from(1 << retries.min(3));
                         let retries = retries + 1;
-                        self.go(Stage::Promoting { old, candidate, planned, retries }, Some(now + pause));
+                        self.set_stage(
+                            Stage::Promoting { old, candidate, planned, retries },
+                            Some(now + pause),
+                        );
                     }
-                    _ => self.survey(now, None, false, sight, asks),
+                    _ => self.survey(now, None, false, hosts, requests),
                 }
             }
             _ => {}
         }
     }
 
-    /// Once all that were asked to have stopped receiving.
-    fn paused(&mut self, now: Timestamp, sight: &HostsSnapshot<'_>, asks: &mut Vec<PromotionRequest>) {
-        let Stage::Fencing { old, candidate, asked, rows, .. } = self.stage.clone() else { return };
-        if !asked.iter().all(|host| rows.contains_key(host)) {
+    /// Continues once every host that was asked to pause has done so.
+    fn finish_fencing(
+        &mut self,
+        now: Timestamp,
+        hosts: &HostsSnapshot<'_>,
+        requests: &mut Vec<PromotionRequest>,
+    ) {
+        let Stage::Fencing { old, candidate, pending_hosts, rows, .. } = self.stage.clone() else { return };
+        if !pending_hosts.iter().all(|host| rows.contains_key(host)) {
             return;
         }
         match candidate {
             Some(candidate) => {
                 let others = rows.iter().filter(|(host, _)| **host != candidate).map(|(_, row)| row.received);
                 let required = others.max().unwrap_or_default();
-                asks.extend(old.iter().map(|host| PromotionRequest::Observe { host: host.clone() }));
-                let until = now + PATIENCE;
+                requests.extend(old.iter().map(|host| PromotionRequest::Observe { host: host.clone() }));
+                let until = now + CATCH_UP_TIMEOUT;
                 let includes_old = old.is_none();
                 let stage = Stage::CatchingUp { old, candidate, required, includes_old, until };
-                self.go(stage, Some(now + RETRY));
+                self.set_stage(stage, Some(now + RETRY_INTERVAL));
             }
-            None => match best(&rows, sight) {
-                Some(candidate) if self.has_yielded => self.promote(old, candidate, false, asks),
+            None => match most_advanced(&rows, hosts) {
+                Some(candidate) if self.has_yielded => self.promote(old, candidate, false, requests),
                 Some(candidate) => {
                     let stage = Stage::Yielding { old, candidate };
-                    self.go(stage, Some(now + YIELDS));
+                    self.set_stage(stage, Some(now + YIELD_TIMEOUT));
                 }
-                None => self.survey(now, None, false, sight, asks),
+                None => self.survey(now, None, false, hosts, requests),
             },
         }
     }
 
-    /// The old primary has yielded or does not answer routers either.
-    fn end_yielding(&mut self, now: Timestamp, sight: &HostsSnapshot<'_>, asks: &mut Vec<PromotionRequest>) {
+    /// The old primary has yielded, or does not respond to routers either.
+    fn end_yielding(
+        &mut self,
+        now: Timestamp,
+        hosts: &HostsSnapshot<'_>,
+        requests: &mut Vec<PromotionRequest>,
+    ) {
         let Stage::Yielding { old, candidate } = self.stage.clone() else { return };
-        if !self.survey_newcomers(now, sight, asks) {
-            self.promote(old, candidate, false, asks);
+        if !self.survey_newcomers(now, hosts, requests) {
+            self.promote(old, candidate, false, requests);
         }
     }
 
@@ -451,10 +489,10 @@
         old: Option<String>,
         candidate: String,
         planned: bool,
-        asks: &mut Vec<PromotionRequest>,
+        requests: &mut Vec<PromotionRequest>,
     ) {
-        asks.push(PromotionRequest::Promote { service: self.service.clone(), host: candidate.clone() });
-        self.go(Stage::Promoting { old, candidate, planned, retries: 0 }, None);
+        requests.push(PromotionRequest::Promote { service: self.service.clone(), host: candidate.clone() });
+        self.set_stage(Stage::Promoting { old, candidate, planned, retries: 0 }, None);
     }
 
     fn pause<'a>(
@@ -462,32 +500,34 @@
         now: Timestamp,
         hosts: impl Iterator<Item = &'a String>,
         term: u64,
-        asks: &mut Vec<PromotionRequest>,
+        requests: &mut Vec<PromotionRequest>,
     ) {
         self.paused_at = now;
         for host in hosts {
-            self.held.insert(host.clone());
-            asks.push(PromotionRequest::Pause { host: host.clone(), term, attempt: self.attempt });
+            self.paused_hosts.insert(host.clone());
+            requests.push(PromotionRequest::Pause { host: host.clone(), term, attempt: self.attempt });
         }
     }
 
-    /// Nothing is replaced. Whoever was held goes on: see `poll`, which asks for it till it is done.
-    fn abort(&mut self, now: Timestamp, asks: &mut Vec<PromotionRequest>) {
-        asks.extend(self.held.iter().map(|host| PromotionRequest::Continue { host: host.clone() }));
-        self.quiet_until = now + COOL;
-        self.go(Stage::Idle, None);
+    /// Gives the change up. Paused hosts are told to continue; `poll` repeats this until they confirm.
+    fn abort(&mut self, now: Timestamp, requests: &mut Vec<PromotionRequest>) {
+        requests
+            .extend(self.paused_hosts.iter().map(|host| PromotionRequest::Continue { host: host.clone() }));
+        self.cooldown_until = now + COOLDOWN;
+        self.set_stage(Stage::Idle, None);
     }
 }
 
-/// The host that has most; of equals one that stays. Danger: a host that is about to end leads for a moment only, but
-/// one that has less would lose what was acknowledged.
-fn best(rows: &BTreeMap<String, Observed>, sight: &HostsSnapshot<'_>) -> Option<String> {
-    let stays = |host: &str| sight.registry.get(host).is_some_and(|host| host.phase() == Phase::InService);
-    let most = rows.iter().max_by_key(|(host, row)| (row.received, stays(host)));
+/// The host that has received most; of equals, one that is not draining. Safety: a draining host is
+/// primary only briefly, but one that has received less would lose acknowledged commits.
+fn most_advanced(rows: &BTreeMap<String, Observed>, hosts: &HostsSnapshot<'_>) -> Option<String> {
+    let is_in_service =
+        |host: &str| hosts.registry.get(host).is_some_and(|host| host.phase() == Phase::InService);
+    let most = rows.iter().max_by_key(|(host, row)| (row.received, is_in_service(host)));
     most.map(|(host, _)| host.clone())
 }
 
-/// The changes of all services.
+/// The promotions of all services.
 #[derive(Debug, Default)]
 pub struct Promotions {
     pub by_service: BTreeMap<String, Promotion>,
--- a/crates/arrowyard-control/src/promotion/request.rs
+++ b/crates/arrowyard-control/src/promotion/request.rs
@@ -1,14 +1,14 @@
-//! What the holder of the duty asks of hosts and of the platform, and what comes back.
+//! Requests of a promotion to hosts and to the platform, and their replies.
 
 use arrowyard_protocol::Observed;
 
-/// What is asked of hosts and of the platform.
+/// A request to a host or to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PromotionRequest {
     Observe {
         host: String,
     },
-    /// The attempt tells the answer from the one to an earlier question of this kind.
+    /// `attempt` distinguishes the response from that to an earlier pause request.
     Pause {
         host: String,
         term: u64,
@@ -17,14 +17,15 @@
     Continue {
         host: String,
     },
-    /// Is to be asked with the duty's fence.
+    /// Sent with a fencing token.
     Promote {
         service: String,
         host: String,
     },
 }
 
-/// What a row answers. Danger: a late answer to a question of before is no word that a host has stopped receiving.
+/// The kind of request that a row answers. Safety: a late response to an earlier request does not prove
+/// that a host has stopped receiving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RowKind {
     Observe,
@@ -33,7 +34,7 @@
 }
 
 impl PromotionRequest {
-    /// Which of a host's rows answers it; none if it is asked of the platform.
+    /// The kind of row that answers this request; `None` for a request to the platform.
     pub fn row_kind(&self) -> Option<RowKind> {
         match self {
             PromotionRequest::Observe { .. } => Some(RowKind::Observe),
@@ -44,19 +45,22 @@
     }
 }
 
-/// Whether a question needs no answer of its own, after those that wait at the same host. Danger: a host that is to go on
-/// receiving and then to stop must be told again to go on; of these two only the last one counts.
+/// Whether a request is redundant after those already queued for the same host. An observation is
+/// redundant if an equal one is queued; a pause or continue only if it equals the last one queued,
+/// since a host may have to be paused and continued alternately.
 pub fn is_redundant<'a>(
     waiting: impl Iterator<Item = &'a PromotionRequest> + Clone,
-    ask: &PromotionRequest,
+    request: &PromotionRequest,
 ) -> bool {
-    match ask {
-        PromotionRequest::Observe { .. } => waiting.clone().any(|other| other == ask),
-        _ => waiting.filter(|other| !matches!(other, PromotionRequest::Observe { .. })).last() == Some(ask),
+    match request {
+        PromotionRequest::Observe { .. } => waiting.clone().any(|other| other == request),
+        _ => {
+            waiting.filter(|other| !matches!(other, PromotionRequest::Observe { .. })).last() == Some(request)
+        }
     }
 }
 
-/// What came back.
+/// A reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     Row {
@@ -64,15 +68,16 @@
         kind: RowKind,
         row: Observed,
     },
-    /// No answer, or none that helps.
+    /// The host did not respond, or responded with an error.
     Silent {
         host: String,
     },
-    /// It lives and has no room for the question.
+    /// The host is alive but has no capacity for the request.
     Busy {
         host: String,
     },
-    /// A router made the old primary yield: it lived, and whoever joined it may have acknowledged for it.
+    /// A router made the old primary yield: it was alive, and replicas that joined it may have acknowledged
+    /// commits.
     Yielded,
     Platform {
         status: u16,
--- a/crates/arrowyard-control/src/promotion/stage.rs
+++ b/crates/arrowyard-control/src/promotion/stage.rs
@@ -1,4 +1,4 @@
-//! The stages of one service's change of primary.
+//! Stages of a service's change of primary.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -9,38 +9,38 @@
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub enum Stage {
     Idle,
-    /// Somebody said that the primary does not answer.
+    /// The primary was reported unresponsive and is being checked.
     Checking {
         host: String,
-        silent: u32,
+        timeouts: u32,
     },
-    /// Which hosts there are and what they have.
+    /// Asks the hosts for their positions.
     Surveying {
         old: Option<String>,
         planned: bool,
         rows: BTreeMap<String, Observed>,
-        /// Hosts that did not answer.
+        /// Hosts that did not respond.
         unanswered: BTreeSet<String>,
     },
-    /// The others receive no more.
+    /// Makes replicas other than a planned candidate stop receiving.
     Fencing {
         old: Option<String>,
         candidate: Option<String>,
-        asked: BTreeSet<String>,
-        /// Above every one that was told.
+        pending_hosts: BTreeSet<String>,
+        /// Above every term reported in the survey.
         term: u64,
         rows: BTreeMap<String, Observed>,
     },
-    /// The candidate still lacks something that another one has.
+    /// Waits until the candidate has received everything that other hosts have.
     CatchingUp {
         old: Option<String>,
         candidate: String,
         required: Position,
-        /// Whether what the old primary has is known, and `required` covers it.
+        /// Whether `required` covers the position of the old primary.
         includes_old: bool,
         until: Timestamp,
     },
-    /// Routers make a primary that control cannot ask yield, and hosts that joined it lately are waited for.
+    /// Routers make an unreachable primary yield; then waits for replicas that may have joined it.
     Yielding {
         old: Option<String>,
         candidate: String,
@@ -48,11 +48,11 @@
     Promoting {
         old: Option<String>,
         candidate: String,
-        /// Whether the primary serves until the change.
+        /// Whether the old primary serves until the change.
         planned: bool,
         retries: u32,
     },
-    /// The platform took it; the candidate has not said yet that it leads.
+    /// The platform accepted the change; the candidate has not reported yet that it is primary.
     Confirming {
         candidate: String,
         planned: bool,
@@ -61,7 +61,8 @@
 }
 
 impl Stage {
-    /// Whether a change under way is over if this host leads: all but the one that is replaced in order.
+    /// Whether a change in progress ends if this host is primary; not if it is the one being replaced as
+    /// planned.
     pub(super) fn ends_with(&self, leads: &str) -> bool {
         let other = |old: &Option<String>| old.as_deref() != Some(leads);
         match self {
--- a/crates/arrowyard-control/src/record.rs
+++ b/crates/arrowyard-control/src/record.rs
@@ -1,7 +1,8 @@
 use arrowyard_messages::{Accept, Ballot, Chosen, Host, Snapshot, Voters};
 use prost::{Message, Oneof};
 
-/// What the ledger keeps on disk, in the order in which it was decided. Reading it twice changes nothing.
+/// One record on the disk of a control machine. Records are written in the order of the decisions they
+/// contain; replaying a record twice has no effect.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct Record {
     #[prost(oneof = "RecordKind", tags = "1, 2, 3, 4, 5, 6, 7")]
@@ -10,7 +11,7 @@
 
 #[derive(Clone, PartialEq, Eq, Hash, Oneof)]
 pub enum RecordKind {
-    /// Who votes, as the first start was told.
+    /// Initial voters of a first start.
     #[prost(message, tag = "1")]
     InitialVoters(Voters),
     #[prost(message, tag = "2")]
@@ -21,10 +22,11 @@
     Chosen(Chosen),
     #[prost(message, tag = "5")]
     Snapshot(LogSnapshot),
-    /// What it knew besides, so that a start from nothing is a quick one. Of this only departures were acknowledged.
+    /// Known hosts and router count, which speed up recovery. Only the departures among them were
+    /// acknowledged.
     #[prost(message, tag = "6")]
     Registry(RegistrySnapshot),
-    /// A host that leaves or has left, as it was acknowledged.
+    /// A draining or departed host, written before it is acknowledged.
     #[prost(message, tag = "7")]
     Departing(Host),
 }
@@ -45,7 +47,7 @@
     pub ballot: Ballot,
 }
 
-/// Everything, in place of all records before it.
+/// Complete state that replaces all earlier records.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct LogSnapshot {
     #[prost(message, required, tag = "1")]
--- a/crates/arrowyard-control/src/replicated_log.rs
+++ b/crates/arrowyard-control/src/replicated_log.rs
@@ -1,6 +1,8 @@
-//! Agreement on the entries of a ledger, slot by slot. In each slot whoever has something to enter holds a round of
-//! ballots among the voters (Paxos: Lamport, "The Part-Time Parliament"); there is no leader, since entries are few.
-//! A slot's round begins only when the slot before it is known, so that a voter has at most one slot open.
+//! Leaderless replicated log: consensus on one entry per slot (single-decree Paxos; Lamport, "The
+//! Part-Time Parliament"). Any machine with an entry to propose runs a round of ballots among the
+//! voters.
+//! A round for a slot begins only once the previous slot is known, so a voter has at most one open
+//! slot.
 
 mod acceptor;
 mod learner;
@@ -22,50 +24,51 @@
 use crate::applied_state::AppliedState;
 use crate::record::{LogSnapshot, Promised, Record, RecordKind, RegistrySnapshot};
 
-/// A round without a majority is given up after so long, and begun again.
-const ROUND: TimeDelta = TimeDelta::from_millis(400);
-/// The first pause after a round that lost to another one; it doubles.
-const PAUSE: TimeDelta = TimeDelta::from_millis(15);
-/// Entries that are kept for machines that are behind, and bytes of them; who is further behind takes a snapshot. To apply
-/// an entry takes time that grows with the routes: of 5,000 routes, 500 entries took 3 s of a core, a snapshot 0.04 s.
-const KEPT: usize = 64;
-const KEPT_BYTES: usize = 4 << 20;
-/// Proposals that wait at a time.
-const MOST: usize = 256;
+/// A round without a majority after this long is abandoned and started again.
+const ROUND_TIMEOUT: TimeDelta = TimeDelta::from_millis(400);
+/// Base delay after a lost round; doubles with each further loss.
+const RETRY_BASE_DELAY: TimeDelta = TimeDelta::from_millis(15);
+/// Bounds of the entries retained for machines that are behind; a machine further behind receives a
+/// snapshot.
+const MAX_RETAINED_ENTRIES: usize = 64;
+const MAX_RETAINED_BYTES: usize = 4 << 20;
+/// Limit of pending proposals.
+const MAX_PENDING_PROPOSALS: usize = 256;
 
-/// What a proposal is known by.
+/// Identifies a proposal within one incarnation.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct ProposalId(pub u64);
 
-/// What came of a proposal.
+/// Result of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProposalOutcome {
-    /// Entered, in this slot.
+    /// Chosen in this slot.
     Committed(u64),
-    /// For a read: everything that was acknowledged before it was asked is known here.
+    /// A read: every entry acknowledged before the read was proposed is known locally.
     Current,
-    /// It had not been entered by its time. It may still be.
+    /// Not chosen before its deadline; it may still be chosen later.
     Unknown,
-    /// It was not entered and never will be.
+    /// Rejected because too many proposals are pending; it will never be chosen.
     QueueFull,
-    /// It does not hold any more at the slot in which it would be entered. Danger: this machine may have learned the
-    /// slots before by a snapshot, and it may be in one of them: see [`AppliedState::taken`] before anybody is told so.
+    /// Its precondition no longer holds. This machine may have learned the preceding slots from a snapshot
+    /// that already contains the change, so check [`AppliedState::change_status`] before reporting a
+    /// failure.
     Superseded,
 }
 
-/// What the ledger wants done, in this order.
+/// Effects requested by the log, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
     Send {
         to: u32,
         payload: Payload,
     },
-    /// To be on disk before anything that stands behind it for this ticket goes out.
+    /// The record must be durable before [`ReplicatedLog::record_stored`] is called with this ticket.
     Store {
         ticket: u64,
         record: Vec<u8>,
     },
-    /// This slot's entry is known from now on.
+    /// The entry of this slot is now known.
     Chosen {
         slot: u64,
     },
@@ -75,23 +78,22 @@
     },
 }
 
-/// What is proposed.
 #[derive(Clone, Debug, Hash)]
 enum Proposal {
-    Enter(Entry),
-    Read { heard: BTreeSet<u32>, slot: u64 },
+    Append(Entry),
+    Read { responded: BTreeSet<u32>, slot: u64 },
 }
 
 #[derive(Clone, Debug)]
-struct Waiting {
+struct PendingProposal {
     ticket: ProposalId,
     proposal: Proposal,
-    until: Timestamp,
+    deadline: Timestamp,
 }
 
 #[derive(Clone, Debug, Hash)]
 enum Phase {
-    Preparing { promised: BTreeSet<u32>, best: Option<Accept> },
+    Preparing { promised: BTreeSet<u32>, highest: Option<Accept> },
     Accepting { entry: Entry, accepted: BTreeSet<u32> },
 }
 
@@ -100,46 +102,56 @@
     slot: u64,
     ballot: Ballot,
     phase: Phase,
-    until: Timestamp,
+    deadline: Timestamp,
 }
 
-/// One machine's part in the ledger: voter, if it is one; learner; and whoever enters something.
+/// One machine's replicated-log state in its roles as proposer, learner and, if it is in the voter set,
+/// voter.
 #[derive(Clone, Debug)]
 pub struct ReplicatedLog {
     me: u32,
     incarnation: u64,
     rng: Rng,
     applied: AppliedState,
-    kept: VecDeque<Chosen>,
-    kept_bytes: usize,
-    /// Whether its word counts: a voter that lost its disk does not know what it promised.
+    retained: VecDeque<Chosen>,
+    retained_bytes: usize,
+    /// False for a voter that lost its disk, and with it the record of its promises.
     votes: bool,
-    /// The record by which a new vote becomes durable, until it is.
+    /// Ticket of the record that makes a regained vote durable, while it is being written.
     vote_record: Option<u64>,
     promised: Ballot,
     accepted: Option<Accept>,
-    seen: u64,
+    highest_round: u64,
     round: Option<Round>,
-    pause_until: Timestamp,
-    losses: u32,
-    waiting: VecDeque<Waiting>,
-    last: u64,
-    /// What goes out once a record is on disk.
-    after: BTreeMap<u64, (u32, Payload)>,
+    retry_at: Timestamp,
+    lost_rounds: u32,
+    pending: VecDeque<PendingProposal>,
+    last_proposal: u64,
+    /// Message to send to a peer once the record with this ticket is durable.
+    sends_after_store: BTreeMap<u64, (u32, Payload)>,
     last_record: u64,
-    /// Since when it asks for what it lacks, so that it does not ask each time.
+    /// Time of the last fetch request; limits their rate.
     fetched_at: Timestamp,
 }
 
-/// What is agreed on does not hang on times and chance, so they are left out: a model checker takes two ledgers for the
-/// same that differ in nothing else.
+/// Excludes timestamps and random state, which do not affect safety, so that a model checker treats
+/// logs that differ only in these as the same state.
 impl Hash for ReplicatedLog {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        (self.me, self.incarnation, self.votes, self.vote_record, self.seen, self.last, self.last_record)
+        (
+            self.me,
+            self.incarnation,
+            self.votes,
+            self.vote_record,
+            self.highest_round,
+            self.last_proposal,
+            self.last_record,
+        )
+            .hash(state);
+        (self.applied.snapshot(), &self.retained, self.promised, &self.accepted, &self.sends_after_store)
             .hash(state);
-        (self.applied.snapshot(), &self.kept, self.promised, &self.accepted, &self.after).hash(state);
         self.round.iter().for_each(|round| (round.slot, round.ballot, &round.phase).hash(state));
-        self.waiting.iter().for_each(|waiting| (waiting.ticket, &waiting.proposal).hash(state));
+        self.pending.iter().for_each(|pending| (pending.ticket, &pending.proposal).hash(state));
     }
 }
 
@@ -152,8 +164,8 @@
         self.votes
     }
 
-    /// Whether its vote would survive a loss of power. Safety: only then may another voter give up its seat; before
-    /// that, one more loss could leave too few that vote.
+    /// Whether this machine's vote survives a power loss. Safety: a voter may be removed only once its
+    /// replacement has a durable vote; otherwise one more failure could leave too few votes for a majority.
     pub fn is_vote_durable(&self) -> bool {
         self.votes && self.vote_record.is_none()
     }
@@ -162,7 +174,7 @@
         &self.applied.voters
     }
 
-    /// How many entries are known here.
+    /// Number of known entries.
     pub fn chosen(&self) -> u64 {
         self.applied.slot
     }
@@ -171,93 +183,94 @@
         self.applied.voters.len() / 2 + 1
     }
 
-    /// Danger: voters change between a question and its answers; only those who vote now count.
-    fn is_majority(&self, heard: &BTreeSet<u32>) -> bool {
-        self.applied.voters.iter().filter(|voter| heard.contains(voter)).count() >= self.majority()
+    /// Counts only current voters: the voter set may change between a request and its responses.
+    fn is_majority(&self, responded: &BTreeSet<u32>) -> bool {
+        self.applied.voters.iter().filter(|voter| responded.contains(voter)).count() >= self.majority()
     }
 
-    fn store(&mut self, kept: RecordKind, then: Option<(u32, Payload)>, out: &mut Vec<Output>) -> u64 {
+    fn store(&mut self, kind: RecordKind, reply: Option<(u32, Payload)>, out: &mut Vec<Output>) -> u64 {
         self.last_record += 1;
         let ticket = self.last_record;
-        then.map(|then| self.after.insert(ticket, then));
-        out.push(Output::Store { ticket, record: Record::encode_kind(kept) });
+        reply.map(|reply| self.sends_after_store.insert(ticket, reply));
+        out.push(Output::Store { ticket, record: Record::encode_kind(kind) });
         ticket
     }
 
-    /// Keeps something that is not the ledger's; the number of its record.
-    pub fn store_record(&mut self, kept: RecordKind, out: &mut Vec<Output>) -> u64 {
-        self.store(kept, None, out)
+    /// Stores a record that is not part of the log; returns its ticket.
+    pub fn store_record(&mut self, kind: RecordKind, out: &mut Vec<Output>) -> u64 {
+        self.store(kind, None, out)
     }
 
-    /// A record is on disk, or could not be put there; then nothing is answered for it.
-    pub fn record_stored(&mut self, now: Timestamp, ticket: u64, kept: bool, out: &mut Vec<Output>) {
-        if kept && self.vote_record == Some(ticket) {
+    /// Reports whether a record became durable. If it did not, the message that depends on it is dropped.
+    pub fn record_stored(&mut self, now: Timestamp, ticket: u64, stored: bool, out: &mut Vec<Output>) {
+        if stored && self.vote_record == Some(ticket) {
             self.vote_record = None;
         }
-        if let Some((to, word)) = self.after.remove(&ticket).filter(|_| kept) {
-            self.send(now, to, word, out);
+        if let Some((to, message)) = self.sends_after_store.remove(&ticket).filter(|_| stored) {
+            self.send(now, to, message, out);
         }
     }
 
-    /// A snapshot of all that this machine knows is on disk, after records were refused.
+    /// Reports that a complete snapshot is durable after earlier records were refused.
     pub fn disk_recovered(&mut self) {
         self.vote_record = None;
     }
 
-    fn send(&mut self, now: Timestamp, to: u32, word: Payload, out: &mut Vec<Output>) {
+    fn send(&mut self, now: Timestamp, to: u32, message: Payload, out: &mut Vec<Output>) {
         if to == self.me {
-            self.on_message(now, to, &word, out)
+            self.on_message(now, to, &message, out)
         } else {
-            out.push(Output::Send { to, payload: word })
+            out.push(Output::Send { to, payload: message })
         }
     }
 
-    fn broadcast(&mut self, now: Timestamp, word: &Payload, out: &mut Vec<Output>) {
+    fn broadcast(&mut self, now: Timestamp, message: &Payload, out: &mut Vec<Output>) {
         for to in self.applied.voters.clone() {
-            self.send(now, to, word.clone(), out);
+            self.send(now, to, message.clone(), out);
         }
     }
 
     pub fn due(&self) -> Option<Timestamp> {
-        let proposals = self.waiting.iter().map(|waiting| waiting.until);
-        let round = self.round.iter().map(|round| round.until);
-        // Danger: without voters no round can begin, and a time that is over would be due for ever.
-        let begins = self.round.is_none() && !self.applied.voters.is_empty() && self.wants_round();
-        let pause = begins.then_some(self.pause_until);
+        let proposals = self.pending.iter().map(|pending| pending.deadline);
+        let round = self.round.iter().map(|round| round.deadline);
+        // No round can begin without voters; reporting a past deadline here would wake the loop
+        // continuously.
+        let can_begin = self.round.is_none() && !self.applied.voters.is_empty() && self.needs_round();
+        let pause = can_begin.then_some(self.retry_at);
         proposals.chain(round).chain(pause).min()
     }
 
     pub fn on_timer(&mut self, now: Timestamp, out: &mut Vec<Output>) {
-        if self.round.as_ref().is_some_and(|round| round.until <= now) {
-            self.lose_round(now);
+        if self.round.as_ref().is_some_and(|round| round.deadline <= now) {
+            self.abandon_round(now);
         }
-        self.waiting.retain(|waiting| {
-            let late = waiting.until <= now;
-            if late {
-                out.push(Output::Resolved { proposal: waiting.ticket, outcome: ProposalOutcome::Unknown });
+        self.pending.retain(|pending| {
+            let expired = pending.deadline <= now;
+            if expired {
+                out.push(Output::Resolved { proposal: pending.ticket, outcome: ProposalOutcome::Unknown });
             }
-            !late
+            !expired
         });
-        self.begin(now, out);
+        self.begin_round(now, out);
     }
 
-    /// Takes what another machine, or this one, says to it.
-    pub fn on_message(&mut self, now: Timestamp, from: u32, word: &Payload, out: &mut Vec<Output>) {
-        match word {
-            Payload::Prepare(prepare) => self.prepare(now, from, *prepare, out),
-            Payload::Promise(promise) => self.promise(now, from, promise, out),
-            Payload::Accept(accept) => self.accept(now, from, accept, out),
-            Payload::Accepted(accepted) => self.accepted(now, from, *accepted, out),
+    /// Handles a message from another machine or from this one.
+    pub fn on_message(&mut self, now: Timestamp, from: u32, message: &Payload, out: &mut Vec<Output>) {
+        match message {
+            Payload::Prepare(prepare) => self.handle_prepare(now, from, *prepare, out),
+            Payload::Promise(promise) => self.handle_promise(now, from, promise, out),
+            Payload::Accept(accept) => self.handle_accept(now, from, accept, out),
+            Payload::Accepted(accepted) => self.handle_accepted(now, from, *accepted, out),
             Payload::Chosen(chosen) => self.learn(now, from, chosen.clone(), out),
-            Payload::Fetch(fetch) => self.fetch(now, from, *fetch, out),
-            Payload::LogEntries(entries) => self.entries(now, from, entries, out),
+            Payload::Fetch(fetch) => self.handle_fetch(now, from, *fetch, out),
+            Payload::LogEntries(entries) => self.handle_entries(now, from, entries, out),
             Payload::Probe(probe) => {
                 let accepted = self.accepted.as_ref().map_or(0, |accepted| accepted.slot);
                 let (ticket, chosen) = (probe.ticket, self.applied.slot);
-                let word = Probed { ticket, chosen, accepted, votes: self.votes, promised: self.promised };
-                self.send(now, from, Payload::Probed(word), out);
+                let message = Probed { ticket, chosen, accepted, votes: self.votes, promised: self.promised };
+                self.send(now, from, Payload::Probed(message), out);
             }
-            Payload::Probed(probed) => self.probed(now, from, *probed, out),
+            Payload::Probed(probed) => self.handle_probed(now, from, *probed, out),
             _ => {}
         }
     }
--- a/crates/arrowyard-control/src/replicated_log/proposer.rs
+++ b/crates/arrowyard-control/src/replicated_log/proposer.rs
@@ -1,27 +1,28 @@
-//! Rounds of ballots: whoever has something to enter asks the voters to promise, and then to accept.
+//! Proposer role: the prepare and accept phases of a round.
 
 use super::*;
 
 impl ReplicatedLog {
-    /// The number that the next proposal will have. Its answer may come before the call that makes it is over.
+    /// The id of the next proposal. Its outcome may be reported before the proposing call returns.
     pub fn next_proposal(&self) -> ProposalId {
-        ProposalId(self.last + 1)
+        ProposalId(self.last_proposal + 1)
     }
 
-    /// Proposes an entry; what came of it is told by `until`.
+    /// Proposes an entry; the outcome is reported by `until`.
     pub fn propose_entry(
         &mut self,
         now: Timestamp,
         entry: Entry,
-        until: Timestamp,
+        deadline: Timestamp,
         out: &mut Vec<Output>,
     ) -> ProposalId {
-        self.propose(now, Proposal::Enter(entry), until, out)
+        self.propose(now, Proposal::Append(entry), deadline, out)
     }
 
-    /// Asks to know all that was acknowledged so far.
-    pub fn propose_read(&mut self, now: Timestamp, until: Timestamp, out: &mut Vec<Output>) -> ProposalId {
-        let ticket = self.propose(now, Proposal::Read { heard: BTreeSet::new(), slot: 0 }, until, out);
+    /// Proposes a linearizable read: the outcome is `Current` once every entry acknowledged so far is known
+    /// locally.
+    pub fn propose_read(&mut self, now: Timestamp, deadline: Timestamp, out: &mut Vec<Output>) -> ProposalId {
+        let ticket = self.propose(now, Proposal::Read { responded: BTreeSet::new(), slot: 0 }, deadline, out);
         self.broadcast(now, &Payload::Probe(Probe { ticket: ticket.0 }), out);
         ticket
     }
@@ -30,105 +31,117 @@
         &mut self,
         now: Timestamp,
         proposal: Proposal,
-        until: Timestamp,
+        deadline: Timestamp,
         out: &mut Vec<Output>,
     ) -> ProposalId {
-        self.last += 1;
-        let ticket = ProposalId(self.last);
-        if self.waiting.len() >= MOST {
+        self.last_proposal += 1;
+        let ticket = ProposalId(self.last_proposal);
+        if self.pending.len() >= MAX_PENDING_PROPOSALS {
             out.push(Output::Resolved { proposal: ticket, outcome: ProposalOutcome::QueueFull });
             return ticket;
         }
-        self.waiting.push_back(Waiting { ticket, proposal, until });
-        self.begin(now, out);
+        self.pending.push_back(PendingProposal { ticket, proposal, deadline });
+        self.begin_round(now, out);
         ticket
     }
 
-    /// Begins a round where there is something to enter and none is under way.
-    pub(super) fn begin(&mut self, now: Timestamp, out: &mut Vec<Output>) {
-        if !self.wants_round()
+    /// Begins a round if an entry is pending and no round is in progress.
+    pub(super) fn begin_round(&mut self, now: Timestamp, out: &mut Vec<Output>) {
+        if !self.needs_round()
             || self.round.is_some()
-            || now < self.pause_until
+            || now < self.retry_at
             || self.applied.voters.is_empty()
         {
             return;
         }
-        self.seen += 1;
-        let (slot, ballot) =
-            (self.applied.slot + 1, Ballot { round: self.seen, by: self.me, incarnation: self.incarnation });
-        let phase = Phase::Preparing { promised: BTreeSet::new(), best: None };
-        self.round = Some(Round { slot, ballot, phase, until: now + ROUND });
+        self.highest_round += 1;
+        let (slot, ballot) = (
+            self.applied.slot + 1,
+            Ballot { round: self.highest_round, by: self.me, incarnation: self.incarnation },
+        );
+        let phase = Phase::Preparing { promised: BTreeSet::new(), highest: None };
+        self.round = Some(Round { slot, ballot, phase, deadline: now + ROUND_TIMEOUT });
         self.broadcast(now, &Payload::Prepare(Prepare { slot, ballot }), out);
     }
 
-    /// Whether there is something to enter, or to find out. Danger: what one voter accepted may be chosen.
-    pub(super) fn wants_round(&self) -> bool {
-        let wants = |waiting: &Waiting| match &waiting.proposal {
-            Proposal::Enter(_) => true,
-            Proposal::Read { heard, slot } => self.is_majority(heard) && *slot > self.applied.slot,
+    /// Whether a round is needed to propose an entry or to resolve a read. An entry accepted by a single
+    /// voter may already be chosen.
+    pub(super) fn needs_round(&self) -> bool {
+        let wants_round = |pending: &PendingProposal| match &pending.proposal {
+            Proposal::Append(_) => true,
+            Proposal::Read { responded, slot } => self.is_majority(responded) && *slot > self.applied.slot,
         };
-        self.rejoins() || self.waiting.iter().any(wants)
+        self.needs_rejoin() || self.pending.iter().any(wants_round)
     }
 
-    /// Whether this machine is a voter that has to be let in again.
-    pub(super) fn rejoins(&self) -> bool {
+    /// Whether this machine is a voter that lost its disk and has to be readmitted.
+    pub(super) fn needs_rejoin(&self) -> bool {
         !self.votes && self.applied.voters.contains(&self.me)
     }
 
-    pub(super) fn lose_round(&mut self, now: Timestamp) {
+    pub(super) fn abandon_round(&mut self, now: Timestamp) {
         self.round = None;
-        self.losses = (self.losses + 1).min(6);
-        let most = PAUSE * f64::from(1 << self.losses);
-        self.pause_until = now + PAUSE + most * self.rng.f64();
+        self.lost_rounds = (self.lost_rounds + 1).min(6);
+        let max_delay = RETRY_BASE_DELAY * f64::from(1 << self.lost_rounds);
+        self.retry_at = now + RETRY_BASE_DELAY + max_delay * self.rng.f64();
     }
 
-    pub(super) fn promise(&mut self, now: Timestamp, from: u32, promise: &Promise, out: &mut Vec<Output>) {
-        self.seen = self.seen.max(promise.promised.round);
-        let (majority, others, rejoins) = (self.majority(), self.others(), self.rejoins());
+    pub(super) fn handle_promise(
+        &mut self,
+        now: Timestamp,
+        from: u32,
+        promise: &Promise,
+        out: &mut Vec<Output>,
+    ) {
+        self.highest_round = self.highest_round.max(promise.promised.round);
+        let (majority, rejoin_quorum, needs_rejoin) =
+            (self.majority(), self.rejoin_quorum(), self.needs_rejoin());
         let me = self.me;
         if !self.is_current_ballot(promise.slot, promise.ballot) {
             return;
         }
         let Some(round) = self.round.as_mut() else { return };
         if promise.promised > round.ballot {
-            return self.lose_round(now);
+            return self.abandon_round(now);
         }
-        let Phase::Preparing { promised, best } = &mut round.phase else { return };
+        let Phase::Preparing { promised, highest } = &mut round.phase else { return };
         promised.insert(from);
         if let Some(accepted) = &promise.accepted
-            && best.as_ref().is_none_or(|best| best.ballot < accepted.ballot)
+            && highest.as_ref().is_none_or(|highest| highest.ballot < accepted.ballot)
         {
-            *best = Some(accepted.clone());
+            *highest = Some(accepted.clone());
         }
-        let enough = if rejoins {
-            promised.iter().filter(|&&other| other != me).count() >= others
+        let has_quorum = if needs_rejoin {
+            promised.iter().filter(|&&other| other != me).count() >= rejoin_quorum
         } else {
             promised.len() >= majority
         };
-        if !enough {
+        if !has_quorum {
             return;
         }
-        // Danger: what a voter accepted may be chosen already; only where none of a majority did is the slot free.
-        let best = best.take();
+        // Safety: an accepted entry may already be chosen. The slot is free only if no voter of a majority
+        // has accepted an entry.
+        let highest = highest.take();
         let (slot, ballot) = (round.slot, round.ballot);
-        let entry = match best {
-            Some(best) => best.entry,
+        let entry = match highest {
+            Some(highest) => highest.entry,
             None => match self.next_entry() {
                 Some(entry) => entry,
-                // A read only had to know that the slot is free.
+                // The round was run only to resolve a read.
                 None => {
                     self.round = None;
-                    return self.settle_reads(Some(slot), out);
+                    return self.resolve_reads(Some(slot), out);
                 }
             },
         };
-        let until = now + ROUND;
+        let deadline = now + ROUND_TIMEOUT;
         let phase = Phase::Accepting { entry: entry.clone(), accepted: BTreeSet::new() };
-        self.round = Some(Round { slot, ballot, phase, until });
+        self.round = Some(Round { slot, ballot, phase, deadline });
         let accept = Accept { slot, ballot, entry };
-        if rejoins {
-            // Its own vote counts from this ballot on: others() voters promised it after whatever it knew before.
-            self.take_vote(now, me, &accept, out);
+        if needs_rejoin {
+            // Its own vote counts from this ballot on, since `rejoin_quorum` other voters promised the
+            // ballot after any vote that this machine cast before it lost its disk.
+            self.record_vote(now, me, &accept, out);
             for to in self.applied.voters.clone().into_iter().filter(|&to| to != me) {
                 self.send(now, to, Payload::Accept(accept.clone()), out);
             }
@@ -137,52 +150,66 @@
         }
     }
 
-    /// What this machine would enter next.
+    /// The entry to propose in the next slot.
     pub(super) fn next_entry(&self) -> Option<Entry> {
-        if self.rejoins() {
+        if self.needs_rejoin() {
             return Some(Entry {
                 payload: Some(EntryPayload::Rejoin(Rejoin { voter: self.me, incarnation: self.incarnation })),
             });
         }
-        self.waiting.iter().find_map(|waiting| match &waiting.proposal {
-            Proposal::Enter(entry) => Some(entry.clone()),
+        self.pending.iter().find_map(|pending| match &pending.proposal {
+            Proposal::Append(entry) => Some(entry.clone()),
             Proposal::Read { .. } => None,
         })
     }
 
-    pub(super) fn accepted(&mut self, now: Timestamp, from: u32, word: Accepted, out: &mut Vec<Output>) {
-        self.seen = self.seen.max(word.promised.round);
-        let (majority, others, rejoins, me) = (self.majority(), self.others(), self.rejoins(), self.me);
-        if !self.is_current_ballot(word.slot, word.ballot) {
+    pub(super) fn handle_accepted(
+        &mut self,
+        now: Timestamp,
+        from: u32,
+        message: Accepted,
+        out: &mut Vec<Output>,
+    ) {
+        self.highest_round = self.highest_round.max(message.promised.round);
+        let (majority, rejoin_quorum, needs_rejoin, me) =
+            (self.majority(), self.rejoin_quorum(), self.needs_rejoin(), self.me);
+        if !self.is_current_ballot(message.slot, message.ballot) {
             return;
         }
         let Some(round) = self.round.as_mut() else { return };
-        if word.promised > round.ballot {
-            return self.lose_round(now);
+        if message.promised > round.ballot {
+            return self.abandon_round(now);
         }
         let Phase::Accepting { entry, accepted } = &mut round.phase else { return };
         accepted.insert(from);
-        let not_mine = accepted.iter().filter(|&&other| other != me).count();
-        if accepted.len() >= majority && (!rejoins || not_mine >= others) {
+        let other_votes = accepted.iter().filter(|&&other| other != me).count();
+        if accepted.len() >= majority && (!needs_rejoin || other_votes >= rejoin_quorum) {
             let chosen = Chosen { slot: round.slot, entry: entry.clone() };
-            self.losses = 0;
+            self.lost_rounds = 0;
             self.learn(now, me, chosen, out);
         }
     }
 
-    /// What builds on a version, or on a holder, that is no more is told so: it will not be entered from here on.
-    pub(super) fn drop_superseded(&mut self, out: &mut Vec<Output>) {
+    /// Resolves pending proposals whose precondition no longer holds: they will not be chosen from here on.
+    pub(super) fn resolve_superseded(&mut self, out: &mut Vec<Output>) {
         let applied = &self.applied;
-        self . waiting . retain ( | waiting | { let moot = matches ! ( & waiting . proposal , Proposal :: Enter ( entry ) if ! applied . is_applicable ( entry ) ) ; if moot { out . push ( Output :: Resolved { proposal : waiting . ticket , outcome : ProposalOutcome :: Superseded } ) ; } ! moot } ) ;
+        self.pending.retain(|pending| {
+            let superseded =
+                matches!(&pending.proposal, Proposal::Append(entry) if !applied.is_applicable(entry));
+            if superseded {
+                out.push(Output::Resolved { proposal: pending.ticket, outcome: ProposalOutcome::Superseded });
+            }
+            !superseded
+        });
     }
 
-    /// Whether answers to this ballot still count here.
+    /// Whether responses to this ballot still count.
     pub fn is_current_ballot(&self, slot: u64, ballot: Ballot) -> bool {
         self.round.as_ref().is_some_and(|round| (round.slot, round.ballot) == (slot, ballot))
     }
 
-    /// So many other voters, of whatever kind, have one in common with every majority that this machine was part of.
-    pub(super) fn others(&self) -> usize {
+    /// Number of other voters that intersects every majority this machine was part of.
+    pub(super) fn rejoin_quorum(&self) -> usize {
         self.applied.voters.len() - self.majority() + 1
     }
 }
--- a/crates/arrowyard-control/src/replicated_log/recovery.rs
+++ b/crates/arrowyard-control/src/replicated_log/recovery.rs
@@ -1,12 +1,13 @@
-//! What a ledger is after a start, as its disk tells, and the snapshot that stands for all of its records.
+//! Restores the log from the records on disk, and encodes the snapshot that replaces them.
 
 use super::*;
 
 impl ReplicatedLog {
-    /// A ledger as its disk tells of it. Nothing on disk, and `founders` of a first start: it is founded.
+    /// Restores the log from its records. On an empty disk, `founders` are the initial voters of a first
+    /// start.
     ///
     /// # Errors
-    /// When a record cannot be read; nothing is to be answered then.
+    /// When a record cannot be decoded; the machine must not answer any request then.
     pub fn open(
         me: u32,
         incarnation: u64,
@@ -19,20 +20,21 @@
             incarnation,
             rng: Rng::with_seed(incarnation),
             applied: AppliedState::default(),
-            kept: VecDeque::new(),
-            kept_bytes: 0,
+            retained: VecDeque::new(),
+            retained_bytes: 0,
             votes: false,
             vote_record: None,
             promised: Ballot::default(),
             accepted: None,
-            seen: 0,
+            highest_round: 0,
             round: None,
-            pause_until: Timestamp::DISTANT_PAST,
-            losses: 0,
-            waiting: VecDeque::new(),
-            // Safety: an answer to a question of an earlier life must not pass for one to a question of this life.
-            last: incarnation >> 1,
-            after: BTreeMap::new(),
+            retry_at: Timestamp::DISTANT_PAST,
+            lost_rounds: 0,
+            pending: VecDeque::new(),
+            // Safety: a response to a proposal of an earlier incarnation must not match one of this
+            // incarnation.
+            last_proposal: incarnation >> 1,
+            sends_after_store: BTreeMap::new(),
             last_record: 0,
             fetched_at: Timestamp::DISTANT_PAST,
         };
@@ -43,16 +45,16 @@
             voters.dedup();
             this.votes = voters.contains(&me);
             this.applied.voters = voters.clone();
-            // Danger: a machine that does not vote has to know who does, after each start of its own.
+            // A machine that does not vote also has to know the voters after each restart.
             this.store(RecordKind::InitialVoters(Voters { voters, before: Vec::new() }), None, out);
         }
         Ok(this)
     }
 
-    /// Reads what is on disk. Danger: a snapshot is written beside records that are newer than it, before or after
-    /// them; so nothing is judged by its place, only by slot and ballot.
+    /// Reads the records on disk. A snapshot may be written before or after records that are newer than it,
+    /// so records are ordered by slot and ballot only, not by position.
     pub(super) fn read(&mut self, records: &[Vec<u8>]) -> Result<(), String> {
-        let mut whole: Option<LogSnapshot> = None;
+        let mut latest_snapshot: Option<LogSnapshot> = None;
         let mut chosen = BTreeMap::new();
         let mut promised: BTreeMap<u64, Ballot> = BTreeMap::new();
         let mut accepted: BTreeMap<u64, Accept> = BTreeMap::new();
@@ -61,8 +63,8 @@
             _ => drop(accepted.insert(one.slot, one)),
         };
         for record in records {
-            let record = Record::decode(record.as_slice()).map_err(|fault| fault.to_string())?;
-            match record.kind.ok_or("a record of an unknown kind")? {
+            let record = Record::decode(record.as_slice()).map_err(|error| error.to_string())?;
+            match record.kind.ok_or("a record is of an unknown kind")? {
                 RecordKind::InitialVoters(founded) => {
                     self.votes |= founded.voters.contains(&self.me);
                     self.applied.voters = founded.voters;
@@ -79,25 +81,28 @@
                     let known = promised.entry(one.snapshot.slot + 1).or_default();
                     *known = one.promised.max(*known);
                     one.accepted.clone().into_iter().for_each(&mut accept);
-                    if whole.as_ref().is_none_or(|whole| whole.snapshot.slot <= one.snapshot.slot) {
-                        whole = Some(one);
+                    if latest_snapshot
+                        .as_ref()
+                        .is_none_or(|latest_snapshot| latest_snapshot.snapshot.slot <= one.snapshot.slot)
+                    {
+                        latest_snapshot = Some(one);
                     }
                 }
             }
         }
-        if let Some(whole) = whole {
-            self.applied = AppliedState::restore(&whole.snapshot)?;
+        if let Some(latest_snapshot) = latest_snapshot {
+            self.applied = AppliedState::restore(&latest_snapshot.snapshot)?;
         }
         while let Some(next) = chosen.remove(&(self.applied.slot + 1)) {
-            self.take_entry(next);
+            self.apply_entry(next);
         }
         let open = self.applied.slot + 1;
-        // Safety: a vote for a slot whose predecessors are not known here is one that this machine cannot answer for.
-        // Records are kept in order and without a gap, so such a disk is not the one that was written.
+        // Safety: records are written in order and without gaps, so a vote beyond the next slot means that
+        // records are missing. This machine cannot vouch for its earlier votes then.
         let beyond = |slot: &u64| *slot > open;
         if promised.keys().any(beyond) || accepted.keys().any(beyond) || chosen.keys().any(beyond) {
             log::error!(
-                "ledger: Records are missing before slot {open}; its word counts for nothing at first."
+                "replicated log: records are missing before slot {open}; this machine does not vote until it is readmitted"
             );
             self.votes = false;
         }
@@ -105,11 +110,12 @@
         let vote = self.accepted.as_ref().map(|accepted| accepted.ballot).unwrap_or_default();
         self.promised = promised.remove(&open).unwrap_or_default().max(vote);
         let rounds = promised.values().chain(accepted.values().map(|accepted| &accepted.ballot));
-        self.seen = rounds.map(|ballot| ballot.round).max().unwrap_or_default().max(self.promised.round);
+        self.highest_round =
+            rounds.map(|ballot| ballot.round).max().unwrap_or_default().max(self.promised.round);
         Ok(())
     }
 
-    /// One record in place of all.
+    /// Encodes the complete state as one record that replaces all others.
     pub fn snapshot(&self, registry: Option<RegistrySnapshot>) -> Vec<u8> {
         Record::encode_kind(RecordKind::Snapshot(LogSnapshot {
             snapshot: self.applied.snapshot(),
