--- a/crates/arrowyard-control/src/control.rs
+++ b/crates/arrowyard-control/src/control.rs
@@ -1,5 +1,5 @@
-//! A control machine: the parts of the plane put together. One function takes every event; each kind of connection
-//! has a file of its own.
+//! A control machine: combines the parts of the control plane behind the event interface of
+//! `arrowyard-runtime`. Each kind of connection is handled in a module of its own.
 
 mod api;
 mod departures;
@@ -31,117 +31,120 @@
 use crate::promotion::{PrimaryWatch, Promotions};
 use crate::{DutyElection, HostRegistry, Output, PeerView, ProposalId, ReplicatedLog};
 
-use api::Caller;
+use api::ApiConnection;
 pub use departures::Departures;
 pub use disk_health::DiskHealth;
 use fair_shares::Shares;
 use feed::Router;
-use host_requests::Link;
+use host_requests::HostConnection;
 use peers::Peer;
-use platform::{Decisions, Platform};
+use platform::{Decisions, PlatformCall};
 pub use relays::{RelayOutcome, Relays};
 use suspicions::Suspicions;
 
-/// The doors of a control machine: the calls of hosts and operators, and the system's own processes.
+/// Listeners of a control machine: calls of hosts and operators, and connections of other machines of
+/// the system.
 pub const LISTENERS: [ListenerId; 2] = [ListenerId(0), ListenerId(1)];
 
-/// What is done at regular times is done this often.
-const TICK: TimeDelta = TimeDelta::from_millis(250);
-/// Hosts that are gone are looked through every so many ticks.
-const SWEEP: u64 = 40;
-/// The settings file is read again so often, since it may change without a signal.
-const REREAD: TimeDelta = TimeDelta::from_millis(2000);
-/// How long a process that is told to end goes on with what it has begun, and waits for another one to take its vote over.
-const LAST: TimeDelta = TimeDelta::from_millis(800);
-const HAND_OVER: TimeDelta = TimeDelta::from_millis(2500);
+/// Interval of periodic work.
+const TICK_INTERVAL: TimeDelta = TimeDelta::from_millis(250);
+/// Ticks between removals of expired hosts.
+const EXPIRY_TICKS: u64 = 40;
+/// Interval at which the settings file is read again, since it may change without a signal.
+const SETTINGS_RELOAD_INTERVAL: TimeDelta = TimeDelta::from_millis(2000);
+/// On shutdown: time to answer calls in progress, and time to wait for another machine to take over the
+/// vote.
+const REQUEST_DRAIN_TIMEOUT: TimeDelta = TimeDelta::from_millis(800);
+const VOTE_HANDOVER_TIMEOUT: TimeDelta = TimeDelta::from_millis(2500);
 
-/// Reads the settings file anew.
-pub type Reread = Box<dyn FnMut() -> Option<Settings>>;
+/// Reads the settings file again; `None` if that fails.
+pub type ReloadSettings = Box<dyn FnMut() -> Option<Settings>>;
 
-/// What stands at the other end of a connection.
-enum Line {
-    Caller(Caller),
-    /// One of the system's own that has not said who it is.
-    Stranger(arrowyard_messages::FrameDecoder),
+/// State of one connection, by kind of peer.
+enum Connection {
+    Api(ApiConnection),
+    /// A machine of the system that has not sent its hello.
+    Unidentified(arrowyard_messages::FrameDecoder),
     Peer(u32, arrowyard_messages::FrameDecoder),
     Router(Router),
-    /// A router that came before this machine heard of the voters.
-    Early(arrowyard_messages::Hello, arrowyard_messages::FrameDecoder, Timestamp),
-    Link(String),
-    Platform(Platform),
+    /// A router that connected before this machine reached the voters.
+    PendingRouter(arrowyard_messages::Hello, arrowyard_messages::FrameDecoder, Timestamp),
+    Host(String),
+    Platform(PlatformCall),
 }
 
-/// One control machine.
+/// State of one control machine.
 pub struct Control {
     settings: Settings,
-    reread: Reread,
-    me: u32,
+    reload: ReloadSettings,
+    local_ip: u32,
     incarnation: u64,
     rng: Rng,
-    ledger: ReplicatedLog,
-    /// Records are kept in memory only where there is no disk.
+    replicated_log: ReplicatedLog,
+    /// Without a disk, records are kept in memory only.
     has_disk: bool,
     disk: DiskHealth,
-    /// Since when this machine's vote cannot be counted on.
-    unable_since: Option<Timestamp>,
-    /// Whether the others were told that this machine's vote is durable.
-    announced: bool,
-    cell: HostRegistry,
-    /// Of the hosts as they were last put on disk.
-    kept_digest: u64,
-    silent: BTreeMap<String, Timestamp>,
-    left: Vec<(Timestamp, Host)>,
+    /// Since when this machine's vote does not count.
+    unable_to_vote_since: Option<Timestamp>,
+    /// Whether peers have been told that this machine's vote is durable.
+    vote_announced: bool,
+    registry: HostRegistry,
+    /// Digest of the hosts and router count last stored.
+    stored_digest: u64,
+    silent_hosts: BTreeMap<String, Timestamp>,
+    departed_hosts: Vec<(Timestamp, Host)>,
     view: PeerView,
     duty: DutyElection,
     promotions: Promotions,
     /// By service of the configuration.
     primary_watches: BTreeMap<String, PrimaryWatch>,
-    /// The replacements of primaries that routers were told of last.
-    told_replacements: Vec<arrowyard_messages::Replacement>,
-    /// Under which fence the duty is carried out, since this machine took it up.
+    /// Replacements of primaries last published to routers.
+    published_replacements: Vec<arrowyard_messages::Replacement>,
+    /// Fencing token under which this machine carries out the duty.
     fence: Option<u64>,
-    /// The duty's fence that a majority has confirmed since this machine was cut off last, and the question for it.
+    /// Fencing token that a majority has confirmed since this machine last lost the quorum, and the read
+    /// that is to confirm it.
     confirmed: Option<u64>,
     confirming: Option<ProposalId>,
-    lines: FxHashMap<Conn, Line>,
+    connections: FxHashMap<Conn, Connection>,
     peers: BTreeMap<u32, Peer>,
-    links: BTreeMap<String, Link>,
+    host_connections: BTreeMap<String, HostConnection>,
     relays: Relays,
-    /// Calls of the operator that wait for the ledger.
-    pending: FxHashMap<ProposalId, api::Pending>,
-    silent_here: Vec<arrowyard_messages::SilentHost>,
+    /// Calls that wait for the outcome of a proposal.
+    pending: FxHashMap<ProposalId, api::PendingCall>,
+    local_silent_hosts: Vec<arrowyard_messages::SilentHost>,
     platform_calls: Vec<(Conn, Timestamp)>,
     decisions: Decisions,
     departures: Departures,
     suspicions: Suspicions,
     routers: u32,
-    /// The configuration that routers were told last.
-    fed: Configuration,
-    fewer_since: Option<Timestamp>,
-    /// When who votes may be changed next.
-    seat_at: Timestamp,
-    told: Vec<KnownControl>,
+    /// Configuration last published to routers.
+    published_configuration: Configuration,
+    router_decrease_since: Option<Timestamp>,
+    /// Earliest time of the next change of the voter set.
+    voter_change_at: Timestamp,
+    published_controls: Vec<KnownControl>,
     tick_at: Timestamp,
-    reread_at: Timestamp,
+    reload_at: Timestamp,
     ticks: u64,
-    in_touch: bool,
+    quorum_reachable: bool,
     shares: Shares,
-    /// Since when it is told to end.
-    ending_since: Option<Timestamp>,
-    ready: Vec<Output>,
+    /// Since when it is shutting down.
+    stopping_since: Option<Timestamp>,
+    initial_outputs: Vec<Output>,
 }
 
 impl Control {
-    /// A control machine with what its disk holds.
+    /// Restores a control machine from the records on its disk.
     ///
     /// # Errors
-    /// When the disk's records cannot be read.
+    /// When the records cannot be decoded.
     pub fn open(
         settings: Settings,
         incarnation: u64,
         records: &[Vec<u8>],
         disk: bool,
-        reread: Reread,
+        reread: ReloadSettings,
     ) -> Result<Self, String> {
         let me = ip_to_u32(settings.ip);
         let seeds: Vec<u32> = settings.seeds.iter().map(|seed| ip_to_u32(*seed.ip())).collect();
@@ -149,7 +152,7 @@
         let mut ready = Vec::new();
         let ledger = ReplicatedLog::open(me, incarnation, records, founders, &mut ready)?;
         log::info!(
-            "ledger: {} entries, {} voters, {}.",
+            "replicated log: {} entries, {} voters, {}",
             ledger.chosen(),
             ledger.voters().len(),
             if ledger.votes() { "votes" } else { "does not vote" }
@@ -161,141 +164,147 @@
         let fed = ledger.applied().configuration.clone();
         let (cell, routers) = registry_snapshot::restore(records, &settings.zone);
         Ok(Control {
-            me,
+            local_ip: me,
             incarnation,
             rng: Rng::with_seed(incarnation),
-            ledger,
+            replicated_log: ledger,
             has_disk: disk,
             disk: DiskHealth::default(),
-            unable_since: None,
-            announced: false,
-            kept_digest: cell.digest(),
-            cell,
-            silent: BTreeMap::new(),
-            left: Vec::new(),
+            unable_to_vote_since: None,
+            vote_announced: false,
+            stored_digest: cell.digest(),
+            registry: cell,
+            silent_hosts: BTreeMap::new(),
+            departed_hosts: Vec::new(),
             view,
             duty,
             promotions: Promotions::default(),
             primary_watches: BTreeMap::new(),
-            told_replacements: Vec::new(),
+            published_replacements: Vec::new(),
             fence: None,
             confirmed: None,
             confirming: None,
-            lines: FxHashMap::default(),
+            connections: FxHashMap::default(),
             peers: BTreeMap::new(),
-            links: BTreeMap::new(),
+            host_connections: BTreeMap::new(),
             relays: Relays::new(incarnation),
             pending: FxHashMap::default(),
-            silent_here: Vec::new(),
+            local_silent_hosts: Vec::new(),
             platform_calls: Vec::new(),
             decisions: Decisions::default(),
             departures: Departures::new(incarnation),
             suspicions: Suspicions::default(),
             routers,
-            fed,
-            fewer_since: None,
-            seat_at: Timestamp::DISTANT_PAST,
-            told: Vec::new(),
+            published_configuration: fed,
+            router_decrease_since: None,
+            voter_change_at: Timestamp::DISTANT_PAST,
+            published_controls: Vec::new(),
             tick_at: Timestamp::DISTANT_PAST,
-            reread_at: Timestamp::DISTANT_PAST,
+            reload_at: Timestamp::DISTANT_PAST,
             ticks: 0,
-            in_touch: false,
+            quorum_reachable: false,
             shares: Shares::default(),
-            ending_since: None,
-            ready,
+            stopping_since: None,
+            initial_outputs: ready,
             settings,
-            reread,
+            reload: reread,
         })
     }
 
-    pub fn ledger(&self) -> &ReplicatedLog {
-        &self.ledger
+    pub fn replicated_log(&self) -> &ReplicatedLog {
+        &self.replicated_log
     }
 
-    /// Carries out what the ledger wants.
-    fn carry(&mut self, now: Timestamp, out: Vec<Output>, commands: &mut Commands) {
+    /// Carries out the outputs of the replicated log.
+    fn execute(&mut self, now: Timestamp, out: Vec<Output>, commands: &mut Commands) {
         let mut queue = std::collections::VecDeque::from(out);
         while let Some(one) = queue.pop_front() {
             match one {
-                Output::Send { to: 0, payload: word } => self.say_to_peers(&word, commands),
-                Output::Send { to, payload: word } => self.say_to_peer(to, &word, commands),
+                Output::Send { to: 0, payload: word } => self.broadcast_to_peers(&word, commands),
+                Output::Send { to, payload: word } => self.send_to_peer(to, &word, commands),
                 Output::Store { ticket, record } if self.has_disk => {
                     self.disk.write_started(now, ticket);
                     commands.store(ticket, record);
                 }
                 Output::Store { ticket, .. } => {
                     let mut more = Vec::new();
-                    self.ledger.record_stored(now, ticket, true, &mut more);
+                    self.replicated_log.record_stored(now, ticket, true, &mut more);
                     queue.extend(more);
                 }
-                Output::Chosen { slot } => self.tell_chosen(now, slot, commands),
-                Output::Resolved { proposal, outcome } => self.answered(now, proposal, outcome, commands),
+                Output::Chosen { slot } => self.entry_chosen(now, slot, commands),
+                Output::Resolved { proposal, outcome } => {
+                    self.proposal_resolved(now, proposal, outcome, commands)
+                }
             }
         }
     }
 
-    /// Hands something to the ledger and carries out what it wants.
-    fn with_ledger<T>(
+    /// Calls the replicated log and carries out its outputs.
+    fn with_log<T>(
         &mut self,
         now: Timestamp,
         commands: &mut Commands,
         act: impl FnOnce(&mut ReplicatedLog, &mut Vec<Output>) -> T,
     ) -> T {
         let mut out = Vec::new();
-        let result = act(&mut self.ledger, &mut out);
-        self.carry(now, out, commands);
+        let result = act(&mut self.replicated_log, &mut out);
+        self.execute(now, out, commands);
         result
     }
 
     fn tick(&mut self, now: Timestamp, commands: &mut Commands) {
-        self.tick_at = now + TICK;
+        self.tick_at = now + TICK_INTERVAL;
         self.ticks += 1;
-        if now >= self.reread_at {
-            self.reread(now);
+        if now >= self.reload_at {
+            self.reload_settings(now);
         }
-        self.meet(now, commands);
-        self.keep_touch(now, commands);
-        if self.ticks.is_multiple_of(SWEEP) {
-            self.cell.remove_expired(now);
-            let cell = &self.cell;
+        self.connect_peers(now, commands);
+        self.update_quorum_status(now, commands);
+        if self.ticks.is_multiple_of(EXPIRY_TICKS) {
+            self.registry.remove_expired(now);
+            let cell = &self.registry;
             self.departures.retain(|host| cell.get(host).is_some());
         }
-        self.left.retain(|(at, _)| now - *at < TimeDelta::from_millis(30_000));
-        self.drop_idle(now, commands);
+        self.departed_hosts.retain(|(at, _)| now - *at < TimeDelta::from_millis(30_000));
+        self.expire_host_requests(now, commands);
         self.count_routers(now, commands);
-        self.remember(now, commands);
-        self.tell_view(commands);
+        self.store_registry(now, commands);
+        self.publish_controls(commands);
         let mut rng = self.rng.clone();
-        if let Some(entry) = self.duty.poll_candidacy(now, self.ledger.applied(), &mut rng) {
-            self.with_ledger(now, commands, |ledger, out| {
-                ledger.propose_entry(now, entry, now + TICK * 4.0, out)
+        if let Some(entry) = self.duty.poll_candidacy(now, self.replicated_log.applied(), &mut rng) {
+            self.with_log(now, commands, |log, out| {
+                log.propose_entry(now, entry, now + TICK_INTERVAL * 4.0, out)
             });
         }
         self.rng = rng;
-        self.unable_since = if self.is_able_to_vote(now) { None } else { self.unable_since.or(Some(now)) };
-        self.take_up(now, commands);
-        self.fill_seats(now, commands);
-        self.tell_replacements(true, commands);
-        self.divide(now, commands);
+        self.unable_to_vote_since =
+            if self.is_able_to_vote(now) { None } else { self.unable_to_vote_since.or(Some(now)) };
+        self.update_duty(now, commands);
+        self.adjust_voter_set(now, commands);
+        self.publish_replacements(true, commands);
+        self.allocate_shares(now, commands);
     }
 
-    /// A host's word changed: the others hear of it, and the routers.
-    fn news_of(&mut self, now: Timestamp, host: Host, commands: &mut Commands) {
+    /// Publishes a changed host to peers and routers.
+    fn publish_host_change(&mut self, now: Timestamp, host: Host, commands: &mut Commands) {
         if host.phase() == arrowyard_messages::Phase::Gone {
-            self.left.push((now, host.clone()));
+            self.departed_hosts.push((now, host.clone()));
         }
-        self.tell_hosts(vec![host], commands);
-        self.look(now, commands);
+        self.publish_hosts(vec![host], commands);
+        self.poll_promotions(now, commands);
     }
 
-    fn reread(&mut self, now: Timestamp) {
-        self.reread_at = now + REREAD;
-        if let Some(settings) = (self.reread)() {
-            settings.seeds.iter().map(|seed| ip_to_u32(*seed.ip())).filter(|&seed| seed != self.me).for_each(
-                |seed| {
+    fn reload_settings(&mut self, now: Timestamp) {
+        self.reload_at = now + SETTINGS_RELOAD_INTERVAL;
+        if let Some(settings) = (self.reload)() {
+            settings
+                .seeds
+                .iter()
+                .map(|seed| ip_to_u32(*seed.ip()))
+                .filter(|&seed| seed != self.local_ip)
+                .for_each(|seed| {
                     self.view.add_seed(seed);
-                },
-            );
+                });
             self.settings = settings;
         }
     }
@@ -303,41 +312,41 @@
     fn disk_changed(&mut self, works: bool) {
         self.disk.set_working(works);
         if works {
-            self.ledger.disk_recovered();
-            log::info!("disk: All that this machine knows is on it; its vote counts again.");
+            self.replicated_log.disk_recovered();
+            log::info!("disk: stored a complete snapshot; this machine votes again");
         } else {
-            log::error!("disk: It refuses records; this machine does not vote until it is well.");
+            log::error!("disk: writes fail; this machine does not vote until they succeed");
         }
     }
 
-    /// A vote that has just become durable is announced at once: another machine may be waiting to give up its seat.
+    /// Announces a newly durable vote at once, since the removal of another voter may wait for it.
     fn announce_vote(&mut self, now: Timestamp, commands: &mut Commands) {
-        let votes = self.ledger.is_vote_durable();
-        if votes && !self.announced {
-            self.beat_peers(now, commands);
+        let votes = self.replicated_log.is_vote_durable();
+        if votes && !self.vote_announced {
+            self.send_heartbeats(now, commands);
         }
-        self.announced = votes;
+        self.vote_announced = votes;
     }
 
-    /// Whether this machine's vote can be counted on: it has one, and a disk that keeps its word.
+    /// Whether this machine's vote counts: it is durable and the disk is healthy.
     fn is_able_to_vote(&self, now: Timestamp) -> bool {
-        self.ledger.is_vote_durable() && self.disk.is_healthy(now)
+        self.replicated_log.is_vote_durable() && self.disk.is_healthy(now)
     }
 
-    /// Where another control machine takes the calls of hosts and operators: ports are alike on all machines.
-    fn control_of(&self, ip: u32) -> Option<SocketAddrV4> {
+    /// Address at which another control machine serves calls; all machines use the same port.
+    fn api_address(&self, ip: u32) -> Option<SocketAddrV4> {
         let port = self.settings.bind_addrs.get("control")?.port();
         Some(SocketAddrV4::new(Ipv4Addr::from(ip), port))
     }
 
-    fn end(&mut self, now: Timestamp, commands: &mut Commands) {
-        if self.ending_since.is_none() {
-            self.ending_since = Some(now);
-            self.beat_peers(now, commands);
+    fn shut_down(&mut self, now: Timestamp, commands: &mut Commands) {
+        if self.stopping_since.is_none() {
+            self.stopping_since = Some(now);
+            self.send_heartbeats(now, commands);
         }
-        let waited = self.ending_since.map_or(TimeDelta::ZERO, |since| now - since);
-        let is_answered = self.pending.is_empty() || waited >= LAST;
-        if is_answered && (waited >= HAND_OVER || !self.can_hand_over(now)) {
+        let waited = self.stopping_since.map_or(TimeDelta::ZERO, |since| now - since);
+        let is_answered = self.pending.is_empty() || waited >= REQUEST_DRAIN_TIMEOUT;
+        if is_answered && (waited >= VOTE_HANDOVER_TIMEOUT || !self.can_hand_over_vote(now)) {
             commands.stop();
         }
     }
@@ -347,119 +356,120 @@
     fn handle(&mut self, now: Timestamp, event: Event<'_>, commands: &mut Commands) {
         match event {
             Event::Start => {
-                let ready = std::mem::take(&mut self.ready);
-                self.carry(now, ready, commands);
+                let ready = std::mem::take(&mut self.initial_outputs);
+                self.execute(now, ready, commands);
             }
             Event::Accepted { conn, listener } if listener == LISTENERS[0] => {
-                drop(self.lines.insert(conn, Line::Caller(Caller::default())));
+                drop(self.connections.insert(conn, Connection::Api(ApiConnection::default())));
             }
             Event::Accepted { conn, .. } => {
-                drop(self.lines.insert(conn, Line::Stranger(arrowyard_messages::FrameDecoder::default())));
+                drop(
+                    self.connections
+                        .insert(conn, Connection::Unidentified(arrowyard_messages::FrameDecoder::default())),
+                );
             }
-            Event::Connected { conn } => self.opened(now, conn, commands),
-            Event::Received { conn, bytes } => self.came(now, conn, bytes, commands),
-            Event::Closed { conn, .. } => self.closed(now, conn, commands),
+            Event::Connected { conn } => self.on_connected(now, conn, commands),
+            Event::Received { conn, bytes } => self.on_received(now, conn, bytes, commands),
+            Event::Closed { conn, .. } => self.on_closed(now, conn, commands),
             Event::Stored { ticket, durable } => {
                 self.disk.write_completed(ticket);
-                self.with_ledger(now, commands, |ledger, out| {
-                    ledger.record_stored(now, ticket, durable, out)
-                });
+                self.with_log(now, commands, |log, out| log.record_stored(now, ticket, durable, out));
                 self.departure_stored(now, ticket, durable, commands);
                 self.announce_vote(now, commands);
             }
             Event::DiskStatus { writable } => self.disk_changed(writable),
-            Event::Signal(Signal::Terminate) => self.end(now, commands),
-            Event::Signal(Signal::Reload) => self.reread(now),
+            Event::Signal(Signal::Terminate) => self.shut_down(now, commands),
+            Event::Signal(Signal::Reload) => self.reload_settings(now),
             Event::TimerExpired => {}
         }
-        if self.ledger.due().is_some_and(|at| at <= now) {
-            self.with_ledger(now, commands, |ledger, out| ledger.on_timer(now, out));
+        if self.replicated_log.due().is_some_and(|at| at <= now) {
+            self.with_log(now, commands, |log, out| log.on_timer(now, out));
         }
         if self.tick_at <= now {
             self.tick(now, commands);
-            self.look(now, commands);
+            self.poll_promotions(now, commands);
         }
         if self.departures.due().is_some_and(|at| at <= now) {
-            self.refuse_late_departures(now, commands);
+            self.reject_expired_departures(now, commands);
         }
-        if self.links_due().is_some_and(|at| at <= now) {
-            self.drop_idle(now, commands);
+        if self.host_requests_due().is_some_and(|at| at <= now) {
+            self.expire_host_requests(now, commands);
         }
         if self.promotions.due().is_some_and(|at| at <= now) {
-            self.look(now, commands);
+            self.poll_promotions(now, commands);
         }
-        if self.ending_since.is_some() {
-            self.end(now, commands);
+        if self.stopping_since.is_some() {
+            self.shut_down(now, commands);
         }
     }
 
     fn due(&self) -> Option<Timestamp> {
         let parts = [
             Some(self.tick_at),
-            self.ledger.due(),
+            self.replicated_log.due(),
             self.promotions.due(),
-            self.links_due(),
+            self.host_requests_due(),
             self.departures.due(),
         ];
         parts.into_iter().flatten().min()
     }
 
     fn snapshot(&self) -> Vec<u8> {
-        self.ledger.snapshot(Some(self.memory()))
+        self.replicated_log.snapshot(Some(self.registry_snapshot()))
     }
 }
 
 impl Control {
-    fn opened(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
-        match self.lines.get(&conn) {
-            Some(Line::Peer(ip, _)) => self.greet(now, conn, *ip, commands),
-            Some(Line::Link(host)) => self.link_opened(host.clone(), commands),
-            Some(Line::Platform(_)) => self.platform_opened(now, conn, commands),
+    fn on_connected(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
+        match self.connections.get(&conn) {
+            Some(Connection::Peer(ip, _)) => self.on_peer_connected(now, conn, *ip, commands),
+            Some(Connection::Host(host)) => self.on_host_connected(host.clone(), commands),
+            Some(Connection::Platform(_)) => self.on_platform_connected(now, conn, commands),
             _ => {}
         }
     }
 
-    fn came(&mut self, now: Timestamp, conn: Conn, bytes: &[u8], commands: &mut Commands) {
-        match self.lines.get_mut(&conn) {
-            Some(Line::Caller(caller)) => {
+    fn on_received(&mut self, now: Timestamp, conn: Conn, bytes: &[u8], commands: &mut Commands) {
+        match self.connections.get_mut(&conn) {
+            Some(Connection::Api(caller)) => {
                 caller.messages.put(bytes);
-                self.calls(now, conn, commands);
+                self.process_calls(now, conn, commands);
             }
-            Some(Line::Stranger(frames)) => {
+            Some(Connection::Unidentified(frames)) => {
                 frames.put(bytes);
-                self.strange(now, conn, commands);
+                self.identify(now, conn, commands);
             }
-            Some(Line::Peer(ip, _)) => {
+            Some(Connection::Peer(ip, _)) => {
                 let ip = *ip;
-                self.peer_came(now, conn, ip, bytes, commands);
+                self.on_peer_data(now, conn, ip, bytes, commands);
             }
-            Some(Line::Early(_, frames, _)) => frames.put(bytes),
-            Some(Line::Router(router)) => {
+            Some(Connection::PendingRouter(_, frames, _)) => frames.put(bytes),
+            Some(Connection::Router(router)) => {
                 router.frames.put(bytes);
-                self.router_came(now, conn, commands);
+                self.on_router_data(now, conn, commands);
             }
-            Some(Line::Link(host)) => {
+            Some(Connection::Host(host)) => {
                 let host = host.clone();
-                self.link_came(now, host, bytes, commands);
+                self.on_host_data(now, host, bytes, commands);
             }
-            Some(Line::Platform(platform)) => {
+            Some(Connection::Platform(platform)) => {
                 platform.messages.put(bytes);
-                self.platform_came(now, conn, commands);
+                self.on_platform_data(now, conn, commands);
             }
             None => {}
         }
     }
 
-    fn closed(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
-        match self.lines.remove(&conn) {
-            Some(Line::Peer(ip, _)) => self.peer_closed(conn, ip),
-            Some(Line::Link(host)) => self.link_closed(now, host, conn, commands),
-            Some(Line::Platform(platform)) => self.platform_closed(now, &platform, commands),
+    fn on_closed(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
+        match self.connections.remove(&conn) {
+            Some(Connection::Peer(ip, _)) => self.on_peer_closed(conn, ip),
+            Some(Connection::Host(host)) => self.on_host_closed(now, host, conn, commands),
+            Some(Connection::Platform(platform)) => self.on_platform_closed(now, &platform, commands),
             _ => {}
         }
     }
 
-    fn say(&self, conn: Conn, word: Payload, commands: &mut Commands) {
+    fn send(&self, conn: Conn, word: Payload, commands: &mut Commands) {
         commands.write(conn, &[&encode_payload(word)]);
     }
 }
--- a/crates/arrowyard-control/src/control/api.rs
+++ b/crates/arrowyard-control/src/control/api.rs
@@ -1,4 +1,4 @@
-//! The calls of hosts and operators. The page of calls is `openapi/control.yaml`.
+//! Calls of hosts and operators, described in `openapi/control.yaml`.
 
 use std::net::SocketAddrV4;
 
@@ -9,34 +9,34 @@
 use arrowyard_types::{TimeDelta, Timestamp};
 use sonic_rs::{JsonValueTrait, Value};
 
-use super::{Control, Line};
+use super::{Connection, Control};
 use crate::applied_state::to_change;
 use crate::{ChangeStatus, Output, ProposalId, ProposalOutcome, ReplicatedLog};
 
-/// Hosts and routers that this many calls wait for at most on one connection.
-const BASE: &str = "Arrowyard-Base-Revision";
-/// An operator's call is answered by then, as unclear if need be.
-const CLEAR: TimeDelta = TimeDelta::from_millis(2500);
+/// Header with the revision that an operator's change builds on.
+const BASE_REVISION_HEADER: &str = "Arrowyard-Base-Revision";
+/// Time after which an operator's call is answered as undecided.
+const CALL_TIMEOUT: TimeDelta = TimeDelta::from_millis(2500);
 
-/// A caller's connection.
+/// Connection of a host or an operator.
 #[derive(Default)]
-pub struct Caller {
+pub struct ApiConnection {
     pub messages: HttpDecoder,
-    /// Whether the answer to a call waits for others; the next call waits behind it.
-    waits: bool,
-    last: bool,
+    /// Whether the current call awaits its outcome; later calls on the connection wait behind it.
+    awaits_outcome: bool,
+    close_after_reply: bool,
 }
 
-/// What waits for the ledger.
+/// A call that waits for the outcome of a proposal.
 #[derive(Clone, Debug)]
-pub enum Pending {
+pub enum PendingCall {
     Change {
         conn: Conn,
         revised: ConfigRevision,
         revision: u64,
     },
-    /// It builds on a version that is not known here: first it is learnt what there is.
-    Learn {
+    /// The base revision is unknown here: a read brings this machine up to date first.
+    CatchUp {
         conn: Conn,
         revised: ConfigRevision,
     },
@@ -45,191 +45,197 @@
     },
 }
 
-fn fault(text: &str) -> String {
+fn error_body(text: &str) -> String {
     format!("{{\"error\":{}}}", sonic_rs::to_string(text).unwrap_or_default())
 }
 
 impl Control {
-    /// Answers the calls of a connection that are whole, in their order.
-    pub(super) fn calls(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
+    /// Handles the complete requests of a connection in order.
+    pub(super) fn process_calls(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
         loop {
-            let Some(Line::Caller(caller)) = self.lines.get_mut(&conn) else { return };
-            if caller.waits {
+            let Some(Connection::Api(connection)) = self.connections.get_mut(&conn) else { return };
+            if connection.awaits_outcome {
                 return;
             }
-            match caller.messages.next_request() {
+            match connection.messages.next_request() {
                 Ok(None) => return,
                 Err(unreadable) => {
-                    commands.write(conn, &[format_response(unreadable.0, &fault(unreadable.1)).as_bytes()]);
+                    commands
+                        .write(conn, &[format_response(unreadable.0, &error_body(unreadable.1)).as_bytes()]);
                     commands.close(conn);
-                    drop(self.lines.remove(&conn));
+                    drop(self.connections.remove(&conn));
                     return;
                 }
                 Ok(Some(request)) => {
-                    caller.last = request.close_connection;
-                    self.call(now, conn, &request, commands);
+                    connection.close_after_reply = request.close_connection;
+                    self.handle_call(now, conn, &request, commands);
                 }
             }
         }
     }
 
     pub(super) fn reply(&mut self, conn: Conn, status: u16, body: &str, commands: &mut Commands) {
-        let Some(Line::Caller(caller)) = self.lines.get_mut(&conn) else { return };
-        caller.waits = false;
+        let Some(Connection::Api(connection)) = self.connections.get_mut(&conn) else { return };
+        connection.awaits_outcome = false;
         commands.write(conn, &[format_response(status, body).as_bytes()]);
-        if caller.last {
+        if connection.close_after_reply {
             commands.close(conn);
-            drop(self.lines.remove(&conn));
+            drop(self.connections.remove(&conn));
         }
     }
 
-    fn call(&mut self, now: Timestamp, conn: Conn, request: &Request, commands: &mut Commands) {
+    fn handle_call(&mut self, now: Timestamp, conn: Conn, request: &Request, commands: &mut Commands) {
         let path = request.path.split('?').next().unwrap_or_default();
-        if path != "/status" && !self.is_in_touch(now) {
-            return self.reply(conn, 503, &fault("Cut off from the others; ask elsewhere."), commands);
+        if path != "/status" && !self.can_reach_quorum(now) {
+            return self.reply(conn, 503, &error_body("Cut off from the others; ask elsewhere."), commands);
         }
         let named = |prefix: &str| path.strip_prefix(prefix).filter(|id| !id.is_empty());
         match (request.method.as_str(), path) {
             ("POST", _) if named("/Instances.Beat/").is_some() => {
                 let id = named("/Instances.Beat/").unwrap_or_default();
-                match beat(id, &request.body) {
-                    Ok(host) => self.beat(now, conn, host, commands),
-                    Err(why) => self.reply(conn, 400, &fault(why), commands),
+                match parse_heartbeat(id, &request.body) {
+                    Ok(host) => self.handle_heartbeat(now, conn, host, commands),
+                    Err(why) => self.reply(conn, 400, &error_body(why), commands),
                 }
             }
             ("POST", _) if named("/Instances.Leave/").is_some() => {
                 let id = named("/Instances.Leave/").unwrap_or_default();
-                self.leave(now, conn, id, commands);
+                self.handle_leave(now, conn, id, commands);
             }
             ("POST", "/Config.Replace" | "/Config.Adjust") => {
-                let Some(base) = request.header(BASE).and_then(|base| base.parse().ok()) else {
-                    return self.reply(conn, 400, &fault("Arrowyard-Base-Revision: is no number."), commands);
+                let Some(base) = request.header(BASE_REVISION_HEADER).and_then(|base| base.parse().ok())
+                else {
+                    return self.reply(
+                        conn,
+                        400,
+                        &error_body("Arrowyard-Base-Revision: is no number."),
+                        commands,
+                    );
                 };
-                if self.is_founding(now) {
+                if self.is_bootstrapping(now) {
                     return self.reply(
                         conn,
                         503,
-                        &fault("Not all seats are filled yet; ask again."),
+                        &error_body("Not all seats are filled yet; ask again."),
                         commands,
                     );
                 }
                 let revised =
                     ConfigRevision { whole: path == "/Config.Replace", base, body: request.body.clone() };
-                self.change(now, conn, revised, true, commands);
+                self.handle_change(now, conn, revised, true, commands);
             }
             ("GET", "/Config.Read") => {
-                let until = now + CLEAR;
-                let pending = Pending::Read { conn };
-                self.propose(now, conn, pending, commands, |ledger, out| {
-                    ledger.propose_read(now, until, out)
-                });
+                let until = now + CALL_TIMEOUT;
+                let pending = PendingCall::Read { conn };
+                self.propose(now, conn, pending, commands, |log, out| log.propose_read(now, until, out));
             }
             ("GET", "/status") => {
                 let body = self.status(now);
                 self.reply(conn, 200, &body, commands);
             }
-            _ => self.reply(conn, 404, &fault("There is no such call."), commands),
+            _ => self.reply(conn, 404, &error_body("There is no such call."), commands),
         }
     }
 
-    /// Proposes something to the ledger, for a caller who waits for it.
+    /// Makes a proposal on behalf of a call.
     fn propose(
         &mut self,
         now: Timestamp,
         conn: Conn,
-        pending: Pending,
+        pending: PendingCall,
         commands: &mut Commands,
         proposal: impl FnOnce(&mut ReplicatedLog, &mut Vec<Output>) -> ProposalId,
     ) {
-        // Danger: the answer may come before the proposal is made; what it is for is laid down first.
-        let ticket = self.ledger.next_proposal();
+        // Register the call first: the outcome may be reported before `proposal` returns.
+        let ticket = self.replicated_log.next_proposal();
         self.pending.insert(ticket, pending);
-        self.wait_for(conn);
-        self.with_ledger(now, commands, proposal);
+        self.await_outcome(conn);
+        self.with_log(now, commands, proposal);
     }
 
-    /// The answer to a caller is not known yet.
-    pub(super) fn wait_for(&mut self, conn: Conn) {
-        if let Some(Line::Caller(caller)) = self.lines.get_mut(&conn) {
-            caller.waits = true;
+    /// Defers further calls on the connection until the current one is answered.
+    pub(super) fn await_outcome(&mut self, conn: Conn) {
+        if let Some(Connection::Api(connection)) = self.connections.get_mut(&conn) {
+            connection.awaits_outcome = true;
         }
     }
 
-    /// A host calls: it is known from now on, and where its own zone has a control machine, it is sent there.
-    fn beat(&mut self, now: Timestamp, conn: Conn, host: Host, commands: &mut Commands) {
-        self.silent.remove(&host.id);
+    /// Records a host's heartbeat. Refers the host to a control machine of its own zone if there is one.
+    fn handle_heartbeat(&mut self, now: Timestamp, conn: Conn, host: Host, commands: &mut Commands) {
+        self.silent_hosts.remove(&host.id);
         let zone = host.zone.clone();
-        if self.cell.record_heartbeat(now, host.clone()) {
-            self.news_of(now, host.clone(), commands);
+        if self.registry.record_heartbeat(now, host.clone()) {
+            self.publish_host_change(now, host.clone(), commands);
         }
-        let near = if zone == self.settings.zone { None } else { self.peer_in(now, &zone) };
-        let body = match near.and_then(|ip| self.control_of(ip)) {
+        let near = if zone == self.settings.zone { None } else { self.peer_in_zone(now, &zone) };
+        let body = match near.and_then(|ip| self.api_address(ip)) {
             Some(target) => format!("{{\"beat-target\":\"{target}\"}}"),
             None => "{}".to_string(),
         };
         if host.phase() == Phase::InService {
             self.reply(conn, 200, &body, commands);
         } else {
-            self.departs(now, conn, host, body, commands);
+            self.begin_departure(now, conn, host, body, commands);
         }
     }
 
-    /// A host has left. One that was never heard of here may be known elsewhere, so that is told and kept all the same.
-    fn leave(&mut self, now: Timestamp, conn: Conn, id: &str, commands: &mut Commands) {
-        self.silent.remove(id);
-        let known = self.cell.get(id).cloned();
+    /// Records the departure of a host. A host unknown here may be known elsewhere, so its departure is
+    /// stored and published as well.
+    fn handle_leave(&mut self, now: Timestamp, conn: Conn, id: &str, commands: &mut Commands) {
+        self.silent_hosts.remove(id);
+        let known = self.registry.get(id).cloned();
         let gone = match known {
             Some(host) if host.phase() == Phase::Gone => host,
             Some(host) => Host { phase: Phase::Gone.into(), call_seq: host.call_seq + 1, ..host },
             None => Host { id: id.to_string(), phase: Phase::Gone.into(), ..Host::default() },
         };
-        if self.cell.record_heartbeat(now, gone.clone()) {
-            self.news_of(now, gone.clone(), commands);
+        if self.registry.record_heartbeat(now, gone.clone()) {
+            self.publish_host_change(now, gone.clone(), commands);
         }
-        self.departs(now, conn, gone, "{}".to_string(), commands);
+        self.begin_departure(now, conn, gone, "{}".to_string(), commands);
     }
 
-    /// An operator's change: answered at once where that is certain, else entered in the ledger.
-    fn change(
+    /// Handles an operator's change: answers at once if the result is certain, otherwise proposes it.
+    fn handle_change(
         &mut self,
         now: Timestamp,
         conn: Conn,
         revised: ConfigRevision,
-        first: bool,
+        may_catch_up: bool,
         commands: &mut Commands,
     ) {
-        let applied = self.ledger.applied();
-        let alone = if revised.whole { Configuration::default().replace(&revised.body).err() } else { None };
-        if let Some(refusal) = alone.filter(|refusal| !matches!(refusal, ConfigError::Old(..))) {
-            return self.refuse(conn, &refusal, commands);
+        let applied = self.replicated_log.applied();
+        let invalid =
+            if revised.whole { Configuration::default().replace(&revised.body).err() } else { None };
+        if let Some(refusal) = invalid.filter(|refusal| !matches!(refusal, ConfigError::Old(..))) {
+            return self.reject_change(conn, &refusal, commands);
         }
-        let revision = revision(&revised.body);
+        let revision = parse_revision(&revised.body);
         match applied.change_status(&revised, revision) {
             ChangeStatus::Applicable => {}
-            ChangeStatus::BaseUnknown if first => {
-                let until = now + CLEAR;
-                let pending = Pending::Learn { conn, revised };
-                return self.propose(now, conn, pending, commands, |ledger, out| {
-                    ledger.propose_read(now, until, out)
-                });
+            ChangeStatus::BaseUnknown if may_catch_up => {
+                let until = now + CALL_TIMEOUT;
+                let pending = PendingCall::CatchUp { conn, revised };
+                return self
+                    .propose(now, conn, pending, commands, |log, out| log.propose_read(now, until, out));
             }
-            standing => return self.answer_standing(conn, standing, revision, commands),
+            status => return self.reply_with_status(conn, status, revision, commands),
         }
         match to_change(&revised).apply(&applied.configuration) {
-            Err(refusal) => self.refuse(conn, &refusal, commands),
+            Err(refusal) => self.reject_change(conn, &refusal, commands),
             Ok(next) => {
-                let (until, revision) = (now + CLEAR, next.revision);
+                let (until, revision) = (now + CALL_TIMEOUT, next.revision);
                 let entry = Entry { payload: Some(EntryPayload::Configuration(revised.clone())) };
-                let pending = Pending::Change { conn, revised, revision };
-                self.propose(now, conn, pending, commands, |ledger, out| {
-                    ledger.propose_entry(now, entry, until, out)
+                let pending = PendingCall::Change { conn, revised, revision };
+                self.propose(now, conn, pending, commands, |log, out| {
+                    log.propose_entry(now, entry, until, out)
                 });
             }
         }
     }
 
-    /// Answers a change that is not to be entered.
-    fn answer_standing(
+    /// Answers a change that is not proposed.
+    fn reply_with_status(
         &mut self,
         conn: Conn,
         standing: ChangeStatus,
@@ -238,80 +244,84 @@
     ) {
         match standing {
             ChangeStatus::Applied => {
-                log::info!("configuration: Revision {} is in place.", revision.unwrap_or_default());
+                log::info!("configuration: revision {} is applied", revision.unwrap_or_default());
                 self.reply(conn, 200, "{}", commands);
             }
-            // Safety: a change that was taken is never refused, however long ago that was.
+            // Safety: a change that was applied is never refused, however long ago that was.
             ChangeStatus::HistoryExpired => {
                 let body =
-                    fault("So many changes were taken since that it is not known whether this one was.");
+                    error_body("So many changes were taken since that it is not known whether this one was.");
                 self.reply(conn, 503, &body, commands);
             }
             ChangeStatus::Applicable => {
-                self.reply(conn, 503, &fault("It is not clear yet; ask again."), commands)
+                self.reply(conn, 503, &error_body("It is not clear yet; ask again."), commands)
             }
             ChangeStatus::BaseUnknown | ChangeStatus::Superseded => {
-                let current = self.ledger.applied().configuration.revision;
-                self.reply(conn, 412, &fault(&format!("Revision {current} is in place.")), commands);
+                let current = self.replicated_log.applied().configuration.revision;
+                self.reply(conn, 412, &error_body(&format!("Revision {current} is in place.")), commands);
             }
         }
     }
 
-    fn refuse(&mut self, conn: Conn, refusal: &ConfigError, commands: &mut Commands) {
-        log::info!("configuration: A change is refused: {refusal}.");
-        self.reply(conn, 400, &fault(&refusal.to_string()), commands);
+    fn reject_change(&mut self, conn: Conn, refusal: &ConfigError, commands: &mut Commands) {
+        log::info!("configuration: rejected a change: {refusal}");
+        self.reply(conn, 400, &error_body(&refusal.to_string()), commands);
     }
 
-    /// The ledger answers a proposal.
-    pub(super) fn answered(
+    /// Handles the outcome of a proposal.
+    pub(super) fn proposal_resolved(
         &mut self,
         now: Timestamp,
         proposal: ProposalId,
         answer: ProposalOutcome,
         commands: &mut Commands,
     ) {
-        if self.proposal_answered(now, proposal, answer, commands)
-            || self.confirmation_answered(now, proposal, answer, commands)
+        if self.decision_resolved(now, proposal, answer, commands)
+            || self.confirmation_resolved(now, proposal, answer, commands)
         {
             return;
         }
-        // Nobody waits for a ballot of a duty: the ledger itself tells who holds it.
+        // Proposals for a duty have no caller: the applied state shows the holder.
         let Some(pending) = self.pending.remove(&proposal) else { return };
         let conn = match &pending {
-            Pending::Change { conn, .. } | Pending::Learn { conn, .. } | Pending::Read { conn } => *conn,
+            PendingCall::Change { conn, .. }
+            | PendingCall::CatchUp { conn, .. }
+            | PendingCall::Read { conn } => *conn,
         };
         match (pending, answer) {
             (_, ProposalOutcome::Unknown) => {
-                self.reply(conn, 503, &fault("It is not clear yet; ask again."), commands)
+                self.reply(conn, 503, &error_body("It is not clear yet; ask again."), commands)
             }
             (_, ProposalOutcome::QueueFull) => {
-                self.reply(conn, 503, &fault("Too much waits here; nothing was done."), commands)
+                self.reply(conn, 503, &error_body("Too much waits here; nothing was done."), commands)
+            }
+            (PendingCall::Change { revised, revision, .. }, _) => {
+                let standing = self.replicated_log.applied().change_status(&revised, Some(revision));
+                self.reply_with_status(conn, standing, Some(revision), commands);
             }
-            (Pending::Change { revised, revision, .. }, _) => {
-                let standing = self.ledger.applied().change_status(&revised, Some(revision));
-                self.answer_standing(conn, standing, Some(revision), commands);
+            (PendingCall::CatchUp { revised, .. }, _) => {
+                self.handle_change(now, conn, revised, false, commands)
             }
-            (Pending::Learn { revised, .. }, _) => self.change(now, conn, revised, false, commands),
-            (Pending::Read { .. }, _) => {
-                if self.ledger.applied().has_configuration {
-                    let body = self.ledger.applied().configuration.body();
+            (PendingCall::Read { .. }, _) => {
+                if self.replicated_log.applied().has_configuration {
+                    let body = self.replicated_log.applied().configuration.body();
                     self.reply(conn, 200, &body, commands);
                 } else {
-                    self.reply(conn, 404, &fault("There is no configuration yet."), commands);
+                    self.reply(conn, 404, &error_body("There is no configuration yet."), commands);
                 }
             }
         }
-        // Calls that came behind it.
-        self.calls(now, conn, commands);
+        // Process the calls that were deferred behind this one.
+        self.process_calls(now, conn, commands);
     }
 }
 
-fn revision(body: &[u8]) -> Option<u64> {
+fn parse_revision(body: &[u8]) -> Option<u64> {
     sonic_rs::get(body, ["revision"]).ok()?.as_u64()
 }
 
-/// Reads what a host tells of itself.
-fn beat(id: &str, body: &[u8]) -> Result<Host, &'static str> {
+/// Parses the body of a heartbeat.
+fn parse_heartbeat(id: &str, body: &[u8]) -> Result<Host, &'static str> {
     let document: Value = sonic_rs::from_slice(body).map_err(|_| "The body is no JSON.")?;
     let text = |field: &str| document.pointer([field]).and_then(|value| value.as_str()).map(str::to_string);
     let count = |field: &str| document.pointer([field]).and_then(|value| value.as_f64());
--- a/crates/arrowyard-control/src/control/departures.rs
+++ b/crates/arrowyard-control/src/control/departures.rs
@@ -1,9 +1,11 @@
-//! Hosts that say that they leave, or have left, are acknowledged once that is on the disks of a majority of the voters.
+//! Drains and departures of hosts. They are acknowledged once a majority of the voters has them on
+//! disk.
 //!
-//! Safety: from the acknowledgement on, no request may reach the host after `drain-bound-ms`, whoever took the call. A
-//! machine that is cut off, frozen or lost right after it, or all that lose power, must not leave the others with a host
-//! that is in service. Every router is fed by a machine in touch with a majority, and machines that differ in what they
-//! know of hosts exchange all of it, so what a majority has reaches every router.
+//! Safety: after the acknowledgement no request may reach the host later than `drain-bound-ms`,
+//! whichever machine took the call. The failure of that machine, or a power loss of all, must not
+//! return the host to service. Every router is subscribed to a machine that reaches a majority, and
+//! machines with different host registries exchange them, so whatever a majority has stored reaches
+//! every router.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -14,111 +16,119 @@
 use super::Control;
 use crate::record::RecordKind;
 
-/// A departure that no majority has kept in so long is not acknowledged; a host waits for a second at most.
-const KEPT: TimeDelta = TimeDelta::from_millis(800);
+/// A departure that no majority has stored in this time is not acknowledged; hosts wait 1 s at most.
+const ACKNOWLEDGE_TIMEOUT: TimeDelta = TimeDelta::from_millis(800);
 
-/// A departure that its host waits for.
+/// A departure that awaits its acknowledgement.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Departure {
     pub conn: Conn,
     pub host: Host,
-    /// What it is answered.
+    /// Body of the response on success.
     pub reply: String,
-    /// The record by which this machine keeps it.
+    /// Ticket of the record on this machine.
     record: u64,
-    kept_by: BTreeSet<u32>,
+    stored_by: BTreeSet<u32>,
     until: Timestamp,
 }
 
-/// What this machine is asked to acknowledge, and to keep for others.
+/// Departures to acknowledge here, and records stored on behalf of peers.
 #[derive(Debug, Default)]
 pub struct Departures {
-    last: u64,
-    waiting: BTreeMap<u64, Departure>,
-    /// By record: who asked for it, and that machine's number.
-    for_others: BTreeMap<u64, (u32, u64)>,
+    last_number: u64,
+    pending: BTreeMap<u64, Departure>,
+    /// By record ticket: the peer that asked for it, and that peer's number.
+    stored_for_peers: BTreeMap<u64, (u32, u64)>,
     acknowledged: BTreeMap<String, Phase>,
 }
 
 impl Departures {
-    /// Those of one life. Safety: numbers of two lives differ, so that a word on a departure of an earlier life does not
-    /// pass for one on a departure of this life.
+    /// Creates the state of one incarnation. Safety: numbers start at a value derived from the incarnation,
+    /// so that a confirmation for an earlier incarnation does not match a departure of this one.
     pub fn new(incarnation: u64) -> Self {
-        Departures { last: incarnation >> 1, ..Departures::default() }
+        Departures { last_number: incarnation >> 1, ..Departures::default() }
     }
 
-    /// A host waits; this machine keeps it by this record. Its number is told to the others.
+    /// Adds a departure stored here under `record`; returns the number to send to peers.
     pub fn begin(&mut self, now: Timestamp, conn: Conn, host: Host, reply: String, record: u64) -> u64 {
-        self.last += 1;
-        let departure = Departure { conn, host, reply, record, kept_by: BTreeSet::new(), until: now + KEPT };
-        self.waiting.insert(self.last, departure);
-        self.last
+        self.last_number += 1;
+        let departure = Departure {
+            conn,
+            host,
+            reply,
+            record,
+            stored_by: BTreeSet::new(),
+            until: now + ACKNOWLEDGE_TIMEOUT,
+        };
+        self.pending.insert(self.last_number, departure);
+        self.last_number
     }
 
-    /// Another machine wants to know when this record is kept.
-    pub fn keep_for(&mut self, record: u64, ip: u32, number: u64) {
-        self.for_others.insert(record, (ip, number));
+    /// Notes that a peer waits for this record.
+    pub fn store_for_peer(&mut self, record: u64, ip: u32, number: u64) {
+        self.stored_for_peers.insert(record, (ip, number));
     }
 
-    /// The fate of a record is known: whom to tell of which number.
-    pub fn stored(&mut self, me: u32, record: u64, kept: bool) -> Option<(u32, u64)> {
-        if let Some(departure) = self.waiting.values_mut().find(|departure| departure.record == record)
-            && kept
+    /// Reports whether a record was stored; returns the peer to notify and its number.
+    pub fn record_stored(&mut self, me: u32, record: u64, stored: bool) -> Option<(u32, u64)> {
+        if let Some(departure) = self.pending.values_mut().find(|departure| departure.record == record)
+            && stored
         {
-            departure.kept_by.insert(me);
+            departure.stored_by.insert(me);
         }
-        self.for_others.remove(&record).filter(|_| kept)
+        self.stored_for_peers.remove(&record).filter(|_| stored)
     }
 
-    /// A machine has this departure on its disk.
-    pub fn kept(&mut self, by: u32, number: u64) {
-        if let Some(departure) = self.waiting.get_mut(&number) {
-            departure.kept_by.insert(by);
+    /// Records that a machine has stored this departure.
+    pub fn stored_by_peer(&mut self, by: u32, number: u64) {
+        if let Some(departure) = self.pending.get_mut(&number) {
+            departure.stored_by.insert(by);
         }
     }
 
-    /// Departures that a majority of these voters keeps: they can be acknowledged.
-    pub fn settle(&mut self, voters: &[u32]) -> Vec<Departure> {
+    /// Removes and returns the departures that a majority of these voters has stored.
+    pub fn take_stored_by_majority(&mut self, voters: &[u32]) -> Vec<Departure> {
         let is_kept = |departure: &Departure| {
-            voters.iter().filter(|voter| departure.kept_by.contains(voter)).count() * 2 > voters.len()
+            voters.iter().filter(|voter| departure.stored_by.contains(voter)).count() * 2 > voters.len()
         };
-        let settled: Vec<u64> = self
-            .waiting
+        let acknowledged: Vec<u64> = self
+            .pending
             .iter()
             .filter(|(_, departure)| is_kept(departure))
             .map(|(number, _)| *number)
             .collect();
-        let settled: Vec<Departure> =
-            settled.into_iter().filter_map(|number| self.waiting.remove(&number)).collect();
-        for departure in &settled {
+        let acknowledged: Vec<Departure> =
+            acknowledged.into_iter().filter_map(|number| self.pending.remove(&number)).collect();
+        for departure in &acknowledged {
             self.acknowledged.insert(departure.host.id.clone(), departure.host.phase());
         }
-        settled
+        acknowledged
     }
 
-    /// Departures that were not kept by a majority in time.
-    pub fn late(&mut self, now: Timestamp) -> Vec<Departure> {
-        self.waiting.extract_if(.., |_, departure| departure.until <= now).map(|(_, late)| late).collect()
+    /// Removes and returns the departures whose deadline has passed.
+    pub fn take_expired(&mut self, now: Timestamp) -> Vec<Departure> {
+        self.pending.extract_if(.., |_, departure| departure.until <= now).map(|(_, late)| late).collect()
     }
 
-    /// Whether a majority is known to keep that a host leaves, or has left.
+    /// Whether a majority is known to have stored that a host is draining or has departed.
     pub fn is_acknowledged(&self, host: &str, phase: Phase) -> bool {
         self.acknowledged.get(host).is_some_and(|known| *known == phase || *known == Phase::Gone)
     }
 
-    /// Forgets hosts that are not known any more.
+    /// Forgets the acknowledgements of unknown hosts.
     pub fn retain(&mut self, is_known: impl Fn(&str) -> bool) {
         self.acknowledged.retain(|host, _| is_known(host));
     }
 
     pub fn due(&self) -> Option<Timestamp> {
-        self.waiting.values().map(|departure| departure.until).min()
+        self.pending.values().map(|departure| departure.until).min()
     }
 }
 
 impl Control {
-    /// A host says here that it leaves or has left: it is answered once a majority keeps that.
-    pub(super) fn departs(
+    /// Stores a drain or departure reported here, and asks peers to store it; the call is answered once a
+    /// majority has.
+    pub(super) fn begin_departure(
         &mut self,
         now: Timestamp,
         conn: Conn,
@@ -129,22 +139,22 @@
         if self.departures.is_acknowledged(&host.id, host.phase()) {
             return self.reply(conn, 200, &reply, commands);
         }
-        self.wait_for(conn);
-        let record = self.keep_departure(now, &host, commands);
+        self.await_outcome(conn);
+        let record = self.store_departure(now, &host, commands);
         let number = self.departures.begin(now, conn, host.clone(), reply, record);
-        self.say_to_peers(&Payload::DepartureNotice(DepartureNotice { number, host }), commands);
+        self.broadcast_to_peers(&Payload::DepartureNotice(DepartureNotice { number, host }), commands);
         if !self.has_disk {
             self.departure_stored(now, record, true, commands);
         }
     }
 
-    fn keep_departure(&mut self, now: Timestamp, host: &Host, commands: &mut Commands) -> u64 {
-        let kept = RecordKind::Departing(host.clone());
-        self.with_ledger(now, commands, |ledger, out| ledger.store_record(kept, out))
+    fn store_departure(&mut self, now: Timestamp, host: &Host, commands: &mut Commands) -> u64 {
+        let kind = RecordKind::Departing(host.clone());
+        self.with_log(now, commands, |log, out| log.store_record(kind, out))
     }
 
-    /// Another control machine was told that a host leaves or has left.
-    pub(super) fn departure_told(
+    /// Stores a drain or departure reported to another control machine.
+    pub(super) fn handle_departing(
         &mut self,
         now: Timestamp,
         ip: u32,
@@ -152,53 +162,59 @@
         commands: &mut Commands,
     ) {
         let DepartureNotice { number, host } = departing;
-        if self.cell.merge_report(now, host.clone()) {
+        if self.registry.merge_report(now, host.clone()) {
             if host.phase() == Phase::Gone {
-                self.left.push((now, host.clone()));
+                self.departed_hosts.push((now, host.clone()));
             }
-            self.pass_on(vec![host.clone()], commands);
-            self.look(now, commands);
+            self.publish_hosts_to_routers(vec![host.clone()], commands);
+            self.poll_promotions(now, commands);
         }
-        let record = self.keep_departure(now, &host, commands);
-        self.departures.keep_for(record, ip, number);
+        let record = self.store_departure(now, &host, commands);
+        self.departures.store_for_peer(record, ip, number);
         if !self.has_disk {
             self.departure_stored(now, record, true, commands);
         }
     }
 
-    /// The fate of a record is known; it may be a departure's.
+    /// Handles the result of storing a record that may belong to a departure.
     pub(super) fn departure_stored(
         &mut self,
         now: Timestamp,
         record: u64,
-        kept: bool,
+        stored: bool,
         commands: &mut Commands,
     ) {
-        if let Some((ip, number)) = self.departures.stored(self.me, record, kept) {
-            self.say_to_peer(ip, &Payload::DepartureStored(DepartureStored { number }), commands);
+        if let Some((ip, number)) = self.departures.record_stored(self.local_ip, record, stored) {
+            self.send_to_peer(ip, &Payload::DepartureStored(DepartureStored { number }), commands);
         }
         self.acknowledge_departures(now, commands);
     }
 
-    pub(super) fn departure_kept(&mut self, now: Timestamp, ip: u32, number: u64, commands: &mut Commands) {
-        self.departures.kept(ip, number);
+    pub(super) fn handle_departure_kept(
+        &mut self,
+        now: Timestamp,
+        ip: u32,
+        number: u64,
+        commands: &mut Commands,
+    ) {
+        self.departures.stored_by_peer(ip, number);
         self.acknowledge_departures(now, commands);
     }
 
     fn acknowledge_departures(&mut self, now: Timestamp, commands: &mut Commands) {
-        for departure in self.departures.settle(self.ledger.voters()) {
+        for departure in self.departures.take_stored_by_majority(self.replicated_log.voters()) {
             self.reply(departure.conn, 200, &departure.reply, commands);
-            self.calls(now, departure.conn, commands);
+            self.process_calls(now, departure.conn, commands);
         }
     }
 
-    /// Hosts whose departure no majority keeps are told to ask elsewhere.
-    pub(super) fn refuse_late_departures(&mut self, now: Timestamp, commands: &mut Commands) {
-        for departure in self.departures.late(now) {
-            log::warn!("hosts: {} leaves, and no majority keeps that.", departure.host.id);
+    /// Answers hosts whose departure was not stored by a majority in time.
+    pub(super) fn reject_expired_departures(&mut self, now: Timestamp, commands: &mut Commands) {
+        for departure in self.departures.take_expired(now) {
+            log::warn!("hosts: departure of {} was not stored by a majority in time", departure.host.id);
             let body = "{\"error\":\"No majority of the control machines keeps this yet; ask elsewhere.\"}";
             self.reply(departure.conn, 503, body, commands);
-            self.calls(now, departure.conn, commands);
+            self.process_calls(now, departure.conn, commands);
         }
     }
 }
--- a/crates/arrowyard-control/src/control/disk_health.rs
+++ b/crates/arrowyard-control/src/control/disk_health.rs
@@ -1,39 +1,39 @@
-//! Whether this machine's disk takes what it is told to keep. A voter whose disk refuses or hangs says so: it cannot
-//! acknowledge anything, and another machine may take its seat.
+//! Health of this machine's disk. A voter whose disk refuses writes or hangs cannot acknowledge
+//! anything and is replaced.
 
 use std::collections::BTreeMap;
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
-/// A record that is not durable after so long: the disk hangs.
-const HANGS: TimeDelta = TimeDelta::from_millis(800);
+/// The disk counts as hung when a record is not durable after this long.
+const HANG_TIMEOUT: TimeDelta = TimeDelta::from_millis(800);
 
-/// The records that are under way to the disk.
+/// Tracks the writes in progress.
 #[derive(Debug, Default)]
 pub struct DiskHealth {
-    since: BTreeMap<u64, Timestamp>,
-    refuses: bool,
+    started_at: BTreeMap<u64, Timestamp>,
+    refuses_writes: bool,
 }
 
 impl DiskHealth {
-    /// A record was handed to the disk.
+    /// A write was submitted.
     pub fn write_started(&mut self, now: Timestamp, ticket: u64) {
-        self.since.insert(ticket, now);
+        self.started_at.insert(ticket, now);
     }
 
-    /// The fate of a record is known.
+    /// A write succeeded or failed.
     pub fn write_completed(&mut self, ticket: u64) {
-        self.since.remove(&ticket);
+        self.started_at.remove(&ticket);
     }
 
-    /// The disk refuses records from now on, or has taken all that this machine knows.
-    pub fn set_working(&mut self, works: bool) {
-        self.refuses = !works;
+    /// The disk has begun to refuse writes, or has stored a complete snapshot again.
+    pub fn set_working(&mut self, working: bool) {
+        self.refuses_writes = !working;
     }
 
-    /// Whether records are durable in good time.
+    /// Whether the disk accepts writes and completes them in time.
     pub fn is_healthy(&self, now: Timestamp) -> bool {
-        let oldest = self.since.first_key_value().map(|(_, since)| *since);
-        !self.refuses && oldest.is_none_or(|since| now - since < HANGS)
+        let oldest = self.started_at.first_key_value().map(|(_, since)| *since);
+        !self.refuses_writes && oldest.is_none_or(|since| now - since < HANG_TIMEOUT)
     }
 }
--- a/crates/arrowyard-control/src/control/duty.rs
+++ b/crates/arrowyard-control/src/control/duty.rs
@@ -1,4 +1,4 @@
-//! How this machine carries out the duty of replacing primaries: it takes it up, lays it down, and looks at services.
+//! The duty of replacing primaries: taking it up, giving it up, and advancing the promotions.
 
 use std::collections::BTreeSet;
 
@@ -10,37 +10,38 @@
 use crate::promotion::{HostsSnapshot, PromotionRequest, Promotions};
 use crate::{ProposalId, ProposalOutcome};
 
-/// A majority has so long to confirm that this machine holds the duty.
-const CONFIRMED: TimeDelta = TimeDelta::from_millis(1000);
+/// Time for a majority to confirm that this machine holds the duty.
+const CONFIRMATION_TIMEOUT: TimeDelta = TimeDelta::from_millis(1000);
 
 impl Control {
-    /// Takes the duty up, or lays it down. Safety: a machine that was cut off may hold it by what it knows while another
-    /// one holds it by now; the two would undo each other's questions to replicas. So it carries out nothing while it is
-    /// cut off, and afterwards only once a majority has confirmed that it still holds the duty.
-    pub(super) fn take_up(&mut self, now: Timestamp, commands: &mut Commands) {
-        let held = self.duty.held_fence(self.ledger.applied());
-        let fence = held.filter(|_| self.in_touch && self.confirmed == held);
+    /// Takes the duty up or gives it up. Safety: a partitioned machine may still believe that it holds the
+    /// duty while another one does, and the two would undo each other's requests to replicas. So it does
+    /// nothing while partitioned, and afterwards only once a majority has confirmed that it still holds the
+    /// duty.
+    pub(super) fn update_duty(&mut self, now: Timestamp, commands: &mut Commands) {
+        let held = self.duty.held_fence(self.replicated_log.applied());
+        let fence = held.filter(|_| self.quorum_reachable && self.confirmed == held);
         if held.is_some() && fence.is_none() {
-            self.confirm(now, commands);
+            self.confirm_duty(now, commands);
         }
         if fence == self.fence {
             return;
         }
         let after_another =
-            fence.is_some() && self.ledger.applied().duty_fence(PROMOTION_DUTY) > 0 && self.ticks > 8;
+            fence.is_some() && self.replicated_log.applied().duty_fence(PROMOTION_DUTY) > 0 && self.ticks > 8;
         self.fence = fence;
-        self.divide_from(now, after_another);
-        self.decide_from(now, after_another);
+        self.start_allocator(now, after_another);
+        self.set_decision_start(now, after_another);
         self.promotions = Promotions::default();
         self.drop_platform_calls(commands);
         match fence {
-            Some(fence) => log::info!("duty: Holds promote, fence {fence}."),
-            None => log::info!("duty: Holds promote no more."),
+            Some(fence) => log::info!("duty: holds `promote` under fencing token {fence}"),
+            None => log::info!("duty: no longer holds `promote`"),
         }
         if after_another {
-            // Whoever held it before may have left replicas paused.
-            let replicas: Vec<String> = self.cell.hosts().map(|host| host.id.clone()).collect();
-            self.ask_hosts(
+            // The previous holder may have left replicas paused.
+            let replicas: Vec<String> = self.registry.hosts().map(|host| host.id.clone()).collect();
+            self.send_host_requests(
                 now,
                 replicas.into_iter().map(|host| PromotionRequest::Continue { host }).collect(),
                 commands,
@@ -51,16 +52,16 @@
         }
     }
 
-    /// Asks a majority whether all that was agreed on is known here, this machine's hold of the duty among it.
-    pub(super) fn confirm(&mut self, now: Timestamp, commands: &mut Commands) {
-        if self.in_touch && self.confirming.is_none() {
-            self.confirming = Some(self.ledger.next_proposal());
-            self.with_ledger(now, commands, |ledger, out| ledger.propose_read(now, now + CONFIRMED, out));
+    /// Starts a linearizable read to confirm that this machine still holds the duty.
+    pub(super) fn confirm_duty(&mut self, now: Timestamp, commands: &mut Commands) {
+        if self.quorum_reachable && self.confirming.is_none() {
+            self.confirming = Some(self.replicated_log.next_proposal());
+            self.with_log(now, commands, |log, out| log.propose_read(now, now + CONFIRMATION_TIMEOUT, out));
         }
     }
 
-    /// The ledger answers a question. Whether it was the one for the duty.
-    pub(super) fn confirmation_answered(
+    /// Handles the outcome of a proposal; returns whether it was the confirmation of the duty.
+    pub(super) fn confirmation_resolved(
         &mut self,
         now: Timestamp,
         ticket: ProposalId,
@@ -71,49 +72,58 @@
             return false;
         }
         self.confirming = None;
-        if answer == ProposalOutcome::Current && self.in_touch {
-            self.confirmed = self.duty.held_fence(self.ledger.applied());
-            self.take_up(now, commands);
+        if answer == ProposalOutcome::Current && self.quorum_reachable {
+            self.confirmed = self.duty.held_fence(self.replicated_log.applied());
+            self.update_duty(now, commands);
         }
         true
     }
 
-    /// This machine was cut off, or is in touch again.
-    pub(super) fn touch_changed(&mut self, now: Timestamp, commands: &mut Commands) {
-        if !self.in_touch {
+    /// Reacts to losing or regaining contact with a majority.
+    pub(super) fn quorum_status_changed(&mut self, now: Timestamp, commands: &mut Commands) {
+        if !self.quorum_reachable {
             self.confirmed = None;
         }
-        self.take_up(now, commands);
+        self.update_duty(now, commands);
     }
 
-    /// Looks at every service whose primary may have to change.
-    pub(super) fn look(&mut self, now: Timestamp, commands: &mut Commands) {
-        let services: Vec<String> =
-            self.ledger.applied().configuration.services().map(|service| service.name.clone()).collect();
+    /// Advances the promotions of all services.
+    pub(super) fn poll_promotions(&mut self, now: Timestamp, commands: &mut Commands) {
+        let services: Vec<String> = self
+            .replicated_log
+            .applied()
+            .configuration
+            .services()
+            .map(|service| service.name.clone())
+            .collect();
         if self.primary_watches.len() > services.len() {
             let known: BTreeSet<&String> = services.iter().collect();
             self.primary_watches.retain(|service, _| known.contains(service));
         }
         for service in &services {
             let primary_watch = self.primary_watches.entry(service.clone()).or_default();
-            primary_watch.update(now, service, &self.cell);
+            primary_watch.update(now, service, &self.registry);
         }
         if self.fence.is_none() {
             return;
         }
-        let mut asks = Vec::new();
-        let sight = HostsSnapshot { registry: &self.cell, silent: &self.silent, departed: &self.left };
+        let mut requests = Vec::new();
+        let hosts = HostsSnapshot {
+            registry: &self.registry,
+            silent: &self.silent_hosts,
+            departed: &self.departed_hosts,
+        };
         for service in &services {
             let promotion = self.promotions.get_or_create(service);
             promotion.set_primary_watch(&self.primary_watches[service]);
-            if let Some(primary) = sight.registry.primary(service)
-                && sight.silent.contains_key(&primary.id)
+            if let Some(primary) = hosts.registry.primary(service)
+                && hosts.silent.contains_key(&primary.id)
             {
-                promotion.suspect_primary(now, &primary.id, &sight, &mut asks);
+                promotion.suspect_primary(now, &primary.id, &hosts, &mut requests);
             }
-            promotion.poll(now, &sight, &mut asks);
+            promotion.poll(now, &hosts, &mut requests);
         }
-        self.tell_replacements(false, commands);
-        self.ask_hosts(now, asks, commands);
+        self.publish_replacements(false, commands);
+        self.send_host_requests(now, requests, commands);
     }
 }
--- a/crates/arrowyard-control/src/control/fair_shares.rs
+++ b/crates/arrowyard-control/src/control/fair_shares.rs
@@ -1,5 +1,5 @@
-//! The division of pressed hosts between services: whoever holds the duty divides, the others carry words to and from the
-//! routers that they feed.
+//! Allocation of overloaded hosts to services. The duty holder allocates; the other control machines
+//! forward messages to and from the routers subscribed to them.
 
 use arrowyard_fair_shares::{Allotter, At, Need, Router as RouterId, Shown, Terms};
 use arrowyard_messages::{
@@ -9,23 +9,23 @@
 use arrowyard_types::{TimeDelta, Timestamp};
 use rustc_hash::FxHashMap;
 
-use super::{Control, Line};
+use super::{Connection, Control};
 
-/// How long whoever held the duty before may go on dividing: till it notices that it is cut off.
-const BEFORE: TimeDelta = TimeDelta::from_millis(1750);
-/// Routers whose control machine is remembered.
-const MOST_ROUTERS: usize = 65_536;
+/// How long the previous holder may still allocate before it notices that it is partitioned.
+const PREVIOUS_HOLDER_TIMEOUT: TimeDelta = TimeDelta::from_millis(1750);
+/// Limit of the routers whose control machine is remembered.
+const MAX_ROUTERS: usize = 65_536;
 
-/// What a control machine knows of shares.
+/// Allocation state of a control machine.
 #[derive(Default)]
 pub struct Shares {
     terms: Terms,
-    /// The slot of the configuration that the terms are of.
+    /// Slot of the configuration that `terms` was read from.
     slot: u64,
-    /// While it holds the duty.
+    /// Present while this machine holds the duty.
     allotter: Option<Allotter>,
-    /// By way of which control machine each router is reached; none where it is fed here.
-    ways: FxHashMap<u64, Option<u32>>,
+    /// The control machine through which each router is reached; `None` if it is subscribed here.
+    routes: FxHashMap<u64, Option<u32>>,
 }
 
 impl Shares {
@@ -40,14 +40,14 @@
 }
 
 impl Control {
-    /// The duty was taken up, or laid down.
-    pub(super) fn divide_from(&mut self, now: Timestamp, after_another: bool) {
-        let waits = if after_another { BEFORE } else { TimeDelta::ZERO };
+    /// Creates or drops the allocator when the duty is taken up or given up.
+    pub(super) fn start_allocator(&mut self, now: Timestamp, after_another: bool) {
+        let waits = if after_another { PREVIOUS_HOLDER_TIMEOUT } else { TimeDelta::ZERO };
         self.shares.allotter = self.fence.map(|fence| Allotter::begin(now, fence, waits));
     }
 
-    /// A router's needs, from itself or from the control machine that feeds it.
-    pub(super) fn needs(
+    /// Handles a demand report from a router, or from the control machine that it is subscribed to.
+    pub(super) fn handle_demand(
         &mut self,
         now: Timestamp,
         from: Option<u32>,
@@ -55,28 +55,28 @@
         commands: &mut Commands,
     ) {
         if self.shares.allotter.is_none() {
-            // It is passed on once, to the holder alone.
+            // Forwarded once, to the duty holder only.
             let holder = self
-                .ledger
+                .replicated_log
                 .applied()
                 .duties
                 .get(crate::applied_state::PROMOTION_DUTY)
                 .map(|duty| duty.holder);
-            if let Some(holder) = holder.filter(|holder| from.is_none() && *holder != self.me) {
-                self.say_to_peer(holder, &Payload::DemandReport(needs), commands);
+            if let Some(holder) = holder.filter(|holder| from.is_none() && *holder != self.local_ip) {
+                self.send_to_peer(holder, &Payload::DemandReport(needs), commands);
             }
             return;
         }
-        self.read_terms();
-        if !self.ledger.applied().configuration.division_enabled() {
+        self.update_shares_config();
+        if !self.replicated_log.applied().configuration.division_enabled() {
             return;
         }
-        let Shares { terms, allotter, ways, .. } = &mut self.shares;
+        let Shares { terms, allotter, routes, .. } = &mut self.shares;
         let Some(allotter) = allotter else { return };
-        if ways.len() >= MOST_ROUTERS {
-            ways.clear();
+        if routes.len() >= MAX_ROUTERS {
+            routes.clear();
         }
-        ways.insert(needs.router, from);
+        routes.insert(needs.router, from);
         for HostDemand { host, slots, fence, answers, services: list, group } in needs.hosts {
             let need = |need: arrowyard_messages::ServiceDemand| Need {
                 service: terms.id(&need.service),
@@ -84,25 +84,25 @@
                 waits: need.waiting_milli,
             };
             let answers = if Some(fence) == self.fence { answers } else { 0 };
-            let list = list.into_iter().take(MOST_SERVICES).map(need).collect();
+            let list = list.into_iter().take(MAX_SERVICES_PER_REPORT).map(need).collect();
             let at = At { id: &host, group: &group, slots };
             allotter.heard(now, &at, RouterId(needs.router), (needs.echo, answers), list);
         }
-        self.divide(now, commands);
+        self.allocate_shares(now, commands);
     }
 
-    fn read_terms(&mut self) {
-        let applied = self.ledger.applied();
+    fn update_shares_config(&mut self) {
+        let applied = self.replicated_log.applied();
         if self.shares.slot != applied.slot {
             self.shares.slot = applied.slot;
             self.shares.terms.configure(&applied.configuration);
         }
     }
 
-    /// Divides what is due, and says what came of it.
-    pub(super) fn divide(&mut self, now: Timestamp, commands: &mut Commands) {
+    /// Computes the allocations that are due and sends them.
+    pub(super) fn allocate_shares(&mut self, now: Timestamp, commands: &mut Commands) {
         let (routers, fence) = (self.routers, self.fence.unwrap_or_default());
-        let Shares { terms, allotter, ways, .. } = &mut self.shares;
+        let Shares { terms, allotter, routes, .. } = &mut self.shares;
         let Some(allotter) = allotter else { return };
         let division = allotter.divide(now, terms, routers);
         let mut by_router: std::collections::BTreeMap<u64, Vec<HostAllocation>> =
@@ -124,42 +124,42 @@
         let said: Vec<(Option<u32>, HostAllocations)> = by_router
             .into_iter()
             .filter_map(|(router, allots)| {
-                Some((*ways.get(&router)?, HostAllocations { router, fence, allocations: allots }))
+                Some((*routes.get(&router)?, HostAllocations { router, fence, allocations: allots }))
             })
             .collect();
-        for (way, allots) in said {
-            match way {
-                Some(peer) => self.say_to_peer(peer, &Payload::HostAllocations(allots), commands),
-                None => self.allots(allots, commands),
+        for (route, allots) in said {
+            match route {
+                Some(peer) => self.send_to_peer(peer, &Payload::HostAllocations(allots), commands),
+                None => self.forward_allocations(allots, commands),
             }
         }
         if !division.ask.is_empty() {
             let word = Payload::OverloadedHosts(OverloadedHosts { hosts: division.ask });
-            self.say_to_peers(&word, commands);
-            self.pressed(&word, commands);
+            self.broadcast_to_peers(&word, commands);
+            self.forward_overload(&word, commands);
         }
     }
 
-    /// Parts for a router that is fed here, or was.
-    pub(super) fn allots(&mut self, allots: HostAllocations, commands: &mut Commands) {
+    /// Sends allocations to a router subscribed here, if it still is.
+    pub(super) fn forward_allocations(&mut self, allots: HostAllocations, commands: &mut Commands) {
         let fed =
             self.routers_fed().find(|(_, router)| router.incarnation == allots.router).map(|(conn, _)| conn);
         if let Some(conn) = fed {
-            self.say(conn, Payload::HostAllocations(allots), commands);
+            self.send(conn, Payload::HostAllocations(allots), commands);
         }
     }
 
-    /// Routers are asked what they need of hosts that are pressed.
-    pub(super) fn pressed(&mut self, word: &Payload, commands: &mut Commands) {
+    /// Asks the subscribed routers for their demand at overloaded hosts.
+    pub(super) fn forward_overload(&mut self, word: &Payload, commands: &mut Commands) {
         let mut fed: Vec<Conn> = self
-            .lines
+            .connections
             .iter()
-            .filter_map(|(conn, line)| matches!(line, Line::Router(_)).then_some(*conn))
+            .filter_map(|(conn, line)| matches!(line, Connection::Router(_)).then_some(*conn))
             .collect();
         fed.sort_unstable();
-        fed.into_iter().for_each(|conn| self.say(conn, word.clone(), commands));
+        fed.into_iter().for_each(|conn| self.send(conn, word.clone(), commands));
     }
 }
 
-/// Services of one router at one host.
-const MOST_SERVICES: usize = 256;
+/// Limit of the services in one router's report for one host.
+const MAX_SERVICES_PER_REPORT: usize = 256;
--- a/crates/arrowyard-control/src/control/feed.rs
+++ b/crates/arrowyard-control/src/control/feed.rs
@@ -1,4 +1,5 @@
-//! What routers are told: all of it once, then numbered changes. A router says which number it has.
+//! Feed of changes to subscribed routers: a snapshot followed by numbered updates. Routers report the
+//! last number received.
 
 use arrowyard_messages::{
     ChosenRevision, ConfigRevision, EntryPayload, FeedAck, FeedSnapshot, FeedUpdate, FrameDecoder, Hello,
@@ -7,25 +8,26 @@
 use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{TimeDelta, Timestamp};
 
-use super::{Control, Line};
+use super::{Connection, Control};
 
-/// Fewer routers are believed after so long: one that only starts again still holds its share of the connections.
-const FEWER: TimeDelta = TimeDelta::from_millis(5000);
+/// A decrease in the number of routers takes effect after this long: a restarting router keeps its
+/// share of the connections.
+const ROUTER_DECREASE_DELAY: TimeDelta = TimeDelta::from_millis(5000);
 
-/// A router that says nothing for so long is gone; it says what it has every two seconds.
-const SILENT: TimeDelta = TimeDelta::from_millis(6500);
-/// So many routers are taken to be there at a first start.
-const GUESS: u32 = 12;
+/// A router that sends nothing for this long is disconnected; routers report every 2 s.
+const ROUTER_TIMEOUT: TimeDelta = TimeDelta::from_millis(6500);
+/// Number of routers assumed at a first start.
+const INITIAL_ROUTER_ESTIMATE: u32 = 12;
 
-/// A router's connection.
+/// Connection of a subscribed router.
 pub struct Router {
     pub frames: FrameDecoder,
     pub node: String,
-    /// Of its process.
+    /// Incarnation of its process.
     pub incarnation: u64,
-    number: u64,
+    last_number: u64,
     pub seen: FeedAck,
-    heard_at: Timestamp,
+    last_heard_at: Timestamp,
 }
 
 impl Control {
@@ -37,170 +39,174 @@
         frames: FrameDecoder,
         commands: &mut Commands,
     ) {
-        log::info!("feed: {} is fed.", hello.node);
+        log::info!("feed: router {} subscribed", hello.node);
         let router = Router {
             frames,
             node: hello.node.clone(),
             incarnation: hello.incarnation,
-            number: 0,
+            last_number: 0,
             seen: FeedAck::default(),
-            heard_at: now,
+            last_heard_at: now,
         };
-        self.lines.insert(conn, Line::Router(router));
-        self.tell_whole(conn, commands);
+        self.connections.insert(conn, Connection::Router(router));
+        self.send_snapshot(conn, commands);
     }
 
-    fn tell_whole(&mut self, conn: Conn, commands: &mut Commands) {
-        let applied = self.ledger.applied();
+    fn send_snapshot(&mut self, conn: Conn, commands: &mut Commands) {
+        let applied = self.replicated_log.applied();
         let configuration =
             if applied.has_configuration { applied.configuration.body().into_bytes() } else { Vec::new() };
-        let mut whole = FeedSnapshot {
+        let mut snapshot = FeedSnapshot {
             number: 0,
             slot: applied.slot,
             configuration,
-            hosts: self.cell.hosts().cloned().collect(),
+            hosts: self.registry.hosts().cloned().collect(),
             routers: self.routers,
             view: self.controls(),
         };
-        if let Some(Line::Router(router)) = self.lines.get_mut(&conn) {
-            router.number += 1;
-            whole.number = router.number;
-            self.say(conn, Payload::FeedSnapshot(whole), commands);
+        if let Some(Connection::Router(router)) = self.connections.get_mut(&conn) {
+            router.last_number += 1;
+            snapshot.number = router.last_number;
+            self.send(conn, Payload::FeedSnapshot(snapshot), commands);
         }
     }
 
-    pub(super) fn router_came(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
+    pub(super) fn on_router_data(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
         loop {
-            let Some(Line::Router(router)) = self.lines.get_mut(&conn) else { return };
+            let Some(Connection::Router(router)) = self.connections.get_mut(&conn) else { return };
             match router.frames.take() {
                 Ok(None) => return,
                 Err(broken) => {
-                    log::warn!("feed: {}: {broken}.", router.node);
+                    log::warn!("feed: invalid frame from router {}: {broken}", router.node);
                     commands.reset(conn);
-                    drop(self.lines.remove(&conn));
+                    drop(self.connections.remove(&conn));
                     return;
                 }
                 Ok(Some(frame)) => match frame.payload {
                     Some(Payload::FeedAck(seen)) => {
-                        router.heard_at = now;
+                        router.last_heard_at = now;
                         router.seen = seen;
                         if seen.lost {
-                            self.tell_whole(conn, commands);
+                            self.send_snapshot(conn, commands);
                         }
                     }
-                    Some(Payload::Suspect(suspect)) => self.suspected(now, suspect, commands),
-                    Some(Payload::DemandReport(needs)) => self.needs(now, None, needs, commands),
-                    Some(Payload::Demotion(yielded)) => self.yielded(now, true, yielded, commands),
-                    Some(Payload::RelayedResponse(answer)) => self.relayed(now, answer, commands),
+                    Some(Payload::Suspect(suspect)) => self.handle_suspicion(now, suspect, commands),
+                    Some(Payload::DemandReport(needs)) => self.handle_demand(now, None, needs, commands),
+                    Some(Payload::Demotion(yielded)) => self.handle_yielded(now, true, yielded, commands),
+                    Some(Payload::RelayedResponse(answer)) => {
+                        self.handle_relay_response(now, answer, commands)
+                    }
                     _ => {}
                 },
             }
         }
     }
 
-    /// Whether a router has said nothing for so long that it is gone.
-    pub(super) fn router_silent(&self, now: Timestamp, conn: Conn) -> bool {
-        matches!(self.lines.get(&conn), Some(Line::Router(router)) if now - router.heard_at >= SILENT)
+    /// Whether a router has been silent for longer than its timeout.
+    pub(super) fn is_router_silent(&self, now: Timestamp, conn: Conn) -> bool {
+        matches!(self.connections.get(&conn), Some(Connection::Router(router)) if now - router.last_heard_at >= ROUTER_TIMEOUT)
     }
 
-    /// Every router gets the change under its own next number.
-    fn tell_routers(&mut self, change: &FeedUpdate, commands: &mut Commands) {
+    /// Sends an update to every subscribed router, with the next number of each.
+    fn publish_to_routers(&mut self, change: &FeedUpdate, commands: &mut Commands) {
         let mut fed = Vec::new();
-        for (conn, line) in &mut self.lines {
-            if let Line::Router(router) = line {
-                router.number += 1;
-                fed.push((*conn, router.number));
+        for (conn, line) in &mut self.connections {
+            if let Connection::Router(router) = line {
+                router.last_number += 1;
+                fed.push((*conn, router.last_number));
             }
         }
         fed.sort_unstable();
         for (conn, number) in fed {
-            self.say(conn, Payload::FeedUpdate(FeedUpdate { number, ..change.clone() }), commands);
+            self.send(conn, Payload::FeedUpdate(FeedUpdate { number, ..change.clone() }), commands);
         }
     }
 
-    /// A slot is known: what it changes goes out.
-    pub(super) fn tell_chosen(&mut self, now: Timestamp, slot: u64, commands: &mut Commands) {
-        let entry = self.ledger.entry(slot);
+    /// Publishes the effects of a chosen entry.
+    pub(super) fn entry_chosen(&mut self, now: Timestamp, slot: u64, commands: &mut Commands) {
+        let entry = self.replicated_log.entry(slot);
         match entry.map(|entry| entry.payload.clone()) {
-            Some(Some(EntryPayload::Duty(_))) => self.pass_suspicions(now, commands),
-            Some(Some(EntryPayload::Decision(decision))) => self.decided(now, slot, &decision, commands),
-            Some(Some(EntryPayload::Configuration(_))) => self.tell_configuration(commands),
+            Some(Some(EntryPayload::Duty(_))) => self.forward_suspicions(now, commands),
+            Some(Some(EntryPayload::Decision(decision))) => {
+                self.decision_chosen(now, slot, &decision, commands)
+            }
+            Some(Some(EntryPayload::Configuration(_))) => self.publish_configuration(commands),
             Some(_) => {}
             None => {
-                // It came as a snapshot: routers need all of it.
-                self.fed = self.ledger.applied().configuration.clone();
+                // The entry arrived in a snapshot: routers need a snapshot as well.
+                self.published_configuration = self.replicated_log.applied().configuration.clone();
                 let fed: Vec<Conn> = self.routers_fed().map(|(conn, _)| conn).collect();
-                fed.into_iter().for_each(|conn| self.tell_whole(conn, commands));
+                fed.into_iter().for_each(|conn| self.send_snapshot(conn, commands));
             }
         }
-        self.take_up(now, commands);
+        self.update_duty(now, commands);
     }
 
-    /// Routers are told what differs from what they were told last. A whole configuration that an operator sends mostly
-    /// differs in little from the one before; sent whole to every router, a few in a second fill the links of small machines.
-    fn tell_configuration(&mut self, commands: &mut Commands) {
-        let applied = self.ledger.applied();
-        if applied.configuration.revision == self.fed.revision {
+    /// Publishes the difference to the configuration last published. An operator's replacement usually
+    /// changes little; sending it whole to every router would saturate the links of small machines.
+    fn publish_configuration(&mut self, commands: &mut Commands) {
+        let applied = self.replicated_log.applied();
+        if applied.configuration.revision == self.published_configuration.revision {
             return;
         }
-        let base = self.fed.revision;
-        let revised = match self.fed.difference(&applied.configuration) {
+        let base = self.published_configuration.revision;
+        let revised = match self.published_configuration.difference(&applied.configuration) {
             Some(body) => ConfigRevision { whole: false, base, body: body.into_bytes() },
             None => ConfigRevision { whole: true, base, body: applied.configuration.body().into_bytes() },
         };
         let step = ChosenRevision { slot: applied.slot, revised };
-        self.fed = applied.configuration.clone();
-        self.tell_routers(&FeedUpdate { revised: vec![step], ..FeedUpdate::default() }, commands);
+        self.published_configuration = applied.configuration.clone();
+        self.publish_to_routers(&FeedUpdate { revised: vec![step], ..FeedUpdate::default() }, commands);
     }
 
     pub(super) fn routers_fed(&self) -> impl Iterator<Item = (Conn, &Router)> {
-        self.lines.iter().filter_map(|(conn, line)| match line {
-            Line::Router(router) => Some((*conn, router)),
+        self.connections.iter().filter_map(|(conn, line)| match line {
+            Connection::Router(router) => Some((*conn, router)),
             _ => None,
         })
     }
 
-    /// News of hosts, to the other control machines and to the routers.
-    pub(super) fn tell_hosts(&mut self, hosts: Vec<Host>, commands: &mut Commands) {
+    /// Publishes changed hosts to peers and routers.
+    pub(super) fn publish_hosts(&mut self, hosts: Vec<Host>, commands: &mut Commands) {
         let cell = arrowyard_messages::HostUpdate { hosts: hosts.clone(), whole: false };
-        self.say_to_peers(&Payload::HostUpdate(cell), commands);
-        self.tell_routers(&FeedUpdate { hosts, ..FeedUpdate::default() }, commands);
+        self.broadcast_to_peers(&Payload::HostUpdate(cell), commands);
+        self.publish_to_routers(&FeedUpdate { hosts, ..FeedUpdate::default() }, commands);
     }
 
-    /// News of hosts that came from another control machine.
-    pub(super) fn pass_on(&mut self, hosts: Vec<Host>, commands: &mut Commands) {
-        self.tell_routers(&FeedUpdate { hosts, ..FeedUpdate::default() }, commands);
+    /// Publishes hosts reported by a peer to the subscribed routers.
+    pub(super) fn publish_hosts_to_routers(&mut self, hosts: Vec<Host>, commands: &mut Commands) {
+        self.publish_to_routers(&FeedUpdate { hosts, ..FeedUpdate::default() }, commands);
     }
 
     pub(super) fn count_routers(&mut self, now: Timestamp, commands: &mut Commands) {
         let here = self.routers_fed().count() as u32;
-        let elsewhere: u32 = self.live_peers(now).map(|(_, peer)| peer.routers).sum();
+        let elsewhere: u32 = self.reachable_peers(now).map(|(_, peer)| peer.routers).sum();
         let routers = here + elsewhere;
-        // A start counts its routers one by one: until it has them, it goes by what it knew, or by a careful guess.
+        // After a start routers connect one by one: use the stored count, or an estimate, until they have.
         if self.routers == 0 && routers > 0 {
-            self.tell_count(GUESS.max(routers), commands);
+            self.publish_router_count(INITIAL_ROUTER_ESTIMATE.max(routers), commands);
         }
         if routers < self.routers {
-            let since = *self.fewer_since.get_or_insert(now);
-            if now - since < FEWER {
+            let since = *self.router_decrease_since.get_or_insert(now);
+            if now - since < ROUTER_DECREASE_DELAY {
                 return;
             }
         }
-        self.fewer_since = None;
+        self.router_decrease_since = None;
         if routers != self.routers {
-            self.tell_count(routers, commands);
+            self.publish_router_count(routers, commands);
         }
     }
 
-    /// How many routers share the hosts' connections from now on.
-    fn tell_count(&mut self, routers: u32, commands: &mut Commands) {
+    /// Publishes the number of routers that share the hosts' connections.
+    fn publish_router_count(&mut self, routers: u32, commands: &mut Commands) {
         self.routers = routers;
-        self.tell_routers(&FeedUpdate { routers, ..FeedUpdate::default() }, commands);
+        self.publish_to_routers(&FeedUpdate { routers, ..FeedUpdate::default() }, commands);
     }
 
-    /// Control machines that are up, for routers to attempt to.
+    /// Connected control machines, for routers to connect to.
     fn controls(&self) -> Vec<KnownControl> {
-        let me = KnownControl { ip: self.me, zone: self.settings.zone.clone(), age: 0 };
+        let me = KnownControl { ip: self.local_ip, zone: self.settings.zone.clone(), age: 0 };
         let up = self.peers.iter().filter(|(_, peer)| peer.is_open());
         let others = up.map(|(ip, _)| KnownControl {
             ip: *ip,
@@ -210,11 +216,11 @@
         std::iter::once(me).chain(others).collect()
     }
 
-    pub(super) fn tell_view(&mut self, commands: &mut Commands) {
+    pub(super) fn publish_controls(&mut self, commands: &mut Commands) {
         let view = self.controls();
-        if view != self.told {
-            self.told.clone_from(&view);
-            self.tell_routers(&FeedUpdate { view, ..FeedUpdate::default() }, commands);
+        if view != self.published_controls {
+            self.published_controls.clone_from(&view);
+            self.publish_to_routers(&FeedUpdate { view, ..FeedUpdate::default() }, commands);
         }
     }
 }
--- a/crates/arrowyard-control/src/control/peers.rs
+++ b/crates/arrowyard-control/src/control/peers.rs
@@ -1,4 +1,4 @@
-//! Control machines among themselves: connections, heartbeats, who is in touch with whom.
+//! Connections, heartbeats and reachability among control machines.
 
 use std::net::Ipv4Addr;
 
@@ -6,80 +6,81 @@
 use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{TimeDelta, Timestamp};
 
-use super::{Control, Line};
+use super::{Connection, Control};
 
-/// A control machine that says nothing for so long is away.
-const AWAY: TimeDelta = TimeDelta::from_millis(1500);
-/// A machine that was not heard for so long is told that it is not. It is shorter, so that both ends of a way that is cut
-/// in one direction notice at about the same time.
-const NOT_HEARD: TimeDelta = TimeDelta::from_millis(1250);
-/// A dial without an answer is given up after so long, and tried again at the earliest after so long.
-const DIAL: TimeDelta = TimeDelta::from_millis(1000);
-/// Beats are so many ticks apart, and every so many of them tell of other machines.
-const BEAT: u64 = 2;
-const SHUFFLE: u64 = 8;
-/// A router that came too early is sent away after so long.
-const EARLY: TimeDelta = TimeDelta::from_millis(600);
-/// Routers hear that it is here every so many ticks.
-const HEARTBEAT: u64 = 2;
+/// A control machine that sends nothing for this long counts as unreachable.
+const PEER_TIMEOUT: TimeDelta = TimeDelta::from_millis(1500);
+/// A machine not heard from for this long is left out of the reachability report. Shorter than
+/// `PEER_TIMEOUT`, so that both ends of a link that fails in one direction notice at about the same
+/// time.
+const SILENCE_REPORT_TIMEOUT: TimeDelta = TimeDelta::from_millis(1250);
+/// Timeout of a dial; half of it is the minimum interval between dials.
+const DIAL_TIMEOUT: TimeDelta = TimeDelta::from_millis(1000);
+/// Ticks between heartbeats, and between those that carry a sample of the view.
+const HEARTBEAT_TICKS: u64 = 2;
+const VIEW_EXCHANGE_TICKS: u64 = 8;
+/// A router is disconnected if no quorum is reached within this time after it connected.
+const PENDING_ROUTER_TIMEOUT: TimeDelta = TimeDelta::from_millis(600);
+/// Ticks between heartbeats to routers.
+const ROUTER_HEARTBEAT_TICKS: u64 = 2;
 
-/// Another control machine.
+/// State of another control machine.
 #[derive(Default)]
 pub struct Peer {
-    /// Open connections, the newest last. Danger: two machines that dial each other at once have two; each hears the
-    /// other on both, and speaks on the newest that it has.
+    /// Open connections, the newest last. Two machines that dial each other at once have two connections;
+    /// each receives on both and sends on its newest.
     conns: Vec<Conn>,
-    /// A dial of ours that has not come through.
-    dialled: Option<(Conn, Timestamp)>,
+    /// Outgoing connection attempt.
+    dialing: Option<(Conn, Timestamp)>,
     incarnation: u64,
     pub routers: u32,
-    /// Whether it said that its vote counts, and since when it does not.
+    /// Whether its vote last counted, and since when it has not.
     pub votes: bool,
-    unable_since: Option<Timestamp>,
+    unable_to_vote_since: Option<Timestamp>,
     pub disk_fails: bool,
-    /// Whether it was told to end.
-    pub leaving: bool,
-    /// Whether it said last that it hears of this machine.
-    hears_me: bool,
-    /// Since when it is heard of without a break, and when it was last.
-    since: Timestamp,
-    heard_at: Timestamp,
-    tried_at: Timestamp,
-    differs: u32,
+    /// Whether it is shutting down.
+    pub stopping: bool,
+    /// Whether it last reported that it hears this machine.
+    hears_this_machine: bool,
+    /// Start of the current period of contact, and the last message.
+    reachable_since: Timestamp,
+    last_heard_at: Timestamp,
+    dialed_at: Timestamp,
+    digest_mismatches: u32,
 }
 
 impl Peer {
-    /// It said something.
-    fn hear(&mut self, now: Timestamp) {
-        if now - self.heard_at >= AWAY || self.since == Timestamp::default() {
-            self.since = now;
+    /// Records that a message was received.
+    fn record_message(&mut self, now: Timestamp) {
+        if now - self.last_heard_at >= PEER_TIMEOUT || self.reachable_since == Timestamp::default() {
+            self.reachable_since = now;
         }
-        self.heard_at = now;
+        self.last_heard_at = now;
     }
 
-    /// Its present life, if it has ever told.
-    pub fn known_life(&self) -> Option<u64> {
+    /// Its current incarnation, if known.
+    pub fn known_incarnation(&self) -> Option<u64> {
         (self.incarnation != 0).then_some(self.incarnation)
     }
 
-    fn says_that_it_votes(&mut self, now: Timestamp, votes: bool) {
+    fn set_votes(&mut self, now: Timestamp, votes: bool) {
         self.votes = votes;
         if votes {
-            self.unable_since = None;
+            self.unable_to_vote_since = None;
         } else {
-            self.unable_since.get_or_insert(now);
+            self.unable_to_vote_since.get_or_insert(now);
         }
     }
 
-    /// For how long it has said that its vote does not count.
-    pub fn unable_for(&self, now: Timestamp) -> TimeDelta {
-        self.unable_since.map_or(TimeDelta::ZERO, |since| now - since)
+    /// How long it has reported that its vote does not count.
+    pub fn unable_to_vote_for(&self, now: Timestamp) -> TimeDelta {
+        self.unable_to_vote_since.map_or(TimeDelta::ZERO, |since| now - since)
     }
 
-    /// For how long it has been heard of, or not.
-    pub fn heard_for(&self, now: Timestamp) -> Result<TimeDelta, TimeDelta> {
-        let silence = now - self.heard_at;
-        if self.is_open() && silence < AWAY { Ok(now - self.since) } else { Err(silence) }
+    /// How long it has been reachable (`Ok`) or silent (`Err`).
+    pub fn contact(&self, now: Timestamp) -> Result<TimeDelta, TimeDelta> {
+        let silence = now - self.last_heard_at;
+        if self.is_open() && silence < PEER_TIMEOUT { Ok(now - self.reachable_since) } else { Err(silence) }
     }
 
     pub fn is_open(&self) -> bool {
@@ -91,7 +92,7 @@
     fn hello(&mut self) -> Payload {
         Payload::Hello(Hello {
             node: self.settings.node.clone(),
-            ip: self.me,
+            ip: self.local_ip,
             zone: self.settings.zone.clone(),
             incarnation: self.incarnation,
             control: true,
@@ -99,240 +100,255 @@
         })
     }
 
-    /// Keeps a connection to every control machine that is known, and tells them that it is here.
-    pub(super) fn meet(&mut self, now: Timestamp, commands: &mut Commands) {
+    /// Keeps a connection to every known control machine and sends heartbeats.
+    pub(super) fn connect_peers(&mut self, now: Timestamp, commands: &mut Commands) {
         let known: Vec<u32> =
-            self.view.machines().map(|known| known.ip).chain(self.ledger.voters().to_vec()).collect();
-        // A machine that is gone for good is dialled till it has fallen out of the view.
-        self.peers.retain(|ip, peer| peer.is_open() || peer.dialled.is_some() || known.contains(ip));
-        for ip in known.into_iter().filter(|ip| *ip != self.me) {
+            self.view.machines().map(|known| known.ip).chain(self.replicated_log.voters().to_vec()).collect();
+        // A failed machine is dialed until it has been removed from the view.
+        self.peers.retain(|ip, peer| peer.is_open() || peer.dialing.is_some() || known.contains(ip));
+        for ip in known.into_iter().filter(|ip| *ip != self.local_ip) {
             self.peers.entry(ip).or_default();
         }
         let mut dial = Vec::new();
         for (ip, peer) in &mut self.peers {
-            if let Some((conn, at)) = peer.dialled
-                && now - at >= DIAL
+            if let Some((conn, at)) = peer.dialing
+                && now - at >= DIAL_TIMEOUT
             {
                 commands.reset(conn);
-                self.lines.remove(&conn);
-                peer.dialled = None;
+                self.connections.remove(&conn);
+                peer.dialing = None;
             }
-            if now - peer.heard_at >= AWAY * 2.0 {
+            if now - peer.last_heard_at >= PEER_TIMEOUT * 2.0 {
                 for conn in peer.conns.drain(..) {
                     commands.reset(conn);
-                    self.lines.remove(&conn);
+                    self.connections.remove(&conn);
                 }
             }
-            if !peer.is_open() && peer.dialled.is_none() && now - peer.tried_at >= DIAL * 0.5 {
-                peer.tried_at = now;
+            if !peer.is_open() && peer.dialing.is_none() && now - peer.dialed_at >= DIAL_TIMEOUT * 0.5 {
+                peer.dialed_at = now;
                 dial.push(*ip);
             }
         }
         for ip in dial {
             let conn = commands.dial(self.settings.internal(Ipv4Addr::from(ip)));
-            self.lines.insert(conn, Line::Peer(ip, FrameDecoder::default()));
-            self.peers.entry(ip).or_default().dialled = Some((conn, now));
+            self.connections.insert(conn, Connection::Peer(ip, FrameDecoder::default()));
+            self.peers.entry(ip).or_default().dialing = Some((conn, now));
         }
-        if self.ticks.is_multiple_of(BEAT) {
-            self.beat_peers(now, commands);
+        if self.ticks.is_multiple_of(HEARTBEAT_TICKS) {
+            self.send_heartbeats(now, commands);
         }
-        if self.ticks.is_multiple_of(BEAT) {
-            self.hush(now);
+        if self.ticks.is_multiple_of(HEARTBEAT_TICKS) {
+            self.detect_silent_hosts(now);
         }
     }
 
-    pub(super) fn beat_peers(&mut self, now: Timestamp, commands: &mut Commands) {
+    pub(super) fn send_heartbeats(&mut self, now: Timestamp, commands: &mut Commands) {
         self.view.increment_ages();
-        let view =
-            if self.ticks.is_multiple_of(SHUFFLE) { self.view.sample(&mut self.rng) } else { Vec::new() };
+        let view = if self.ticks.is_multiple_of(VIEW_EXCHANGE_TICKS) {
+            self.view.sample(&mut self.rng)
+        } else {
+            Vec::new()
+        };
         let beat = Heartbeat {
-            chosen: self.ledger.chosen(),
+            chosen: self.replicated_log.chosen(),
             view,
             routers: self.routers_fed().count() as u32,
-            digest: self.cell.digest(),
+            digest: self.registry.digest(),
             votes: self.is_able_to_vote(now),
-            silent: self.silent_here.clone(),
+            silent: self.local_silent_hosts.clone(),
             disk_failing: !self.disk.is_healthy(now),
-            reachable: self.heard_lately(now),
-            shutting_down: self.ending_since.is_some(),
+            reachable: self.recently_heard_peers(now),
+            shutting_down: self.stopping_since.is_some(),
         };
-        self.say_to_peers(&Payload::Heartbeat(beat), commands);
+        self.broadcast_to_peers(&Payload::Heartbeat(beat), commands);
     }
 
-    /// The machines that are told that they are heard. Only voters tell: theirs is the word that others count, and lists of
-    /// all machines from all machines would grow with the cube of their number.
-    fn heard_lately(&self, now: Timestamp) -> Vec<u32> {
-        if !self.ledger.voters().contains(&self.me) {
+    /// The peers heard from recently. Only voters report them, since only their reports count; reports of
+    /// all machines about all others would grow with the cube of their number.
+    fn recently_heard_peers(&self, now: Timestamp) -> Vec<u32> {
+        if !self.replicated_log.voters().contains(&self.local_ip) {
             return Vec::new();
         }
-        let lately = self.live_peers(now).filter(|(_, peer)| now - peer.heard_at < NOT_HEARD);
-        lately.map(|(ip, _)| *ip).collect()
+        let recent =
+            self.reachable_peers(now).filter(|(_, peer)| now - peer.last_heard_at < SILENCE_REPORT_TIMEOUT);
+        recent.map(|(ip, _)| *ip).collect()
     }
 
-    /// Hosts that called here and do so no more.
-    fn hush(&mut self, now: Timestamp) {
-        let late = TimeDelta::from_millis((self.settings.heartbeat_interval_ms as f64 * 2.5) as i64);
-        let quiet = |id: &str| self.cell.last_heartbeat_at(id).is_some_and(|at| now - at >= late);
-        let live = self.cell.hosts().filter(|host| host.phase() != arrowyard_messages::Phase::Gone);
-        let ids: Vec<String> = live.filter(|host| quiet(&host.id)).map(|host| host.id.clone()).collect();
+    /// Detects hosts that stopped sending heartbeats to this machine.
+    fn detect_silent_hosts(&mut self, now: Timestamp) {
+        let silence_limit = TimeDelta::from_millis((self.settings.heartbeat_interval_ms as f64 * 2.5) as i64);
+        let is_silent =
+            |id: &str| self.registry.last_heartbeat_at(id).is_some_and(|at| now - at >= silence_limit);
+        let live = self.registry.hosts().filter(|host| host.phase() != arrowyard_messages::Phase::Gone);
+        let ids: Vec<String> = live.filter(|host| is_silent(&host.id)).map(|host| host.id.clone()).collect();
         for id in &ids {
-            let since = self.cell.last_heartbeat_at(id).unwrap_or(now);
-            self.silent.entry(id.clone()).or_insert(since);
+            let since = self.registry.last_heartbeat_at(id).unwrap_or(now);
+            self.silent_hosts.entry(id.clone()).or_insert(since);
         }
-        self.silent_here = ids
+        self.local_silent_hosts = ids
             .into_iter()
             .map(|id| {
-                let since = self.cell.last_heartbeat_at(&id).unwrap_or(now);
+                let since = self.registry.last_heartbeat_at(&id).unwrap_or(now);
                 arrowyard_messages::SilentHost { id, silent_ms: ((now - since).micros() / 1000) as u64 }
             })
             .collect();
     }
 
-    pub(super) fn live_peers(&self, now: Timestamp) -> impl Iterator<Item = (&u32, &Peer)> {
-        self.peers.iter().filter(move |(_, peer)| peer.is_open() && now - peer.heard_at < AWAY)
+    pub(super) fn reachable_peers(&self, now: Timestamp) -> impl Iterator<Item = (&u32, &Peer)> {
+        self.peers.iter().filter(move |(_, peer)| peer.is_open() && now - peer.last_heard_at < PEER_TIMEOUT)
     }
 
-    /// Whether it hears of more than half of the voters and they hear of it, itself among them if it is one. Safety: a
-    /// machine that is cut off, in one direction or both, takes calls and feeds routers as before, and nothing that it
-    /// says is news to anyone.
-    pub(super) fn is_in_touch(&self, now: Timestamp) -> bool {
-        let voters = self.ledger.voters();
-        let in_touch = |voter: &u32| self.live_peers(now).any(|(ip, peer)| ip == voter && peer.hears_me);
-        let live = voters.iter().filter(|voter| **voter == self.me || in_touch(voter));
+    /// Whether this machine and a majority of the voters, counting itself if it is one, hear each other.
+    /// Safety: a machine partitioned in either direction would otherwise keep accepting calls and serving
+    /// routers without effect on the others.
+    pub(super) fn can_reach_quorum(&self, now: Timestamp) -> bool {
+        let voters = self.replicated_log.voters();
+        let quorum_reachable =
+            |voter: &u32| self.reachable_peers(now).any(|(ip, peer)| ip == voter && peer.hears_this_machine);
+        let live = voters.iter().filter(|voter| **voter == self.local_ip || quorum_reachable(voter));
         live.count() * 2 > voters.len()
     }
 
-    /// Lets routers go to another control machine while this one is cut off.
-    pub(super) fn keep_touch(&mut self, now: Timestamp, commands: &mut Commands) {
-        let in_touch = self.is_in_touch(now);
-        if in_touch != self.in_touch {
-            self.in_touch = in_touch;
-            self.touch_changed(now, commands);
+    /// Detects loss or recovery of the quorum. Without a quorum, routers are disconnected so that they turn
+    /// to another control machine.
+    pub(super) fn update_quorum_status(&mut self, now: Timestamp, commands: &mut Commands) {
+        let quorum_reachable = self.can_reach_quorum(now);
+        if quorum_reachable != self.quorum_reachable {
+            self.quorum_reachable = quorum_reachable;
+            self.quorum_status_changed(now, commands);
             log::info!(
-                "mesh: {}.",
-                if in_touch { "In touch with the voters" } else { "Cut off from the voters" }
+                "peers: {}",
+                if quorum_reachable {
+                    "reached a majority of the voters"
+                } else {
+                    "lost contact with a majority of the voters"
+                }
             );
         }
-        self.admit_early(now, in_touch, commands);
+        self.admit_pending_routers(now, quorum_reachable, commands);
         let fed: Vec<Conn> = self.routers_fed().map(|(conn, _)| conn).collect();
         for conn in fed {
-            let silent = self.router_silent(now, conn);
-            if !in_touch || silent {
+            let silent = self.is_router_silent(now, conn);
+            if !quorum_reachable || silent {
                 commands.reset(conn);
-                self.lines.remove(&conn);
-            } else if self.ticks.is_multiple_of(HEARTBEAT) {
-                self.say(conn, Payload::Heartbeat(Heartbeat::default()), commands);
+                self.connections.remove(&conn);
+            } else if self.ticks.is_multiple_of(ROUTER_HEARTBEAT_TICKS) {
+                self.send(conn, Payload::Heartbeat(Heartbeat::default()), commands);
             }
         }
     }
 
-    /// Routers that came while the voters were not heard of yet are fed, or sent away.
-    fn admit_early(&mut self, now: Timestamp, in_touch: bool, commands: &mut Commands) {
-        let early = |(conn, line): (&Conn, &Line)| match line {
-            Line::Early(_, _, since) if in_touch || now - *since >= EARLY => Some(*conn),
+    /// Subscribes or disconnects routers that connected before the voters were reached.
+    fn admit_pending_routers(&mut self, now: Timestamp, quorum_reachable: bool, commands: &mut Commands) {
+        let pending = |(conn, line): (&Conn, &Connection)| match line {
+            Connection::PendingRouter(_, _, since)
+                if quorum_reachable || now - *since >= PENDING_ROUTER_TIMEOUT =>
+            {
+                Some(*conn)
+            }
             _ => None,
         };
-        let mut waiting: Vec<Conn> = self.lines.iter().filter_map(early).collect();
+        let mut waiting: Vec<Conn> = self.connections.iter().filter_map(pending).collect();
         waiting.sort_unstable();
         for conn in waiting {
-            match self.lines.remove(&conn) {
-                Some(Line::Early(hello, frames, _)) if in_touch => {
+            match self.connections.remove(&conn) {
+                Some(Connection::PendingRouter(hello, frames, _)) if quorum_reachable => {
                     self.admit_router(now, conn, &hello, frames, commands);
-                    self.router_came(now, conn, commands);
+                    self.on_router_data(now, conn, commands);
                 }
                 _ => commands.close(conn),
             }
         }
     }
 
-    /// A control machine that is up in a zone.
-    pub(super) fn peer_in(&self, now: Timestamp, zone: &str) -> Option<u32> {
-        self.live_peers(now).map(|(ip, _)| *ip).find(|ip| self.view.zone(*ip) == Some(zone))
+    /// A reachable control machine in a zone.
+    pub(super) fn peer_in_zone(&self, now: Timestamp, zone: &str) -> Option<u32> {
+        self.reachable_peers(now).map(|(ip, _)| *ip).find(|ip| self.view.zone(*ip) == Some(zone))
     }
 
-    pub(super) fn say_to_peers(&mut self, word: &Payload, commands: &mut Commands) {
+    pub(super) fn broadcast_to_peers(&mut self, word: &Payload, commands: &mut Commands) {
         let bytes = encode_payload(word.clone());
         for conn in self.peers.values().filter_map(|peer| peer.conns.last().copied()) {
             commands.write(conn, &[&bytes]);
         }
     }
 
-    /// So many of the machines that are connected, drawn anew each time.
-    pub(super) fn some_peers(&mut self, most: usize) -> Vec<u32> {
+    /// Random sample of the connected peers.
+    pub(super) fn random_peers(&mut self, most: usize) -> Vec<u32> {
         let connected = self.peers.iter().filter(|(_, peer)| !peer.conns.is_empty());
         let connected = connected.map(|(ip, _)| *ip);
         self.rng.choose_multiple(connected, most)
     }
 
-    pub(super) fn say_to_peer(&mut self, ip: u32, word: &Payload, commands: &mut Commands) {
+    pub(super) fn send_to_peer(&mut self, ip: u32, word: &Payload, commands: &mut Commands) {
         if let Some(conn) = self.peers.get(&ip).and_then(|peer| peer.conns.last().copied()) {
             commands.write(conn, &[&encode_payload(word.clone())]);
         }
     }
 
-    /// A dial of ours came through.
-    pub(super) fn greet(&mut self, now: Timestamp, conn: Conn, ip: u32, commands: &mut Commands) {
+    /// An outgoing connection was established.
+    pub(super) fn on_peer_connected(&mut self, now: Timestamp, conn: Conn, ip: u32, commands: &mut Commands) {
         let hello = self.hello();
-        self.say(conn, hello, commands);
+        self.send(conn, hello, commands);
         let peer = self.peers.entry(ip).or_default();
-        if peer.dialled.is_some_and(|(dialled, _)| dialled == conn) {
-            peer.dialled = None;
+        if peer.dialing.is_some_and(|(dialing, _)| dialing == conn) {
+            peer.dialing = None;
         }
-        peer.hear(now);
+        peer.record_message(now);
         peer.conns.push(conn);
-        self.with_ledger(now, commands, |ledger, out| ledger.observe_peer_progress(now, ip, 0, out));
+        self.with_log(now, commands, |log, out| log.observe_peer_progress(now, ip, 0, out));
     }
 
-    /// Somebody of the system's own that has not said who it is.
-    pub(super) fn strange(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
-        let Some(Line::Stranger(frames)) = self.lines.get_mut(&conn) else { return };
+    /// Handles the first message of an unidentified connection.
+    pub(super) fn identify(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
+        let Some(Connection::Unidentified(frames)) = self.connections.get_mut(&conn) else { return };
         match frames.take() {
             Ok(None) => {}
             Ok(Some(frame)) if matches!(&frame.payload, Some(Payload::Hello(_))) => {
                 let frames = std::mem::take(frames);
                 let Some(Payload::Hello(hello)) = frame.payload else { return };
                 if !hello.control {
-                    if !self.is_in_touch(now) {
-                        // At a start the others are heard of in a moment.
-                        self.lines.insert(conn, Line::Early(hello, frames, now));
+                    if !self.can_reach_quorum(now) {
+                        // After a start the other machines are reached shortly.
+                        self.connections.insert(conn, Connection::PendingRouter(hello, frames, now));
                         return;
                     }
                     self.admit_router(now, conn, &hello, frames, commands);
-                    return self.router_came(now, conn, commands);
+                    return self.on_router_data(now, conn, commands);
                 }
                 let ip = hello.ip;
-                self.lines.insert(conn, Line::Peer(ip, frames));
+                self.connections.insert(conn, Connection::Peer(ip, frames));
                 let mine = self.hello();
-                self.say(conn, mine, commands);
+                self.send(conn, mine, commands);
                 let peer = self.peers.entry(ip).or_default();
-                peer.hear(now);
+                peer.record_message(now);
                 peer.conns.push(conn);
-                self.know(now, &hello, commands);
-                self.peer_came(now, conn, ip, &[], commands);
+                self.handle_hello(now, &hello, commands);
+                self.on_peer_data(now, conn, ip, &[], commands);
             }
             _ => {
                 commands.reset(conn);
-                drop(self.lines.remove(&conn));
+                drop(self.connections.remove(&conn));
             }
         }
     }
 
-    fn know(&mut self, now: Timestamp, hello: &Hello, commands: &mut Commands) {
+    fn handle_hello(&mut self, now: Timestamp, hello: &Hello, commands: &mut Commands) {
         self.view.record_contact(hello.ip, &hello.zone);
-        self.view.merge(&hello.view, self.me);
+        self.view.merge(&hello.view, self.local_ip);
         if let Some(peer) = self.peers.get_mut(&hello.ip) {
-            // A connection was opened, so both ways are there.
-            (peer.incarnation, peer.hears_me) = (hello.incarnation, true);
+            // A new connection proves that messages pass in both directions.
+            (peer.incarnation, peer.hears_this_machine) = (hello.incarnation, true);
         }
-        let cell = HostUpdate { hosts: self.cell.hosts().cloned().collect(), whole: true };
-        self.say_to_peer(hello.ip, &Payload::HostUpdate(cell), commands);
-        self.with_ledger(now, commands, |ledger, out| ledger.observe_peer_progress(now, hello.ip, 0, out));
-        if !self.in_touch && self.is_in_touch(now) {
-            self.keep_touch(now, commands);
+        let cell = HostUpdate { hosts: self.registry.hosts().cloned().collect(), whole: true };
+        self.send_to_peer(hello.ip, &Payload::HostUpdate(cell), commands);
+        self.with_log(now, commands, |log, out| log.observe_peer_progress(now, hello.ip, 0, out));
+        if !self.quorum_reachable && self.can_reach_quorum(now) {
+            self.update_quorum_status(now, commands);
         }
     }
 
-    pub(super) fn peer_came(
+    pub(super) fn on_peer_data(
         &mut self,
         now: Timestamp,
         conn: Conn,
@@ -340,121 +356,127 @@
         bytes: &[u8],
         commands: &mut Commands,
     ) {
-        if let Some(Line::Peer(_, frames)) = self.lines.get_mut(&conn) {
+        if let Some(Connection::Peer(_, frames)) = self.connections.get_mut(&conn) {
             frames.put(bytes);
         }
-        while let Some(Line::Peer(_, frames)) = self.lines.get_mut(&conn) {
+        while let Some(Connection::Peer(_, frames)) = self.connections.get_mut(&conn) {
             match frames.take() {
                 Ok(None) => return,
                 Err(broken) => {
-                    log::warn!("mesh: {}: {broken}.", Ipv4Addr::from(ip));
-                    self.peer_closed(conn, ip);
+                    log::warn!("peers: invalid frame from {}: {broken}", Ipv4Addr::from(ip));
+                    self.on_peer_closed(conn, ip);
                     commands.reset(conn);
-                    drop(self.lines.remove(&conn));
+                    drop(self.connections.remove(&conn));
                     return;
                 }
                 Ok(Some(frame)) => {
                     let peer = self.peers.entry(ip).or_default();
-                    peer.hear(now);
+                    peer.record_message(now);
                     let incarnation = peer.incarnation;
-                    self.duty.record_contact(now, ip, incarnation, self.ledger.applied());
+                    self.duty.record_contact(now, ip, incarnation, self.replicated_log.applied());
                     if let Some(word) = frame.payload {
-                        self.peer_says(now, ip, word, commands);
+                        self.handle_peer_message(now, ip, word, commands);
                     }
                 }
             }
         }
     }
 
-    fn peer_says(&mut self, now: Timestamp, ip: u32, word: Payload, commands: &mut Commands) {
+    fn handle_peer_message(&mut self, now: Timestamp, ip: u32, word: Payload, commands: &mut Commands) {
         match word {
-            Payload::Hello(hello) => self.know(now, &hello, commands),
-            Payload::Heartbeat(beat) => self.peer_beat(now, ip, &beat, commands),
+            Payload::Hello(hello) => self.handle_hello(now, &hello, commands),
+            Payload::Heartbeat(beat) => self.handle_peer_heartbeat(now, ip, &beat, commands),
             Payload::HostUpdate(cell) => {
                 let mut news = Vec::new();
                 for host in cell.hosts {
-                    self.silent.remove(&host.id);
+                    self.silent_hosts.remove(&host.id);
                     if !cell.whole {
-                        self.cell.clear_heartbeat(&host.id);
+                        self.registry.clear_heartbeat(&host.id);
                     }
-                    if self.cell.merge_report(now, host.clone()) {
+                    if self.registry.merge_report(now, host.clone()) {
                         if host.phase() == arrowyard_messages::Phase::Gone {
-                            self.left.push((now, host.clone()));
+                            self.departed_hosts.push((now, host.clone()));
                         }
                         news.push(host);
                     }
                 }
                 if !news.is_empty() {
-                    self.pass_on(news, commands);
-                    self.look(now, commands);
+                    self.publish_hosts_to_routers(news, commands);
+                    self.poll_promotions(now, commands);
                 }
             }
-            Payload::DepartureNotice(departing) => self.departure_told(now, ip, departing, commands),
-            Payload::DepartureStored(kept) => self.departure_kept(now, ip, kept.number, commands),
-            Payload::Suspect(suspect) => self.suspected(now, suspect, commands),
-            Payload::Demotion(yielded) => self.yielded(now, false, yielded, commands),
-            word @ Payload::Replacements(_) => self.pass_replacements(&word, commands),
+            Payload::DepartureNotice(departing) => self.handle_departing(now, ip, departing, commands),
+            Payload::DepartureStored(kept) => self.handle_departure_kept(now, ip, kept.number, commands),
+            Payload::Suspect(suspect) => self.handle_suspicion(now, suspect, commands),
+            Payload::Demotion(yielded) => self.handle_yielded(now, false, yielded, commands),
+            word @ Payload::Replacements(_) => self.forward_replacements(&word, commands),
             Payload::RelayedRequest(question) => self.relay_to_router(now, question, commands),
-            Payload::RelayedResponse(answer) => self.relayed(now, answer, commands),
-            Payload::DemandReport(needs) => self.needs(now, Some(ip), needs, commands),
-            Payload::HostAllocations(allots) => self.allots(allots, commands),
-            word @ Payload::OverloadedHosts(_) => self.pressed(&word, commands),
-            word => self.with_ledger(now, commands, |ledger, out| ledger.on_message(now, ip, &word, out)),
+            Payload::RelayedResponse(answer) => self.handle_relay_response(now, answer, commands),
+            Payload::DemandReport(needs) => self.handle_demand(now, Some(ip), needs, commands),
+            Payload::HostAllocations(allots) => self.forward_allocations(allots, commands),
+            word @ Payload::OverloadedHosts(_) => self.forward_overload(&word, commands),
+            word => self.with_log(now, commands, |log, out| log.on_message(now, ip, &word, out)),
         }
     }
 
-    fn peer_beat(&mut self, now: Timestamp, ip: u32, beat: &Heartbeat, commands: &mut Commands) {
+    fn handle_peer_heartbeat(&mut self, now: Timestamp, ip: u32, beat: &Heartbeat, commands: &mut Commands) {
         let zone = self.view.zone(ip).unwrap_or_default().to_string();
         self.view.record_contact(ip, &zone);
-        self.view.merge(&beat.view, self.me);
-        let mine = self.cell.digest();
-        let incarnation =
-            |ip: u32| if ip == self.me { Some(self.incarnation) } else { self.peers.get(&ip)?.known_life() };
+        self.view.merge(&beat.view, self.local_ip);
+        let mine = self.registry.digest();
+        let incarnation = |ip: u32| {
+            if ip == self.local_ip {
+                Some(self.incarnation)
+            } else {
+                self.peers.get(&ip)?.known_incarnation()
+            }
+        };
         self.duty.record_indirect_contact(
-            now - NOT_HEARD,
+            now - SILENCE_REPORT_TIMEOUT,
             &beat.reachable,
             incarnation,
-            self.ledger.applied(),
+            self.replicated_log.applied(),
         );
         let Some(peer) = self.peers.get_mut(&ip) else { return };
         peer.routers = beat.routers;
-        peer.says_that_it_votes(now, beat.votes);
+        peer.set_votes(now, beat.votes);
         peer.disk_fails = beat.disk_failing;
-        peer.leaving = beat.shutting_down;
-        peer.hears_me = beat.reachable.contains(&self.me);
-        // What is under way makes them differ for a moment; what stays is swept up.
-        peer.differs = if beat.digest == mine { 0 } else { peer.differs + 1 };
-        if peer.differs >= 2 {
-            peer.differs = 0;
-            let cell = HostUpdate { hosts: self.cell.hosts().cloned().collect(), whole: true };
-            self.say_to_peer(ip, &Payload::HostUpdate(cell), commands);
+        peer.stopping = beat.shutting_down;
+        peer.hears_this_machine = beat.reachable.contains(&self.local_ip);
+        // Updates in transit make the digests differ briefly; a lasting difference triggers a full
+        // exchange.
+        peer.digest_mismatches = if beat.digest == mine { 0 } else { peer.digest_mismatches + 1 };
+        if peer.digest_mismatches >= 2 {
+            peer.digest_mismatches = 0;
+            let cell = HostUpdate { hosts: self.registry.hosts().cloned().collect(), whole: true };
+            self.send_to_peer(ip, &Payload::HostUpdate(cell), commands);
         }
-        if self.in_touch && !self.is_in_touch(now) {
-            self.keep_touch(now, commands);
+        if self.quorum_reachable && !self.can_reach_quorum(now) {
+            self.update_quorum_status(now, commands);
         }
         for silent in &beat.silent {
-            // Danger: it may call here by now; then whoever misses it is told so.
+            // The host may send heartbeats here by now; then correct the peer's report.
             let here = self
-                .cell
+                .registry
                 .last_heartbeat_at(&silent.id)
                 .is_some_and(|at| (now - at).micros() / 1000 < silent.silent_ms as i64);
             if here {
-                let hosts = self.cell.get(&silent.id).cloned().into_iter().collect();
-                self.say_to_peers(&Payload::HostUpdate(HostUpdate { hosts, whole: false }), commands);
+                let hosts = self.registry.get(&silent.id).cloned().into_iter().collect();
+                self.broadcast_to_peers(&Payload::HostUpdate(HostUpdate { hosts, whole: false }), commands);
             } else {
                 let since = now - TimeDelta::from_millis(silent.silent_ms as i64);
-                self.silent.entry(silent.id.clone()).or_insert(since);
+                self.silent_hosts.entry(silent.id.clone()).or_insert(since);
             }
         }
         let (chosen, from) = (beat.chosen, ip);
-        self.with_ledger(now, commands, |ledger, out| ledger.observe_peer_progress(now, from, chosen, out));
+        self.with_log(now, commands, |log, out| log.observe_peer_progress(now, from, chosen, out));
     }
 
-    pub(super) fn peer_closed(&mut self, conn: Conn, ip: u32) {
+    pub(super) fn on_peer_closed(&mut self, conn: Conn, ip: u32) {
         if let Some(peer) = self.peers.get_mut(&ip) {
             peer.conns.retain(|open| *open != conn);
-            if peer.dialled.is_some_and(|(dialled, _)| dialled == conn) {
-                peer.dialled = None;
+            if peer.dialing.is_some_and(|(dialing, _)| dialing == conn) {
+                peer.dialing = None;
             }
         }
     }
--- a/crates/arrowyard-control/src/control/platform.rs
+++ b/crates/arrowyard-control/src/control/platform.rs
@@ -1,8 +1,8 @@
-//! The holder of the duty asks the platform to make a host primary.
+//! Calls by which the duty holder asks the platform to make a host primary.
 //!
-//! Each decision is an entry of the ledger, and its slot is the fence of its calls. Safety: so a call that hangs on its
-//! way, and arrives after another host was made primary, has a lower fence than the calls of the later decision and is
-//! refused; and a holder that has no majority decides nothing. Calls for one decision are repeated under its one fence.
+//! Safety: each decision is an entry of the replicated log, and its slot is the fencing token of its
+//! calls. A delayed call that arrives after a later decision has a lower token and is refused, and a
+//! holder without a majority cannot decide. Calls for one decision are repeated under its token.
 
 use std::collections::BTreeMap;
 
@@ -11,52 +11,54 @@
 use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{TimeDelta, Timestamp};
 
-use super::{Control, Line};
+use super::{Connection, Control};
 use crate::promotion::{HostsSnapshot, Reply, Stage};
 use crate::{ProposalId, ProposalOutcome};
 
-/// A platform that does not answer in so long is asked anew.
-const PLATFORM: TimeDelta = TimeDelta::from_millis(1200);
-/// A decision is carried out, by calls that are repeated, for so long after it was proposed; then anew. Where the platform
-/// does not check fences, whoever takes the duty up waits longer than that before its first decision, so that no call of
-/// the holder before comes after it.
-const VALID: TimeDelta = TimeDelta::from_millis(2000);
-const UNCHECKED_WAIT: TimeDelta = TimeDelta::from_millis(3000);
-/// A decision that is not entered in the ledger in so long is asked for anew.
-const DECIDED: TimeDelta = TimeDelta::from_millis(1000);
+/// A call that the platform does not answer in this time is repeated.
+const RESPONSE_TIMEOUT: TimeDelta = TimeDelta::from_millis(1200);
+/// How long after its proposal a decision is carried out; later a new one is made. Where the platform
+/// does not check fencing tokens, a new duty holder waits longer than this before its first decision,
+/// so that no call of the previous holder arrives after it.
+const DECISION_VALIDITY: TimeDelta = TimeDelta::from_millis(2000);
+const UNFENCED_WAIT: TimeDelta = TimeDelta::from_millis(3000);
+/// A decision that is not chosen in this time is proposed again.
+const PROPOSAL_TIMEOUT: TimeDelta = TimeDelta::from_millis(1000);
 
 /// A call to the platform.
-pub struct Platform {
+pub struct PlatformCall {
     pub messages: HttpDecoder,
-    pub call: String,
+    pub request: String,
     pub service: String,
-    /// Nothing is sent from then on. Safety: a machine that was frozen wakes up with what it was about to send.
+    /// The call is not sent later than this. Safety: a process that was suspended resumes with what it was
+    /// about to send.
     pub until: Timestamp,
 }
 
-/// Which host is to lead a service, and under which fence that was agreed on.
+/// The host that is to be primary of a service, and the fencing token once the decision is chosen.
 #[derive(Debug)]
-struct Decided {
+struct PendingDecision {
     host: String,
     number: u64,
     fence: Option<u64>,
     until: Timestamp,
 }
 
-/// The decisions of this machine, one a service.
+/// The decisions of this machine, one per service.
 #[derive(Debug, Default)]
 pub struct Decisions {
-    by_service: BTreeMap<String, Decided>,
-    /// Proposals that the ledger has not answered.
+    by_service: BTreeMap<String, PendingDecision>,
+    /// Proposals without an outcome.
     proposed: BTreeMap<ProposalId, String>,
-    last: u64,
-    /// Nothing is decided before.
-    from: Timestamp,
+    last_number: u64,
+    /// No decision is made before this time.
+    not_before: Timestamp,
 }
 
 impl Control {
-    /// A host is to be made primary: that is agreed on first, unless it is a repetition of what was agreed on.
-    pub(super) fn ask_platform(
+    /// Asks the platform to promote a host. Requires a chosen decision unless this repeats one that is
+    /// still valid.
+    pub(super) fn request_promotion(
         &mut self,
         now: Timestamp,
         service: &str,
@@ -66,76 +68,79 @@
         let stage = &self.promotions.get_or_create(service).stage;
         let is_repeated = matches!(stage, Stage::Promoting { retries, .. } if *retries > 0);
         let decided = self.decisions.by_service.get(service);
-        let is_valid = |decided: &&Decided| is_repeated && decided.host == host && now < decided.until;
+        let is_valid =
+            |decided: &&PendingDecision| is_repeated && decided.host == host && now < decided.until;
         let agreed = decided.filter(is_valid).and_then(|decided| Some((decided.fence?, decided.until)));
         match agreed {
             Some((fence, until)) => self.call_platform(now, service, host, (fence, until), commands),
-            None if now < self.decisions.from => {
-                self.replied(now, service, Reply::Platform { status: 0 }, commands);
+            None if now < self.decisions.not_before => {
+                self.promotion_replied(now, service, Reply::Platform { status: 0 }, commands);
             }
-            None => self.decide(now, service, host, commands),
+            None => self.propose_decision(now, service, host, commands),
         }
     }
 
-    /// The duty was taken up from another holder, or laid down: whatever is under way to the platform is given up.
+    /// Aborts calls in progress after a change of the duty.
     pub(super) fn drop_platform_calls(&mut self, commands: &mut Commands) {
         for (conn, _) in std::mem::take(&mut self.platform_calls) {
-            if matches!(self.lines.get(&conn), Some(Line::Platform(_))) {
-                self.lines.remove(&conn);
+            if matches!(self.connections.get(&conn), Some(Connection::Platform(_))) {
+                self.connections.remove(&conn);
                 commands.reset(conn);
             }
         }
         self.decisions.by_service.clear();
     }
 
-    /// Where the platform does not check fences, calls of the holder before must have come to an end first.
-    pub(super) fn decide_from(&mut self, now: Timestamp, after_another: bool) {
+    /// Where the platform does not check fencing tokens, delays the first decision until the previous
+    /// holder's calls have expired.
+    pub(super) fn set_decision_start(&mut self, now: Timestamp, after_another: bool) {
         let waits = after_another && !self.settings.envelope.fence_checked;
-        self.decisions.from = if waits { now + UNCHECKED_WAIT } else { now };
+        self.decisions.not_before = if waits { now + UNFENCED_WAIT } else { now };
     }
 
-    /// A connection to the platform is open: the call goes out, if there is still time for it.
-    pub(super) fn platform_opened(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
-        let Some(Line::Platform(platform)) = self.lines.get(&conn) else { return };
+    /// Sends the call once connected, if it has not expired.
+    pub(super) fn on_platform_connected(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
+        let Some(Connection::Platform(platform)) = self.connections.get(&conn) else { return };
         if now < platform.until {
-            commands.write(conn, &[platform.call.as_bytes()]);
-        } else if let Some(Line::Platform(platform)) = self.lines.remove(&conn) {
+            commands.write(conn, &[platform.request.as_bytes()]);
+        } else if let Some(Connection::Platform(platform)) = self.connections.remove(&conn) {
             commands.reset(conn);
-            self.platform_closed(now, &platform, commands);
+            self.on_platform_closed(now, &platform, commands);
         }
     }
 
-    /// Proposes a decision to the ledger.
-    fn decide(&mut self, now: Timestamp, service: &str, host: &str, commands: &mut Commands) {
+    /// Proposes a decision to the replicated log.
+    fn propose_decision(&mut self, now: Timestamp, service: &str, host: &str, commands: &mut Commands) {
         let Some(duty_fence) = self.fence else { return };
-        self.decisions.last += 1;
-        let number = self.decisions.last;
-        let decided = Decided { host: host.to_string(), number, fence: None, until: now + VALID };
+        self.decisions.last_number += 1;
+        let number = self.decisions.last_number;
+        let decided =
+            PendingDecision { host: host.to_string(), number, fence: None, until: now + DECISION_VALIDITY };
         self.decisions.by_service.insert(service.to_string(), decided);
         let decision = Decision {
             service: service.to_string(),
             host: host.to_string(),
-            holder: self.me,
+            holder: self.local_ip,
             incarnation: self.incarnation,
             duty_fence,
             number,
         };
         let entry = Entry { payload: Some(EntryPayload::Decision(decision)) };
-        // The answer may come before the proposal is made; what it is for is laid down first.
-        self.decisions.proposed.insert(self.ledger.next_proposal(), service.to_string());
-        self.with_ledger(now, commands, |ledger, out| ledger.propose_entry(now, entry, now + DECIDED, out));
+        // Register the proposal first: its outcome may be reported before the call returns.
+        self.decisions.proposed.insert(self.replicated_log.next_proposal(), service.to_string());
+        self.with_log(now, commands, |log, out| log.propose_entry(now, entry, now + PROPOSAL_TIMEOUT, out));
     }
 
-    /// A decision was agreed on in this slot: if it is this machine's newest one for the service, it is carried out.
-    pub(super) fn decided(
+    /// Carries out a chosen decision if it is this machine's newest one for the service.
+    pub(super) fn decision_chosen(
         &mut self,
         now: Timestamp,
         slot: u64,
         decision: &Decision,
         commands: &mut Commands,
     ) {
-        let is_mine = (decision.holder, decision.incarnation) == (self.me, self.incarnation);
-        if !is_mine || self.fence != Some(decision.duty_fence) {
+        let is_own_decision = (decision.holder, decision.incarnation) == (self.local_ip, self.incarnation);
+        if !is_own_decision || self.fence != Some(decision.duty_fence) {
             return;
         }
         let Some(decided) = self.decisions.by_service.get_mut(&decision.service) else { return };
@@ -150,18 +155,22 @@
         self.call_platform(now, &decision.service, &decision.host, (slot, until), commands);
     }
 
-    /// Whether a host has joined the service since it was surveyed; then its hosts are surveyed again.
+    /// Whether a host has joined the service since the survey, which is then repeated.
     fn survey_newcomers(&mut self, now: Timestamp, service: &str, commands: &mut Commands) -> bool {
-        let mut asks = Vec::new();
-        let sight = HostsSnapshot { registry: &self.cell, silent: &self.silent, departed: &self.left };
-        let joined = self.promotions.get_or_create(service).survey_newcomers(now, &sight, &mut asks);
-        self.tell_replacements(false, commands);
-        self.ask_hosts(now, asks, commands);
+        let mut requests = Vec::new();
+        let hosts = HostsSnapshot {
+            registry: &self.registry,
+            silent: &self.silent_hosts,
+            departed: &self.departed_hosts,
+        };
+        let joined = self.promotions.get_or_create(service).survey_newcomers(now, &hosts, &mut requests);
+        self.publish_replacements(false, commands);
+        self.send_host_requests(now, requests, commands);
         joined
     }
 
-    /// The ledger answers a proposal. Whether it was one for a decision.
-    pub(super) fn proposal_answered(
+    /// Handles the outcome of a proposal; returns whether it was a decision.
+    pub(super) fn decision_resolved(
         &mut self,
         now: Timestamp,
         ticket: ProposalId,
@@ -170,13 +179,13 @@
     ) -> bool {
         let Some(service) = self.decisions.proposed.remove(&ticket) else { return false };
         if !matches!(answer, ProposalOutcome::Committed(_)) {
-            log::warn!("promotion: {service}: No majority agreed in time.");
-            self.replied(now, &service, Reply::Platform { status: 0 }, commands);
+            log::warn!("promotion: {service}: the decision was not chosen in time");
+            self.promotion_replied(now, &service, Reply::Platform { status: 0 }, commands);
         }
         true
     }
 
-    /// Calls the platform for a decision, under the decision's own fence and as long as it is valid.
+    /// Calls the platform under the decision's fencing token while the decision is valid.
     fn call_platform(
         &mut self,
         now: Timestamp,
@@ -186,25 +195,25 @@
         commands: &mut Commands,
     ) {
         let Some(platform) = &self.settings.platform_api else {
-            log::error!("promotion: {service}: There is no platform to ask.");
+            log::error!("promotion: {service}: no platform API is configured");
             return;
         };
-        log::info!("promotion: {service}: The platform is asked for {host}, fence {fence}.");
+        log::info!("promotion: {service}: asking the platform to promote {host} under fencing token {fence}");
         let text = |text: &str| sonic_rs::to_string(text).unwrap_or_default();
         let body = format!("{{\"service\":{},\"id\":{}}}", text(service), text(host));
         let fence = fence.to_string();
         let headers =
             [("Arrowyard-Duty-Holder", self.settings.node.as_str()), ("Arrowyard-Fence", fence.as_str())];
-        let call = format_request("POST", "/promotion", &platform.address.to_string(), &headers, &body);
+        let request = format_request("POST", "/promotion", &platform.address.to_string(), &headers, &body);
         let conn = commands.dial(platform.address);
         let platform =
-            Platform { messages: HttpDecoder::default(), call, service: service.to_string(), until };
-        self.lines.insert(conn, Line::Platform(platform));
-        self.platform_calls.push((conn, now + PLATFORM));
+            PlatformCall { messages: HttpDecoder::default(), request, service: service.to_string(), until };
+        self.connections.insert(conn, Connection::Platform(platform));
+        self.platform_calls.push((conn, now + RESPONSE_TIMEOUT));
     }
 
-    pub(super) fn platform_came(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
-        let Some(Line::Platform(platform)) = self.lines.get_mut(&conn) else { return };
+    pub(super) fn on_platform_data(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
+        let Some(Connection::Platform(platform)) = self.connections.get_mut(&conn) else { return };
         let status = match platform.messages.next_response() {
             Ok(None) => return,
             Ok(Some(response)) => response.status,
@@ -212,28 +221,33 @@
         };
         let service = platform.service.clone();
         commands.close(conn);
-        drop(self.lines.remove(&conn));
-        self.platform_said(now, &service, status, commands);
+        drop(self.connections.remove(&conn));
+        self.platform_replied(now, &service, status, commands);
     }
 
-    pub(super) fn platform_closed(&mut self, now: Timestamp, platform: &Platform, commands: &mut Commands) {
-        self.platform_said(now, &platform.service, 0, commands);
+    pub(super) fn on_platform_closed(
+        &mut self,
+        now: Timestamp,
+        platform: &PlatformCall,
+        commands: &mut Commands,
+    ) {
+        self.platform_replied(now, &platform.service, 0, commands);
     }
 
-    fn platform_said(&mut self, now: Timestamp, service: &str, status: u16, commands: &mut Commands) {
-        log::info!("promotion: {service}: The platform says {status}.");
-        self.replied(now, service, Reply::Platform { status }, commands);
+    fn platform_replied(&mut self, now: Timestamp, service: &str, status: u16, commands: &mut Commands) {
+        log::info!("promotion: {service}: the platform responded with status {status}");
+        self.promotion_replied(now, service, Reply::Platform { status }, commands);
     }
 
-    /// Calls that were not answered in time.
+    /// Fails calls that were not answered in time.
     pub(super) fn drop_late_calls(&mut self, now: Timestamp, commands: &mut Commands) {
         let late: Vec<Conn> =
             self.platform_calls.iter().filter(|(_, until)| *until <= now).map(|(conn, _)| *conn).collect();
         self.platform_calls.retain(|(_, until)| *until > now);
         for conn in late {
-            if let Some(Line::Platform(platform)) = self.lines.remove(&conn) {
+            if let Some(Connection::Platform(platform)) = self.connections.remove(&conn) {
                 commands.reset(conn);
-                self.platform_closed(now, &platform, commands);
+                self.on_platform_closed(now, &platform, commands);
             }
         }
     }
--- a/crates/arrowyard-control/src/control/registry_snapshot.rs
+++ b/crates/arrowyard-control/src/control/registry_snapshot.rs
@@ -1,6 +1,6 @@
-//! What a control machine keeps besides the ledger, so that a start after a loss of power finds hosts and routers at
-//! once. Of hosts in service it is a hint: they call within their period, and a connection to a host names the one that
-//! it means. That a host leaves or has left was acknowledged, so it is never forgotten for an older word.
+//! Host registry and router count as stored on disk, so that they are available at once after a power
+//! loss. For hosts in service they are a hint: heartbeats follow, and a connection names the host it is
+//! meant for. Drains and departures were acknowledged, so an older report never overrides them.
 
 use arrowyard_messages::Host;
 use arrowyard_runtime::Commands;
@@ -11,7 +11,7 @@
 use crate::HostRegistry;
 use crate::record::{Record, RecordKind, RegistrySnapshot};
 
-/// The hosts and the number of routers that the records of a disk tell of.
+/// Restores the host registry and the number of routers from the records on disk.
 pub fn restore(records: &[Vec<u8>], zone: &str) -> (HostRegistry, u32) {
     let (mut last, mut departed): (RegistrySnapshot, Vec<Host>) = Default::default();
     let kept = records.iter().filter_map(|record| Record::decode(record.as_slice()).ok()?.kind);
@@ -25,24 +25,25 @@
     }
     let (mut cell, now) = (HostRegistry::default(), Timestamp::from_micros(0));
     last.hosts.into_iter().for_each(|host| cell.restore_host(now, host, zone));
-    // Records may be older or newer than the last memory: the cell takes the newer word of each host.
+    // Records may be older or newer than the last registry snapshot: the registry keeps the newer report
+    // of each host.
     departed.into_iter().for_each(|host| _ = cell.merge_report(now, host));
     (cell, last.routers)
 }
 
 impl Control {
-    pub(super) fn memory(&self) -> RegistrySnapshot {
-        RegistrySnapshot { hosts: self.cell.hosts().cloned().collect(), routers: self.routers }
+    pub(super) fn registry_snapshot(&self) -> RegistrySnapshot {
+        RegistrySnapshot { hosts: self.registry.hosts().cloned().collect(), routers: self.routers }
     }
 
-    /// Keeps what changed since the last time. Nobody waits for it.
-    pub(super) fn remember(&mut self, now: Timestamp, commands: &mut Commands) {
-        let digest = self.cell.digest().wrapping_add(u64::from(self.routers));
-        if digest == self.kept_digest {
+    /// Stores the registry if it has changed since the last time; nothing waits for this record.
+    pub(super) fn store_registry(&mut self, now: Timestamp, commands: &mut Commands) {
+        let digest = self.registry.digest().wrapping_add(u64::from(self.routers));
+        if digest == self.stored_digest {
             return;
         }
-        self.kept_digest = digest;
-        let memory = self.memory();
-        self.with_ledger(now, commands, |ledger, out| ledger.store_record(RecordKind::Registry(memory), out));
+        self.stored_digest = digest;
+        let memory = self.registry_snapshot();
+        self.with_log(now, commands, |log, out| log.store_record(RecordKind::Registry(memory), out));
     }
 }
--- a/crates/arrowyard-control/src/control/relays.rs
+++ b/crates/arrowyard-control/src/control/relays.rs
@@ -1,9 +1,10 @@
-//! Questions to hosts that have fallen silent: routers ask them too.
+//! Relays requests to silent hosts through routers.
 //!
-//! Safety: a host that no control machine reaches may still serve routers, and as a replica it lets its primary acknowledge
-//! what no other host has. A change of primary that is decided without its answer may lose that. So whatever is asked of
-//! a silent host is asked by way of routers at the same time, and the host counts as unreachable only if nobody got an
-//! answer. Source: the indirect probes of Das, Gupta and Motivala, "SWIM" (2002).
+//! Safety: a host that no control machine reaches may still serve routers, and as a replica let its
+//! primary acknowledge commits that no other host has. A promotion decided without its response may
+//! lose them. So a request to a silent host is sent through routers at the same time, and the host
+//! counts as unreachable only if nobody got a response. Based on the indirect probes of Das, Gupta and
+//! Motivala, "SWIM" (2002).
 
 use std::collections::BTreeMap;
 
@@ -15,37 +16,38 @@
 use super::Control;
 use crate::promotion::{PromotionRequest, Reply};
 
-/// Routers have so long to bring an answer. It is shorter than the wait for the host's own, so that a host that is down
-/// is not waited for longer.
+/// Timeout of a relayed request. Shorter than that of the direct request, so that a failed host does
+/// not take longer to detect.
 const RELAY_TIMEOUT: TimeDelta = TimeDelta::from_millis(300);
-/// Beside this machine so many others have one of their routers ask: each takes a connection to the host.
+/// Number of other control machines that have one of their routers relay the request; each relay takes
+/// a connection to the host.
 const OTHER_MACHINES: usize = 2;
 
-/// A question that routers were asked to relay.
+/// A request being relayed.
 #[derive(Debug)]
 struct Relay {
     number: u64,
-    ask: PromotionRequest,
+    request: PromotionRequest,
     service: String,
-    /// Control machines of which no answer has come.
+    /// Number of control machines that have not responded.
     outstanding: usize,
     until: Timestamp,
-    /// Whether the host has failed to answer control itself.
+    /// Whether the direct request has failed.
     direct_failed: bool,
 }
 
-/// What an answer leads to.
+/// Result of a response or a timeout.
 #[derive(Debug, PartialEq, Eq)]
 pub enum RelayOutcome {
-    /// Nothing yet.
+    /// No result yet.
     Waiting,
-    /// The host answered a router.
+    /// The host responded to a router.
     Answered { service: String, reply: Reply },
-    /// Neither control nor any router got an answer.
+    /// Neither the direct request nor any relay got a response.
     Unreachable { service: String, host: String },
 }
 
-/// The relayed questions of this control machine, one for each host.
+/// Relayed requests of this control machine, at most one per host.
 #[derive(Debug)]
 pub struct Relays {
     last_number: u64,
@@ -53,22 +55,23 @@
 }
 
 impl Relays {
-    /// Numbers begin with the life of the process, so that no answer to an earlier life is taken for one to this life.
+    /// Numbers start at the incarnation, so that a response to an earlier incarnation does not match a
+    /// request of this one.
     pub fn new(incarnation: u64) -> Self {
         Relays { last_number: incarnation, by_host: BTreeMap::new() }
     }
 
-    /// Begins to relay a question through this many control machines, in place of the last one to the same host. None
-    /// where the question is not one to a host.
+    /// Starts relaying a request through `machines` control machines, replacing an earlier one to the same
+    /// host. `None` if the request is not addressed to a host.
     pub fn begin(
         &mut self,
         now: Timestamp,
         asked_by: u32,
         service: &str,
-        ask: &PromotionRequest,
+        promotion_request: &PromotionRequest,
         machines: usize,
     ) -> Option<RelayedRequest> {
-        let (host, request, term) = match ask {
+        let (host, request, term) = match promotion_request {
             PromotionRequest::Observe { host } => (host, HostRequest::Observe, 0),
             PromotionRequest::Pause { host, term, .. } => (host, HostRequest::Pause, *term),
             PromotionRequest::Continue { host } => (host, HostRequest::Continue, 0),
@@ -77,7 +80,7 @@
         self.last_number = self.last_number.wrapping_add(1);
         let relay = Relay {
             number: self.last_number,
-            ask: ask.clone(),
+            request: promotion_request.clone(),
             service: service.to_string(),
             outstanding: machines,
             until: now + RELAY_TIMEOUT,
@@ -88,28 +91,28 @@
         Some(RelayedRequest { asked_by, number, host: host.clone(), request: request.into(), term })
     }
 
-    /// Whether this question to the host is being relayed.
-    pub fn is_relaying(&self, host: &str, ask: &PromotionRequest) -> bool {
-        self.by_host.get(host).is_some_and(|relay| relay.ask == *ask)
+    /// Whether this request to the host is being relayed.
+    pub fn is_relaying(&self, host: &str, request: &PromotionRequest) -> bool {
+        self.by_host.get(host).is_some_and(|relay| relay.request == *request)
     }
 
-    /// The host answered control itself.
+    /// The direct request was answered.
     pub fn direct_answered(&mut self, host: &str) {
         self.by_host.remove(host);
     }
 
-    /// The host did not answer control itself. Whether routers are still being waited for.
+    /// The direct request failed. Returns whether relays are still outstanding.
     pub fn direct_failed(&mut self, host: &str) -> bool {
         self.by_host.get_mut(host).map(|relay| relay.direct_failed = true).is_some()
     }
 
-    /// An answer has come by way of a control machine.
+    /// Handles a response forwarded by a control machine.
     pub fn answered(&mut self, answer: &RelayedResponse) -> RelayOutcome {
-        let asked = self.by_host.iter_mut().find(|(_, relay)| relay.number == answer.number);
-        let Some((host, relay)) = asked else { return RelayOutcome::Waiting };
+        let relayed = self.by_host.iter_mut().find(|(_, relay)| relay.number == answer.number);
+        let Some((host, relay)) = relayed else { return RelayOutcome::Waiting };
         let host = host.clone();
         relay.outstanding = relay.outstanding.saturating_sub(1);
-        if let Some((row, kind)) = answer.row.as_ref().zip(relay.ask.row_kind()) {
+        if let Some((row, kind)) = answer.row.as_ref().zip(relay.request.row_kind()) {
             let service = relay.service.clone();
             self.by_host.remove(&host);
             return RelayOutcome::Answered { service, reply: Reply::Row { host, kind, row: observed(row) } };
@@ -120,14 +123,14 @@
         self.ended(&host)
     }
 
-    /// Whoever has not answered by now does not.
+    /// Ends the relays whose deadline has passed.
     pub fn expire(&mut self, now: Timestamp) -> Vec<RelayOutcome> {
-        let late = self.by_host.iter().filter(|(_, relay)| relay.until <= now);
-        let late: Vec<String> = late.map(|(host, _)| host.clone()).collect();
-        late.iter().map(|host| self.ended(host)).collect()
+        let expired = self.by_host.iter().filter(|(_, relay)| relay.until <= now);
+        let expired: Vec<String> = expired.map(|(host, _)| host.clone()).collect();
+        expired.iter().map(|host| self.ended(host)).collect()
     }
 
-    /// No router brought an answer. The host's own may still come, unless it has failed as well.
+    /// No relay got a response; the direct one may still arrive unless it has failed as well.
     fn ended(&mut self, host: &str) -> RelayOutcome {
         match self.by_host.remove(host) {
             Some(relay) if relay.direct_failed => {
@@ -148,30 +151,32 @@
 }
 
 impl Control {
-    /// Relays a question to a host that has fallen silent. A primary is not asked so: while control does not reach it, it
-    /// is replaced.
+    /// Relays a request to a silent host. A primary is not asked this way: it is replaced while control
+    /// cannot reach it.
     pub(super) fn relay(
         &mut self,
         now: Timestamp,
         id: &str,
-        ask: &PromotionRequest,
+        request: &PromotionRequest,
         commands: &mut Commands,
     ) {
-        let Some(host) = self.cell.get(id) else { return };
+        let Some(host) = self.registry.get(id) else { return };
         let service = host.service.clone();
-        let is_primary = self.cell.primary(&service).is_some_and(|primary| primary.id == id);
-        if is_primary || !self.silent.contains_key(id) {
+        let is_primary = self.registry.primary(&service).is_some_and(|primary| primary.id == id);
+        if is_primary || !self.silent_hosts.contains_key(id) {
             return;
         }
-        let peers = self.some_peers(OTHER_MACHINES);
-        let Some(question) = self.relays.begin(now, self.me, &service, ask, 1 + peers.len()) else { return };
+        let peers = self.random_peers(OTHER_MACHINES);
+        let Some(question) = self.relays.begin(now, self.local_ip, &service, request, 1 + peers.len()) else {
+            return;
+        };
         for peer in peers {
-            self.say_to_peer(peer, &Payload::RelayedRequest(question.clone()), commands);
+            self.send_to_peer(peer, &Payload::RelayedRequest(question.clone()), commands);
         }
         self.relay_to_router(now, question, commands);
     }
 
-    /// Passes a question on to one of the routers that are fed here, another one for each question.
+    /// Forwards a request to one of the subscribed routers, a different one for each request.
     pub(super) fn relay_to_router(
         &mut self,
         now: Timestamp,
@@ -182,22 +187,27 @@
         fed.sort_unstable();
         if fed.is_empty() {
             let answer = RelayedResponse { asked_by: question.asked_by, number: question.number, row: None };
-            return self.relayed(now, answer, commands);
+            return self.handle_relay_response(now, answer, commands);
         }
         let chosen = fed[(question.number % fed.len() as u64) as usize];
-        self.say(chosen, Payload::RelayedRequest(question), commands);
+        self.send(chosen, Payload::RelayedRequest(question), commands);
     }
 
-    /// An answer of a router, on its way to whoever asked.
-    pub(super) fn relayed(&mut self, now: Timestamp, answer: RelayedResponse, commands: &mut Commands) {
-        if answer.asked_by != self.me {
-            return self.say_to_peer(answer.asked_by, &Payload::RelayedResponse(answer), commands);
+    /// Forwards a router's response to the control machine that asked.
+    pub(super) fn handle_relay_response(
+        &mut self,
+        now: Timestamp,
+        answer: RelayedResponse,
+        commands: &mut Commands,
+    ) {
+        if answer.asked_by != self.local_ip {
+            return self.send_to_peer(answer.asked_by, &Payload::RelayedResponse(answer), commands);
         }
         let relayed = self.relays.answered(&answer);
         self.conclude_relay(now, relayed, commands);
     }
 
-    /// RelayOutcome questions that nobody has answered in time.
+    /// Expires relayed requests.
     pub(super) fn expire_relays(&mut self, now: Timestamp, commands: &mut Commands) {
         for relayed in self.relays.expire(now) {
             self.conclude_relay(now, relayed, commands);
@@ -209,12 +219,12 @@
             RelayOutcome::Waiting => {}
             RelayOutcome::Answered { service, reply } => {
                 if let Reply::Row { host, .. } = &reply {
-                    self.drop_link(host, commands);
+                    self.drop_host_connection(host, commands);
                 }
-                self.replied(now, &service, reply, commands);
+                self.promotion_replied(now, &service, reply, commands);
             }
             RelayOutcome::Unreachable { service, host } => {
-                self.replied(now, &service, Reply::Silent { host }, commands);
+                self.promotion_replied(now, &service, Reply::Silent { host }, commands);
             }
         }
     }
--- a/crates/arrowyard-control/src/control/replacements.rs
+++ b/crates/arrowyard-control/src/control/replacements.rs
@@ -1,10 +1,11 @@
-//! Routers are told which primaries are being replaced: they acknowledge no commit of the host that is replaced, and tell
-//! it to yield.
+//! Announces to routers which primaries are being replaced. Routers then acknowledge no commit of the
+//! old primary and tell it to yield.
 //!
-//! Safety: a host that control cannot ask may still lead and serve routers. Its replicas have been asked to stop, so it
-//! acknowledges nothing; but a replica that joins it afterwards, and that nobody asked, lets it acknowledge what the
-//! candidate lacks. What is told here reaches the routers before the platform hears of the decision. A router that no
-//! control machine reaches is not told; so whoever is told makes the old primary yield, for all others as well.
+//! Safety: a primary that control cannot reach may still serve routers. Its replicas were paused, so it
+//! acknowledges nothing; but a replica that joins it later, and was not paused, would let it
+//! acknowledge commits that the candidate lacks. The announcement reaches routers before the platform
+//! hears of the decision. A router that no control machine reaches does not receive it, so any router
+//! that does makes the old primary yield for all of them.
 
 use arrowyard_messages::{Demotion, Payload, Replacement, Replacements};
 use arrowyard_runtime::{Commands, Conn};
@@ -15,25 +16,25 @@
 use crate::promotion::Reply;
 
 impl Control {
-    /// Tells routers what is being replaced, if that has changed, or while it lasts.
-    pub(super) fn tell_replacements(&mut self, again: bool, commands: &mut Commands) {
+    /// Publishes the replacements in progress when they change, and periodically while there are any.
+    pub(super) fn publish_replacements(&mut self, again: bool, commands: &mut Commands) {
         let services = self.replacements();
-        let changed = services != self.told_replacements;
+        let changed = services != self.published_replacements;
         if !changed && (!again || services.is_empty()) {
             return;
         }
-        self.told_replacements.clone_from(&services);
+        self.published_replacements.clone_from(&services);
         let word = Payload::Replacements(Replacements { fence: self.fence.unwrap_or_default(), services });
-        self.say_to_peers(&word, commands);
-        self.pass_replacements(&word, commands);
+        self.broadcast_to_peers(&word, commands);
+        self.forward_replacements(&word, commands);
     }
 
     fn replacements(&self) -> Vec<Replacement> {
         self.promotions.by_service.values().filter_map(crate::Promotion::replacement).collect()
     }
 
-    /// A router made an old primary yield. It is passed on once, to the holder of the duty alone.
-    pub(super) fn yielded(
+    /// Handles the report that a router made an old primary yield; forwarded once, to the duty holder only.
+    pub(super) fn handle_yielded(
         &mut self,
         now: Timestamp,
         from_router: bool,
@@ -41,18 +42,18 @@
         commands: &mut Commands,
     ) {
         if self.fence.is_some() {
-            return self.replied(now, &yielded.service, Reply::Yielded, commands);
+            return self.promotion_replied(now, &yielded.service, Reply::Yielded, commands);
         }
-        let holder = self.ledger.applied().duties.get(PROMOTION_DUTY).map(|duty| duty.holder);
-        if let Some(holder) = holder.filter(|holder| from_router && *holder != self.me) {
-            self.say_to_peer(holder, &Payload::Demotion(yielded), commands);
+        let holder = self.replicated_log.applied().duties.get(PROMOTION_DUTY).map(|duty| duty.holder);
+        if let Some(holder) = holder.filter(|holder| from_router && *holder != self.local_ip) {
+            self.send_to_peer(holder, &Payload::Demotion(yielded), commands);
         }
     }
 
-    /// Tells the routers that are fed here.
-    pub(super) fn pass_replacements(&mut self, word: &Payload, commands: &mut Commands) {
+    /// Forwards replacements to the subscribed routers.
+    pub(super) fn forward_replacements(&mut self, word: &Payload, commands: &mut Commands) {
         let mut fed: Vec<Conn> = self.routers_fed().map(|(conn, _)| conn).collect();
         fed.sort_unstable();
-        fed.into_iter().for_each(|conn| self.say(conn, word.clone(), commands));
+        fed.into_iter().for_each(|conn| self.send(conn, word.clone(), commands));
     }
 }
--- a/crates/arrowyard-control/src/control/status.rs
+++ b/crates/arrowyard-control/src/control/status.rs
@@ -1,4 +1,4 @@
-//! What an operator may want to know of a control machine, as JSON.
+//! Status of a control machine, as JSON.
 
 use std::net::Ipv4Addr;
 
@@ -7,13 +7,13 @@
 use super::Control;
 
 impl Control {
-    /// What an operator may want to know, as JSON.
+    /// Builds the body of `GET /status`.
     pub(super) fn status(&self, now: Timestamp) -> String {
-        let applied = self.ledger.applied();
+        let applied = self.replicated_log.applied();
         let text = |text: &str| sonic_rs::to_string(text).unwrap_or_default();
         let ip = |ip: u32| text(&Ipv4Addr::from(ip).to_string());
         let list = |items: Vec<String>| format!("[{}]", items.join(","));
-        let hosts = self.cell.hosts().map(|host| {
+        let hosts = self.registry.hosts().map(|host| {
             format!(
                 "{{\"id\":{},\"service\":{},\"zone\":{},\"phase\":{},\"db-role\":{},\"silent\":{}}}",
                 text(&host.id),
@@ -21,7 +21,7 @@
                 text(&host.zone),
                 text(host.phase().as_str()),
                 text(host.role().as_str()),
-                self.silent.contains_key(&host.id)
+                self.silent_hosts.contains_key(&host.id)
             )
         });
         let routers = self.routers_fed().map(|(_, router)| {
@@ -58,8 +58,8 @@
             applied.slot,
             self.is_able_to_vote(now),
             self.disk.is_healthy(now),
-            list(self.ledger.voters().iter().map(|voter| ip(*voter)).collect()),
-            list(self.live_peers(now).map(|(peer, _)| ip(*peer)).collect()),
+            list(self.replicated_log.voters().iter().map(|voter| ip(*voter)).collect()),
+            list(self.reachable_peers(now).map(|(peer, _)| ip(*peer)).collect()),
             self.routers,
             list(routers.collect()),
             list(hosts.collect()),
--- a/crates/arrowyard-control/src/replicated_log/learner.rs
+++ b/crates/arrowyard-control/src/replicated_log/learner.rs
@@ -55,7 +55,7 @@
             && (rejoin.voter, rejoin.incarnation) == (self.me, self.incarnation)
         {
             self.votes = true;
-            log::info!("replicated log: Votes again after readmission");
+            log::info!("replicated log: votes again after readmission");
             let record = self.snapshot(None);
             self.last_record += 1;
             self.vote_record = Some(self.last_record);
--- a/crates/arrowyard-system/tests/helpers/mod.rs
+++ b/crates/arrowyard-system/tests/helpers/mod.rs
@@ -343,7 +343,7 @@
 pub fn started(fleet: &Fleet) -> Vec<Process> {
     let controls: Vec<Process> = (0..3).map(|number| fleet.control(number, true)).collect();
     for control in &controls {
-        control.says("In touch with the voters");
+        control.says("reached a majority of the voters");
     }
     let (status, body) = fleet.change(1, "/Config.Replace", 0, FIRST);
     assert_eq!(status, 200, "{body}");
--- a/crates/arrowyard-system/tests/processes.rs
+++ b/crates/arrowyard-system/tests/processes.rs
@@ -41,9 +41,9 @@
         r#"{"revision":7,"upsert":{"channels":[{"name":"q","plant":"q0","service":"s0","kind":"primary"}]}}"#;
     assert_eq!(fleet.change(1, "/Config.Adjust", 5, adjust).0, 200);
     controls[0] = fleet.control(0, false);
-    let line = controls[0].says("ledger:");
+    let line = controls[0].says("replicated log:");
     assert!(line.contains("3 voters, votes"), "{line}");
-    controls[0].says("In touch with the voters");
+    controls[0].says("reached a majority of the voters");
     let (status, body) = fleet.read(0);
     assert!(status == 200 && body.contains("\"revision\":7") && body.contains("q0"), "{status} {body}");
     // Every machine loses its process at once.
@@ -53,7 +53,7 @@
     }
     let controls: Vec<Process> = (0..3).map(|number| fleet.control(number, false)).collect();
     for control in &controls {
-        control.says("In touch with the voters");
+        control.says("reached a majority of the voters");
     }
     for number in 0..3 {
         assert!(fleet.read(number).1.contains("\"revision\":7"));
@@ -69,7 +69,7 @@
     fs::remove_dir_all(fleet.folder.join("core-2")).expect("its disk");
     controls[2] = fleet.control(2, false);
     controls[2].says("0 entries, 0 voters, does not vote");
-    controls[2].says("Votes again");
+    controls[2].says("votes again after readmission");
     // Now it is one of the two that are needed.
     controls[1].child.kill().expect("it is ours");
     controls[1].child.wait().expect("it ended");
