--- a/crates/arrowyard-control/src/control.rs
+++ b/crates/arrowyard-control/src/control.rs
@@ -144,36 +144,42 @@
         incarnation: u64,
         records: &[Vec<u8>],
         disk: bool,
-        reread: ReloadSettings,
+        reload: ReloadSettings,
     ) -> Result<Self, String> {
-        let me = ip_to_u32(settings.ip);
+        let local_ip = ip_to_u32(settings.ip);
         let seeds: Vec<u32> = settings.seeds.iter().map(|seed| ip_to_u32(*seed.ip())).collect();
         let founders = (settings.bootstrap && !seeds.is_empty()).then_some(seeds.as_slice());
-        let mut ready = Vec::new();
-        let ledger = ReplicatedLog::open(me, incarnation, records, founders, &mut ready)?;
+        let mut initial_outputs = Vec::new();
+        let replicated_log =
+            ReplicatedLog::open(local_ip, incarnation, records, founders, &mut initial_outputs)?;
         log::info!(
             "replicated log: {} entries, {} voters, {}",
-            ledger.chosen(),
-            ledger.voters().len(),
-            if ledger.votes() { "votes" } else { "does not vote" }
+            replicated_log.chosen(),
+            replicated_log.voters().len(),
+            if replicated_log.votes() { "votes" } else { "does not vote" }
         );
         let mut view = PeerView::default();
-        seeds.iter().filter(|&&seed| seed != me).for_each(|&seed| view.add_seed(seed));
-        let duty =
-            DutyElection::new(PROMOTION_DUTY, me, incarnation, &settings.node, Timestamp::from_micros(0));
-        let fed = ledger.applied().configuration.clone();
-        let (cell, routers) = registry_snapshot::restore(records, &settings.zone);
+        seeds.iter().filter(|&&seed| seed != local_ip).for_each(|&seed| view.add_seed(seed));
+        let duty = DutyElection::new(
+            PROMOTION_DUTY,
+            local_ip,
+            incarnation,
+            &settings.node,
+            Timestamp::from_micros(0),
+        );
+        let published_configuration = replicated_log.applied().configuration.clone();
+        let (registry, routers) = registry_snapshot::restore(records, &settings.zone);
         Ok(Control {
-            local_ip: me,
+            local_ip,
             incarnation,
             rng: Rng::with_seed(incarnation),
-            replicated_log: ledger,
+            replicated_log,
             has_disk: disk,
             disk: DiskHealth::default(),
             unable_to_vote_since: None,
             vote_announced: false,
-            stored_digest: cell.digest(),
-            registry: cell,
+            stored_digest: registry.digest(),
+            registry,
             silent_hosts: BTreeMap::new(),
             departed_hosts: Vec::new(),
             view,
@@ -195,7 +201,7 @@
             departures: Departures::new(incarnation),
             suspicions: Suspicions::default(),
             routers,
-            published_configuration: fed,
+            published_configuration,
             router_decrease_since: None,
             voter_change_at: Timestamp::DISTANT_PAST,
             published_controls: Vec::new(),
@@ -205,9 +211,9 @@
             quorum_reachable: false,
             shares: Shares::default(),
             stopping_since: None,
-            initial_outputs: ready,
+            initial_outputs,
             settings,
-            reload: reread,
+            reload,
         })
     }
 
@@ -220,8 +226,8 @@
         let mut queue = std::collections::VecDeque::from(out);
         while let Some(one) = queue.pop_front() {
             match one {
-                Output::Send { to: 0, payload: word } => self.broadcast_to_peers(&word, commands),
-                Output::Send { to, payload: word } => self.send_to_peer(to, &word, commands),
+                Output::Send { to: 0, payload: message } => self.broadcast_to_peers(&message, commands),
+                Output::Send { to, payload: message } => self.send_to_peer(to, &message, commands),
                 Output::Store { ticket, record } if self.has_disk => {
                     self.disk.write_started(now, ticket);
                     commands.store(ticket, record);
@@ -262,8 +268,8 @@
         self.update_quorum_status(now, commands);
         if self.ticks.is_multiple_of(EXPIRY_TICKS) {
             self.registry.remove_expired(now);
-            let cell = &self.registry;
-            self.departures.retain(|host| cell.get(host).is_some());
+            let registry = &self.registry;
+            self.departures.retain(|host| registry.get(host).is_some());
         }
         self.departed_hosts.retain(|(at, _)| now - *at < TimeDelta::from_millis(30_000));
         self.expire_host_requests(now, commands);
@@ -356,8 +362,8 @@
     fn handle(&mut self, now: Timestamp, event: Event<'_>, commands: &mut Commands) {
         match event {
             Event::Start => {
-                let ready = std::mem::take(&mut self.initial_outputs);
-                self.execute(now, ready, commands);
+                let initial_outputs = std::mem::take(&mut self.initial_outputs);
+                self.execute(now, initial_outputs, commands);
             }
             Event::Accepted { conn, listener } if listener == LISTENERS[0] => {
                 drop(self.connections.insert(conn, Connection::Api(ApiConnection::default())));
@@ -431,8 +437,8 @@
 
     fn on_received(&mut self, now: Timestamp, conn: Conn, bytes: &[u8], commands: &mut Commands) {
         match self.connections.get_mut(&conn) {
-            Some(Connection::Api(caller)) => {
-                caller.messages.put(bytes);
+            Some(Connection::Api(connection)) => {
+                connection.messages.put(bytes);
                 self.process_calls(now, conn, commands);
             }
             Some(Connection::Unidentified(frames)) => {
@@ -469,7 +475,7 @@
         }
     }
 
-    fn send(&self, conn: Conn, word: Payload, commands: &mut Commands) {
-        commands.write(conn, &[&encode_payload(word)]);
+    fn send(&self, conn: Conn, message: Payload, commands: &mut Commands) {
+        commands.write(conn, &[&encode_payload(message)]);
     }
 }
--- a/crates/arrowyard-control/src/control/api.rs
+++ b/crates/arrowyard-control/src/control/api.rs
@@ -167,8 +167,8 @@
         if self.registry.record_heartbeat(now, host.clone()) {
             self.publish_host_change(now, host.clone(), commands);
         }
-        let near = if zone == self.settings.zone { None } else { self.peer_in_zone(now, &zone) };
-        let body = match near.and_then(|ip| self.api_address(ip)) {
+        let zone_control = if zone == self.settings.zone { None } else { self.peer_in_zone(now, &zone) };
+        let body = match zone_control.and_then(|ip| self.api_address(ip)) {
             Some(target) => format!("{{\"beat-target\":\"{target}\"}}"),
             None => "{}".to_string(),
         };
@@ -184,15 +184,15 @@
     fn handle_leave(&mut self, now: Timestamp, conn: Conn, id: &str, commands: &mut Commands) {
         self.silent_hosts.remove(id);
         let known = self.registry.get(id).cloned();
-        let gone = match known {
+        let departed = match known {
             Some(host) if host.phase() == Phase::Gone => host,
             Some(host) => Host { phase: Phase::Gone.into(), call_seq: host.call_seq + 1, ..host },
             None => Host { id: id.to_string(), phase: Phase::Gone.into(), ..Host::default() },
         };
-        if self.registry.record_heartbeat(now, gone.clone()) {
-            self.publish_host_change(now, gone.clone(), commands);
+        if self.registry.record_heartbeat(now, departed.clone()) {
+            self.publish_host_change(now, departed.clone(), commands);
         }
-        self.begin_departure(now, conn, gone, "{}".to_string(), commands);
+        self.begin_departure(now, conn, departed, "{}".to_string(), commands);
     }
 
     /// Handles an operator's change: answers at once if the result is certain, otherwise proposes it.
@@ -238,11 +238,11 @@
     fn reply_with_status(
         &mut self,
         conn: Conn,
-        standing: ChangeStatus,
+        status: ChangeStatus,
         revision: Option<u64>,
         commands: &mut Commands,
     ) {
-        match standing {
+        match status {
             ChangeStatus::Applied => {
                 log::info!("configuration: revision {} is applied", revision.unwrap_or_default());
                 self.reply(conn, 200, "{}", commands);
@@ -273,11 +273,11 @@
         &mut self,
         now: Timestamp,
         proposal: ProposalId,
-        answer: ProposalOutcome,
+        outcome: ProposalOutcome,
         commands: &mut Commands,
     ) {
-        if self.decision_resolved(now, proposal, answer, commands)
-            || self.confirmation_resolved(now, proposal, answer, commands)
+        if self.decision_resolved(now, proposal, outcome, commands)
+            || self.confirmation_resolved(now, proposal, outcome, commands)
         {
             return;
         }
@@ -288,7 +288,7 @@
             | PendingCall::CatchUp { conn, .. }
             | PendingCall::Read { conn } => *conn,
         };
-        match (pending, answer) {
+        match (pending, outcome) {
             (_, ProposalOutcome::Unknown) => {
                 self.reply(conn, 503, &error_body("It is not clear yet; ask again."), commands)
             }
@@ -296,8 +296,8 @@
                 self.reply(conn, 503, &error_body("Too much waits here; nothing was done."), commands)
             }
             (PendingCall::Change { revised, revision, .. }, _) => {
-                let standing = self.replicated_log.applied().change_status(&revised, Some(revision));
-                self.reply_with_status(conn, standing, Some(revision), commands);
+                let status = self.replicated_log.applied().change_status(&revised, Some(revision));
+                self.reply_with_status(conn, status, Some(revision), commands);
             }
             (PendingCall::CatchUp { revised, .. }, _) => {
                 self.handle_change(now, conn, revised, false, commands)
--- a/crates/arrowyard-control/src/control/departures.rs
+++ b/crates/arrowyard-control/src/control/departures.rs
@@ -70,11 +70,11 @@
     }
 
     /// Reports whether a record was stored; returns the peer to notify and its number.
-    pub fn record_stored(&mut self, me: u32, record: u64, stored: bool) -> Option<(u32, u64)> {
+    pub fn record_stored(&mut self, local_ip: u32, record: u64, stored: bool) -> Option<(u32, u64)> {
         if let Some(departure) = self.pending.values_mut().find(|departure| departure.record == record)
             && stored
         {
-            departure.stored_by.insert(me);
+            departure.stored_by.insert(local_ip);
         }
         self.stored_for_peers.remove(&record).filter(|_| stored)
     }
@@ -107,7 +107,10 @@
 
     /// Removes and returns the departures whose deadline has passed.
     pub fn take_expired(&mut self, now: Timestamp) -> Vec<Departure> {
-        self.pending.extract_if(.., |_, departure| departure.until <= now).map(|(_, late)| late).collect()
+        self.pending
+            .extract_if(.., |_, departure| departure.until <= now)
+            .map(|(_, expired)| expired)
+            .collect()
     }
 
     /// Whether a majority is known to have stored that a host is draining or has departed.
--- a/crates/arrowyard-control/src/control/duty.rs
+++ b/crates/arrowyard-control/src/control/duty.rs
@@ -19,9 +19,9 @@
     /// nothing while partitioned, and afterwards only once a majority has confirmed that it still holds the
     /// duty.
     pub(super) fn update_duty(&mut self, now: Timestamp, commands: &mut Commands) {
-        let held = self.duty.held_fence(self.replicated_log.applied());
-        let fence = held.filter(|_| self.quorum_reachable && self.confirmed == held);
-        if held.is_some() && fence.is_none() {
+        let held_fence = self.duty.held_fence(self.replicated_log.applied());
+        let fence = held_fence.filter(|_| self.quorum_reachable && self.confirmed == held_fence);
+        if held_fence.is_some() && fence.is_none() {
             self.confirm_duty(now, commands);
         }
         if fence == self.fence {
@@ -65,14 +65,14 @@
         &mut self,
         now: Timestamp,
         ticket: ProposalId,
-        answer: ProposalOutcome,
+        outcome: ProposalOutcome,
         commands: &mut Commands,
     ) -> bool {
         if self.confirming != Some(ticket) {
             return false;
         }
         self.confirming = None;
-        if answer == ProposalOutcome::Current && self.quorum_reachable {
+        if outcome == ProposalOutcome::Current && self.quorum_reachable {
             self.confirmed = self.duty.held_fence(self.replicated_log.applied());
             self.update_duty(now, commands);
         }
--- a/crates/arrowyard-control/src/control/fair_shares.rs
+++ b/crates/arrowyard-control/src/control/fair_shares.rs
@@ -121,43 +121,45 @@
                 routers: allot.routers,
             });
         }
-        let said: Vec<(Option<u32>, HostAllocations)> = by_router
+        let by_route: Vec<(Option<u32>, HostAllocations)> = by_router
             .into_iter()
-            .filter_map(|(router, allots)| {
-                Some((*routes.get(&router)?, HostAllocations { router, fence, allocations: allots }))
+            .filter_map(|(router, allocations)| {
+                Some((*routes.get(&router)?, HostAllocations { router, fence, allocations }))
             })
             .collect();
-        for (route, allots) in said {
+        for (route, allocations) in by_route {
             match route {
-                Some(peer) => self.send_to_peer(peer, &Payload::HostAllocations(allots), commands),
-                None => self.forward_allocations(allots, commands),
+                Some(peer) => self.send_to_peer(peer, &Payload::HostAllocations(allocations), commands),
+                None => self.forward_allocations(allocations, commands),
             }
         }
         if !division.ask.is_empty() {
-            let word = Payload::OverloadedHosts(OverloadedHosts { hosts: division.ask });
-            self.broadcast_to_peers(&word, commands);
-            self.forward_overload(&word, commands);
+            let message = Payload::OverloadedHosts(OverloadedHosts { hosts: division.ask });
+            self.broadcast_to_peers(&message, commands);
+            self.forward_overload(&message, commands);
         }
     }
 
     /// Sends allocations to a router subscribed here, if it still is.
-    pub(super) fn forward_allocations(&mut self, allots: HostAllocations, commands: &mut Commands) {
-        let fed =
-            self.routers_fed().find(|(_, router)| router.incarnation == allots.router).map(|(conn, _)| conn);
-        if let Some(conn) = fed {
-            self.send(conn, Payload::HostAllocations(allots), commands);
+    pub(super) fn forward_allocations(&mut self, allocations: HostAllocations, commands: &mut Commands) {
+        let subscribed = self
+            .subscribed_routers()
+            .find(|(_, router)| router.incarnation == allocations.router)
+            .map(|(conn, _)| conn);
+        if let Some(conn) = subscribed {
+            self.send(conn, Payload::HostAllocations(allocations), commands);
         }
     }
 
     /// Asks the subscribed routers for their demand at overloaded hosts.
-    pub(super) fn forward_overload(&mut self, word: &Payload, commands: &mut Commands) {
-        let mut fed: Vec<Conn> = self
+    pub(super) fn forward_overload(&mut self, message: &Payload, commands: &mut Commands) {
+        let mut subscribed: Vec<Conn> = self
             .connections
             .iter()
-            .filter_map(|(conn, line)| matches!(line, Connection::Router(_)).then_some(*conn))
+            .filter_map(|(conn, connection)| matches!(connection, Connection::Router(_)).then_some(*conn))
             .collect();
-        fed.sort_unstable();
-        fed.into_iter().for_each(|conn| self.send(conn, word.clone(), commands));
+        subscribed.sort_unstable();
+        subscribed.into_iter().for_each(|conn| self.send(conn, message.clone(), commands));
     }
 }
 
--- a/crates/arrowyard-control/src/control/feed.rs
+++ b/crates/arrowyard-control/src/control/feed.rs
@@ -109,15 +109,15 @@
 
     /// Sends an update to every subscribed router, with the next number of each.
     fn publish_to_routers(&mut self, change: &FeedUpdate, commands: &mut Commands) {
-        let mut fed = Vec::new();
-        for (conn, line) in &mut self.connections {
-            if let Connection::Router(router) = line {
+        let mut subscribed = Vec::new();
+        for (conn, connection) in &mut self.connections {
+            if let Connection::Router(router) = connection {
                 router.last_number += 1;
-                fed.push((*conn, router.last_number));
+                subscribed.push((*conn, router.last_number));
             }
         }
-        fed.sort_unstable();
-        for (conn, number) in fed {
+        subscribed.sort_unstable();
+        for (conn, number) in subscribed {
             self.send(conn, Payload::FeedUpdate(FeedUpdate { number, ..change.clone() }), commands);
         }
     }
@@ -135,8 +135,8 @@
             None => {
                 // The entry arrived in a snapshot: routers need a snapshot as well.
                 self.published_configuration = self.replicated_log.applied().configuration.clone();
-                let fed: Vec<Conn> = self.routers_fed().map(|(conn, _)| conn).collect();
-                fed.into_iter().for_each(|conn| self.send_snapshot(conn, commands));
+                let subscribed: Vec<Conn> = self.subscribed_routers().map(|(conn, _)| conn).collect();
+                subscribed.into_iter().for_each(|conn| self.send_snapshot(conn, commands));
             }
         }
         self.update_duty(now, commands);
@@ -159,8 +159,8 @@
         self.publish_to_routers(&FeedUpdate { revised: vec![step], ..FeedUpdate::default() }, commands);
     }
 
-    pub(super) fn routers_fed(&self) -> impl Iterator<Item = (Conn, &Router)> {
-        self.connections.iter().filter_map(|(conn, line)| match line {
+    pub(super) fn subscribed_routers(&self) -> impl Iterator<Item = (Conn, &Router)> {
+        self.connections.iter().filter_map(|(conn, connection)| match connection {
             Connection::Router(router) => Some((*conn, router)),
             _ => None,
         })
@@ -179,7 +179,7 @@
     }
 
     pub(super) fn count_routers(&mut self, now: Timestamp, commands: &mut Commands) {
-        let here = self.routers_fed().count() as u32;
+        let here = self.subscribed_routers().count() as u32;
         let elsewhere: u32 = self.reachable_peers(now).map(|(_, peer)| peer.routers).sum();
         let routers = here + elsewhere;
         // After a start routers connect one by one: use the stored count, or an estimate, until they have.
@@ -206,14 +206,14 @@
 
     /// Connected control machines, for routers to connect to.
     fn controls(&self) -> Vec<KnownControl> {
-        let me = KnownControl { ip: self.local_ip, zone: self.settings.zone.clone(), age: 0 };
+        let local = KnownControl { ip: self.local_ip, zone: self.settings.zone.clone(), age: 0 };
         let up = self.peers.iter().filter(|(_, peer)| peer.is_open());
         let others = up.map(|(ip, _)| KnownControl {
             ip: *ip,
             zone: self.view.zone(*ip).unwrap_or_default().into(),
             age: 0,
         });
-        std::iter::once(me).chain(others).collect()
+        std::iter::once(local).chain(others).collect()
     }
 
     pub(super) fn publish_controls(&mut self, commands: &mut Commands) {
--- a/crates/arrowyard-control/src/control/peers.rs
+++ b/crates/arrowyard-control/src/control/peers.rs
@@ -152,7 +152,7 @@
         let beat = Heartbeat {
             chosen: self.replicated_log.chosen(),
             view,
-            routers: self.routers_fed().count() as u32,
+            routers: self.subscribed_routers().count() as u32,
             digest: self.registry.digest(),
             votes: self.is_able_to_vote(now),
             silent: self.local_silent_hosts.clone(),
@@ -226,8 +226,8 @@
             );
         }
         self.admit_pending_routers(now, quorum_reachable, commands);
-        let fed: Vec<Conn> = self.routers_fed().map(|(conn, _)| conn).collect();
-        for conn in fed {
+        let subscribed: Vec<Conn> = self.subscribed_routers().map(|(conn, _)| conn).collect();
+        for conn in subscribed {
             let silent = self.is_router_silent(now, conn);
             if !quorum_reachable || silent {
                 commands.reset(conn);
@@ -266,8 +266,8 @@
         self.reachable_peers(now).map(|(ip, _)| *ip).find(|ip| self.view.zone(*ip) == Some(zone))
     }
 
-    pub(super) fn broadcast_to_peers(&mut self, word: &Payload, commands: &mut Commands) {
-        let bytes = encode_payload(word.clone());
+    pub(super) fn broadcast_to_peers(&mut self, message: &Payload, commands: &mut Commands) {
+        let bytes = encode_payload(message.clone());
         for conn in self.peers.values().filter_map(|peer| peer.conns.last().copied()) {
             commands.write(conn, &[&bytes]);
         }
@@ -280,9 +280,9 @@
         self.rng.choose_multiple(connected, most)
     }
 
-    pub(super) fn send_to_peer(&mut self, ip: u32, word: &Payload, commands: &mut Commands) {
+    pub(super) fn send_to_peer(&mut self, ip: u32, message: &Payload, commands: &mut Commands) {
         if let Some(conn) = self.peers.get(&ip).and_then(|peer| peer.conns.last().copied()) {
-            commands.write(conn, &[&encode_payload(word.clone())]);
+            commands.write(conn, &[&encode_payload(message.clone())]);
         }
     }
 
@@ -340,8 +340,8 @@
             // A new connection proves that messages pass in both directions.
             (peer.incarnation, peer.hears_this_machine) = (hello.incarnation, true);
         }
-        let cell = HostUpdate { hosts: self.registry.hosts().cloned().collect(), whole: true };
-        self.send_to_peer(hello.ip, &Payload::HostUpdate(cell), commands);
+        let report = HostUpdate { hosts: self.registry.hosts().cloned().collect(), whole: true };
+        self.send_to_peer(hello.ip, &Payload::HostUpdate(report), commands);
         self.with_log(now, commands, |log, out| log.observe_peer_progress(now, hello.ip, 0, out));
         if !self.quorum_reachable && self.can_reach_quorum(now) {
             self.update_quorum_status(now, commands);
@@ -374,23 +374,23 @@
                     peer.record_message(now);
                     let incarnation = peer.incarnation;
                     self.duty.record_contact(now, ip, incarnation, self.replicated_log.applied());
-                    if let Some(word) = frame.payload {
-                        self.handle_peer_message(now, ip, word, commands);
+                    if let Some(message) = frame.payload {
+                        self.handle_peer_message(now, ip, message, commands);
                     }
                 }
             }
         }
     }
 
-    fn handle_peer_message(&mut self, now: Timestamp, ip: u32, word: Payload, commands: &mut Commands) {
-        match word {
+    fn handle_peer_message(&mut self, now: Timestamp, ip: u32, message: Payload, commands: &mut Commands) {
+        match message {
             Payload::Hello(hello) => self.handle_hello(now, &hello, commands),
             Payload::Heartbeat(beat) => self.handle_peer_heartbeat(now, ip, &beat, commands),
-            Payload::HostUpdate(cell) => {
+            Payload::HostUpdate(report) => {
                 let mut news = Vec::new();
-                for host in cell.hosts {
+                for host in report.hosts {
                     self.silent_hosts.remove(&host.id);
-                    if !cell.whole {
+                    if !report.whole {
                         self.registry.clear_heartbeat(&host.id);
                     }
                     if self.registry.merge_report(now, host.clone()) {
@@ -409,13 +409,13 @@
             Payload::DepartureStored(kept) => self.handle_departure_kept(now, ip, kept.number, commands),
             Payload::Suspect(suspect) => self.handle_suspicion(now, suspect, commands),
             Payload::Demotion(yielded) => self.handle_yielded(now, false, yielded, commands),
-            word @ Payload::Replacements(_) => self.forward_replacements(&word, commands),
+            message @ Payload::Replacements(_) => self.forward_replacements(&message, commands),
             Payload::RelayedRequest(question) => self.relay_to_router(now, question, commands),
             Payload::RelayedResponse(answer) => self.handle_relay_response(now, answer, commands),
             Payload::DemandReport(needs) => self.handle_demand(now, Some(ip), needs, commands),
-            Payload::HostAllocations(allots) => self.forward_allocations(allots, commands),
-            word @ Payload::OverloadedHosts(_) => self.forward_overload(&word, commands),
-            word => self.with_log(now, commands, |log, out| log.on_message(now, ip, &word, out)),
+            Payload::HostAllocations(allocations) => self.forward_allocations(allocations, commands),
+            message @ Payload::OverloadedHosts(_) => self.forward_overload(&message, commands),
+            message => self.with_log(now, commands, |log, out| log.on_message(now, ip, &message, out)),
         }
     }
 
@@ -448,8 +448,8 @@
         peer.digest_mismatches = if beat.digest == mine { 0 } else { peer.digest_mismatches + 1 };
         if peer.digest_mismatches >= 2 {
             peer.digest_mismatches = 0;
-            let cell = HostUpdate { hosts: self.registry.hosts().cloned().collect(), whole: true };
-            self.send_to_peer(ip, &Payload::HostUpdate(cell), commands);
+            let report = HostUpdate { hosts: self.registry.hosts().cloned().collect(), whole: true };
+            self.send_to_peer(ip, &Payload::HostUpdate(report), commands);
         }
         if self.quorum_reachable && !self.can_reach_quorum(now) {
             self.update_quorum_status(now, commands);
--- a/crates/arrowyard-control/src/control/registry_snapshot.rs
+++ b/crates/arrowyard-control/src/control/registry_snapshot.rs
@@ -23,12 +23,12 @@
             _ => {}
         }
     }
-    let (mut cell, now) = (HostRegistry::default(), Timestamp::from_micros(0));
-    last.hosts.into_iter().for_each(|host| cell.restore_host(now, host, zone));
+    let (mut registry, now) = (HostRegistry::default(), Timestamp::from_micros(0));
+    last.hosts.into_iter().for_each(|host| registry.restore_host(now, host, zone));
     // Records may be older or newer than the last registry snapshot: the registry keeps the newer report
     // of each host.
-    departed.into_iter().for_each(|host| _ = cell.merge_report(now, host));
-    (cell, last.routers)
+    departed.into_iter().for_each(|host| _ = registry.merge_report(now, host));
+    (registry, last.routers)
 }
 
 impl Control {
--- a/crates/arrowyard-control/src/control/relays.rs
+++ b/crates/arrowyard-control/src/control/relays.rs
@@ -183,13 +183,13 @@
         question: RelayedRequest,
         commands: &mut Commands,
     ) {
-        let mut fed: Vec<Conn> = self.routers_fed().map(|(conn, _)| conn).collect();
-        fed.sort_unstable();
-        if fed.is_empty() {
+        let mut subscribed: Vec<Conn> = self.subscribed_routers().map(|(conn, _)| conn).collect();
+        subscribed.sort_unstable();
+        if subscribed.is_empty() {
             let answer = RelayedResponse { asked_by: question.asked_by, number: question.number, row: None };
             return self.handle_relay_response(now, answer, commands);
         }
-        let chosen = fed[(question.number % fed.len() as u64) as usize];
+        let chosen = subscribed[(question.number % subscribed.len() as u64) as usize];
         self.send(chosen, Payload::RelayedRequest(question), commands);
     }
 
--- a/crates/arrowyard-control/src/control/replacements.rs
+++ b/crates/arrowyard-control/src/control/replacements.rs
@@ -24,9 +24,9 @@
             return;
         }
         self.published_replacements.clone_from(&services);
-        let word = Payload::Replacements(Replacements { fence: self.fence.unwrap_or_default(), services });
-        self.broadcast_to_peers(&word, commands);
-        self.forward_replacements(&word, commands);
+        let message = Payload::Replacements(Replacements { fence: self.fence.unwrap_or_default(), services });
+        self.broadcast_to_peers(&message, commands);
+        self.forward_replacements(&message, commands);
     }
 
     fn replacements(&self) -> Vec<Replacement> {
@@ -51,9 +51,9 @@
     }
 
     /// Forwards replacements to the subscribed routers.
-    pub(super) fn forward_replacements(&mut self, word: &Payload, commands: &mut Commands) {
-        let mut fed: Vec<Conn> = self.routers_fed().map(|(conn, _)| conn).collect();
-        fed.sort_unstable();
-        fed.into_iter().for_each(|conn| self.send(conn, word.clone(), commands));
+    pub(super) fn forward_replacements(&mut self, message: &Payload, commands: &mut Commands) {
+        let mut subscribed: Vec<Conn> = self.subscribed_routers().map(|(conn, _)| conn).collect();
+        subscribed.sort_unstable();
+        subscribed.into_iter().for_each(|conn| self.send(conn, message.clone(), commands));
     }
 }
--- a/crates/arrowyard-control/src/control/status.rs
+++ b/crates/arrowyard-control/src/control/status.rs
@@ -24,7 +24,7 @@
                 self.silent_hosts.contains_key(&host.id)
             )
         });
-        let routers = self.routers_fed().map(|(_, router)| {
+        let routers = self.subscribed_routers().map(|(_, router)| {
             format!("{{\"node\":{},\"revision\":{}}}", text(&router.node), router.seen.revision)
         });
         let duties = applied.duties.values().map(|duty| {
--- a/crates/arrowyard-control/src/control/suspicions.rs
+++ b/crates/arrowyard-control/src/control/suspicions.rs
@@ -50,8 +50,8 @@
     fn forward_suspicion(&mut self, suspect: &Suspect, commands: &mut Commands) {
         let holder = self.replicated_log.applied().duties.get(PROMOTION_DUTY).map(|duty| duty.holder);
         if let Some(holder) = holder.filter(|holder| *holder != self.local_ip) {
-            let word = Payload::Suspect(Suspect { by: self.local_ip, ..suspect.clone() });
-            self.send_to_peer(holder, &word, commands);
+            let message = Payload::Suspect(Suspect { by: self.local_ip, ..suspect.clone() });
+            self.send_to_peer(holder, &message, commands);
         }
     }
 
--- a/crates/arrowyard-control/src/duty.rs
+++ b/crates/arrowyard-control/src/duty.rs
@@ -19,7 +19,7 @@
 #[derive(Debug)]
 pub struct DutyElection {
     pub duty: &'static str,
-    me: u32,
+    local_ip: u32,
     incarnation: u64,
     node: String,
     /// When the holder was last heard from, and the fencing token of that holder.
@@ -29,10 +29,10 @@
 }
 
 impl DutyElection {
-    pub fn new(duty: &'static str, me: u32, incarnation: u64, node: &str, now: Timestamp) -> Self {
+    pub fn new(duty: &'static str, local_ip: u32, incarnation: u64, node: &str, now: Timestamp) -> Self {
         DutyElection {
             duty,
-            me,
+            local_ip,
             incarnation,
             node: node.to_string(),
             holder_seen_at: now,
@@ -44,7 +44,7 @@
     /// Fencing token of the duty if this machine holds it.
     pub fn held_fence(&self, applied: &AppliedState) -> Option<u64> {
         let duty = applied.duties.get(self.duty)?;
-        ((duty.holder, duty.incarnation) == (self.me, self.incarnation)).then_some(duty.fence)
+        ((duty.holder, duty.incarnation) == (self.local_ip, self.incarnation)).then_some(duty.fence)
     }
 
     /// Records that a peer has heard from these machines since the given time. Safety: a broken link
@@ -99,7 +99,7 @@
         Some(Entry {
             payload: Some(EntryPayload::Duty(Duty {
                 duty,
-                holder: self.me,
+                holder: self.local_ip,
                 incarnation: self.incarnation,
                 node,
                 fence,
--- a/crates/arrowyard-control/src/peer_view.rs
+++ b/crates/arrowyard-control/src/peer_view.rs
@@ -29,8 +29,8 @@
     }
 
     /// Merges the sample of another view; the younger entry of a machine is kept.
-    pub fn merge(&mut self, others: &[KnownControl], me: u32) {
-        for other in others.iter().filter(|other| other.ip != me && other.age < MAX_AGE) {
+    pub fn merge(&mut self, others: &[KnownControl], local_ip: u32) {
+        for other in others.iter().filter(|other| other.ip != local_ip && other.age < MAX_AGE) {
             match self.machines.get_mut(&other.ip) {
                 Some(known) if known.age <= other.age => {}
                 _ => drop(self.machines.insert(other.ip, other.clone())),
--- a/crates/arrowyard-control/src/replicated_log.rs
+++ b/crates/arrowyard-control/src/replicated_log.rs
@@ -109,7 +109,7 @@
 /// voter.
 #[derive(Clone, Debug)]
 pub struct ReplicatedLog {
-    me: u32,
+    local_ip: u32,
     incarnation: u64,
     rng: Rng,
     applied: AppliedState,
@@ -139,7 +139,7 @@
 impl Hash for ReplicatedLog {
     fn hash<H: Hasher>(&self, state: &mut H) {
         (
-            self.me,
+            self.local_ip,
             self.incarnation,
             self.votes,
             self.vote_record,
@@ -217,7 +217,7 @@
     }
 
     fn send(&mut self, now: Timestamp, to: u32, message: Payload, out: &mut Vec<Output>) {
-        if to == self.me {
+        if to == self.local_ip {
             self.on_message(now, to, &message, out)
         } else {
             out.push(Output::Send { to, payload: message })
--- a/crates/arrowyard-control/src/replicated_log/learner.rs
+++ b/crates/arrowyard-control/src/replicated_log/learner.rs
@@ -4,7 +4,7 @@
 
 impl ReplicatedLog {
     pub(super) fn fetch_from(&mut self, now: Timestamp, from: u32, out: &mut Vec<Output>) {
-        if from != self.me && now - self.fetched_at >= RETRY_BASE_DELAY {
+        if from != self.local_ip && now - self.fetched_at >= RETRY_BASE_DELAY {
             self.fetched_at = now;
             let from_slot = if self.applied.voters.is_empty() { 1 } else { self.applied.slot + 1 };
             out.push(Output::Send { to: from, payload: Payload::Fetch(Fetch { from: from_slot }) });
@@ -33,7 +33,7 @@
         if chosen.slot <= self.applied.slot {
             return;
         }
-        let is_proposer = from == self.me;
+        let is_proposer = from == self.local_ip;
         self.store(RecordKind::Chosen(chosen.clone()), None, out);
         if is_proposer {
             // The proposer announces the entry to all connected peers.
@@ -52,7 +52,7 @@
             );
         }
         if let Some(EntryPayload::Rejoin(rejoin)) = &entry.payload
-            && (rejoin.voter, rejoin.incarnation) == (self.me, self.incarnation)
+            && (rejoin.voter, rejoin.incarnation) == (self.local_ip, self.incarnation)
         {
             self.votes = true;
             log::info!("replicated log: votes again after readmission");
@@ -88,7 +88,7 @@
     }
 
     pub(super) fn handle_fetch(&mut self, now: Timestamp, from: u32, fetch: Fetch, out: &mut Vec<Output>) {
-        if from == self.me {
+        if from == self.local_ip {
             return;
         }
         let entries: Vec<Chosen> =
--- a/crates/arrowyard-control/src/replicated_log/proposer.rs
+++ b/crates/arrowyard-control/src/replicated_log/proposer.rs
@@ -57,7 +57,7 @@
         self.highest_round += 1;
         let (slot, ballot) = (
             self.applied.slot + 1,
-            Ballot { round: self.highest_round, by: self.me, incarnation: self.incarnation },
+            Ballot { round: self.highest_round, by: self.local_ip, incarnation: self.incarnation },
         );
         let phase = Phase::Preparing { promised: BTreeSet::new(), highest: None };
         self.round = Some(Round { slot, ballot, phase, deadline: now + ROUND_TIMEOUT });
@@ -76,7 +76,7 @@
 
     /// Whether this machine is a voter that lost its disk and has to be readmitted.
     pub(super) fn needs_rejoin(&self) -> bool {
-        !self.votes && self.applied.voters.contains(&self.me)
+        !self.votes && self.applied.voters.contains(&self.local_ip)
     }
 
     pub(super) fn abandon_round(&mut self, now: Timestamp) {
@@ -96,7 +96,7 @@
         self.highest_round = self.highest_round.max(promise.promised.round);
         let (majority, rejoin_quorum, needs_rejoin) =
             (self.majority(), self.rejoin_quorum(), self.needs_rejoin());
-        let me = self.me;
+        let local_ip = self.local_ip;
         if !self.is_current_ballot(promise.slot, promise.ballot) {
             return;
         }
@@ -112,7 +112,7 @@
             *highest = Some(accepted.clone());
         }
         let has_quorum = if needs_rejoin {
-            promised.iter().filter(|&&other| other != me).count() >= rejoin_quorum
+            promised.iter().filter(|&&other| other != local_ip).count() >= rejoin_quorum
         } else {
             promised.len() >= majority
         };
@@ -141,8 +141,8 @@
         if needs_rejoin {
             // Its own vote counts from this ballot on, since `rejoin_quorum` other voters promised the
             // ballot after any vote that this machine cast before it lost its disk.
-            self.record_vote(now, me, &accept, out);
-            for to in self.applied.voters.clone().into_iter().filter(|&to| to != me) {
+            self.record_vote(now, local_ip, &accept, out);
+            for to in self.applied.voters.clone().into_iter().filter(|&to| to != local_ip) {
                 self.send(now, to, Payload::Accept(accept.clone()), out);
             }
         } else {
@@ -154,7 +154,10 @@
     pub(super) fn next_entry(&self) -> Option<Entry> {
         if self.needs_rejoin() {
             return Some(Entry {
-                payload: Some(EntryPayload::Rejoin(Rejoin { voter: self.me, incarnation: self.incarnation })),
+                payload: Some(EntryPayload::Rejoin(Rejoin {
+                    voter: self.local_ip,
+                    incarnation: self.incarnation,
+                })),
             });
         }
         self.pending.iter().find_map(|pending| match &pending.proposal {
@@ -171,8 +174,8 @@
         out: &mut Vec<Output>,
     ) {
         self.highest_round = self.highest_round.max(message.promised.round);
-        let (majority, rejoin_quorum, needs_rejoin, me) =
-            (self.majority(), self.rejoin_quorum(), self.needs_rejoin(), self.me);
+        let (majority, rejoin_quorum, needs_rejoin, local_ip) =
+            (self.majority(), self.rejoin_quorum(), self.needs_rejoin(), self.local_ip);
         if !self.is_current_ballot(message.slot, message.ballot) {
             return;
         }
@@ -182,11 +185,11 @@
         }
         let Phase::Accepting { entry, accepted } = &mut round.phase else { return };
         accepted.insert(from);
-        let other_votes = accepted.iter().filter(|&&other| other != me).count();
+        let other_votes = accepted.iter().filter(|&&other| other != local_ip).count();
         if accepted.len() >= majority && (!needs_rejoin || other_votes >= rejoin_quorum) {
             let chosen = Chosen { slot: round.slot, entry: entry.clone() };
             self.lost_rounds = 0;
-            self.learn(now, me, chosen, out);
+            self.learn(now, local_ip, chosen, out);
         }
     }
 
--- a/crates/arrowyard-control/src/replicated_log/recovery.rs
+++ b/crates/arrowyard-control/src/replicated_log/recovery.rs
@@ -9,14 +9,14 @@
     /// # Errors
     /// When a record cannot be decoded; the machine must not answer any request then.
     pub fn open(
-        me: u32,
+        local_ip: u32,
         incarnation: u64,
         records: &[Vec<u8>],
         founders: Option<&[u32]>,
         out: &mut Vec<Output>,
     ) -> Result<Self, String> {
         let mut this = ReplicatedLog {
-            me,
+            local_ip,
             incarnation,
             rng: Rng::with_seed(incarnation),
             applied: AppliedState::default(),
@@ -43,7 +43,7 @@
             let mut voters = founders.to_vec();
             voters.sort_unstable();
             voters.dedup();
-            this.votes = voters.contains(&me);
+            this.votes = voters.contains(&local_ip);
             this.applied.voters = voters.clone();
             // A machine that does not vote also has to know the voters after each restart.
             this.store(RecordKind::InitialVoters(Voters { voters, before: Vec::new() }), None, out);
@@ -66,7 +66,7 @@
             let record = Record::decode(record.as_slice()).map_err(|error| error.to_string())?;
             match record.kind.ok_or("a record is of an unknown kind")? {
                 RecordKind::InitialVoters(founded) => {
-                    self.votes |= founded.voters.contains(&self.me);
+                    self.votes |= founded.voters.contains(&self.local_ip);
                     self.applied.voters = founded.voters;
                 }
                 RecordKind::Promised(one) => {
