--- a/crates/arrowyard-control/src/applied_state.rs
+++ b/crates/arrowyard-control/src/applied_state.rs
@@ -75,6 +75,7 @@
     u64::from_le_bytes(*head) | 1
 }
 
+/// Converts a log entry to the change of the configuration that it describes.
 pub fn to_change(revised: &ConfigRevision) -> Change {
     let kind = if revised.whole { ChangeKind::Replace } else { ChangeKind::Adjust };
     Change { kind, base: revised.base, body: revised.body.clone() }
@@ -165,6 +166,7 @@
         }
     }
 
+    /// Encodes the state as a snapshot.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             slot: self.slot,
--- a/crates/arrowyard-control/src/control.rs
+++ b/crates/arrowyard-control/src/control.rs
@@ -217,6 +217,7 @@
         })
     }
 
+    /// The replicated log of this machine.
     pub fn replicated_log(&self) -> &ReplicatedLog {
         &self.replicated_log
     }
--- a/crates/arrowyard-control/src/control/departures.rs
+++ b/crates/arrowyard-control/src/control/departures.rs
@@ -123,6 +123,7 @@
         self.acknowledged.retain(|host, _| is_known(host));
     }
 
+    /// When the next departure expires.
     pub fn due(&self) -> Option<Timestamp> {
         self.pending.values().map(|departure| departure.until).min()
     }
--- a/crates/arrowyard-control/src/control/feed.rs
+++ b/crates/arrowyard-control/src/control/feed.rs
@@ -93,8 +93,8 @@
                     Some(Payload::Suspect(suspect)) => self.handle_suspicion(now, suspect, commands),
                     Some(Payload::DemandReport(needs)) => self.handle_demand(now, None, needs, commands),
                     Some(Payload::Demotion(yielded)) => self.handle_yielded(now, true, yielded, commands),
-                    Some(Payload::RelayedResponse(answer)) => {
-                        self.handle_relay_response(now, answer, commands)
+                    Some(Payload::RelayedResponse(response)) => {
+                        self.handle_relay_response(now, response, commands)
                     }
                     _ => {}
                 },
@@ -168,8 +168,8 @@
 
     /// Publishes changed hosts to peers and routers.
     pub(super) fn publish_hosts(&mut self, hosts: Vec<Host>, commands: &mut Commands) {
-        let cell = arrowyard_messages::HostUpdate { hosts: hosts.clone(), whole: false };
-        self.broadcast_to_peers(&Payload::HostUpdate(cell), commands);
+        let update = arrowyard_messages::HostUpdate { hosts: hosts.clone(), whole: false };
+        self.broadcast_to_peers(&Payload::HostUpdate(update), commands);
         self.publish_to_routers(&FeedUpdate { hosts, ..FeedUpdate::default() }, commands);
     }
 
--- a/crates/arrowyard-control/src/control/peers.rs
+++ b/crates/arrowyard-control/src/control/peers.rs
@@ -149,7 +149,7 @@
         } else {
             Vec::new()
         };
-        let beat = Heartbeat {
+        let heartbeat = Heartbeat {
             chosen: self.replicated_log.chosen(),
             view,
             routers: self.subscribed_routers().count() as u32,
@@ -160,7 +160,7 @@
             reachable: self.recently_heard_peers(now),
             shutting_down: self.stopping_since.is_some(),
         };
-        self.broadcast_to_peers(&Payload::Heartbeat(beat), commands);
+        self.broadcast_to_peers(&Payload::Heartbeat(heartbeat), commands);
     }
 
     /// The peers heard from recently. Only voters report them, since only their reports count; reports of
@@ -318,8 +318,8 @@
                 }
                 let ip = hello.ip;
                 self.connections.insert(conn, Connection::Peer(ip, frames));
-                let mine = self.hello();
-                self.send(conn, mine, commands);
+                let local_digest = self.hello();
+                self.send(conn, local_digest, commands);
                 let peer = self.peers.entry(ip).or_default();
                 peer.record_message(now);
                 peer.conns.push(conn);
@@ -385,7 +385,7 @@
     fn handle_peer_message(&mut self, now: Timestamp, ip: u32, message: Payload, commands: &mut Commands) {
         match message {
             Payload::Hello(hello) => self.handle_hello(now, &hello, commands),
-            Payload::Heartbeat(beat) => self.handle_peer_heartbeat(now, ip, &beat, commands),
+            Payload::Heartbeat(heartbeat) => self.handle_peer_heartbeat(now, ip, &heartbeat, commands),
             Payload::HostUpdate(report) => {
                 let mut news = Vec::new();
                 for host in report.hosts {
@@ -410,7 +410,7 @@
             Payload::Suspect(suspect) => self.handle_suspicion(now, suspect, commands),
             Payload::Demotion(yielded) => self.handle_yielded(now, false, yielded, commands),
             message @ Payload::Replacements(_) => self.forward_replacements(&message, commands),
-            Payload::RelayedRequest(question) => self.relay_to_router(now, question, commands),
+            Payload::RelayedRequest(request) => self.relay_to_router(now, request, commands),
             Payload::RelayedResponse(answer) => self.handle_relay_response(now, answer, commands),
             Payload::DemandReport(needs) => self.handle_demand(now, Some(ip), needs, commands),
             Payload::HostAllocations(allocations) => self.forward_allocations(allocations, commands),
@@ -419,11 +419,17 @@
         }
     }
 
-    fn handle_peer_heartbeat(&mut self, now: Timestamp, ip: u32, beat: &Heartbeat, commands: &mut Commands) {
+    fn handle_peer_heartbeat(
+        &mut self,
+        now: Timestamp,
+        ip: u32,
+        heartbeat: &Heartbeat,
+        commands: &mut Commands,
+    ) {
         let zone = self.view.zone(ip).unwrap_or_default().to_string();
         self.view.record_contact(ip, &zone);
-        self.view.merge(&beat.view, self.local_ip);
-        let mine = self.registry.digest();
+        self.view.merge(&heartbeat.view, self.local_ip);
+        let local_digest = self.registry.digest();
         let incarnation = |ip: u32| {
             if ip == self.local_ip {
                 Some(self.incarnation)
@@ -433,19 +439,20 @@
         };
         self.duty.record_indirect_contact(
             now - SILENCE_REPORT_TIMEOUT,
-            &beat.reachable,
+            &heartbeat.reachable,
             incarnation,
             self.replicated_log.applied(),
         );
         let Some(peer) = self.peers.get_mut(&ip) else { return };
-        peer.routers = beat.routers;
-        peer.set_votes(now, beat.votes);
-        peer.disk_fails = beat.disk_failing;
-        peer.stopping = beat.shutting_down;
-        peer.hears_this_machine = beat.reachable.contains(&self.local_ip);
+        peer.routers = heartbeat.routers;
+        peer.set_votes(now, heartbeat.votes);
+        peer.disk_fails = heartbeat.disk_failing;
+        peer.stopping = heartbeat.shutting_down;
+        peer.hears_this_machine = heartbeat.reachable.contains(&self.local_ip);
         // Updates in transit make the digests differ briefly; a lasting difference triggers a full
         // exchange.
-        peer.digest_mismatches = if beat.digest == mine { 0 } else { peer.digest_mismatches + 1 };
+        peer.digest_mismatches =
+            if heartbeat.digest == local_digest { 0 } else { peer.digest_mismatches + 1 };
         if peer.digest_mismatches >= 2 {
             peer.digest_mismatches = 0;
             let report = HostUpdate { hosts: self.registry.hosts().cloned().collect(), whole: true };
@@ -454,7 +461,7 @@
         if self.quorum_reachable && !self.can_reach_quorum(now) {
             self.update_quorum_status(now, commands);
         }
-        for silent in &beat.silent {
+        for silent in &heartbeat.silent {
             // The host may send heartbeats here by now; then correct the peer's report.
             let here = self
                 .registry
@@ -468,7 +475,7 @@
                 self.silent_hosts.entry(silent.id.clone()).or_insert(since);
             }
         }
-        let (chosen, from) = (beat.chosen, ip);
+        let (chosen, from) = (heartbeat.chosen, ip);
         self.with_log(now, commands, |log, out| log.observe_peer_progress(now, from, chosen, out));
     }
 
--- a/crates/arrowyard-control/src/control/relays.rs
+++ b/crates/arrowyard-control/src/control/relays.rs
@@ -107,12 +107,12 @@
     }
 
     /// Handles a response forwarded by a control machine.
-    pub fn answered(&mut self, answer: &RelayedResponse) -> RelayOutcome {
-        let relayed = self.by_host.iter_mut().find(|(_, relay)| relay.number == answer.number);
-        let Some((host, relay)) = relayed else { return RelayOutcome::Waiting };
+    pub fn answered(&mut self, response: &RelayedResponse) -> RelayOutcome {
+        let outcome = self.by_host.iter_mut().find(|(_, relay)| relay.number == response.number);
+        let Some((host, relay)) = outcome else { return RelayOutcome::Waiting };
         let host = host.clone();
         relay.outstanding = relay.outstanding.saturating_sub(1);
-        if let Some((row, kind)) = answer.row.as_ref().zip(relay.request.row_kind()) {
+        if let Some((row, kind)) = response.row.as_ref().zip(relay.request.row_kind()) {
             let service = relay.service.clone();
             self.by_host.remove(&host);
             return RelayOutcome::Answered { service, reply: Reply::Row { host, kind, row: observed(row) } };
@@ -140,6 +140,7 @@
         }
     }
 
+    /// When the next relay expires.
     pub fn due(&self) -> Option<Timestamp> {
         self.by_host.values().map(|relay| relay.until).min()
     }
@@ -167,55 +168,55 @@
             return;
         }
         let peers = self.random_peers(OTHER_MACHINES);
-        let Some(question) = self.relays.begin(now, self.local_ip, &service, request, 1 + peers.len()) else {
+        let Some(request) = self.relays.begin(now, self.local_ip, &service, request, 1 + peers.len()) else {
             return;
         };
         for peer in peers {
-            self.send_to_peer(peer, &Payload::RelayedRequest(question.clone()), commands);
+            self.send_to_peer(peer, &Payload::RelayedRequest(request.clone()), commands);
         }
-        self.relay_to_router(now, question, commands);
+        self.relay_to_router(now, request, commands);
     }
 
     /// Forwards a request to one of the subscribed routers, a different one for each request.
     pub(super) fn relay_to_router(
         &mut self,
         now: Timestamp,
-        question: RelayedRequest,
+        request: RelayedRequest,
         commands: &mut Commands,
     ) {
         let mut subscribed: Vec<Conn> = self.subscribed_routers().map(|(conn, _)| conn).collect();
         subscribed.sort_unstable();
         if subscribed.is_empty() {
-            let answer = RelayedResponse { asked_by: question.asked_by, number: question.number, row: None };
-            return self.handle_relay_response(now, answer, commands);
+            let response = RelayedResponse { asked_by: request.asked_by, number: request.number, row: None };
+            return self.handle_relay_response(now, response, commands);
         }
-        let chosen = subscribed[(question.number % subscribed.len() as u64) as usize];
-        self.send(chosen, Payload::RelayedRequest(question), commands);
+        let chosen = subscribed[(request.number % subscribed.len() as u64) as usize];
+        self.send(chosen, Payload::RelayedRequest(request), commands);
     }
 
     /// Forwards a router's response to the control machine that asked.
     pub(super) fn handle_relay_response(
         &mut self,
         now: Timestamp,
-        answer: RelayedResponse,
+        response: RelayedResponse,
         commands: &mut Commands,
     ) {
-        if answer.asked_by != self.local_ip {
-            return self.send_to_peer(answer.asked_by, &Payload::RelayedResponse(answer), commands);
+        if response.asked_by != self.local_ip {
+            return self.send_to_peer(response.asked_by, &Payload::RelayedResponse(response), commands);
         }
-        let relayed = self.relays.answered(&answer);
-        self.conclude_relay(now, relayed, commands);
+        let outcome = self.relays.answered(&response);
+        self.conclude_relay(now, outcome, commands);
     }
 
     /// Expires relayed requests.
     pub(super) fn expire_relays(&mut self, now: Timestamp, commands: &mut Commands) {
-        for relayed in self.relays.expire(now) {
-            self.conclude_relay(now, relayed, commands);
+        for outcome in self.relays.expire(now) {
+            self.conclude_relay(now, outcome, commands);
         }
     }
 
-    fn conclude_relay(&mut self, now: Timestamp, relayed: RelayOutcome, commands: &mut Commands) {
-        match relayed {
+    fn conclude_relay(&mut self, now: Timestamp, outcome: RelayOutcome, commands: &mut Commands) {
+        match outcome {
             RelayOutcome::Waiting => {}
             RelayOutcome::Answered { service, reply } => {
                 if let Reply::Row { host, .. } = &reply {
--- a/crates/arrowyard-control/src/duty.rs
+++ b/crates/arrowyard-control/src/duty.rs
@@ -29,6 +29,7 @@
 }
 
 impl DutyElection {
+    /// Creates the election state of this machine for `duty`.
     pub fn new(duty: &'static str, local_ip: u32, incarnation: u64, node: &str, now: Timestamp) -> Self {
         DutyElection {
             duty,
@@ -107,6 +108,7 @@
         })
     }
 
+    /// When this machine's next candidacy is due.
     pub fn due(&self) -> Option<Timestamp> {
         self.candidacy_at
     }
--- a/crates/arrowyard-control/src/host_registry.rs
+++ b/crates/arrowyard-control/src/host_registry.rs
@@ -1,3 +1,5 @@
+//! Registry of the database hosts, merged from heartbeats and from the reports of peers.
+
 use std::collections::{BTreeMap, BTreeSet};
 
 use arrowyard_messages::{DbRole, Host, Phase};
@@ -163,6 +165,7 @@
         }
     }
 
+    /// The record of a host.
     pub fn get(&self, id: &str) -> Option<&Host> {
         self.hosts.get(id).map(|entry| &entry.host)
     }
@@ -172,6 +175,7 @@
         self.hosts.get(id).and_then(|entry| entry.last_heartbeat)
     }
 
+    /// All hosts, departed ones included.
     pub fn hosts(&self) -> impl Iterator<Item = &Host> {
         self.hosts.values().map(|entry| &entry.host)
     }
--- a/crates/arrowyard-control/src/peer_view.rs
+++ b/crates/arrowyard-control/src/peer_view.rs
@@ -1,3 +1,5 @@
+//! Membership of the control plane, spread by gossip.
+
 use std::collections::BTreeMap;
 
 use arrowyard_messages::KnownControl;
@@ -60,10 +62,12 @@
         all
     }
 
+    /// All machines of the view.
     pub fn machines(&self) -> impl Iterator<Item = &KnownControl> {
         self.machines.values()
     }
 
+    /// Zone of a machine; empty if it is known only from the settings.
     pub fn zone(&self, ip: u32) -> Option<&str> {
         self.machines.get(&ip).map(|known| known.zone.as_str())
     }
--- a/crates/arrowyard-control/src/promotion/mod.rs
+++ b/crates/arrowyard-control/src/promotion/mod.rs
@@ -35,6 +35,7 @@
 const CONTINUE_INTERVAL: TimeDelta = TimeDelta::from_millis(1000);
 /// A pause request relayed by a router may arrive this long after it was sent.
 const MAX_PAUSE_DELAY: TimeDelta = TimeDelta::from_millis(1000);
+/// Interval at which a candidate that catches up is asked for its position.
 const CATCH_UP_INTERVAL: TimeDelta = TimeDelta::from_millis(15);
 /// Time for a live old primary to yield, and time after that for replicas that joined it earlier to
 /// send a heartbeat.
@@ -84,6 +85,7 @@
 
 /// What is known of the hosts at the time of a decision.
 pub struct HostsSnapshot<'a> {
+    /// All known hosts.
     pub registry: &'a HostRegistry,
     /// Hosts that stopped sending heartbeats, and since when.
     pub silent: &'a BTreeMap<String, Timestamp>,
@@ -92,6 +94,7 @@
 }
 
 impl Promotion {
+    /// Creates an idle promotion for a service.
     pub fn new(service: &str) -> Self {
         Promotion {
             service: service.to_string(),
@@ -111,6 +114,7 @@
         }
     }
 
+    /// When [`Promotion::poll`] is to be called next.
     pub fn due(&self) -> Option<Timestamp> {
         self.wake_at
     }
@@ -534,6 +538,7 @@
 }
 
 impl Promotions {
+    /// The promotion of a service.
     pub fn get_or_create(&mut self, service: &str) -> &mut Promotion {
         self.by_service.entry(service.to_string()).or_insert_with(|| Promotion::new(service))
     }
--- a/crates/arrowyard-control/src/promotion/request.rs
+++ b/crates/arrowyard-control/src/promotion/request.rs
@@ -5,23 +5,14 @@
 /// A request to a host or to the platform.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum PromotionRequest {
-    Observe {
-        host: String,
-    },
-    /// `attempt` distinguishes the response from that to an earlier pause request.
-    Pause {
-        host: String,
-        term: u64,
-        attempt: u64,
-    },
-    Continue {
-        host: String,
-    },
-    /// Sent with a fencing token.
-    Promote {
-        service: String,
-        host: String,
-    },
+    /// Asks a host for its role and position.
+    Observe { host: String },
+    /// Tells a replica to stop receiving. `attempt` distinguishes the response from that to an earlier pause request.
+    Pause { host: String, term: u64, attempt: u64 },
+    /// Tells a replica to continue receiving.
+    Continue { host: String },
+    /// Asks the platform to promote a host, under a fencing token.
+    Promote { service: String, host: String },
 }
 
 /// The kind of request that a row answers. Safety: a late response to an earlier request does not prove
@@ -63,23 +54,15 @@
 /// A reply to a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
-    Row {
-        host: String,
-        kind: RowKind,
-        row: Observed,
-    },
+    /// A host responded with its role and position.
+    Row { host: String, kind: RowKind, row: Observed },
     /// The host did not respond, or responded with an error.
-    Silent {
-        host: String,
-    },
+    Silent { host: String },
     /// The host is alive but has no capacity for the request.
-    Busy {
-        host: String,
-    },
+    Busy { host: String },
     /// A router made the old primary yield: it was alive, and replicas that joined it may have acknowledged
     /// commits.
     Yielded,
-    Platform {
-        status: u16,
-    },
+    /// The platform responded with this HTTP status; 0 if it did not respond.
+    Platform { status: u16 },
 }
--- a/crates/arrowyard-control/src/promotion/stage.rs
+++ b/crates/arrowyard-control/src/promotion/stage.rs
@@ -6,14 +6,13 @@
 use arrowyard_protocol::{Observed, Position};
 use arrowyard_types::Timestamp;
 
+/// Stage of a change of primary.
 #[derive(Clone, Debug, PartialEq, Hash)]
 pub enum Stage {
+    /// No change in progress.
     Idle,
     /// The primary was reported unresponsive and is being checked.
-    Checking {
-        host: String,
-        timeouts: u32,
-    },
+    Checking { host: String, timeouts: u32 },
     /// Asks the hosts for their positions.
     Surveying {
         old: Option<String>,
@@ -41,10 +40,8 @@
         until: Timestamp,
     },
     /// Routers make an unreachable primary yield; then waits for replicas that may have joined it.
-    Yielding {
-        old: Option<String>,
-        candidate: String,
-    },
+    Yielding { old: Option<String>, candidate: String },
+    /// Asks the platform to promote the candidate.
     Promoting {
         old: Option<String>,
         candidate: String,
@@ -53,11 +50,7 @@
         retries: u32,
     },
     /// The platform accepted the change; the candidate has not reported yet that it is primary.
-    Confirming {
-        candidate: String,
-        planned: bool,
-        until: Timestamp,
-    },
+    Confirming { candidate: String, planned: bool, until: Timestamp },
 }
 
 impl Stage {
--- a/crates/arrowyard-control/src/promotion/survey.rs
+++ b/crates/arrowyard-control/src/promotion/survey.rs
@@ -58,8 +58,8 @@
         let open = |(at, host): &&(Timestamp, Host)| {
             host.service == self.service && host.role() == DbRole::Replica && now - *at < HANDOVER_TIMEOUT
         };
-        hosts.departed.iter().filter(open).all(|(_, gone)| {
-            self.members(hosts).iter().any(|host| (host.ip, host.port) == (gone.ip, gone.port))
+        hosts.departed.iter().filter(open).all(|(_, departed)| {
+            self.members(hosts).iter().any(|host| (host.ip, host.port) == (departed.ip, departed.port))
         })
     }
 
--- a/crates/arrowyard-control/src/record.rs
+++ b/crates/arrowyard-control/src/record.rs
@@ -1,3 +1,5 @@
+//! Records on the disk of a control machine.
+
 use arrowyard_messages::{Accept, Ballot, Chosen, Host, Snapshot, Voters};
 use prost::{Message, Oneof};
 
@@ -9,6 +11,7 @@
     pub kind: Option<RecordKind>,
 }
 
+/// Contents of a record.
 #[derive(Clone, PartialEq, Eq, Hash, Oneof)]
 pub enum RecordKind {
     /// Initial voters of a first start.
@@ -31,6 +34,7 @@
     Departing(Host),
 }
 
+/// Host registry and router count.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct RegistrySnapshot {
     #[prost(message, repeated, tag = "1")]
@@ -39,6 +43,7 @@
     pub routers: u32,
 }
 
+/// A promise of a voter not to accept lower ballots for a slot.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct Promised {
     #[prost(uint64, tag = "1")]
@@ -63,6 +68,7 @@
 }
 
 impl Record {
+    /// Encodes a record with these contents.
     pub fn encode_kind(kind: RecordKind) -> Vec<u8> {
         Record { kind: Some(kind) }.encode_to_vec()
     }
--- a/crates/arrowyard-control/src/replicated_log.rs
+++ b/crates/arrowyard-control/src/replicated_log.rs
@@ -59,23 +59,14 @@
 /// Effects requested by the log, to be carried out in order.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Output {
-    Send {
-        to: u32,
-        payload: Payload,
-    },
+    /// Sends a message to a machine, or to all connected peers if `to` is 0.
+    Send { to: u32, payload: Payload },
     /// The record must be durable before [`ReplicatedLog::record_stored`] is called with this ticket.
-    Store {
-        ticket: u64,
-        record: Vec<u8>,
-    },
+    Store { ticket: u64, record: Vec<u8> },
     /// The entry of this slot is now known.
-    Chosen {
-        slot: u64,
-    },
-    Resolved {
-        proposal: ProposalId,
-        outcome: ProposalOutcome,
-    },
+    Chosen { slot: u64 },
+    /// The outcome of a proposal of this machine.
+    Resolved { proposal: ProposalId, outcome: ProposalOutcome },
 }
 
 #[derive(Clone, Debug, Hash)]
@@ -156,10 +147,12 @@
 }
 
 impl ReplicatedLog {
+    /// State after the last known entry.
     pub fn applied(&self) -> &AppliedState {
         &self.applied
     }
 
+    /// Whether this machine is a voter whose vote counts.
     pub fn votes(&self) -> bool {
         self.votes
     }
@@ -170,6 +163,7 @@
         self.votes && self.vote_record.is_none()
     }
 
+    /// The current voter set.
     pub fn voters(&self) -> &[u32] {
         &self.applied.voters
     }
@@ -230,6 +224,7 @@
         }
     }
 
+    /// When [`ReplicatedLog::on_timer`] is to be called next.
     pub fn due(&self) -> Option<Timestamp> {
         let proposals = self.pending.iter().map(|pending| pending.deadline);
         let round = self.round.iter().map(|round| round.deadline);
@@ -240,6 +235,7 @@
         proposals.chain(round).chain(pause).min()
     }
 
+    /// Expires rounds and proposals whose deadline has passed and begins the next round.
     pub fn on_timer(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         if self.round.as_ref().is_some_and(|round| round.deadline <= now) {
             self.abandon_round(now);
--- a/crates/arrowyard-control/tests/control.rs
+++ b/crates/arrowyard-control/tests/control.rs
@@ -1,4 +1,4 @@
-//! Cells that hear of hosts in whatever order, views that age, duties that fall vacant, changes of primary.
+//! Tests of the host registry, the peer view, the duty election, promotions and disk health.
 
 use std::collections::BTreeMap;
 
@@ -32,10 +32,10 @@
 }
 
 #[test]
-fn cells_that_hear_the_same_in_any_order_know_the_same() {
+fn registries_converge_in_any_order_of_reports() {
     for seed in 0..200 {
         let mut rng = Rng::with_seed(seed);
-        let mut words: Vec<Host> = (1..12)
+        let mut reports: Vec<Host> = (1..12)
             .map(|seq| {
                 let role = if rng.bool() { DbRole::Primary } else { DbRole::Replica };
                 let phase = [Phase::InService, Phase::InService, Phase::Draining][rng.usize(0..3)];
@@ -43,16 +43,16 @@
             })
             .collect();
         if rng.bool() {
-            words.push(host("b", DbRole::Replica, Phase::Gone, 3));
+            reports.push(host("b", DbRole::Replica, Phase::Gone, 3));
         }
-        let heard = |words: &[Host]| {
-            let mut cell = HostRegistry::default();
-            words.iter().for_each(|word| _ = cell.merge_report(at(0), word.clone()));
-            (cell.digest(), cell.hosts().cloned().collect::<Vec<_>>())
+        let merged = |reports: &[Host]| {
+            let mut registry = HostRegistry::default();
+            reports.iter().for_each(|report| _ = registry.merge_report(at(0), report.clone()));
+            (registry.digest(), registry.hosts().cloned().collect::<Vec<_>>())
         };
-        let first = heard(&words);
-        rng.shuffle(&mut words);
-        let again = heard(&words);
+        let first = merged(&reports);
+        rng.shuffle(&mut reports);
+        let again = merged(&reports);
         assert_eq!(first.0, again.0, "seed {seed}");
         let phases = |hosts: &[Host]| {
             hosts.iter().map(|host| (host.id.clone(), host.phase, host.role)).collect::<Vec<_>>()
@@ -62,22 +62,22 @@
 }
 
 #[test]
-fn a_late_call_changes_nothing_and_a_host_that_left_stays_gone() {
-    let mut cell = HostRegistry::default();
-    assert!(cell.record_heartbeat(at(0), host("a", DbRole::Primary, Phase::InService, 5)));
-    assert!(!cell.record_heartbeat(at(1), host("a", DbRole::Replica, Phase::InService, 4)));
-    assert_eq!(cell.primary("s").map(|host| host.id.as_str()), Some("a"));
-    // A host that counts anew after a long silence is heard again.
-    assert!(cell.record_heartbeat(at(9000), host("a", DbRole::Replica, Phase::InService, 1)));
-    assert!(cell.record_heartbeat(at(9001), host("a", DbRole::Replica, Phase::Gone, 2)));
-    assert!(!cell.record_heartbeat(at(9002), host("a", DbRole::Primary, Phase::InService, 9)));
-    assert_eq!(cell.members("s").count(), 0);
-    cell.remove_expired(at(9_000_000));
-    assert_eq!(cell.hosts().count(), 0);
+fn a_stale_heartbeat_is_ignored_and_a_departed_host_stays_departed() {
+    let mut registry = HostRegistry::default();
+    assert!(registry.record_heartbeat(at(0), host("a", DbRole::Primary, Phase::InService, 5)));
+    assert!(!registry.record_heartbeat(at(1), host("a", DbRole::Replica, Phase::InService, 4)));
+    assert_eq!(registry.primary("s").map(|host| host.id.as_str()), Some("a"));
+    // A lower sequence number is accepted after a long silence.
+    assert!(registry.record_heartbeat(at(9000), host("a", DbRole::Replica, Phase::InService, 1)));
+    assert!(registry.record_heartbeat(at(9001), host("a", DbRole::Replica, Phase::Gone, 2)));
+    assert!(!registry.record_heartbeat(at(9002), host("a", DbRole::Primary, Phase::InService, 9)));
+    assert_eq!(registry.members("s").count(), 0);
+    registry.remove_expired(at(9_000_000));
+    assert_eq!(registry.hosts().count(), 0);
 }
 
 #[test]
-fn views_shuffled_between_neighbours_know_who_is_up_and_forget_who_is_gone() {
+fn views_keep_live_machines_and_drop_failed_ones() {
     let (machines, mut rng) = (40_u32, Rng::with_seed(3));
     let mut views: Vec<PeerView> = (0..machines).map(|_| PeerView::default()).collect();
     for (me, view) in views.iter_mut().enumerate() {
@@ -104,30 +104,30 @@
     }
     for (me, view) in views.iter().enumerate().filter(|(me, _)| *me != gone as usize) {
         assert!(view.machines().count() >= 6, "{me} knows only {}", view.machines().count());
-        assert!(view.machines().all(|known| known.ip != gone), "{me} still knows the machine that is gone");
+        assert!(view.machines().all(|known| known.ip != gone), "{me} still knows the failed machine");
     }
 }
 
 #[test]
-fn a_vacant_duty_is_asked_for_once_its_holder_is_silent_or_lives_anew() {
+fn a_duty_is_contested_once_its_holder_is_silent_or_has_restarted() {
     let (mut applied, mut rng) = (AppliedState::default(), Rng::with_seed(1));
-    let mut duties = DutyElection::new("promote", 1, 11, "one", at(0));
+    let mut election = DutyElection::new("promote", 1, 11, "one", at(0));
     let first = (0..400)
-        .find_map(|ms| duties.poll_candidacy(at(ms), &applied, &mut rng))
-        .expect("it is vacant at first");
+        .find_map(|ms| election.poll_candidacy(at(ms), &applied, &mut rng))
+        .expect("the duty is vacant at first");
     applied.apply(&first);
-    assert_eq!(duties.held_fence(&applied), Some(1));
+    assert_eq!(election.held_fence(&applied), Some(1));
     let other = Duty { duty: "promote".into(), holder: 2, incarnation: 22, node: "two".into(), fence: 1 };
     applied.apply(&Entry { payload: Some(EntryPayload::Duty(other)) });
-    assert_eq!(duties.held_fence(&applied), None);
+    assert_eq!(election.held_fence(&applied), None);
     assert!((500..4000).all(|ms| {
-        duties.record_contact(at(ms), 2, 22, &applied);
-        duties.poll_candidacy(at(ms), &applied, &mut rng).is_none()
+        election.record_contact(at(ms), 2, 22, &applied);
+        election.poll_candidacy(at(ms), &applied, &mut rng).is_none()
     }));
-    // The holder started again: its earlier life holds nothing any more.
+    // The holder restarted: its earlier incarnation no longer holds the duty.
     let again = (4000..9000).find_map(|ms| {
-        duties.record_contact(at(ms), 2, 23, &applied);
-        duties.poll_candidacy(at(ms), &applied, &mut rng)
+        election.record_contact(at(ms), 2, 23, &applied);
+        election.poll_candidacy(at(ms), &applied, &mut rng)
     });
     assert!(matches!(
         again.and_then(|entry| entry.payload),
@@ -135,73 +135,81 @@
     ));
 }
 
-/// A way between two machines that is cut is no vacancy, as long as others hear of the holder; but a holder that has started
-
-/// again holds nothing, however well it is heard.
+/// A broken link between two machines does not make the duty vacant while peers hear the holder; a
+/// restart does.
 #[test]
-fn a_holder_that_others_hear_of_keeps_its_duty_unless_it_has_started_again() {
+fn a_holder_that_peers_hear_keeps_its_duty_unless_it_has_restarted() {
     let (mut applied, mut rng) = (AppliedState::default(), Rng::with_seed(1));
     let duty = Duty { duty: "promote".into(), holder: 2, incarnation: 22, node: "two".into(), fence: 0 };
     applied.apply(&Entry { payload: Some(EntryPayload::Duty(duty)) });
     let mut vacant_at = |incarnation: Option<u64>| {
-        let mut duties = DutyElection::new("promote", 1, 11, "one", at(0));
+        let mut election = DutyElection::new("promote", 1, 11, "one", at(0));
         (0..9000).step_by(500).find(|ms| {
-            duties.record_indirect_contact(at(*ms - 1250), &[2, 3], |_| incarnation, &applied);
-            duties.poll_candidacy(at(*ms), &applied, &mut rng).is_some()
+            election.record_indirect_contact(at(*ms - 1250), &[2, 3], |_| incarnation, &applied);
+            election.poll_candidacy(at(*ms), &applied, &mut rng).is_some()
         })
     };
     assert_eq!(vacant_at(Some(22)), None);
-    assert_eq!(vacant_at(None), None, "nothing is known of its life here");
+    assert_eq!(vacant_at(None), None, "its incarnation is unknown here");
     assert!(vacant_at(Some(23)).is_some_and(|ms| (2000..=2500).contains(&ms)));
 }
 
-struct Scene {
-    cell: HostRegistry,
+struct Fixture {
+    registry: HostRegistry,
     silent: BTreeMap<String, Timestamp>,
     promotion: Promotion,
-    asks: Vec<PromotionRequest>,
+    requests: Vec<PromotionRequest>,
     now: i64,
 }
 
-impl Scene {
+impl Fixture {
     fn new() -> Self {
-        let mut cell = HostRegistry::default();
-        cell.merge_report(at(0), host("a", DbRole::Primary, Phase::InService, 1));
-        cell.merge_report(at(0), host("b", DbRole::Replica, Phase::InService, 1));
-        cell.merge_report(at(0), host("c", DbRole::Replica, Phase::InService, 1));
-        Scene { cell, silent: BTreeMap::new(), promotion: Promotion::new("s"), asks: Vec::new(), now: 1000 }
+        let mut registry = HostRegistry::default();
+        registry.merge_report(at(0), host("a", DbRole::Primary, Phase::InService, 1));
+        registry.merge_report(at(0), host("b", DbRole::Replica, Phase::InService, 1));
+        registry.merge_report(at(0), host("c", DbRole::Replica, Phase::InService, 1));
+        Fixture {
+            registry,
+            silent: BTreeMap::new(),
+            promotion: Promotion::new("s"),
+            requests: Vec::new(),
+            now: 1000,
+        }
     }
 
-    /// A planned change was given up, since its candidate does not answer; the other replica has stopped receiving.
-    fn with_a_change_given_up() -> Self {
-        let mut scene = Scene::new();
-        scene.cell.merge_report(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
-        scene.pass(0);
-        scene.row("b", false, 20);
-        scene.row("c", false, 22);
-        scene.row("b", false, 24);
-        scene.silent("c");
-        scene
+    /// A planned change that was aborted because its candidate does not respond; the other replica is
+    /// paused.
+    fn after_aborted_change() -> Self {
+        let mut fixture = Fixture::new();
+        fixture.registry.merge_report(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
+        fixture.advance(0);
+        fixture.row("b", false, 20);
+        fixture.row("c", false, 22);
+        fixture.row("b", false, 24);
+        fixture.silent("c");
+        fixture
     }
 
-    fn sight(
+    fn with_hosts(
         &mut self,
         act: impl FnOnce(&mut Promotion, Timestamp, &HostsSnapshot<'_>, &mut Vec<PromotionRequest>),
     ) -> Vec<PromotionRequest> {
-        let sight = HostsSnapshot { registry: &self.cell, silent: &self.silent, departed: &[] };
-        let mut asks = Vec::new();
-        act(&mut self.promotion, at(self.now), &sight, &mut asks);
-        self.asks.extend(asks.clone());
-        asks
+        let hosts = HostsSnapshot { registry: &self.registry, silent: &self.silent, departed: &[] };
+        let mut requests = Vec::new();
+        act(&mut self.promotion, at(self.now), &hosts, &mut requests);
+        self.requests.extend(requests.clone());
+        requests
     }
 
     fn suspect(&mut self) -> Vec<PromotionRequest> {
-        self.sight(|promotion, now, sight, asks| promotion.suspect_primary(now, "a", sight, asks))
+        self.with_hosts(|promotion, now, hosts, requests| {
+            promotion.suspect_primary(now, "a", hosts, requests)
+        })
     }
 
-    fn pass(&mut self, ms: i64) -> Vec<PromotionRequest> {
+    fn advance(&mut self, ms: i64) -> Vec<PromotionRequest> {
         self.now += ms;
-        self.sight(|promotion, now, sight, asks| promotion.poll(now, sight, asks))
+        self.with_hosts(|promotion, now, hosts, requests| promotion.poll(now, hosts, requests))
     }
 
     fn row(&mut self, host: &str, primary: bool, number: u64) -> Vec<PromotionRequest> {
@@ -209,337 +217,359 @@
         let fencing = matches!(self.promotion.stage, Stage::Fencing { .. });
         let kind = if fencing { RowKind::Pause(1) } else { RowKind::Observe };
         let reply = Reply::Row { host: host.into(), kind, row };
-        let mut asks =
-            self.sight(|promotion, now, sight, asks| promotion.handle_reply(now, reply, sight, asks));
+        let mut requests = self.with_hosts(|promotion, now, hosts, requests| {
+            promotion.handle_reply(now, reply, hosts, requests)
+        });
         if matches!(self.promotion.stage, Stage::Yielding { .. }) {
-            assert!(promoted(&asks).is_none(), "the old primary is to yield first");
-            asks.extend(self.pass(40));
+            assert!(promoted_host(&requests).is_none(), "the old primary must yield first");
+            requests.extend(self.advance(40));
         }
-        asks
+        requests
     }
 
     fn silent(&mut self, host: &str) -> Vec<PromotionRequest> {
         let reply = Reply::Silent { host: host.into() };
-        self.sight(|promotion, now, sight, asks| promotion.handle_reply(now, reply, sight, asks))
+        self.with_hosts(|promotion, now, hosts, requests| promotion.handle_reply(now, reply, hosts, requests))
     }
 
     fn status(&mut self, status: u16) -> Vec<PromotionRequest> {
-        self.sight(|promotion, now, sight, asks| {
-            promotion.handle_reply(now, Reply::Platform { status }, sight, asks)
+        self.with_hosts(|promotion, now, hosts, requests| {
+            promotion.handle_reply(now, Reply::Platform { status }, hosts, requests)
         })
     }
 
-    /// The primary does not answer, twice: candidates are asked.
-    fn fall(&mut self) {
+    /// The primary leaves two requests unanswered, which starts the survey.
+    fn fail_primary(&mut self) {
         self.suspect();
         self.silent("a");
-        self.pass(100);
+        self.advance(100);
         self.silent("a");
         assert!(matches!(self.promotion.stage, Stage::Surveying { planned: false, .. }));
     }
 }
 
-fn promoted(asks: &[PromotionRequest]) -> Option<&str> {
-    asks.iter().find_map(|ask| match ask {
+fn promoted_host(requests: &[PromotionRequest]) -> Option<&str> {
+    requests.iter().find_map(|request| match request {
         PromotionRequest::Promote { host, .. } => Some(host.as_str()),
         _ => None,
     })
 }
 
 #[test]
-fn a_primary_that_answers_stays() {
-    let mut scene = Scene::new();
-    assert_eq!(scene.suspect(), [PromotionRequest::Observe { host: "a".into() }]);
-    scene.silent("a");
-    assert_eq!(scene.pass(100), [PromotionRequest::Observe { host: "a".into() }]);
-    scene.row("a", true, 9);
-    assert_eq!(scene.promotion.stage, Stage::Idle);
-    assert!(scene.suspect().is_empty(), "it was asked a moment ago");
+fn a_responsive_primary_is_kept() {
+    let mut fixture = Fixture::new();
+    assert_eq!(fixture.suspect(), [PromotionRequest::Observe { host: "a".into() }]);
+    fixture.silent("a");
+    assert_eq!(fixture.advance(100), [PromotionRequest::Observe { host: "a".into() }]);
+    fixture.row("a", true, 9);
+    assert_eq!(fixture.promotion.stage, Stage::Idle);
+    assert!(fixture.suspect().is_empty(), "within the cooldown");
 }
 
 #[test]
-fn the_replica_that_has_most_leads_once_all_have_stopped_receiving() {
-    let mut scene = Scene::new();
-    scene.fall();
-    assert!(promoted(&scene.row("b", false, 20)).is_none(), "the other one may have more");
-    let asks = scene.row("c", false, 10);
+fn the_most_advanced_replica_is_promoted_once_all_are_paused() {
+    let mut fixture = Fixture::new();
+    fixture.fail_primary();
+    assert!(promoted_host(&fixture.row("b", false, 20)).is_none(), "the other replica may be ahead");
+    let requests = fixture.row("c", false, 10);
     let paused: Vec<PromotionRequest> = ["b", "c"]
         .iter()
         .map(|host| PromotionRequest::Pause { host: host.to_string(), term: 4, attempt: 1 })
         .collect();
-    assert_eq!(asks, paused);
-    // Meanwhile the other one received more.
-    assert!(promoted(&scene.row("b", false, 20)).is_none());
-    assert_eq!(promoted(&scene.row("c", false, 25)), Some("c"));
+    assert_eq!(requests, paused);
+    // The other replica has received more in the meantime.
+    assert!(promoted_host(&fixture.row("b", false, 20)).is_none());
+    assert_eq!(promoted_host(&fixture.row("c", false, 25)), Some("c"));
 }
 
-/// A primary that yields was alive: hosts that joined it lately are waited for, and surveyed if there are any.
+/// A primary that yields was alive, so replicas that joined it may hold acknowledged commits.
 #[test]
-fn hosts_that_joined_a_primary_that_yields_are_surveyed_as_well() {
-    for joins in [false, true] {
-        let mut scene = Scene::new();
-        scene.fall();
-        ["b", "c", "b"].iter().for_each(|host| _ = scene.row(host, false, 20));
+fn replicas_that_joined_a_yielding_primary_are_surveyed() {
+    for joined in [false, true] {
+        let mut fixture = Fixture::new();
+        fixture.fail_primary();
+        ["b", "c", "b"].iter().for_each(|host| _ = fixture.row(host, false, 20));
         let row = Observed { primary: false, term: 3, received: Position { term: 3, number: 20 } };
         let last = Reply::Row { host: "c".into(), kind: RowKind::Pause(1), row };
-        scene.sight(|promotion, now, sight, asks| promotion.handle_reply(now, last, sight, asks));
-        assert_eq!(scene.promotion.replacement().map(|change| change.term), Some(4), "routers are told");
-        scene.sight(|promotion, now, sight, asks| promotion.handle_reply(now, Reply::Yielded, sight, asks));
-        assert!(scene.pass(40).is_empty(), "whoever joined has not called yet");
-        if joins {
-            scene.cell.merge_report(at(scene.now), host("d", DbRole::Replica, Phase::InService, 1));
+        fixture
+            .with_hosts(|promotion, now, hosts, requests| promotion.handle_reply(now, last, hosts, requests));
+        assert_eq!(
+            fixture.promotion.replacement().map(|change| change.term),
+            Some(4),
+            "announced to routers"
+        );
+        fixture.with_hosts(|promotion, now, hosts, requests| {
+            promotion.handle_reply(now, Reply::Yielded, hosts, requests)
+        });
+        assert!(fixture.advance(40).is_empty(), "a replica that joined has not sent a heartbeat yet");
+        if joined {
+            fixture.registry.merge_report(at(fixture.now), host("d", DbRole::Replica, Phase::InService, 1));
         }
-        let asks = scene.pass(500);
-        assert_eq!(promoted(&asks).is_some(), !joins);
-        assert_eq!(matches!(scene.promotion.stage, Stage::Surveying { planned: false, .. }), joins);
+        let requests = fixture.advance(500);
+        assert_eq!(promoted_host(&requests).is_some(), !joined);
+        assert_eq!(matches!(fixture.promotion.stage, Stage::Surveying { planned: false, .. }), joined);
     }
 }
 
-/// The old primary yielded, and whoever was to take over was lost with the holder of the duty.
+/// The old primary yielded, and the duty holder failed before it promoted another host.
 #[test]
 fn a_service_without_a_primary_gets_one() {
-    let mut scene = Scene::new();
-    scene.cell.merge_report(at(0), host("a", DbRole::Replica, Phase::InService, 2));
-    assert!(scene.pass(100).is_empty() && scene.pass(2900).is_empty(), "one may be about to call");
-    assert_eq!(scene.pass(200).len(), 3, "all are asked");
-    ["a", "b", "c", "a", "b"].iter().for_each(|host| _ = scene.row(host, false, 20));
-    assert!(promoted(&scene.row("c", false, 21)).is_some());
+    let mut fixture = Fixture::new();
+    fixture.registry.merge_report(at(0), host("a", DbRole::Replica, Phase::InService, 2));
+    assert!(
+        fixture.advance(100).is_empty() && fixture.advance(2900).is_empty(),
+        "a primary may still send a heartbeat"
+    );
+    assert_eq!(fixture.advance(200).len(), 3, "all hosts are asked");
+    ["a", "b", "c", "a", "b"].iter().for_each(|host| _ = fixture.row(host, false, 20));
+    assert!(promoted_host(&fixture.row("c", false, 21)).is_some());
 }
 
-/// Who led says itself that it does so no more: nobody else can be about to call as primary, but for a change that an
-
-/// earlier owner of the duty began.
+/// The previous primary itself reports that it no longer is one, so no heartbeat of a primary has to be
+/// waited for.
 #[test]
 fn a_service_whose_primary_was_deposed_gets_one_sooner() {
-    let mut scene = Scene::new();
-    assert!(scene.pass(100).is_empty());
-    scene.cell.merge_report(at(0), host("a", DbRole::Replica, Phase::InService, 2));
-    assert!(scene.pass(100).is_empty() && scene.pass(1900).is_empty());
-    assert_eq!(scene.pass(200).len(), 3, "all are asked");
+    let mut fixture = Fixture::new();
+    assert!(fixture.advance(100).is_empty());
+    fixture.registry.merge_report(at(0), host("a", DbRole::Replica, Phase::InService, 2));
+    assert!(fixture.advance(100).is_empty() && fixture.advance(1900).is_empty());
+    assert_eq!(fixture.advance(200).len(), 3, "all hosts are asked");
 }
 
 #[test]
-fn a_replica_that_cannot_be_asked_may_hold_the_only_copy() {
-    let mut scene = Scene::new();
-    scene.fall();
-    scene.row("b", false, 20);
+fn no_promotion_without_the_response_of_a_silent_replica() {
+    let mut fixture = Fixture::new();
+    fixture.fail_primary();
+    fixture.row("b", false, 20);
     for _ in 0..50 {
-        scene.silent("c");
-        scene.pass(200);
+        fixture.silent("c");
+        fixture.advance(200);
     }
-    assert!(promoted(&scene.asks).is_none(), "nobody may lead without its word");
-    // However long it was silent before the primary was: while it lived it may have been the only one that received.
-    scene.silent = BTreeMap::from([("c".to_string(), at(100)), ("a".to_string(), at(100 + 600_000))]);
+    assert!(promoted_host(&fixture.requests).is_none(), "its response is required");
+    // Also if it fell silent long before the primary: it may have been the only replica that received.
+    fixture.silent = BTreeMap::from([("c".to_string(), at(100)), ("a".to_string(), at(100 + 600_000))]);
     for _ in 0..50 {
-        scene.silent("c");
-        scene.row("b", false, 21);
-        scene.pass(200);
+        fixture.silent("c");
+        fixture.row("b", false, 21);
+        fixture.advance(200);
     }
-    assert!(promoted(&scene.asks).is_none());
-    scene.row("c", false, 19);
-    [("b", 21), ("c", 19)].iter().for_each(|(host, number)| _ = scene.row(host, false, *number));
-    assert_eq!(promoted(&scene.asks), Some("b"));
+    assert!(promoted_host(&fixture.requests).is_none());
+    fixture.row("c", false, 19);
+    [("b", 21), ("c", 19)].iter().for_each(|(host, number)| _ = fixture.row(host, false, *number));
+    assert_eq!(promoted_host(&fixture.requests), Some("b"));
 }
 
 #[test]
-fn a_silent_replica_is_not_waited_for_once_another_has_what_the_primary_had_since() {
-    for (received, leads) in [(49, None), (50, Some("b"))] {
-        let mut scene = Scene::new();
-        scene.silent = BTreeMap::from([("c".to_string(), at(900))]);
+fn a_silent_replica_is_skipped_once_another_has_reached_its_floor() {
+    for (received, candidate) in [(49, None), (50, Some("b"))] {
+        let mut fixture = Fixture::new();
+        fixture.silent = BTreeMap::from([("c".to_string(), at(900))]);
         assert_eq!(
-            scene.pass(100),
+            fixture.advance(100),
             [PromotionRequest::Observe { host: "a".into() }],
-            "what has the primary?"
+            "asks for the position of the primary"
         );
-        assert!(scene.pass(10).is_empty(), "one question at a time");
-        scene.row("a", true, 50);
-        assert!(scene.pass(5000).is_empty(), "once for each silence");
-        scene.fall();
-        scene.row("b", false, received);
+        assert!(fixture.advance(10).is_empty(), "one request at a time");
+        fixture.row("a", true, 50);
+        assert!(fixture.advance(5000).is_empty(), "once per silence");
+        fixture.fail_primary();
+        fixture.row("b", false, received);
         assert!(
-            promoted(&scene.row("b", false, received)).is_none(),
-            "it may be back and not have called yet"
+            promoted_host(&fixture.row("b", false, received)).is_none(),
+            "it may be back before its next heartbeat"
         );
-        scene.silent("c");
-        assert_eq!(promoted(&scene.row("b", false, received)), leads, "{received} of 50");
+        fixture.silent("c");
+        assert_eq!(promoted_host(&fixture.row("b", false, received)), candidate, "{received} of 50");
     }
 }
 
-/// Also where it came back and fell silent while another change was under way.
+/// Guards against reuse of a floor after the replica was back during another change.
 #[test]
-fn what_the_primary_had_holds_for_one_silence() {
-    let mut scene = Scene::new();
+fn a_floor_is_valid_for_one_silence() {
+    let mut fixture = Fixture::new();
     let silent = BTreeMap::from([("c".to_string(), at(900))]);
-    scene.silent = silent.clone();
-    scene.pass(100);
-    scene.row("a", true, 50);
-    scene.fall();
-    scene.silent.clear();
-    scene.pass(250);
-    scene.silent = silent;
-    scene.silent("c");
-    scene.row("b", false, 60);
-    scene.silent("c");
+    fixture.silent = silent.clone();
+    fixture.advance(100);
+    fixture.row("a", true, 50);
+    fixture.fail_primary();
+    fixture.silent.clear();
+    fixture.advance(250);
+    fixture.silent = silent;
+    fixture.silent("c");
+    fixture.row("b", false, 60);
+    fixture.silent("c");
     assert!(
-        matches!(scene.promotion.stage, Stage::Surveying { .. }),
-        "it may have acknowledged more meanwhile"
+        matches!(fixture.promotion.stage, Stage::Surveying { .. }),
+        "it may have acknowledged more in between"
     );
 }
 
 #[test]
-fn an_answer_to_an_earlier_question_is_no_word_that_a_replica_stopped() {
-    let mut scene = Scene::new();
-    scene.fall();
-    scene.row("b", false, 20);
-    scene.row("c", false, 20);
-    assert!(matches!(scene.promotion.stage, Stage::Fencing { .. }));
+fn a_late_observation_does_not_confirm_a_pause() {
+    let mut fixture = Fixture::new();
+    fixture.fail_primary();
+    fixture.row("b", false, 20);
+    fixture.row("c", false, 20);
+    assert!(matches!(fixture.promotion.stage, Stage::Fencing { .. }));
     let late = Observed { primary: false, term: 3, received: Position { term: 3, number: 20 } };
     for host in ["b", "c"] {
         let reply = Reply::Row { host: host.into(), kind: RowKind::Observe, row: late };
-        scene.sight(|promotion, now, sight, asks| promotion.handle_reply(now, reply, sight, asks));
+        fixture.with_hosts(|promotion, now, hosts, requests| {
+            promotion.handle_reply(now, reply, hosts, requests)
+        });
     }
-    assert!(promoted(&scene.asks).is_none());
+    assert!(promoted_host(&fixture.requests).is_none());
 }
 
 #[test]
-fn replicas_that_were_held_are_asked_to_go_on_until_they_say_so() {
-    let mut scene = Scene::with_a_change_given_up();
-    assert_eq!(scene.promotion.stage, Stage::Idle, "its candidate does not answer");
-    let on = PromotionRequest::Continue { host: "b".into() };
-    assert_eq!(scene.asks.last(), Some(&on));
-    scene.cell.merge_report(at(900), host("a", DbRole::Primary, Phase::InService, 3));
-    scene.pass(0);
-    assert_eq!(scene.pass(1000), [on], "the question was lost");
+fn paused_replicas_are_told_to_continue_until_they_confirm() {
+    let mut fixture = Fixture::after_aborted_change();
+    assert_eq!(fixture.promotion.stage, Stage::Idle, "its candidate does not respond");
+    let continue_b = PromotionRequest::Continue { host: "b".into() };
+    assert_eq!(fixture.requests.last(), Some(&continue_b));
+    fixture.registry.merge_report(at(900), host("a", DbRole::Primary, Phase::InService, 3));
+    fixture.advance(0);
+    assert_eq!(fixture.advance(1000), [continue_b], "the request was lost");
     let row = Observed { primary: false, term: 3, received: Position { term: 3, number: 24 } };
     let reply = Reply::Row { host: "b".into(), kind: RowKind::Continue, row };
-    scene.sight(|promotion, now, sight, asks| promotion.handle_reply(now, reply, sight, asks));
-    assert!(scene.pass(1000).is_empty() && scene.pass(9000).is_empty());
+    fixture.with_hosts(|promotion, now, hosts, requests| promotion.handle_reply(now, reply, hosts, requests));
+    assert!(fixture.advance(1000).is_empty() && fixture.advance(9000).is_empty());
 }
 
-/// A router may bring a question to stop after the host has said that it goes on.
+/// A relayed pause request may arrive after the host has confirmed that it continues.
 #[test]
-fn a_replica_goes_on_for_sure_once_no_question_to_stop_is_under_way() {
-    let mut scene = Scene::with_a_change_given_up();
-    scene.cell.merge_report(at(900), host("a", DbRole::Primary, Phase::InService, 3));
-    let on = PromotionRequest::Continue { host: "b".into() };
+fn a_continue_is_repeated_while_a_pause_may_be_in_transit() {
+    let mut fixture = Fixture::after_aborted_change();
+    fixture.registry.merge_report(at(900), host("a", DbRole::Primary, Phase::InService, 3));
+    let continue_b = PromotionRequest::Continue { host: "b".into() };
     let row = Observed { primary: false, term: 3, received: Position { term: 3, number: 24 } };
     let reply = Reply::Row { host: "b".into(), kind: RowKind::Continue, row };
-    scene.pass(500);
-    scene.sight(|promotion, now, sight, asks| promotion.handle_reply(now, reply.clone(), sight, asks));
-    assert_eq!(scene.pass(1000), [on], "its answer came within a second of the question to stop");
-    scene.sight(|promotion, now, sight, asks| promotion.handle_reply(now, reply, sight, asks));
-    assert!(scene.pass(1000).is_empty() && scene.pass(9000).is_empty());
+    fixture.advance(500);
+    fixture.with_hosts(|promotion, now, hosts, requests| {
+        promotion.handle_reply(now, reply.clone(), hosts, requests)
+    });
+    assert_eq!(
+        fixture.advance(1000),
+        [continue_b],
+        "its confirmation came within a second of the pause request"
+    );
+    fixture.with_hosts(|promotion, now, hosts, requests| promotion.handle_reply(now, reply, hosts, requests));
+    assert!(fixture.advance(1000).is_empty() && fixture.advance(9000).is_empty());
 }
 
 #[test]
-fn a_primary_that_leaves_serves_until_its_heir_has_all() {
-    let mut scene = Scene::new();
-    scene.cell.merge_report(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
-    scene.pass(0);
-    assert!(matches!(scene.promotion.stage, Stage::Surveying { planned: true, .. }));
-    scene.row("b", false, 20);
-    let asks = scene.row("c", false, 22);
+fn a_draining_primary_serves_until_the_candidate_has_caught_up() {
+    let mut fixture = Fixture::new();
+    fixture.registry.merge_report(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
+    fixture.advance(0);
+    assert!(matches!(fixture.promotion.stage, Stage::Surveying { planned: true, .. }));
+    fixture.row("b", false, 20);
+    let requests = fixture.row("c", false, 22);
     assert_eq!(
-        asks,
+        requests,
         [PromotionRequest::Pause { host: "b".into(), term: 4, attempt: 1 }],
-        "the candidate goes on receiving"
+        "the candidate keeps receiving"
     );
-    let asks = scene.row("b", false, 24);
-    assert_eq!(asks, [PromotionRequest::Observe { host: "a".into() }]);
-    assert_eq!(scene.row("a", true, 26), [PromotionRequest::Observe { host: "c".into() }]);
-    assert!(promoted(&scene.row("c", false, 23)).is_none(), "it lacks one that was acknowledged");
-    scene.pass(50);
-    assert!(promoted(&scene.row("c", false, 24)).is_none(), "it lacks what the old primary holds back");
-    scene.pass(50);
-    assert_eq!(promoted(&scene.row("c", false, 26)), Some("c"));
+    let requests = fixture.row("b", false, 24);
+    assert_eq!(requests, [PromotionRequest::Observe { host: "a".into() }]);
+    assert_eq!(fixture.row("a", true, 26), [PromotionRequest::Observe { host: "c".into() }]);
+    assert!(promoted_host(&fixture.row("c", false, 23)).is_none(), "it lacks an acknowledged commit");
+    fixture.advance(50);
+    assert!(promoted_host(&fixture.row("c", false, 24)).is_none(), "it lacks what only the old primary has");
+    fixture.advance(50);
+    assert_eq!(promoted_host(&fixture.row("c", false, 26)), Some("c"));
 }
 
-/// What the old primary has must be known: a candidate that receives nothing has all that the others have.
+/// A candidate that receives nothing has as much as the other replicas, but lacks what only the old
+/// primary has.
 #[test]
-fn a_primary_that_leaves_is_not_replaced_by_one_that_receives_nothing_from_it() {
+fn a_draining_primary_is_not_replaced_by_a_replica_that_receives_nothing() {
     for silent in [false, true] {
-        let mut scene = Scene::new();
-        scene.cell.merge_report(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
-        scene.pass(0);
-        ["b", "c", "b"].iter().for_each(|host| _ = scene.row(host, false, 20));
-        assert!(promoted(&scene.row("c", false, 20)).is_none(), "the old primary was not heard");
+        let mut fixture = Fixture::new();
+        fixture.registry.merge_report(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
+        fixture.advance(0);
+        ["b", "c", "b"].iter().for_each(|host| _ = fixture.row(host, false, 20));
+        assert!(promoted_host(&fixture.row("c", false, 20)).is_none(), "the old primary has not responded");
         if silent {
-            scene.silent("a");
+            fixture.silent("a");
         } else {
-            scene.row("a", true, 21);
+            fixture.row("a", true, 21);
             for _ in 0..20 {
-                scene.row("c", false, 20);
-                scene.pass(80);
+                fixture.row("c", false, 20);
+                fixture.advance(80);
             }
         }
-        assert!(promoted(&scene.asks).is_none());
+        assert!(promoted_host(&fixture.requests).is_none());
         assert!(
-            scene.asks.contains(&PromotionRequest::Continue { host: "b".into() }),
-            "it is not held for good"
+            fixture.requests.contains(&PromotionRequest::Continue { host: "b".into() }),
+            "it does not stay paused"
         );
     }
 }
 
 #[test]
-fn another_primary_ends_a_change_in_order_and_the_one_that_leaves_does_not() {
-    let mut scene = Scene::new();
-    scene.cell.merge_report(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
-    scene.pass(0);
-    scene.row("a", true, 30);
-    assert!(matches!(scene.promotion.stage, Stage::Surveying { planned: true, .. }), "a question of before");
-    scene.row("b", true, 20);
-    assert_eq!(scene.promotion.stage, Stage::Idle, "it leads already, and its call is late");
+fn another_primary_ends_a_planned_change_but_the_draining_one_does_not() {
+    let mut fixture = Fixture::new();
+    fixture.registry.merge_report(at(900), host("a", DbRole::Primary, Phase::Draining, 2));
+    fixture.advance(0);
+    fixture.row("a", true, 30);
+    assert!(
+        matches!(fixture.promotion.stage, Stage::Surveying { planned: true, .. }),
+        "a response to an earlier request"
+    );
+    fixture.row("b", true, 20);
+    assert_eq!(fixture.promotion.stage, Stage::Idle, "it is primary already, and its heartbeat is late");
 }
 
 #[test]
-fn a_call_to_the_platform_without_an_answer_names_the_same_host_again() {
-    let mut scene = Scene::new();
-    scene.fall();
+fn an_unanswered_platform_call_is_repeated_for_the_same_host() {
+    let mut fixture = Fixture::new();
+    fixture.fail_primary();
     for host in ["b", "c", "b", "c"] {
-        scene.row(host, false, 20);
+        fixture.row(host, false, 20);
     }
-    assert!(promoted(&scene.asks).is_some());
-    let candidate = promoted(&scene.asks).map(str::to_string);
-    scene.status(0);
-    let again = scene.pass(2000);
-    assert_eq!(promoted(&again).map(str::to_string), candidate);
-    scene.status(503);
-    assert_eq!(promoted(&scene.pass(2000)).map(str::to_string), candidate);
-    // A refusal means that something is not as it was thought to be: all are asked again.
-    scene.status(409);
-    assert!(matches!(scene.promotion.stage, Stage::Surveying { .. }));
+    assert!(promoted_host(&fixture.requests).is_some());
+    let candidate = promoted_host(&fixture.requests).map(str::to_string);
+    fixture.status(0);
+    let again = fixture.advance(2000);
+    assert_eq!(promoted_host(&again).map(str::to_string), candidate);
+    fixture.status(503);
+    assert_eq!(promoted_host(&fixture.advance(2000)).map(str::to_string), candidate);
+    // A refusal means that the assumed state is wrong: all hosts are surveyed again.
+    fixture.status(409);
+    assert!(matches!(fixture.promotion.stage, Stage::Surveying { .. }));
 }
 
 #[test]
-fn it_is_over_once_the_heir_says_that_it_leads() {
-    let mut scene = Scene::new();
-    scene.fall();
+fn a_change_ends_once_the_candidate_reports_to_be_primary() {
+    let mut fixture = Fixture::new();
+    fixture.fail_primary();
     for host in ["b", "c", "b", "c"] {
-        scene.row(host, false, 20);
+        fixture.row(host, false, 20);
     }
-    let candidate = promoted(&scene.asks).expect("one was named").to_string();
-    scene.status(200);
-    scene.pass(300);
-    assert!(matches!(scene.promotion.stage, Stage::Confirming { .. }));
-    scene.cell.merge_report(at(scene.now), host(&candidate, DbRole::Primary, Phase::InService, 7));
-    scene.pass(300);
-    assert_eq!(scene.promotion.stage, Stage::Idle);
-    assert!(scene.pass(TimeDelta::from_millis(60_000).micros() / 1000).is_empty());
+    let candidate = promoted_host(&fixture.requests).expect("a candidate").to_string();
+    fixture.status(200);
+    fixture.advance(300);
+    assert!(matches!(fixture.promotion.stage, Stage::Confirming { .. }));
+    fixture.registry.merge_report(at(fixture.now), host(&candidate, DbRole::Primary, Phase::InService, 7));
+    fixture.advance(300);
+    assert_eq!(fixture.promotion.stage, Stage::Idle);
+    assert!(fixture.advance(TimeDelta::from_millis(60_000).micros() / 1000).is_empty());
 }
 
 #[test]
-fn a_disk_that_refuses_or_hangs_is_not_well_until_it_takes_records_again() {
+fn a_failing_or_hanging_disk_is_unhealthy_until_it_accepts_writes() {
     let mut disk = DiskHealth::default();
     assert!(disk.is_healthy(at(0)));
     disk.write_started(at(0), 1);
     disk.write_started(at(500), 2);
     assert!(disk.is_healthy(at(799)));
-    assert!(!disk.is_healthy(at(800)), "the first record hangs");
+    assert!(!disk.is_healthy(at(800)), "the first write hangs");
     disk.write_completed(1);
     assert!(disk.is_healthy(at(900)));
     disk.set_working(false);
     disk.write_completed(2);
-    assert!(!disk.is_healthy(at(901)), "it refuses");
+    assert!(!disk.is_healthy(at(901)), "writes fail");
     disk.set_working(true);
     assert!(disk.is_healthy(at(902)));
 }
--- a/crates/arrowyard-control/tests/replicated_log.rs
+++ b/crates/arrowyard-control/tests/replicated_log.rs
@@ -1,8 +1,7 @@
-//! The ledger under drawn losses: messages lost, doubled and late, processes killed, disks lost as far as they may be.
-
-//! What was answered as entered is there for good, once, in the same slot everywhere; two changes on one version never
-
-//! both get in; a read that was answered sees what was entered before it was asked.
+//! The replicated log under random failures: lost, duplicated and delayed messages, killed processes
+//! and lost disks within the tolerated limits.
+//! Checks that acknowledged entries stay in the same slot on every machine, that two changes of one
+//! revision are never both applied, and that reads return every entry acknowledged before them.
 
 use std::collections::BTreeMap;
 
@@ -19,22 +18,22 @@
 use prost::Message;
 
 struct Machine {
-    ledger: Option<ReplicatedLog>,
+    log: Option<ReplicatedLog>,
     disk: Vec<Vec<u8>>,
     wiped: bool,
-    /// Its disk refuses records until then; what was refused in between is kept by a snapshot alone.
-    refuses_until: Option<Timestamp>,
+    /// Until then the disk refuses records; a snapshot replaces the refused ones afterwards.
+    writes_fail_until: Option<Timestamp>,
 }
 
-struct Net {
+struct Cluster {
     now: Timestamp,
     rng: Rng,
     machines: Vec<Machine>,
-    /// What arrives when: to whom, from whom.
-    mail: Vec<(Timestamp, usize, u32, Payload)>,
-    syncs: Vec<(Timestamp, usize, u64, Vec<u8>, u32)>,
-    lives: Vec<u32>,
-    answers: BTreeMap<(usize, u32, u64), ProposalOutcome>,
+    /// Arrival time, destination, sender and message.
+    in_transit: Vec<(Timestamp, usize, u32, Payload)>,
+    pending_writes: Vec<(Timestamp, usize, u64, Vec<u8>, u32)>,
+    incarnations: Vec<u32>,
+    outcomes: BTreeMap<(usize, u32, u64), ProposalOutcome>,
     loss: f64,
 }
 
@@ -42,111 +41,107 @@
     machine as u32 + 1
 }
 
-impl Net {
+impl Cluster {
     fn new(seed: u64, machines: usize, voters: usize, loss: f64) -> Self {
         let founders: Vec<u32> = (0..voters).map(ip).collect();
-        let mut net = Net {
+        let mut cluster = Cluster {
             now: Timestamp::from_micros(0),
             rng: Rng::with_seed(seed),
             machines: Vec::new(),
-            mail: Vec::new(),
-            syncs: Vec::new(),
-            lives: vec![0; machines],
-            answers: BTreeMap::new(),
+            in_transit: Vec::new(),
+            pending_writes: Vec::new(),
+            incarnations: vec![0; machines],
+            outcomes: BTreeMap::new(),
             loss,
         };
         for machine in 0..machines {
             let mut out = Vec::new();
-            let ledger =
-                ReplicatedLog::open(ip(machine), seed ^ machine as u64, &[], Some(&founders), &mut out);
-            net.machines.push(Machine {
-                ledger: Some(ledger.expect("an empty disk")),
+            let log = ReplicatedLog::open(ip(machine), seed ^ machine as u64, &[], Some(&founders), &mut out);
+            cluster.machines.push(Machine {
+                log: Some(log.expect("empty disk")),
                 disk: Vec::new(),
                 wiped: false,
-                refuses_until: None,
+                writes_fail_until: None,
             });
-            net.carry(machine, out);
+            cluster.execute(machine, out);
         }
-        net
+        cluster
     }
 
-    fn carry(&mut self, machine: usize, out: Vec<Output>) {
+    fn execute(&mut self, machine: usize, out: Vec<Output>) {
         for one in out {
             match one {
-                Output::Send { to: 0, payload: word } => {
+                Output::Send { to: 0, payload: message } => {
                     for other in (0..self.machines.len()).filter(|other| *other != machine) {
-                        self.post(machine, other, word.clone());
+                        self.send(machine, other, message.clone());
                     }
                 }
-                Output::Send { to, payload: word } => self.post(machine, to as usize - 1, word),
+                Output::Send { to, payload: message } => self.send(machine, to as usize - 1, message),
                 Output::Store { ticket, record } => {
                     let done = self.now + TimeDelta::from_micros(self.rng.i64(500..6000));
-                    self.syncs.push((done, machine, ticket, record, self.lives[machine]));
+                    self.pending_writes.push((done, machine, ticket, record, self.incarnations[machine]));
                 }
                 Output::Chosen { .. } => {}
                 Output::Resolved { proposal, outcome } => {
-                    self.answers.insert((machine, self.lives[machine], proposal.0), outcome);
+                    self.outcomes.insert((machine, self.incarnations[machine], proposal.0), outcome);
                 }
             }
         }
     }
 
-    fn post(&mut self, from: usize, to: usize, word: Payload) {
+    fn send(&mut self, from: usize, to: usize, message: Payload) {
         let copies = if self.rng.f64() < self.loss { 0 } else { 1 + usize::from(self.rng.f64() < self.loss) };
         for _ in 0..copies {
             let at = self.now + TimeDelta::from_micros(self.rng.i64(300..9000));
-            self.mail.push((at, to, ip(from), word.clone()));
+            self.in_transit.push((at, to, ip(from), message.clone()));
         }
     }
 
     fn with(&mut self, machine: usize, act: impl FnOnce(&mut ReplicatedLog, Timestamp, &mut Vec<Output>)) {
         let mut out = Vec::new();
-        if let Some(ledger) = self.machines[machine].ledger.as_mut() {
-            act(ledger, self.now, &mut out);
+        if let Some(log) = self.machines[machine].log.as_mut() {
+            act(log, self.now, &mut out);
         }
-        self.carry(machine, out);
+        self.execute(machine, out);
     }
 
-    /// Lets a millisecond pass.
+    /// Advances the time by a millisecond.
     fn step(&mut self) {
         self.now = self.now + TimeDelta::from_millis(1);
         let now = self.now;
-        let mut due: Vec<_> = self.syncs.extract_if(.., |(at, ..)| *at <= now).collect();
+        let mut due: Vec<_> = self.pending_writes.extract_if(.., |(at, ..)| *at <= now).collect();
         due.sort_by_key(|(_, _, ticket, _, _)| *ticket);
         for (_, machine, ticket, record, incarnation) in due {
-            if incarnation == self.lives[machine] {
-                let kept = self.machines[machine].refuses_until.is_none();
-                if kept {
+            if incarnation == self.incarnations[machine] {
+                let stored = self.machines[machine].writes_fail_until.is_none();
+                if stored {
                     self.machines[machine].disk.push(record);
                 }
-                self.with(machine, |ledger, now, out| ledger.record_stored(now, ticket, kept, out));
+                self.with(machine, |log, now, out| log.record_stored(now, ticket, stored, out));
             }
         }
-        self.mend_disks();
-        let due: Vec<_> = self.mail.extract_if(.., |(at, ..)| *at <= now).collect();
-        for (_, to, from, word) in due {
-            self.with(to, |ledger, now, out| ledger.on_message(now, from, &word, out));
+        self.recover_disks();
+        let due: Vec<_> = self.in_transit.extract_if(.., |(at, ..)| *at <= now).collect();
+        for (_, to, from, message) in due {
+            self.with(to, |log, now, out| log.on_message(now, from, &message, out));
         }
         for machine in 0..self.machines.len() {
-            let late = self.machines[machine]
-                .ledger
-                .as_ref()
-                .and_then(ReplicatedLog::due)
-                .is_some_and(|at| at <= now);
+            let late =
+                self.machines[machine].log.as_ref().and_then(ReplicatedLog::due).is_some_and(|at| at <= now);
             if late {
-                self.with(machine, |ledger, now, out| ledger.on_timer(now, out));
+                self.with(machine, |log, now, out| log.on_timer(now, out));
             }
         }
-        // Beats tell who is ahead.
+        // Heartbeats report the number of known entries.
         if now.micros() % 100_000 == 0 {
             for machine in 0..self.machines.len() {
-                let Some(chosen) = self.machines[machine].ledger.as_ref().map(ReplicatedLog::chosen) else {
+                let Some(chosen) = self.machines[machine].log.as_ref().map(ReplicatedLog::chosen) else {
                     continue;
                 };
                 for other in (0..self.machines.len()).filter(|other| *other != machine) {
                     if self.rng.f64() >= self.loss {
-                        self.with(other, |ledger, now, out| {
-                            ledger.observe_peer_progress(now, ip(machine), chosen, out)
+                        self.with(other, |log, now, out| {
+                            log.observe_peer_progress(now, ip(machine), chosen, out)
                         });
                     }
                 }
@@ -154,23 +149,23 @@
         }
     }
 
-    /// Disks that are well again take a snapshot in place of all records.
-    fn mend_disks(&mut self) {
+    /// Disks that work again store a snapshot in place of all records.
+    fn recover_disks(&mut self) {
         for machine in &mut self.machines {
-            if machine.refuses_until.is_some_and(|until| until <= self.now)
-                && let Some(ledger) = machine.ledger.as_mut()
+            if machine.writes_fail_until.is_some_and(|until| until <= self.now)
+                && let Some(log) = machine.log.as_mut()
             {
-                machine.refuses_until = None;
-                machine.disk = vec![ledger.snapshot(None)];
-                ledger.disk_recovered();
+                machine.writes_fail_until = None;
+                machine.disk = vec![log.snapshot(None)];
+                log.disk_recovered();
             }
         }
     }
 
     fn kill(&mut self, machine: usize, wipe: bool) {
-        self.lives[machine] += 1;
-        self.machines[machine].refuses_until = None;
-        self.machines[machine].ledger = None;
+        self.incarnations[machine] += 1;
+        self.machines[machine].writes_fail_until = None;
+        self.machines[machine].log = None;
         if wipe {
             self.machines[machine].disk.clear();
             self.machines[machine].wiped = true;
@@ -180,23 +175,22 @@
     fn start(&mut self, machine: usize) {
         let mut out = Vec::new();
         let incarnation = self.rng.u64(..);
-        let ledger =
-            ReplicatedLog::open(ip(machine), incarnation, &self.machines[machine].disk, None, &mut out);
-        self.machines[machine].ledger = Some(ledger.expect("what it wrote itself"));
-        self.carry(machine, out);
+        let log = ReplicatedLog::open(ip(machine), incarnation, &self.machines[machine].disk, None, &mut out);
+        self.machines[machine].log = Some(log.expect("records written by this log"));
+        self.execute(machine, out);
     }
 
-    /// Who votes, by whoever knows most.
+    /// The voter set according to the machine that knows most entries.
     fn voters(&self) -> Vec<u32> {
-        let ledgers = self.machines.iter().filter_map(|machine| machine.ledger.as_ref());
-        ledgers.max_by_key(|ledger| ledger.chosen()).map_or(Vec::new(), |ledger| ledger.voters().to_vec())
+        let logs = self.machines.iter().filter_map(|machine| machine.log.as_ref());
+        logs.max_by_key(|log| log.chosen()).map_or(Vec::new(), |log| log.voters().to_vec())
     }
 
-    /// Whether every voter's word counts.
+    /// Whether the vote of every voter counts.
     fn all_vote(&self) -> bool {
         self.voters()
             .iter()
-            .all(|voter| self.machines[*voter as usize - 1].ledger.as_ref().is_some_and(ReplicatedLog::votes))
+            .all(|voter| self.machines[*voter as usize - 1].log.as_ref().is_some_and(ReplicatedLog::votes))
     }
 }
 
@@ -218,72 +212,76 @@
     Some((digits, change_digest(revised)))
 }
 
-/// Another list of voters, one seat further, of machines that are up: one more, or one less.
-fn other_seats(net: &mut Net, machine: usize) -> Option<Entry> {
-    let before = net.machines[machine].ledger.as_ref()?.voters().to_vec();
-    let up = |net: &Net, ip: u32| net.machines[ip as usize - 1].ledger.is_some();
+/// A voter set that differs by one running machine.
+fn random_voter_change(cluster: &mut Cluster, machine: usize) -> Option<Entry> {
+    let before = cluster.machines[machine].log.as_ref()?.voters().to_vec();
+    let up = |cluster: &Cluster, ip: u32| cluster.machines[ip as usize - 1].log.is_some();
     let mut voters = before.clone();
-    if voters.len() > 3 && net.rng.bool() {
-        voters.remove(net.rng.usize(0..voters.len()));
+    if voters.len() > 3 && cluster.rng.bool() {
+        voters.remove(cluster.rng.usize(0..voters.len()));
     } else {
-        let mut free: Vec<u32> =
-            (0..net.machines.len()).map(ip).filter(|ip| !before.contains(ip) && up(net, *ip)).collect();
-        net.rng.shuffle(&mut free);
+        let mut free: Vec<u32> = (0..cluster.machines.len())
+            .map(ip)
+            .filter(|ip| !before.contains(ip) && up(cluster, *ip))
+            .collect();
+        cluster.rng.shuffle(&mut free);
         voters.push(free.pop()?);
         voters.sort_unstable();
     }
     Some(Entry { payload: Some(EntryPayload::Voters(Voters { voters, before })) })
 }
 
-/// One drawn history; what it shows of entries, reads and duties. With `seats`, who votes changes again and again.
-fn history(seed: u64, machines: usize, voters: usize, loss: f64, seats: bool) {
-    let mut net = Net::new(seed, machines, voters, loss);
+/// Runs one random history and checks its entries, reads and duties. With `change_voters`, the voter
+/// set changes repeatedly.
+fn history(seed: u64, machines: usize, voters: usize, loss: f64, change_voters: bool) {
+    let mut cluster = Cluster::new(seed, machines, voters, loss);
     let mut proposals: Vec<((usize, u32, u64), Entry)> = Vec::new();
     let mut reads: Vec<((usize, u32, u64), u64)> = Vec::new();
     let mut acknowledged: Vec<(u64, ChangeDigest)> = Vec::new();
-    let mut newest = 0;
-    let (mut down, mut back) = (None, 0);
+    let mut newest_acknowledged = 0;
+    let (mut down, mut next_failure_at) = (None, 0);
     for millis in 0..6000_u32 {
-        net.step();
+        cluster.step();
         for (key, entry) in &proposals {
-            if let Some(ProposalOutcome::Committed(_)) = net.answers.get(key)
-                && let Some((revision, sum)) = revision(entry)
-                && net.machines[key.0]
-                    .ledger
+            if let Some(ProposalOutcome::Committed(_)) = cluster.outcomes.get(key)
+                && let Some((revision, digest)) = revision(entry)
+                && cluster.machines[key.0]
+                    .log
                     .as_ref()
-                    .is_some_and(|ledger| ledger.applied().applied_change(revision) == Some(sum))
-                && !acknowledged.contains(&(revision, sum))
+                    .is_some_and(|log| log.applied().applied_change(revision) == Some(digest))
+                && !acknowledged.contains(&(revision, digest))
             {
-                acknowledged.push((revision, sum));
-                newest = newest.max(revision);
+                acknowledged.push((revision, digest));
+                newest_acknowledged = newest_acknowledged.max(revision);
             }
         }
-        for (key, least) in &reads {
-            if net.answers.get(key) == Some(&ProposalOutcome::Current) {
-                let known = net.machines[key.0]
-                    .ledger
+        for (key, min_revision) in &reads {
+            if cluster.outcomes.get(key) == Some(&ProposalOutcome::Current) {
+                let known = cluster.machines[key.0]
+                    .log
                     .as_ref()
                     .map_or(u64::MAX, |l| l.applied().configuration.revision);
                 assert!(
-                    known >= *least,
-                    "seed {seed}: a read saw revision {known} after {least} was acknowledged"
+                    known >= *min_revision,
+                    "seed {seed}: a read returned revision {known} after {min_revision} was acknowledged"
                 );
             }
         }
-        reads.retain(|(key, _)| !net.answers.contains_key(key));
-        let machine = net.rng.usize(0..machines);
-        if millis < 4500 && millis % 60 == 0 && net.machines[machine].ledger.is_some() {
-            let incarnation = net.lives[machine];
-            let until = net.now + TimeDelta::from_millis(1500);
+        reads.retain(|(key, _)| !cluster.outcomes.contains_key(key));
+        let machine = cluster.rng.usize(0..machines);
+        if millis < 4500 && millis % 60 == 0 && cluster.machines[machine].log.is_some() {
+            let incarnation = cluster.incarnations[machine];
+            let until = cluster.now + TimeDelta::from_millis(1500);
             let base =
-                net.machines[machine].ledger.as_ref().map_or(0, |l| l.applied().configuration.revision);
-            let (step, turn) = (net.rng.u64(1..4), net.rng.u32(0..4));
-            let other = (seats && turn < 2).then(|| other_seats(&mut net, machine)).flatten();
-            let entry = if let Some(other) = other.filter(|_| net.all_vote()) {
+                cluster.machines[machine].log.as_ref().map_or(0, |l| l.applied().configuration.revision);
+            let (revision_step, action) = (cluster.rng.u64(1..4), cluster.rng.u32(0..4));
+            let other =
+                (change_voters && action < 2).then(|| random_voter_change(&mut cluster, machine)).flatten();
+            let entry = if let Some(other) = other.filter(|_| cluster.all_vote()) {
                 other
-            } else if turn == 0 {
+            } else if action == 0 {
                 let fence =
-                    net.machines[machine].ledger.as_ref().map_or(0, |l| l.applied().duty_fence("promote"));
+                    cluster.machines[machine].log.as_ref().map_or(0, |l| l.applied().duty_fence("promote"));
                 let duty = Duty {
                     duty: "promote".into(),
                     holder: ip(machine),
@@ -293,135 +291,134 @@
                 };
                 Entry { payload: Some(EntryPayload::Duty(duty)) }
             } else {
-                change(base + step * 10 + machine as u64, base)
+                change(base + revision_step * 10 + machine as u64, base)
             };
-            if turn == 3 {
+            if action == 3 {
                 let mut ticket = ProposalId::default();
-                net.with(machine, |ledger, now, out| ticket = ledger.propose_read(now, until, out));
-                reads.push(((machine, incarnation, ticket.0), newest));
+                cluster.with(machine, |log, now, out| ticket = log.propose_read(now, until, out));
+                reads.push(((machine, incarnation, ticket.0), newest_acknowledged));
             } else {
                 let mut ticket = ProposalId::default();
                 let proposed = entry.clone();
-                net.with(machine, |ledger, now, out| {
-                    ticket = ledger.propose_entry(now, proposed, until, out)
-                });
+                cluster.with(machine, |log, now, out| ticket = log.propose_entry(now, proposed, until, out));
                 proposals.push(((machine, incarnation, ticket.0), entry));
             }
         }
-        // One machine at a time is away; now and then without its disk, once the last one votes again.
+        // At most one machine is down at a time, and it may lose its disk only while all voters vote.
         match down {
-            None if millis < 4000 && millis >= back && net.rng.f64() < 0.004 => {
-                let victim = net.rng.usize(0..machines);
-                let wipe = net.rng.bool() && net.all_vote();
-                net.kill(victim, wipe);
-                (down, back) = (Some(victim), millis + net.rng.u32(20..400));
+            None if millis < 4000 && millis >= next_failure_at && cluster.rng.f64() < 0.004 => {
+                let victim = cluster.rng.usize(0..machines);
+                let wipe = cluster.rng.bool() && cluster.all_vote();
+                cluster.kill(victim, wipe);
+                (down, next_failure_at) = (Some(victim), millis + cluster.rng.u32(20..400));
             }
-            Some(victim) if millis >= back => {
-                net.start(victim);
-                (down, back) = (None, millis + 150);
+            Some(victim) if millis >= next_failure_at => {
+                cluster.start(victim);
+                (down, next_failure_at) = (None, millis + 150);
             }
             _ => {}
         }
-        if millis < 4000 && down.is_none() && millis >= back && net.rng.f64() < 0.002 {
-            let victim = net.rng.usize(0..machines);
-            let for_ms = net.rng.i64(20..600);
-            net.machines[victim].refuses_until = Some(net.now + TimeDelta::from_millis(for_ms));
-            // Danger for the test, not the code: a lost disk beside it is beyond what is borne.
-            back = millis + for_ms as u32 + 100;
+        if millis < 4000 && down.is_none() && millis >= next_failure_at && cluster.rng.f64() < 0.002 {
+            let victim = cluster.rng.usize(0..machines);
+            let for_ms = cluster.rng.i64(20..600);
+            cluster.machines[victim].writes_fail_until = Some(cluster.now + TimeDelta::from_millis(for_ms));
+            // A lost disk at the same time would exceed the tolerated failures.
+            next_failure_at = millis + for_ms as u32 + 100;
         }
-        // Danger for the test, not the code: a second loss before a wiped voter votes again is beyond what is borne.
-        if down.is_none() && !net.all_vote() {
-            back = millis + 50;
+        // A second failure before a voter without its disk is readmitted would exceed the tolerated
+        // failures.
+        if down.is_none() && !cluster.all_vote() {
+            next_failure_at = millis + 50;
         }
     }
-    net.loss = 0.0;
-    (0..3000).for_each(|_| net.step());
-    let ledgers: Vec<&ReplicatedLog> =
-        net.machines.iter().filter_map(|machine| machine.ledger.as_ref()).collect();
-    assert_eq!(ledgers.len(), machines);
-    let most = ledgers.iter().map(|ledger| ledger.chosen()).max().unwrap_or_default();
-    assert!(most > 5, "seed {seed}: only {most} entries");
-    for ledger in &ledgers {
-        assert_eq!(ledger.chosen(), most, "seed {seed}: one did not learn all");
-        let (mine, its) = (ledger.applied().snapshot(), ledgers[0].applied().snapshot());
-        assert_eq!(mine, its, "seed {seed}: two came to something else");
-        for (revision, sum) in &acknowledged {
+    cluster.loss = 0.0;
+    (0..3000).for_each(|_| cluster.step());
+    let logs: Vec<&ReplicatedLog> =
+        cluster.machines.iter().filter_map(|machine| machine.log.as_ref()).collect();
+    assert_eq!(logs.len(), machines);
+    let highest = logs.iter().map(|log| log.chosen()).max().unwrap_or_default();
+    assert!(highest > 5, "seed {seed}: only {highest} entries");
+    for log in &logs {
+        assert_eq!(log.chosen(), highest, "seed {seed}: a machine is missing entries");
+        let (mine, its) = (log.applied().snapshot(), logs[0].applied().snapshot());
+        assert_eq!(mine, its, "seed {seed}: machines have different states");
+        for (revision, digest) in &acknowledged {
             assert_eq!(
-                ledger.applied().applied_change(*revision),
-                Some(*sum),
-                "seed {seed}: {revision} was acknowledged and is gone"
+                log.applied().applied_change(*revision),
+                Some(*digest),
+                "seed {seed}: acknowledged revision {revision} is lost"
             );
         }
     }
-    assert!(!acknowledged.is_empty(), "seed {seed}: nothing was entered");
-    assert!(net.all_vote(), "seed {seed}: a voter was not let in again");
+    assert!(!acknowledged.is_empty(), "seed {seed}: no change was acknowledged");
+    assert!(cluster.all_vote(), "seed {seed}: a voter was not readmitted");
 }
 
 #[test]
-fn three_voters_and_a_learner_under_drawn_losses() {
+fn three_voters_and_a_learner_agree_despite_random_failures() {
     (0..60).for_each(|seed| history(seed, 4, 3, 0.05, false));
 }
 
 #[test]
-fn five_voters_under_heavier_losses() {
+fn five_voters_agree_despite_frequent_failures() {
     (100..120).for_each(|seed| history(seed, 5, 5, 0.15, false));
 }
 
 #[test]
-fn voters_that_change_again_and_again_under_drawn_losses() {
+fn agreement_holds_while_the_voter_set_changes() {
     (200..260).for_each(|seed| history(seed, 6, 3, 0.05, true));
 }
 
-/// Two lists that differ by more than one seat need not have a machine in common that has all entries.
+/// Majorities of voter sets that differ by more than one member need not intersect.
 #[test]
-fn voters_change_by_one_seat_and_only_on_top_of_those_that_were_seen() {
+fn voter_set_changes_by_one_member_and_only_from_the_expected_set() {
     let mut applied = AppliedState::default();
     applied.voters = vec![1, 2, 3];
-    let mut seats = |voters: &[u32], before: &[u32]| {
+    let mut change_voters = |voters: &[u32], before: &[u32]| {
         let voters = Voters { voters: voters.to_vec(), before: before.to_vec() };
         applied.apply(&Entry { payload: Some(EntryPayload::Voters(voters)) });
         applied.voters.clone()
     };
-    assert_eq!(seats(&[1, 2, 4], &[1, 2, 4]), [1, 2, 3], "another list was seen");
-    assert_eq!(seats(&[1, 2, 3, 4, 5], &[1, 2, 3]), [1, 2, 3], "two seats at once");
-    assert_eq!(seats(&[1, 2, 4], &[1, 2, 3]), [1, 2, 3], "one in another's place");
-    assert_eq!(seats(&[], &[1, 2, 3]), [1, 2, 3], "nobody");
-    assert_eq!(seats(&[1, 4, 2], &[1, 2, 3]), [1, 2, 3], "out of order");
-    assert_eq!(seats(&[1, 2, 3, 4], &[1, 2, 3]), [1, 2, 3, 4]);
-    assert_eq!(seats(&[1, 2, 4], &[1, 2, 3, 4]), [1, 2, 4]);
+    assert_eq!(change_voters(&[1, 2, 4], &[1, 2, 4]), [1, 2, 3], "the expected set is not the current one");
+    assert_eq!(change_voters(&[1, 2, 3, 4, 5], &[1, 2, 3]), [1, 2, 3], "two voters added");
+    assert_eq!(change_voters(&[1, 2, 4], &[1, 2, 3]), [1, 2, 3], "one voter replaced by another");
+    assert_eq!(change_voters(&[], &[1, 2, 3]), [1, 2, 3], "empty set");
+    assert_eq!(change_voters(&[1, 4, 2], &[1, 2, 3]), [1, 2, 3], "not sorted");
+    assert_eq!(change_voters(&[1, 2, 3, 4], &[1, 2, 3]), [1, 2, 3, 4]);
+    assert_eq!(change_voters(&[1, 2, 4], &[1, 2, 3, 4]), [1, 2, 4]);
 }
 
 #[test]
-fn a_disk_is_read_in_whatever_order_a_snapshot_was_written_beside_newer_records() {
-    // A snapshot is taken, newer records are written, then the snapshot: none of them may be forgotten.
-    let mut net = Net::new(7, 3, 3, 0.0);
-    let until = net.now + TimeDelta::from_millis(2000);
-    net.with(0, |ledger, now, out| _ = ledger.propose_entry(now, change(5, 0), until, out));
-    (0..300).for_each(|_| net.step());
-    let early = net.machines[0].ledger.as_ref().expect("it is up").snapshot(None);
-    net.with(0, |ledger, now, out| {
-        _ = ledger.propose_entry(now, change(9, 5), now + TimeDelta::from_millis(2000), out)
+fn recovery_accepts_a_snapshot_written_before_or_after_newer_records() {
+    // A snapshot taken before newer records and written after them must not hide those records.
+    let mut cluster = Cluster::new(7, 3, 3, 0.0);
+    let until = cluster.now + TimeDelta::from_millis(2000);
+    cluster.with(0, |log, now, out| _ = log.propose_entry(now, change(5, 0), until, out));
+    (0..300).for_each(|_| cluster.step());
+    let early = cluster.machines[0].log.as_ref().expect("machine is running").snapshot(None);
+    cluster.with(0, |log, now, out| {
+        _ = log.propose_entry(now, change(9, 5), now + TimeDelta::from_millis(2000), out)
     });
-    (0..300).for_each(|_| net.step());
-    let mut disk = net.machines[0].disk.clone();
+    (0..300).for_each(|_| cluster.step());
+    let mut disk = cluster.machines[0].disk.clone();
     disk.push(early.clone());
     let read = |disk: &[Vec<u8>]| {
-        let ledger = ReplicatedLog::open(1, 1, disk, None, &mut Vec::new()).expect("sound records");
-        (ledger.applied().configuration.revision, ledger.chosen(), ledger.votes())
+        let log = ReplicatedLog::open(1, 1, disk, None, &mut Vec::new()).expect("valid records");
+        (log.applied().configuration.revision, log.chosen(), log.votes())
     };
     assert_eq!(read(&disk), (9, 2, true));
-    // The older segment is thrown away once the snapshot stands for it.
+    // Older records are discarded once the snapshot replaces them.
     let newer: Vec<Vec<u8>> =
-        net.machines[0].disk.iter().rev().take(3).rev().cloned().chain([early]).collect();
+        cluster.machines[0].disk.iter().rev().take(3).rev().cloned().chain([early]).collect();
     assert_eq!(read(&newer).0, 9);
     assert!(
         ReplicatedLog::open(1, 1, &[vec![0xff; 9]], None, &mut Vec::new()).is_err(),
-        "what cannot be read is no empty disk"
+        "an undecodable record is an error"
     );
 }
 
 #[test]
-fn a_duty_changes_hands_only_from_the_holder_that_was_seen() {
+fn duty_changes_only_from_the_expected_holder() {
     let mut applied = AppliedState::default();
     let duty = |holder, fence| {
         let duty = Duty { duty: "promote".into(), holder, incarnation: 1, node: "n".into(), fence };
@@ -430,151 +427,147 @@
     applied.apply(&duty(1, 0));
     assert_eq!((applied.duties["promote"].holder, applied.duty_fence("promote")), (1, 1));
     applied.apply(&duty(2, 0));
-    assert_eq!(applied.duties["promote"].holder, 1, "it did not know of the holder");
+    assert_eq!(applied.duties["promote"].holder, 1, "the expected holder is outdated");
     applied.apply(&duty(3, 1));
     assert_eq!((applied.duties["promote"].holder, applied.duty_fence("promote")), (3, 3));
 }
 
-/// A machine with an empty disk that nobody has told who votes: it waits, and does not ask to be woken at once again and
-
-/// again. It once did, as long as something was proposed of it.
+/// Guards against a busy loop on a machine with an empty disk that does not know the voters.
 #[test]
-fn whoever_knows_no_voters_rests_till_its_wish_is_over() {
+fn without_voters_the_next_wakeup_is_the_proposal_deadline() {
     let (mut out, now) = (Vec::new(), Timestamp::from_micros(5_000_000));
-    let mut ledger = ReplicatedLog::open(9, 1, &[], None, &mut out).expect("an empty disk");
+    let mut log = ReplicatedLog::open(9, 1, &[], None, &mut out).expect("empty disk");
     let until = now + TimeDelta::from_millis(1000);
-    ledger.propose_entry(now, change(5, 0), until, &mut out);
-    ledger.on_timer(now, &mut out);
-    assert_eq!(ledger.due(), Some(until));
+    log.propose_entry(now, change(5, 0), until, &mut out);
+    log.on_timer(now, &mut out);
+    assert_eq!(log.due(), Some(until));
 }
 
-/// Who votes changes between a question and its answers: this machine gives its seat up, and its own word and one
-
-/// other's are no majority of those who vote now.
+/// The voter set changes between a request and its responses: a removed voter and one other are no
+/// majority of the new set.
 #[test]
-fn a_read_counts_only_who_votes_by_then() {
+fn a_read_counts_only_current_voters() {
     let (mut out, now) = (Vec::new(), Timestamp::from_micros(0));
-    let mut ledger = ReplicatedLog::open(4, 1, &[], Some(&[1, 2, 3, 4]), &mut out).expect("an empty disk");
-    let ticket = ledger.propose_read(now, now + TimeDelta::from_millis(1000), &mut out);
-    let probed =
+    let mut log = ReplicatedLog::open(4, 1, &[], Some(&[1, 2, 3, 4]), &mut out).expect("empty disk");
+    let ticket = log.propose_read(now, now + TimeDelta::from_millis(1000), &mut out);
+    let response =
         Probed { ticket: ticket.0, chosen: 0, accepted: 0, votes: true, promised: Ballot::default() };
-    ledger.on_message(now, 1, &Payload::Probed(probed), &mut out);
-    let seats = Voters { voters: vec![1, 2, 3], before: vec![1, 2, 3, 4] };
-    let entry = Entry { payload: Some(EntryPayload::Voters(seats)) };
-    ledger.on_message(now, 1, &Payload::Chosen(Chosen { slot: 1, entry }), &mut out);
+    log.on_message(now, 1, &Payload::Probed(response), &mut out);
+    let change_voters = Voters { voters: vec![1, 2, 3], before: vec![1, 2, 3, 4] };
+    let entry = Entry { payload: Some(EntryPayload::Voters(change_voters)) };
+    log.on_message(now, 1, &Payload::Chosen(Chosen { slot: 1, entry }), &mut out);
     let answered = |out: &[Output]| out.iter().any(|one| matches!(one, Output::Resolved { .. }));
-    assert!(ledger.voters() == [1, 2, 3] && !answered(&out), "one of three has spoken");
-    ledger.on_message(now, 2, &Payload::Probed(probed), &mut out);
+    assert!(log.voters() == [1, 2, 3] && !answered(&out), "only one of three voters has responded");
+    log.on_message(now, 2, &Payload::Probed(response), &mut out);
     assert!(answered(&out));
 }
 
-/// A record that the disk refused: nothing is said for it, at whatever time, and what this machine promised stands in
-
-/// the snapshot that follows.
+/// Guards against sending a message for a refused record, and against losing the promise, which the
+/// next snapshot contains.
 #[test]
-fn nothing_is_said_for_a_record_that_was_refused() {
+fn no_message_is_sent_for_a_refused_record() {
     let (mut out, now) = (Vec::new(), Timestamp::from_micros(0));
-    let mut ledger = ReplicatedLog::open(1, 1, &[], Some(&[1, 2, 3]), &mut out).expect("an empty disk");
+    let mut log = ReplicatedLog::open(1, 1, &[], Some(&[1, 2, 3]), &mut out).expect("empty disk");
     out.clear();
     let ballot = Ballot { round: 7, by: 2, incarnation: 1 };
-    ledger.on_message(now, 2, &Payload::Prepare(Prepare { slot: 1, ballot }), &mut out);
-    let Some(Output::Store { ticket, .. }) = out.pop() else { panic!("it stores its promise first") };
-    ledger.record_stored(now, ticket, false, &mut out);
-    ledger.disk_recovered();
-    ledger.record_stored(now, ticket, true, &mut out);
-    assert_eq!(out, [], "the promise was refused");
-    let disk = [ledger.snapshot(None)];
-    let mut again = ReplicatedLog::open(1, 2, &disk, None, &mut out).expect("what it wrote");
+    log.on_message(now, 2, &Payload::Prepare(Prepare { slot: 1, ballot }), &mut out);
+    let Some(Output::Store { ticket, .. }) = out.pop() else { panic!("the promise is stored first") };
+    log.record_stored(now, ticket, false, &mut out);
+    log.disk_recovered();
+    log.record_stored(now, ticket, true, &mut out);
+    assert_eq!(out, [], "the record was refused");
+    let disk = [log.snapshot(None)];
+    let mut again = ReplicatedLog::open(1, 2, &disk, None, &mut out).expect("records written by this log");
     let older = Prepare { slot: 1, ballot: Ballot { round: 6, by: 3, incarnation: 1 } };
     again.on_message(now, 3, &Payload::Prepare(older), &mut out);
     let promised = out.iter().find_map(|one| match one {
         Output::Send { payload: Payload::Promise(promise), .. } => Some(promise.promised),
         _ => None,
     });
-    assert_eq!(promised, Some(ballot), "what it promised in memory binds it after the start as well");
+    assert_eq!(promised, Some(ballot), "a promise in memory still holds after the restart");
 }
 
-/// A vote for a slot whose predecessor is not on the disk: records are missing, so its word counts for nothing.
+/// A vote for a slot whose predecessor is not on disk proves that records are missing.
 #[test]
-fn a_disk_with_a_gap_does_not_vote() {
-    let mut net = Net::new(11, 3, 3, 0.0);
+fn a_voter_with_missing_records_does_not_vote() {
+    let mut cluster = Cluster::new(11, 3, 3, 0.0);
     for revision in [5, 9] {
-        let (base, until) = (if revision == 5 { 0 } else { 5 }, net.now + TimeDelta::from_millis(2000));
-        net.with(0, |ledger, now, out| _ = ledger.propose_entry(now, change(revision, base), until, out));
-        (0..300).for_each(|_| net.step());
+        let (base, until) = (if revision == 5 { 0 } else { 5 }, cluster.now + TimeDelta::from_millis(2000));
+        cluster.with(0, |log, now, out| _ = log.propose_entry(now, change(revision, base), until, out));
+        (0..300).for_each(|_| cluster.step());
     }
-    let disk = net.machines[1].disk.clone();
+    let disk = cluster.machines[1].disk.clone();
     let votes = |disk: &[Vec<u8>]| {
-        ReplicatedLog::open(2, 1, disk, None, &mut Vec::new()).expect("sound records").votes()
+        ReplicatedLog::open(2, 1, disk, None, &mut Vec::new()).expect("valid records").votes()
     };
     assert!(votes(&disk));
     let is_first = |record: &Vec<u8>| {
-        let kept = Record::decode(record.as_slice()).expect("a record").kind;
-        matches!(kept, Some(RecordKind::Chosen(Chosen { slot: 1, .. })))
+        let stored = Record::decode(record.as_slice()).expect("valid record").kind;
+        matches!(stored, Some(RecordKind::Chosen(Chosen { slot: 1, .. })))
     };
     let gap: Vec<Vec<u8>> = disk.into_iter().filter(|record| !is_first(record)).collect();
     assert!(!votes(&gap));
 }
 
-/// A voter that was let in again says so only once that is on its disk.
+/// A readmitted voter reports its vote only once it is on disk.
 #[test]
-fn a_new_vote_is_announced_once_it_is_durable() {
-    let mut net = Net::new(13, 3, 3, 0.0);
-    (0..50).for_each(|_| net.step());
-    net.kill(2, true);
-    net.start(2);
-    let mut seen_before = false;
+fn a_regained_vote_is_reported_once_it_is_durable() {
+    let mut cluster = Cluster::new(13, 3, 3, 0.0);
+    (0..50).for_each(|_| cluster.step());
+    cluster.kill(2, true);
+    cluster.start(2);
+    let mut seen_before_durable = false;
     for _ in 0..2000 {
-        net.step();
-        let ledger = net.machines[2].ledger.as_ref().expect("it is up");
-        let on_disk =
-            ReplicatedLog::open(3, 1, &net.machines[2].disk, None, &mut Vec::new()).expect("its own records");
-        assert!(!ledger.is_vote_durable() || on_disk.votes(), "its disk does not hold its vote");
-        seen_before |= ledger.votes() && !ledger.is_vote_durable();
+        cluster.step();
+        let log = cluster.machines[2].log.as_ref().expect("machine is running");
+        let on_disk = ReplicatedLog::open(3, 1, &cluster.machines[2].disk, None, &mut Vec::new())
+            .expect("records written by this log");
+        assert!(!log.is_vote_durable() || on_disk.votes(), "the vote is not on disk");
+        seen_before_durable |= log.votes() && !log.is_vote_durable();
     }
-    let ledger = net.machines[2].ledger.as_ref().expect("it is up");
-    assert!(seen_before && ledger.is_vote_durable());
+    let log = cluster.machines[2].log.as_ref().expect("machine is running");
+    assert!(seen_before_durable && log.is_vote_durable());
 }
 
-/// A snapshot that was under way for long is older than what is known by now: taking it would undo entries, and free the
-
-/// slots behind them for others.
+/// Applying a delayed snapshot would undo entries and free their slots.
 #[test]
-fn an_older_snapshot_is_passed_over() {
-    let mut net = Net::new(17, 3, 3, 0.0);
-    let mut enter = |revision, base| {
-        let until = net.now + TimeDelta::from_millis(2000);
-        net.with(0, |ledger, now, out| _ = ledger.propose_entry(now, change(revision, base), until, out));
-        (0..300).for_each(|_| net.step());
-        net.machines[0].ledger.as_ref().expect("it is up").applied().snapshot()
+fn an_older_snapshot_is_ignored() {
+    let mut cluster = Cluster::new(17, 3, 3, 0.0);
+    let mut propose = |revision, base| {
+        let until = cluster.now + TimeDelta::from_millis(2000);
+        cluster.with(0, |log, now, out| _ = log.propose_entry(now, change(revision, base), until, out));
+        (0..300).for_each(|_| cluster.step());
+        cluster.machines[0].log.as_ref().expect("machine is running").applied().snapshot()
     };
-    let (older, newer) = (enter(5, 0), enter(9, 5));
-    let word = Payload::LogEntries(Entries { snapshot: Some(older), entries: Vec::new() });
-    net.with(0, |ledger, now, out| ledger.on_message(now, 2, &word, out));
-    let ledger = net.machines[0].ledger.as_ref().expect("it is up");
-    assert_eq!(ledger.applied().snapshot(), newer);
+    let (older, newer) = (propose(5, 0), propose(9, 5));
+    let message = Payload::LogEntries(Entries { snapshot: Some(older), entries: Vec::new() });
+    cluster.with(0, |log, now, out| log.on_message(now, 2, &message, out));
+    let log = cluster.machines[0].log.as_ref().expect("machine is running");
+    assert_eq!(log.applied().snapshot(), newer);
 }
 
-/// Two deployments whose seeds or addresses were mixed up: neither takes what the other one agreed on.
+/// Two deployments with mixed-up seeds or addresses must not take over each other's entries.
 #[test]
-fn a_snapshot_of_another_deployment_is_passed_over() {
-    let grown = |seed: u64| {
-        let mut net = Net::new(seed, 3, 3, 0.0);
+fn a_snapshot_of_another_deployment_is_refused() {
+    let with_entries = |seed: u64| {
+        let mut cluster = Cluster::new(seed, 3, 3, 0.0);
         let duty = Duty { duty: "promote".into(), holder: 1, incarnation: seed, node: "n".into(), fence: 0 };
         let duty = Entry { payload: Some(EntryPayload::Duty(duty)) };
         let changes = [change(5, 0), change(9, 5)].into_iter().take(seed as usize % 2 + 1);
         for entry in std::iter::once(duty).chain(changes) {
-            let until = net.now + TimeDelta::from_millis(2000);
-            net.with(0, |ledger, now, out| _ = ledger.propose_entry(now, entry, until, out));
-            (0..300).for_each(|_| net.step());
+            let until = cluster.now + TimeDelta::from_millis(2000);
+            cluster.with(0, |log, now, out| _ = log.propose_entry(now, entry, until, out));
+            (0..300).for_each(|_| cluster.step());
         }
-        net
+        cluster
+    };
+    let (mut cluster, other) = (with_entries(30), with_entries(31));
+    let snapshot = |cluster: &Cluster| {
+        cluster.machines[0].log.as_ref().expect("machine is running").applied().snapshot()
     };
-    let (mut net, other) = (grown(30), grown(31));
-    let snapshot = |net: &Net| net.machines[0].ledger.as_ref().expect("it is up").applied().snapshot();
-    let (before, foreign) = (snapshot(&net), snapshot(&other));
-    assert!(foreign.slot > before.slot, "it would be taken for newer");
+    let (before, foreign) = (snapshot(&cluster), snapshot(&other));
+    assert!(foreign.slot > before.slot, "its slot is higher");
     let foreign = Payload::LogEntries(Entries { snapshot: Some(foreign), entries: Vec::new() });
-    net.with(0, |ledger, now, out| ledger.on_message(now, 2, &foreign, out));
-    assert_eq!(snapshot(&net), before);
+    cluster.with(0, |log, now, out| log.on_message(now, 2, &foreign, out));
+    assert_eq!(snapshot(&cluster), before);
 }
--- a/crates/arrowyard-emulator/src/models/ledger.rs
+++ b/crates/arrowyard-emulator/src/models/ledger.rs
@@ -1,7 +1,5 @@
 //! The shipped ledger, not a copy of it, under a model checker: three voters, two that enter; words that come in any
-
 //! order, late, or never; time-outs at any moment; disks that are slow, crashes that lose what was not on disk, one disk
-
 //! lost. Explored to the end within the bounds of each scene. Variants that are wrong on purpose have to be caught.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -162,7 +160,6 @@
     }
 
     /// Words that change nothing any more are taken for lost: answers to a round that is over, and whatever belongs to
-
     /// a slot that is known.
     fn forget_stale_words(&mut self) {
         let machines = &self.machines;
--- a/crates/arrowyard-emulator/src/models/promotion.rs
+++ b/crates/arrowyard-emulator/src/models/promotion.rs
@@ -1,9 +1,6 @@
 //! The shipped change of primary, not a copy of it, under a model checker, before hosts that replicate: commits at any
-
 //! moment, replicas that fall behind or receive nothing, hosts that crash and come back, suspicions without a reason,
-
 //! questions whose answers are lost, a platform that acts late or twice. Whoever leads must have every commit that was
-
 //! acknowledged. Variants that are wrong on purpose have to be caught.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -352,7 +349,6 @@
                 }
             } else {
                 // Not borne, and said in the design note: a replica that is counted out, or has stopped, comes back within
-
                 // the change, and receives from a primary that answers control no more and is alive.
                 let changing = !matches!(world.promotion.stage, Stage::Idle | Stage::Checking { .. });
                 if left.starts > 0 && !changing {
