--- a/crates/arrowyard-peers/src/health.rs
+++ b/crates/arrowyard-peers/src/health.rs
@@ -1,57 +1,68 @@
-//! How well this router itself is, as far as it can tell (after Lifeguard's local health): one that is starved of its
-//! core, or cut off, finds others silent, and has to doubt itself first.
+//! Local health, after Lifeguard. A router that lacks CPU time or is cut off sees others as silent, so that
+//! it has to suspect itself first.
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
-/// The worst score; times are stretched by one more than the score.
-const WORST: u32 = 6;
+/// Highest score. Each point adds half of the base value to a timeout.
+const MAX_SCORE: u32 = 6;
 
+/// Health score of this router, and whether its suspicions are suspended.
 #[derive(Clone, Debug, Default)]
-pub struct Health {
+pub struct LocalHealth {
     score: u32,
-    /// Till then this router declares nobody silent.
-    doubts_till: Timestamp,
+    /// Until then this router reports no member as silent.
+    suspect_until: Timestamp,
 }
 
-impl Health {
-    pub fn good(&mut self) {
+impl LocalHealth {
+    /// Records an ack.
+    pub fn record_success(&mut self) {
         self.score = self.score.saturating_sub(1);
     }
 
-    /// A question went unanswered and no helper said a word either: the fault may be here.
-    pub fn bad(&mut self) {
-        self.score = (self.score + 1).min(WORST);
+    /// Records a probe that got neither an ack nor a nack from any helper: the fault may be local.
+    pub fn record_failure(&mut self) {
+        self.score = (self.score + 1).min(MAX_SCORE);
     }
 
-    /// The thread came round late. Danger: all that waited for it looks as if others had been silent.
-    pub fn late(&mut self, now: Timestamp, by: TimeDelta, away: TimeDelta, period: TimeDelta) -> bool {
-        if by >= away {
-            self.score = WORST / 2;
-            self.doubts_till = now + period * 2.0;
+    /// Records that the thread ran late by `by`, and returns whether it stalled. Acks that waited in the
+    /// socket meanwhile look like silence of the others.
+    pub fn record_delay(
+        &mut self,
+        now: Timestamp,
+        delay: TimeDelta,
+        stall_threshold: TimeDelta,
+        period: TimeDelta,
+    ) -> bool {
+        if delay >= stall_threshold {
+            self.score = MAX_SCORE / 2;
+            self.suspect_until = now + period * 2.0;
             return true;
         }
-        if by >= away * 0.3 {
-            self.bad();
+        if delay >= stall_threshold * 0.3 {
+            self.record_failure();
         }
         false
     }
 
-    /// Nobody is heard at all.
-    pub fn cut_off(&mut self, now: Timestamp, period: TimeDelta) {
-        self.doubts_till = self.doubts_till.max(now + period);
+    /// Suspends suspicion because no member is heard.
+    pub fn suspend_suspicion(&mut self, now: Timestamp, period: TimeDelta) {
+        self.suspect_until = self.suspect_until.max(now + period);
     }
 
-    /// An answer came that proves that this router is in touch.
+    /// Whether this router reports no member as silent for now.
     #[must_use]
-    pub fn doubts(&self, now: Timestamp) -> bool {
-        now < self.doubts_till
+    pub fn is_suspect(&self, now: Timestamp) -> bool {
+        now < self.suspect_until
     }
 
+    /// Lengthens a timeout according to the score.
     #[must_use]
-    pub fn stretch(&self, span: TimeDelta) -> TimeDelta {
-        span * (1.0 + f64::from(self.score) * 0.5)
+    pub fn scale_timeout(&self, timeout: TimeDelta) -> TimeDelta {
+        timeout * (1.0 + f64::from(self.score) * 0.5)
     }
 
+    /// The score; zero is healthy.
     #[must_use]
     pub fn score(&self) -> u32 {
         self.score
