--- a/crates/arrowyard-system/tests/helpers/mod.rs
+++ b/crates/arrowyard-system/tests/helpers/mod.rs
@@ -358,7 +358,7 @@
 pub fn start_controls(fleet: &Fleet) -> Vec<Process> {
     let controls: Vec<Process> = (0..3).map(|number| fleet.control(number, true)).collect();
     for control in &controls {
-        control.wait_for_log("In touch with the voters");
+        control.wait_for_log("reached a majority of the voters");
     }
     let (status, body) = fleet.change(1, "/Config.Replace", 0, FIRST);
     assert_eq!(status, 200, "{body}");
--- a/crates/arrowyard-system/tests/processes.rs
+++ b/crates/arrowyard-system/tests/processes.rs
@@ -41,9 +41,9 @@
         r#"{"revision":7,"upsert":{"channels":[{"name":"q","plant":"q0","service":"s0","kind":"primary"}]}}"#;
     assert_eq!(fleet.change(1, "/Config.Adjust", 5, adjust).0, 200);
     controls[0] = fleet.control(0, false);
-    let line = controls[0].wait_for_log("ledger:");
+    let line = controls[0].wait_for_log("replicated log:");
     assert!(line.contains("3 voters, votes"), "{line}");
-    controls[0].wait_for_log("In touch with the voters");
+    controls[0].wait_for_log("reached a majority of the voters");
     let (status, body) = fleet.read(0);
     assert!(status == 200 && body.contains("\"revision\":7") && body.contains("q0"), "{status} {body}");
     // All processes are killed at once.
@@ -53,7 +53,7 @@
     }
     let controls: Vec<Process> = (0..3).map(|number| fleet.control(number, false)).collect();
     for control in &controls {
-        control.wait_for_log("In touch with the voters");
+        control.wait_for_log("reached a majority of the voters");
     }
     for number in 0..3 {
         assert!(fleet.read(number).1.contains("\"revision\":7"));
@@ -69,7 +69,7 @@
     fs::remove_dir_all(fleet.folder.join("core-2")).expect("removes the data directory");
     controls[2] = fleet.control(2, false);
     controls[2].wait_for_log("0 entries, 0 voters, does not vote");
-    controls[2].wait_for_log("Votes again");
+    controls[2].wait_for_log("votes again after readmission");
     // Its vote is now needed for a majority.
     controls[1].child.kill().expect("kills the process");
     controls[1].child.wait().expect("process ended");
