--- a/crates/arrowyard-control/src/control/shares.rs
+++ b/crates/arrowyard-control/src/control/shares.rs
@@ -1,7 +1,7 @@
 //! The division of pressed hosts between services: whoever holds the duty divides, the others carry words to and from the
 //! routers that they feed.
 
-use arrowyard_fair_shares::{Allotter, At, Need, Router as RouterId, Shown, Terms};
+use arrowyard_fair_shares::{Allocator, HostInfo, RouterId, ServiceDemand, ServiceStatus, ShareConfig};
 use arrowyard_messages::{Allot, Allots, HostNeeds, Needs, Pressed, ServiceCap, Word};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{Point, Span};
@@ -17,20 +17,20 @@
 /// What a control machine knows of shares.
 #[derive(Default)]
 pub struct Shares {
-    terms: Terms,
+    terms: ShareConfig,
     /// The slot of the configuration that the terms are of.
     slot: u64,
     /// While it holds the duty.
-    allotter: Option<Allotter>,
+    allotter: Option<Allocator>,
     /// By way of which control machine each router is reached; none where it is fed here.
     ways: FxHashMap<u64, Option<u32>>,
 }
 
 impl Shares {
-    pub fn shown(&self) -> Vec<(Shown, &str)> {
-        let rows = self.allotter.iter().flat_map(Allotter::shown);
+    pub fn shown(&self) -> Vec<(ServiceStatus, &str)> {
+        let rows = self.allotter.iter().flat_map(Allocator::status);
         rows.map(|row| {
-            let name = self.terms.name(row.service);
+            let name = self.terms.service_name(row.service);
             (row, name)
         })
         .collect()
@@ -41,7 +41,7 @@
     /// The duty was taken up, or laid down.
     pub(super) fn divide_from(&mut self, now: Point, after_another: bool) {
         let waits = if after_another { BEFORE } else { Span::ZERO };
-        self.shares.allotter = self.fence.map(|fence| Allotter::begin(now, fence, waits));
+        self.shares.allotter = self.fence.map(|fence| Allocator::start(now, fence, waits));
     }
 
     /// A router's needs, from itself or from the control machine that feeds it.
@@ -65,15 +65,15 @@
         }
         ways.insert(needs.router, from);
         for HostNeeds { host, slots, fence, answers, needs: list, group } in needs.hosts {
-            let need = |need: arrowyard_messages::Need| Need {
-                service: terms.id(&need.service),
-                runs: need.runs,
-                waits: need.waits,
+            let need = |need: arrowyard_messages::Need| ServiceDemand {
+                service: terms.service_id(&need.service),
+                in_flight: need.runs,
+                queued: need.waits,
             };
             let answers = if Some(fence) == self.fence { answers } else { 0 };
             let list = list.into_iter().take(MOST_SERVICES).map(need).collect();
-            let at = At { id: &host, group: &group, slots };
-            allotter.heard(now, &at, RouterId(needs.router), (needs.echo, answers), list);
+            let at = HostInfo { id: &host, group: &group, slots };
+            allotter.record_demand(now, &at, RouterId(needs.router), (needs.echo, answers), list);
         }
         self.divide(now, orders);
     }
@@ -82,7 +82,7 @@
         let applied = self.ledger.applied();
         if self.shares.slot != applied.slot {
             self.shares.slot = applied.slot;
-            self.shares.terms.configure(&applied.configuration);
+            self.shares.terms.apply_configuration(&applied.configuration);
         }
     }
 
@@ -91,18 +91,19 @@
         let (routers, fence) = (self.routers, self.fence.unwrap_or_default());
         let Shares { terms, allotter, ways, .. } = &mut self.shares;
         let Some(allotter) = allotter else { return };
-        let division = allotter.divide(now, terms, routers);
+        let division = allotter.allocate(now, terms, routers);
         let mut by_router: std::collections::BTreeMap<u64, Vec<Allot>> = std::collections::BTreeMap::new();
-        for (router, allot) in division.allots {
+        for (router, allot) in division.allocations {
             let caps = allot.caps.iter();
-            let cap = |(of, cap): &(_, u32)| ServiceCap { service: terms.name(*of).to_string(), cap: *cap };
+            let cap =
+                |(of, cap): &(_, u32)| ServiceCap { service: terms.service_name(*of).to_string(), cap: *cap };
             by_router.entry(router.0).or_default().push(Allot {
                 host: allot.host,
                 number: allot.number,
-                echo: allot.echo,
-                pressed: allot.pressed,
+                echo: allot.report,
+                pressed: allot.overloaded,
                 caps: caps.map(cap).collect(),
-                places: allot.places,
+                places: allot.permits,
                 routers: allot.routers,
             });
         }
@@ -116,8 +117,8 @@
                 None => self.allots(allots, orders),
             }
         }
-        if !division.ask.is_empty() {
-            let word = Word::Pressed(Pressed { hosts: division.ask });
+        if !division.poll.is_empty() {
+            let word = Word::Pressed(Pressed { hosts: division.poll });
             self.say_to_peers(&word, orders);
             self.pressed(&word, orders);
         }
--- a/crates/arrowyard-control/src/control/status.rs
+++ b/crates/arrowyard-control/src/control/status.rs
@@ -43,11 +43,11 @@
                 "{{\"host\":{},\"service\":{},\"owed\":\"{:.2}\",\"runs\":\"{:.2}\",\"waits\":\"{:.2}\",\"held\":{},\"pressed-ms\":{}}}",
                 text(&row.host),
                 text(name),
-                row.owed,
-                row.runs,
-                row.waits,
-                row.held,
-                (now - row.since).micros().max(0) / 1000 * i64::from(row.since != Point::default()),
+                row.fair_share,
+                row.in_flight,
+                row.queued,
+                row.limited,
+                (now - row.overloaded_since).micros().max(0) / 1000 * i64::from(row.overloaded_since != Point::default()),
             )
         });
         format!(
--- a/crates/arrowyard-emulator/src/system.rs
+++ b/crates/arrowyard-emulator/src/system.rs
@@ -6,7 +6,7 @@
 
 use arrowyard_config::Settings;
 use arrowyard_control::Control;
-use arrowyard_pooler::Sluice;
+use arrowyard_pooler::RouterPlane;
 use arrowyard_runtime::Plane;
 use arrowyard_types::{Point, Span};
 use serde::{Deserialize, Serialize};
@@ -370,7 +370,7 @@
     pub fn start_router(&mut self, number: usize) {
         let settings = settings(&self.plan, true, number, false, &self.callable.borrow());
         let life = self.life();
-        let plane = Sluice::new(settings, life, Box::new(|| None));
+        let plane = RouterPlane::new(settings, life, Box::new(|| None));
         self.world.start(self.routers[number], offset(self.world.now, Box::new(plane)));
         let front = SocketAddrV4::new(ip(1, number), FRONT);
         let mut fronts = self.fronts.borrow_mut();
--- /dev/null
+++ b/crates/arrowyard-fair-shares/src/allocator.rs
@@ -0,0 +1,402 @@
+//! Divides overloaded hosts between services and routers. It runs on the control machine that holds the duty.
+//!
+//! Routers report their demand for a host. While the summed demand exceeds the host's capacity, services that want more
+//! than their fair share are limited to it, each router to its part. Services that want less are not limited.
+//!
+//! Invariant: the caps that routers may be applying never sum up to more than the fair shares. A cap is raised only by
+//! what other routers have released, which is known by their acknowledgement or by the end of their lease.
+
+use std::collections::{BTreeMap, VecDeque};
+
+use arrowyard_types::{Point, Span};
+
+use crate::leases::ALLOCATION_LEASE;
+use crate::max_min::weighted_max_min;
+use crate::{MilliPermits, ServiceDemand, ServiceId, ShareConfig};
+
+/// One incarnation of a router process.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct RouterId(pub u64);
+
+/// A host becomes overloaded when the reported demand exceeds this part of its permits, and stops being so after the
+/// demand was below the lower part for `OVERLOAD_EXIT_DELAY`. The thresholds are below 1 because routers report unasked
+/// only from their even part of the permits on; while a host is overloaded all routers are polled at
+/// `DEMAND_POLL_INTERVAL`.
+const OVERLOAD_ENTER_RATIO: f64 = 0.6;
+const OVERLOAD_EXIT_RATIO: f64 = 0.4;
+const OVERLOAD_EXIT_DELAY: Span = Span::from_millis(300);
+const DEMAND_POLL_INTERVAL: Span = Span::from_millis(500);
+/// Factor by which leases are kept longer here than at the router, whose clock may run slower.
+const LEASE_CLOCK_MARGIN: f64 = 1.1;
+/// Minimum time between two allocations of a host.
+const MIN_ALLOCATION_INTERVAL: Span = Span::from_millis(10);
+/// A cap that changed by no more than this, in thousandths of a permit and as 1/n of itself, is not sent before the lease
+/// is due for renewal.
+const MIN_CAP_CHANGE: MilliPermits = 20;
+const MIN_CAP_CHANGE_DIVISOR: u32 = 16;
+const LEASE_RENEWAL_INTERVAL: Span = Span::from_millis(200);
+/// Hosts with state at a time, and unacknowledged allocations of one router at one host.
+const MAX_HOSTS: usize = 4096;
+const MAX_UNACKNOWLEDGED: usize = 64;
+
+/// The caps of one router at a host, by service; services that are not named are not limited.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Allocation {
+    pub host: String,
+    /// Fencing token of the duty holder, and the allocation's number under it; the newest pair wins.
+    pub fence: u64,
+    pub number: u64,
+    /// Number of the router's report that this answers; the lease runs from when that report was sent.
+    pub report: u64,
+    /// Whether the host is overloaded. If not, all limits are lifted.
+    pub overloaded: bool,
+    pub caps: Vec<(ServiceId, MilliPermits)>,
+    /// The host's permits and the number of routers that share them: the router's fallback once its lease has expired.
+    pub permits: MilliPermits,
+    pub routers: u32,
+}
+
+/// A host as described in a router's report.
+#[derive(Clone, Copy, Debug)]
+pub struct HostInfo<'a> {
+    pub id: &'a str,
+    /// The group of hosts that hold the same databases.
+    pub group: &'a str,
+    /// Statements that the host runs at a time.
+    pub slots: u32,
+}
+
+/// State of one router at one host.
+#[derive(Clone, Debug, Default)]
+struct RouterState {
+    demands: Vec<ServiceDemand>,
+    /// Number of the router's last report, and when it arrived.
+    report: u64,
+    reported_at: Point,
+    /// The last acknowledged allocation and all that were sent since; the router may be applying any of them.
+    sent: VecDeque<(u64, Vec<(ServiceId, MilliPermits)>)>,
+    acknowledged: bool,
+    sent_at: Point,
+}
+
+impl RouterState {
+    fn demand(&self, service: ServiceId) -> ServiceDemand {
+        self.demands.iter().copied().find(|demand| demand.service == service).unwrap_or_default()
+    }
+
+    /// The most that the router may be using: the highest cap it may be applying, or its reported in-flight statements.
+    fn max_in_use(&self, service: ServiceId) -> MilliPermits {
+        self.max_sent_cap(service).unwrap_or(0).max(self.demand(service).in_flight)
+    }
+
+    /// The highest cap that the router may be applying; `None` if this service was never limited there.
+    fn max_sent_cap(&self, service: ServiceId) -> Option<MilliPermits> {
+        let sent = self.sent.iter().flat_map(|(_, caps)| caps).filter(|(of, _)| *of == service);
+        sent.map(|(_, cap)| *cap).max()
+    }
+
+    fn last_sent_cap(&self, service: ServiceId) -> Option<MilliPermits> {
+        let caps = self.sent.back().map(|(_, caps)| caps)?;
+        caps.iter().find(|(of, _)| *of == service).map(|(_, cap)| *cap)
+    }
+}
+
+/// State of one host.
+#[derive(Clone, Debug, Default)]
+struct HostState {
+    /// The group of hosts that hold the same databases and serve the same reads.
+    group: String,
+    permits: MilliPermits,
+    routers: BTreeMap<RouterId, RouterState>,
+    overloaded_since: Option<Point>,
+    below_exit_since: Option<Point>,
+    allocated_at: Point,
+    polled_at: Point,
+    /// By service: its fair share and its demand, in permits.
+    fair_shares: Vec<(ServiceId, f64, f64)>,
+}
+
+/// One service at one host for status output, in permits.
+#[derive(Clone, Debug, PartialEq)]
+pub struct ServiceStatus {
+    pub host: String,
+    pub service: ServiceId,
+    pub fair_share: f64,
+    pub in_flight: f64,
+    pub queued: f64,
+    /// Whether the service is limited to its fair share.
+    pub limited: bool,
+    /// Since when the host is overloaded; the default if it is not.
+    pub overloaded_since: Point,
+}
+
+/// The messages to send after an allocation round.
+#[derive(Clone, Debug, Default)]
+pub struct AllocationRound {
+    pub allocations: Vec<(RouterId, Allocation)>,
+    /// Hosts for which every router is to report its demand.
+    pub poll: Vec<String>,
+}
+
+/// Divides overloaded hosts by the demand that routers report.
+#[derive(Clone, Debug, Default)]
+pub struct Allocator {
+    fence: u64,
+    /// No allocation is made before this time, since leases of the previous holder may still be valid.
+    not_before: Point,
+    last_number: u64,
+    hosts: BTreeMap<String, HostState>,
+}
+
+/// A host's permits over all routers: twice the number of statements that it runs at a time, so that no slot is idle
+/// while answers travel and no statement waits at the host for much longer than one statement takes.
+#[must_use]
+pub fn permits_for_slots(slots: u32) -> MilliPermits {
+    slots.clamp(1, 100_000) * 2000
+}
+
+impl Allocator {
+    /// Starts under the fencing token of a newly acquired duty. `handover_wait` is how long the previous holder may have
+    /// continued after it lost the duty; zero if there was none.
+    #[must_use]
+    pub fn start(now: Point, fence: u64, handover_wait: Span) -> Self {
+        let not_before = if handover_wait == Span::ZERO {
+            now
+        } else {
+            now + handover_wait + ALLOCATION_LEASE * LEASE_CLOCK_MARGIN
+        };
+        Allocator { fence, not_before, ..Allocator::default() }
+    }
+
+    /// Records a router's full demand for a host: the report's number, and the number of the last allocation that the
+    /// router applied under this fence (0 for none). [`Allocator::allocate`] sends the resulting changes.
+    pub fn record_demand(
+        &mut self,
+        now: Point,
+        host: &HostInfo<'_>,
+        router: RouterId,
+        (report, applied): (u64, u64),
+        demands: Vec<ServiceDemand>,
+    ) {
+        if !self.hosts.contains_key(host.id) && self.hosts.len() >= MAX_HOSTS {
+            return;
+        }
+        let state = self.hosts.entry(host.id.to_string()).or_default();
+        if state.group != host.group {
+            state.group = host.group.to_string();
+        }
+        state.permits = permits_for_slots(host.slots);
+        let router = state.routers.entry(router).or_default();
+        // Reports may arrive out of order; an older one must not undo the acknowledgement of a newer one.
+        if report <= router.report {
+            return;
+        }
+        (router.report, router.reported_at, router.demands) = (report, now, demands);
+        if router.sent.iter().any(|(number, _)| *number == applied) {
+            router.acknowledged = true;
+            router.sent.retain(|(number, _)| *number >= applied);
+        }
+    }
+
+    /// Divides the hosts that are due. Returns the allocations to send, and the overloaded hosts for which every router is
+    /// to be polled: routers with little demand each do not report unasked, but their sum counts. `routers` is the number
+    /// of routers.
+    pub fn allocate(&mut self, now: Point, config: &ShareConfig, routers: u32) -> AllocationRound {
+        let mut round = AllocationRound::default();
+        if now < self.not_before {
+            return round;
+        }
+        let (fence, last_number) = (self.fence, &mut self.last_number);
+        // Permits of each service by group: its fair share at each host, as far as it has demand there.
+        let mut elsewhere: BTreeMap<(String, ServiceId), f64> = BTreeMap::new();
+        for host in self.hosts.values() {
+            for (service, fair_share, demand) in &host.fair_shares {
+                *elsewhere.entry((host.group.clone(), *service)).or_default() += fair_share.min(*demand);
+            }
+        }
+        for (id, host) in &mut self.hosts {
+            if now - host.allocated_at < MIN_ALLOCATION_INTERVAL {
+                continue;
+            }
+            host.allocated_at = now;
+            host.routers.retain(|_, router| now - router.reported_at < ALLOCATION_LEASE * LEASE_CLOCK_MARGIN);
+            // Each host is divided by the current result of the hosts before it. Dividing all hosts of a group by the
+            // previous round's results oscillates between two wrong divisions.
+            let key = |host: &HostState, service: ServiceId| (host.group.clone(), service);
+            for (service, fair_share, demand) in &host.fair_shares {
+                *elsewhere.entry(key(host, *service)).or_default() -= fair_share.min(*demand);
+            }
+            host.update_fair_shares(now, config, &elsewhere);
+            for (service, fair_share, demand) in &host.fair_shares {
+                *elsewhere.entry(key(host, *service)).or_default() += fair_share.min(*demand);
+            }
+            let is_overloaded = host.overloaded_since.is_some();
+            if is_overloaded && now - host.polled_at >= DEMAND_POLL_INTERVAL {
+                host.polled_at = now;
+                round.poll.push(id.clone());
+            }
+            let routers = routers.max(host.routers.len() as u32);
+            for (router_id, caps) in host.caps_to_send(now) {
+                let Some(router) = host.routers.get_mut(&router_id) else { continue };
+                *last_number += 1;
+                let allocation = Allocation {
+                    host: id.clone(),
+                    fence,
+                    number: *last_number,
+                    report: router.report,
+                    overloaded: is_overloaded,
+                    caps: caps.clone(),
+                    permits: host.permits,
+                    routers,
+                };
+                if is_overloaded {
+                    router.sent.push_back((*last_number, caps));
+                    router.sent_at = now;
+                } else {
+                    router.sent.clear();
+                }
+                round.allocations.push((router_id, allocation));
+            }
+        }
+        self.hosts.retain(|_, host| !host.routers.is_empty());
+        round
+    }
+
+    /// The status of every service at every host with reported demand, limited ones first.
+    #[must_use]
+    pub fn status(&self) -> Vec<ServiceStatus> {
+        let mut rows = Vec::new();
+        for (id, host) in &self.hosts {
+            for (service, fair_share, demand) in &host.fair_shares {
+                let demands = || host.routers.values().map(|router| router.demand(*service));
+                let permits = |milli: MilliPermits| f64::from(milli) / 1000.0;
+                rows.push(ServiceStatus {
+                    host: id.clone(),
+                    service: *service,
+                    fair_share: *fair_share,
+                    in_flight: permits(demands().map(|demand| demand.in_flight).sum()),
+                    queued: permits(demands().map(|demand| demand.queued).sum()),
+                    limited: host.overloaded_since.is_some() && demand > fair_share,
+                    overloaded_since: host.overloaded_since.unwrap_or_default(),
+                });
+            }
+        }
+        rows.sort_by_key(|row| (!row.limited, row.host.clone()));
+        rows
+    }
+}
+
+impl HostState {
+    /// Updates the fair share of each service, and whether the host is overloaded.
+    fn update_fair_shares(
+        &mut self,
+        now: Point,
+        config: &ShareConfig,
+        elsewhere: &BTreeMap<(String, ServiceId), f64>,
+    ) {
+        let mut demands: BTreeMap<ServiceId, u64> = BTreeMap::new();
+        for demand in self.routers.values().flat_map(|router| &router.demands) {
+            *demands.entry(demand.service).or_default() +=
+                u64::from(demand.in_flight) + u64::from(demand.queued);
+        }
+        let demands: Vec<(ServiceId, f64)> =
+            demands.into_iter().map(|(of, demand)| (of, demand as f64 / 1000.0)).collect();
+        let permits = f64::from(self.permits) / 1000.0;
+        let total: f64 = demands.iter().map(|(_, demand)| demand).sum();
+        let reserved = config.reserved(permits, &demands);
+        let available = permits - reserved;
+        if total > available * OVERLOAD_ENTER_RATIO {
+            self.below_exit_since = None;
+            self.overloaded_since.get_or_insert(now);
+        } else if self.overloaded_since.is_some() && total < available * OVERLOAD_EXIT_RATIO {
+            let since = *self.below_exit_since.get_or_insert(now);
+            if now - since >= OVERLOAD_EXIT_DELAY {
+                (self.overloaded_since, self.below_exit_since) = (None, None);
+            }
+        } else {
+            self.below_exit_since = None;
+        }
+        let mut claims = config.claims(permits, &demands);
+        for ((service, _), claim) in demands.iter().zip(&mut claims) {
+            let held_elsewhere = elsewhere.get(&(self.group.clone(), *service)).copied().unwrap_or(0.0);
+            claim.held_elsewhere = held_elsewhere.max(0.0);
+        }
+        let shares = weighted_max_min(available, &claims);
+        self.fair_shares =
+            demands.iter().zip(shares).map(|((of, demand), share)| (*of, share, *demand)).collect();
+    }
+
+    /// The caps to send to each router; routers whose caps changed little and whose lease is fresh are left out.
+    fn caps_to_send(&self, now: Point) -> Vec<(RouterId, Vec<(ServiceId, MilliPermits)>)> {
+        let limited: Vec<(ServiceId, f64, f64)> = match self.overloaded_since {
+            Some(_) => self.fair_shares.iter().copied().filter(|(_, share, demand)| demand > share).collect(),
+            _ => Vec::new(),
+        };
+        // By service: the part of its fair share that no router may be using, in thousandths.
+        let mut free: BTreeMap<ServiceId, i64> = BTreeMap::new();
+        for (service, fair_share, _) in &limited {
+            let in_use: i64 =
+                self.routers.values().map(|router| i64::from(router.max_in_use(*service))).sum();
+            free.insert(*service, (*fair_share * 1000.0) as i64 - in_use);
+        }
+        // Permits that one service gives up go to another only once that is acknowledged, and a service that is no longer
+        // limited still counts with its old caps at routers that have not acknowledged the change.
+        let mut services: std::collections::BTreeSet<ServiceId> =
+            self.fair_shares.iter().map(|(of, ..)| *of).collect();
+        let sent = self.routers.values().flat_map(|router| &router.sent).flat_map(|(_, caps)| caps);
+        services.extend(sent.map(|(of, _)| *of));
+        let mut total_free = i64::from(self.permits);
+        for service in services {
+            let in_use: i64 = self.routers.values().map(|router| i64::from(router.max_in_use(service))).sum();
+            total_free -= in_use;
+        }
+        let mut out = Vec::new();
+        for (id, router) in &self.routers {
+            let mut caps = Vec::new();
+            for (service, fair_share, total_demand) in &limited {
+                let demand = router.demand(*service);
+                let router_demand = f64::from(demand.in_flight) + f64::from(demand.queued);
+                let target = (fair_share * router_demand / total_demand) as i64;
+                // A raise starts from the cap that was sent, not from the in-flight statements: those may date from before
+                // the service was limited, and permits that were never allocated would count as kept.
+                let sent = router.max_sent_cap(*service);
+                let is_new = sent.is_none();
+                let current = i64::from(sent.unwrap_or(demand.in_flight));
+                let free = free.get_mut(service).expect("every limited service has an entry");
+                let room = (*free).min(total_free);
+                let cap = if is_new {
+                    // An unlimited router uses what it has in flight; its first cap is bounded by what others leave.
+                    (current + room).clamp(0, target)
+                } else if target <= current {
+                    target
+                } else {
+                    current + (target - current).min(room.max(0))
+                };
+                let more = if is_new { cap - current } else { (cap - current).max(0) };
+                (*free, total_free) = (*free - more, total_free - more);
+                caps.push((*service, cap.max(0) as MilliPermits));
+            }
+            if self.overloaded_since.is_none() {
+                // Routers with caps are told that the limits are lifted.
+                out.extend((!router.sent.is_empty()).then(|| (*id, Vec::new())));
+                continue;
+            }
+            let unchanged = |(service, cap): &(ServiceId, MilliPermits)| {
+                router.last_sent_cap(*service).is_some_and(|last| {
+                    last.abs_diff(*cap) <= MIN_CAP_CHANGE.max(last / MIN_CAP_CHANGE_DIVISOR)
+                })
+            };
+            let last_len = router.sent.back().map_or(0, |(_, caps)| caps.len());
+            let changed = !caps.iter().all(unchanged) || last_len != caps.len();
+            let first = router.sent.is_empty();
+            let full = router.sent.len() >= MAX_UNACKNOWLEDGED;
+            let renew = now - router.sent_at >= LEASE_RENEWAL_INTERVAL;
+            if !full && (first || changed || renew)
+                || full && renew && router.sent.len() < MAX_UNACKNOWLEDGED * 2
+            {
+                out.push((*id, caps));
+            }
+        }
+        out
+    }
+}
--- /dev/null
+++ b/crates/arrowyard-fair-shares/src/demand_meter.rs
@@ -0,0 +1,139 @@
+//! A router's in-flight and queued statements by host and service, averaged over the time since the last reading.
+//!
+//! In-flight statements are derived from answers by Little's law: the summed latency of answered statements over the
+//! elapsed time. Statements whose answer was lost, or whose host is unreachable, stay outstanding until the client gives
+//! up but occupy no permit at the host; counting them would make an idle host look overloaded.
+
+use std::collections::BTreeMap;
+
+use arrowyard_types::{Point, Span};
+
+use crate::{MilliPermits, ServiceDemand, ServiceId};
+
+/// Weight of the newest reading in the exponential moving average of in-flight statements.
+const SMOOTHING: f64 = 0.5;
+
+/// A count, and its integral over the time since the last reading.
+#[derive(Clone, Copy, Debug, Default)]
+struct TimeAverage {
+    value: f64,
+    area: f64,
+    updated_at: Point,
+    read_at: Point,
+}
+
+impl TimeAverage {
+    fn advance(&mut self, now: Point) {
+        self.area += self.value * (now - self.updated_at).max(Span::ZERO).as_secs_f64();
+        self.updated_at = now;
+    }
+
+    fn add(&mut self, now: Point, delta: f64) {
+        self.advance(now);
+        self.value = (self.value + delta).max(0.0);
+    }
+
+    /// The mean since the last reading; the current value if no time has passed.
+    fn read(&mut self, now: Point) -> f64 {
+        self.advance(now);
+        let elapsed_s = (now - self.read_at).as_secs_f64();
+        let mean = if elapsed_s > 0.0 { self.area / elapsed_s } else { self.value };
+        (self.area, self.read_at) = (0.0, now);
+        mean
+    }
+}
+
+#[derive(Clone, Copy, Debug, Default)]
+struct Counters {
+    /// Statements sent whose end was not recorded yet.
+    outstanding: u32,
+    /// Summed latency in seconds of statements answered since the last reading, and the averaged in-flight statements.
+    answered_s: f64,
+    in_flight: f64,
+    queued: TimeAverage,
+}
+
+/// Measures the demand at each host `H`. A statement that waits for any of several hosts counts in equal parts at each.
+#[derive(Clone, Debug)]
+pub struct DemandMeter<H> {
+    counters: BTreeMap<(H, ServiceId), Counters>,
+}
+
+impl<H> Default for DemandMeter<H> {
+    fn default() -> Self {
+        DemandMeter { counters: BTreeMap::new() }
+    }
+}
+
+fn milli_permits(permits: f64) -> MilliPermits {
+    (permits * 1000.0).round().clamp(0.0, f64::from(u32::MAX / 4)) as MilliPermits
+}
+
+impl<H: Copy + Ord> DemandMeter<H> {
+    fn counters(&mut self, now: Point, host: H, service: ServiceId) -> &mut Counters {
+        let new = || {
+            let count = TimeAverage { updated_at: now, read_at: now, ..TimeAverage::default() };
+            Counters { queued: count, ..Counters::default() }
+        };
+        self.counters.entry((host, service)).or_insert_with(new)
+    }
+
+    /// Records that a statement was sent to a host.
+    pub fn statement_started(&mut self, now: Point, host: H, service: ServiceId) {
+        self.counters(now, host, service).outstanding += 1;
+    }
+
+    /// Records the end of a statement. `latency` is given only if the host answered.
+    pub fn statement_ended(&mut self, now: Point, host: H, service: ServiceId, latency: Option<Span>) {
+        let counters = self.counters(now, host, service);
+        counters.outstanding = counters.outstanding.saturating_sub(1);
+        counters.answered_s += latency.map_or(0.0, Span::as_secs_f64);
+    }
+
+    /// Adds `delta` (negative to remove) to the statements queued for any of these hosts.
+    pub fn add_queued(&mut self, now: Point, hosts: &[H], service: ServiceId, delta: f64) {
+        let part = delta / hosts.len().max(1) as f64;
+        hosts.iter().for_each(|host| self.counters(now, *host, service).queued.add(now, part));
+    }
+
+    /// Whether a host has neither outstanding nor queued statements.
+    #[must_use]
+    pub fn is_idle(&self, host: H) -> bool {
+        let mut counters = self.counters.range((host, ServiceId(0))..=(host, ServiceId(u32::MAX)));
+        counters.all(|(_, counters)| counters.outstanding == 0 && counters.queued.value <= 0.0)
+    }
+
+    /// The demand at a host, by service, averaged since the last reading.
+    pub fn read(&mut self, now: Point, host: H) -> Vec<ServiceDemand> {
+        let counters = self.counters.range_mut((host, ServiceId(0))..=(host, ServiceId(u32::MAX)));
+        counters
+            .map(|((_, service), counters)| {
+                let elapsed_s = (now - counters.queued.read_at).as_secs_f64();
+                let answered_s = std::mem::take(&mut counters.answered_s);
+                if elapsed_s > 0.0 {
+                    counters.in_flight += (answered_s / elapsed_s - counters.in_flight) * SMOOTHING;
+                }
+                ServiceDemand {
+                    service: *service,
+                    in_flight: milli_permits(counters.in_flight),
+                    queued: milli_permits(counters.queued.read(now)),
+                }
+            })
+            .collect()
+    }
+
+    /// Hosts with counters.
+    pub fn hosts(&self) -> impl Iterator<Item = H> {
+        let mut last = None;
+        self.counters.keys().filter_map(move |(host, _)| {
+            let new = last != Some(*host);
+            last = Some(*host);
+            new.then_some(*host)
+        })
+    }
+
+    /// Drops the counters of a host.
+    pub fn forget(&mut self, host: H) {
+        self.counters.retain(|(of, _), _| *of != host);
+    }
+}
--- /dev/null
+++ b/crates/arrowyard-fair-shares/src/leases.rs
@@ -0,0 +1,155 @@
+//! The allocations that a router holds, and their leases. A lease runs from when the router sent the report that the
+//! allocation answers. Without renewal the caps shrink to the router's even part of the host and never grow.
+
+use std::collections::BTreeMap;
+
+use arrowyard_types::{Point, Span};
+
+use crate::max_min::weighted_max_min;
+use crate::{Allocation, MilliPermits, ServiceDemand, ServiceId, ShareConfig};
+
+/// How long an allocation is valid after the report that it answers. It holds in full for the first half of that, then
+/// shrinks.
+pub const ALLOCATION_LEASE: Span = Span::from_millis(1000);
+/// How long after the last poll the demand for a host is still reported.
+const POLL_VALIDITY: Span = Span::from_millis(1500);
+/// Reports of a router whose send times are kept.
+const MAX_REPORTS: usize = 256;
+/// An allocation without renewal for so long no longer marks its host as overloaded.
+const ALLOCATION_RETENTION: Span = Span::from_millis(60_000);
+
+#[derive(Clone, Debug)]
+struct LeasedAllocation {
+    allocation: Allocation,
+    lease_start: Point,
+}
+
+/// All allocations of one router.
+#[derive(Clone, Debug, Default)]
+pub struct AllocationLeases {
+    allocations: BTreeMap<String, LeasedAllocation>,
+    /// Send times of the latest reports, by number.
+    reports: BTreeMap<u64, Point>,
+    last_report: u64,
+    /// Fence and number of the newest allocation that was applied, by host.
+    applied: BTreeMap<String, (u64, u64)>,
+    /// When the allocator last polled the demand for a host.
+    polled: BTreeMap<String, Point>,
+}
+
+impl AllocationLeases {
+    /// The number of the next demand report, which is sent now.
+    pub fn next_report(&mut self, now: Point) -> u64 {
+        self.last_report += 1;
+        self.reports.insert(self.last_report, now);
+        while self.reports.len() > MAX_REPORTS {
+            self.reports.pop_first();
+        }
+        self.last_report
+    }
+
+    /// The fence and number of the last allocation that was applied for a host.
+    #[must_use]
+    pub fn last_applied(&self, host: &str) -> (u64, u64) {
+        self.applied.get(host).copied().unwrap_or_default()
+    }
+
+    /// Applies an allocation and returns true, or returns false if it is not newer than the last one or answers a report
+    /// that is no longer remembered.
+    pub fn apply(&mut self, now: Point, allocation: Allocation) -> bool {
+        let newest = self.last_applied(&allocation.host);
+        if (allocation.fence, allocation.number) <= newest {
+            return false;
+        }
+        // The lease runs from the report, not from now: the message may have been delayed for longer than the lease. A
+        // router that has not reported yet (report 0) is allocated nothing of the limited services, so a late message does
+        // no harm.
+        let lease_start =
+            if allocation.report == 0 { Some(now) } else { self.reports.get(&allocation.report).copied() };
+        let Some(lease_start) = lease_start else { return false };
+        self.applied.insert(allocation.host.clone(), (allocation.fence, allocation.number));
+        if allocation.overloaded {
+            self.allocations.insert(allocation.host.clone(), LeasedAllocation { allocation, lease_start });
+        } else {
+            self.allocations.remove(&allocation.host);
+        }
+        true
+    }
+
+    /// Records that the allocator polls the demand for a host.
+    pub fn record_poll(&mut self, now: Point, host: &str) {
+        self.polled.insert(host.to_string(), now);
+    }
+
+    /// Whether the demand for a host is to be reported even if it is small.
+    #[must_use]
+    pub fn is_polled(&self, now: Point, host: &str) -> bool {
+        self.is_overloaded(host) || self.polled.get(host).is_some_and(|at| now - *at < POLL_VALIDITY)
+    }
+
+    /// Hosts with an allocation in force, which are the ones known to be overloaded.
+    pub fn overloaded_hosts(&self) -> impl Iterator<Item = &str> {
+        self.allocations.keys().map(String::as_str)
+    }
+
+    /// Whether a host has an allocation in force.
+    #[must_use]
+    pub fn is_overloaded(&self, host: &str) -> bool {
+        self.allocations.contains_key(host)
+    }
+
+    /// Drops expired allocations after a reconnect to control, which sends again what is overloaded.
+    pub fn drop_expired(&mut self, now: Point) {
+        self.allocations.retain(|_, held| now - held.lease_start < ALLOCATION_LEASE);
+    }
+
+    /// Drops allocations, polls and numbers that were not renewed for a long time.
+    pub fn sweep(&mut self, now: Point) {
+        self.allocations.retain(|_, held| now - held.lease_start < ALLOCATION_RETENTION);
+        self.polled.retain(|_, at| now - *at < POLL_VALIDITY);
+        self.applied.retain(|host, _| self.allocations.contains_key(host) || self.polled.contains_key(host));
+    }
+
+    /// The current cap on in-flight statements at a host, by service; services that are not named are not limited.
+    /// `demands` is this router's current demand there.
+    #[must_use]
+    pub fn caps(
+        &self,
+        now: Point,
+        host: &str,
+        demands: &[ServiceDemand],
+        config: &ShareConfig,
+    ) -> Vec<(ServiceId, MilliPermits)> {
+        let Some(held) = self.allocations.get(host) else { return Vec::new() };
+        let age = now - held.lease_start;
+        if age < ALLOCATION_LEASE * 0.5 {
+            return held.allocation.caps.clone();
+        }
+        let fallback = held.fallback_caps(demands, config);
+        let remaining = (1.0 - (age - ALLOCATION_LEASE * 0.5) / (ALLOCATION_LEASE * 0.5)).clamp(0.0, 1.0);
+        let shrunk = |(of, cap): &(ServiceId, MilliPermits)| {
+            let fallback =
+                fallback.iter().find(|(other, _)| other == of).map_or(0, |(_, cap)| *cap).min(*cap);
+            let cap = f64::from(fallback) + f64::from(cap - fallback) * remaining;
+            (*of, cap as MilliPermits)
+        };
+        held.allocation.caps.iter().map(shrunk).collect()
+    }
+}
+
+impl LeasedAllocation {
+    /// This router's even part of the host, divided between its own services.
+    fn fallback_caps(
+        &self,
+        demands: &[ServiceDemand],
+        config: &ShareConfig,
+    ) -> Vec<(ServiceId, MilliPermits)> {
+        let permits = f64::from(self.allocation.permits) / 1000.0 / f64::from(self.allocation.routers.max(1));
+        let demands: Vec<(ServiceId, f64)> = demands
+            .iter()
+            .map(|demand| (demand.service, (f64::from(demand.in_flight) + f64::from(demand.queued)) / 1000.0))
+            .collect();
+        let shares = weighted_max_min(permits, &config.claims(permits, &demands));
+        demands.iter().zip(shares).map(|((of, _), share)| (*of, (share * 1000.0) as MilliPermits)).collect()
+    }
+}
--- a/crates/arrowyard-fair-shares/src/lib.rs
+++ b/crates/arrowyard-fair-shares/src/lib.rs
@@ -1,30 +1,34 @@
-//! Fair shares: how a host's places are divided between services (kinds of requests, in the operator's words) over all
-//! routers together. A *place* is the right to have one statement under way at a host; places are counted in
-//! thousandths. Decided without I/O and without a clock; `docs/shares.md` gives the formula and what is promised.
+//! Weighted fair sharing of a host's concurrency between services, over all routers together. Services here are the
+//! operator's classes of requests.
 //!
-//! [`owed`] is the division itself. An [`Allotter`] (the control machine that holds the duty) divides a host that is
-//! pressed, by what routers tell of their need; a [`Holder`] (each router) knows what it was allotted and till when;
-//! a [`Meter`] (each router) counts what is under way and what waits.
+//! A *permit* is the right to have one statement in flight at a host; permits are counted in thousandths
+//! ([`MilliPermits`]). Nothing here does I/O or reads a clock. `docs/shares.md` gives the formula and the guarantees.
+//!
+//! [`weighted_max_min`] is the division itself. The [`Allocator`] runs on the control machine that holds the duty and
+//! divides overloaded hosts by the demand that routers report. [`AllocationLeases`] on each router holds the caps that
+//! the router was allocated and their expiry; [`DemandMeter`] on each router measures in-flight and queued statements.
 
-mod allotter;
-mod holder;
-mod meter;
-mod owed;
-mod terms;
+mod allocator;
+mod demand_meter;
+mod leases;
+mod max_min;
+mod share_config;
 
-pub use allotter::{Allot, Allotter, At, Division, Router, Shown, places};
-pub use holder::{Holder, LEASE};
-pub use meter::Meter;
-pub use owed::{Claim, owed};
-pub use terms::{Service, ServiceId, Terms};
+pub use allocator::{
+    Allocation, AllocationRound, Allocator, HostInfo, RouterId, ServiceStatus, permits_for_slots,
+};
+pub use demand_meter::DemandMeter;
+pub use leases::{ALLOCATION_LEASE, AllocationLeases};
+pub use max_min::{Claim, weighted_max_min};
+pub use share_config::{ServiceId, ServiceShare, ShareConfig};
 
-/// Places in thousandths.
-pub type Milli = u32;
+/// Permits in thousandths.
+pub type MilliPermits = u32;
 
-/// One service's need at one router: statements under way, and statements that wait for a place, in thousandths.
+/// The demand of one service at one router: in-flight statements, and statements queued for a permit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Need {
+pub struct ServiceDemand {
     pub service: ServiceId,
-    pub runs: Milli,
-    pub waits: Milli,
+    pub in_flight: MilliPermits,
+    pub queued: MilliPermits,
 }
--- a/crates/arrowyard-fair-shares/tests/allotment.rs
+++ b/crates/arrowyard-fair-shares/tests/allocation.rs
@@ -1,16 +1,19 @@
 //! Routers and whoever divides, with words lost, doubled and late between them: what routers go by never sums up to more
 //! than the host's places, and with news flowing the parts come to what is owed.
 
-use arrowyard_fair_shares::{Allot, Allotter, At, Holder, Need, Router, ServiceId, Terms, owed};
+use arrowyard_fair_shares::{
+    Allocation, AllocationLeases, Allocator, HostInfo, RouterId, ServiceDemand, ServiceId, ShareConfig,
+    weighted_max_min,
+};
 use arrowyard_types::{Point, Span};
 use proptest::prelude::*;
 
 const HOST: &str = "h";
 const SLOTS: u32 = 5;
-const AT: At<'static> = At { id: HOST, group: "g", slots: SLOTS };
+const HOST_INFO: HostInfo<'static> = HostInfo { id: HOST, group: "g", slots: SLOTS };
 
-fn places() -> f64 {
-    f64::from(arrowyard_fair_shares::places(SLOTS)) / 1000.0
+fn permits() -> f64 {
+    f64::from(arrowyard_fair_shares::permits_for_slots(SLOTS)) / 1000.0
 }
 
 fn at(ms: i64) -> Point {
@@ -18,29 +21,33 @@
 }
 
 struct Edge {
-    holder: Holder,
+    leases: AllocationLeases,
     /// By service: what its clients want, in places.
     wants: Vec<f64>,
 }
 
 impl Edge {
-    fn cap(&self, now: Point, service: ServiceId, terms: &Terms) -> Option<f64> {
-        let caps = self.holder.caps(now, HOST, &[], terms);
+    fn cap(&self, now: Point, service: ServiceId, config: &ShareConfig) -> Option<f64> {
+        let caps = self.leases.caps(now, HOST, &[], config);
         caps.into_iter().find(|(of, _)| *of == service).map(|(_, cap)| f64::from(cap) / 1000.0)
     }
 
     /// What it runs: what is wanted, up to its part.
-    fn needs(&self, now: Point, terms: &Terms) -> Vec<Need> {
+    fn needs(&self, now: Point, config: &ShareConfig) -> Vec<ServiceDemand> {
         let of = |(number, wants): (usize, &f64)| {
             let service = ServiceId(number as u32);
-            let runs = self.cap(now, service, terms).unwrap_or(f64::INFINITY).min(*wants);
-            Need { service, runs: (runs * 1000.0) as u32, waits: ((wants - runs) * 1000.0) as u32 }
+            let runs = self.cap(now, service, config).unwrap_or(f64::INFINITY).min(*wants);
+            ServiceDemand {
+                service,
+                in_flight: (runs * 1000.0) as u32,
+                queued: ((wants - runs) * 1000.0) as u32,
+            }
         };
         self.wants.iter().enumerate().map(of).collect()
     }
 }
 
-type Said = (Router, u64, u64, Vec<Need>);
+type Said = (RouterId, u64, u64, Vec<ServiceDemand>);
 
 /// A step of a history: who wants what, which words arrive, how much time passes.
 #[derive(Clone, Debug)]
@@ -49,9 +56,9 @@
     /// A router tells its need.
     Tell(usize),
     /// The word at this place of those under way arrives; it stays, if it is doubled.
-    ToAllotter(usize, bool),
+    ToAllocator(usize, bool),
     ToRouter(usize, bool),
-    LoseToAllotter(usize),
+    LoseToAllocator(usize),
     LoseToRouter(usize),
     Divide,
     Pass(i64),
@@ -61,9 +68,9 @@
     prop_oneof![
         1 => (0..4_usize, 0..3_usize, 0.0..8.0_f64).prop_map(|(who, service, wants)| Step::Want(who, service, wants)),
         4 => (0..4_usize).prop_map(Step::Tell),
-        6 => (0..8_usize, prop::bool::weighted(0.1)).prop_map(|(place, doubled)| Step::ToAllotter(place, doubled)),
+        6 => (0..8_usize, prop::bool::weighted(0.1)).prop_map(|(place, doubled)| Step::ToAllocator(place, doubled)),
         6 => (0..8_usize, prop::bool::weighted(0.1)).prop_map(|(place, doubled)| Step::ToRouter(place, doubled)),
-        1 => (0..8_usize).prop_map(Step::LoseToAllotter),
+        1 => (0..8_usize).prop_map(Step::LoseToAllocator),
         1 => (0..8_usize).prop_map(Step::LoseToRouter),
         4 => Just(Step::Divide),
         3 => (1..60_i64).prop_map(Step::Pass),
@@ -73,26 +80,26 @@
 
 struct World {
     now: i64,
-    terms: Terms,
-    allotter: Allotter,
+    config: ShareConfig,
+    allocator: Allocator,
     edges: Vec<Edge>,
     up: Vec<Said>,
-    down: Vec<(Router, Allot)>,
+    down: Vec<(RouterId, Allocation)>,
     asked: Vec<String>,
 }
 
 impl World {
     fn new(edges: usize) -> World {
-        let mut terms = Terms::default();
+        let mut config = ShareConfig::default();
         for name in ["a", "b", "c"] {
-            terms.id(name);
+            config.service_id(name);
         }
-        let edge = |_| Edge { holder: Holder::default(), wants: vec![0.0; 3] };
-        let allotter = Allotter::begin(at(0), 7, Span::ZERO);
+        let edge = |_| Edge { leases: AllocationLeases::default(), wants: vec![0.0; 3] };
+        let allocator = Allocator::start(at(0), 7, Span::ZERO);
         World {
             now: 0,
-            terms,
-            allotter,
+            config,
+            allocator,
             edges: (0..edges).map(edge).collect(),
             up: Vec::new(),
             down: Vec::new(),
@@ -103,36 +110,36 @@
     fn tell(&mut self, who: usize) {
         let now = at(self.now);
         let edge = &mut self.edges[who];
-        let echo = edge.holder.says(now);
-        let needs = edge.needs(now, &self.terms);
-        self.up.push((Router(who as u64), echo, edge.holder.answers(HOST).1, needs));
+        let echo = edge.leases.next_report(now);
+        let needs = edge.needs(now, &self.config);
+        self.up.push((RouterId(who as u64), echo, edge.leases.last_applied(HOST).1, needs));
     }
 
     fn divide(&mut self) {
-        let division = self.allotter.divide(at(self.now), &self.terms, self.edges.len() as u32);
-        self.down.extend(division.allots);
-        self.asked.extend(division.ask);
+        let division = self.allocator.allocate(at(self.now), &self.config, self.edges.len() as u32);
+        self.down.extend(division.allocations);
+        self.asked.extend(division.poll);
     }
 
     fn up(&mut self, place: usize, doubled: bool) {
         if place < self.up.len() {
             let (router, echo, answers, needs) =
                 if doubled { self.up[place].clone() } else { self.up.remove(place) };
-            self.allotter.heard(at(self.now), &AT, router, (echo, answers), needs);
+            self.allocator.record_demand(at(self.now), &HOST_INFO, router, (echo, answers), needs);
         }
     }
 
     fn down(&mut self, place: usize, doubled: bool) {
         if place < self.down.len() {
             let (router, allot) = if doubled { self.down[place].clone() } else { self.down.remove(place) };
-            self.edges[router.0 as usize].holder.heard(at(self.now), allot);
+            self.edges[router.0 as usize].leases.apply(at(self.now), allot);
         }
     }
 
     /// The sum of what routers that were told anything go by, over all services that are held.
     fn sum(&self) -> f64 {
         let caps = |edge: &Edge| -> f64 {
-            (0..3).filter_map(|service| edge.cap(at(self.now), ServiceId(service), &self.terms)).sum()
+            (0..3).filter_map(|service| edge.cap(at(self.now), ServiceId(service), &self.config)).sum()
         };
         self.edges.iter().map(caps).sum()
     }
@@ -164,16 +171,16 @@
             match step {
                 Step::Want(who, service, wants) => world.edges[who].wants[service] = wants,
                 Step::Tell(who) => world.tell(who),
-                Step::ToAllotter(place, doubled) => world.up(place, doubled),
+                Step::ToAllocator(place, doubled) => world.up(place, doubled),
                 Step::ToRouter(place, doubled) => world.down(place, doubled),
-                Step::LoseToAllotter(place) if place < world.up.len() => drop(world.up.remove(place)),
+                Step::LoseToAllocator(place) if place < world.up.len() => drop(world.up.remove(place)),
                 Step::LoseToRouter(place) if place < world.down.len() => drop(world.down.remove(place)),
                 Step::Divide => world.divide(),
                 Step::Pass(ms) => world.now += ms,
                 _ => {}
             }
             let sum = world.sum();
-            prop_assert!(sum <= places() + 0.01, "{sum} places at {}", world.now);
+            prop_assert!(sum <= permits() + 0.01, "{sum} places at {}", world.now);
         }
     }
 
@@ -187,13 +194,13 @@
         let asked: Vec<f64> = (0..3).map(|service| wants.iter().map(|of| of[service]).sum()).collect();
         let asks: Vec<(ServiceId, f64)> =
             asked.iter().enumerate().map(|(of, wants)| (ServiceId(of as u32), *wants)).collect();
-        let owed = owed(places(), &world.terms.claims(places(), &asks));
+        let owed = weighted_max_min(permits(), &world.config.claims(permits(), &asks));
         for service in 0..3 {
             let id = ServiceId(service as u32);
             let ran: f64 = world
                 .edges
                 .iter()
-                .map(|edge| edge.cap(at(world.now), id, &world.terms).unwrap_or(f64::INFINITY).min(edge.wants[service]))
+                .map(|edge| edge.cap(at(world.now), id, &world.config).unwrap_or(f64::INFINITY).min(edge.wants[service]))
                 .sum();
             prop_assert!((ran - owed[service]).abs() <= 0.1 * owed[service] + 0.3, "{service}: {ran}, owed {owed:?}");
         }
@@ -206,7 +213,7 @@
     world.edges[0].wants = vec![20.0, 0.0, 0.0];
     world.edges[1].wants = vec![0.0, 2.0, 0.0];
     world.settle(4);
-    let has = world.edges[0].cap(at(world.now), ServiceId(0), &world.terms).expect("it is held");
+    let has = world.edges[0].cap(at(world.now), ServiceId(0), &world.config).expect("it is held");
     assert!((7.5..=8.1).contains(&has), "{has}");
     // The other one wants the same, and is heard; the first one is not any more.
     world.edges[1].wants = vec![20.0, 2.0, 0.0];
@@ -220,46 +227,48 @@
         world.now += 20;
         world.divide();
         let down = std::mem::take(&mut world.down);
-        for (router, allot) in down.into_iter().filter(|(router, _)| *router == Router(1)) {
-            world.edges[router.0 as usize].holder.heard(at(world.now), allot);
+        for (router, allot) in down.into_iter().filter(|(router, _)| *router == RouterId(1)) {
+            world.edges[router.0 as usize].leases.apply(at(world.now), allot);
         }
-        let now = world.edges[0].cap(at(world.now), ServiceId(0), &world.terms).expect("it is held");
+        let now = world.edges[0].cap(at(world.now), ServiceId(0), &world.config).expect("it is held");
         assert!(now <= last + 1e-9, "it is never more than it was");
         last = now;
     }
-    let needs = [Need { service: ServiceId(0), runs: 1000, waits: 19_000 }];
-    let caps = world.edges[0].holder.caps(at(world.now), HOST, &needs, &world.terms);
+    let needs = [ServiceDemand { service: ServiceId(0), in_flight: 1000, queued: 19_000 }];
+    let caps = world.edges[0].leases.caps(at(world.now), HOST, &needs, &world.config);
     assert_eq!(caps, [(ServiceId(0), 5000)], "half of the places: there are two routers");
-    let passed = world.edges[1].cap(at(world.now), ServiceId(0), &world.terms).expect("it is held");
+    let passed = world.edges[1].cap(at(world.now), ServiceId(0), &world.config).expect("it is held");
     assert!(passed > 7.0, "{passed}");
 }
 
 #[test]
 fn an_older_holder_of_the_duty_is_not_heard_and_a_new_one_divides_nothing_before_old_leases_end() {
     let mut world = World::new(1);
-    let old = |number| Allot {
+    let old = |number| Allocation {
         host: HOST.into(),
         fence: 6,
         number,
-        pressed: true,
+        overloaded: true,
         caps: vec![(ServiceId(0), 9000)],
-        ..Allot::default()
+        ..Allocation::default()
     };
-    let holder = &mut world.edges[0].holder;
-    assert!(holder.heard(at(0), Allot { fence: 7, number: 1, caps: vec![(ServiceId(0), 100)], ..old(1) }));
-    assert!(!holder.heard(at(1), old(99)));
-    let mut new = Allotter::begin(at(0), 8, Span::from_millis(1500));
+    let leases = &mut world.edges[0].leases;
+    assert!(
+        leases.apply(at(0), Allocation { fence: 7, number: 1, caps: vec![(ServiceId(0), 100)], ..old(1) })
+    );
+    assert!(!leases.apply(at(1), old(99)));
+    let mut new = Allocator::start(at(0), 8, Span::from_millis(1500));
     let needs = vec![
-        Need { service: ServiceId(0), runs: 9000, waits: 0 },
-        Need { service: ServiceId(1), runs: 9000, waits: 0 },
+        ServiceDemand { service: ServiceId(0), in_flight: 9000, queued: 0 },
+        ServiceDemand { service: ServiceId(1), in_flight: 9000, queued: 0 },
     ];
     for ms in (0..2600).step_by(100) {
-        new.heard(at(ms), &AT, Router(0), (1 + ms as u64, 0), needs.clone());
-        let said = new.divide(at(ms), &world.terms, 1).allots;
+        new.record_demand(at(ms), &HOST_INFO, RouterId(0), (1 + ms as u64, 0), needs.clone());
+        let said = new.allocate(at(ms), &world.config, 1).allocations;
         assert!(said.is_empty() || ms >= 2500, "{said:?} at {ms}");
     }
-    new.heard(at(2700), &AT, Router(0), (9000, 0), needs);
-    assert!(!new.divide(at(2700), &world.terms, 1).allots.is_empty());
+    new.record_demand(at(2700), &HOST_INFO, RouterId(0), (9000, 0), needs);
+    assert!(!new.allocate(at(2700), &world.config, 1).allocations.is_empty());
 }
 
 #[test]
@@ -268,25 +277,25 @@
     world.edges[0].wants = vec![30.0, 0.0, 0.0];
     world.settle(4);
     let alone =
-        world.edges[0].cap(at(world.now), ServiceId(0), &world.terms).expect("it wants more than there is");
-    assert!((alone - places()).abs() < 0.1, "one that is alone has all places: {alone}");
+        world.edges[0].cap(at(world.now), ServiceId(0), &world.config).expect("it wants more than there is");
+    assert!((alone - permits()).abs() < 0.1, "one that is alone has all places: {alone}");
     world.edges[1].wants = vec![0.0, 1.0, 0.0];
     world.settle(3);
-    let beside = world.edges[0].cap(at(world.now), ServiceId(0), &world.terms).expect("it is held");
-    assert!((beside - places() + 1.0).abs() < 0.1, "{beside}");
+    let beside = world.edges[0].cap(at(world.now), ServiceId(0), &world.config).expect("it is held");
+    assert!((beside - permits() + 1.0).abs() < 0.1, "{beside}");
     assert_eq!(
-        world.edges[1].cap(at(world.now), ServiceId(1), &world.terms),
+        world.edges[1].cap(at(world.now), ServiceId(1), &world.config),
         None,
         "it wants less than it is owed"
     );
     world.edges[0].wants = vec![1.0, 0.0, 0.0];
     world.settle(40);
-    assert!(!world.edges[0].holder.is_pressed(HOST));
-    assert!(!world.edges[1].holder.is_pressed(HOST));
+    assert!(!world.edges[0].leases.is_overloaded(HOST));
+    assert!(!world.edges[1].leases.is_overloaded(HOST));
 }
 
 #[test]
-fn routers_with_little_need_are_asked_once_a_host_is_pressed_and_not_before() {
+fn routers_with_little_need_are_asked_once_a_host_is_overloaded_and_not_before() {
     let mut world = World::new(3);
     world.edges[0].wants = vec![4.0, 0.0, 0.0];
     world.settle(1);
@@ -300,23 +309,28 @@
 /// of both and the next one nothing.
 #[test]
 fn hosts_of_one_group_come_to_one_division_and_stay_there() {
-    let mut terms = Terms::default();
-    let services = [terms.id("a"), terms.id("b")];
-    let mut allotter = Allotter::begin(at(0), 7, Span::ZERO);
-    let hosts = ["h1", "h2"].map(|id| At { id, group: "g", slots: SLOTS });
+    let mut config = ShareConfig::default();
+    let services = [config.service_id("a"), config.service_id("b")];
+    let mut allocator = Allocator::start(at(0), 7, Span::ZERO);
+    let hosts = ["h1", "h2"].map(|id| HostInfo { id, group: "g", slots: SLOTS });
     for round in 0..40_i64 {
         for host in &hosts {
-            let needs = services.map(|service| Need { service, runs: 2000, waits: 20_000 }).to_vec();
-            allotter.heard(at(round * 20), host, Router(0), (1 + round as u64, 0), needs);
+            let needs =
+                services.map(|service| ServiceDemand { service, in_flight: 2000, queued: 20_000 }).to_vec();
+            allocator.record_demand(at(round * 20), host, RouterId(0), (1 + round as u64, 0), needs);
         }
-        allotter.divide(at(round * 20), &terms, 1);
+        allocator.allocate(at(round * 20), &config, 1);
         if round < 4 {
             continue;
         }
         for service in services {
-            let owed: f64 =
-                allotter.shown().iter().filter(|row| row.service == service).map(|row| row.owed).sum();
-            assert!((owed - places()).abs() < 0.2, "round {round}: {owed} of {}", 2.0 * places());
+            let owed: f64 = allocator
+                .status()
+                .iter()
+                .filter(|row| row.service == service)
+                .map(|row| row.fair_share)
+                .sum();
+            assert!((owed - permits()).abs() < 0.2, "round {round}: {owed} of {}", 2.0 * permits());
         }
     }
 }
--- a/crates/arrowyard-pooler/src/fresh.rs
+++ b/crates/arrowyard-pooler/src/freshness.rs
@@ -14,14 +14,14 @@
 
 /// What one service's primary told, oldest first; both times and positions rise.
 #[derive(Clone, Debug, Default)]
-pub struct Timeline {
+pub struct PositionTimeline {
     pairs: VecDeque<(Point, Position)>,
 }
 
-impl Timeline {
+impl PositionTimeline {
     /// The primary answered a statement that was sent then. Danger: only an answer that proves that it led as it ran
     /// the statement may be told here; a host that led once tells positions that lack what its successor committed.
-    pub fn learn(&mut self, sent: Point, position: Position) {
+    pub fn record(&mut self, sent: Point, position: Position) {
         if let Some((last, known)) = self.pairs.back_mut() {
             if sent < *last {
                 return;
@@ -43,13 +43,13 @@
     }
 
     /// A position that has all that was acknowledged before `since`; the least that is known.
-    pub fn after(&self, since: Point) -> Option<Position> {
+    pub fn position_covering(&self, since: Point) -> Option<Position> {
         let place = self.pairs.partition_point(|(at, _)| *at < since);
         self.pairs.get(place).map(|(_, position)| *position)
     }
 
     /// Up to when a host has all that was acknowledged, if it has this position.
-    pub fn time(&self, position: Position) -> Option<Point> {
+    pub fn fresh_until(&self, position: Position) -> Option<Point> {
         let place = self.pairs.partition_point(|(_, known)| *known <= position);
         place.checked_sub(1).map(|place| self.pairs[place].0)
     }
--- a/crates/arrowyard-pooler/src/link.rs
+++ b/crates/arrowyard-pooler/src/link.rs
@@ -11,13 +11,13 @@
 use rustc_hash::FxHashSet;
 
 /// A session's values, by name. Sessions and connections that have the same ones share them.
-pub type Values = Rc<BTreeMap<String, String>>;
+pub type SessionVariables = Rc<BTreeMap<String, String>>;
 
 /// What the next answers of the host are to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Expect {
+pub enum ExpectedReply {
     Open,
-    /// Values and prepared names, before a statement.
+    /// SessionVariables and prepared names, before a statement.
     Dress,
     Begin,
     Client,
@@ -75,14 +75,14 @@
 }
 
 /// One connection to a host.
-pub struct Link {
+pub struct HostConnection {
     pub conn: Conn,
     pub host: HostId,
     pub stage: Stage,
     pub lines: Lines,
-    pub expect: VecDeque<Expect>,
+    pub expect: VecDeque<ExpectedReply>,
     /// The values that hold on it, and what is prepared on it.
-    pub values: Values,
+    pub values: SessionVariables,
     pub defined: FxHashSet<u32>,
     pub in_transaction: bool,
     pub sent: Option<Sent>,
@@ -100,15 +100,15 @@
     pub aside: Option<HostQuestion>,
 }
 
-impl Link {
+impl HostConnection {
     pub fn new(conn: Conn, host: HostId, now: Point) -> Self {
-        Link {
+        HostConnection {
             conn,
             host,
             stage: Stage::Opening,
             lines: Lines::default(),
-            expect: VecDeque::from([Expect::Open]),
-            values: Values::default(),
+            expect: VecDeque::from([ExpectedReply::Open]),
+            values: SessionVariables::default(),
             defined: FxHashSet::default(),
             in_transaction: false,
             sent: None,
@@ -130,7 +130,7 @@
 
     /// What has to be said so that these values, and no others, hold on it. Danger: a value that is left over from
     /// another session; values are only taken back all together, and what is prepared goes with them.
-    pub fn dress(&mut self, values: &Values, define: Option<(u32, Mode, &str)>) -> Vec<String> {
+    pub fn dress(&mut self, values: &SessionVariables, define: Option<(u32, Mode, &str)>) -> Vec<String> {
         let mut said = Vec::new();
         if !Rc::ptr_eq(&self.values, values) && self.values != *values {
             let left_over = self.values.keys().any(|name| !values.contains_key(name));
--- a/crates/arrowyard-pooler/src/plane.rs
+++ b/crates/arrowyard-pooler/src/plane.rs
@@ -17,10 +17,10 @@
 use arrowyard_types::{Action, Cookie, HostId, Note, OpId, Point, Span};
 use rustc_hash::FxHashMap;
 
-use crate::fresh::Timeline;
-use crate::link::Link;
+use crate::freshness::PositionTimeline;
+use crate::latency::LatencyEstimates;
+use crate::link::HostConnection;
 use crate::module::Module;
-use crate::pace::Paces;
 use crate::replacements::Replacements;
 use crate::routes::{Configured, OpTypes};
 use crate::session::Session;
@@ -30,7 +30,7 @@
 use shares::Shares;
 
 /// The doors of a router: clients, and whoever asks whether it is ready.
-pub const DOORS: [Door; 2] = [Door(0), Door(1)];
+pub const LISTENERS: [Door; 2] = [Door(0), Door(1)];
 
 /// The settings file is read again so often, since it may change without a signal.
 const REREAD: Span = Span::from_millis(2000);
@@ -63,7 +63,7 @@
     /// The answer on a connection may be lost.
     Lost(Conn),
     /// A connection to a host was not opened, or an orphan was not answered.
-    Link(Conn),
+    HostConnection(Conn),
     Feed,
     /// Needs of hosts are looked at.
     Shares,
@@ -78,12 +78,12 @@
 enum Line {
     Client(Box<Session>),
     Ready(Messages),
-    Link(Box<Link>),
+    HostConnection(Box<HostConnection>),
     Feed,
 }
 
 /// One router.
-pub struct Sluice {
+pub struct RouterPlane {
     settings: Settings,
     reread: Reread,
     life: u64,
@@ -94,9 +94,9 @@
     op_types: OpTypes,
     lines: FxHashMap<Conn, Line>,
     pools: Vec<Pool>,
-    timelines: FxHashMap<String, Timeline>,
+    timelines: FxHashMap<String, PositionTimeline>,
     ops: FxHashMap<OpId, Conn>,
-    paces: Paces,
+    latencies: LatencyEstimates,
     probing: FxHashMap<HostId, Point>,
     last_op: u64,
     shapes: FxHashMap<(arrowyard_protocol::Mode, Rc<str>), u32>,
@@ -113,7 +113,7 @@
     sessions: usize,
 }
 
-impl Sluice {
+impl RouterPlane {
     pub fn new(settings: Settings, life: u64, reread: Reread) -> Self {
         let now = Point::from_micros(0);
         let mut actions = Vec::new();
@@ -124,7 +124,7 @@
             .iter()
             .map(|seed| Known { ip: number(*seed.ip()), zone: String::new(), age: 0 })
             .collect();
-        Sluice {
+        RouterPlane {
             settings,
             reread,
             life,
@@ -137,7 +137,7 @@
             pools: Vec::new(),
             timelines: FxHashMap::default(),
             ops: FxHashMap::default(),
-            paces: Paces::default(),
+            latencies: LatencyEstimates::default(),
             probing: FxHashMap::default(),
             last_op: 0,
             shapes: FxHashMap::default(),
@@ -161,9 +161,9 @@
         }
     }
 
-    fn link(&mut self, conn: Conn) -> Option<&mut Link> {
+    fn link(&mut self, conn: Conn) -> Option<&mut HostConnection> {
         match self.lines.get_mut(&conn) {
-            Some(Line::Link(link)) => Some(link),
+            Some(Line::HostConnection(link)) => Some(link),
             _ => None,
         }
     }
@@ -202,7 +202,7 @@
             Alarm::Silence(conn) => self.silent(now, conn, orders),
             Alarm::Waits(conn, op) => self.waits_too_long(now, conn, op, orders),
             Alarm::Lost(conn) => self.look_for_lost(now, conn, orders),
-            Alarm::Link(conn) => self.link_late(now, conn, orders),
+            Alarm::HostConnection(conn) => self.link_late(now, conn, orders),
             Alarm::Feed => self.feed_due(now, orders),
             Alarm::Shares => self.shares_due(now, orders),
             Alarm::Reread => {
@@ -296,7 +296,7 @@
     }
 }
 
-impl Plane for Sluice {
+impl Plane for RouterPlane {
     fn handle(&mut self, now: Point, event: Event<'_>, orders: &mut Orders) {
         match event {
             Event::Start => {
@@ -304,20 +304,20 @@
                 self.timers.set(now + REREAD, Alarm::Reread);
                 self.timers.set(now + RESTED, Alarm::Round);
             }
-            Event::Accepted { conn, door } if door == DOORS[0] => self.welcome(now, conn),
+            Event::Accepted { conn, door } if door == LISTENERS[0] => self.welcome(now, conn),
             Event::Accepted { conn, .. } => drop(self.lines.insert(conn, Line::Ready(Messages::default()))),
             Event::Opened { conn } => self.opened(now, conn, orders),
             Event::Came { conn, bytes } => match self.lines.get(&conn) {
                 Some(Line::Client(_)) => self.client_came(now, conn, bytes, orders),
                 Some(Line::Ready(_)) => self.readiness(conn, bytes, orders),
-                Some(Line::Link(_)) => self.link_came(now, conn, bytes, orders),
+                Some(Line::HostConnection(_)) => self.link_came(now, conn, bytes, orders),
                 Some(Line::Feed) => self.feed_came(now, conn, bytes, orders),
                 None => {}
             },
             Event::Closed { conn, why } => match self.lines.get(&conn) {
                 Some(Line::Client(_)) => self.client_left(now, conn, orders),
                 Some(Line::Ready(_)) => drop(self.lines.remove(&conn)),
-                Some(Line::Link(_)) => self.link_broke(now, conn, why, orders),
+                Some(Line::HostConnection(_)) => self.link_broke(now, conn, why, orders),
                 Some(Line::Feed) => self.feed_broke(now, conn),
                 None => {}
             },
--- a/crates/arrowyard-pooler/src/plane/clients.rs
+++ b/crates/arrowyard-pooler/src/plane/clients.rs
@@ -8,7 +8,7 @@
 use arrowyard_types::{Note, Point, Span};
 use bytes::Bytes;
 
-use super::{Alarm, IDLE, Line, Sluice};
+use super::{Alarm, IDLE, Line, RouterPlane};
 use crate::routes::Statement as Kind;
 use crate::session::{Session, Stage, Transaction};
 
@@ -19,7 +19,7 @@
 /// Names and values that one session may hold, and their bytes.
 const MOST_NAMES: usize = 1024;
 
-impl Sluice {
+impl RouterPlane {
     pub(super) fn welcome(&mut self, now: Point, conn: Conn) {
         let mut session = Session::new();
         let wait = self.configured.routes.limits.header_wait_ms as i64;
--- a/crates/arrowyard-pooler/src/plane/feed.rs
+++ b/crates/arrowyard-pooler/src/plane/feed.rs
@@ -12,7 +12,7 @@
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{Note, Point, Span};
 
-use super::{Alarm, Line, Sluice};
+use super::{Alarm, Line, RouterPlane};
 use crate::module::Known;
 use crate::routes::Routes;
 
@@ -50,7 +50,7 @@
     }
 }
 
-impl Sluice {
+impl RouterPlane {
     pub(super) fn feed_due(&mut self, now: Point, orders: &mut Orders) {
         match self.feed.conn {
             Some(conn) if self.feed.open && now - self.feed.heard_at >= QUIET => {
@@ -216,7 +216,7 @@
     fn put_in_force(&mut self, now: Point, configuration: Configuration, slot: u64, orders: &mut Orders) {
         log::info!("configuration: Revision {} is in force.", configuration.revision);
         self.configured.routes = Rc::new(Routes::new(&configuration));
-        self.shares.terms.configure(&configuration);
+        self.shares.terms.apply_configuration(&configuration);
         (self.configured.configuration, self.configured.slot) = (configuration, slot);
         self.greet_waiting(now, orders);
     }
--- a/crates/arrowyard-pooler/src/plane/hosts.rs
+++ b/crates/arrowyard-pooler/src/plane/hosts.rs
@@ -7,8 +7,8 @@
 use arrowyard_types::{HostId, Note, OpId, Outcome, Point, Role, Span, Word};
 
 use super::ops::{Floor, MUTE};
-use super::{Alarm, Line, Sluice};
-use crate::link::{Answered, Expect, Link, Sent, Stage};
+use super::{Alarm, Line, RouterPlane};
+use crate::link::{Answered, ExpectedReply, HostConnection, Sent, Stage};
 
 /// A connection that is not open by then is given up; so is an orphan that is not answered by then.
 const OPENS: Span = Span::from_millis(1000);
@@ -54,7 +54,7 @@
     gap: Span,
 }
 
-impl Sluice {
+impl RouterPlane {
     /// What part of a host's connections is this router's; below one where routers are more than connections.
     fn part(&self, host: HostId) -> f64 {
         let service = &self.module.host(host).host.service;
@@ -88,7 +88,7 @@
         let idle = std::mem::take(&mut pool.idle);
         // Of several, one that holds the session's values already; else the one that was used last.
         let dressed = |link: &Conn| match self.lines.get(link) {
-            Some(Line::Link(link)) => link.values == values,
+            Some(Line::HostConnection(link)) => link.values == values,
             _ => false,
         };
         let place = idle.iter().rposition(dressed).or(idle.len().checked_sub(1));
@@ -134,8 +134,8 @@
 
     pub(super) fn dial(&mut self, now: Point, host: HostId, orders: &mut Orders) -> Conn {
         let conn = orders.dial(self.module.host(host).address);
-        self.lines.insert(conn, Line::Link(Box::new(Link::new(conn, host, now))));
-        self.timers.set(now + OPENS, Alarm::Link(conn));
+        self.lines.insert(conn, Line::HostConnection(Box::new(HostConnection::new(conn, host, now))));
+        self.timers.set(now + OPENS, Alarm::HostConnection(conn));
         let pool = &mut self.pools[host.0 as usize];
         pool.all += 1;
         pool.opening += 1;
@@ -145,7 +145,7 @@
     pub(super) fn opened(&mut self, now: Point, conn: Conn, orders: &mut Orders) {
         match self.lines.get(&conn) {
             Some(Line::Feed) => self.feed_opened(now, conn, orders),
-            Some(Line::Link(link)) => {
+            Some(Line::HostConnection(link)) => {
                 let host = &self.module.host(link.host).host;
                 orders.line(conn, &["OPEN ", &host.service, " sluice ", &host.id]);
             }
@@ -172,11 +172,11 @@
         let dress =
             held.dress(&values, define.as_ref().map(|(number, mode, shape)| (*number, *mode, &**shape)));
         for text in &dress {
-            held.expect.push_back(Expect::Dress);
+            held.expect.push_back(ExpectedReply::Dress);
             orders.line(link, &["QUERY ", OWN, " ", text]);
         }
         if begins {
-            held.expect.push_back(Expect::Begin);
+            held.expect.push_back(ExpectedReply::Begin);
             match floor {
                 Some(Floor::After(position)) => {
                     orders.line(link, &["QUERY ", OWN, " AFTER ", &position.to_string(), " BEGIN READ"]);
@@ -203,7 +203,7 @@
             sent.wired = Some(now);
         }
         held.overtaken = 0;
-        held.expect.push_back(Expect::Client);
+        held.expect.push_back(ExpectedReply::Client);
         match floor {
             Some(Floor::After(position)) if !inside => {
                 orders.line(link, &["QUERY ", &id, " AFTER ", &position.to_string(), " ", &text]);
@@ -211,7 +211,7 @@
             _ => orders.line(link, &["QUERY ", &id, " ", &text]),
         }
         if fenced {
-            held.expect.push_back(Expect::Abort);
+            held.expect.push_back(ExpectedReply::Abort);
             orders.line(link, &["QUERY ", OWN, " ABORT"]);
         }
     }
@@ -261,7 +261,7 @@
                 Answer::Settled(stamp) => link.stamp = Some(stamp.to_string()),
                 Answer::Fault { code, text } => {
                     link.fault = Some((code, text.to_string()));
-                    if link.expect.front() == Some(&Expect::Open) {
+                    if link.expect.front() == Some(&ExpectedReply::Open) {
                         return self.not_let_in(now, conn, code, orders);
                     }
                 }
@@ -308,7 +308,7 @@
         let answer = Answered { rows, stamp, fault, position, in_transaction: state != State::Idle };
         let Some(expected) = link.expect.pop_front() else { return self.drop_link(now, conn, orders) };
         match expected {
-            Expect::Open => {
+            ExpectedReply::Open => {
                 let has_question = link.aside.is_some();
                 self.pools[host.0 as usize].opening -= 1;
                 if has_question {
@@ -317,9 +317,9 @@
                     self.rest(now, conn, orders);
                 }
             }
-            Expect::Dress if answer.fault.is_some() => self.drop_link(now, conn, orders),
-            Expect::Dress => self.dressed(now, conn, orders),
-            Expect::Begin => match answer.fault {
+            ExpectedReply::Dress if answer.fault.is_some() => self.drop_link(now, conn, orders),
+            ExpectedReply::Dress => self.dressed(now, conn, orders),
+            ExpectedReply::Begin => match answer.fault {
                 None => self.dressed(now, conn, orders),
                 Some(_) => {
                     // Danger: a statement behind a BEGIN that failed would run outside its transaction. It is not sent.
@@ -332,12 +332,12 @@
             },
             // Danger: its own answer was lost, and this is the next one's. Whoever took it for its own would tell a client
             // of a success without the host's stamp; and every later answer would be a place off.
-            Expect::Client
+            ExpectedReply::Client
                 if answer.fault.is_none() && answer.stamp.as_deref().is_none_or(|stamp| stamp == OWN) =>
             {
                 self.drop_link(now, conn, orders);
             }
-            Expect::Client => {
+            ExpectedReply::Client => {
                 let (stage, sent) = (link.stage, link.sent.take());
                 match (stage, sent) {
                     (Stage::Held(_), Some(sent)) => self.answered(now, conn, sent, answer, orders),
@@ -348,12 +348,12 @@
                     (_, None) => self.tidy(now, conn, orders),
                 }
             }
-            Expect::Abort => self.tidy(now, conn, orders),
-            Expect::Aside => {
+            ExpectedReply::Abort => self.tidy(now, conn, orders),
+            ExpectedReply::Aside => {
                 self.aside_answered(conn, host, &answer, orders);
                 self.tidy(now, conn, orders);
             }
-            Expect::Observe => {
+            ExpectedReply::Observe => {
                 self.observed(now, host, &answer);
                 self.tidy(now, conn, orders);
             }
@@ -395,7 +395,7 @@
         };
         link.shift(now, Stage::Orphan);
         if !link.expect.is_empty() {
-            self.timers.set(now + ORPHAN, Alarm::Link(conn));
+            self.timers.set(now + ORPHAN, Alarm::HostConnection(conn));
         }
         true
     }
@@ -407,9 +407,9 @@
             return;
         }
         if link.in_transaction {
-            link.expect.push_back(Expect::Abort);
+            link.expect.push_back(ExpectedReply::Abort);
             orders.line(conn, &["QUERY ", OWN, " ABORT"]);
-            self.timers.set(now + ORPHAN, Alarm::Link(conn));
+            self.timers.set(now + ORPHAN, Alarm::HostConnection(conn));
             return;
         }
         self.rest(now, conn, orders);
@@ -444,11 +444,11 @@
         orders.close(conn);
     }
 
-    fn forget_link(&mut self, conn: Conn) -> Option<Box<Link>> {
-        let Some(Line::Link(link)) = self.lines.remove(&conn) else { return None };
+    fn forget_link(&mut self, conn: Conn) -> Option<Box<HostConnection>> {
+        let Some(Line::HostConnection(link)) = self.lines.remove(&conn) else { return None };
         let pool = &mut self.pools[link.host.0 as usize];
         pool.all -= 1;
-        pool.opening -= usize::from(link.expect.front() == Some(&Expect::Open));
+        pool.opening -= usize::from(link.expect.front() == Some(&ExpectedReply::Open));
         pool.idle.retain(|idle| *idle != conn);
         Some(link)
     }
@@ -490,7 +490,7 @@
     pub(super) fn link_broke(&mut self, now: Point, conn: Conn, why: Why, orders: &mut Orders) {
         let Some(link) = self.forget_link(conn) else { return };
         let host = link.host;
-        let opening = link.expect.front() == Some(&Expect::Open);
+        let opening = link.expect.front() == Some(&ExpectedReply::Open);
         self.aside_lost(link.aside, orders);
         // A connection that rested may have been closed for its rest; that says nothing of the host.
         if link.stage != Stage::Idle {
@@ -500,7 +500,7 @@
                 self.suspect_primary(now, host, orders);
             }
         }
-        if link.expect.contains(&Expect::Observe) {
+        if link.expect.contains(&ExpectedReply::Observe) {
             self.probing.remove(&host);
             self.note(now, Note::Probed { host, outcome: Outcome::Reset, word: Word::default() });
         }
@@ -585,11 +585,11 @@
                 self.probing.insert(host, now);
                 if let Some(link) = self.link(conn) {
                     link.shift(now, Stage::Orphan);
-                    link.expect.push_back(Expect::Observe);
+                    link.expect.push_back(ExpectedReply::Observe);
                 }
                 orders.line(conn, &["QUERY ", OWN, " OBSERVE"]);
                 self.mute(now, conn, orders);
-                self.timers.set(now + ORPHAN, Alarm::Link(conn));
+                self.timers.set(now + ORPHAN, Alarm::HostConnection(conn));
             }
             None => {
                 // There is no connection to ask on. The next statement will tell.
@@ -609,7 +609,8 @@
         let service = self.module.host(host).host.service.clone();
         let (outcome, word) = match row {
             Some(row) => {
-                let time = answer.position.and_then(|position| self.timelines.get(&service)?.time(position));
+                let time =
+                    answer.position.and_then(|position| self.timelines.get(&service)?.fresh_until(position));
                 let role = Some(if row.primary { Role::Primary } else { Role::Replica });
                 let position = if row.primary { Some(sent) } else { time };
                 (Outcome::Acked, Word { role, position, ..Word::default() })
--- a/crates/arrowyard-pooler/src/plane/ops.rs
+++ b/crates/arrowyard-pooler/src/plane/ops.rs
@@ -11,7 +11,7 @@
 use smallvec::SmallVec;
 
 use super::clients::Ask;
-use super::{Alarm, Sluice};
+use super::{Alarm, RouterPlane};
 use crate::link::{Answered, Sent};
 use crate::routes::Statement as Kind;
 use crate::session::{Stage, Statement};
@@ -29,7 +29,7 @@
 /// Without an answer for so long, a primary is said not to answer.
 pub const MUTE: Span = Span::from_millis(450);
 
-impl Sluice {
+impl RouterPlane {
     /// Hands a statement to the module.
     pub(super) fn start(
         &mut self,
@@ -99,7 +99,7 @@
         let old = statement.timer.replace(timer);
         let (link, later) = (statement.link, statement.kind == Kind::Later);
         let service = statement.service;
-        self.shares.meter.began(now, host, service);
+        self.shares.meter.statement_started(now, host, service);
         old.into_iter().for_each(|key| self.timers.cancel(key));
         let sent = Sent { op, number, at: now, wired: None, service };
         match link.filter(|link| self.link(*link).is_some()) {
@@ -147,7 +147,7 @@
         finished: bool,
     ) {
         let took = now - sent.at;
-        self.shares.meter.ended(now, host, sent.service, outcome.is_answer().then_some(took));
+        self.shares.meter.statement_ended(now, host, sent.service, outcome.is_answer().then_some(took));
         if !finished && let Some(&conn) = self.ops.get(&sent.op) {
             self.waits_again(now, conn);
         }
@@ -184,7 +184,7 @@
         {
             let kind =
                 self.session(conn).and_then(|session| session.asks()).map(|statement| statement.op_type);
-            kind.into_iter().for_each(|kind| self.paces.took(kind, now - wired));
+            kind.into_iter().for_each(|kind| self.latencies.record(kind, now - wired));
             self.overtake(now, host, wired, orders);
         }
         // An answer inside a plain transaction, or to a write, shows that the host led as it ran the statement. Safety: the
@@ -198,9 +198,10 @@
         match answer.fault {
             None => {
                 if led && let Some(position) = answer.position {
-                    self.timelines.entry(service.clone()).or_default().learn(wired, position);
+                    self.timelines.entry(service.clone()).or_default().record(wired, position);
                 }
-                let time = answer.position.and_then(|position| self.timelines.get(&service)?.time(position));
+                let time =
+                    answer.position.and_then(|position| self.timelines.get(&service)?.fresh_until(position));
                 let role = led.then_some(Role::Primary);
                 self.ended(
                     now,
@@ -222,7 +223,8 @@
             }
             Some((code, text)) => {
                 let role = (code == Code::ReadOnly).then_some(Role::Replica);
-                let time = answer.position.and_then(|position| self.timelines.get(&service)?.time(position));
+                let time =
+                    answer.position.and_then(|position| self.timelines.get(&service)?.fresh_until(position));
                 let word = Word { role, position: time.filter(|_| code == Code::Lagging), ..Word::default() };
                 let outcome = match code {
                     Code::Saturated | Code::Overload => Outcome::Full,
@@ -251,7 +253,7 @@
     fn overtake(&mut self, now: Point, host: HostId, wired: Point, orders: &mut Orders) {
         let mut behind = Vec::new();
         for (conn, line) in &mut self.lines {
-            if let super::Line::Link(link) = line
+            if let super::Line::HostConnection(link) = line
                 && link.host == host
                 && let Some(sent) = &link.sent
                 && sent.wired.is_some_and(|earlier| earlier < wired)
@@ -282,7 +284,7 @@
         if kind == Kind::Write || ends || overtaken < if inside { OVERTAKEN_INSIDE } else { OVERTAKEN } {
             return;
         }
-        let late = wired + self.paces.slowest(op_type) * if inside { INSIDE } else { 1.0 };
+        let late = wired + self.latencies.high_quantile(op_type) * if inside { INSIDE } else { 1.0 };
         if now < late {
             self.timers.set(late, Alarm::Lost(link));
             return;
@@ -525,7 +527,10 @@
             return Some(Floor::Lead);
         }
         let bound = Span::from_micros((channel.staleness_bound_ms * 1000.0) as i64);
-        let known = self.timelines.get(&channel.service).and_then(|timeline| timeline.after(began - bound));
+        let known = self
+            .timelines
+            .get(&channel.service)
+            .and_then(|timeline| timeline.position_covering(began - bound));
         let own =
             session.token.map(|(position, _)| position).filter(|_| channel.kind == Freshness::OwnRegion);
         Some(match known {
--- a/crates/arrowyard-pooler/src/plane/questions.rs
+++ b/crates/arrowyard-pooler/src/plane/questions.rs
@@ -7,14 +7,14 @@
 use arrowyard_types::{HostId, Point, Span};
 
 use super::hosts::ORPHAN;
-use super::{Alarm, Sluice};
-use crate::link::{Answered, Expect, HostQuestion, Stage};
+use super::{Alarm, RouterPlane};
+use crate::link::{Answered, ExpectedReply, HostQuestion, Stage};
 
 /// Control waits so long for the answer to a relayed question. Safety: one that is sent later could reach the host after
 /// control has asked for the opposite.
 const RELAY_TIMEOUT: Span = Span::from_millis(300);
 
-impl Sluice {
+impl RouterPlane {
     /// A primary that is replaced is told to yield.
     pub(super) fn tell_to_yield(&mut self, now: Point, host: HostId, term: u64, orders: &mut Orders) {
         log::info!("hosts: {} is replaced and told to yield to term {term}.", self.module.host(host).host.id);
@@ -55,9 +55,9 @@
             return self.rest(now, conn, orders);
         };
         link.shift(now, Stage::Orphan);
-        link.expect.push_back(Expect::Aside);
+        link.expect.push_back(ExpectedReply::Aside);
         orders.line(conn, &["QUERY ", OWN, " ", &words]);
-        self.timers.set(now + ORPHAN, Alarm::Link(conn));
+        self.timers.set(now + ORPHAN, Alarm::HostConnection(conn));
     }
 
     /// The host has answered.
--- a/crates/arrowyard-pooler/src/plane/shares.rs
+++ b/crates/arrowyard-pooler/src/plane/shares.rs
@@ -4,12 +4,15 @@
 use std::collections::BTreeMap;
 
 use arrowyard_config::{Channel, Kind as Freshness};
-use arrowyard_fair_shares::{Allot, Holder, Meter, Milli, Need, ServiceId, Terms, places};
+use arrowyard_fair_shares::{
+    Allocation, AllocationLeases, DemandMeter, MilliPermits, ServiceDemand, ServiceId, ShareConfig,
+    permits_for_slots,
+};
 use arrowyard_messages::{Allots, HostNeeds, Needs, Phase, Word, said};
 use arrowyard_runtime::{Conn, Orders};
 use arrowyard_types::{HostId, Note, Point, Span, TenantId};
 
-use super::{Alarm, Line, Sluice};
+use super::{Alarm, Line, RouterPlane};
 use crate::link::Stage;
 use crate::routes::Statement as Kind;
 
@@ -17,47 +20,47 @@
 const LOOK: Span = Span::from_millis(50);
 const AGAIN: Span = Span::from_millis(250);
 /// What moved by less, in thousandths of a place and as a part of itself, is not told.
-const MOVES: Milli = 100;
-const MOVES_PART: Milli = 8;
+const MOVES: MilliPermits = 100;
+const MOVES_PART: MilliPermits = 8;
 
 /// A host is divided only where each router's even part of its places, in thousandths, is so much. Danger: of 78 routers each
 /// needs its even part whenever two of its statements meet; all of them tell without end, and hosts that idle look pressed
 /// (a grown day: a third more bytes between zones, and half as many refusals again).
-const LEAST_PART: Milli = 250;
+const LEAST_PART: MilliPermits = 250;
 
 /// What this router knows of shares.
 #[derive(Default)]
 pub struct Shares {
-    pub terms: Terms,
-    pub meter: Meter<HostId>,
-    holder: Holder,
+    pub terms: ShareConfig,
+    pub meter: DemandMeter<HostId>,
+    holder: AllocationLeases,
     looked_at: Point,
     /// An alarm for the next look is set.
     looks: bool,
     /// What control was told last of each host, and when.
-    told: BTreeMap<HostId, (Point, Vec<Need>)>,
+    told: BTreeMap<HostId, (Point, Vec<ServiceDemand>)>,
     /// What was read of each host at the last look.
-    needs: BTreeMap<HostId, Vec<Need>>,
+    needs: BTreeMap<HostId, Vec<ServiceDemand>>,
     /// What the module goes by.
-    held: BTreeMap<(HostId, ServiceId), Milli>,
+    held: BTreeMap<(HostId, ServiceId), MilliPermits>,
 }
 
-fn moved(old: &[Need], new: &[Need]) -> bool {
-    let of = |list: &[Need], service| {
+fn moved(old: &[ServiceDemand], new: &[ServiceDemand]) -> bool {
+    let of = |list: &[ServiceDemand], service| {
         list.iter().copied().find(|need| need.service == service).unwrap_or_default()
     };
-    let far = |a: Milli, b: Milli| a.abs_diff(b) > MOVES.max(a.max(b) / MOVES_PART);
-    let differs = |need: &Need| {
+    let far = |a: MilliPermits, b: MilliPermits| a.abs_diff(b) > MOVES.max(a.max(b) / MOVES_PART);
+    let differs = |need: &ServiceDemand| {
         let (old, new) = (of(old, need.service), of(new, need.service));
-        far(old.runs, new.runs) || far(old.waits, new.waits)
+        far(old.in_flight, new.in_flight) || far(old.queued, new.queued)
     };
     old.iter().chain(new).any(differs)
 }
 
-impl Sluice {
+impl RouterPlane {
     /// What a route counts as.
     pub(super) fn service_of(&mut self, channel: &Channel) -> ServiceId {
-        self.shares.terms.id(&channel.share)
+        self.shares.terms.service_id(&channel.share)
     }
 
     /// A session's statement waits for a host.
@@ -69,7 +72,7 @@
         }
         let reads = kind == Kind::Read && channel.kind != Freshness::Primary;
         let hosts = self.module.takers(&channel.service, reads);
-        self.shares.meter.waits(now, &hosts, service, 1.0);
+        self.shares.meter.add_queued(now, &hosts, service, 1.0);
         if let Some(statement) = self.session(conn).and_then(|session| session.asks()) {
             statement.waits = hosts;
         }
@@ -80,7 +83,7 @@
         let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
         let (service, hosts) = (statement.service, std::mem::take(&mut statement.waits));
         if !hosts.is_empty() {
-            self.shares.meter.waits(now, &hosts, service, -1.0);
+            self.shares.meter.add_queued(now, &hosts, service, -1.0);
         }
     }
 
@@ -97,22 +100,22 @@
         self.shares.looked_at = now;
         self.shares.needs.clear();
         if !self.configured.configuration.divides() {
-            self.shares.holder = Holder::default();
+            self.shares.holder = AllocationLeases::default();
             return self.hold_to_parts(now);
         }
         let mut hosts = Vec::new();
-        let all: Vec<HostId> = self.shares.meter.places().collect();
+        let all: Vec<HostId> = self.shares.meter.hosts().collect();
         for host in all {
             let needs = self.shares.meter.read(now, host);
-            let sum: f64 = needs.iter().map(|need| f64::from(need.runs) + f64::from(need.waits)).sum();
+            let sum: f64 = needs.iter().map(|need| f64::from(need.in_flight) + f64::from(need.queued)).sum();
             let known = &self.module.host(host).host;
             if known.phase() == Phase::Gone && self.shares.meter.is_idle(host) {
                 self.shares.meter.forget(host);
             }
             let (id, group, slots) = (known.id.clone(), known.service.clone(), known.capacity);
-            let coarse = places(slots) / self.routers.max(1) >= LEAST_PART;
-            let asked = coarse && self.shares.holder.is_asked(now, &id);
-            let much = coarse && sum * f64::from(self.routers) >= f64::from(places(slots));
+            let coarse = permits_for_slots(slots) / self.routers.max(1) >= LEAST_PART;
+            let asked = coarse && self.shares.holder.is_polled(now, &id);
+            let much = coarse && sum * f64::from(self.routers) >= f64::from(permits_for_slots(slots));
             let last = self.shares.told.get(&host);
             let due = match last {
                 Some((at, old)) => now - *at >= AGAIN || moved(old, &needs),
@@ -129,18 +132,18 @@
             } else {
                 self.shares.told.insert(host, (now, needs.clone()));
             }
-            let (fence, answers) = self.shares.holder.answers(&id);
-            let need = |need: &Need| arrowyard_messages::Need {
-                service: self.shares.terms.name(need.service).to_string(),
-                runs: need.runs,
-                waits: need.waits,
+            let (fence, answers) = self.shares.holder.last_applied(&id);
+            let need = |need: &ServiceDemand| arrowyard_messages::Need {
+                service: self.shares.terms.service_name(need.service).to_string(),
+                runs: need.in_flight,
+                waits: need.queued,
             };
-            let list = needs.iter().filter(|need| need.runs > 0 || need.waits > 0).map(need).collect();
+            let list = needs.iter().filter(|need| need.in_flight > 0 || need.queued > 0).map(need).collect();
             hosts.push(HostNeeds { host: id, slots, fence, answers, needs: list, group });
             self.shares.needs.insert(host, needs);
         }
         if let Some(conn) = self.feed.open_conn().filter(|_| !hosts.is_empty()) {
-            let echo = self.shares.holder.says(now);
+            let echo = self.shares.holder.next_report(now);
             orders.write(conn, &[&said(Word::Needs(Needs { router: self.life, echo, hosts }))]);
         }
         self.shares.holder.sweep(now);
@@ -150,7 +153,7 @@
 
     /// While anything was told or is held, needs are looked at though nothing comes.
     fn look_again(&mut self, now: Point) {
-        let busy = !self.shares.told.is_empty() || self.shares.holder.pressed().next().is_some();
+        let busy = !self.shares.told.is_empty() || self.shares.holder.overloaded_hosts().next().is_some();
         if busy && !self.shares.looks {
             self.shares.looks = true;
             self.timers.set(now + LOOK, Alarm::Shares);
@@ -164,7 +167,7 @@
 
     /// Control asks what is needed of hosts.
     pub(super) fn hosts_pressed(&mut self, now: Point, hosts: &[String], orders: &mut Orders) {
-        hosts.iter().for_each(|host| self.shares.holder.asked(now, host));
+        hosts.iter().for_each(|host| self.shares.holder.record_poll(now, host));
         self.look_now_and_then(now, orders);
         self.look_again(now);
     }
@@ -175,18 +178,19 @@
             return;
         }
         for allot in allots.allots {
-            let caps = allot.caps.iter().map(|cap| (self.shares.terms.id(&cap.service), cap.cap)).collect();
-            let allot = Allot {
+            let caps =
+                allot.caps.iter().map(|cap| (self.shares.terms.service_id(&cap.service), cap.cap)).collect();
+            let allot = Allocation {
                 host: allot.host,
                 fence: allots.fence,
                 number: allot.number,
-                echo: allot.echo,
-                pressed: allot.pressed,
+                report: allot.echo,
+                overloaded: allot.pressed,
                 caps,
-                places: allot.places,
+                permits: allot.places,
                 routers: allot.routers,
             };
-            self.shares.holder.heard(now, allot);
+            self.shares.holder.apply(now, allot);
         }
         self.hold_to_parts(now);
         self.look_now_and_then(now, orders);
@@ -195,14 +199,14 @@
 
     /// The feed is new.
     pub(super) fn renew_shares(&mut self, now: Point) {
-        self.shares.holder.renewed(now);
+        self.shares.holder.drop_expired(now);
         self.hold_to_parts(now);
     }
 
     /// Tells the module what of the parts is new to it.
     fn hold_to_parts(&mut self, now: Point) {
         let mut held = BTreeMap::new();
-        for name in self.shares.holder.pressed() {
+        for name in self.shares.holder.overloaded_hosts() {
             let Some(host) = self.module.id_of(name) else { continue };
             let needs = self.shares.needs.get(&host).map_or(&[][..], Vec::as_slice);
             for (service, cap) in self.shares.holder.caps(now, name, needs, &self.shares.terms) {
@@ -232,7 +236,7 @@
         }
         let mut held: BTreeMap<ServiceId, f64> = BTreeMap::new();
         for line in self.lines.values() {
-            if let Line::Link(link) = line
+            if let Line::HostConnection(link) = line
                 && link.host == host
                 && let (Stage::Held(_), Some(service)) = (link.stage, link.service)
             {
--- a/crates/arrowyard-pooler/src/session.rs
+++ b/crates/arrowyard-pooler/src/session.rs
@@ -12,7 +12,7 @@
 use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
 
-use crate::link::Values;
+use crate::link::SessionVariables;
 use crate::routes::Statement as Kind;
 
 /// Where a session is in its life.
@@ -78,7 +78,7 @@
     pub state: State,
     pub database: String,
     pub lines: Lines,
-    pub values: Values,
+    pub values: SessionVariables,
     pub prepared: FxHashMap<String, (Mode, Rc<str>)>,
     pub transaction: Option<Transaction>,
     /// Its transaction was ended while it rested, and its client has not been told.
@@ -97,7 +97,7 @@
             state: State::Idle,
             database: String::new(),
             lines: Lines::default(),
-            values: Values::default(),
+            values: SessionVariables::default(),
             prepared: FxHashMap::default(),
             transaction: None,
             untold: false,
--- a/crates/arrowyard-pooler/tests/helpers/mod.rs
+++ b/crates/arrowyard-pooler/tests/helpers/mod.rs
@@ -5,7 +5,7 @@
 
 use arrowyard_config::Settings;
 use arrowyard_messages::{DbRole, Frames, Host, Phase, Whole, Word, said};
-use arrowyard_pooler::{DOORS, Sluice};
+use arrowyard_pooler::{LISTENERS, RouterPlane};
 use arrowyard_runtime::{Conn, Event, Order, Orders, Plane};
 use arrowyard_types::{Point, Span};
 
@@ -19,7 +19,7 @@
 
 /// The router, and what it wrote to whom.
 pub struct Hand {
-    sluice: Sluice,
+    sluice: RouterPlane,
     orders: Orders,
     pub now: Point,
     /// Lines that were written and not yet looked at, by connection.
@@ -56,7 +56,7 @@
     pub fn among(routers: u32) -> Hand {
         let settings = Settings::read(SETTINGS).expect("sound settings");
         let mut hand = Hand {
-            sluice: Sluice::new(settings, 1, Box::new(|| None)),
+            sluice: RouterPlane::new(settings, 1, Box::new(|| None)),
             orders: Orders::default(),
             now: Point::from_micros(0),
             said: BTreeMap::new(),
@@ -148,7 +148,7 @@
     /// The same for a database: `p0` reads at the primary, `b0` what is 1.5 s old at most.
     pub fn client_of(&mut self, database: &str) -> Conn {
         let conn = self.orders.conn();
-        self.event(Event::Accepted { conn, door: DOORS[0] });
+        self.event(Event::Accepted { conn, door: LISTENERS[0] });
         self.says(conn, &format!("OPEN {database} u1"));
         assert_eq!(self.hears(conn), ["IDLE I -"]);
         conn
--- a/crates/arrowyard-pooler/tests/plane.rs
+++ b/crates/arrowyard-pooler/tests/plane.rs
@@ -83,7 +83,7 @@
     assert_eq!(hand.hears(client), Vec::<String>::new(), "no success without a stamp");
 }
 
-/// Values that another session left are taken back before a connection serves the next one.
+/// SessionVariables that another session left are taken back before a connection serves the next one.
 #[test]
 fn a_connection_holds_the_values_of_whoever_has_it() {
     let mut hand = Hand::among(1);
--- a/crates/arrowyard-pooler/tests/units.rs
+++ b/crates/arrowyard-pooler/tests/units.rs
@@ -1,9 +1,9 @@
-//! Freshness, dress and paces, each against a plain model.
+//! Freshness, dress and latencies, each against a plain model.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
 
-use arrowyard_pooler::{Link, Paces, Timeline, Values};
+use arrowyard_pooler::{HostConnection, LatencyEstimates, PositionTimeline, SessionVariables};
 use arrowyard_protocol::{Mode, Position};
 use arrowyard_runtime::Conn;
 use arrowyard_types::{HostId, OpTypeId, Point, Span};
@@ -19,7 +19,8 @@
 fn freshness_never_promises_what_is_not_there() {
     for seed in 0..200 {
         let mut rng = Rng::with_seed(seed);
-        let (mut timeline, mut acknowledged, mut number, mut term) = (Timeline::default(), Vec::new(), 0, 1);
+        let (mut timeline, mut acknowledged, mut number, mut term) =
+            (PositionTimeline::default(), Vec::new(), 0, 1);
         let mut told = Vec::new();
         for ms in 0..4000_i64 {
             if rng.f64() < 0.05 {
@@ -36,19 +37,19 @@
             }
             told.retain(|(when, sent, position)| {
                 if *when <= ms {
-                    timeline.learn(*sent, *position);
+                    timeline.record(*sent, *position);
                 }
                 *when > ms
             });
             if ms % 50 == 0 {
                 let since = at(ms - rng.i64(0..2000));
-                if let Some(after) = timeline.after(since) {
+                if let Some(after) = timeline.position_covering(since) {
                     let missing =
                         acknowledged.iter().find(|(when, position)| *when < since && *position > after);
                     assert_eq!(missing, None, "seed {seed}, {ms} ms: after {after}");
                 }
                 let behind = Position { term, number: number.saturating_sub(rng.u64(0..20)) };
-                if let Some(time) = timeline.time(behind) {
+                if let Some(time) = timeline.fresh_until(behind) {
                     let missing =
                         acknowledged.iter().find(|(when, position)| *when < time && *position > behind);
                     assert_eq!(missing, None, "seed {seed}, {ms} ms: {behind} has all up to {time:?}");
@@ -61,18 +62,18 @@
 #[test]
 fn an_answer_that_came_late_does_not_take_back_what_is_known() {
     let position = |number| Position { term: 3, number };
-    let mut timeline = Timeline::default();
-    timeline.learn(at(100), position(10));
-    timeline.learn(at(200), position(20));
-    timeline.learn(at(150), position(12));
-    timeline.learn(at(300), Position { term: 2, number: 90 });
-    assert_eq!(timeline.after(at(150)), Some(position(20)));
-    assert_eq!(timeline.after(at(250)), None, "a host of an older term is no witness");
-    assert_eq!(timeline.time(Position { term: 4, number: 1 }), Some(at(200)));
-    assert_eq!(timeline.time(position(9)), None);
+    let mut timeline = PositionTimeline::default();
+    timeline.record(at(100), position(10));
+    timeline.record(at(200), position(20));
+    timeline.record(at(150), position(12));
+    timeline.record(at(300), Position { term: 2, number: 90 });
+    assert_eq!(timeline.position_covering(at(150)), Some(position(20)));
+    assert_eq!(timeline.position_covering(at(250)), None, "a host of an older term is no witness");
+    assert_eq!(timeline.fresh_until(Position { term: 4, number: 1 }), Some(at(200)));
+    assert_eq!(timeline.fresh_until(position(9)), None);
 }
 
-fn values(pairs: &[(&str, &str)]) -> Values {
+fn values(pairs: &[(&str, &str)]) -> SessionVariables {
     Rc::new(pairs.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect())
 }
 
@@ -82,7 +83,7 @@
 fn a_connection_holds_the_values_of_its_session_and_no_others() {
     for seed in 0..300 {
         let mut rng = Rng::with_seed(seed);
-        let mut link = Link::new(Conn(1), HostId(0), at(0));
+        let mut link = HostConnection::new(Conn(1), HostId(0), at(0));
         let (mut held, mut defined) = (BTreeMap::new(), BTreeMap::new());
         for _ in 0..60 {
             let mut wanted = BTreeMap::new();
@@ -115,7 +116,7 @@
 
 #[test]
 fn a_connection_that_is_dressed_already_costs_nothing() {
-    let mut link = Link::new(Conn(1), HostId(0), at(0));
+    let mut link = HostConnection::new(Conn(1), HostId(0), at(0));
     assert_eq!(link.dress(&values(&[("a", "1")]), None), ["ASSIGN a 1"]);
     assert!(link.dress(&values(&[("a", "1")]), None).is_empty());
     assert_eq!(link.dress(&values(&[("a", "1"), ("b", "2")]), None), ["ASSIGN b 2"]);
@@ -124,13 +125,16 @@
 
 #[test]
 fn all_but_a_few_of_a_kind_are_quicker_than_its_pace() {
-    let (mut paces, mut rng, kind) = (Paces::default(), Rng::with_seed(1), OpTypeId(0));
+    let (mut latencies, mut rng, kind) = (LatencyEstimates::default(), Rng::with_seed(1), OpTypeId(0));
     let mut slower = 0;
     for round in 0..40_000 {
         let took = Span::from_micros(30_000 + rng.i64(0..60_000));
-        slower += u32::from(round >= 20_000 && took > paces.slowest(kind));
-        paces.took(kind, took);
+        slower += u32::from(round >= 20_000 && took > latencies.high_quantile(kind));
+        latencies.record(kind, took);
     }
     assert!((20..400).contains(&slower), "{slower} of 20,000 were slower");
-    assert!(paces.slowest(OpTypeId(9)) >= Span::from_millis(100), "what is not known is not hurried");
+    assert!(
+        latencies.high_quantile(OpTypeId(9)) >= Span::from_millis(100),
+        "what is not known is not hurried"
+    );
 }
--- a/crates/arrowyard-system/src/bin/arrowyard-sluice.rs
+++ b/crates/arrowyard-system/src/bin/arrowyard-sluice.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use arrowyard_pooler::Sluice;
+use arrowyard_pooler::RouterPlane;
 use arrowyard_runtime::{Plumbing, run};
 use arrowyard_system as works;
 use bpaf::Bpaf;
@@ -38,7 +38,7 @@
     };
     let doors = vec![door("front")?, door("readiness")?];
     let most = settings.limits.fd_limit.saturating_sub(300).max(64);
-    let mut plane = Sluice::new(settings, works::life(), works::reread(path));
+    let mut plane = RouterPlane::new(settings, works::life(), works::reread(path));
     run(Plumbing { doors, store: None, most }, &mut plane).map_err(|fault| fault.to_string())
 }
 
