--- a/crates/arrowyard-fair-shares/src/allocator.rs
+++ b/crates/arrowyard-fair-shares/src/allocator.rs
@@ -8,7 +8,7 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::leases::ALLOCATION_LEASE;
 use crate::max_min::weighted_max_min;
@@ -24,17 +24,17 @@
 /// `DEMAND_POLL_INTERVAL`.
 const OVERLOAD_ENTER_RATIO: f64 = 0.6;
 const OVERLOAD_EXIT_RATIO: f64 = 0.4;
-const OVERLOAD_EXIT_DELAY: Span = Span::from_millis(300);
-const DEMAND_POLL_INTERVAL: Span = Span::from_millis(500);
+const OVERLOAD_EXIT_DELAY: TimeDelta = TimeDelta::from_millis(300);
+const DEMAND_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
 /// Factor by which leases are kept longer here than at the router, whose clock may run slower.
 const LEASE_CLOCK_MARGIN: f64 = 1.1;
 /// Minimum time between two allocations of a host.
-const MIN_ALLOCATION_INTERVAL: Span = Span::from_millis(10);
+const MIN_ALLOCATION_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
 /// A cap that changed by no more than this, in thousandths of a permit and as 1/n of itself, is not sent before the lease
 /// is due for renewal.
 const MIN_CAP_CHANGE: MilliPermits = 20;
 const MIN_CAP_CHANGE_DIVISOR: u32 = 16;
-const LEASE_RENEWAL_INTERVAL: Span = Span::from_millis(200);
+const LEASE_RENEWAL_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
 /// Hosts with state at a time, and unacknowledged allocations of one router at one host.
 const MAX_HOSTS: usize = 4096;
 const MAX_UNACKNOWLEDGED: usize = 64;
@@ -72,11 +72,11 @@
     demands: Vec<ServiceDemand>,
     /// Number of the router's last report, and when it arrived.
     report: u64,
-    reported_at: Point,
+    reported_at: Timestamp,
     /// The last acknowledged allocation and all that were sent since; the router may be applying any of them.
     sent: VecDeque<(u64, Vec<(ServiceId, MilliPermits)>)>,
     acknowledged: bool,
-    sent_at: Point,
+    sent_at: Timestamp,
 }
 
 impl RouterState {
@@ -108,10 +108,10 @@
     group: String,
     permits: MilliPermits,
     routers: BTreeMap<RouterId, RouterState>,
-    overloaded_since: Option<Point>,
-    below_exit_since: Option<Point>,
-    allocated_at: Point,
-    polled_at: Point,
+    overloaded_since: Option<Timestamp>,
+    below_exit_since: Option<Timestamp>,
+    allocated_at: Timestamp,
+    polled_at: Timestamp,
     /// By service: its fair share and its demand, in permits.
     fair_shares: Vec<(ServiceId, f64, f64)>,
 }
@@ -127,7 +127,7 @@
     /// Whether the service is limited to its fair share.
     pub limited: bool,
     /// Since when the host is overloaded; the default if it is not.
-    pub overloaded_since: Point,
+    pub overloaded_since: Timestamp,
 }
 
 /// The messages to send after an allocation round.
@@ -143,7 +143,7 @@
 pub struct Allocator {
     fence: u64,
     /// No allocation is made before this time, since leases of the previous holder may still be valid.
-    not_before: Point,
+    not_before: Timestamp,
     last_number: u64,
     hosts: BTreeMap<String, HostState>,
 }
@@ -159,8 +159,8 @@
     /// Starts under the fencing token of a newly acquired duty. `handover_wait` is how long the previous holder may have
     /// continued after it lost the duty; zero if there was none.
     #[must_use]
-    pub fn start(now: Point, fence: u64, handover_wait: Span) -> Self {
-        let not_before = if handover_wait == Span::ZERO {
+    pub fn start(now: Timestamp, fence: u64, handover_wait: TimeDelta) -> Self {
+        let not_before = if handover_wait == TimeDelta::ZERO {
             now
         } else {
             now + handover_wait + ALLOCATION_LEASE * LEASE_CLOCK_MARGIN
@@ -172,7 +172,7 @@
     /// router applied under this fence (0 for none). [`Allocator::allocate`] sends the resulting changes.
     pub fn record_demand(
         &mut self,
-        now: Point,
+        now: Timestamp,
         host: &HostInfo<'_>,
         router: RouterId,
         (report, applied): (u64, u64),
@@ -201,7 +201,7 @@
     /// Divides the hosts that are due. Returns the allocations to send, and the overloaded hosts for which every router is
     /// to be polled: routers with little demand each do not report unasked, but their sum counts. `routers` is the number
     /// of routers.
-    pub fn allocate(&mut self, now: Point, config: &ShareConfig, routers: u32) -> AllocationRound {
+    pub fn allocate(&mut self, now: Timestamp, config: &ShareConfig, routers: u32) -> AllocationRound {
         let mut round = AllocationRound::default();
         if now < self.not_before {
             return round;
@@ -290,7 +290,7 @@
     /// Updates the fair share of each service, and whether the host is overloaded.
     fn update_fair_shares(
         &mut self,
-        now: Point,
+        now: Timestamp,
         config: &ShareConfig,
         elsewhere: &BTreeMap<(String, ServiceId), f64>,
     ) {
@@ -327,7 +327,7 @@
     }
 
     /// The caps to send to each router; routers whose caps changed little and whose lease is fresh are left out.
-    fn caps_to_send(&self, now: Point) -> Vec<(RouterId, Vec<(ServiceId, MilliPermits)>)> {
+    fn caps_to_send(&self, now: Timestamp) -> Vec<(RouterId, Vec<(ServiceId, MilliPermits)>)> {
         let limited: Vec<(ServiceId, f64, f64)> = match self.overloaded_since {
             Some(_) => self.fair_shares.iter().copied().filter(|(_, share, demand)| demand > share).collect(),
             _ => Vec::new(),
--- a/crates/arrowyard-fair-shares/src/demand_meter.rs
+++ b/crates/arrowyard-fair-shares/src/demand_meter.rs
@@ -6,7 +6,7 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::{MilliPermits, ServiceDemand, ServiceId};
 
@@ -18,23 +18,23 @@
 struct TimeAverage {
     value: f64,
     area: f64,
-    updated_at: Point,
-    read_at: Point,
+    updated_at: Timestamp,
+    read_at: Timestamp,
 }
 
 impl TimeAverage {
-    fn advance(&mut self, now: Point) {
-        self.area += self.value * (now - self.updated_at).max(Span::ZERO).as_secs_f64();
+    fn advance(&mut self, now: Timestamp) {
+        self.area += self.value * (now - self.updated_at).max(TimeDelta::ZERO).as_secs_f64();
         self.updated_at = now;
     }
 
-    fn add(&mut self, now: Point, delta: f64) {
+    fn add(&mut self, now: Timestamp, delta: f64) {
         self.advance(now);
         self.value = (self.value + delta).max(0.0);
     }
 
     /// The mean since the last reading; the current value if no time has passed.
-    fn read(&mut self, now: Point) -> f64 {
+    fn read(&mut self, now: Timestamp) -> f64 {
         self.advance(now);
         let elapsed_s = (now - self.read_at).as_secs_f64();
         let mean = if elapsed_s > 0.0 { self.area / elapsed_s } else { self.value };
@@ -70,7 +70,7 @@
 }
 
 impl<H: Copy + Ord> DemandMeter<H> {
-    fn counters(&mut self, now: Point, host: H, service: ServiceId) -> &mut Counters {
+    fn counters(&mut self, now: Timestamp, host: H, service: ServiceId) -> &mut Counters {
         let new = || {
             let count = TimeAverage { updated_at: now, read_at: now, ..TimeAverage::default() };
             Counters { queued: count, ..Counters::default() }
@@ -79,19 +79,25 @@
     }
 
     /// Records that a statement was sent to a host.
-    pub fn statement_started(&mut self, now: Point, host: H, service: ServiceId) {
+    pub fn statement_started(&mut self, now: Timestamp, host: H, service: ServiceId) {
         self.counters(now, host, service).outstanding += 1;
     }
 
     /// Records the end of a statement. `latency` is given only if the host answered.
-    pub fn statement_ended(&mut self, now: Point, host: H, service: ServiceId, latency: Option<Span>) {
+    pub fn statement_ended(
+        &mut self,
+        now: Timestamp,
+        host: H,
+        service: ServiceId,
+        latency: Option<TimeDelta>,
+    ) {
         let counters = self.counters(now, host, service);
         counters.outstanding = counters.outstanding.saturating_sub(1);
-        counters.answered_s += latency.map_or(0.0, Span::as_secs_f64);
+        counters.answered_s += latency.map_or(0.0, TimeDelta::as_secs_f64);
     }
 
     /// Adds `delta` (negative to remove) to the statements queued for any of these hosts.
-    pub fn add_queued(&mut self, now: Point, hosts: &[H], service: ServiceId, delta: f64) {
+    pub fn add_queued(&mut self, now: Timestamp, hosts: &[H], service: ServiceId, delta: f64) {
         let part = delta / hosts.len().max(1) as f64;
         hosts.iter().for_each(|host| self.counters(now, *host, service).queued.add(now, part));
     }
@@ -104,7 +110,7 @@
     }
 
     /// The demand at a host, by service, averaged since the last reading.
-    pub fn read(&mut self, now: Point, host: H) -> Vec<ServiceDemand> {
+    pub fn read(&mut self, now: Timestamp, host: H) -> Vec<ServiceDemand> {
         let counters = self.counters.range_mut((host, ServiceId(0))..=(host, ServiceId(u32::MAX)));
         counters
             .map(|((_, service), counters)| {
--- a/crates/arrowyard-fair-shares/src/leases.rs
+++ b/crates/arrowyard-fair-shares/src/leases.rs
@@ -3,25 +3,25 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::max_min::weighted_max_min;
 use crate::{Allocation, MilliPermits, ServiceDemand, ServiceId, ShareConfig};
 
 /// How long an allocation is valid after the report that it answers. It holds in full for the first half of that, then
 /// shrinks.
-pub const ALLOCATION_LEASE: Span = Span::from_millis(1000);
+pub const ALLOCATION_LEASE: TimeDelta = TimeDelta::from_millis(1000);
 /// How long after the last poll the demand for a host is still reported.
-const POLL_VALIDITY: Span = Span::from_millis(1500);
+const POLL_VALIDITY: TimeDelta = TimeDelta::from_millis(1500);
 /// Reports of a router whose send times are kept.
 const MAX_REPORTS: usize = 256;
 /// An allocation without renewal for so long no longer marks its host as overloaded.
-const ALLOCATION_RETENTION: Span = Span::from_millis(60_000);
+const ALLOCATION_RETENTION: TimeDelta = TimeDelta::from_millis(60_000);
 
 #[derive(Clone, Debug)]
 struct LeasedAllocation {
     allocation: Allocation,
-    lease_start: Point,
+    lease_start: Timestamp,
 }
 
 /// All allocations of one router.
@@ -29,17 +29,17 @@
 pub struct AllocationLeases {
     allocations: BTreeMap<String, LeasedAllocation>,
     /// Send times of the latest reports, by number.
-    reports: BTreeMap<u64, Point>,
+    reports: BTreeMap<u64, Timestamp>,
     last_report: u64,
     /// Fence and number of the newest allocation that was applied, by host.
     applied: BTreeMap<String, (u64, u64)>,
     /// When the allocator last polled the demand for a host.
-    polled: BTreeMap<String, Point>,
+    polled: BTreeMap<String, Timestamp>,
 }
 
 impl AllocationLeases {
     /// The number of the next demand report, which is sent now.
-    pub fn next_report(&mut self, now: Point) -> u64 {
+    pub fn next_report(&mut self, now: Timestamp) -> u64 {
         self.last_report += 1;
         self.reports.insert(self.last_report, now);
         while self.reports.len() > MAX_REPORTS {
@@ -56,7 +56,7 @@
 
     /// Applies an allocation and returns true, or returns false if it is not newer than the last one or answers a report
     /// that is no longer remembered.
-    pub fn apply(&mut self, now: Point, allocation: Allocation) -> bool {
+    pub fn apply(&mut self, now: Timestamp, allocation: Allocation) -> bool {
         let newest = self.last_applied(&allocation.host);
         if (allocation.fence, allocation.number) <= newest {
             return false;
@@ -77,13 +77,13 @@
     }
 
     /// Records that the allocator polls the demand for a host.
-    pub fn record_poll(&mut self, now: Point, host: &str) {
+    pub fn record_poll(&mut self, now: Timestamp, host: &str) {
         self.polled.insert(host.to_string(), now);
     }
 
     /// Whether the demand for a host is to be reported even if it is small.
     #[must_use]
-    pub fn is_polled(&self, now: Point, host: &str) -> bool {
+    pub fn is_polled(&self, now: Timestamp, host: &str) -> bool {
         self.is_overloaded(host) || self.polled.get(host).is_some_and(|at| now - *at < POLL_VALIDITY)
     }
 
@@ -99,12 +99,12 @@
     }
 
     /// Drops expired allocations after a reconnect to control, which sends again what is overloaded.
-    pub fn drop_expired(&mut self, now: Point) {
+    pub fn drop_expired(&mut self, now: Timestamp) {
         self.allocations.retain(|_, held| now - held.lease_start < ALLOCATION_LEASE);
     }
 
     /// Drops allocations, polls and numbers that were not renewed for a long time.
-    pub fn sweep(&mut self, now: Point) {
+    pub fn sweep(&mut self, now: Timestamp) {
         self.allocations.retain(|_, held| now - held.lease_start < ALLOCATION_RETENTION);
         self.polled.retain(|_, at| now - *at < POLL_VALIDITY);
         self.applied.retain(|host, _| self.allocations.contains_key(host) || self.polled.contains_key(host));
@@ -115,7 +115,7 @@
     #[must_use]
     pub fn caps(
         &self,
-        now: Point,
+        now: Timestamp,
         host: &str,
         demands: &[ServiceDemand],
         config: &ShareConfig,
--- a/crates/arrowyard-fair-shares/tests/allocation.rs
+++ b/crates/arrowyard-fair-shares/tests/allocation.rs
@@ -5,7 +5,7 @@
     Allocation, AllocationLeases, Allocator, HostInfo, RouterId, ServiceDemand, ServiceId, ShareConfig,
     weighted_max_min,
 };
-use arrowyard_types::{Point, Span};
+use arrowyard_types::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
 const HOST: &str = "h";
@@ -16,8 +16,8 @@
     f64::from(arrowyard_fair_shares::permits_for_slots(SLOTS)) / 1000.0
 }
 
-fn at(ms: i64) -> Point {
-    Point::from_micros(1_000_000 + ms * 1000)
+fn at(ms: i64) -> Timestamp {
+    Timestamp::from_micros(1_000_000 + ms * 1000)
 }
 
 struct Edge {
@@ -27,13 +27,13 @@
 }
 
 impl Edge {
-    fn cap(&self, now: Point, service: ServiceId, config: &ShareConfig) -> Option<f64> {
+    fn cap(&self, now: Timestamp, service: ServiceId, config: &ShareConfig) -> Option<f64> {
         let caps = self.leases.caps(now, HOST, &[], config);
         caps.into_iter().find(|(of, _)| *of == service).map(|(_, cap)| f64::from(cap) / 1000.0)
     }
 
     /// What it runs: what is wanted, up to its part.
-    fn needs(&self, now: Point, config: &ShareConfig) -> Vec<ServiceDemand> {
+    fn needs(&self, now: Timestamp, config: &ShareConfig) -> Vec<ServiceDemand> {
         let of = |(number, wants): (usize, &f64)| {
             let service = ServiceId(number as u32);
             let runs = self.cap(now, service, config).unwrap_or(f64::INFINITY).min(*wants);
@@ -95,7 +95,7 @@
             config.service_id(name);
         }
         let edge = |_| Edge { leases: AllocationLeases::default(), wants: vec![0.0; 3] };
-        let allocator = Allocator::start(at(0), 7, Span::ZERO);
+        let allocator = Allocator::start(at(0), 7, TimeDelta::ZERO);
         World {
             now: 0,
             config,
@@ -257,7 +257,7 @@
         leases.apply(at(0), Allocation { fence: 7, number: 1, caps: vec![(ServiceId(0), 100)], ..old(1) })
     );
     assert!(!leases.apply(at(1), old(99)));
-    let mut new = Allocator::start(at(0), 8, Span::from_millis(1500));
+    let mut new = Allocator::start(at(0), 8, TimeDelta::from_millis(1500));
     let needs = vec![
         ServiceDemand { service: ServiceId(0), in_flight: 9000, queued: 0 },
         ServiceDemand { service: ServiceId(1), in_flight: 9000, queued: 0 },
@@ -311,7 +311,7 @@
 fn hosts_of_one_group_come_to_one_division_and_stay_there() {
     let mut config = ShareConfig::default();
     let services = [config.service_id("a"), config.service_id("b")];
-    let mut allocator = Allocator::start(at(0), 7, Span::ZERO);
+    let mut allocator = Allocator::start(at(0), 7, TimeDelta::ZERO);
     let hosts = ["h1", "h2"].map(|id| HostInfo { id, group: "g", slots: SLOTS });
     for round in 0..40_i64 {
         for host in &hosts {
--- a/crates/arrowyard-pooler/src/plane/shares.rs
+++ b/crates/arrowyard-pooler/src/plane/shares.rs
@@ -10,15 +10,15 @@
 };
 use arrowyard_messages::{Allots, HostNeeds, Needs, Phase, Word, said};
 use arrowyard_runtime::{Conn, Orders};
-use arrowyard_types::{HostId, Note, Point, Span, TenantId};
+use arrowyard_types::{HostId, RouterEvent, TenantId, TimeDelta, Timestamp};
 
 use super::{Alarm, Line, RouterPlane};
 use crate::link::Stage;
 use crate::routes::Statement as Kind;
 
 /// Needs are looked at so often at most, and told again after so long where nothing moved.
-const LOOK: Span = Span::from_millis(50);
-const AGAIN: Span = Span::from_millis(250);
+const LOOK: TimeDelta = TimeDelta::from_millis(50);
+const AGAIN: TimeDelta = TimeDelta::from_millis(250);
 /// What moved by less, in thousandths of a place and as a part of itself, is not told.
 const MOVES: MilliPermits = 100;
 const MOVES_PART: MilliPermits = 8;
@@ -34,11 +34,11 @@
     pub terms: ShareConfig,
     pub meter: DemandMeter<HostId>,
     holder: AllocationLeases,
-    looked_at: Point,
+    looked_at: Timestamp,
     /// An alarm for the next look is set.
     looks: bool,
     /// What control was told last of each host, and when.
-    told: BTreeMap<HostId, (Point, Vec<ServiceDemand>)>,
+    told: BTreeMap<HostId, (Timestamp, Vec<ServiceDemand>)>,
     /// What was read of each host at the last look.
     needs: BTreeMap<HostId, Vec<ServiceDemand>>,
     /// What the module goes by.
@@ -64,7 +64,7 @@
     }
 
     /// A session's statement waits for a host.
-    pub(super) fn awaits(&mut self, now: Point, conn: Conn, channel: &Channel) {
+    pub(super) fn awaits(&mut self, now: Timestamp, conn: Conn, channel: &Channel) {
         let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
         let (kind, service) = (statement.kind, statement.service);
         if kind == Kind::Later {
@@ -79,7 +79,7 @@
     }
 
     /// It waits no more.
-    pub(super) fn awaits_no_more(&mut self, now: Point, conn: Conn) {
+    pub(super) fn awaits_no_more(&mut self, now: Timestamp, conn: Conn) {
         let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
         let (service, hosts) = (statement.service, std::mem::take(&mut statement.waits));
         if !hosts.is_empty() {
@@ -88,7 +88,7 @@
     }
 
     /// Needs are looked at where that was not done for a while.
-    pub(super) fn look_now_and_then(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn look_now_and_then(&mut self, now: Timestamp, orders: &mut Orders) {
         if now - self.shares.looked_at >= LOOK {
             self.look_at_needs(now, orders);
         }
@@ -96,7 +96,7 @@
 
     /// Tells control what is needed of hosts of which this router alone needs its even part, and of those that control
     /// asks for. Where all need more than there is, one of them needs more than its even part.
-    pub(super) fn look_at_needs(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn look_at_needs(&mut self, now: Timestamp, orders: &mut Orders) {
         self.shares.looked_at = now;
         self.shares.needs.clear();
         if !self.configured.configuration.divides() {
@@ -152,7 +152,7 @@
     }
 
     /// While anything was told or is held, needs are looked at though nothing comes.
-    fn look_again(&mut self, now: Point) {
+    fn look_again(&mut self, now: Timestamp) {
         let busy = !self.shares.told.is_empty() || self.shares.holder.overloaded_hosts().next().is_some();
         if busy && !self.shares.looks {
             self.shares.looks = true;
@@ -160,20 +160,20 @@
         }
     }
 
-    pub(super) fn shares_due(&mut self, now: Point, orders: &mut Orders) {
+    pub(super) fn shares_due(&mut self, now: Timestamp, orders: &mut Orders) {
         self.shares.looks = false;
         self.look_at_needs(now, orders);
     }
 
     /// Control asks what is needed of hosts.
-    pub(super) fn hosts_pressed(&mut self, now: Point, hosts: &[String], orders: &mut Orders) {
+    pub(super) fn hosts_pressed(&mut self, now: Timestamp, hosts: &[String], orders: &mut Orders) {
         hosts.iter().for_each(|host| self.shares.holder.record_poll(now, host));
         self.look_now_and_then(now, orders);
         self.look_again(now);
     }
 
     /// Whoever divides says what this router may have of hosts.
-    pub(super) fn take_allots(&mut self, now: Point, allots: Allots, orders: &mut Orders) {
+    pub(super) fn take_allots(&mut self, now: Timestamp, allots: Allots, orders: &mut Orders) {
         if allots.router != self.life {
             return;
         }
@@ -198,13 +198,13 @@
     }
 
     /// The feed is new.
-    pub(super) fn renew_shares(&mut self, now: Point) {
+    pub(super) fn renew_shares(&mut self, now: Timestamp) {
         self.shares.holder.drop_expired(now);
         self.hold_to_parts(now);
     }
 
     /// Tells the module what of the parts is new to it.
-    fn hold_to_parts(&mut self, now: Point) {
+    fn hold_to_parts(&mut self, now: Timestamp) {
         let mut held = BTreeMap::new();
         for name in self.shares.holder.overloaded_hosts() {
             let Some(host) = self.module.id_of(name) else { continue };
@@ -218,11 +218,21 @@
         for ((host, service), cap) in &new {
             if old.get(&(*host, *service)) != Some(cap) {
                 let most = Some(f64::from(*cap) / 1000.0);
-                self.note(now, Note::Held { host: *host, tenant: TenantId(service.0), most });
+                self.note(
+                    now,
+                    RouterEvent::TenantLimit {
+                        host: *host,
+                        tenant: TenantId(service.0),
+                        max_in_flight: most,
+                    },
+                );
             }
         }
         for (host, service) in old.keys().filter(|key| !new.contains_key(key)) {
-            self.note(now, Note::Held { host: *host, tenant: TenantId(service.0), most: None });
+            self.note(
+                now,
+                RouterEvent::TenantLimit { host: *host, tenant: TenantId(service.0), max_in_flight: None },
+            );
         }
     }
 
@@ -251,7 +261,7 @@
     }
 
     /// A send of a statement has ended, and the statement has not: it waits for a host again.
-    pub(super) fn waits_again(&mut self, now: Point, conn: Conn) {
+    pub(super) fn waits_again(&mut self, now: Timestamp, conn: Conn) {
         let Some(Line::Client(session)) = self.lines.get(&conn) else { return };
         let inside = session.transaction.as_ref().map(|transaction| transaction.channel.clone());
         let channel = inside.or_else(|| self.configured.routes.of(&session.database).cloned());
