--- a/crates/arrowyard-fair-shares/src/share_config.rs
+++ b/crates/arrowyard-fair-shares/src/share_config.rs
@@ -17,8 +17,8 @@
     /// Relative weight, 0 or more.
     pub weight: f64,
     /// Fractions of a host's permits, 0 to 1: guaranteed when there is demand for them, and the upper limit.
-    pub guaranteed: f64,
-    pub limit: f64,
+    pub min_fraction: f64,
+    pub max_fraction: f64,
     /// Whether other services may use its guaranteed part while it has no demand for it.
     pub lends: bool,
     /// Whether it may exceed its weight's part of all permits.
@@ -32,8 +32,8 @@
         ServiceShare {
             name: name.to_string(),
             weight,
-            guaranteed: 0.0,
-            limit: 1.0,
+            min_fraction: 0.0,
+            max_fraction: 1.0,
             lends: true,
             borrows: true,
         }
@@ -91,11 +91,11 @@
             |service: &mut ServiceShare| *service = ServiceShare::with_weight(&service.name, DEFAULT_WEIGHT);
         self.services.iter_mut().for_each(reset);
         for channel in configuration.channels() {
-            self.set_share(ServiceShare::with_weight(&channel.share, channel.usual_weight()));
+            self.set_share(ServiceShare::with_weight(&channel.share, channel.default_weight()));
         }
         for share in configuration.shares().cloned() {
-            let arrowyard_config::Share { name, weight, least, most, lends, borrows } = share;
-            self.set_share(ServiceShare { name, weight, guaranteed: least, limit: most, lends, borrows });
+            let arrowyard_config::Share { name, weight, min_fraction, max_fraction, lends, borrows } = share;
+            self.set_share(ServiceShare { name, weight, min_fraction, max_fraction, lends, borrows });
         }
     }
 
@@ -122,11 +122,12 @@
                 };
             };
             let weight_part = if total_weight > 0.0 { service.weight / total_weight } else { 0.0 };
-            let limit = if service.borrows { service.limit } else { service.limit.min(weight_part) };
+            let limit =
+                if service.borrows { service.max_fraction } else { service.max_fraction.min(weight_part) };
             Claim {
                 demand: *demand,
                 weight: service.weight,
-                guaranteed: service.guaranteed * permits,
+                guaranteed: service.min_fraction * permits,
                 limit: limit * permits,
                 held_elsewhere: 0.0,
             }
@@ -140,7 +141,7 @@
         let reserved = |(index, service): (usize, &ServiceShare)| {
             let demand =
                 demands.iter().find(|(id, _)| id.0 as usize == index).map_or(0.0, |(_, demand)| *demand);
-            if service.lends { 0.0 } else { (service.guaranteed * permits - demand).max(0.0) }
+            if service.lends { 0.0 } else { (service.min_fraction * permits - demand).max(0.0) }
         };
         self.services.iter().enumerate().map(reserved).sum::<f64>().min(permits)
     }
--- a/crates/arrowyard-fair-shares/tests/division.rs
+++ b/crates/arrowyard-fair-shares/tests/division.rs
@@ -81,7 +81,7 @@
 #[test]
 fn what_is_idle_is_lent_except_by_who_does_not_lend_and_to_who_does_not_borrow() {
     let mut config = ShareConfig::default();
-    let keeps = ServiceShare { guaranteed: 0.4, lends: false, ..ServiceShare::with_weight("keeps", 1.0) };
+    let keeps = ServiceShare { min_fraction: 0.4, lends: false, ..ServiceShare::with_weight("keeps", 1.0) };
     let plain = ServiceShare { borrows: false, ..ServiceShare::with_weight("plain", 1.0) };
     let (keeps, plain) = (config.set_share(keeps), config.set_share(plain));
     let other = config.service_id("other");
--- a/crates/arrowyard-pooler/src/plane/shares.rs
+++ b/crates/arrowyard-pooler/src/plane/shares.rs
@@ -3,13 +3,13 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_config::{Channel, Kind as Freshness};
+use arrowyard_config::{Channel, RouteKind as Freshness};
 use arrowyard_fair_shares::{
     Allocation, AllocationLeases, DemandMeter, MilliPermits, ServiceDemand, ServiceId, ShareConfig,
     permits_for_slots,
 };
-use arrowyard_messages::{Allots, HostNeeds, Needs, Phase, Word, said};
-use arrowyard_runtime::{Conn, Orders};
+use arrowyard_messages::{DemandReport, HostAllocations, HostDemand, Payload, Phase, encode_payload};
+use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{HostId, RouterEvent, TenantId, TimeDelta, Timestamp};
 
 use super::{Alarm, Line, RouterPlane};
@@ -88,18 +88,18 @@
     }
 
     /// Needs are looked at where that was not done for a while.
-    pub(super) fn look_now_and_then(&mut self, now: Timestamp, orders: &mut Orders) {
+    pub(super) fn look_now_and_then(&mut self, now: Timestamp, commands: &mut Commands) {
         if now - self.shares.looked_at >= LOOK {
-            self.look_at_needs(now, orders);
+            self.look_at_needs(now, commands);
         }
     }
 
     /// Tells control what is needed of hosts of which this router alone needs its even part, and of those that control
     /// asks for. Where all need more than there is, one of them needs more than its even part.
-    pub(super) fn look_at_needs(&mut self, now: Timestamp, orders: &mut Orders) {
+    pub(super) fn look_at_needs(&mut self, now: Timestamp, commands: &mut Commands) {
         self.shares.looked_at = now;
         self.shares.needs.clear();
-        if !self.configured.configuration.divides() {
+        if !self.configured.configuration.division_enabled() {
             self.shares.holder = AllocationLeases::default();
             return self.hold_to_parts(now);
         }
@@ -133,18 +133,25 @@
                 self.shares.told.insert(host, (now, needs.clone()));
             }
             let (fence, answers) = self.shares.holder.last_applied(&id);
-            let need = |need: &ServiceDemand| arrowyard_messages::Need {
+            let need = |need: &ServiceDemand| arrowyard_messages::ServiceDemand {
                 service: self.shares.terms.service_name(need.service).to_string(),
-                runs: need.in_flight,
-                waits: need.queued,
+                running_milli: need.in_flight,
+                waiting_milli: need.queued,
             };
             let list = needs.iter().filter(|need| need.in_flight > 0 || need.queued > 0).map(need).collect();
-            hosts.push(HostNeeds { host: id, slots, fence, answers, needs: list, group });
+            hosts.push(HostDemand { host: id, slots, fence, answers, services: list, group });
             self.shares.needs.insert(host, needs);
         }
         if let Some(conn) = self.feed.open_conn().filter(|_| !hosts.is_empty()) {
             let echo = self.shares.holder.next_report(now);
-            orders.write(conn, &[&said(Word::Needs(Needs { router: self.life, echo, hosts }))]);
+            commands.write(
+                conn,
+                &[&encode_payload(Payload::DemandReport(DemandReport {
+                    router: self.incarnation,
+                    echo,
+                    hosts,
+                }))],
+            );
         }
         self.shares.holder.sweep(now);
         self.hold_to_parts(now);
@@ -160,40 +167,43 @@
         }
     }
 
-    pub(super) fn shares_due(&mut self, now: Timestamp, orders: &mut Orders) {
+    pub(super) fn shares_due(&mut self, now: Timestamp, commands: &mut Commands) {
         self.shares.looks = false;
-        self.look_at_needs(now, orders);
+        self.look_at_needs(now, commands);
     }
 
     /// Control asks what is needed of hosts.
-    pub(super) fn hosts_pressed(&mut self, now: Timestamp, hosts: &[String], orders: &mut Orders) {
+    pub(super) fn hosts_pressed(&mut self, now: Timestamp, hosts: &[String], commands: &mut Commands) {
         hosts.iter().for_each(|host| self.shares.holder.record_poll(now, host));
-        self.look_now_and_then(now, orders);
+        self.look_now_and_then(now, commands);
         self.look_again(now);
     }
 
     /// Whoever divides says what this router may have of hosts.
-    pub(super) fn take_allots(&mut self, now: Timestamp, allots: Allots, orders: &mut Orders) {
-        if allots.router != self.life {
+    pub(super) fn take_allots(&mut self, now: Timestamp, allots: HostAllocations, commands: &mut Commands) {
+        if allots.router != self.incarnation {
             return;
         }
-        for allot in allots.allots {
-            let caps =
-                allot.caps.iter().map(|cap| (self.shares.terms.service_id(&cap.service), cap.cap)).collect();
+        for allot in allots.allocations {
+            let caps = allot
+                .caps
+                .iter()
+                .map(|cap| (self.shares.terms.service_id(&cap.service), cap.cap_milli))
+                .collect();
             let allot = Allocation {
                 host: allot.host,
                 fence: allots.fence,
                 number: allot.number,
                 report: allot.echo,
-                overloaded: allot.pressed,
+                overloaded: allot.overloaded,
                 caps,
-                permits: allot.places,
+                permits: allot.capacity_milli,
                 routers: allot.routers,
             };
             self.shares.holder.apply(now, allot);
         }
         self.hold_to_parts(now);
-        self.look_now_and_then(now, orders);
+        self.look_now_and_then(now, commands);
         self.look_again(now);
     }
 
