--- a/crates/arrowyard-fair-shares/src/allocator.rs
+++ b/crates/arrowyard-fair-shares/src/allocator.rs
@@ -1,10 +1,13 @@
-//! Divides overloaded hosts between services and routers. It runs on the control machine that holds the duty.
+//! Divides overloaded hosts between services and routers. It runs on the control machine that holds the
+//! duty.
 //!
-//! Routers report their demand for a host. While the summed demand exceeds the host's capacity, services that want more
-//! than their fair share are limited to it, each router to its part. Services that want less are not limited.
+//! Routers report their demand for a host. While the summed demand exceeds the host's capacity, services
+//! that want more than their fair share are limited to it, each router to its part. Services that want less
+//! are not limited.
 //!
-//! Invariant: the caps that routers may be applying never sum up to more than the fair shares. A cap is raised only by
-//! what other routers have released, which is known by their acknowledgement or by the end of their lease.
+//! Invariant: the caps that routers may be applying never sum up to more than the fair shares. A cap is
+//! raised only by what other routers have released, which is known by their acknowledgement or by the end
+//! of their lease.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -18,9 +21,9 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouterId(pub u64);
 
-/// A host becomes overloaded when the reported demand exceeds this part of its permits, and stops being so after the
-/// demand was below the lower part for `OVERLOAD_EXIT_DELAY`. The thresholds are below 1 because routers report unasked
-/// only from their even part of the permits on; while a host is overloaded all routers are polled at
+/// A host becomes overloaded when the reported demand exceeds this part of its permits, and stops being so
+/// after the demand was below the lower part for `OVERLOAD_EXIT_DELAY`. Routers report unasked only from
+/// their even part of the permits on; while a host is overloaded all routers are polled at
 /// `DEMAND_POLL_INTERVAL`.
 const OVERLOAD_ENTER_RATIO: f64 = 0.6;
 const OVERLOAD_EXIT_RATIO: f64 = 0.4;
@@ -30,8 +33,8 @@
 const LEASE_CLOCK_MARGIN: f64 = 1.1;
 /// Minimum time between two allocations of a host.
 const MIN_ALLOCATION_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
-/// A cap that changed by no more than this, in thousandths of a permit and as 1/n of itself, is not sent before the lease
-/// is due for renewal.
+/// A cap that changed by no more than this, in thousandths of a permit and as 1/n of itself, is not sent
+/// before the lease is due for renewal.
 const MIN_CAP_CHANGE: MilliPermits = 20;
 const MIN_CAP_CHANGE_DIVISOR: u32 = 16;
 const LEASE_RENEWAL_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
@@ -51,7 +54,8 @@
     /// Whether the host is overloaded. If not, all limits are lifted.
     pub overloaded: bool,
     pub caps: Vec<(ServiceId, MilliPermits)>,
-    /// The host's permits and the number of routers that share them: the router's fallback once its lease has expired.
+    /// The host's permits and the number of routers that share them: the router's fallback once its lease
+    /// has expired.
     pub permits: MilliPermits,
     pub routers: u32,
 }
@@ -73,7 +77,8 @@
     /// Number of the router's last report, and when it arrived.
     report: u64,
     reported_at: Timestamp,
-    /// The last acknowledged allocation and all that were sent since; the router may be applying any of them.
+    /// The last acknowledged allocation and all that were sent since; the router may be applying any of
+    /// them.
     sent: VecDeque<(u64, Vec<(ServiceId, MilliPermits)>)>,
     acknowledged: bool,
     sent_at: Timestamp,
@@ -84,7 +89,8 @@
         self.demands.iter().copied().find(|demand| demand.service == service).unwrap_or_default()
     }
 
-    /// The most that the router may be using: the highest cap it may be applying, or its reported in-flight statements.
+    /// The most that the router may be using: the highest cap it may be applying, or its reported in-flight
+    /// statements.
     fn max_in_use(&self, service: ServiceId) -> MilliPermits {
         self.max_sent_cap(service).unwrap_or(0).max(self.demand(service).in_flight)
     }
@@ -148,16 +154,17 @@
     hosts: BTreeMap<String, HostState>,
 }
 
-/// A host's permits over all routers: twice the number of statements that it runs at a time, so that no slot is idle
-/// while answers travel and no statement waits at the host for much longer than one statement takes.
+/// A host's permits over all routers: twice the number of statements that it runs at a time, so that no
+/// slot is idle while answers travel and no statement waits at the host for much longer than one statement
+/// takes.
 #[must_use]
 pub fn permits_for_slots(slots: u32) -> MilliPermits {
     slots.clamp(1, 100_000) * 2000
 }
 
 impl Allocator {
-    /// Starts under the fencing token of a newly acquired duty. `handover_wait` is how long the previous holder may have
-    /// continued after it lost the duty; zero if there was none.
+    /// Starts under the fencing token of a newly acquired duty. `handover_wait` is how long the previous
+    /// holder may have continued after it lost the duty; zero if there was none.
     #[must_use]
     pub fn start(now: Timestamp, fence: u64, handover_wait: TimeDelta) -> Self {
         let not_before = if handover_wait == TimeDelta::ZERO {
@@ -168,8 +175,9 @@
         Allocator { fence, not_before, ..Allocator::default() }
     }
 
-    /// Records a router's full demand for a host: the report's number, and the number of the last allocation that the
-    /// router applied under this fence (0 for none). [`Allocator::allocate`] sends the resulting changes.
+    /// Records a router's full demand for a host: the report's number, and the number of the last
+    /// allocation that the router applied under this fence (0 for none). [`Allocator::allocate`] sends the
+    /// resulting changes.
     pub fn record_demand(
         &mut self,
         now: Timestamp,
@@ -198,9 +206,9 @@
         }
     }
 
-    /// Divides the hosts that are due. Returns the allocations to send, and the overloaded hosts for which every router is
-    /// to be polled: routers with little demand each do not report unasked, but their sum counts. `routers` is the number
-    /// of routers.
+    /// Divides the hosts that are due. Returns the allocations to send, and the overloaded hosts for which
+    /// every router is to be polled: routers with little demand each do not report unasked, but their sum
+    /// counts. `routers` is the number of routers.
     pub fn allocate(&mut self, now: Timestamp, config: &ShareConfig, routers: u32) -> AllocationRound {
         let mut round = AllocationRound::default();
         if now < self.not_before {
@@ -220,8 +228,8 @@
             }
             host.allocated_at = now;
             host.routers.retain(|_, router| now - router.reported_at < ALLOCATION_LEASE * LEASE_CLOCK_MARGIN);
-            // Each host is divided by the current result of the hosts before it. Dividing all hosts of a group by the
-            // previous round's results oscillates between two wrong divisions.
+            // Each host is divided by the current result of the hosts before it. Dividing all hosts of a
+            // group by the previous round's results oscillates between two wrong divisions.
             let key = |host: &HostState, service: ServiceId| (host.group.clone(), service);
             for (service, fair_share, demand) in &host.fair_shares {
                 *elsewhere.entry(key(host, *service)).or_default() -= fair_share.min(*demand);
@@ -326,7 +334,8 @@
             demands.iter().zip(shares).map(|((of, demand), share)| (*of, share, *demand)).collect();
     }
 
-    /// The caps to send to each router; routers whose caps changed little and whose lease is fresh are left out.
+    /// The caps to send to each router; routers whose caps changed little and whose lease is fresh are left
+    /// out.
     fn caps_to_send(&self, now: Timestamp) -> Vec<(RouterId, Vec<(ServiceId, MilliPermits)>)> {
         let limited: Vec<(ServiceId, f64, f64)> = match self.overloaded_since {
             Some(_) => self.fair_shares.iter().copied().filter(|(_, share, demand)| demand > share).collect(),
@@ -339,8 +348,9 @@
                 self.routers.values().map(|router| i64::from(router.max_in_use(*service))).sum();
             free.insert(*service, (*fair_share * 1000.0) as i64 - in_use);
         }
-        // Permits that one service gives up go to another only once that is acknowledged, and a service that is no longer
-        // limited still counts with its old caps at routers that have not acknowledged the change.
+        // Permits that one service gives up go to another only once that is acknowledged, and a service
+        // that is no longer limited still counts with its old caps at routers that have not acknowledged
+        // the change.
         let mut services: std::collections::BTreeSet<ServiceId> =
             self.fair_shares.iter().map(|(of, ..)| *of).collect();
         let sent = self.routers.values().flat_map(|router| &router.sent).flat_map(|(_, caps)| caps);
@@ -357,15 +367,17 @@
                 let demand = router.demand(*service);
                 let router_demand = f64::from(demand.in_flight) + f64::from(demand.queued);
                 let target = (fair_share * router_demand / total_demand) as i64;
-                // A raise starts from the cap that was sent, not from the in-flight statements: those may date from before
-                // the service was limited, and permits that were never allocated would count as kept.
+                // A raise starts from the cap that was sent, not from the in-flight statements: those may
+                // date from before the service was limited, and permits that were never allocated would
+                // count as kept.
                 let sent = router.max_sent_cap(*service);
                 let is_new = sent.is_none();
                 let current = i64::from(sent.unwrap_or(demand.in_flight));
                 let free = free.get_mut(service).expect("every limited service has an entry");
                 let room = (*free).min(total_free);
                 let cap = if is_new {
-                    // An unlimited router uses what it has in flight; its first cap is bounded by what others leave.
+                    // An unlimited router uses what it has in flight; its first cap is bounded by what
+                    // others leave.
                     (current + room).clamp(0, target)
                 } else if target <= current {
                     target
--- a/crates/arrowyard-fair-shares/src/demand_meter.rs
+++ b/crates/arrowyard-fair-shares/src/demand_meter.rs
@@ -1,8 +1,10 @@
-//! A router's in-flight and queued statements by host and service, averaged over the time since the last reading.
+//! A router's in-flight and queued statements by host and service, averaged over the time since the last
+//! reading.
 //!
-//! In-flight statements are derived from answers by Little's law: the summed latency of answered statements over the
-//! elapsed time. Statements whose answer was lost, or whose host is unreachable, stay outstanding until the client gives
-//! up but occupy no permit at the host; counting them would make an idle host look overloaded.
+//! In-flight statements are derived from answers by Little's law: the summed latency of answered statements
+//! over the elapsed time. Statements whose answer was lost, or whose host is unreachable, stay outstanding
+//! until the client gives up but occupy no permit at the host; counting them would make an idle host look
+//! overloaded.
 
 use std::collections::BTreeMap;
 
@@ -47,13 +49,15 @@
 struct Counters {
     /// Statements sent whose end was not recorded yet.
     outstanding: u32,
-    /// Summed latency in seconds of statements answered since the last reading, and the averaged in-flight statements.
+    /// Summed latency in seconds of statements answered since the last reading, and the averaged in-flight
+    /// statements.
     answered_s: f64,
     in_flight: f64,
     queued: TimeAverage,
 }
 
-/// Measures the demand at each host `H`. A statement that waits for any of several hosts counts in equal parts at each.
+/// Measures the demand at each host `H`. A statement that waits for any of several hosts counts in equal
+/// parts at each.
 #[derive(Clone, Debug)]
 pub struct DemandMeter<H> {
     counters: BTreeMap<(H, ServiceId), Counters>,
--- a/crates/arrowyard-fair-shares/src/leases.rs
+++ b/crates/arrowyard-fair-shares/src/leases.rs
@@ -1,5 +1,6 @@
-//! The allocations that a router holds, and their leases. A lease runs from when the router sent the report that the
-//! allocation answers. Without renewal the caps shrink to the router's even part of the host and never grow.
+//! The allocations that a router holds, and their leases. A lease runs from when the router sent the report
+//! that the allocation answers. Without renewal the caps shrink to the router's even part of the host and
+//! never grow.
 
 use std::collections::BTreeMap;
 
@@ -8,8 +9,8 @@
 use crate::max_min::weighted_max_min;
 use crate::{Allocation, MilliPermits, ServiceDemand, ServiceId, ShareConfig};
 
-/// How long an allocation is valid after the report that it answers. It holds in full for the first half of that, then
-/// shrinks.
+/// How long an allocation is valid after the report that it answers. It holds in full for the first half of
+/// that, then shrinks.
 pub const ALLOCATION_LEASE: TimeDelta = TimeDelta::from_millis(1000);
 /// How long after the last poll the demand for a host is still reported.
 const POLL_VALIDITY: TimeDelta = TimeDelta::from_millis(1500);
@@ -54,16 +55,16 @@
         self.applied.get(host).copied().unwrap_or_default()
     }
 
-    /// Applies an allocation and returns true, or returns false if it is not newer than the last one or answers a report
-    /// that is no longer remembered.
+    /// Applies an allocation and returns true, or returns false if it is not newer than the last one or
+    /// answers a report that is no longer remembered.
     pub fn apply(&mut self, now: Timestamp, allocation: Allocation) -> bool {
         let newest = self.last_applied(&allocation.host);
         if (allocation.fence, allocation.number) <= newest {
             return false;
         }
-        // The lease runs from the report, not from now: the message may have been delayed for longer than the lease. A
-        // router that has not reported yet (report 0) is allocated nothing of the limited services, so a late message does
-        // no harm.
+        // The lease runs from the report, not from now: the message may have been delayed for longer than
+        // the lease. A router that has not reported yet (report 0) is allocated nothing of the limited
+        // services, so a late message does no harm.
         let lease_start =
             if allocation.report == 0 { Some(now) } else { self.reports.get(&allocation.report).copied() };
         let Some(lease_start) = lease_start else { return false };
@@ -110,8 +111,8 @@
         self.applied.retain(|host, _| self.allocations.contains_key(host) || self.polled.contains_key(host));
     }
 
-    /// The current cap on in-flight statements at a host, by service; services that are not named are not limited.
-    /// `demands` is this router's current demand there.
+    /// The current cap on in-flight statements at a host, by service; services that are not named are not
+    /// limited. `demands` is this router's current demand there.
     #[must_use]
     pub fn caps(
         &self,
--- a/crates/arrowyard-fair-shares/src/lib.rs
+++ b/crates/arrowyard-fair-shares/src/lib.rs
@@ -1,12 +1,14 @@
-//! Weighted fair sharing of a host's concurrency between services, over all routers together. Services here are the
-//! operator's classes of requests.
+//! Weighted fair sharing of a host's concurrency between services, over all routers together. Services here
+//! are the operator's classes of requests.
 //!
 //! A *permit* is the right to have one statement in flight at a host; permits are counted in thousandths
-//! ([`MilliPermits`]). Nothing here does I/O or reads a clock. `docs/shares.md` gives the formula and the guarantees.
+//! ([`MilliPermits`]). Nothing here does I/O or reads a clock. `docs/shares.md` gives the formula and the
+//! guarantees.
 //!
-//! [`weighted_max_min`] is the division itself. The [`Allocator`] runs on the control machine that holds the duty and
-//! divides overloaded hosts by the demand that routers report. [`AllocationLeases`] on each router holds the caps that
-//! the router was allocated and their expiry; [`DemandMeter`] on each router measures in-flight and queued statements.
+//! [`weighted_max_min`] is the division itself. The [`Allocator`] runs on the control machine that holds
+//! the duty and divides overloaded hosts by the demand that routers report. [`AllocationLeases`] on each
+//! router holds the caps that the router was allocated and their expiry; [`DemandMeter`] on each router
+//! measures in-flight and queued statements.
 
 mod allocator;
 mod demand_meter;
--- a/crates/arrowyard-fair-shares/src/max_min.rs
+++ b/crates/arrowyard-fair-shares/src/max_min.rs
@@ -1,7 +1,7 @@
 //! Weighted max-min division of a capacity.
 
-/// What one service may claim of a host's permits. `guaranteed` and `limit` are in permits; the guaranteed part is given
-/// before the rest is divided by weight, as far as there is demand for it.
+/// What one service may claim of a host's permits. `guaranteed` and `limit` are in permits; the guaranteed
+/// part is given before the rest is divided by weight, as far as there is demand for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Claim {
     /// Permits that the service could use now.
@@ -14,9 +14,10 @@
     pub held_elsewhere: f64,
 }
 
-/// The weighted max-min share of each claim in `capacity` permits. Each claim gets its weight times a common level, less
-/// what it holds elsewhere, but at least its guarantee and at most its limit and its demand; the level is the highest at
-/// which the sum stays within the capacity. Guarantees that together exceed the capacity are cut in proportion.
+/// The weighted max-min share of each claim in `capacity` permits. Each claim gets its weight times a
+/// common level, less what it holds elsewhere, but at least its guarantee and at most its limit and its
+/// demand; the level is the highest at which the sum stays within the capacity. Guarantees that together
+/// exceed the capacity are cut in proportion.
 #[must_use]
 pub fn weighted_max_min(capacity: f64, claims: &[Claim]) -> Vec<f64> {
     let upper: Vec<f64> = claims.iter().map(|claim| claim.demand.min(claim.limit).max(0.0)).collect();
@@ -34,8 +35,8 @@
     let unweighted: f64 =
         (0..claims.len()).filter(|&index| claims[index].weight <= 0.0).map(|index| lower[index]).sum();
     let sum_at = |level: f64| weighted.iter().map(|&index| share_at(index, level)).sum::<f64>() + unweighted;
-    // The sum is piecewise linear in the level; its breakpoints are where a claim leaves its lower bound or reaches its
-    // upper bound.
+    // The sum is piecewise linear in the level; its breakpoints are where a claim leaves its lower bound or
+    // reaches its upper bound.
     let mut breakpoints: Vec<f64> = weighted
         .iter()
         .flat_map(|&index| {
--- a/crates/arrowyard-fair-shares/src/share_config.rs
+++ b/crates/arrowyard-fair-shares/src/share_config.rs
@@ -40,7 +40,8 @@
     }
 }
 
-/// The shares of all known services. A service keeps its number for the life of the process; its share may change.
+/// The shares of all known services. A service keeps its number for the life of the process; its share may
+/// change.
 #[derive(Clone, Debug, Default)]
 pub struct ShareConfig {
     ids: BTreeMap<String, ServiceId>,
@@ -85,7 +86,8 @@
         id
     }
 
-    /// Applies the operator's configuration. Services that it no longer names fall back to the default weight.
+    /// Applies the operator's configuration. Services that it no longer names fall back to the default
+    /// weight.
     pub fn apply_configuration(&mut self, configuration: &Configuration) {
         let reset =
             |service: &mut ServiceShare| *service = ServiceShare::with_weight(&service.name, DEFAULT_WEIGHT);
@@ -105,7 +107,8 @@
         self.services.get(id.0 as usize).map_or(DEFAULT_WEIGHT, |service| service.weight)
     }
 
-    /// The claims on a host with `permits` permits, one for each of `demands` (in permits), in the same order.
+    /// The claims on a host with `permits` permits, one for each of `demands` (in permits), in the same
+    /// order.
     #[must_use]
     pub fn claims(&self, permits: f64, demands: &[(ServiceId, f64)]) -> Vec<Claim> {
         let share_of = |id: &ServiceId| self.services.get(id.0 as usize);
--- a/crates/arrowyard-pooler/src/freshness.rs
+++ b/crates/arrowyard-pooler/src/freshness.rs
@@ -1,56 +1,61 @@
-//! How fresh a host's data is, in time, though hosts tell positions only. Whatever was acknowledged before a statement
-//! was sent to the primary is at or before the position that its answer told. So each answer of the primary pairs a
-//! time with a position, and a replica that has the position has all that was acknowledged before the time.
+//! Relates log positions to time, so that a staleness bound in time can be checked against the positions
+//! that hosts report. All commits acknowledged before a statement was sent to the primary are at or before
+//! the position in its answer. Each answer of the primary thus pairs a time with a position, and a replica
+//! at that position or later has every commit acknowledged before that time.
 
 use std::collections::VecDeque;
 
 use arrowyard_protocol::Position;
 use arrowyard_types::{TimeDelta, Timestamp};
 
-/// Pairs closer than this to the one before are left out, and older ones than this are forgotten.
-const STEP: TimeDelta = TimeDelta::from_millis(10);
-const OLD: TimeDelta = TimeDelta::from_millis(30_000);
-const MOST: usize = 512;
+/// Pairs are kept at this distance at least, up to this age and this number.
+const MIN_PAIR_DISTANCE: TimeDelta = TimeDelta::from_millis(10);
+const MAX_PAIR_AGE: TimeDelta = TimeDelta::from_millis(30_000);
+const MAX_PAIRS: usize = 512;
 
-/// What one service's primary told, oldest first; both times and positions rise.
+/// Pairs of time and position reported by one service's primary, oldest first. Invariant: both are
+/// non-decreasing.
 #[derive(Clone, Debug, Default)]
 pub struct PositionTimeline {
     pairs: VecDeque<(Timestamp, Position)>,
 }
 
 impl PositionTimeline {
-    /// The primary answered a statement that was sent then. Danger: only an answer that proves that it led as it ran
-    /// the statement may be told here; a host that led once tells positions that lack what its successor committed.
+    /// Records that the primary answered a statement sent at `sent` with this position. Only answers that
+    /// prove that the host was primary while it ran the statement may be recorded: a former primary reports
+    /// positions that lack what its successor committed.
     pub fn record(&mut self, sent: Timestamp, position: Position) {
-        if let Some((last, known)) = self.pairs.back_mut() {
-            if sent < *last {
+        if let Some((last_sent, last_position)) = self.pairs.back_mut() {
+            if sent < *last_sent {
                 return;
             }
-            // Answers cross: a lower position that came later asks for less, but so does no pair at all.
-            if position < *known {
+            // Answers may arrive out of order; a lower position would weaken later requirements.
+            if position < *last_position {
                 return;
             }
-            if sent - *last < STEP {
-                // The later position stands for the earlier time as well: it only asks for more.
-                *known = position;
+            if sent - *last_sent < MIN_PAIR_DISTANCE {
+                // The later position is also valid for the earlier time; it only requires more.
+                *last_position = position;
                 return;
             }
         }
         self.pairs.push_back((sent, position));
-        while self.pairs.len() > MOST || self.pairs.front().is_some_and(|(at, _)| sent - *at > OLD) {
+        while self.pairs.len() > MAX_PAIRS
+            || self.pairs.front().is_some_and(|(at, _)| sent - *at > MAX_PAIR_AGE)
+        {
             self.pairs.pop_front();
         }
     }
 
-    /// A position that has all that was acknowledged before `since`; the least that is known.
+    /// The lowest known position that includes every commit acknowledged before `since`.
     pub fn position_covering(&self, since: Timestamp) -> Option<Position> {
-        let place = self.pairs.partition_point(|(at, _)| *at < since);
-        self.pairs.get(place).map(|(_, position)| *position)
+        let index = self.pairs.partition_point(|(at, _)| *at < since);
+        self.pairs.get(index).map(|(_, position)| *position)
     }
 
-    /// Up to when a host has all that was acknowledged, if it has this position.
+    /// The time up to which a host at this position has every acknowledged commit.
     pub fn fresh_until(&self, position: Position) -> Option<Timestamp> {
-        let place = self.pairs.partition_point(|(_, known)| *known <= position);
-        place.checked_sub(1).map(|place| self.pairs[place].0)
+        let index = self.pairs.partition_point(|(_, known)| *known <= position);
+        index.checked_sub(1).map(|index| self.pairs[index].0)
     }
 }
--- a/crates/arrowyard-pooler/src/plane.rs
+++ b/crates/arrowyard-pooler/src/plane.rs
@@ -1,10 +1,11 @@
-//! A router: the parts of the data plane put together. Each kind of connection has a file of its own.
+//! The plane of a router. Each kind of connection, and each concern of the data path, has a module of its
+//! own.
 
 mod clients;
+mod control_requests;
 mod feed;
 mod hosts;
 mod ops;
-mod questions;
 mod shares;
 
 use std::collections::VecDeque;
@@ -17,108 +18,110 @@
 use arrowyard_types::{Action, HostId, OpId, RouterEvent, TimeDelta, TimerId, Timestamp};
 use rustc_hash::FxHashMap;
 
+use crate::decision::DecisionModule;
 use crate::freshness::PositionTimeline;
+use crate::host_connection::HostConnection;
 use crate::latency::LatencyEstimates;
-use crate::link::HostConnection;
-use crate::module::Module;
 use crate::replacements::Replacements;
 use crate::routes::{Configured, OpTypes};
 use crate::session::Session;
 
 use feed::Feed;
-use hosts::Pool;
+use hosts::ConnectionPool;
 use shares::Shares;
 
-/// The doors of a router: clients, and whoever asks whether it is ready.
+/// The listeners of a router: clients, and readiness checks.
 pub const LISTENERS: [ListenerId; 2] = [ListenerId(0), ListenerId(1)];
 
-/// The settings file is read again so often, since it may change without a signal.
-const REREAD: TimeDelta = TimeDelta::from_millis(2000);
-/// Idle connections to hosts are looked at so often.
-const RESTED: TimeDelta = TimeDelta::from_millis(1000);
-/// The platform has noticed by then that a router is no more ready.
-const NOTICED: TimeDelta = TimeDelta::from_millis(2200);
-/// A process ends so long before it would be ended.
-const BEFORE_END: TimeDelta = TimeDelta::from_millis(700);
-/// A session that says nothing at first is closed after so long where the configuration does not say.
-const IDLE: TimeDelta = TimeDelta::from_millis(2000);
+/// Interval at which the settings file is read again, since it may change without a signal.
+const SETTINGS_RELOAD_INTERVAL: TimeDelta = TimeDelta::from_millis(2000);
+/// Interval at which idle connections to hosts are checked.
+const IDLE_CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(1000);
+/// Time after which the platform has noticed that a router is no longer ready.
+const READINESS_PROPAGATION: TimeDelta = TimeDelta::from_millis(2200);
+/// A draining process exits this long before the end of its grace period.
+const EXIT_MARGIN: TimeDelta = TimeDelta::from_millis(700);
+/// Time in which a client must open a database where the configuration does not set one.
+const DEFAULT_OPEN_TIMEOUT: TimeDelta = TimeDelta::from_millis(2000);
 
-/// So many routers share the hosts' connections as long as nobody told. Danger: routers that all start at once, each as
-/// if it were alone, together go over every host's limit.
-const UNCOUNTED: u32 = 12;
+/// Number of routers assumed to share the hosts' connections until control reports it. Routers that start
+/// at the same time, each assuming that it is alone, would together exceed the hosts' connection limits.
+const DEFAULT_ROUTERS: u32 = 12;
 
-/// Reads the settings file anew.
-pub type Reread = Box<dyn FnMut() -> Option<Settings>>;
+/// Reads the settings file again; `None` if it cannot be read.
+pub type ReloadSettings = Box<dyn FnMut() -> Option<Settings>>;
 
-/// What is to be done at a time.
+/// What a timer was set for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Alarm {
-    Module(TimerId),
-    /// A statement's time is up.
+enum Timer {
+    DecisionModule(TimerId),
+    /// The deadline of a session's statement.
     Statement(Conn),
-    /// A session says nothing: at first, or inside a transaction.
-    Silence(Conn),
+    /// A session is silent before it opens a database, or inside a transaction.
+    SessionIdle(Conn),
     /// A statement waits for a connection.
-    Waits(Conn, OpId),
-    /// The answer on a connection may be lost.
-    Lost(Conn),
-    /// A connection to a host was not opened, or an orphan was not answered.
+    ConnectionWait(Conn, OpId),
+    /// The reply on a connection may be lost.
+    LostReply(Conn),
+    /// A connection to a host has not opened, or an orphaned one has not been answered.
     HostConnection(Conn),
     Feed,
-    /// Needs of hosts are looked at.
-    Shares,
-    Reread,
-    /// Connections to hosts that are of no use any more.
-    Rested(HostId),
-    Round,
-    Sweep,
+    /// Check of the demand for hosts.
+    Demand,
+    ReloadSettings,
+    /// Idle connections to one host may have expired.
+    IdleConnections(HostId),
+    /// The same for all hosts.
+    AllIdleConnections,
+    Drain,
 }
 
-/// What stands at the other end of a connection.
-enum Line {
+/// The other end of a connection.
+enum Endpoint {
     Client(Box<Session>),
-    Ready(HttpDecoder),
-    HostConnection(Box<HostConnection>),
-    Feed,
+    Readiness(HttpDecoder),
+    Host(Box<HostConnection>),
+    Control,
 }
 
-/// One router.
+/// A router as a plane of the event loop.
 pub struct RouterPlane {
     settings: Settings,
-    reread: Reread,
+    reload_settings: ReloadSettings,
     incarnation: u64,
     rng: fastrand::Rng,
-    module: Module,
+    decision: DecisionModule,
     actions: Vec<Action>,
     configured: Configured,
     op_types: OpTypes,
-    lines: FxHashMap<Conn, Line>,
-    pools: Vec<Pool>,
+    endpoints: FxHashMap<Conn, Endpoint>,
+    pools: Vec<ConnectionPool>,
     timelines: FxHashMap<String, PositionTimeline>,
     ops: FxHashMap<OpId, Conn>,
     latencies: LatencyEstimates,
-    probing: FxHashMap<HostId, Timestamp>,
+    probes: FxHashMap<HostId, Timestamp>,
     last_op: u64,
-    shapes: FxHashMap<(arrowyard_protocol::AccessMode, Rc<str>), u32>,
-    timers: Timers<Alarm>,
+    prepared_numbers: FxHashMap<(arrowyard_protocol::AccessMode, Rc<str>), u32>,
+    timers: Timers<Timer>,
     feed: Feed,
     replacements: Replacements,
     shares: Shares,
-    /// How many routers share the hosts' connections.
+    /// Number of routers that share the hosts' connections.
     routers: u32,
     controls: Vec<KnownControl>,
-    draining: Option<Timestamp>,
-    closed_idle: bool,
-    pending: VecDeque<Action>,
+    draining_since: Option<Timestamp>,
+    /// Whether idle sessions are closed, as the later part of a drain.
+    closes_idle: bool,
+    pending_actions: VecDeque<Action>,
     sessions: usize,
 }
 
 impl RouterPlane {
-    pub fn new(settings: Settings, incarnation: u64, reread: Reread) -> Self {
+    pub fn new(settings: Settings, incarnation: u64, reload_settings: ReloadSettings) -> Self {
         let now = Timestamp::from_micros(0);
         let mut actions = Vec::new();
-        let drain = TimeDelta::from_millis((settings.envelope.drain_bound_ms - 2000.0).max(0.0) as i64);
-        let module = Module::start(now, incarnation, drain, &mut actions);
+        let drain_bound = TimeDelta::from_millis((settings.envelope.drain_bound_ms - 2000.0).max(0.0) as i64);
+        let decision = DecisionModule::start(now, incarnation, drain_bound, &mut actions);
         let controls = settings
             .seeds
             .iter()
@@ -126,66 +129,69 @@
             .collect();
         RouterPlane {
             settings,
-            reread,
+            reload_settings,
             incarnation,
             rng: fastrand::Rng::with_seed(incarnation),
-            module,
+            decision,
             actions,
             configured: Configured::default(),
             op_types: OpTypes::default(),
-            lines: FxHashMap::default(),
+            endpoints: FxHashMap::default(),
             pools: Vec::new(),
             timelines: FxHashMap::default(),
             ops: FxHashMap::default(),
             latencies: LatencyEstimates::default(),
-            probing: FxHashMap::default(),
+            probes: FxHashMap::default(),
             last_op: 0,
-            shapes: FxHashMap::default(),
+            prepared_numbers: FxHashMap::default(),
             timers: Timers::default(),
             feed: Feed::default(),
             replacements: Replacements::default(),
             shares: Shares::default(),
-            routers: UNCOUNTED,
+            routers: DEFAULT_ROUTERS,
             controls,
-            draining: None,
-            closed_idle: false,
-            pending: VecDeque::new(),
+            draining_since: None,
+            closes_idle: false,
+            pending_actions: VecDeque::new(),
             sessions: 0,
         }
     }
 
     fn session(&mut self, conn: Conn) -> Option<&mut Session> {
-        match self.lines.get_mut(&conn) {
-            Some(Line::Client(session)) => Some(session),
+        match self.endpoints.get_mut(&conn) {
+            Some(Endpoint::Client(session)) => Some(session),
             _ => None,
         }
     }
 
-    fn link(&mut self, conn: Conn) -> Option<&mut HostConnection> {
-        match self.lines.get_mut(&conn) {
-            Some(Line::HostConnection(link)) => Some(link),
+    fn host_connection(&mut self, conn: Conn) -> Option<&mut HostConnection> {
+        match self.endpoints.get_mut(&conn) {
+            Some(Endpoint::Host(connection)) => Some(connection),
             _ => None,
         }
     }
 
-    /// Hands a note to the module. What it wants is carried out before the event is over.
-    fn note(&mut self, now: Timestamp, note: RouterEvent) {
-        self.module.take(now, note, &mut self.actions);
+    /// Passes an event to the decision module. Its actions are executed before the plane returns to the
+    /// event loop.
+    fn notify(&mut self, now: Timestamp, event: RouterEvent) {
+        self.decision.handle(now, event, &mut self.actions);
     }
 
-    /// Carries out what the module wants, in order, until it wants no more.
-    fn carry(&mut self, now: Timestamp, commands: &mut Commands) {
+    /// Executes the decision module's actions in order, including those that follow from them.
+    fn execute_actions(&mut self, now: Timestamp, commands: &mut Commands) {
         loop {
-            self.pending.extend(self.actions.drain(..));
-            let Some(action) = self.pending.pop_front() else { return };
+            self.pending_actions.extend(self.actions.drain(..));
+            let Some(action) = self.pending_actions.pop_front() else { return };
             match action {
-                Action::Send { op, host, deadline: until } => self.send(now, op, host, until, commands),
-                Action::BusyReply { op, retry_after } => self.give_up(now, op, retry_after, commands),
-                Action::ErrorReply { op } => self.fail(now, op, commands),
+                Action::Send { op, host, deadline } => self.send(now, op, host, deadline, commands),
+                Action::BusyReply { op, retry_after } => self.reply_busy(now, op, retry_after, commands),
+                Action::ErrorReply { op } => self.reply_error(now, op, commands),
                 Action::Probe { host } => self.probe(now, host, commands),
-                Action::SetTimer { after, timer } => drop(self.timers.set(now + after, Alarm::Module(timer))),
-                Action::Log { text } => log::info!("module: {text}."),
-                // Nothing of the kind is told to this module.
+                Action::SetTimer { after, timer } => {
+                    self.timers.set(now + after, Timer::DecisionModule(timer));
+                }
+                Action::Log { text } => log::info!("decision module: {text}."),
+                // Not used with the settings that the decision module is given here.
                 Action::Cancel { .. }
                 | Action::SubscribeHostList { .. }
                 | Action::FetchHostList
@@ -195,50 +201,50 @@
         }
     }
 
-    fn rang(&mut self, now: Timestamp, alarm: Alarm, commands: &mut Commands) {
-        match alarm {
-            Alarm::Module(cookie) => self.note(now, RouterEvent::TimerFired { timer: cookie }),
-            Alarm::Statement(conn) => self.statement_late(now, conn, commands),
-            Alarm::Silence(conn) => self.silent(now, conn, commands),
-            Alarm::Waits(conn, op) => self.waits_too_long(now, conn, op, commands),
-            Alarm::Lost(conn) => self.look_for_lost(now, conn, commands),
-            Alarm::HostConnection(conn) => self.link_late(now, conn, commands),
-            Alarm::Feed => self.feed_due(now, commands),
-            Alarm::Shares => self.shares_due(now, commands),
-            Alarm::Reread => {
-                self.timers.set(now + REREAD, Alarm::Reread);
-                self.reread();
+    fn timer_fired(&mut self, now: Timestamp, timer: Timer, commands: &mut Commands) {
+        match timer {
+            Timer::DecisionModule(timer) => self.notify(now, RouterEvent::TimerFired { timer }),
+            Timer::Statement(conn) => self.statement_timed_out(now, conn, commands),
+            Timer::SessionIdle(conn) => self.session_timed_out(now, conn, commands),
+            Timer::ConnectionWait(conn, op) => self.connection_wait_expired(now, conn, op, commands),
+            Timer::LostReply(conn) => self.check_lost_reply(now, conn, commands),
+            Timer::HostConnection(conn) => self.connection_timed_out(now, conn, commands),
+            Timer::Feed => self.check_feed(now, commands),
+            Timer::Demand => self.demand_check_due(now, commands),
+            Timer::ReloadSettings => {
+                self.timers.set(now + SETTINGS_RELOAD_INTERVAL, Timer::ReloadSettings);
+                self.reload_settings();
             }
-            Alarm::Rested(host) => self.close_rested_of(now, host, commands),
-            Alarm::Round => {
-                self.timers.set(now + RESTED, Alarm::Round);
-                self.close_rested(now, commands);
+            Timer::IdleConnections(host) => self.close_idle_connections(now, host, commands),
+            Timer::AllIdleConnections => {
+                self.timers.set(now + IDLE_CHECK_INTERVAL, Timer::AllIdleConnections);
+                self.close_all_idle_connections(now, commands);
             }
-            Alarm::Sweep => self.sweep(now, commands),
+            Timer::Drain => self.continue_drain(now, commands),
         }
     }
 
-    fn reread(&mut self) {
-        if let Some(settings) = (self.reread)() {
+    fn reload_settings(&mut self) {
+        if let Some(settings) = (self.reload_settings)() {
             self.settings = settings;
         }
     }
 
-    /// Whether new connections are welcome.
+    /// Whether the router accepts new sessions.
     fn is_ready(&self) -> bool {
-        self.draining.is_none() && self.configured.slot > 0 && self.module.hosts().next().is_some()
+        self.draining_since.is_none() && self.configured.slot > 0 && self.decision.hosts().next().is_some()
     }
 
-    fn readiness(&mut self, conn: Conn, bytes: &[u8], commands: &mut Commands) {
-        let ready = self.is_ready();
-        let Some(Line::Ready(messages)) = self.lines.get_mut(&conn) else { return };
-        messages.put(bytes);
+    fn readiness_received(&mut self, conn: Conn, bytes: &[u8], commands: &mut Commands) {
+        let is_ready = self.is_ready();
+        let Some(Endpoint::Readiness(decoder)) = self.endpoints.get_mut(&conn) else { return };
+        decoder.put(bytes);
         loop {
-            match messages.next_request() {
+            match decoder.next_request() {
                 Ok(None) => return,
                 Ok(Some(request)) => {
                     let status = match request.path.as_str() {
-                        "/readiness" if ready => 200,
+                        "/readiness" if is_ready => 200,
                         "/readiness" => 503,
                         _ => 404,
                     };
@@ -247,52 +253,53 @@
                         break;
                     }
                 }
-                Err(unreadable) => {
-                    commands.write(conn, &[format_response(unreadable.0, "").as_bytes()]);
+                Err(error) => {
+                    commands.write(conn, &[format_response(error.0, "").as_bytes()]);
                     break;
                 }
             }
         }
         commands.close(conn);
-        self.lines.remove(&conn);
+        self.endpoints.remove(&conn);
     }
 
-    /// Told to end: no longer ready at once, at rest when the platform has noticed, gone before it would be ended.
-    fn drain(&mut self, now: Timestamp) {
-        if self.draining.is_none() {
-            log::info!("drain: {} sessions are to end.", self.sessions);
-            self.draining = Some(now);
-            self.timers.set(now, Alarm::Sweep);
+    /// Starts a drain. The router stops being ready at once, closes idle sessions when the platform has
+    /// noticed, aborts idle transactions halfway through the grace period, and exits before its end.
+    fn start_drain(&mut self, now: Timestamp) {
+        if self.draining_since.is_none() {
+            log::info!("drain: started with {} open sessions.", self.sessions);
+            self.draining_since = Some(now);
+            self.timers.set(now, Timer::Drain);
         }
     }
 
-    fn sweep(&mut self, now: Timestamp, commands: &mut Commands) {
-        let Some(since) = self.draining else { return };
+    fn continue_drain(&mut self, now: Timestamp, commands: &mut Commands) {
+        let Some(since) = self.draining_since else { return };
         let grace = TimeDelta::from_micros((self.settings.envelope.grace_s * 1e6) as i64);
         let conns: Vec<Conn> = self
-            .lines
+            .endpoints
             .iter()
-            .filter(|(_, line)| matches!(line, Line::Client(_)))
+            .filter(|(_, endpoint)| matches!(endpoint, Endpoint::Client(_)))
             .map(|(conn, _)| *conn)
             .collect();
-        if now - since >= NOTICED.min(grace * 0.4) {
-            self.closed_idle = true;
+        if now - since >= READINESS_PROPAGATION.min(grace * 0.4) {
+            self.closes_idle = true;
             for conn in &conns {
-                if self.session(*conn).is_some_and(|session| session.is_at_rest()) {
-                    self.end_session(now, *conn, commands);
+                if self.session(*conn).is_some_and(|session| session.is_idle()) {
+                    self.close_session(now, *conn, commands);
                 }
             }
         }
         if now - since >= grace * 0.5 {
             for conn in &conns {
-                self.break_transaction(now, *conn, commands);
+                self.abort_idle_transaction(now, *conn, commands);
             }
         }
-        if self.sessions == 0 && self.closed_idle || now - since >= grace - BEFORE_END {
-            log::info!("drain: {} sessions are left.", self.sessions);
+        if self.sessions == 0 && self.closes_idle || now - since >= grace - EXIT_MARGIN {
+            log::info!("drain: finished with {} open sessions.", self.sessions);
             return commands.stop();
         }
-        self.timers.set(now + TimeDelta::from_millis(50), Alarm::Sweep);
+        self.timers.set(now + TimeDelta::from_millis(50), Timer::Drain);
     }
 }
 
@@ -300,44 +307,44 @@
     fn handle(&mut self, now: Timestamp, event: Event<'_>, commands: &mut Commands) {
         match event {
             Event::Start => {
-                self.timers.set(now, Alarm::Feed);
-                self.timers.set(now + REREAD, Alarm::Reread);
-                self.timers.set(now + RESTED, Alarm::Round);
+                self.timers.set(now, Timer::Feed);
+                self.timers.set(now + SETTINGS_RELOAD_INTERVAL, Timer::ReloadSettings);
+                self.timers.set(now + IDLE_CHECK_INTERVAL, Timer::AllIdleConnections);
             }
-            Event::Accepted { conn, listener } if listener == LISTENERS[0] => self.welcome(now, conn),
+            Event::Accepted { conn, listener } if listener == LISTENERS[0] => self.accept_client(now, conn),
             Event::Accepted { conn, .. } => {
-                drop(self.lines.insert(conn, Line::Ready(HttpDecoder::default())))
+                drop(self.endpoints.insert(conn, Endpoint::Readiness(HttpDecoder::default())))
             }
-            Event::Connected { conn } => self.opened(now, conn, commands),
-            Event::Received { conn, bytes } => match self.lines.get(&conn) {
-                Some(Line::Client(_)) => self.client_came(now, conn, bytes, commands),
-                Some(Line::Ready(_)) => self.readiness(conn, bytes, commands),
-                Some(Line::HostConnection(_)) => self.link_came(now, conn, bytes, commands),
-                Some(Line::Feed) => self.feed_came(now, conn, bytes, commands),
+            Event::Connected { conn } => self.connected(now, conn, commands),
+            Event::Received { conn, bytes } => match self.endpoints.get(&conn) {
+                Some(Endpoint::Client(_)) => self.client_received(now, conn, bytes, commands),
+                Some(Endpoint::Readiness(_)) => self.readiness_received(conn, bytes, commands),
+                Some(Endpoint::Host(_)) => self.host_received(now, conn, bytes, commands),
+                Some(Endpoint::Control) => self.feed_received(now, conn, bytes, commands),
                 None => {}
             },
-            Event::Closed { conn, reason } => match self.lines.get(&conn) {
-                Some(Line::Client(_)) => self.client_left(now, conn, commands),
-                Some(Line::Ready(_)) => drop(self.lines.remove(&conn)),
-                Some(Line::HostConnection(_)) => self.link_broke(now, conn, reason, commands),
-                Some(Line::Feed) => self.feed_broke(now, conn),
+            Event::Closed { conn, reason } => match self.endpoints.get(&conn) {
+                Some(Endpoint::Client(_)) => self.client_disconnected(now, conn, commands),
+                Some(Endpoint::Readiness(_)) => drop(self.endpoints.remove(&conn)),
+                Some(Endpoint::Host(_)) => self.connection_closed(now, conn, reason, commands),
+                Some(Endpoint::Control) => self.feed_closed(now, conn),
                 None => {}
             },
-            Event::Signal(Signal::Terminate) => self.drain(now),
-            Event::Signal(Signal::Reload) => self.reread(),
+            Event::Signal(Signal::Terminate) => self.start_drain(now),
+            Event::Signal(Signal::Reload) => self.reload_settings(),
             Event::TimerExpired | Event::Stored { .. } | Event::DiskStatus { .. } => {}
         }
-        while let Some(alarm) = self.timers.take(now) {
-            self.rang(now, alarm, commands);
-            self.carry(now, commands);
+        while let Some(timer) = self.timers.take(now) {
+            self.timer_fired(now, timer, commands);
+            self.execute_actions(now, commands);
         }
-        if self.module.due().is_some_and(|at| at <= now) {
-            self.module.woke(now, &mut self.actions);
+        if self.decision.due().is_some_and(|at| at <= now) {
+            self.decision.expire_draining(now, &mut self.actions);
         }
-        self.carry(now, commands);
+        self.execute_actions(now, commands);
     }
 
     fn due(&self) -> Option<Timestamp> {
-        self.timers.due().into_iter().chain(self.module.due()).min()
+        self.timers.due().into_iter().chain(self.decision.due()).min()
     }
 }
--- a/crates/arrowyard-pooler/src/plane/ops.rs
+++ b/crates/arrowyard-pooler/src/plane/ops.rs
@@ -1,147 +1,158 @@
-//! Statements between the module and the hosts: asked, sent, answered, given up.
+//! Statements between the decision module and the hosts: submission, sends, replies, timeouts and rejection.
 
 use std::rc::Rc;
 
-use arrowyard_config::{Channel, RouteKind as Freshness};
+use arrowyard_config::{Channel, RouteKind};
 use arrowyard_protocol::{ExecutionStatus, FaultCode, TransactionState};
 use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{
-    HostId, HostStatus, OpId, OpRequest as Asked, Outcome, Role, RouterEvent, SendIndex, SendResult,
-    SessionId, TenantId, TimeDelta, Timestamp,
+    HostId, HostStatus, OpId, OpRequest, Outcome, Role, RouterEvent, SendIndex, SendResult, SessionId,
+    TenantId, TimeDelta, Timestamp,
 };
 use smallvec::SmallVec;
 
-use super::clients::Ask;
-use super::{Alarm, RouterPlane};
-use crate::link::{Answered, Sent};
-use crate::routes::Statement as Kind;
-use crate::session::{Stage, Statement};
+use super::clients::Submission;
+use super::{RouterPlane, Timer};
+use crate::host_connection::{HostReply, SentStatement};
+use crate::routes::StatementKind;
+use crate::session::{PendingStatement, SessionStage};
 
-/// A statement is answered so long before its client or its route gives up.
-const BEFORE: TimeDelta = TimeDelta::from_millis(8);
-/// A statement waits for a connection for this part of its latency target; then it is given up while its client can
-/// still come back.
-const WAITS: f64 = 0.24;
-/// So many later statements must be answered before an answer counts as lost; more where a transaction goes with it.
-const OVERTAKEN: u32 = 4;
-const OVERTAKEN_INSIDE: u32 = 8;
-/// A transaction's statement is given so many times what its kind takes at most.
-const INSIDE: f64 = 3.0;
-/// Without an answer for so long, a primary is said not to answer.
-pub const MUTE: TimeDelta = TimeDelta::from_millis(450);
+/// A statement is answered this long before its deadline.
+const REPLY_MARGIN: TimeDelta = TimeDelta::from_millis(8);
+/// The part of its latency target that a statement may wait for a connection. After that it is rejected
+/// while its client can still retry.
+const CONNECTION_WAIT_FRACTION: f64 = 0.24;
+/// Later statements that must be answered before a reply may count as lost, alone and inside a transaction,
+/// where a lost reply costs the whole transaction.
+const LOST_AFTER_OVERTAKEN: u32 = 4;
+const LOST_AFTER_OVERTAKEN_IN_TRANSACTION: u32 = 8;
+/// Factor on the expected latency of a statement inside a transaction.
+const TRANSACTION_LATENCY_FACTOR: f64 = 3.0;
+/// A primary that owes a reply for this long is reported to control.
+pub const UNANSWERED_TIMEOUT: TimeDelta = TimeDelta::from_millis(450);
 
 impl RouterPlane {
-    /// Hands a statement to the module.
-    pub(super) fn start(
+    /// Submits a statement to the decision module.
+    pub(super) fn submit(
         &mut self,
         now: Timestamp,
         conn: Conn,
         channel: &Rc<Channel>,
-        ask: Ask<'_>,
+        submission: Submission<'_>,
         commands: &mut Commands,
     ) {
-        self.look_now_and_then(now, commands);
+        self.check_demand_if_due(now, commands);
         let service = self.service_of(channel);
-        let row = self.op_types.row(channel, ask.kind);
-        if let Some(rows) = self.op_types.news() {
-            self.note(now, RouterEvent::OpTypes(rows));
+        let op_type = self.op_types.id(channel, submission.kind);
+        if let Some(rows) = self.op_types.take_changed() {
+            self.notify(now, RouterEvent::OpTypes(rows));
         }
         self.last_op += 1;
         let op = OpId(self.last_op);
-        let group = self.module.want(now, &channel.service, &mut self.actions);
-        let deadline = TimeDelta::from_micros((channel.deadline_ms * 1000.0) as i64);
+        let group = self.decision.list_service(now, &channel.service, &mut self.actions);
+        let timeout = TimeDelta::from_micros((channel.deadline_ms * 1000.0) as i64);
         let Some(session) = self.session(conn) else { return };
-        let link = session.transaction.as_ref().and_then(|transaction| transaction.link);
-        let floor = session.token.map(|(_, sent)| sent).filter(|_| channel.kind == Freshness::OwnRegion);
-        let pinned = link.and_then(|link| self.link(link)).map(|link| link.host);
-        let statement = Statement {
-            id: ask.id.to_string(),
-            text: ask.text,
+        let host_conn = session.transaction.as_ref().and_then(|transaction| transaction.host_conn);
+        let min_position =
+            session.last_commit.map(|(_, sent)| sent).filter(|_| channel.kind == RouteKind::OwnRegion);
+        let pinned_host =
+            host_conn.and_then(|host_conn| self.host_connection(host_conn)).map(|connection| connection.host);
+        let statement = PendingStatement {
+            id: submission.id.to_string(),
+            text: submission.text,
             op,
-            op_type: row,
+            op_type,
             channel: channel.clone(),
             service,
-            waits: SmallVec::new(),
-            kind: ask.kind,
-            ends: ask.ends,
-            writes: ask.writes,
-            define: ask.define,
-            arrived: now,
+            queued_for: SmallVec::new(),
+            kind: submission.kind,
+            is_commit: submission.is_commit,
+            is_write: submission.is_write,
+            prepare: submission.prepare,
+            arrived_at: now,
             sends: 0,
             host: None,
-            link,
-            fenced: false,
+            host_conn,
+            verifies_primary: false,
             timer: None,
-            patience: TimeDelta::from_micros((channel.setpoint_ms * 1000.0) as i64) * WAITS,
-            fault: None,
+            connection_wait: TimeDelta::from_micros((channel.setpoint_ms * 1000.0) as i64)
+                * CONNECTION_WAIT_FRACTION,
+            last_fault: None,
         };
         if let Some(session) = self.session(conn) {
-            session.shift(Stage::Asks(Box::new(statement)));
+            session.set_stage(SessionStage::Running(Box::new(statement)));
         }
         self.ops.insert(op, conn);
-        let due = now + (deadline - BEFORE).max(TimeDelta::from_millis(1));
+        let deadline = now + (timeout - REPLY_MARGIN).max(TimeDelta::from_millis(1));
         let session = Some(SessionId(conn.0));
-        self.awaits(now, conn, channel);
+        self.count_queued(now, conn, channel);
         let tenant = Some(TenantId(service.0));
-        let asked = Asked {
+        let request = OpRequest {
             op,
-            op_type: row,
+            op_type,
             tenant,
             group,
             session,
-            min_position: floor,
-            deadline: due,
-            pinned_host: pinned,
-            ..Asked::default()
+            min_position,
+            deadline,
+            pinned_host,
+            ..OpRequest::default()
         };
-        self.note(now, RouterEvent::OpRequested(asked));
+        self.notify(now, RouterEvent::OpRequested(request));
     }
 
-    /// The module sends a statement to a host, until then.
+    /// Sends a statement to a host, on the connection of its transaction or on one from the pool.
     pub(super) fn send(
         &mut self,
         now: Timestamp,
         op: OpId,
         host: HostId,
-        until: Timestamp,
+        deadline: Timestamp,
         commands: &mut Commands,
     ) {
-        let Some(&conn) = self.ops.get(&op) else { return self.moot(now, op, host) };
-        let timer = self.timers.set(until, Alarm::Statement(conn));
-        self.awaits_no_more(now, conn);
-        let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
-        let number = SendIndex(statement.sends);
+        let Some(&conn) = self.ops.get(&op) else { return self.send_not_needed(now, op, host) };
+        let timer = self.timers.set(deadline, Timer::Statement(conn));
+        self.uncount_queued(now, conn);
+        let Some(statement) = self.session(conn).and_then(|session| session.pending()) else { return };
+        let send = SendIndex(statement.sends);
         statement.sends += 1;
         statement.host = Some(host);
-        let old = statement.timer.replace(timer);
-        let (link, later) = (statement.link, statement.kind == Kind::Later);
+        let old_timer = statement.timer.replace(timer);
+        let (host_conn, is_later) = (statement.host_conn, statement.kind == StatementKind::Later);
         let service = statement.service;
         self.shares.meter.statement_started(now, host, service);
-        old.into_iter().for_each(|key| self.timers.cancel(key));
-        let sent = Sent { op, number, at: now, wired: None, service };
-        match link.filter(|link| self.link(*link).is_some()) {
-            // Its transaction holds a connection.
-            Some(link) => self.hand_over(now, conn, link, sent, commands),
-            None if later => self.revert(now, conn, sent, host, commands),
+        old_timer.into_iter().for_each(|key| self.timers.cancel(key));
+        let sent = SentStatement { op, send, sent_at: now, written_at: None, service };
+        match host_conn.filter(|host_conn| self.host_connection(*host_conn).is_some()) {
+            Some(host_conn) => self.assign(now, conn, host_conn, sent, commands),
+            None if is_later => self.revert(now, conn, sent, host, commands),
             None => self.acquire(now, conn, host, sent, commands),
         }
     }
 
-    /// The connection of the statement's transaction is no more, and the statement has not run. Danger: on another
-    /// connection it would run outside its transaction, and what came before it would be missing from the commit.
-    fn revert(&mut self, now: Timestamp, conn: Conn, sent: Sent, host: HostId, commands: &mut Commands) {
+    /// Reverts a transaction whose connection closed before its next statement was sent. On another
+    /// connection the statement would run outside its transaction, and the commit would lack the statements
+    /// before it.
+    fn revert(
+        &mut self,
+        now: Timestamp,
+        conn: Conn,
+        sent: SentStatement,
+        host: HostId,
+        commands: &mut Commands,
+    ) {
         if let Some(transaction) = self.session(conn).and_then(|session| session.transaction.as_mut()) {
-            transaction.link = None;
+            transaction.host_conn = None;
         }
-        self.ended(now, sent, host, Outcome::NotSent, HostStatus::default(), true);
-        let Some(statement) = self.finish(now, conn) else { return };
-        self.answer(now, conn, &statement, FaultCode::Reverted, "the transaction was ended", commands);
-        self.next_line(now, conn, commands);
+        self.send_ended(now, sent, host, Outcome::NotSent, HostStatus::default(), true);
+        let Some(statement) = self.take_pending(now, conn) else { return };
+        self.reply_fault(now, conn, &statement, FaultCode::Reverted, "the transaction was ended", commands);
+        self.process_queue(now, conn, commands);
     }
 
-    /// A send that nobody waits for any more.
-    fn moot(&mut self, now: Timestamp, op: OpId, host: HostId) {
-        let ended = SendResult {
+    /// Ends a send of an op that is already finished.
+    fn send_not_needed(&mut self, now: Timestamp, op: OpId, host: HostId) {
+        let result = SendResult {
             op,
             send: SendIndex(0),
             host,
@@ -150,110 +161,109 @@
             op_finished: true,
             status: HostStatus::default(),
         };
-        self.note(now, RouterEvent::SendEnded(ended));
+        self.notify(now, RouterEvent::SendEnded(result));
     }
 
-    /// Tells the module how a send ended.
-    pub(super) fn ended(
+    /// Reports the end of a send to the decision module.
+    pub(super) fn send_ended(
         &mut self,
         now: Timestamp,
-        sent: Sent,
+        sent: SentStatement,
         host: HostId,
         outcome: Outcome,
-        word: HostStatus,
-        finished: bool,
+        status: HostStatus,
+        op_finished: bool,
     ) {
-        let took = now - sent.at;
-        self.shares.meter.statement_ended(now, host, sent.service, outcome.is_answer().then_some(took));
-        if !finished && let Some(&conn) = self.ops.get(&sent.op) {
-            self.waits_again(now, conn);
+        let elapsed = now - sent.sent_at;
+        self.shares.meter.statement_ended(now, host, sent.service, outcome.is_answer().then_some(elapsed));
+        if !op_finished && let Some(&conn) = self.ops.get(&sent.op) {
+            self.requeue(now, conn);
         }
-        let ended = SendResult {
-            op: sent.op,
-            send: sent.number,
-            host,
-            outcome,
-            elapsed: took,
-            op_finished: finished,
-            status: word,
-        };
-        self.note(now, RouterEvent::SendEnded(ended));
+        let result = SendResult { op: sent.op, send: sent.send, host, outcome, elapsed, op_finished, status };
+        self.notify(now, RouterEvent::SendEnded(result));
     }
 
-    /// A host has answered the statement that a session waits for.
-    pub(super) fn answered(
+    /// Handles a host's reply to a pending statement.
+    pub(super) fn host_replied(
         &mut self,
         now: Timestamp,
-        link: Conn,
-        sent: Sent,
-        answer: Answered,
+        host_conn: Conn,
+        sent: SentStatement,
+        reply: HostReply,
         commands: &mut Commands,
     ) {
         let Some(&conn) = self.ops.get(&sent.op) else {
-            return self.answered_nobody(now, link, sent, &answer);
+            return self.discard_reply(now, host_conn, sent, &reply);
         };
-        let Some(host) = self.link(link).map(|link| link.host) else { return };
-        let known = self.module.host(host);
+        let Some(host) = self.host_connection(host_conn).map(|connection| connection.host) else { return };
+        let known = self.decision.host(host);
         let (id, service) = (known.host.id.clone(), known.host.service.clone());
-        let wired = sent.wired.unwrap_or(sent.at);
-        let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
-        let (kind, writes, ends, fenced) =
-            (statement.kind, statement.writes, statement.ends, statement.fenced);
-        let inside =
-            self.session(conn).is_some_and(|session| session.state == TransactionState::InTransaction);
+        let written_at = sent.written_at.unwrap_or(sent.sent_at);
+        let Some(statement) = self.session(conn).and_then(|session| session.pending()) else { return };
+        let (kind, is_write, is_commit, verifies_primary) =
+            (statement.kind, statement.is_write, statement.is_commit, statement.verifies_primary);
+        let in_transaction = self
+            .session(conn)
+            .is_some_and(|session| session.transaction_state == TransactionState::InTransaction);
         let transaction = self.session(conn).and_then(|session| session.transaction.as_ref());
-        let reads = transaction
-            .is_some_and(|transaction| transaction.reads && transaction.channel.kind != Freshness::Primary);
+        let relaxed_reads = transaction.is_some_and(|transaction| {
+            transaction.read_only && transaction.channel.kind != RouteKind::Primary
+        });
         let wrote = transaction.is_some_and(|transaction| transaction.wrote);
-        if answer.fault.is_none()
-            && let Some(wired) = sent.wired
+        if reply.fault.is_none()
+            && let Some(written_at) = sent.written_at
         {
-            let kind =
-                self.session(conn).and_then(|session| session.asks()).map(|statement| statement.op_type);
-            kind.into_iter().for_each(|kind| self.latencies.record(kind, now - wired));
-            self.overtake(now, host, wired, commands);
+            let op_type =
+                self.session(conn).and_then(|session| session.pending()).map(|statement| statement.op_type);
+            op_type.into_iter().for_each(|op_type| self.latencies.record(op_type, now - written_at));
+            self.mark_overtaken(now, host, written_at, commands);
         }
-        // An answer inside a plain transaction, or to a write, shows that the host led as it ran the statement. Safety: the
-        // commit of a transaction that wrote nothing succeeds also at a host that has lost the lead meanwhile.
-        let led = if inside { !reads && (wrote || !ends) } else { writes || fenced };
-        let commits = if inside { ends && wrote } else { writes };
-        let mut answer = answer;
-        if answer.fault.is_none() && commits && self.replacements.forbids(now, &service, &id) {
-            answer.fault = Some((FaultCode::Unknown, "its host is being replaced".to_string()));
+        // A success inside a read-write transaction, or of a write, proves that the host was primary while
+        // it ran the statement. The commit of a transaction without writes proves nothing: it also succeeds
+        // on a former primary.
+        let proves_primary = if in_transaction {
+            !relaxed_reads && (wrote || !is_commit)
+        } else {
+            is_write || verifies_primary
+        };
+        let commits = if in_transaction { is_commit && wrote } else { is_write };
+        let mut reply = reply;
+        if reply.fault.is_none() && commits && self.replacements.forbids_commit(now, &service, &id) {
+            reply.fault = Some((FaultCode::Unknown, "its host is being replaced".to_string()));
         }
-        match answer.fault {
+        match reply.fault {
             None => {
-                if led && let Some(position) = answer.position {
-                    self.timelines.entry(service.clone()).or_default().record(wired, position);
+                if proves_primary && let Some(position) = reply.position {
+                    self.timelines.entry(service.clone()).or_default().record(written_at, position);
                 }
-                let time =
-                    answer.position.and_then(|position| self.timelines.get(&service)?.fresh_until(position));
-                let role = led.then_some(Role::Primary);
-                self.ended(
+                let fresh_until =
+                    reply.position.and_then(|position| self.timelines.get(&service)?.fresh_until(position));
+                let role = proves_primary.then_some(Role::Primary);
+                self.send_ended(
                     now,
                     sent,
                     host,
                     Outcome::Acked,
-                    HostStatus { role, position: time, ..HostStatus::default() },
+                    HostStatus { role, position: fresh_until, ..HostStatus::default() },
                     true,
                 );
                 if commits
-                    && led
-                    && let Some(position) = answer.position
+                    && proves_primary
+                    && let Some(position) = reply.position
                 {
                     self.session(conn)
                         .into_iter()
-                        .for_each(|session| session.token = Some((position, wired)));
+                        .for_each(|session| session.last_commit = Some((position, written_at)));
                 }
-                self.succeed(now, conn, link, &answer, commands);
+                self.reply_success(now, conn, host_conn, &reply, commands);
             }
             Some((code, text)) => {
                 let role = (code == FaultCode::ReadOnly).then_some(Role::Replica);
-                let time =
-                    answer.position.and_then(|position| self.timelines.get(&service)?.fresh_until(position));
-                let word = HostStatus {
+                let fresh_until =
+                    reply.position.and_then(|position| self.timelines.get(&service)?.fresh_until(position));
+                let status = HostStatus {
                     role,
-                    position: time.filter(|_| code == FaultCode::Lagging),
+                    position: fresh_until.filter(|_| code == FaultCode::Lagging),
                     ..HostStatus::default()
                 };
                 let outcome = match code {
@@ -261,334 +271,377 @@
                     code if code.execution_status() == ExecutionStatus::NotRun => Outcome::Misrouted,
                     _ => Outcome::Errored,
                 };
-                let again = kind != Kind::Later && !(code == FaultCode::Failed && kind == Kind::Write);
-                let again = again && (outcome != Outcome::Errored || kind != Kind::Write);
-                log::debug!("hosts: {id}: {} {text}.", code.as_str());
-                if let Some(statement) = self.session(conn).and_then(|session| session.asks()) {
-                    statement.fault = Some((code, text));
-                    statement.link = None;
+                let retryable = kind != StatementKind::Later
+                    && !(code == FaultCode::Failed && kind == StatementKind::Write);
+                let retryable = retryable && (outcome != Outcome::Errored || kind != StatementKind::Write);
+                log::debug!("hosts: {id} replied with fault {}: {text}.", code.as_str());
+                if let Some(statement) = self.session(conn).and_then(|session| session.pending()) {
+                    statement.last_fault = Some((code, text));
+                    statement.host_conn = None;
                 }
-                // What is not done for is answered by the module's next word; else at once, with the host's own.
-                self.ended(now, sent, host, outcome, word, !again);
-                if again {
-                    self.release(now, conn, link, commands);
+                // A retryable statement is answered or sent again by the decision module's next action; any
+                // other is answered at once with the host's fault.
+                self.send_ended(now, sent, host, outcome, status, !retryable);
+                if retryable {
+                    self.release(now, conn, host_conn, commands);
                 } else {
-                    self.answer_fault(now, conn, Some(link), commands);
+                    self.reply_last_fault(now, conn, Some(host_conn), commands);
                 }
             }
         }
     }
 
-    /// A statement that went out then is answered: those that went out earlier are one further behind.
-    fn overtake(&mut self, now: Timestamp, host: HostId, wired: Timestamp, commands: &mut Commands) {
-        let mut behind = Vec::new();
-        for (conn, line) in &mut self.lines {
-            if let super::Line::HostConnection(link) = line
-                && link.host == host
-                && let Some(sent) = &link.sent
-                && sent.wired.is_some_and(|earlier| earlier < wired)
+    /// A statement written at this time was answered: statements written earlier to the same host count as
+    /// overtaken.
+    fn mark_overtaken(
+        &mut self,
+        now: Timestamp,
+        host: HostId,
+        written_at: Timestamp,
+        commands: &mut Commands,
+    ) {
+        let mut candidates = Vec::new();
+        for (conn, endpoint) in &mut self.endpoints {
+            if let super::Endpoint::Host(connection) = endpoint
+                && connection.host == host
+                && let Some(sent) = &connection.sent
+                && sent.written_at.is_some_and(|earlier| earlier < written_at)
             {
-                link.overtaken += 1;
-                if link.overtaken >= OVERTAKEN {
-                    behind.push(*conn);
+                connection.overtaken += 1;
+                if connection.overtaken >= LOST_AFTER_OVERTAKEN {
+                    candidates.push(*conn);
                 }
             }
         }
-        behind.sort_unstable();
-        behind.into_iter().for_each(|conn| self.look_for_lost(now, conn, commands));
+        candidates.sort_unstable();
+        candidates.into_iter().for_each(|conn| self.check_lost_reply(now, conn, commands));
     }
 
-    /// Whether an answer is lost: many that were asked later are there, and it takes longer than its kind ever does.
-    /// What can be asked again is; a transaction whose commit was not sent is broken off, and nothing of it is kept.
-    pub(super) fn look_for_lost(&mut self, now: Timestamp, link: Conn, commands: &mut Commands) {
-        let Some(held) = self.link(link) else { return };
-        let (Some(sent), overtaken) = (held.sent, held.overtaken) else { return };
-        let Some(wired) = sent.wired else { return };
+    /// Checks whether a reply is lost: enough later statements are answered, and it is later than its op
+    /// type's high latency quantile. The connection is then reset; a statement that is safe to retry is
+    /// sent again, and a transaction without a commit in flight is reverted.
+    pub(super) fn check_lost_reply(&mut self, now: Timestamp, host_conn: Conn, commands: &mut Commands) {
+        let Some(connection) = self.host_connection(host_conn) else { return };
+        let (Some(sent), overtaken) = (connection.sent, connection.overtaken) else { return };
+        let Some(written_at) = sent.written_at else { return };
         let Some(&conn) = self.ops.get(&sent.op) else { return };
-        let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
-        let (kind, ends, op_type) = (statement.kind, statement.ends, statement.op_type);
-        // Where answers were lost a moment ago, less is needed to believe it of one more.
-        let host = self.link(link).map(|link| link.host);
-        let inside = kind == Kind::Later && !host.is_some_and(|host| self.loses_answers(now, host));
-        // Danger: what may have been committed cannot be asked again, nor can anything be promised of it.
-        if kind == Kind::Write || ends || overtaken < if inside { OVERTAKEN_INSIDE } else { OVERTAKEN } {
+        let Some(statement) = self.session(conn).and_then(|session| session.pending()) else { return };
+        let (kind, is_commit, op_type) = (statement.kind, statement.is_commit, statement.op_type);
+        // The stricter limits of transactions don't apply while the host is known to lose replies.
+        let host = self.host_connection(host_conn).map(|connection| connection.host);
+        let strict = kind == StatementKind::Later && !host.is_some_and(|host| self.loses_replies(now, host));
+        // What may have been committed can neither be retried nor be reported as reverted.
+        if kind == StatementKind::Write
+            || is_commit
+            || overtaken < if strict { LOST_AFTER_OVERTAKEN_IN_TRANSACTION } else { LOST_AFTER_OVERTAKEN }
+        {
             return;
         }
-        let late = wired + self.latencies.high_quantile(op_type) * if inside { INSIDE } else { 1.0 };
-        if now < late {
-            self.timers.set(late, Alarm::Lost(link));
+        let late_at = written_at
+            + self.latencies.high_quantile(op_type) * if strict { TRANSACTION_LATENCY_FACTOR } else { 1.0 };
+        if now < late_at {
+            self.timers.set(late_at, Timer::LostReply(host_conn));
             return;
         }
-        log::debug!("hosts: An answer is taken as lost.");
-        self.lost_answer(now, link);
-        self.drop_link(now, link, commands);
+        log::debug!("hosts: a reply counts as lost; resetting its connection.");
+        self.record_lost_reply(now, host_conn);
+        self.reset_connection(now, host_conn, commands);
     }
 
-    /// The answer of a host to somebody who is gone.
-    pub(super) fn answered_nobody(&mut self, now: Timestamp, link: Conn, sent: Sent, answer: &Answered) {
-        if let Some(host) = self.link(link).map(|link| link.host) {
-            let outcome = if answer.fault.is_some() { Outcome::Errored } else { Outcome::Acked };
-            self.ended(now, sent, host, outcome, HostStatus::default(), true);
+    /// Ends the send of a reply whose client is gone.
+    pub(super) fn discard_reply(
+        &mut self,
+        now: Timestamp,
+        host_conn: Conn,
+        sent: SentStatement,
+        reply: &HostReply,
+    ) {
+        if let Some(host) = self.host_connection(host_conn).map(|connection| connection.host) {
+            let outcome = if reply.fault.is_some() { Outcome::Errored } else { Outcome::Acked };
+            self.send_ended(now, sent, host, outcome, HostStatus::default(), true);
         }
     }
 
-    /// Takes the statement that a session waits for; its timer and its number are given back.
-    pub(super) fn finish(&mut self, now: Timestamp, conn: Conn) -> Option<Box<Statement>> {
+    /// Takes a session's pending statement, with its timer, queue count and op.
+    pub(super) fn take_pending(&mut self, now: Timestamp, conn: Conn) -> Option<Box<PendingStatement>> {
         let session = self.session(conn)?;
-        if !matches!(session.stage, Stage::Asks(_)) {
+        if !matches!(session.stage, SessionStage::Running(_)) {
             return None;
         }
-        self.awaits_no_more(now, conn);
+        self.uncount_queued(now, conn);
         let session = self.session(conn)?;
-        let Stage::Asks(statement) = session.shift(Stage::Rests) else { return None };
+        let SessionStage::Running(statement) = session.set_stage(SessionStage::Idle) else { return None };
         statement.timer.into_iter().for_each(|key| self.timers.cancel(key));
         self.ops.remove(&statement.op);
         Some(statement)
     }
 
-    fn succeed(
+    fn reply_success(
         &mut self,
         now: Timestamp,
         conn: Conn,
-        link: Conn,
-        answer: &Answered,
+        host_conn: Conn,
+        reply: &HostReply,
         commands: &mut Commands,
     ) {
-        let Some(statement) = self.finish(now, conn) else { return };
+        let Some(statement) = self.take_pending(now, conn) else { return };
         let Some(session) = self.session(conn) else { return };
-        let mut over = true;
-        if statement.ends {
-            session.state = TransactionState::Idle;
+        let mut releases = true;
+        if statement.is_commit {
+            session.transaction_state = TransactionState::Idle;
             session.transaction = None;
         } else if let Some(transaction) = &mut session.transaction {
-            transaction.link = Some(link);
-            transaction.wrote |= statement.writes;
-            over = false;
+            transaction.host_conn = Some(host_conn);
+            transaction.wrote |= statement.is_write;
+            releases = false;
         }
-        let letter = session.state.letter();
-        let stamp = answer.stamp.as_deref().unwrap_or("-");
-        let position = answer.position.map_or("-".to_string(), |position| position.to_string());
-        commands.write(conn, &[&answer.rows]);
+        let letter = session.transaction_state.letter();
+        let stamp = reply.stamp.as_deref().unwrap_or("-");
+        let position = reply.position.map_or("-".to_string(), |position| position.to_string());
+        commands.write(conn, &[&reply.rows]);
         commands.write_line(conn, &["SETTLED ", stamp]);
         commands.write_line(conn, &["IDLE ", letter, " ", &position]);
-        if over {
-            self.release(now, conn, link, commands);
+        if releases {
+            self.release(now, conn, host_conn, commands);
         } else {
-            self.rest_inside(now, conn);
+            self.start_transaction_timeout(now, conn);
         }
-        self.next_line(now, conn, commands);
+        self.process_queue(now, conn, commands);
     }
 
-    /// Answers with the fault that a host gave last. The transaction that it happened in has failed.
-    fn answer_fault(&mut self, now: Timestamp, conn: Conn, link: Option<Conn>, commands: &mut Commands) {
-        let Some(statement) = self.finish(now, conn) else { return };
+    /// Replies with the last fault of a host. The statement's transaction fails.
+    fn reply_last_fault(
+        &mut self,
+        now: Timestamp,
+        conn: Conn,
+        host_conn: Option<Conn>,
+        commands: &mut Commands,
+    ) {
+        let Some(statement) = self.take_pending(now, conn) else { return };
         let (code, text) =
-            statement.fault.clone().unwrap_or((FaultCode::Unknown, "no answer of the host".to_string()));
+            statement.last_fault.clone().unwrap_or((FaultCode::Unknown, "no answer of the host".to_string()));
         let code = if code == FaultCode::Other { FaultCode::Unknown } else { code };
-        self.answer(now, conn, &statement, code, &text, commands);
-        link.into_iter().for_each(|link| self.release(now, conn, link, commands));
-        self.next_line(now, conn, commands);
+        self.reply_fault(now, conn, &statement, code, &text, commands);
+        host_conn.into_iter().for_each(|host_conn| self.release(now, conn, host_conn, commands));
+        self.process_queue(now, conn, commands);
     }
 
-    /// A fault as the answer to a statement; a transaction has failed with it, or ended if it was its commit.
-    fn answer(
+    /// Replies with a fault. The statement's transaction fails, or ends if the statement was its commit.
+    fn reply_fault(
         &mut self,
         now: Timestamp,
         conn: Conn,
-        statement: &Statement,
+        statement: &PendingStatement,
         code: FaultCode,
         text: &str,
         commands: &mut Commands,
     ) {
         commands.write_line(conn, &["FAULT ", code.as_str(), " ", text]);
         let Some(session) = self.session(conn) else { return };
-        if session.state == TransactionState::InTransaction {
-            if statement.ends {
-                session.state = TransactionState::Idle;
+        if session.transaction_state == TransactionState::InTransaction {
+            if statement.is_commit {
+                session.transaction_state = TransactionState::Idle;
                 let transaction = session.transaction.take();
-                if let Some(link) = transaction.and_then(|transaction| transaction.link) {
-                    self.release(now, conn, link, commands);
+                if let Some(host_conn) = transaction.and_then(|transaction| transaction.host_conn) {
+                    self.release(now, conn, host_conn, commands);
                 }
             } else {
                 self.fail_transaction(now, conn, commands);
             }
         }
-        let letter = self.session(conn).map_or("I", |session| session.state.letter());
+        let letter = self.session(conn).map_or("I", |session| session.transaction_state.letter());
         commands.write_line(conn, &["IDLE ", letter, " -"]);
     }
 
-    /// The module gives a statement up that has not run: its client hears when to come back.
-    pub(super) fn give_up(
+    /// Rejects a statement that has not run, with the time after which the client may retry.
+    pub(super) fn reply_busy(
         &mut self,
         now: Timestamp,
         op: OpId,
-        after: Option<TimeDelta>,
+        retry_after: Option<TimeDelta>,
         commands: &mut Commands,
     ) {
         let Some(&conn) = self.ops.get(&op) else { return };
-        let Some(statement) = self.finish(now, conn) else { return };
-        // Danger: a commit that stays behind on its connection is rolled back, or it is no promise.
-        let millis = after.unwrap_or(crate::module::COME_BACK).micros() / 1000;
+        let Some(statement) = self.take_pending(now, conn) else { return };
+        // `reply_fault` releases the connection of a rejected commit, where the transaction is rolled back.
+        let millis = retry_after.unwrap_or(crate::decision::DEFAULT_RETRY_AFTER).micros() / 1000;
         let text = format!("come back in {millis} ms");
-        self.answer(now, conn, &statement, FaultCode::Saturated, &text, commands);
-        self.next_line(now, conn, commands);
+        self.reply_fault(now, conn, &statement, FaultCode::Saturated, &text, commands);
+        self.process_queue(now, conn, commands);
     }
 
-    /// The module has no more to try, and the statement may have run.
-    pub(super) fn fail(&mut self, now: Timestamp, op: OpId, commands: &mut Commands) {
+    /// Replies with the last fault after the decision module has given up on a statement that may have run.
+    pub(super) fn reply_error(&mut self, now: Timestamp, op: OpId, commands: &mut Commands) {
         let Some(&conn) = self.ops.get(&op) else { return };
-        self.answer_fault(now, conn, None, commands);
+        self.reply_last_fault(now, conn, None, commands);
     }
 
-    /// A statement's time is up.
-    pub(super) fn statement_late(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
-        let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
+    /// Handles the deadline of a send.
+    pub(super) fn statement_timed_out(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
+        let Some(statement) = self.session(conn).and_then(|session| session.pending()) else { return };
         statement.timer = None;
-        let (op, host, link, kind) = (statement.op, statement.host, statement.link, statement.kind);
+        let (op, host, host_conn, kind) = (statement.op, statement.host, statement.host_conn, statement.kind);
         let Some(host) = host else { return };
-        let sent =
-            link.and_then(|link| self.link(link)).and_then(|link| link.sent).filter(|sent| sent.op == op);
-        match sent.filter(|sent| sent.wired.is_some()) {
+        let sent = host_conn
+            .and_then(|host_conn| self.host_connection(host_conn))
+            .and_then(|connection| connection.sent)
+            .filter(|sent| sent.op == op);
+        match sent.filter(|sent| sent.written_at.is_some()) {
             Some(sent) => {
-                let link = link.expect("it was found there");
-                // The host goes on; its connection is of use again once it has answered.
-                if let Some(link) = self.link(link) {
-                    link.sent = None;
+                let host_conn = host_conn.expect("`sent` was found on this connection");
+                // The host may still run the statement; the connection becomes idle after the reply.
+                if let Some(connection) = self.host_connection(host_conn) {
+                    connection.sent = None;
                 }
-                self.ended(now, sent, host, Outcome::TimedOut, HostStatus::default(), true);
-                let Some(statement) = self.finish(now, conn) else { return };
-                let writes = kind == Kind::Write || statement.ends;
-                let code = if writes { FaultCode::Unknown } else { FaultCode::Expired };
-                if self.link(link).is_some_and(|link| link.overtaken >= OVERTAKEN) {
-                    // What was asked later is long there: this answer will not come.
-                    self.drop_link(now, link, commands);
+                self.send_ended(now, sent, host, Outcome::TimedOut, HostStatus::default(), true);
+                let Some(statement) = self.take_pending(now, conn) else { return };
+                let may_commit = kind == StatementKind::Write || statement.is_commit;
+                let code = if may_commit { FaultCode::Unknown } else { FaultCode::Expired };
+                if self
+                    .host_connection(host_conn)
+                    .is_some_and(|connection| connection.overtaken >= LOST_AFTER_OVERTAKEN)
+                {
+                    // Later statements are answered, so this reply is lost.
+                    self.reset_connection(now, host_conn, commands);
                 } else {
-                    self.orphan(now, conn, link);
+                    self.orphan(now, conn, host_conn);
                 }
                 if let Some(transaction) = self.session(conn).and_then(|session| session.transaction.as_mut())
                 {
-                    transaction.link = None;
+                    transaction.host_conn = None;
                 }
-                self.answer(now, conn, &statement, code, "the host did not answer in time", commands);
-                self.next_line(now, conn, commands);
+                self.reply_fault(now, conn, &statement, code, "the host did not answer in time", commands);
+                self.process_queue(now, conn, commands);
             }
             None => {
-                // It has not gone out: nothing of it ran.
-                let sent = self.withdraw(now, conn, host, op, link, commands);
+                // The statement was not written, so it did not run.
+                let sent = self.withdraw(now, conn, host, op, host_conn, commands);
                 match sent {
-                    Some(sent) if kind == Kind::Later => self.revert(now, conn, sent, host, commands),
-                    Some(sent) => self.ended(now, sent, host, Outcome::NotSent, HostStatus::default(), false),
+                    Some(sent) if kind == StatementKind::Later => {
+                        self.revert(now, conn, sent, host, commands)
+                    }
+                    Some(sent) => {
+                        self.send_ended(now, sent, host, Outcome::NotSent, HostStatus::default(), false)
+                    }
                     None => {}
                 }
             }
         }
     }
 
-    /// Whoever asked is gone. A statement that has not gone out does not run; one that has is let run.
-    pub(super) fn abandon(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
-        let Some(statement) = self.finish(now, conn) else { return };
-        self.hang_up(now, statement.op);
+    /// Abandons the pending statement of a client that is gone. A statement that was not written is
+    /// withdrawn; one that was written runs on.
+    pub(super) fn abandon_statement(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
+        let Some(statement) = self.take_pending(now, conn) else { return };
+        self.cancel_op(now, statement.op);
         let Some(host) = statement.host else { return };
-        let on_wire = statement.link.and_then(|link| self.link(link)).and_then(|link| link.sent);
-        match on_wire.filter(|sent| sent.op == statement.op && sent.wired.is_some()) {
+        let sent = statement
+            .host_conn
+            .and_then(|host_conn| self.host_connection(host_conn))
+            .and_then(|connection| connection.sent);
+        match sent.filter(|sent| sent.op == statement.op && sent.written_at.is_some()) {
             Some(_) => {
                 if let Some(transaction) = self.session(conn).and_then(|session| session.transaction.as_mut())
                 {
-                    transaction.link = None;
+                    transaction.host_conn = None;
                 }
-                if let Some(link) = statement.link {
-                    self.orphan(now, conn, link);
+                if let Some(host_conn) = statement.host_conn {
+                    self.orphan(now, conn, host_conn);
                 }
             }
             None => {
-                let sent = self.withdraw(now, conn, host, statement.op, statement.link, commands);
+                let sent = self.withdraw(now, conn, host, statement.op, statement.host_conn, commands);
                 if let Some(sent) = sent {
-                    self.ended(now, sent, host, Outcome::NotSent, HostStatus::default(), true);
+                    self.send_ended(now, sent, host, Outcome::NotSent, HostStatus::default(), true);
                 }
             }
         }
     }
 
-    /// The connection that a statement was on, or was to go on, is no more.
-    pub(super) fn broke(
+    /// Handles the close of a connection that a statement was assigned to or, with `never_opened`, waited
+    /// for.
+    pub(super) fn statement_interrupted(
         &mut self,
         now: Timestamp,
         conn: Conn,
-        sent: Sent,
+        sent: SentStatement,
         host: HostId,
-        never: bool,
+        never_opened: bool,
         commands: &mut Commands,
     ) {
-        let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
-        statement.link = None;
+        let Some(statement) = self.session(conn).and_then(|session| session.pending()) else { return };
+        statement.host_conn = None;
         let kind = statement.kind;
-        let ran = sent.wired.is_some() && !never;
-        let outcome = match (ran, never) {
+        let may_have_run = sent.written_at.is_some() && !never_opened;
+        let outcome = match (may_have_run, never_opened) {
             (true, _) => Outcome::Reset,
             (false, true) => Outcome::ConnectFailed,
             (false, false) => Outcome::NotSent,
         };
-        if kind == Kind::Later {
-            // The transaction is gone with its connection, and nothing of it is kept, unless its commit was on it.
-            let ends = statement.ends;
-            let (code, text) = match (ends, ran) {
+        if kind == StatementKind::Later {
+            // The host rolls the transaction back, unless its commit was in flight.
+            let is_commit = statement.is_commit;
+            let (code, text) = match (is_commit, may_have_run) {
                 (true, true) => (FaultCode::Unknown, "the connection broke at the commit"),
                 _ => (FaultCode::Reverted, "the connection broke"),
             };
             if let Some(transaction) = self.session(conn).and_then(|session| session.transaction.as_mut()) {
-                transaction.link = None;
+                transaction.host_conn = None;
             }
-            self.ended(now, sent, host, outcome, HostStatus::default(), true);
-            let Some(statement) = self.finish(now, conn) else { return };
-            self.answer(now, conn, &statement, code, text, commands);
-            return self.next_line(now, conn, commands);
+            self.send_ended(now, sent, host, outcome, HostStatus::default(), true);
+            let Some(statement) = self.take_pending(now, conn) else { return };
+            self.reply_fault(now, conn, &statement, code, text, commands);
+            return self.process_queue(now, conn, commands);
         }
-        // Danger: the first statement of a transaction runs inside it, and its end rolls it back; but a commit alone
-        // may have been all there is.
-        let commit = statement.ends && ran;
-        if commit {
-            statement.fault = Some((FaultCode::Unknown, "the connection broke at the commit".to_string()));
-        } else if ran {
-            statement.fault = Some((FaultCode::Unknown, "the connection broke".to_string()));
+        // The first statement of a transaction is rolled back with it and may be sent again. A commit that
+        // is the only statement of its transaction may have succeeded.
+        let commit_in_doubt = statement.is_commit && may_have_run;
+        if commit_in_doubt {
+            statement.last_fault =
+                Some((FaultCode::Unknown, "the connection broke at the commit".to_string()));
+        } else if may_have_run {
+            statement.last_fault = Some((FaultCode::Unknown, "the connection broke".to_string()));
         }
-        self.ended(now, sent, host, outcome, HostStatus::default(), commit);
-        if commit {
-            self.answer_fault(now, conn, None, commands);
+        self.send_ended(now, sent, host, outcome, HostStatus::default(), commit_in_doubt);
+        if commit_in_doubt {
+            self.reply_last_fault(now, conn, None, commands);
         }
     }
 
-    /// Whether the session's statement needs a host that leads, or one that has what the statement must see.
-    pub(super) fn floor_of(&self, conn: Conn) -> Option<Floor> {
-        let Some(super::Line::Client(session)) = self.lines.get(&conn) else { return None };
-        let Stage::Asks(statement) = &session.stage else { return None };
+    /// What a host must satisfy to run a session's pending statement.
+    pub(super) fn read_requirement(&self, conn: Conn) -> Option<ReadRequirement> {
+        let Some(super::Endpoint::Client(session)) = self.endpoints.get(&conn) else { return None };
+        let SessionStage::Running(statement) = &session.stage else { return None };
         let channel = &statement.channel;
-        let (reads, began) = match &session.transaction {
-            Some(transaction) => (transaction.reads, transaction.began),
-            None => (!statement.writes, statement.arrived),
+        let (reads, began_at) = match &session.transaction {
+            Some(transaction) => (transaction.read_only, transaction.began_at),
+            None => (!statement.is_write, statement.arrived_at),
         };
-        if !reads || channel.kind == Freshness::Primary {
-            return Some(Floor::Lead);
+        if !reads || channel.kind == RouteKind::Primary {
+            return Some(ReadRequirement::Primary);
         }
         let bound = TimeDelta::from_micros((channel.staleness_bound_ms * 1000.0) as i64);
         let known = self
             .timelines
             .get(&channel.service)
-            .and_then(|timeline| timeline.position_covering(began - bound));
-        let own =
-            session.token.map(|(position, _)| position).filter(|_| channel.kind == Freshness::OwnRegion);
+            .and_then(|timeline| timeline.position_covering(began_at - bound));
+        let own = session
+            .last_commit
+            .map(|(position, _)| position)
+            .filter(|_| channel.kind == RouteKind::OwnRegion);
         Some(match known {
-            Some(known) => Floor::After(own.map_or(known, |own| known.max(own))),
-            // Nothing is known of what it must see: the primary has it all.
-            None => Floor::Lead,
+            Some(known) => ReadRequirement::Position(own.map_or(known, |own| known.max(own))),
+            // No position is known for the staleness bound; the primary has every commit.
+            None => ReadRequirement::Primary,
         })
     }
 }
 
-/// What a host must be to run a read.
+/// What a host must satisfy to run a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Floor {
-    /// It must lead as it runs it.
-    Lead,
-    /// It must have this position.
-    After(arrowyard_protocol::Position),
+pub enum ReadRequirement {
+    /// It must be primary while it runs the read.
+    Primary,
+    /// It must have applied this position.
+    Position(arrowyard_protocol::Position),
 }
--- a/crates/arrowyard-pooler/src/plane/shares.rs
+++ b/crates/arrowyard-pooler/src/plane/shares.rs
@@ -1,9 +1,9 @@
-//! This router's side of the division of hosts between services: what is under way and what waits is counted, told to
-//! control where it matters, and what is allotted is told to the module, which chooses hosts within it.
+//! The router's side of the fair shares: it measures the demand for hosts, reports it to control where it
+//! matters, and gives the allocated caps to the decision module as tenant limits.
 
 use std::collections::BTreeMap;
 
-use arrowyard_config::{Channel, RouteKind as Freshness};
+use arrowyard_config::{Channel, RouteKind};
 use arrowyard_fair_shares::{
     Allocation, AllocationLeases, DemandMeter, MilliPermits, ServiceDemand, ServiceId, ShareConfig,
     permits_for_slots,
@@ -12,138 +12,148 @@
 use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{HostId, RouterEvent, TenantId, TimeDelta, Timestamp};
 
-use super::{Alarm, Line, RouterPlane};
-use crate::link::Stage;
-use crate::routes::Statement as Kind;
+use super::{Endpoint, RouterPlane, Timer};
+use crate::host_connection::ConnectionStage;
+use crate::routes::StatementKind;
 
-/// Needs are looked at so often at most, and told again after so long where nothing moved.
-const LOOK: TimeDelta = TimeDelta::from_millis(50);
-const AGAIN: TimeDelta = TimeDelta::from_millis(250);
-/// What moved by less, in thousandths of a place and as a part of itself, is not told.
-const MOVES: MilliPermits = 100;
-const MOVES_PART: MilliPermits = 8;
+/// Minimum time between two checks of the demand, and the time after which unchanged demand is reported
+/// again.
+const CHECK_INTERVAL: TimeDelta = TimeDelta::from_millis(50);
+const REPORT_INTERVAL: TimeDelta = TimeDelta::from_millis(250);
+/// Demand that changed by no more than this, in thousandths of a permit and as 1/n of itself, is not
+/// reported early.
+const MIN_DEMAND_CHANGE: MilliPermits = 100;
+const MIN_DEMAND_CHANGE_DIVISOR: MilliPermits = 8;
 
-/// A host is divided only where each router's even part of its places, in thousandths, is so much. Danger: of 78 routers each
-/// needs its even part whenever two of its statements meet; all of them tell without end, and hosts that idle look pressed
-/// (a grown day: a third more bytes between zones, and half as many refusals again).
-const LEAST_PART: MilliPermits = 250;
+/// A host is divided only if each router's even part of its permits, in thousandths, is at least this. With
+/// many routers each exceeds a smaller part whenever two of its statements overlap; all would report
+/// without end, and idle hosts would look overloaded.
+const MIN_ROUTER_PART: MilliPermits = 250;
 
-/// What this router knows of shares.
+/// The state of the fair shares on this router.
 #[derive(Default)]
 pub struct Shares {
-    pub terms: ShareConfig,
+    pub config: ShareConfig,
     pub meter: DemandMeter<HostId>,
-    holder: AllocationLeases,
-    looked_at: Timestamp,
-    /// An alarm for the next look is set.
-    looks: bool,
-    /// What control was told last of each host, and when.
-    told: BTreeMap<HostId, (Timestamp, Vec<ServiceDemand>)>,
-    /// What was read of each host at the last look.
-    needs: BTreeMap<HostId, Vec<ServiceDemand>>,
-    /// What the module goes by.
-    held: BTreeMap<(HostId, ServiceId), MilliPermits>,
+    leases: AllocationLeases,
+    checked_at: Timestamp,
+    /// Whether a timer for the next check is set.
+    check_scheduled: bool,
+    /// The demand last reported to control by host, and when.
+    reported: BTreeMap<HostId, (Timestamp, Vec<ServiceDemand>)>,
+    /// The demand measured at the last check by host.
+    demands: BTreeMap<HostId, Vec<ServiceDemand>>,
+    /// The limits that the decision module has.
+    limits: BTreeMap<(HostId, ServiceId), MilliPermits>,
 }
 
-fn moved(old: &[ServiceDemand], new: &[ServiceDemand]) -> bool {
+fn demand_changed(old: &[ServiceDemand], new: &[ServiceDemand]) -> bool {
     let of = |list: &[ServiceDemand], service| {
-        list.iter().copied().find(|need| need.service == service).unwrap_or_default()
+        list.iter().copied().find(|demand| demand.service == service).unwrap_or_default()
     };
-    let far = |a: MilliPermits, b: MilliPermits| a.abs_diff(b) > MOVES.max(a.max(b) / MOVES_PART);
-    let differs = |need: &ServiceDemand| {
-        let (old, new) = (of(old, need.service), of(new, need.service));
-        far(old.in_flight, new.in_flight) || far(old.queued, new.queued)
+    let differs = |a: MilliPermits, b: MilliPermits| {
+        a.abs_diff(b) > MIN_DEMAND_CHANGE.max(a.max(b) / MIN_DEMAND_CHANGE_DIVISOR)
     };
-    old.iter().chain(new).any(differs)
+    let changed = |demand: &ServiceDemand| {
+        let (old, new) = (of(old, demand.service), of(new, demand.service));
+        differs(old.in_flight, new.in_flight) || differs(old.queued, new.queued)
+    };
+    old.iter().chain(new).any(changed)
 }
 
 impl RouterPlane {
-    /// What a route counts as.
+    /// The service that a route counts as in the fair shares.
     pub(super) fn service_of(&mut self, channel: &Channel) -> ServiceId {
-        self.shares.terms.service_id(&channel.share)
+        self.shares.config.service_id(&channel.share)
     }
 
-    /// A session's statement waits for a host.
-    pub(super) fn awaits(&mut self, now: Timestamp, conn: Conn, channel: &Channel) {
-        let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
+    /// Counts a session's statement as queued at the hosts that may run it.
+    pub(super) fn count_queued(&mut self, now: Timestamp, conn: Conn, channel: &Channel) {
+        let Some(statement) = self.session(conn).and_then(|session| session.pending()) else { return };
         let (kind, service) = (statement.kind, statement.service);
-        if kind == Kind::Later {
+        if kind == StatementKind::Later {
             return;
         }
-        let reads = kind == Kind::Read && channel.kind != Freshness::Primary;
-        let hosts = self.module.takers(&channel.service, reads);
+        let reads = kind == StatementKind::Read && channel.kind != RouteKind::Primary;
+        let hosts = self.decision.eligible_hosts(&channel.service, reads);
         self.shares.meter.add_queued(now, &hosts, service, 1.0);
-        if let Some(statement) = self.session(conn).and_then(|session| session.asks()) {
-            statement.waits = hosts;
+        if let Some(statement) = self.session(conn).and_then(|session| session.pending()) {
+            statement.queued_for = hosts;
         }
     }
 
-    /// It waits no more.
-    pub(super) fn awaits_no_more(&mut self, now: Timestamp, conn: Conn) {
-        let Some(statement) = self.session(conn).and_then(|session| session.asks()) else { return };
-        let (service, hosts) = (statement.service, std::mem::take(&mut statement.waits));
+    /// Undoes `count_queued`.
+    pub(super) fn uncount_queued(&mut self, now: Timestamp, conn: Conn) {
+        let Some(statement) = self.session(conn).and_then(|session| session.pending()) else { return };
+        let (service, hosts) = (statement.service, std::mem::take(&mut statement.queued_for));
         if !hosts.is_empty() {
             self.shares.meter.add_queued(now, &hosts, service, -1.0);
         }
     }
 
-    /// Needs are looked at where that was not done for a while.
-    pub(super) fn look_now_and_then(&mut self, now: Timestamp, commands: &mut Commands) {
-        if now - self.shares.looked_at >= LOOK {
-            self.look_at_needs(now, commands);
+    /// Checks the demand if `CHECK_INTERVAL` has passed since the last check.
+    pub(super) fn check_demand_if_due(&mut self, now: Timestamp, commands: &mut Commands) {
+        if now - self.shares.checked_at >= CHECK_INTERVAL {
+            self.check_demand(now, commands);
         }
     }
 
-    /// Tells control what is needed of hosts of which this router alone needs its even part, and of those that control
-    /// asks for. Where all need more than there is, one of them needs more than its even part.
-    pub(super) fn look_at_needs(&mut self, now: Timestamp, commands: &mut Commands) {
-        self.shares.looked_at = now;
-        self.shares.needs.clear();
+    /// Reports the demand for hosts where this router's demand exceeds its even part, and for hosts that
+    /// control polls. If a host is overloaded, at least one router exceeds its even part.
+    pub(super) fn check_demand(&mut self, now: Timestamp, commands: &mut Commands) {
+        self.shares.checked_at = now;
+        self.shares.demands.clear();
         if !self.configured.configuration.division_enabled() {
-            self.shares.holder = AllocationLeases::default();
-            return self.hold_to_parts(now);
+            self.shares.leases = AllocationLeases::default();
+            return self.update_tenant_limits(now);
         }
         let mut hosts = Vec::new();
         let all: Vec<HostId> = self.shares.meter.hosts().collect();
         for host in all {
-            let needs = self.shares.meter.read(now, host);
-            let sum: f64 = needs.iter().map(|need| f64::from(need.in_flight) + f64::from(need.queued)).sum();
-            let known = &self.module.host(host).host;
+            let demands = self.shares.meter.read(now, host);
+            let sum: f64 =
+                demands.iter().map(|demand| f64::from(demand.in_flight) + f64::from(demand.queued)).sum();
+            let known = &self.decision.host(host).host;
             if known.phase() == Phase::Gone && self.shares.meter.is_idle(host) {
                 self.shares.meter.forget(host);
             }
             let (id, group, slots) = (known.id.clone(), known.service.clone(), known.capacity);
-            let coarse = permits_for_slots(slots) / self.routers.max(1) >= LEAST_PART;
-            let asked = coarse && self.shares.holder.is_polled(now, &id);
-            let much = coarse && sum * f64::from(self.routers) >= f64::from(permits_for_slots(slots));
-            let last = self.shares.told.get(&host);
+            let divisible = permits_for_slots(slots) / self.routers.max(1) >= MIN_ROUTER_PART;
+            let polled = divisible && self.shares.leases.is_polled(now, &id);
+            let exceeds_part =
+                divisible && sum * f64::from(self.routers) >= f64::from(permits_for_slots(slots));
+            let last = self.shares.reported.get(&host);
             let due = match last {
-                Some((at, old)) => now - *at >= AGAIN || moved(old, &needs),
+                Some((at, old)) => now - *at >= REPORT_INTERVAL || demand_changed(old, &demands),
                 None => sum > 0.0,
             };
-            if !(asked || much) {
-                if self.shares.told.remove(&host).is_none() {
+            if !(polled || exceeds_part) {
+                if self.shares.reported.remove(&host).is_none() {
                     continue;
                 }
-                // Control hears that it is over.
+                // A last report tells control the lower demand.
             } else if !due {
-                self.shares.needs.insert(host, needs);
+                self.shares.demands.insert(host, demands);
                 continue;
             } else {
-                self.shares.told.insert(host, (now, needs.clone()));
+                self.shares.reported.insert(host, (now, demands.clone()));
             }
-            let (fence, answers) = self.shares.holder.last_applied(&id);
-            let need = |need: &ServiceDemand| arrowyard_messages::ServiceDemand {
-                service: self.shares.terms.service_name(need.service).to_string(),
-                running_milli: need.in_flight,
-                waiting_milli: need.queued,
+            let (fence, answers) = self.shares.leases.last_applied(&id);
+            let encode = |demand: &ServiceDemand| arrowyard_messages::ServiceDemand {
+                service: self.shares.config.service_name(demand.service).to_string(),
+                running_milli: demand.in_flight,
+                waiting_milli: demand.queued,
             };
-            let list = needs.iter().filter(|need| need.in_flight > 0 || need.queued > 0).map(need).collect();
+            let list = demands
+                .iter()
+                .filter(|demand| demand.in_flight > 0 || demand.queued > 0)
+                .map(encode)
+                .collect();
             hosts.push(HostDemand { host: id, slots, fence, answers, services: list, group });
-            self.shares.needs.insert(host, needs);
+            self.shares.demands.insert(host, demands);
         }
         if let Some(conn) = self.feed.open_conn().filter(|_| !hosts.is_empty()) {
-            let echo = self.shares.holder.next_report(now);
+            let echo = self.shares.leases.next_report(now);
             commands.write(
                 conn,
                 &[&encode_payload(Payload::DemandReport(DemandReport {
@@ -153,129 +163,132 @@
                 }))],
             );
         }
-        self.shares.holder.sweep(now);
-        self.hold_to_parts(now);
-        self.look_again(now);
+        self.shares.leases.sweep(now);
+        self.update_tenant_limits(now);
+        self.schedule_demand_check(now);
     }
 
-    /// While anything was told or is held, needs are looked at though nothing comes.
-    fn look_again(&mut self, now: Timestamp) {
-        let busy = !self.shares.told.is_empty() || self.shares.holder.overloaded_hosts().next().is_some();
-        if busy && !self.shares.looks {
-            self.shares.looks = true;
-            self.timers.set(now + LOOK, Alarm::Shares);
+    /// Schedules the next check while any demand was reported or any host is overloaded.
+    fn schedule_demand_check(&mut self, now: Timestamp) {
+        let active =
+            !self.shares.reported.is_empty() || self.shares.leases.overloaded_hosts().next().is_some();
+        if active && !self.shares.check_scheduled {
+            self.shares.check_scheduled = true;
+            self.timers.set(now + CHECK_INTERVAL, Timer::Demand);
         }
     }
 
-    pub(super) fn shares_due(&mut self, now: Timestamp, commands: &mut Commands) {
-        self.shares.looks = false;
-        self.look_at_needs(now, commands);
+    pub(super) fn demand_check_due(&mut self, now: Timestamp, commands: &mut Commands) {
+        self.shares.check_scheduled = false;
+        self.check_demand(now, commands);
     }
 
-    /// Control asks what is needed of hosts.
-    pub(super) fn hosts_pressed(&mut self, now: Timestamp, hosts: &[String], commands: &mut Commands) {
-        hosts.iter().for_each(|host| self.shares.holder.record_poll(now, host));
-        self.look_now_and_then(now, commands);
-        self.look_again(now);
+    /// Control polls the demand for overloaded hosts.
+    pub(super) fn poll_demand(&mut self, now: Timestamp, hosts: &[String], commands: &mut Commands) {
+        hosts.iter().for_each(|host| self.shares.leases.record_poll(now, host));
+        self.check_demand_if_due(now, commands);
+        self.schedule_demand_check(now);
     }
 
-    /// Whoever divides says what this router may have of hosts.
-    pub(super) fn take_allots(&mut self, now: Timestamp, allots: HostAllocations, commands: &mut Commands) {
-        if allots.router != self.incarnation {
+    /// Applies allocations that control sent to this incarnation.
+    pub(super) fn apply_allocations(
+        &mut self,
+        now: Timestamp,
+        allocations: HostAllocations,
+        commands: &mut Commands,
+    ) {
+        if allocations.router != self.incarnation {
             return;
         }
-        for allot in allots.allocations {
-            let caps = allot
+        for allocation in allocations.allocations {
+            let caps = allocation
                 .caps
                 .iter()
-                .map(|cap| (self.shares.terms.service_id(&cap.service), cap.cap_milli))
+                .map(|cap| (self.shares.config.service_id(&cap.service), cap.cap_milli))
                 .collect();
-            let allot = Allocation {
-                host: allot.host,
-                fence: allots.fence,
-                number: allot.number,
-                report: allot.echo,
-                overloaded: allot.overloaded,
+            let allocation = Allocation {
+                host: allocation.host,
+                fence: allocations.fence,
+                number: allocation.number,
+                report: allocation.echo,
+                overloaded: allocation.overloaded,
                 caps,
-                permits: allot.capacity_milli,
-                routers: allot.routers,
+                permits: allocation.capacity_milli,
+                routers: allocation.routers,
             };
-            self.shares.holder.apply(now, allot);
+            self.shares.leases.apply(now, allocation);
         }
-        self.hold_to_parts(now);
-        self.look_now_and_then(now, commands);
-        self.look_again(now);
+        self.update_tenant_limits(now);
+        self.check_demand_if_due(now, commands);
+        self.schedule_demand_check(now);
     }
 
-    /// The feed is new.
-    pub(super) fn renew_shares(&mut self, now: Timestamp) {
-        self.shares.holder.drop_expired(now);
-        self.hold_to_parts(now);
+    /// Drops expired allocations after a reconnect to control.
+    pub(super) fn drop_expired_allocations(&mut self, now: Timestamp) {
+        self.shares.leases.drop_expired(now);
+        self.update_tenant_limits(now);
     }
 
-    /// Tells the module what of the parts is new to it.
-    fn hold_to_parts(&mut self, now: Timestamp) {
-        let mut held = BTreeMap::new();
-        for name in self.shares.holder.overloaded_hosts() {
-            let Some(host) = self.module.id_of(name) else { continue };
-            let needs = self.shares.needs.get(&host).map_or(&[][..], Vec::as_slice);
-            for (service, cap) in self.shares.holder.caps(now, name, needs, &self.shares.terms) {
-                held.insert((host, service), cap);
+    /// Gives changed caps to the decision module as tenant limits.
+    fn update_tenant_limits(&mut self, now: Timestamp) {
+        let mut limits = BTreeMap::new();
+        for name in self.shares.leases.overloaded_hosts() {
+            let Some(host) = self.decision.host_id(name) else { continue };
+            let demands = self.shares.demands.get(&host).map_or(&[][..], Vec::as_slice);
+            for (service, cap) in self.shares.leases.caps(now, name, demands, &self.shares.config) {
+                limits.insert((host, service), cap);
             }
         }
-        let old = std::mem::replace(&mut self.shares.held, held);
-        let new = self.shares.held.clone();
+        let old = std::mem::replace(&mut self.shares.limits, limits);
+        let new = self.shares.limits.clone();
         for ((host, service), cap) in &new {
             if old.get(&(*host, *service)) != Some(cap) {
-                let most = Some(f64::from(*cap) / 1000.0);
-                self.note(
+                let max_in_flight = Some(f64::from(*cap) / 1000.0);
+                self.notify(
                     now,
-                    RouterEvent::TenantLimit {
-                        host: *host,
-                        tenant: TenantId(service.0),
-                        max_in_flight: most,
-                    },
+                    RouterEvent::TenantLimit { host: *host, tenant: TenantId(service.0), max_in_flight },
                 );
             }
         }
         for (host, service) in old.keys().filter(|key| !new.contains_key(key)) {
-            self.note(
+            self.notify(
                 now,
                 RouterEvent::TenantLimit { host: *host, tenant: TenantId(service.0), max_in_flight: None },
             );
         }
     }
 
-    /// Which of those that wait for a connection to a host gets the one that is free: of the services that wait, the one
-    /// that holds the fewest by its weight; of that one, whoever waits longest.
-    pub(super) fn next_waiting(&self, host: HostId) -> usize {
+    /// The index of the waiter that gets a free connection: of the services that wait, the one that uses
+    /// the fewest connections relative to its weight; of its statements, the one that has waited longest.
+    pub(super) fn next_waiter(&self, host: HostId) -> usize {
         let waiting = &self.pools[host.0 as usize].waiting;
         let first = waiting.front().map(|(_, sent)| sent.service);
         if waiting.iter().all(|(_, sent)| Some(sent.service) == first) {
             return 0;
         }
-        let mut held: BTreeMap<ServiceId, f64> = BTreeMap::new();
-        for line in self.lines.values() {
-            if let Line::HostConnection(link) = line
-                && link.host == host
-                && let (Stage::Held(_), Some(service)) = (link.stage, link.service)
+        let mut in_use: BTreeMap<ServiceId, f64> = BTreeMap::new();
+        for endpoint in self.endpoints.values() {
+            if let Endpoint::Host(connection) = endpoint
+                && connection.host == host
+                && let (ConnectionStage::Assigned(_), Some(service)) = (connection.stage, connection.service)
             {
-                *held.entry(service).or_default() += 1.0;
+                *in_use.entry(service).or_default() += 1.0;
             }
         }
-        let has = |service: ServiceId| {
-            held.get(&service).copied().unwrap_or(0.0) / self.shares.terms.weight(service).max(1e-9)
+        let use_by_weight = |service: ServiceId| {
+            in_use.get(&service).copied().unwrap_or(0.0) / self.shares.config.weight(service).max(1e-9)
         };
-        let places = waiting.iter().enumerate().map(|(place, (_, sent))| (has(sent.service), place));
-        places.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map_or(0, |(_, place)| place)
+        let waiters =
+            waiting.iter().enumerate().map(|(index, (_, sent))| (use_by_weight(sent.service), index));
+        waiters.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map_or(0, |(_, index)| index)
     }
 
-    /// A send of a statement has ended, and the statement has not: it waits for a host again.
-    pub(super) fn waits_again(&mut self, now: Timestamp, conn: Conn) {
-        let Some(Line::Client(session)) = self.lines.get(&conn) else { return };
-        let inside = session.transaction.as_ref().map(|transaction| transaction.channel.clone());
-        let channel = inside.or_else(|| self.configured.routes.of(&session.database).cloned());
-        self.awaits_no_more(now, conn);
-        channel.into_iter().for_each(|channel| self.awaits(now, conn, &channel));
+    /// Counts a statement as queued again after a send of it ended without finishing it.
+    pub(super) fn requeue(&mut self, now: Timestamp, conn: Conn) {
+        let Some(Endpoint::Client(session)) = self.endpoints.get(&conn) else { return };
+        let in_transaction = session.transaction.as_ref().map(|transaction| transaction.channel.clone());
+        let channel = in_transaction.or_else(|| self.configured.routes.route(&session.database).cloned());
+        self.uncount_queued(now, conn);
+        channel.into_iter().for_each(|channel| self.count_queued(now, conn, &channel));
     }
 }
--- a/crates/arrowyard-pooler/src/replacements.rs
+++ b/crates/arrowyard-pooler/src/replacements.rs
@@ -1,17 +1,18 @@
-//! Primaries that are being replaced, as control tells of them.
+//! Primaries that are being replaced, as reported by control.
 //!
-//! While a primary that does not answer control is replaced, no commit of its service counts but the candidate's: a
-//! commit that the old primary reports may be missing where the candidate leads, so its client is told that its fate is
-//! unknown. The old primary is told to yield, since other routers may not have heard of the change.
+//! While control replaces a primary that it cannot reach, only commits of the candidate are acknowledged. A
+//! commit that the old primary reports may be missing on the candidate, so its client is told that the
+//! outcome is unknown. The old primary is also told to yield, since other routers may not have heard of the
+//! replacement.
 
-use arrowyard_messages::{Replacement, Replacements as Told};
+use arrowyard_messages::{Replacement, Replacements as Report};
 use arrowyard_types::{TimeDelta, Timestamp};
 use rustc_hash::FxHashMap;
 
-/// What control does not say again in so long is over; it says it four times a second.
+/// Validity of a report; control repeats it four times a second.
 const LEASE: TimeDelta = TimeDelta::from_millis(1000);
 
-/// The replacements that are under way.
+/// The replacements in progress.
 #[derive(Debug, Default)]
 pub struct Replacements {
     fence: u64,
@@ -20,22 +21,22 @@
 }
 
 impl Replacements {
-    /// Control tells all that are under way; those that are new are returned. A holder of the duty that was replaced
-    /// itself is not listened to.
-    pub fn take(&mut self, now: Timestamp, told: Told) -> Vec<Replacement> {
-        if told.fence < self.fence {
+    /// Applies control's full list of replacements and returns those that are new. A list under an older
+    /// fencing token than the last one is ignored.
+    pub fn update(&mut self, now: Timestamp, report: Report) -> Vec<Replacement> {
+        if report.fence < self.fence {
             return Vec::new();
         }
-        self.fence = told.fence;
+        self.fence = report.fence;
         self.until = now + LEASE;
         let is_new = |one: &&Replacement| self.by_service.get(&one.service) != Some(*one);
-        let new = told.services.iter().filter(is_new).cloned().collect();
-        self.by_service = told.services.into_iter().map(|one| (one.service.clone(), one)).collect();
+        let new = report.services.iter().filter(is_new).cloned().collect();
+        self.by_service = report.services.into_iter().map(|one| (one.service.clone(), one)).collect();
         new
     }
 
     /// Whether a commit of this host must not be acknowledged.
-    pub fn forbids(&self, now: Timestamp, service: &str, host: &str) -> bool {
+    pub fn forbids_commit(&self, now: Timestamp, service: &str, host: &str) -> bool {
         now < self.until && self.by_service.get(service).is_some_and(|change| change.candidate != host)
     }
 }
--- a/crates/arrowyard-pooler/src/routes.rs
+++ b/crates/arrowyard-pooler/src/routes.rs
@@ -1,5 +1,5 @@
-//! The operator's configuration as sessions need it: a database's name to its route, and what a statement of a route
-//! asks of a host, as rows of the module's op types.
+//! The operator's configuration in the form that sessions need: the route of each database, and the op
+//! types that statements of a route have in the decision module.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -8,25 +8,27 @@
 use arrowyard_types::{Consistency, GroupId, OpType, OpTypeId, RetrySafety, TimeDelta};
 use rustc_hash::FxHashMap;
 
-/// What a statement is to the module.
+/// The kind of a statement, which determines its op type together with its route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum Statement {
-    /// A read alone, or the first statement of a transaction that only reads.
+pub enum StatementKind {
+    /// A single read, or the first statement of a read-only transaction.
     Read,
-    /// A write alone.
+    /// A single write.
     Write,
-    /// The first statement of a transaction that may write: till it commits, nothing of it is kept.
+    /// The first statement of a read-write transaction; it has no effect before the commit.
     First,
     /// A later statement of a transaction.
     Later,
 }
 
-/// Rows of op types, the same for routes that ask the same; they are only ever added to.
+/// The op types in use; routes with the same requirements share them. Rows are only added, never changed or
+/// removed.
 #[derive(Default)]
 pub struct OpTypes {
     rows: Vec<OpType>,
-    known: HashMap<(RouteKind, Statement, i64, i64, u32, i64), OpTypeId>,
-    told: usize,
+    ids: HashMap<(RouteKind, StatementKind, i64, i64, u32, i64), OpTypeId>,
+    /// Rows that the decision module has.
+    reported: usize,
 }
 
 fn millis(ms: f64) -> TimeDelta {
@@ -34,7 +36,8 @@
 }
 
 impl OpTypes {
-    pub fn row(&mut self, channel: &Channel, statement: Statement) -> OpTypeId {
+    /// The op type of a statement on a route, added if it is new.
+    pub fn id(&mut self, channel: &Channel, statement: StatementKind) -> OpTypeId {
         let key = (
             channel.kind,
             statement,
@@ -43,44 +46,44 @@
             channel.priority,
             channel.staleness_bound_ms as i64,
         );
-        if let Some(row) = self.known.get(&key) {
-            return *row;
+        if let Some(id) = self.ids.get(&key) {
+            return *id;
         }
-        let need = match (statement, channel.kind) {
-            (Statement::Read, RouteKind::BoundedStaleness | RouteKind::OwnRegion) => {
+        let consistency = match (statement, channel.kind) {
+            (StatementKind::Read, RouteKind::BoundedStaleness | RouteKind::OwnRegion) => {
                 Consistency::Bounded(millis(channel.staleness_bound_ms))
             }
-            (Statement::Read, RouteKind::Primary) => Consistency::Fresh,
-            (Statement::Write | Statement::First, _) => Consistency::Write,
-            (Statement::Later, _) => Consistency::Fresh,
+            (StatementKind::Read, RouteKind::Primary) => Consistency::Fresh,
+            (StatementKind::Write | StatementKind::First, _) => Consistency::Write,
+            (StatementKind::Later, _) => Consistency::Fresh,
         };
-        let effect = match statement {
-            Statement::Read | Statement::First => RetrySafety::Retryable,
-            Statement::Write | Statement::Later => RetrySafety::NonRetryable,
+        let retry_safety = match statement {
+            StatementKind::Read | StatementKind::First => RetrySafety::Retryable,
+            StatementKind::Write | StatementKind::Later => RetrySafety::NonRetryable,
         };
-        let row = OpTypeId(self.rows.len() as u32);
+        let id = OpTypeId(self.rows.len() as u32);
         self.rows.push(OpType {
             latency_target: millis(channel.setpoint_ms),
             op_timeout: millis(channel.deadline_ms),
             value: 4.0 / f64::from(channel.priority + 1),
-            // What comes late still earns something.
+            // An answer after the latency target keeps a part of its value.
             late_value: 0.3,
-            retry_safety: effect,
-            consistency: need,
+            retry_safety,
+            consistency,
         });
-        self.known.insert(key, row);
-        row
+        self.ids.insert(key, id);
+        id
     }
 
-    /// All rows, if the module has not been told of the last ones.
-    pub fn news(&mut self) -> Option<Vec<OpType>> {
-        let new = self.told < self.rows.len();
-        self.told = self.rows.len();
-        new.then(|| self.rows.clone())
+    /// All rows, if any were added since the last call.
+    pub fn take_changed(&mut self) -> Option<Vec<OpType>> {
+        let changed = self.reported < self.rows.len();
+        self.reported = self.rows.len();
+        changed.then(|| self.rows.clone())
     }
 }
 
-/// The routes of one revision.
+/// The routes of one configuration revision.
 #[derive(Default)]
 pub struct Routes {
     pub revision: u64,
@@ -89,7 +92,7 @@
     pub limits: Limits,
 }
 
-/// The configuration that is served by, and the slot that brought it.
+/// The configuration in force, and the log slot that it was chosen in (0 before the first one).
 #[derive(Default)]
 pub struct Configured {
     pub configuration: Configuration,
@@ -101,7 +104,7 @@
     pub fn new(configuration: &Configuration) -> Self {
         let mut by_database: FxHashMap<String, Rc<Channel>> = FxHashMap::default();
         for channel in configuration.channels() {
-            // Of several prefixes the shortest stands for the database.
+            // The route with the shortest path prefix represents the database.
             let known = by_database
                 .get(&channel.database)
                 .is_some_and(|known| known.prefix.len() <= channel.prefix.len());
@@ -114,16 +117,18 @@
         Routes { revision: configuration.revision, by_database, services, limits: configuration.limits() }
     }
 
-    pub fn of(&self, database: &str) -> Option<&Rc<Channel>> {
+    /// The route of a database.
+    pub fn route(&self, database: &str) -> Option<&Rc<Channel>> {
         self.by_database.get(database)
     }
 
+    /// The configuration of a service.
     pub fn service(&self, name: &str) -> Option<&Service> {
         self.services.get(name)
     }
 }
 
-/// Services by number, as the module knows them.
+/// Numbers of services, which are host groups of the decision module.
 #[derive(Default)]
 pub struct Groups(FxHashMap<String, GroupId>);
 
@@ -132,6 +137,7 @@
         self.0.get(service).copied()
     }
 
+    /// The number of a service, assigned if it is new.
     pub fn id(&mut self, service: &str) -> GroupId {
         if let Some(id) = self.0.get(service) {
             return *id;
--- a/crates/arrowyard-pooler/src/session.rs
+++ b/crates/arrowyard-pooler/src/session.rs
@@ -1,91 +1,93 @@
-//! A client's session: what it was told holds, and what it waits for.
+//! A client's session: its state as the client sees it, and its pending statement.
 
 use std::collections::VecDeque;
 use std::rc::Rc;
 
 use arrowyard_config::Channel;
 use arrowyard_fair_shares::ServiceId;
-use arrowyard_protocol::{AccessMode, LineDecoder, Position, TransactionState};
+use arrowyard_protocol::{AccessMode, FaultCode, LineDecoder, Position, TransactionState};
 use arrowyard_runtime::Conn;
 use arrowyard_types::{HostId, OpId, OpTypeId, TimeDelta, Timestamp};
 use bytes::Bytes;
 use rustc_hash::FxHashMap;
 use smallvec::SmallVec;
 
-use crate::link::SessionVariables;
-use crate::routes::Statement as Kind;
+use crate::host_connection::SessionVariables;
+use crate::routes::StatementKind;
 
-/// Where a session is in its life.
+/// The stage of a session.
 #[derive(Debug)]
-pub enum Stage {
-    /// It has not said which database it wants.
+pub enum SessionStage {
+    /// The client has not opened a database yet.
     New,
-    /// It has, and there is no configuration yet.
-    Waits(String),
-    Rests,
-    /// A statement is under way.
-    Asks(Box<Statement>),
+    /// The client opened this database before the router has received a configuration.
+    AwaitingConfiguration(String),
+    Idle,
+    /// A statement is pending.
+    Running(Box<PendingStatement>),
 }
 
-/// A statement under way.
+/// A statement that was handed to the decision module and is not answered yet.
 #[derive(Debug)]
-pub struct Statement {
+pub struct PendingStatement {
     pub id: String,
-    /// As the host gets it.
+    /// As sent to the host.
     pub text: String,
     pub op: OpId,
     pub op_type: OpTypeId,
-    /// The route that it was taken under. Invariant: what it must see is reckoned from this one until it ends; the
-    /// configuration may drop or change the route while the statement waits for a connection.
+    /// The route that it was accepted under. Invariant: its consistency requirement is derived from this
+    /// one until it ends; the configuration may drop or change the route while the statement waits for a
+    /// connection.
     pub channel: Rc<Channel>,
-    /// What it counts as, and the hosts that it waits for one of.
+    /// The service that it counts as in the fair shares, and the hosts that it is queued for.
     pub service: ServiceId,
-    pub waits: SmallVec<[HostId; 4]>,
-    pub kind: Kind,
-    pub ends: bool,
-    pub writes: bool,
-    /// What has to be prepared before it.
-    pub define: Option<(u32, AccessMode, Rc<str>)>,
-    pub arrived: Timestamp,
-    /// Where the module sent it, how often so far, and on which connection it is.
+    pub queued_for: SmallVec<[HostId; 4]>,
+    pub kind: StatementKind,
+    pub is_commit: bool,
+    pub is_write: bool,
+    /// The prepared statement that it needs on its connection.
+    pub prepare: Option<(u32, AccessMode, Rc<str>)>,
+    pub arrived_at: Timestamp,
+    /// The number of sends so far, the host of the last one, and its connection.
     pub sends: u32,
     pub host: Option<HostId>,
-    pub link: Option<Conn>,
-    /// It stands alone and is read from a host that must prove that it leads: in a transaction of our own.
-    pub fenced: bool,
+    pub host_conn: Option<Conn>,
+    /// Whether it is a single read that runs in a transaction of the router's own, which fails unless the
+    /// host is primary.
+    pub verifies_primary: bool,
     pub timer: Option<(Timestamp, u64)>,
-    /// How long it may wait for a connection before it is given up.
-    pub patience: TimeDelta,
-    /// The last fault that a host gave for it.
-    pub fault: Option<(arrowyard_protocol::FaultCode, String)>,
+    /// How long it may wait for a connection.
+    pub connection_wait: TimeDelta,
+    /// The last fault that a host replied to it.
+    pub last_fault: Option<(FaultCode, String)>,
 }
 
-/// A transaction of the client's.
+/// A client's transaction.
 #[derive(Clone, Debug)]
 pub struct Transaction {
     pub channel: Rc<Channel>,
-    pub reads: bool,
-    pub began: Timestamp,
-    /// Whether a write of it was answered.
+    pub read_only: bool,
+    pub began_at: Timestamp,
+    /// Whether a write in it was answered.
     pub wrote: bool,
-    /// The connection that holds it, once its first statement ran.
-    pub link: Option<Conn>,
+    /// The connection that holds it, once its first statement has run.
+    pub host_conn: Option<Conn>,
 }
 
 /// A client's session.
 pub struct Session {
-    pub stage: Stage,
-    pub state: TransactionState,
+    pub stage: SessionStage,
+    pub transaction_state: TransactionState,
     pub database: String,
-    pub lines: LineDecoder,
-    pub values: SessionVariables,
+    pub decoder: LineDecoder,
+    pub variables: SessionVariables,
     pub prepared: FxHashMap<String, (AccessMode, Rc<str>)>,
     pub transaction: Option<Transaction>,
-    /// Its transaction was ended while it rested, and its client has not been told.
-    pub untold: bool,
-    /// The last commit that it was told of, and when that was sent: what its own reads must see.
-    pub token: Option<(Position, Timestamp)>,
-    /// Statements that came before the one under way was answered.
+    /// Whether its transaction was aborted while idle and the client has not been told yet.
+    pub abort_unreported: bool,
+    /// The position of its last acknowledged commit, and when that was sent: what its own reads must see.
+    pub last_commit: Option<(Position, Timestamp)>,
+    /// Lines received while a statement is pending.
     pub queue: VecDeque<Bytes>,
     pub timer: Option<(Timestamp, u64)>,
 }
@@ -93,35 +95,37 @@
 impl Session {
     pub fn new() -> Self {
         Session {
-            stage: Stage::New,
-            state: TransactionState::Idle,
+            stage: SessionStage::New,
+            transaction_state: TransactionState::Idle,
             database: String::new(),
-            lines: LineDecoder::default(),
-            values: SessionVariables::default(),
+            decoder: LineDecoder::default(),
+            variables: SessionVariables::default(),
             prepared: FxHashMap::default(),
             transaction: None,
-            untold: false,
-            token: None,
+            abort_unreported: false,
+            last_commit: None,
             queue: VecDeque::new(),
             timer: None,
         }
     }
 
-    /// Every change of stage.
-    pub fn shift(&mut self, stage: Stage) -> Stage {
+    /// Changes the stage and returns the old one.
+    pub fn set_stage(&mut self, stage: SessionStage) -> SessionStage {
         std::mem::replace(&mut self.stage, stage)
     }
 
-    pub fn asks(&mut self) -> Option<&mut Statement> {
+    /// The pending statement.
+    pub fn pending(&mut self) -> Option<&mut PendingStatement> {
         match &mut self.stage {
-            Stage::Asks(statement) => Some(statement),
+            SessionStage::Running(statement) => Some(statement),
             _ => None,
         }
     }
 
-    /// Whether nothing would be lost if it closed now.
-    pub fn is_at_rest(&self) -> bool {
-        matches!(self.stage, Stage::New | Stage::Rests) && self.state == TransactionState::Idle
+    /// Whether it has neither a pending statement nor an open transaction, so that closing it loses nothing.
+    pub fn is_idle(&self) -> bool {
+        matches!(self.stage, SessionStage::New | SessionStage::Idle)
+            && self.transaction_state == TransactionState::Idle
     }
 }
 
--- a/crates/arrowyard-pooler/tests/units.rs
+++ b/crates/arrowyard-pooler/tests/units.rs
@@ -94,7 +94,7 @@
             }
             let number = rng.u32(0..3);
             let define = rng.bool().then_some((number, AccessMode::Read, "shape"));
-            for said in link.dress(&Rc::new(wanted.clone()), define) {
+            for said in link.setup_statements(&Rc::new(wanted.clone()), define) {
                 let words: Vec<&str> = said.split(' ').collect();
                 match words[..] {
                     ["CLEAR"] => {
@@ -117,10 +117,10 @@
 #[test]
 fn a_connection_that_is_dressed_already_costs_nothing() {
     let mut link = HostConnection::new(Conn(1), HostId(0), at(0));
-    assert_eq!(link.dress(&values(&[("a", "1")]), None), ["ASSIGN a 1"]);
-    assert!(link.dress(&values(&[("a", "1")]), None).is_empty());
-    assert_eq!(link.dress(&values(&[("a", "1"), ("b", "2")]), None), ["ASSIGN b 2"]);
-    assert_eq!(link.dress(&values(&[("b", "2")]), None), ["CLEAR", "ASSIGN b 2"]);
+    assert_eq!(link.setup_statements(&values(&[("a", "1")]), None), ["ASSIGN a 1"]);
+    assert!(link.setup_statements(&values(&[("a", "1")]), None).is_empty());
+    assert_eq!(link.setup_statements(&values(&[("a", "1"), ("b", "2")]), None), ["ASSIGN b 2"]);
+    assert_eq!(link.setup_statements(&values(&[("b", "2")]), None), ["CLEAR", "ASSIGN b 2"]);
 }
 
 #[test]
--- a/crates/arrowyard-system/tests/processes.rs
+++ b/crates/arrowyard-system/tests/processes.rs
@@ -101,7 +101,7 @@
     assert!(answer[0].starts_with("ROW"), "{answer:?}");
     // It is told to end: what rests is closed, the transaction may still commit.
     router.signal("-TERM");
-    router.says("sessions are to end");
+    router.says("drain: started with");
     let answer = client.ask("COMMIT");
     assert!(answer.iter().any(|line| line.starts_with("SETTLED i-0")), "{answer:?}");
     router.says("Ended in order");
