--- a/crates/arrowyard-fair-shares/tests/demand_meter.rs
+++ b/crates/arrowyard-fair-shares/tests/demand_meter.rs
@@ -1,9 +1,9 @@
-//! What a router says that it needs.
+//! Measured demand of a router.
 
 use arrowyard_fair_shares::{DemandMeter, ServiceId};
 use arrowyard_types::{TimeDelta, Timestamp};
 
-const S: ServiceId = ServiceId(0);
+const SERVICE: ServiceId = ServiceId(0);
 
 fn at(ms: i64) -> Timestamp {
     Timestamp::from_micros(ms * 1000)
@@ -13,51 +13,52 @@
     TimeDelta::from_millis(millis)
 }
 
-/// Reads every 50 ms while statements of 10 ms come each `gap` ms, and the last reading.
-fn steady(meter: &mut DemandMeter<u32>, gap: i64, answered: bool) -> (f64, f64) {
-    let mut needs = Vec::new();
+/// Starts a statement of 10 ms every `interval_ms`, reads every 50 ms, and returns the last reading as
+/// in-flight and queued statements.
+fn steady_demand(meter: &mut DemandMeter<u32>, interval_ms: i64, answered: bool) -> (f64, f64) {
+    let mut demands = Vec::new();
     for now in 0..1000 {
-        if now % gap == 0 {
-            meter.statement_started(at(now), 1, S);
+        if now % interval_ms == 0 {
+            meter.statement_started(at(now), 1, SERVICE);
         }
-        if now >= 10 && (now - 10) % gap == 0 {
-            meter.statement_ended(at(now), 1, S, answered.then_some(ms(10)));
+        if now >= 10 && (now - 10) % interval_ms == 0 {
+            meter.statement_ended(at(now), 1, SERVICE, answered.then_some(ms(10)));
         }
         if now % 50 == 49 {
-            needs = meter.read(at(now), 1);
+            demands = meter.read(at(now), 1);
         }
     }
-    needs
-        .first()
-        .map_or((0.0, 0.0), |need| (f64::from(need.in_flight) / 1000.0, f64::from(need.queued) / 1000.0))
+    demands.first().map_or((0.0, 0.0), |demand| {
+        (f64::from(demand.in_flight) / 1000.0, f64::from(demand.queued) / 1000.0)
+    })
 }
 
 #[test]
-fn what_runs_is_rate_times_time() {
-    let (runs, waits) = steady(&mut DemandMeter::default(), 5, true);
-    assert!((runs - 2.0).abs() < 0.3 && waits == 0.0, "{runs} {waits}");
-    let (runs, _) = steady(&mut DemandMeter::default(), 20, true);
-    assert!((runs - 0.5).abs() < 0.3, "{runs}");
+fn in_flight_statements_are_rate_times_latency() {
+    let (in_flight, queued) = steady_demand(&mut DemandMeter::default(), 5, true);
+    assert!((in_flight - 2.0).abs() < 0.3 && queued == 0.0, "{in_flight} {queued}");
+    let (in_flight, _) = steady_demand(&mut DemandMeter::default(), 20, true);
+    assert!((in_flight - 0.5).abs() < 0.3, "{in_flight}");
 }
 
-/// A fifth of a primary's answers was lost for four seconds: what was out was taken for what ran there, the host for
-/// pressed, and postings were refused that it had room for (scale-2 of ikw-arrowyard: 0.73 instead of 0.87).
+/// Counting statements whose answers are lost would make an idle host look overloaded, and statements that
+/// it has room for would be rejected.
 #[test]
-fn what_is_never_answered_holds_no_place() {
-    let (runs, _) = steady(&mut DemandMeter::default(), 5, false);
-    assert_eq!(runs, 0.0);
+fn unanswered_statements_count_as_outstanding_but_not_as_in_flight() {
+    let (in_flight, _) = steady_demand(&mut DemandMeter::default(), 5, false);
+    assert_eq!(in_flight, 0.0);
     let mut meter = DemandMeter::default();
-    (0..20).for_each(|_| meter.statement_started(at(0), 1, S));
+    (0..20).for_each(|_| meter.statement_started(at(0), 1, SERVICE));
     assert!(!meter.is_idle(1));
-    assert_eq!(meter.read(at(50), 1)[0].in_flight, 0, "a host that is dark");
+    assert_eq!(meter.read(at(50), 1)[0].in_flight, 0, "the host is unreachable");
 }
 
 #[test]
-fn what_waits_for_one_of_several_counts_a_part_at_each() {
+fn a_statement_queued_for_several_hosts_counts_in_parts_at_each() {
     let mut meter = DemandMeter::default();
-    meter.add_queued(at(0), &[1, 2], S, 1.0);
+    meter.add_queued(at(0), &[1, 2], SERVICE, 1.0);
     assert_eq!(meter.read(at(100), 1)[0].queued, 500);
-    meter.add_queued(at(200), &[1, 2], S, -1.0);
+    meter.add_queued(at(200), &[1, 2], SERVICE, -1.0);
     assert_eq!(meter.read(at(200), 2)[0].queued, 500);
     assert_eq!(meter.read(at(300), 2)[0].queued, 0);
     assert!(meter.is_idle(1));
--- a/crates/arrowyard-fair-shares/tests/division.rs
+++ b/crates/arrowyard-fair-shares/tests/division.rs
@@ -1,10 +1,10 @@
-//! The division by itself: what weighted max-min means, held against drawn claims.
+//! Properties of weighted max-min division, checked on generated claims.
 
 use arrowyard_fair_shares::{Claim, ServiceShare, ShareConfig, weighted_max_min};
 use proptest::prelude::*;
 
-fn claim(demand: f64, share: f64) -> Claim {
-    Claim { demand, weight: share, guaranteed: 0.0, limit: f64::INFINITY, held_elsewhere: 0.0 }
+fn claim(demand: f64, weight: f64) -> Claim {
+    Claim { demand, weight, guaranteed: 0.0, limit: f64::INFINITY, held_elsewhere: 0.0 }
 }
 
 fn near(a: f64, b: f64) -> bool {
@@ -12,8 +12,8 @@
 }
 
 fn claims() -> impl Strategy<Value = Vec<Claim>> {
-    let share = prop_oneof![Just(0.0), Just(1.0), Just(1e6), 0.1..10.0];
-    let one = (0.0..20.0_f64, share, 0.0..4.0_f64, 0.0..20.0_f64).prop_map(
+    let weight = prop_oneof![Just(0.0), Just(1.0), Just(1e6), 0.1..10.0];
+    let claim = (0.0..20.0_f64, weight, 0.0..4.0_f64, 0.0..20.0_f64).prop_map(
         |(demand, weight, guaranteed, limit)| Claim {
             demand,
             weight,
@@ -22,107 +22,108 @@
             held_elsewhere: 0.0,
         },
     );
-    prop::collection::vec(one, 1..7)
+    prop::collection::vec(claim, 1..7)
 }
 
 proptest! {
     #[test]
-    fn nobody_gets_more_than_it_may_and_nothing_that_is_wanted_is_left(capacity in 0.0..30.0_f64, claims in claims()) {
-        let parts = weighted_max_min(capacity, &claims);
-        let sum: f64 = parts.iter().sum();
+    fn no_share_exceeds_its_bounds_and_no_wanted_capacity_is_left_over(capacity in 0.0..30.0_f64, claims in claims()) {
+        let shares = weighted_max_min(capacity, &claims);
+        let sum: f64 = shares.iter().sum();
         prop_assert!(sum <= capacity + 1e-6, "{sum} of {capacity}");
-        let tops: Vec<f64> = claims.iter().map(|claim| claim.demand.min(claim.limit)).collect();
-        for (part, top) in parts.iter().zip(&tops) {
-            prop_assert!(*part >= 0.0 && *part <= top + 1e-6);
+        let upper: Vec<f64> = claims.iter().map(|claim| claim.demand.min(claim.limit)).collect();
+        for (share, upper) in shares.iter().zip(&upper) {
+            prop_assert!(*share >= 0.0 && *share <= upper + 1e-6);
         }
-        let wanted: f64 = tops.iter().sum();
+        let wanted: f64 = upper.iter().sum();
         prop_assert!(near(sum, wanted.min(capacity)), "{sum} of {capacity}, {wanted} wanted");
     }
 
     #[test]
-    fn whoever_has_less_for_its_weight_than_another_wants_no_more_or_the_other_has_its_least(
+    fn a_smaller_share_by_weight_is_satisfied_or_yields_to_a_guarantee(
         capacity in 0.1..30.0_f64, claims in claims(),
     ) {
-        let parts = weighted_max_min(capacity, &claims);
-        for (a, mine) in claims.iter().zip(&parts) {
-            for (b, theirs) in claims.iter().zip(&parts) {
-                let sated = near(*mine, a.demand.min(a.limit));
-                let least = *theirs <= b.guaranteed.min(b.demand).min(b.limit) + 1e-6;
+        let shares = weighted_max_min(capacity, &claims);
+        for (a, a_share) in claims.iter().zip(&shares) {
+            for (b, b_share) in claims.iter().zip(&shares) {
+                let satisfied = near(*a_share, a.demand.min(a.limit));
+                let guaranteed = *b_share <= b.guaranteed.min(b.demand).min(b.limit) + 1e-6;
                 let fair = if a.weight > 0.0 && b.weight > 0.0 {
-                    mine / a.weight >= theirs / b.weight - 1e-6 * (1.0 + theirs / b.weight)
+                    a_share / a.weight >= b_share / b.weight - 1e-6 * (1.0 + b_share / b.weight)
                 } else {
-                    // Whoever has a weight goes before whoever has none.
-                    a.weight <= 0.0 || *theirs <= b.guaranteed.max(0.0) + 1e-6
+                    // Claims with a weight go before claims of weight 0.
+                    a.weight <= 0.0 || *b_share <= b.guaranteed.max(0.0) + 1e-6
                 };
-                prop_assert!(sated || least || fair, "{claims:?} {parts:?}");
+                prop_assert!(satisfied || guaranteed || fair, "{claims:?} {shares:?}");
             }
         }
     }
 
     #[test]
-    fn what_one_asks_more_takes_nothing_below_what_the_others_were_owed_by_weight(
-        demand in 0.0..5.0_f64, flood in 0.0..1000.0_f64, share in 0.1..10.0_f64,
+    fn more_demand_of_one_claim_takes_nothing_from_the_weighted_share_of_another(
+        demand in 0.0..5.0_f64, flood in 0.0..1000.0_f64, weight in 0.1..10.0_f64,
     ) {
-        let calm = weighted_max_min(10.0, &[claim(demand, share), claim(1.0, 1.0)])[0];
-        let pressed = weighted_max_min(10.0, &[claim(demand, share), claim(flood, 1.0)])[0];
-        let by_weight = 10.0 * share / (share + 1.0);
-        prop_assert!(pressed >= calm.min(by_weight) - 1e-6);
+        let calm = weighted_max_min(10.0, &[claim(demand, weight), claim(1.0, 1.0)])[0];
+        let flooded = weighted_max_min(10.0, &[claim(demand, weight), claim(flood, 1.0)])[0];
+        let by_weight = 10.0 * weight / (weight + 1.0);
+        prop_assert!(flooded >= calm.min(by_weight) - 1e-6);
     }
 }
 
 #[test]
-fn weights_of_nothing_one_and_a_million() {
-    let parts = weighted_max_min(10.0, &[claim(20.0, 0.0), claim(20.0, 1.0), claim(20.0, 1e6)]);
-    assert!(parts[0].abs() < 1e-9 && parts[1] < 0.001 && parts[2] > 9.99, "{parts:?}");
-    let parts = weighted_max_min(10.0, &[claim(20.0, 0.0), claim(1.0, 1.0), claim(2.0, 1e6)]);
-    assert!(near(parts[0], 7.0) && near(parts[1], 1.0) && near(parts[2], 2.0), "{parts:?}");
+fn weights_of_zero_one_and_a_million() {
+    let shares = weighted_max_min(10.0, &[claim(20.0, 0.0), claim(20.0, 1.0), claim(20.0, 1e6)]);
+    assert!(shares[0].abs() < 1e-9 && shares[1] < 0.001 && shares[2] > 9.99, "{shares:?}");
+    let shares = weighted_max_min(10.0, &[claim(20.0, 0.0), claim(1.0, 1.0), claim(2.0, 1e6)]);
+    assert!(near(shares[0], 7.0) && near(shares[1], 1.0) && near(shares[2], 2.0), "{shares:?}");
 }
 
 #[test]
-fn what_is_idle_is_lent_except_by_who_does_not_lend_and_to_who_does_not_borrow() {
+fn idle_permits_are_lent_except_from_services_that_do_not_lend_or_to_those_that_do_not_borrow() {
     let mut config = ShareConfig::default();
-    let keeps = ServiceShare { min_fraction: 0.4, lends: false, ..ServiceShare::with_weight("keeps", 1.0) };
-    let plain = ServiceShare { borrows: false, ..ServiceShare::with_weight("plain", 1.0) };
-    let (keeps, plain) = (config.set_share(keeps), config.set_share(plain));
+    let reserving =
+        ServiceShare { min_fraction: 0.4, lends: false, ..ServiceShare::with_weight("reserving", 1.0) };
+    let not_borrowing = ServiceShare { borrows: false, ..ServiceShare::with_weight("not_borrowing", 1.0) };
+    let (reserving, not_borrowing) = (config.set_share(reserving), config.set_share(not_borrowing));
     let other = config.service_id("other");
-    let asks = [(keeps, 0.0), (plain, 20.0), (other, 20.0)];
-    let kept = config.reserved(10.0, &asks);
-    assert!(near(kept, 4.0), "{kept}");
-    let parts = weighted_max_min(10.0 - kept, &config.claims(10.0, &asks));
-    assert!(near(parts[0], 0.0) && near(parts[1], 3.0) && near(parts[2], 3.0), "{parts:?}");
-    // Alone, whoever does not borrow has its weight's part; the other one has the rest.
-    let parts = weighted_max_min(10.0, &config.claims(10.0, &[(plain, 20.0), (other, 20.0)]));
-    assert!(near(parts[0], 5.0) && near(parts[1], 5.0), "{parts:?}");
-    let parts = weighted_max_min(10.0, &config.claims(10.0, &[(plain, 20.0), (other, 2.0)]));
-    assert!(near(parts[0], 5.0), "{parts:?}");
+    let demands = [(reserving, 0.0), (not_borrowing, 20.0), (other, 20.0)];
+    let reserved = config.reserved(10.0, &demands);
+    assert!(near(reserved, 4.0), "{reserved}");
+    let shares = weighted_max_min(10.0 - reserved, &config.claims(10.0, &demands));
+    assert!(near(shares[0], 0.0) && near(shares[1], 3.0) && near(shares[2], 3.0), "{shares:?}");
+    // A service that does not borrow gets its weight's part, even if the other one leaves permits over.
+    let shares = weighted_max_min(10.0, &config.claims(10.0, &[(not_borrowing, 20.0), (other, 20.0)]));
+    assert!(near(shares[0], 5.0) && near(shares[1], 5.0), "{shares:?}");
+    let shares = weighted_max_min(10.0, &config.claims(10.0, &[(not_borrowing, 20.0), (other, 2.0)]));
+    assert!(near(shares[0], 5.0), "{shares:?}");
 }
 
 #[test]
-fn leasts_beyond_what_there_is_are_cut_in_proportion() {
-    let claim = |least| Claim {
+fn guarantees_beyond_the_capacity_are_cut_in_proportion() {
+    let claim = |guaranteed| Claim {
         demand: 20.0,
         weight: 1.0,
-        guaranteed: least,
+        guaranteed,
         limit: f64::INFINITY,
         held_elsewhere: 0.0,
     };
-    let parts = weighted_max_min(6.0, &[claim(6.0), claim(3.0)]);
-    assert!(near(parts[0], 4.0) && near(parts[1], 2.0), "{parts:?}");
+    let shares = weighted_max_min(6.0, &[claim(6.0), claim(3.0)]);
+    assert!(near(shares[0], 4.0) && near(shares[1], 2.0), "{shares:?}");
 }
 
 #[test]
-fn whoever_can_go_elsewhere_gets_less_where_others_cannot() {
-    let here = Claim { held_elsewhere: 14.0, ..claim(20.0, 1.0) };
-    let parts = weighted_max_min(7.0, &[claim(6.0, 1.0), here]);
-    assert!(near(parts[0], 6.0) && near(parts[1], 1.0), "{parts:?}");
-    // Nothing that is wanted is left, however much it has elsewhere.
-    assert!(near(weighted_max_min(7.0, &[here])[0], 7.0));
+fn permits_held_at_other_hosts_reduce_the_share_only_where_others_have_demand() {
+    let elsewhere = Claim { held_elsewhere: 14.0, ..claim(20.0, 1.0) };
+    let shares = weighted_max_min(7.0, &[claim(6.0, 1.0), elsewhere]);
+    assert!(near(shares[0], 6.0) && near(shares[1], 1.0), "{shares:?}");
+    // Alone it gets all permits, however many it holds elsewhere.
+    assert!(near(weighted_max_min(7.0, &[elsewhere])[0], 7.0));
     let both = weighted_max_min(10.0, &[Claim { held_elsewhere: 2.0, ..claim(20.0, 1.0) }, claim(20.0, 1.0)]);
     assert!(near(both[0], 4.0) && near(both[1], 6.0), "{both:?}");
 }
 
 #[test]
-fn names_without_end_are_told_apart_up_to_a_number() {
+fn the_number_of_distinct_services_is_bounded() {
     let mut config = ShareConfig::default();
     let first = config.service_id("a");
     let ids: std::collections::BTreeSet<_> =
--- a/crates/arrowyard-pooler/tests/helpers/mod.rs
+++ b/crates/arrowyard-pooler/tests/helpers/mod.rs
@@ -1,4 +1,4 @@
-//! A router that is driven by hand: the test plays control, hosts and clients, word by word.
+//! A router plane whose peers (control, hosts and clients) are played by the test, line by line.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::net::SocketAddrV4;
@@ -17,26 +17,26 @@
      \"staleness-bound-ms\":1500}],\"services\":[{\"name\":\"s0\",\
      \"conn-limit\":50,\"sync-replicas\":1}],\"limits\":{\"tx-idle-ms\":3000,\"header-wait-ms\":3000}}";
 
-/// The router, and what it wrote to whom.
-pub struct Hand {
-    sluice: RouterPlane,
+/// The router plane, and what it has written.
+pub struct TestRouter {
+    plane: RouterPlane,
     commands: Commands,
     pub now: Timestamp,
-    /// Lines that were written and not yet looked at, by connection.
-    said: BTreeMap<Conn, VecDeque<String>>,
-    /// Dials in their order, and connections that the router gave up.
-    pub dialled: Vec<(Conn, SocketAddrV4)>,
-    pub dropped: Vec<Conn>,
+    /// Lines written since the last call of `received`, by connection.
+    lines: BTreeMap<Conn, VecDeque<String>>,
+    /// Dialed connections in order, and connections that the router closed or reset.
+    pub dialed: Vec<(Conn, SocketAddrV4)>,
+    pub closed: Vec<Conn>,
     /// The connection to control.
-    feed: Conn,
+    control_conn: Conn,
     to_control: FrameDecoder,
 }
 
-/// A configuration in which neither database is left.
+/// A configuration without routes.
 pub const WITHOUT_ROUTES: &str = "{\"revision\":4,\"channels\":[],\"services\":[{\"name\":\"s0\",\"conn-limit\":50,\
      \"sync-replicas\":1}],\"limits\":{\"tx-idle-ms\":3000,\"header-wait-ms\":3000}}";
 
-/// The host, as it sees itself.
+/// The host as it reports itself.
 pub fn host(phase: Phase, role: DbRole, call_seq: u64) -> Host {
     Host {
         id: "i-1".into(),
@@ -51,39 +51,39 @@
     }
 }
 
-impl Hand {
-    /// A router that knows a service with one host, its primary, and so many routers that share it.
-    pub fn among(routers: u32) -> Hand {
-        let settings = Settings::parse(SETTINGS).expect("sound settings");
-        let mut hand = Hand {
-            sluice: RouterPlane::new(settings, 1, Box::new(|| None)),
+impl TestRouter {
+    /// A router with one service, whose only host is its primary, and with this many routers that share it.
+    pub fn shared_by(routers: u32) -> TestRouter {
+        let settings = Settings::parse(SETTINGS).expect("valid settings");
+        let mut router = TestRouter {
+            plane: RouterPlane::new(settings, 1, Box::new(|| None)),
             commands: Commands::default(),
             now: Timestamp::from_micros(0),
-            said: BTreeMap::new(),
-            dialled: Vec::new(),
-            dropped: Vec::new(),
-            feed: Conn(0),
+            lines: BTreeMap::new(),
+            dialed: Vec::new(),
+            closed: Vec::new(),
+            control_conn: Conn(0),
             to_control: FrameDecoder::default(),
         };
-        hand.event(Event::Start);
-        (hand.feed, _) = hand.dialled[0];
-        hand.event(Event::Connected { conn: hand.feed });
-        hand.configures(1, CONFIGURATION, vec![host(Phase::InService, DbRole::Primary, 1)], routers);
-        hand
+        router.handle(Event::Start);
+        (router.control_conn, _) = router.dialed[0];
+        router.handle(Event::Connected { conn: router.control_conn });
+        router.send_snapshot(1, CONFIGURATION, vec![host(Phase::InService, DbRole::Primary, 1)], routers);
+        router
     }
 
-    /// Control tells how the host sees itself, again and again for so long, as it feeds routers.
-    pub fn hosts_say(&mut self, host: &Host, ms: i64) {
+    /// Control sends the host's report every 250 ms for this long.
+    pub fn report_host(&mut self, host: &Host, ms: i64) {
         let end = self.now + TimeDelta::from_millis(ms);
         while self.now < end {
-            self.configures(1, CONFIGURATION, vec![host.clone()], 1);
-            self.pass(250);
+            self.send_snapshot(1, CONFIGURATION, vec![host.clone()], 1);
+            self.advance(250);
         }
     }
 
-    /// Control tells a configuration, the hosts that are new, and how many routers share them.
-    pub fn configures(&mut self, slot: u64, configuration: &str, hosts: Vec<Host>, routers: u32) {
-        let whole = FeedSnapshot {
+    /// Control sends a snapshot with a configuration, hosts, and the number of routers.
+    pub fn send_snapshot(&mut self, slot: u64, configuration: &str, hosts: Vec<Host>, routers: u32) {
+        let snapshot = FeedSnapshot {
             number: slot,
             slot,
             configuration: configuration.into(),
@@ -91,87 +91,87 @@
             routers,
             view: Vec::new(),
         };
-        self.control_says(Payload::FeedSnapshot(whole));
+        self.control_sends(Payload::FeedSnapshot(snapshot));
     }
 
-    pub fn control_says(&mut self, word: Payload) {
-        self.event(Event::Received { conn: self.feed, bytes: &encode_payload(word) });
+    pub fn control_sends(&mut self, payload: Payload) {
+        self.handle(Event::Received { conn: self.control_conn, bytes: &encode_payload(payload) });
     }
 
-    /// What the router answered control since the last look.
-    pub fn control_hears(&mut self) -> Vec<Payload> {
-        let mut words = Vec::new();
+    /// The relayed responses that control received since the last call.
+    pub fn control_received(&mut self) -> Vec<Payload> {
+        let mut payloads = Vec::new();
         while let Ok(Some(frame)) = self.to_control.take() {
-            words.extend(frame.payload.filter(|word| matches!(word, Payload::RelayedResponse(_))));
+            payloads.extend(frame.payload.filter(|payload| matches!(payload, Payload::RelayedResponse(_))));
         }
-        words
+        payloads
     }
 
-    pub fn event(&mut self, event: Event<'_>) {
-        self.sluice.handle(self.now, event, &mut self.commands);
+    pub fn handle(&mut self, event: Event<'_>) {
+        self.plane.handle(self.now, event, &mut self.commands);
         let (list, bytes) =
             (std::mem::take(&mut self.commands.list), std::mem::take(&mut self.commands.bytes));
         let mut at = 0;
-        for order in list {
-            match order {
-                Command::Dial { conn, to } => self.dialled.push((conn, to)),
+        for command in list {
+            match command {
+                Command::Dial { conn, to } => self.dialed.push((conn, to)),
                 Command::Write { conn, len } => {
                     let written = &bytes[at..at + len];
                     at += len;
-                    if conn == self.feed {
+                    if conn == self.control_conn {
                         self.to_control.put(written);
                         continue;
                     }
                     let text = String::from_utf8_lossy(written).into_owned();
-                    self.said.entry(conn).or_default().extend(text.lines().map(str::to_string));
+                    self.lines.entry(conn).or_default().extend(text.lines().map(str::to_string));
                 }
-                Command::Close { conn } | Command::Reset { conn } => self.dropped.push(conn),
+                Command::Close { conn } | Command::Reset { conn } => self.closed.push(conn),
                 Command::Store { .. } | Command::Stop => {}
             }
         }
     }
 
-    /// Lets time pass, and the router do what is due in it.
-    pub fn pass(&mut self, ms: i64) {
+    /// Advances the clock, and fires the timers that are due.
+    pub fn advance(&mut self, ms: i64) {
         let end = self.now + TimeDelta::from_millis(ms);
-        while let Some(due) = self.sluice.due().filter(|due| *due <= end) {
+        while let Some(due) = self.plane.due().filter(|due| *due <= end) {
             self.now = due.max(self.now);
-            self.event(Event::TimerExpired);
+            self.handle(Event::TimerExpired);
         }
         self.now = end;
     }
 
-    /// A client comes and opens a session.
+    /// Opens a client session of database `p0`.
     pub fn client(&mut self) -> Conn {
         self.client_of("p0")
     }
 
-    /// The same for a database: `p0` reads at the primary, `b0` what is 1.5 s old at most.
+    /// Opens a client session. Reads of `p0` go to the primary; reads of `b0` may be 1.5 s stale.
     pub fn client_of(&mut self, database: &str) -> Conn {
         let conn = self.commands.new_conn();
-        self.event(Event::Accepted { conn, listener: LISTENERS[0] });
-        self.says(conn, &format!("OPEN {database} u1"));
-        assert_eq!(self.hears(conn), ["IDLE I -"]);
+        self.handle(Event::Accepted { conn, listener: LISTENERS[0] });
+        self.send(conn, &format!("OPEN {database} u1"));
+        assert_eq!(self.received(conn), ["IDLE I -"]);
         conn
     }
 
-    /// Somebody says lines to the router.
-    pub fn says(&mut self, conn: Conn, lines: &str) {
+    /// Sends lines from a peer to the router.
+    pub fn send(&mut self, conn: Conn, lines: &str) {
         let bytes = lines.lines().map(|line| format!("{line}\r\n")).collect::<String>();
-        self.event(Event::Received { conn, bytes: bytes.as_bytes() });
+        self.handle(Event::Received { conn, bytes: bytes.as_bytes() });
     }
 
-    /// What the router wrote to somebody since the last look.
-    pub fn hears(&mut self, conn: Conn) -> Vec<String> {
-        self.said.remove(&conn).unwrap_or_default().into()
+    /// The lines that a peer received since the last call.
+    pub fn received(&mut self, conn: Conn) -> Vec<String> {
+        self.lines.remove(&conn).unwrap_or_default().into()
     }
 
-    /// The router's newest connection to the host is opened.
-    pub fn host_opens(&mut self) -> Conn {
-        let (conn, _) = *self.dialled.last().expect("it dialled");
-        self.event(Event::Connected { conn });
-        assert_eq!(self.hears(conn), ["OPEN s0 sluice i-1"]);
-        self.says(conn, "IDLE I 1.1");
+    /// Accepts the router's newest connection to the host.
+    pub fn accept_host_connection(&mut self) -> Conn {
+        let (conn, _) = *self.dialed.last().expect("the router dialed a host");
+        self.handle(Event::Connected { conn });
+        assert_eq!(self.received(conn), ["OPEN s0 sluice i-1"]);
+        self.send(conn, "IDLE I 1.1");
         conn
     }
 }
--- a/crates/arrowyard-pooler/tests/plane.rs
+++ b/crates/arrowyard-pooler/tests/plane.rs
@@ -1,4 +1,4 @@
-//! Transactions, values and answers that are lost, before a router that is driven by hand.
+//! Transactions, session variables, lost replies, replacements and relayed requests on a router plane.
 
 mod helpers;
 
@@ -7,255 +7,261 @@
     Replacements,
 };
 use arrowyard_runtime::{CloseReason, Event};
-use helpers::{Hand, WITHOUT_ROUTES, host};
+use helpers::{TestRouter, WITHOUT_ROUTES, host};
 
-/// A client inside a transaction that ran one statement, and the connection that holds it.
-fn inside(hand: &mut Hand) -> (arrowyard_runtime::Conn, arrowyard_runtime::Conn) {
-    let client = hand.client();
-    hand.says(client, "QUERY a1 BEGIN");
-    assert_eq!(hand.hears(client), ["SETTLED -", "IDLE T -"]);
-    hand.says(client, "QUERY a2 WRITE t1 x");
-    let host = hand.host_opens();
-    assert_eq!(hand.hears(host), ["QUERY - BEGIN"]);
-    hand.says(host, "SETTLED -\nIDLE T 1.1");
-    assert_eq!(hand.hears(host), ["QUERY a2 WRITE t1 x"]);
-    hand.says(host, "SETTLED 1.aa\nIDLE T 1.1");
-    assert_eq!(hand.hears(client), ["SETTLED 1.aa", "IDLE T 1.1"]);
+/// Begins a transaction and runs one statement in it. Returns the client and the host connection.
+fn begin_transaction(router: &mut TestRouter) -> (arrowyard_runtime::Conn, arrowyard_runtime::Conn) {
+    let client = router.client();
+    router.send(client, "QUERY a1 BEGIN");
+    assert_eq!(router.received(client), ["SETTLED -", "IDLE T -"]);
+    router.send(client, "QUERY a2 WRITE t1 x");
+    let host = router.accept_host_connection();
+    assert_eq!(router.received(host), ["QUERY - BEGIN"]);
+    router.send(host, "SETTLED -\nIDLE T 1.1");
+    assert_eq!(router.received(host), ["QUERY a2 WRITE t1 x"]);
+    router.send(host, "SETTLED 1.aa\nIDLE T 1.1");
+    assert_eq!(router.received(client), ["SETTLED 1.aa", "IDLE T 1.1"]);
     (client, host)
 }
 
 #[test]
-fn a_transaction_stays_on_its_connection_to_the_end() {
-    let mut hand = Hand::among(1);
-    let (client, host) = inside(&mut hand);
-    hand.says(client, "QUERY a3 READ t1");
-    assert_eq!(hand.hears(host), ["QUERY a3 READ t1"]);
-    hand.says(host, "ROW x\nSETTLED 2.aa\nIDLE T 1.1");
-    hand.says(client, "QUERY a4 COMMIT");
-    assert_eq!(hand.hears(host), ["QUERY a4 COMMIT"]);
-    hand.says(host, "SETTLED 3.aa\nIDLE I 1.2");
-    assert_eq!(hand.hears(client), ["ROW x", "SETTLED 2.aa", "IDLE T 1.1", "SETTLED 3.aa", "IDLE I 1.2"]);
+fn a_transaction_stays_on_its_connection() {
+    let mut router = TestRouter::shared_by(1);
+    let (client, host) = begin_transaction(&mut router);
+    router.send(client, "QUERY a3 READ t1");
+    assert_eq!(router.received(host), ["QUERY a3 READ t1"]);
+    router.send(host, "ROW x\nSETTLED 2.aa\nIDLE T 1.1");
+    router.send(client, "QUERY a4 COMMIT");
+    assert_eq!(router.received(host), ["QUERY a4 COMMIT"]);
+    router.send(host, "SETTLED 3.aa\nIDLE I 1.2");
+    assert_eq!(
+        router.received(client),
+        ["ROW x", "SETTLED 2.aa", "IDLE T 1.1", "SETTLED 3.aa", "IDLE I 1.2"]
+    );
 }
 
-/// What must be set on the connection first is not answered until the statement's time is up: it has not gone out. On
-/// another connection it would run without what came before it.
+/// The setup of the connection is not answered before the statement's deadline, so the statement was not
+/// written. On another connection it would run without the earlier statements of its transaction.
 #[test]
-fn a_statement_that_never_went_out_is_not_moved_out_of_its_transaction() {
-    let mut hand = Hand::among(1);
-    let (client, host) = inside(&mut hand);
-    hand.says(client, "QUERY a3 ASSIGN tag v1");
-    hand.hears(client);
-    hand.says(client, "QUERY a4 WRITE t2 y");
-    assert_eq!(hand.hears(host), ["QUERY - ASSIGN tag v1"]);
-    hand.pass(2000);
-    let answer = hand.hears(client);
+fn an_unsent_statement_is_not_moved_out_of_its_transaction() {
+    let mut router = TestRouter::shared_by(1);
+    let (client, host) = begin_transaction(&mut router);
+    router.send(client, "QUERY a3 ASSIGN tag v1");
+    router.received(client);
+    router.send(client, "QUERY a4 WRITE t2 y");
+    assert_eq!(router.received(host), ["QUERY - ASSIGN tag v1"]);
+    router.advance(2000);
+    let answer = router.received(client);
     assert!(answer[0].starts_with("FAULT REVERTED") && answer[1] == "IDLE E -", "{answer:?}");
-    // Nothing of it goes to any connection, now or once the host has answered after all.
-    hand.says(host, "SETTLED -\nIDLE T 1.1");
-    assert_eq!(hand.hears(host), ["QUERY - ABORT"]);
-    hand.says(client, "QUERY a5 ABORT");
-    assert_eq!(hand.hears(client), ["SETTLED -", "IDLE I -"]);
+    // It is not sent later either, after the host has answered the setup.
+    router.send(host, "SETTLED -\nIDLE T 1.1");
+    assert_eq!(router.received(host), ["QUERY - ABORT"]);
+    router.send(client, "QUERY a5 ABORT");
+    assert_eq!(router.received(client), ["SETTLED -", "IDLE I -"]);
 }
 
 #[test]
-fn a_connection_that_ends_while_its_transaction_rests_reverts_it() {
-    let mut hand = Hand::among(1);
-    let (client, host) = inside(&mut hand);
-    let dials = hand.dialled.len();
-    hand.event(Event::Closed { conn: host, reason: CloseReason::ConnectionLost });
-    hand.says(client, "QUERY a3 WRITE t2 y");
-    let answer = hand.hears(client);
+fn a_closed_connection_reverts_its_idle_transaction() {
+    let mut router = TestRouter::shared_by(1);
+    let (client, host) = begin_transaction(&mut router);
+    let dials = router.dialed.len();
+    router.handle(Event::Closed { conn: host, reason: CloseReason::ConnectionLost });
+    router.send(client, "QUERY a3 WRITE t2 y");
+    let answer = router.received(client);
     assert!(answer[0].starts_with("FAULT REVERTED") && answer[1] == "IDLE E -", "{answer:?}");
-    assert_eq!(hand.dialled.len(), dials, "nothing is sent anywhere");
+    assert_eq!(router.dialed.len(), dials, "the statement is not sent to another connection");
 }
 
-/// The host's word on the read is lost, and what comes next is its word on our own ABORT.
+/// The host's reply to the read is lost, and the next reply is the one to the router's own ABORT.
 #[test]
-fn the_answer_to_our_own_statement_is_nobodys_success() {
-    let mut hand = Hand::among(1);
-    let client = hand.client();
-    hand.says(client, "QUERY b1 READ t1");
-    let host = hand.host_opens();
-    assert_eq!(hand.hears(host), ["QUERY - BEGIN"]);
-    hand.says(host, "SETTLED -\nIDLE T 1.1");
-    assert_eq!(hand.hears(host), ["QUERY b1 READ t1", "QUERY - ABORT"]);
-    hand.says(host, "SETTLED -\nIDLE I 1.1");
-    assert!(hand.dropped.contains(&host), "the connection is a place off");
-    assert_eq!(hand.hears(client), Vec::<String>::new(), "no success without a stamp");
+fn a_reply_to_an_internal_statement_is_not_taken_as_a_success() {
+    let mut router = TestRouter::shared_by(1);
+    let client = router.client();
+    router.send(client, "QUERY b1 READ t1");
+    let host = router.accept_host_connection();
+    assert_eq!(router.received(host), ["QUERY - BEGIN"]);
+    router.send(host, "SETTLED -\nIDLE T 1.1");
+    assert_eq!(router.received(host), ["QUERY b1 READ t1", "QUERY - ABORT"]);
+    router.send(host, "SETTLED -\nIDLE I 1.1");
+    assert!(router.closed.contains(&host), "all later replies would be off by one");
+    assert_eq!(router.received(client), Vec::<String>::new(), "no success without a stamp");
 }
 
-/// SessionVariables that another session left are taken back before a connection serves the next one.
+/// Variables of the previous session are cleared before a connection serves the next one.
 #[test]
-fn a_connection_holds_the_values_of_whoever_has_it() {
-    let mut hand = Hand::among(1);
-    let first = hand.client();
-    hand.says(first, "QUERY c1 ASSIGN tag v1");
-    hand.says(first, "QUERY c2 WRITE t1 x");
-    let host = hand.host_opens();
-    assert_eq!(hand.hears(host), ["QUERY - ASSIGN tag v1"]);
-    hand.says(host, "SETTLED -\nIDLE I 1.1");
-    assert_eq!(hand.hears(host), ["QUERY c2 WRITE t1 x"]);
-    hand.says(host, "SETTLED 1.cc\nIDLE I 1.2");
-    let second = hand.client();
-    hand.says(second, "QUERY d1 WRITE t1 y");
-    assert_eq!(hand.hears(host), ["QUERY - CLEAR"]);
-    hand.says(host, "SETTLED -\nIDLE I 1.2");
-    assert_eq!(hand.hears(host), ["QUERY d1 WRITE t1 y"]);
+fn a_connection_has_the_variables_of_its_session_only() {
+    let mut router = TestRouter::shared_by(1);
+    let first = router.client();
+    router.send(first, "QUERY c1 ASSIGN tag v1");
+    router.send(first, "QUERY c2 WRITE t1 x");
+    let host = router.accept_host_connection();
+    assert_eq!(router.received(host), ["QUERY - ASSIGN tag v1"]);
+    router.send(host, "SETTLED -\nIDLE I 1.1");
+    assert_eq!(router.received(host), ["QUERY c2 WRITE t1 x"]);
+    router.send(host, "SETTLED 1.cc\nIDLE I 1.2");
+    let second = router.client();
+    router.send(second, "QUERY d1 WRITE t1 y");
+    assert_eq!(router.received(host), ["QUERY - CLEAR"]);
+    router.send(host, "SETTLED -\nIDLE I 1.2");
+    assert_eq!(router.received(host), ["QUERY d1 WRITE t1 y"]);
 }
 
-/// Where routers are more than a host's connections, whoever keeps one for good keeps somebody else out; where each has
-/// some of its own, one that is kept saves the next statement the opening.
+/// With more routers than connections, a connection kept forever would keep another router out. With enough
+/// connections, a kept one saves the next statement the opening.
 #[test]
-fn connections_that_are_fewer_than_routers_go_round() {
+fn idle_connections_are_closed_if_routers_outnumber_connections() {
     for (routers, kept) in [(1, true), (100, false)] {
-        let mut hand = Hand::among(routers);
-        let client = hand.client();
-        hand.says(client, "QUERY e1 WRITE t1 x");
-        let host = hand.host_opens();
-        assert_eq!(hand.hears(host), ["QUERY e1 WRITE t1 x"]);
-        hand.says(host, "SETTLED 1.ee\nIDLE I 1.2");
-        hand.pass(20);
-        assert!(!hand.dropped.contains(&host), "the next statement of an operation finds it open");
-        hand.pass(20_000);
-        assert_eq!(!hand.dropped.contains(&host), kept, "{routers} routers");
+        let mut router = TestRouter::shared_by(routers);
+        let client = router.client();
+        router.send(client, "QUERY e1 WRITE t1 x");
+        let host = router.accept_host_connection();
+        assert_eq!(router.received(host), ["QUERY e1 WRITE t1 x"]);
+        router.send(host, "SETTLED 1.ee\nIDLE I 1.2");
+        router.advance(20);
+        assert!(!router.closed.contains(&host), "it stays open for a following statement");
+        router.advance(20_000);
+        assert_eq!(!router.closed.contains(&host), kept, "{routers} routers");
     }
 }
 
-/// A commit that its host refuses leaves the session's connection free. It was once given back twice over, and two other
-/// sessions got the same one: each was answered with what the other had asked for.
+/// A second release of the connection would assign it to two sessions, which would get each other's replies.
 #[test]
-fn a_refused_commit_gives_its_connection_back_once() {
-    let mut hand = Hand::among(1);
-    let (client, host) = inside(&mut hand);
-    hand.says(client, "QUERY a3 COMMIT");
-    assert_eq!(hand.hears(host), ["QUERY a3 COMMIT"]);
-    hand.says(host, "FAULT FAILED i-1\nIDLE I 1.1");
-    assert_eq!(hand.hears(client), ["FAULT FAILED i-1", "IDLE I -"]);
-    let (second, third) = (hand.client(), hand.client());
-    hand.says(second, "QUERY b1 WRITE t1 y");
-    hand.says(third, "QUERY c1 WRITE t1 z");
-    assert_eq!(hand.hears(host), ["QUERY b1 WRITE t1 y"]);
-    let other = hand.host_opens();
+fn a_refused_commit_releases_its_connection_once() {
+    let mut router = TestRouter::shared_by(1);
+    let (client, host) = begin_transaction(&mut router);
+    router.send(client, "QUERY a3 COMMIT");
+    assert_eq!(router.received(host), ["QUERY a3 COMMIT"]);
+    router.send(host, "FAULT FAILED i-1\nIDLE I 1.1");
+    assert_eq!(router.received(client), ["FAULT FAILED i-1", "IDLE I -"]);
+    let (second, third) = (router.client(), router.client());
+    router.send(second, "QUERY b1 WRITE t1 y");
+    router.send(third, "QUERY c1 WRITE t1 z");
+    assert_eq!(router.received(host), ["QUERY b1 WRITE t1 y"]);
+    let other = router.accept_host_connection();
     assert_ne!(other, host);
-    assert_eq!(hand.hears(other), ["QUERY c1 WRITE t1 z"]);
-    hand.says(host, "SETTLED 1.bb\nIDLE I 1.2");
-    hand.says(other, "SETTLED 1.cc\nIDLE I 1.3");
-    assert_eq!(hand.hears(second), ["SETTLED 1.bb", "IDLE I 1.2"]);
-    assert_eq!(hand.hears(third), ["SETTLED 1.cc", "IDLE I 1.3"]);
+    assert_eq!(router.received(other), ["QUERY c1 WRITE t1 z"]);
+    router.send(host, "SETTLED 1.bb\nIDLE I 1.2");
+    router.send(other, "SETTLED 1.cc\nIDLE I 1.3");
+    assert_eq!(router.received(second), ["SETTLED 1.bb", "IDLE I 1.2"]);
+    assert_eq!(router.received(third), ["SETTLED 1.cc", "IDLE I 1.3"]);
 }
 
-/// The commit of a transaction that wrote nothing succeeds also at a host that has lost the lead: its position says nothing
-/// of how far the data is. It was once taken for a primary's, and a bounded read asked a host that had been replaced for no
-/// more than it had.
+/// The commit of a transaction without writes also succeeds on a former primary. If its position counted as
+/// the primary's, a bounded read could accept stale data of that host.
 #[test]
-fn the_commit_of_a_transaction_that_wrote_nothing_is_no_word_of_a_primary() {
-    for (statement, proves) in [("READ t1", false), ("WRITE t1 x", true)] {
-        let mut hand = Hand::among(1);
-        let client = hand.client();
-        hand.says(client, "QUERY a1 BEGIN");
-        hand.says(client, &format!("QUERY a2 {statement}"));
-        let host = hand.host_opens();
-        hand.says(host, "SETTLED -\nIDLE T 1.1");
-        hand.says(host, "SETTLED 1.aa\nIDLE T 1.1");
-        hand.pass(1900);
-        hand.says(client, "QUERY a3 COMMIT");
-        hand.says(host, "SETTLED 2.aa\nIDLE I 1.5");
-        hand.hears(host);
-        let reader = hand.client_of("b0");
-        hand.says(reader, "QUERY b1 READ t1");
-        let asked = hand.hears(host);
-        let expected = if proves { "QUERY b1 AFTER 1.5 READ t1" } else { "QUERY - BEGIN" };
+fn the_commit_of_a_transaction_without_writes_does_not_prove_a_primary() {
+    for (statement, proves_primary) in [("READ t1", false), ("WRITE t1 x", true)] {
+        let mut router = TestRouter::shared_by(1);
+        let client = router.client();
+        router.send(client, "QUERY a1 BEGIN");
+        router.send(client, &format!("QUERY a2 {statement}"));
+        let host = router.accept_host_connection();
+        router.send(host, "SETTLED -\nIDLE T 1.1");
+        router.send(host, "SETTLED 1.aa\nIDLE T 1.1");
+        router.advance(1900);
+        router.send(client, "QUERY a3 COMMIT");
+        router.send(host, "SETTLED 2.aa\nIDLE I 1.5");
+        router.received(host);
+        let reader = router.client_of("b0");
+        router.send(reader, "QUERY b1 READ t1");
+        let asked = router.received(host);
+        let expected = if proves_primary { "QUERY b1 AFTER 1.5 READ t1" } else { "QUERY - BEGIN" };
         assert_eq!(asked, [expected], "{statement}");
     }
 }
 
-/// A read waits for a connection while its route is dropped. It once lost its floor with the route, and ran at a host
-/// that had lost the lead.
+/// A read waits for a connection while its route is removed. Without its requirement it could run on a
+/// former primary.
 #[test]
-fn a_read_keeps_what_it_must_see_when_its_route_is_dropped_while_it_waits() {
-    let mut hand = Hand::among(1);
-    let client = hand.client();
-    hand.says(client, "QUERY a1 READ t1");
-    hand.configures(2, WITHOUT_ROUTES, Vec::new(), 1);
-    let host = hand.host_opens();
-    assert_eq!(hand.hears(host), ["QUERY - BEGIN"], "it proves that its host leads");
+fn a_waiting_read_keeps_its_requirement_when_its_route_is_removed() {
+    let mut router = TestRouter::shared_by(1);
+    let client = router.client();
+    router.send(client, "QUERY a1 READ t1");
+    router.send_snapshot(2, WITHOUT_ROUTES, Vec::new(), 1);
+    let host = router.accept_host_connection();
+    assert_eq!(router.received(host), ["QUERY - BEGIN"], "the read verifies that its host is primary");
 
-    let mut hand = Hand::among(1);
-    let (writer, reader) = (hand.client(), hand.client_of("b0"));
-    hand.says(writer, "QUERY a1 WRITE t1 x");
-    let host = hand.host_opens();
-    assert_eq!(hand.hears(host), ["QUERY a1 WRITE t1 x"]);
-    hand.says(reader, "QUERY b1 READ t1");
-    hand.configures(2, WITHOUT_ROUTES, Vec::new(), 1);
-    hand.says(host, "SETTLED 1.aa\nIDLE I 1.7");
-    assert_eq!(hand.hears(host), ["QUERY b1 AFTER 1.7 READ t1"], "it names what its host must have");
+    let mut router = TestRouter::shared_by(1);
+    let (writer, reader) = (router.client(), router.client_of("b0"));
+    router.send(writer, "QUERY a1 WRITE t1 x");
+    let host = router.accept_host_connection();
+    assert_eq!(router.received(host), ["QUERY a1 WRITE t1 x"]);
+    router.send(reader, "QUERY b1 READ t1");
+    router.send_snapshot(2, WITHOUT_ROUTES, Vec::new(), 1);
+    router.send(host, "SETTLED 1.aa\nIDLE I 1.7");
+    assert_eq!(
+        router.received(host),
+        ["QUERY b1 AFTER 1.7 READ t1"],
+        "the read names the position that its host must have"
+    );
 }
 
-/// Its primary may hold what the candidate lacks. It is told to yield, and what it reports meanwhile is no promise.
+/// A replaced primary may have commits that the candidate lacks. It is told to yield, and its commits are
+/// not acknowledged.
 #[test]
-fn a_commit_of_a_host_that_is_replaced_is_not_acknowledged() {
+fn a_commit_of_a_replaced_primary_is_not_acknowledged() {
     let replaced =
         |fence: u64, services: Vec<Replacement>| Payload::Replacements(Replacements { fence, services });
     let change = Replacement { service: "s0".into(), candidate: "i-2".into(), term: 4 };
-    let mut hand = Hand::among(1);
-    let client = hand.client();
-    hand.says(client, "QUERY a1 WRITE t1 x");
-    let host = hand.host_opens();
-    hand.control_says(replaced(9, vec![change.clone()]));
-    let second = hand.host_opens();
-    assert_eq!(hand.hears(second), ["QUERY - YIELD 4"]);
-    hand.control_says(replaced(9, vec![change.clone()]));
-    assert_eq!(hand.hears(second), Vec::<String>::new(), "once for each change");
-    // The word of a holder of the duty that was replaced itself.
-    hand.control_says(replaced(8, Vec::new()));
-    hand.says(host, "SETTLED 1.aa\nIDLE I 1.2");
-    assert_eq!(hand.hears(client), ["FAULT UNKNOWN its host is being replaced", "IDLE I -"]);
-    // What control does not say again is over.
-    hand.hears(host);
-    hand.says(client, "QUERY a2 WRITE t1 x");
-    assert_eq!(hand.hears(host), ["QUERY a2 WRITE t1 x"]);
-    hand.pass(1000);
-    hand.says(client, "QUERY a3 WRITE t1 y");
-    hand.says(host, "SETTLED 2.aa\nIDLE I 1.3");
-    let answers = hand.hears(client);
+    let mut router = TestRouter::shared_by(1);
+    let client = router.client();
+    router.send(client, "QUERY a1 WRITE t1 x");
+    let host = router.accept_host_connection();
+    router.control_sends(replaced(9, vec![change.clone()]));
+    let second = router.accept_host_connection();
+    assert_eq!(router.received(second), ["QUERY - YIELD 4"]);
+    router.control_sends(replaced(9, vec![change.clone()]));
+    assert_eq!(router.received(second), Vec::<String>::new(), "one request for each replacement");
+    // A report under an older fencing token is ignored.
+    router.control_sends(replaced(8, Vec::new()));
+    router.send(host, "SETTLED 1.aa\nIDLE I 1.2");
+    assert_eq!(router.received(client), ["FAULT UNKNOWN its host is being replaced", "IDLE I -"]);
+    // A replacement that control no longer reports expires.
+    router.received(host);
+    router.send(client, "QUERY a2 WRITE t1 x");
+    assert_eq!(router.received(host), ["QUERY a2 WRITE t1 x"]);
+    router.advance(1000);
+    router.send(client, "QUERY a3 WRITE t1 y");
+    router.send(host, "SETTLED 2.aa\nIDLE I 1.3");
+    let answers = router.received(client);
     assert!(!answers.iter().any(|line| line.contains("replaced")), "{answers:?}");
 }
 
-/// A primary that is to end is replaced, and leads again since nobody else has what it has. The bound runs from its first
-/// word that it leaves; it once began again with the lead.
+/// A draining primary is replaced and promoted again, since no other host has its commits. The drain bound
+/// runs from the first report that it drains and does not start again with the promotion.
 #[test]
-fn a_host_that_leaves_is_asked_nothing_after_its_bound_though_it_leads_again() {
-    let mut hand = Hand::among(1);
-    hand.hosts_say(&host(Phase::Draining, DbRole::Primary, 2), 1000);
-    let client = hand.client();
-    hand.says(client, "QUERY a1 WRITE t1 x");
-    let link = hand.host_opens();
-    assert_eq!(hand.hears(link), ["QUERY a1 WRITE t1 x"], "it serves on till another one leads");
-    hand.says(link, "SETTLED 1.aa\nIDLE I 1.2");
-    assert_eq!(hand.hears(client), ["SETTLED 1.aa", "IDLE I 1.2"]);
-    hand.hosts_say(&host(Phase::Draining, DbRole::Replica, 3), 5000);
-    hand.hosts_say(&host(Phase::Draining, DbRole::Primary, 4), 1000);
-    hand.hears(link);
-    hand.says(client, "QUERY a2 WRITE t1 y");
-    hand.hosts_say(&host(Phase::Draining, DbRole::Primary, 4), 1000);
-    assert_eq!(hand.hears(link), Vec::<String>::new());
-    let answer = hand.hears(client);
+fn a_draining_host_gets_no_statement_after_its_bound_even_if_promoted_again() {
+    let mut router = TestRouter::shared_by(1);
+    router.report_host(&host(Phase::Draining, DbRole::Primary, 2), 1000);
+    let client = router.client();
+    router.send(client, "QUERY a1 WRITE t1 x");
+    let host_conn = router.accept_host_connection();
+    assert_eq!(router.received(host_conn), ["QUERY a1 WRITE t1 x"], "it accepts statements until the bound");
+    router.send(host_conn, "SETTLED 1.aa\nIDLE I 1.2");
+    assert_eq!(router.received(client), ["SETTLED 1.aa", "IDLE I 1.2"]);
+    router.report_host(&host(Phase::Draining, DbRole::Replica, 3), 5000);
+    router.report_host(&host(Phase::Draining, DbRole::Primary, 4), 1000);
+    router.received(host_conn);
+    router.send(client, "QUERY a2 WRITE t1 y");
+    router.report_host(&host(Phase::Draining, DbRole::Primary, 4), 1000);
+    assert_eq!(router.received(host_conn), Vec::<String>::new());
+    let answer = router.received(client);
     assert!(answer[0].starts_with("FAULT") && !answer[0].contains("UNKNOWN"), "{answer:?}");
 }
 
-/// A router that starts while a primary leaves does not know since when it does.
+/// A router that starts while a primary drains does not know when the drain began.
 #[test]
-fn a_host_that_was_never_seen_in_service_is_asked_nothing_while_it_leaves() {
-    let mut hand = Hand::among(1);
-    let mut leaving = host(Phase::Draining, DbRole::Primary, 1);
-    leaving.id = "i-2".into();
-    hand.hosts_say(&host(Phase::Gone, DbRole::Primary, 2), 250);
-    let dials = hand.dialled.len();
-    hand.hosts_say(&leaving, 500);
-    let client = hand.client();
-    hand.says(client, "QUERY a1 WRITE t1 x");
-    hand.hosts_say(&leaving, 1000);
-    assert_eq!(hand.dialled.len(), dials);
+fn a_draining_host_never_seen_in_service_gets_no_statement() {
+    let mut router = TestRouter::shared_by(1);
+    let mut draining = host(Phase::Draining, DbRole::Primary, 1);
+    draining.id = "i-2".into();
+    router.report_host(&host(Phase::Gone, DbRole::Primary, 2), 250);
+    let dials = router.dialed.len();
+    router.report_host(&draining, 500);
+    let client = router.client();
+    router.send(client, "QUERY a1 WRITE t1 x");
+    router.report_host(&draining, 1000);
+    assert_eq!(router.dialed.len(), dials);
 }
 
 fn relayed(number: u64, host: &str, request: HostRequest) -> Payload {
@@ -263,32 +269,32 @@
     Payload::RelayedRequest(RelayedRequest { asked_by: 7, number, host: host.into(), request, term: 4 })
 }
 
-/// What control does not reach, routers ask in its place; it hears at once of what cannot be asked.
+/// Control learns at once of a request that cannot be relayed.
 #[test]
-fn a_question_of_control_is_relayed_and_its_answer_brought_back() {
-    let mut hand = Hand::among(1);
-    hand.control_says(relayed(1, "i-1", HostRequest::Pause));
-    let link = hand.host_opens();
-    assert_eq!(hand.hears(link), ["QUERY - PAUSE 4"]);
-    hand.says(link, "ROW replica 3 3.21 0 12 2 17\nSETTLED -\nIDLE I 3.9");
+fn a_request_of_control_is_relayed_and_its_response_returned() {
+    let mut router = TestRouter::shared_by(1);
+    router.control_sends(relayed(1, "i-1", HostRequest::Pause));
+    let host_conn = router.accept_host_connection();
+    assert_eq!(router.received(host_conn), ["QUERY - PAUSE 4"]);
+    router.send(host_conn, "ROW replica 3 3.21 0 12 2 17\nSETTLED -\nIDLE I 3.9");
     let row = HostStatus { primary: false, term: 3, received_term: 3, received_number: 21 };
-    let answer = |number, row| Payload::RelayedResponse(RelayedResponse { asked_by: 7, number, row });
-    assert_eq!(hand.control_hears(), [answer(1, Some(row))]);
-    // On the connection that rests now; its end is an answer as well.
-    hand.control_says(relayed(2, "i-1", HostRequest::Observe));
-    assert_eq!(hand.hears(link), ["QUERY - OBSERVE"]);
-    hand.event(Event::Closed { conn: link, reason: CloseReason::ConnectionLost });
-    assert_eq!(hand.control_hears(), [answer(2, None)]);
-    hand.control_says(relayed(3, "i-9", HostRequest::Observe));
-    assert_eq!(hand.control_hears(), [answer(3, None)], "nobody knows it");
+    let response = |number, row| Payload::RelayedResponse(RelayedResponse { asked_by: 7, number, row });
+    assert_eq!(router.control_received(), [response(1, Some(row))]);
+    // The next request uses the connection that is idle now; its close counts as a response.
+    router.control_sends(relayed(2, "i-1", HostRequest::Observe));
+    assert_eq!(router.received(host_conn), ["QUERY - OBSERVE"]);
+    router.handle(Event::Closed { conn: host_conn, reason: CloseReason::ConnectionLost });
+    assert_eq!(router.control_received(), [response(2, None)]);
+    router.control_sends(relayed(3, "i-9", HostRequest::Observe));
+    assert_eq!(router.control_received(), [response(3, None)], "the host is unknown");
 }
 
-/// A host that is to stop receiving and hears so only after control has asked it to go on would never go on.
+/// A PAUSE that arrives after control has sent CONTINUE would pause the host for good.
 #[test]
-fn a_relayed_question_that_control_waits_for_no_more_is_not_asked() {
-    let mut hand = Hand::among(1);
-    hand.control_says(relayed(1, "i-1", HostRequest::Pause));
-    hand.pass(310);
-    let link = hand.host_opens();
-    assert_eq!(hand.hears(link), Vec::<String>::new());
+fn an_expired_relayed_request_is_not_sent() {
+    let mut router = TestRouter::shared_by(1);
+    router.control_sends(relayed(1, "i-1", HostRequest::Pause));
+    router.advance(310);
+    let host_conn = router.accept_host_connection();
+    assert_eq!(router.received(host_conn), Vec::<String>::new());
 }
--- a/crates/arrowyard-pooler/tests/units.rs
+++ b/crates/arrowyard-pooler/tests/units.rs
@@ -1,4 +1,4 @@
-//! Freshness, dress and latencies, each against a plain model.
+//! Position timelines, connection setup and latency estimates, each checked against a simple model.
 
 use std::collections::BTreeMap;
 use std::rc::Rc;
@@ -13,15 +13,16 @@
     Timestamp::from_micros(ms * 1000)
 }
 
-/// A primary whose commits are acknowledged at known times: whatever a read is told to wait for holds all that it must
-/// see, and whatever a replica is said to have, it has.
+/// A primary acknowledges commits at known times. A position required of a host must include every commit
+/// that the read has to see, and the time up to which a host counts as fresh must not be later than its
+/// data.
 #[test]
-fn freshness_never_promises_what_is_not_there() {
+fn timelines_never_overstate_freshness() {
     for seed in 0..200 {
         let mut rng = Rng::with_seed(seed);
         let (mut timeline, mut acknowledged, mut number, mut term) =
             (PositionTimeline::default(), Vec::new(), 0, 1);
-        let mut told = Vec::new();
+        let mut replies = Vec::new();
         for ms in 0..4000_i64 {
             if rng.f64() < 0.05 {
                 number += 1;
@@ -31,11 +32,11 @@
                 term += 1;
             }
             if rng.f64() < 0.03 {
-                // Sent some time ago, answered now: it ran in between.
+                // The statement was sent some time ago and ran before the reply arrived.
                 let sent = ms - rng.i64(0..40);
-                told.push((ms + rng.i64(0..15), at(sent), Position { term, number }));
+                replies.push((ms + rng.i64(0..15), at(sent), Position { term, number }));
             }
-            told.retain(|(when, sent, position)| {
+            replies.retain(|(when, sent, position)| {
                 if *when <= ms {
                     timeline.record(*sent, *position);
                 }
@@ -43,16 +44,20 @@
             });
             if ms % 50 == 0 {
                 let since = at(ms - rng.i64(0..2000));
-                if let Some(after) = timeline.position_covering(since) {
+                if let Some(required) = timeline.position_covering(since) {
                     let missing =
-                        acknowledged.iter().find(|(when, position)| *when < since && *position > after);
-                    assert_eq!(missing, None, "seed {seed}, {ms} ms: after {after}");
+                        acknowledged.iter().find(|(when, position)| *when < since && *position > required);
+                    assert_eq!(missing, None, "seed {seed}, {ms} ms: required {required}");
                 }
-                let behind = Position { term, number: number.saturating_sub(rng.u64(0..20)) };
-                if let Some(time) = timeline.fresh_until(behind) {
-                    let missing =
-                        acknowledged.iter().find(|(when, position)| *when < time && *position > behind);
-                    assert_eq!(missing, None, "seed {seed}, {ms} ms: {behind} has all up to {time:?}");
+                let replica = Position { term, number: number.saturating_sub(rng.u64(0..20)) };
+                if let Some(fresh_until) = timeline.fresh_until(replica) {
+                    let missing = acknowledged
+                        .iter()
+                        .find(|(when, position)| *when < fresh_until && *position > replica);
+                    assert_eq!(
+                        missing, None,
+                        "seed {seed}, {ms} ms: {replica} has all up to {fresh_until:?}"
+                    );
                 }
             }
         }
@@ -60,7 +65,7 @@
 }
 
 #[test]
-fn an_answer_that_came_late_does_not_take_back_what_is_known() {
+fn replies_out_of_order_do_not_lower_known_positions() {
     let position = |number| Position { term: 3, number };
     let mut timeline = PositionTimeline::default();
     timeline.record(at(100), position(10));
@@ -68,23 +73,23 @@
     timeline.record(at(150), position(12));
     timeline.record(at(300), Position { term: 2, number: 90 });
     assert_eq!(timeline.position_covering(at(150)), Some(position(20)));
-    assert_eq!(timeline.position_covering(at(250)), None, "a host of an older term is no witness");
+    assert_eq!(timeline.position_covering(at(250)), None, "a position of an older term is ignored");
     assert_eq!(timeline.fresh_until(Position { term: 4, number: 1 }), Some(at(200)));
     assert_eq!(timeline.fresh_until(position(9)), None);
 }
 
-fn values(pairs: &[(&str, &str)]) -> SessionVariables {
+fn variables(pairs: &[(&str, &str)]) -> SessionVariables {
     Rc::new(pairs.iter().map(|(name, value)| (name.to_string(), value.to_string())).collect())
 }
 
-/// A connection that is dressed for session after session holds that session's values and no others, and knows each
-/// prepared name that is used on it.
+/// A connection that is set up for one session after another has exactly that session's variables, and
+/// every prepared statement that is used on it.
 #[test]
-fn a_connection_holds_the_values_of_its_session_and_no_others() {
+fn setup_leaves_exactly_the_variables_of_the_session() {
     for seed in 0..300 {
         let mut rng = Rng::with_seed(seed);
-        let mut link = HostConnection::new(Conn(1), HostId(0), at(0));
-        let (mut held, mut defined) = (BTreeMap::new(), BTreeMap::new());
+        let mut connection = HostConnection::new(Conn(1), HostId(0), at(0));
+        let (mut variables, mut prepared) = (BTreeMap::new(), BTreeMap::new());
         for _ in 0..60 {
             let mut wanted = BTreeMap::new();
             for name in ["a", "b", "c"] {
@@ -93,48 +98,48 @@
                 }
             }
             let number = rng.u32(0..3);
-            let define = rng.bool().then_some((number, AccessMode::Read, "shape"));
-            for said in link.setup_statements(&Rc::new(wanted.clone()), define) {
-                let words: Vec<&str> = said.split(' ').collect();
+            let prepare = rng.bool().then_some((number, AccessMode::Read, "shape"));
+            for statement in connection.setup_statements(&Rc::new(wanted.clone()), prepare) {
+                let words: Vec<&str> = statement.split(' ').collect();
                 match words[..] {
                     ["CLEAR"] => {
-                        held.clear();
-                        defined.clear();
+                        variables.clear();
+                        prepared.clear();
                     }
-                    ["ASSIGN", name, value] => drop(held.insert(name.to_string(), value.to_string())),
-                    ["DEFINE", name, "READ", "shape"] => drop(defined.insert(name.to_string(), ())),
-                    _ => panic!("{said}"),
+                    ["ASSIGN", name, value] => drop(variables.insert(name.to_string(), value.to_string())),
+                    ["DEFINE", name, "READ", "shape"] => drop(prepared.insert(name.to_string(), ())),
+                    _ => panic!("{statement}"),
                 }
             }
-            assert_eq!(held, wanted, "seed {seed}");
-            if let Some((number, _, _)) = define {
-                assert!(defined.contains_key(&format!("g{number}")), "seed {seed}");
+            assert_eq!(variables, wanted, "seed {seed}");
+            if let Some((number, _, _)) = prepare {
+                assert!(prepared.contains_key(&format!("g{number}")), "seed {seed}");
             }
         }
     }
 }
 
 #[test]
-fn a_connection_that_is_dressed_already_costs_nothing() {
-    let mut link = HostConnection::new(Conn(1), HostId(0), at(0));
-    assert_eq!(link.setup_statements(&values(&[("a", "1")]), None), ["ASSIGN a 1"]);
-    assert!(link.setup_statements(&values(&[("a", "1")]), None).is_empty());
-    assert_eq!(link.setup_statements(&values(&[("a", "1"), ("b", "2")]), None), ["ASSIGN b 2"]);
-    assert_eq!(link.setup_statements(&values(&[("b", "2")]), None), ["CLEAR", "ASSIGN b 2"]);
+fn setup_sends_only_differences() {
+    let mut connection = HostConnection::new(Conn(1), HostId(0), at(0));
+    assert_eq!(connection.setup_statements(&variables(&[("a", "1")]), None), ["ASSIGN a 1"]);
+    assert!(connection.setup_statements(&variables(&[("a", "1")]), None).is_empty());
+    assert_eq!(connection.setup_statements(&variables(&[("a", "1"), ("b", "2")]), None), ["ASSIGN b 2"]);
+    assert_eq!(connection.setup_statements(&variables(&[("b", "2")]), None), ["CLEAR", "ASSIGN b 2"]);
 }
 
 #[test]
-fn all_but_a_few_of_a_kind_are_quicker_than_its_pace() {
-    let (mut latencies, mut rng, kind) = (LatencyEstimates::default(), Rng::with_seed(1), OpTypeId(0));
-    let mut slower = 0;
+fn few_statements_exceed_the_high_quantile() {
+    let (mut latencies, mut rng, op_type) = (LatencyEstimates::default(), Rng::with_seed(1), OpTypeId(0));
+    let mut exceeding = 0;
     for round in 0..40_000 {
-        let took = TimeDelta::from_micros(30_000 + rng.i64(0..60_000));
-        slower += u32::from(round >= 20_000 && took > latencies.high_quantile(kind));
-        latencies.record(kind, took);
+        let latency = TimeDelta::from_micros(30_000 + rng.i64(0..60_000));
+        exceeding += u32::from(round >= 20_000 && latency > latencies.high_quantile(op_type));
+        latencies.record(op_type, latency);
     }
-    assert!((20..400).contains(&slower), "{slower} of 20,000 were slower");
+    assert!((20..400).contains(&exceeding), "{exceeding} of 20,000 exceeded the estimate");
     assert!(
         latencies.high_quantile(OpTypeId(9)) >= TimeDelta::from_millis(100),
-        "what is not known is not hurried"
+        "the initial estimate is generous"
     );
 }
