--- a/crates/arrowyard-control/src/control/fair_shares.rs
+++ b/crates/arrowyard-control/src/control/fair_shares.rs
@@ -1,7 +1,7 @@
 //! Allocation of overloaded hosts to services. The duty holder allocates; the other control machines
 //! forward messages to and from the routers subscribed to them.
 
-use arrowyard_fair_shares::{Allotter, At, Need, Router as RouterId, Shown, Terms};
+use arrowyard_fair_shares::{Allocator, HostInfo, RouterId, ServiceDemand, ServiceStatus, ShareConfig};
 use arrowyard_messages::{
     DemandReport, HostAllocation, HostAllocations, HostDemand, OverloadedHosts, Payload, ServiceCap,
 };
@@ -19,20 +19,20 @@
 /// Allocation state of a control machine.
 #[derive(Default)]
 pub struct Shares {
-    terms: Terms,
+    terms: ShareConfig,
     /// Slot of the configuration that `terms` was read from.
     slot: u64,
     /// Present while this machine holds the duty.
-    allotter: Option<Allotter>,
+    allotter: Option<Allocator>,
     /// The control machine through which each router is reached; `None` if it is subscribed here.
     routes: FxHashMap<u64, Option<u32>>,
 }
 
 impl Shares {
-    pub fn shown(&self) -> Vec<(Shown, &str)> {
-        let rows = self.allotter.iter().flat_map(Allotter::shown);
+    pub fn shown(&self) -> Vec<(ServiceStatus, &str)> {
+        let rows = self.allotter.iter().flat_map(Allocator::status);
         rows.map(|row| {
-            let name = self.terms.name(row.service);
+            let name = self.terms.service_name(row.service);
             (row, name)
         })
         .collect()
@@ -43,7 +43,7 @@
     /// Creates or drops the allocator when the duty is taken up or given up.
     pub(super) fn start_allocator(&mut self, now: Timestamp, after_another: bool) {
         let waits = if after_another { PREVIOUS_HOLDER_TIMEOUT } else { TimeDelta::ZERO };
-        self.shares.allotter = self.fence.map(|fence| Allotter::begin(now, fence, waits));
+        self.shares.allotter = self.fence.map(|fence| Allocator::start(now, fence, waits));
     }
 
     /// Handles a demand report from a router, or from the control machine that it is subscribed to.
@@ -78,15 +78,15 @@
         }
         routes.insert(needs.router, from);
         for HostDemand { host, slots, fence, answers, services: list, group } in needs.hosts {
-            let need = |need: arrowyard_messages::ServiceDemand| Need {
-                service: terms.id(&need.service),
-                runs: need.running_milli,
-                waits: need.waiting_milli,
+            let need = |need: arrowyard_messages::ServiceDemand| ServiceDemand {
+                service: terms.service_id(&need.service),
+                in_flight: need.running_milli,
+                queued: need.waiting_milli,
             };
             let answers = if Some(fence) == self.fence { answers } else { 0 };
             let list = list.into_iter().take(MAX_SERVICES_PER_REPORT).map(need).collect();
-            let at = At { id: &host, group: &group, slots };
-            allotter.heard(now, &at, RouterId(needs.router), (needs.echo, answers), list);
+            let at = HostInfo { id: &host, group: &group, slots };
+            allotter.record_demand(now, &at, RouterId(needs.router), (needs.echo, answers), list);
         }
         self.allocate_shares(now, commands);
     }
@@ -95,7 +95,7 @@
         let applied = self.replicated_log.applied();
         if self.shares.slot != applied.slot {
             self.shares.slot = applied.slot;
-            self.shares.terms.configure(&applied.configuration);
+            self.shares.terms.apply_configuration(&applied.configuration);
         }
     }
 
@@ -104,20 +104,22 @@
         let (routers, fence) = (self.routers, self.fence.unwrap_or_default());
         let Shares { terms, allotter, routes, .. } = &mut self.shares;
         let Some(allotter) = allotter else { return };
-        let division = allotter.divide(now, terms, routers);
+        let division = allotter.allocate(now, terms, routers);
         let mut by_router: std::collections::BTreeMap<u64, Vec<HostAllocation>> =
             std::collections::BTreeMap::new();
-        for (router, allot) in division.allots {
+        for (router, allot) in division.allocations {
             let caps = allot.caps.iter();
-            let cap =
-                |(of, cap): &(_, u32)| ServiceCap { service: terms.name(*of).to_string(), cap_milli: *cap };
+            let cap = |(of, cap): &(_, u32)| ServiceCap {
+                service: terms.service_name(*of).to_string(),
+                cap_milli: *cap,
+            };
             by_router.entry(router.0).or_default().push(HostAllocation {
                 host: allot.host,
                 number: allot.number,
-                echo: allot.echo,
-                overloaded: allot.pressed,
+                echo: allot.report,
+                overloaded: allot.overloaded,
                 caps: caps.map(cap).collect(),
-                capacity_milli: allot.places,
+                capacity_milli: allot.permits,
                 routers: allot.routers,
             });
         }
@@ -133,8 +135,8 @@
                 None => self.forward_allocations(allocations, commands),
             }
         }
-        if !division.ask.is_empty() {
-            let message = Payload::OverloadedHosts(OverloadedHosts { hosts: division.ask });
+        if !division.poll.is_empty() {
+            let message = Payload::OverloadedHosts(OverloadedHosts { hosts: division.poll });
             self.broadcast_to_peers(&message, commands);
             self.forward_overload(&message, commands);
         }
--- a/crates/arrowyard-system/tests/processes.rs
+++ b/crates/arrowyard-system/tests/processes.rs
@@ -101,7 +101,7 @@
     assert!(answer[0].starts_with("ROW"), "{answer:?}");
     // During shutdown idle sessions are closed, and an open transaction may still commit.
     router.signal("-TERM");
-    router.wait_for_log("sessions are to end");
+    router.wait_for_log("drain: started with");
     let answer = client.ask("COMMIT");
     assert!(answer.iter().any(|line| line.starts_with("SETTLED i-0")), "{answer:?}");
     router.wait_for_log("shutdown complete");
