--- a/crates/arrowyard-background-tasks/src/budget.rs
+++ b/crates/arrowyard-background-tasks/src/budget.rs
@@ -3,18 +3,18 @@
 use arrowyard_types::Timestamp;
 
 #[derive(Clone, Debug)]
-pub struct Bucket {
+pub struct TokenBucket {
     level: f64,
     rate: f64,
     most: f64,
     at: Timestamp,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// So much a second, and so much saved up at most, as it is from the start.
     #[must_use]
-    pub fn new(now: Timestamp, rate: f64, most: f64) -> Bucket {
-        Bucket { level: most, rate, most, at: now }
+    pub fn new(now: Timestamp, rate: f64, most: f64) -> TokenBucket {
+        TokenBucket { level: most, rate, most, at: now }
     }
 
     pub fn level(&mut self, now: Timestamp) -> f64 {
@@ -32,7 +32,7 @@
     }
 
     #[must_use]
-    pub fn most(&self) -> f64 {
+    pub fn capacity(&self) -> f64 {
         self.most
     }
 }
--- a/crates/arrowyard-background-tasks/src/lib.rs
+++ b/crates/arrowyard-background-tasks/src/lib.rs
@@ -6,53 +6,67 @@
 mod budget;
 mod slices;
 
-pub use budget::Bucket;
-pub use slices::{Slice, Slices};
+pub use budget::TokenBucket;
+pub use slices::{ListSlice, ListSlicer};
 
 use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
 /// Who goes before whom.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Rank {
+pub enum Priority {
     /// Ops are wrong without it: lists that name hosts that leave. It waits for no budget.
-    First,
+    Urgent,
     /// Upkeep that ops gain by.
-    Usual,
+    Normal,
     /// What can wait while ops do.
     Idle,
 }
 
 /// What is asked of one chore.
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct TaskConfig {
     pub name: &'static str,
-    pub rank: Rank,
+    pub priority: Priority,
     /// So long after its last turn it is due again; never by itself if absent.
-    pub every: Option<TimeDelta>,
+    pub interval: Option<TimeDelta>,
     /// That time is drawn from this share less to this share more, so that processes do not fall in step.
     pub jitter: f64,
     /// So long after it was due it goes before all that are not, whatever ops wait and whatever was spent.
-    pub within: TimeDelta,
+    pub max_delay: TimeDelta,
     /// The pause after a turn that failed, doubled with each in a row, up to the longest.
-    pub rest: TimeDelta,
-    pub most_rest: TimeDelta,
+    pub retry_backoff: TimeDelta,
+    pub max_retry_backoff: TimeDelta,
     /// What a turn takes outside: connections, probes, calls.
-    pub takes: f64,
+    pub external_cost: f64,
 }
 
-impl Terms {
+impl TaskConfig {
     /// Upkeep that is due so often.
     #[must_use]
-    pub fn every(name: &'static str, rank: Rank, every: TimeDelta) -> Terms {
-        Terms { every: Some(every), within: every * 2.0, ..Terms::asked(name, rank, every) }
+    pub fn periodic(name: &'static str, priority: Priority, every: TimeDelta) -> TaskConfig {
+        TaskConfig {
+            interval: Some(every),
+            max_delay: every * 2.0,
+            ..TaskConfig::on_demand(name, priority, every)
+        }
     }
 
     /// What is done when it is asked for.
     #[must_use]
-    pub fn asked(name: &'static str, rank: Rank, within: TimeDelta) -> Terms {
-        let (rest, most_rest) = (TimeDelta::from_millis(100), TimeDelta::from_millis(30_000));
-        Terms { name, rank, every: None, jitter: 0.1, within, rest, most_rest, takes: 0.0 }
+    pub fn on_demand(name: &'static str, priority: Priority, max_delay: TimeDelta) -> TaskConfig {
+        let (retry_backoff, max_retry_backoff) =
+            (TimeDelta::from_millis(100), TimeDelta::from_millis(30_000));
+        TaskConfig {
+            name,
+            priority,
+            interval: None,
+            jitter: 0.1,
+            max_delay,
+            retry_backoff,
+            max_retry_backoff,
+            external_cost: 0.0,
+        }
     }
 }
 
@@ -60,22 +74,27 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
     /// The share of the thread's time, and how much of it may be saved up.
-    pub thread: f64,
-    pub burst: TimeDelta,
+    pub thread_share: f64,
+    pub thread_burst: TimeDelta,
     /// What may be taken outside, a second, and saved up.
-    pub takes: f64,
-    pub takes_burst: f64,
+    pub external_rate: f64,
+    pub external_burst: f64,
 }
 
 impl Default for Budget {
     fn default() -> Self {
-        Budget { thread: 0.05, burst: TimeDelta::from_millis(10), takes: 50.0, takes_burst: 50.0 }
+        Budget {
+            thread_share: 0.05,
+            thread_burst: TimeDelta::from_millis(10),
+            external_rate: 50.0,
+            external_burst: 50.0,
+        }
     }
 }
 
 /// How a turn ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum TurnOutcome {
     Done,
     /// A slice was done; there is more.
     More,
@@ -84,32 +103,32 @@
 
 /// What became of a chore so far.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Stats {
+pub struct TaskStats {
     pub turns: u64,
     pub failed: u64,
-    pub thread: TimeDelta,
+    pub thread_time: TimeDelta,
     /// The longest single turn, and the longest time from due to begin.
-    pub longest: TimeDelta,
-    pub latest: TimeDelta,
+    pub longest_turn: TimeDelta,
+    pub longest_delay: TimeDelta,
 }
 
 #[derive(Clone, Debug)]
 struct State<C> {
     chore: C,
-    terms: Terms,
+    terms: TaskConfig,
     due: Option<Timestamp>,
     running: bool,
     /// It was asked for while it ran.
     again: bool,
     failed: u32,
-    stats: Stats,
+    stats: TaskStats,
 }
 
 /// `C` names the chores.
 pub struct Scheduler<C> {
     chores: Vec<State<C>>,
-    thread: Bucket,
-    takes: Bucket,
+    thread: TokenBucket,
+    takes: TokenBucket,
     /// The earliest moment at which anything may be due: one comparison for callers that come round all the time.
     next: Option<Timestamp>,
     rng: Rng,
@@ -123,16 +142,16 @@
     pub fn new(now: Timestamp, budget: Budget, seed: u64) -> Scheduler<C> {
         Scheduler {
             chores: Vec::new(),
-            thread: Bucket::new(now, budget.thread, budget.burst.as_secs_f64()),
-            takes: Bucket::new(now, budget.takes, budget.takes_burst),
+            thread: TokenBucket::new(now, budget.thread_share, budget.thread_burst.as_secs_f64()),
+            takes: TokenBucket::new(now, budget.external_rate, budget.external_burst),
             next: None,
             rng: Rng::with_seed(seed),
         }
     }
 
     /// One more chore; one that is done from time to time is due for the first time within its time.
-    pub fn add(&mut self, now: Timestamp, chore: C, terms: Terms) {
-        let due = terms.every.map(|every| now + every * self.rng.f64());
+    pub fn add(&mut self, now: Timestamp, chore: C, terms: TaskConfig) {
+        let due = terms.interval.map(|every| now + every * self.rng.f64());
         self.chores.push(State {
             chore,
             terms,
@@ -140,7 +159,7 @@
             running: false,
             again: false,
             failed: 0,
-            stats: Stats::default(),
+            stats: TaskStats::default(),
         });
         self.look();
     }
@@ -150,7 +169,7 @@
     }
 
     /// It is due from now on, if it is not yet. One that rests after a failure goes on resting.
-    pub fn ask(&mut self, now: Timestamp, chore: C) {
+    pub fn request(&mut self, now: Timestamp, chore: C) {
         let Some(one) = self.of(chore) else { return };
         if one.running {
             one.again = true;
@@ -177,13 +196,14 @@
     /// First those that are late beyond their time, the one that is latest by its own measure first. Danger: a router that is
     /// never idle never saves its list, and one that never has budget left never closes an idle connection. Each
     /// turn of them is one slice, so that between two of them ops are served; all the same the debt is kept and paid by the rest.
-    pub fn take(&mut self, now: Timestamp, ops: bool) -> Option<C> {
+    pub fn begin_next(&mut self, now: Timestamp, ops: bool) -> Option<C> {
         if self.next.is_none_or(|next| next > now) {
             return None;
         }
         let due = |one: &(usize, &State<C>)| !one.1.running && one.1.due.is_some_and(|due| due <= now);
-        let lateness =
-            |one: &State<C>| (now - one.due.unwrap_or(now)) / one.terms.within.max(TimeDelta::from_micros(1));
+        let lateness = |one: &State<C>| {
+            (now - one.due.unwrap_or(now)) / one.terms.max_delay.max(TimeDelta::from_micros(1))
+        };
         let latest = self
             .chores
             .iter()
@@ -196,15 +216,16 @@
         let thread = self.thread.level(now) > 0.0;
         let level = self.takes.level(now);
         let may = |one: &State<C>| {
-            let takes = one.terms.takes == 0.0 || level >= one.terms.takes.min(self.takes.most());
-            match one.terms.rank {
-                Rank::First => takes,
-                Rank::Usual => thread && takes,
-                Rank::Idle => thread && takes && !ops,
+            let takes =
+                one.terms.external_cost == 0.0 || level >= one.terms.external_cost.min(self.takes.capacity());
+            match one.terms.priority {
+                Priority::Urgent => takes,
+                Priority::Normal => thread && takes,
+                Priority::Idle => thread && takes && !ops,
             }
         };
         let fit = self.chores.iter().enumerate().filter(|one| due(one) && may(one.1));
-        let next = fit.min_by_key(|one| (one.1.terms.rank, one.1.due)).map(|one| one.0);
+        let next = fit.min_by_key(|one| (one.1.terms.priority, one.1.due)).map(|one| one.0);
         if next.is_none() {
             // Danger: what is due and may not be done is asked for again and again, and the thread is never idle.
             let later = self.chores.iter().filter(|one| !one.running).filter_map(|one| one.due);
@@ -216,41 +237,41 @@
     fn begin(&mut self, now: Timestamp, at: usize) -> C {
         let one = &mut self.chores[at];
         let late = now - one.due.unwrap_or(now);
-        one.stats.latest = one.stats.latest.max(late);
+        one.stats.longest_delay = one.stats.longest_delay.max(late);
         (one.running, one.due) = (true, None);
-        self.takes.spend(now, one.terms.takes);
+        self.takes.spend(now, one.terms.external_cost);
         let chore = one.chore;
         self.look();
         chore
     }
 
     /// A turn has ended, and took so much of the thread's time.
-    pub fn done(&mut self, now: Timestamp, chore: C, took: TimeDelta, end: End) {
+    pub fn finish(&mut self, now: Timestamp, chore: C, took: TimeDelta, end: TurnOutcome) {
         self.thread.spend(now, took.as_secs_f64());
         let draw = self.rng.f64();
         let Some(one) = self.of(chore) else { return };
         let stats = &mut one.stats;
-        (stats.turns, stats.thread) = (stats.turns + 1, stats.thread + took);
-        stats.longest = stats.longest.max(took);
+        (stats.turns, stats.thread_time) = (stats.turns + 1, stats.thread_time + took);
+        stats.longest_turn = stats.longest_turn.max(took);
         one.running = false;
         let again = std::mem::take(&mut one.again);
         one.due = match end {
-            End::Failed => {
+            TurnOutcome::Failed => {
                 stats.failed += 1;
                 // Danger: what fails at once is tried all the time. Full jitter: what many processes share is asked by each at
                 // its own moment.
-                let rest = one.terms.rest * f64::from(1_u32 << one.failed.min(16));
+                let rest = one.terms.retry_backoff * f64::from(1_u32 << one.failed.min(16));
                 one.failed += 1;
-                Some(now + one.terms.rest * 0.5 + rest.min(one.terms.most_rest) * draw)
+                Some(now + one.terms.retry_backoff * 0.5 + rest.min(one.terms.max_retry_backoff) * draw)
             }
-            End::More => {
+            TurnOutcome::More => {
                 one.failed = 0;
                 Some(now)
             }
-            End::Done => {
+            TurnOutcome::Done => {
                 one.failed = 0;
                 let jitter = 1.0 + one.terms.jitter * (2.0 * draw - 1.0);
-                let every = one.terms.every.map(|every| now + every * jitter);
+                let every = one.terms.interval.map(|every| now + every * jitter);
                 if again { Some(now) } else { every }
             }
         };
@@ -258,7 +279,7 @@
     }
 
     /// Of all chores: their names and what became of them.
-    pub fn stats(&self) -> impl Iterator<Item = (&'static str, Stats)> {
+    pub fn stats(&self) -> impl Iterator<Item = (&'static str, TaskStats)> {
         self.chores.iter().map(|one| (one.terms.name, one.stats))
     }
 }
--- a/crates/arrowyard-background-tasks/src/slices.rs
+++ b/crates/arrowyard-background-tasks/src/slices.rs
@@ -7,13 +7,13 @@
 
 /// Part of a list.
 #[derive(Debug, PartialEq)]
-pub enum Slice<L> {
+pub enum ListSlice<L> {
     /// These lines, as changes.
-    Lines(Vec<L>),
+    Entries(Vec<L>),
     /// The whole list of this turn is through but for the hosts that it did not name: they are gone by it.
-    Missing(u64),
+    RemoveUnlisted(u64),
     /// The list of this number is through.
-    Through(i64),
+    Complete(i64),
 }
 
 struct Long<L> {
@@ -26,7 +26,7 @@
 }
 
 /// Lists that wait for their slices, the oldest first, behind what closes hosts.
-pub struct Slices<L> {
+pub struct ListSlicer<L> {
     /// Lines that go before all lists.
     urgent: VecDeque<L>,
     waits: VecDeque<Long<L>>,
@@ -34,15 +34,15 @@
     turns: u64,
 }
 
-impl<L> Slices<L> {
+impl<L> ListSlicer<L> {
     #[must_use]
-    pub fn new(size: usize) -> Slices<L> {
-        Slices { urgent: VecDeque::new(), waits: VecDeque::new(), size: size.max(1), turns: 0 }
+    pub fn new(size: usize) -> ListSlicer<L> {
+        ListSlicer { urgent: VecDeque::new(), waits: VecDeque::new(), size: size.max(1), turns: 0 }
     }
 
     /// Whether a list of so many lines has to be sliced: it is long, or others wait that came before it.
     #[must_use]
-    pub fn has_to(&self, lines: usize) -> bool {
+    pub fn needs_slicing(&self, lines: usize) -> bool {
         lines > self.size || !self.is_empty()
     }
 
@@ -88,7 +88,7 @@
 
     /// The number that marks the hosts of the whole list in hand.
     #[must_use]
-    pub fn turn(&self) -> u64 {
+    pub fn generation(&self) -> u64 {
         self.turns
     }
 
@@ -98,21 +98,21 @@
     }
 
     /// The next slice.
-    pub fn slice(&mut self) -> Option<Slice<L>> {
+    pub fn next_slice(&mut self) -> Option<ListSlice<L>> {
         if !self.urgent.is_empty() {
             // What is said of one host stays together, whatever the size: between its lines it would be open.
-            return Some(Slice::Lines(self.urgent.drain(..).collect()));
+            return Some(ListSlice::Entries(self.urgent.drain(..).collect()));
         }
         let long = self.waits.front_mut()?;
         if !long.lines.is_empty() {
             let size = self.size.min(long.lines.len());
-            return Some(Slice::Lines(long.lines.drain(..size).collect()));
+            return Some(ListSlice::Entries(long.lines.drain(..size).collect()));
         }
         if long.whole && std::mem::take(&mut long.missing) {
-            return Some(Slice::Missing(long.turn));
+            return Some(ListSlice::RemoveUnlisted(long.turn));
         }
         let number = long.number;
         self.waits.pop_front();
-        Some(Slice::Through(number))
+        Some(ListSlice::Complete(number))
     }
 }
--- a/crates/arrowyard-background-tasks/tests/chores.rs
+++ b/crates/arrowyard-background-tasks/tests/chores.rs
@@ -2,7 +2,9 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_background_tasks::{Budget, End, Rank, Scheduler, Slice, Slices, Terms};
+use arrowyard_background_tasks::{
+    Budget, ListSlice, ListSlicer, Priority, Scheduler, TaskConfig, TurnOutcome,
+};
 use arrowyard_types::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
@@ -15,68 +17,68 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Chore {
+enum Task {
     List,
     Upkeep,
     Idle,
 }
 
-fn scheduler(budget: Budget) -> Scheduler<Chore> {
+fn scheduler(budget: Budget) -> Scheduler<Task> {
     let mut chores = Scheduler::new(at(0), budget, 1);
-    chores.add(at(0), Chore::Idle, Terms::asked("idle", Rank::Idle, ms(500)));
-    chores.add(at(0), Chore::Upkeep, Terms::asked("upkeep", Rank::Usual, ms(300)));
-    chores.add(at(0), Chore::List, Terms::asked("list", Rank::First, ms(50)));
+    chores.add(at(0), Task::Idle, TaskConfig::on_demand("idle", Priority::Idle, ms(500)));
+    chores.add(at(0), Task::Upkeep, TaskConfig::on_demand("upkeep", Priority::Normal, ms(300)));
+    chores.add(at(0), Task::List, TaskConfig::on_demand("list", Priority::Urgent, ms(50)));
     chores
 }
 
 #[test]
 fn ranks_go_first_and_idle_work_gives_way_to_ops_till_it_is_late() {
     let mut chores = scheduler(Budget::default());
-    [Chore::Idle, Chore::Upkeep, Chore::List].into_iter().for_each(|chore| chores.ask(at(0), chore));
-    for wanted in [Chore::List, Chore::Upkeep] {
-        assert_eq!(chores.take(at(1), true), Some(wanted));
-        chores.done(at(1), wanted, ms(0), End::Done);
+    [Task::Idle, Task::Upkeep, Task::List].into_iter().for_each(|chore| chores.request(at(0), chore));
+    for wanted in [Task::List, Task::Upkeep] {
+        assert_eq!(chores.begin_next(at(1), true), Some(wanted));
+        chores.finish(at(1), wanted, ms(0), TurnOutcome::Done);
     }
-    assert_eq!(chores.take(at(2), true), None, "ops wait");
+    assert_eq!(chores.begin_next(at(2), true), None, "ops wait");
     assert!(chores.next_at() > Some(at(2)), "and it is not asked for all the time");
-    assert_eq!(chores.take(at(499), true), None);
-    assert_eq!(chores.take(at(510), true), Some(Chore::Idle), "it is late");
-    chores.done(at(510), Chore::Idle, ms(1), End::Done);
-    chores.ask(at(511), Chore::Idle);
-    assert_eq!(chores.take(at(511), false), Some(Chore::Idle), "nobody waits");
+    assert_eq!(chores.begin_next(at(499), true), None);
+    assert_eq!(chores.begin_next(at(510), true), Some(Task::Idle), "it is late");
+    chores.finish(at(510), Task::Idle, ms(1), TurnOutcome::Done);
+    chores.request(at(511), Task::Idle);
+    assert_eq!(chores.begin_next(at(511), false), Some(Task::Idle), "nobody waits");
 }
 
 #[test]
 fn what_was_spent_comes_back_with_time_and_lists_wait_for_no_budget() {
-    let mut chores = scheduler(Budget { thread: 0.1, burst: ms(10), ..Budget::default() });
-    chores.ask(at(0), Chore::Upkeep);
-    assert_eq!(chores.take(at(0), false), Some(Chore::Upkeep));
+    let mut chores = scheduler(Budget { thread_share: 0.1, thread_burst: ms(10), ..Budget::default() });
+    chores.request(at(0), Task::Upkeep);
+    assert_eq!(chores.begin_next(at(0), false), Some(Task::Upkeep));
     // Ten times what may be saved up: the debt is bounded.
-    chores.done(at(0), Chore::Upkeep, ms(100), End::More);
-    assert_eq!(chores.take(at(20), false), None);
-    chores.ask(at(20), Chore::List);
-    assert_eq!(chores.take(at(20), true), Some(Chore::List));
-    chores.done(at(20), Chore::List, ms(0), End::Done);
-    assert_eq!(chores.take(at(95), false), None);
-    assert_eq!(chores.take(at(105), false), Some(Chore::Upkeep), "a tenth of 100 ms is the debt");
+    chores.finish(at(0), Task::Upkeep, ms(100), TurnOutcome::More);
+    assert_eq!(chores.begin_next(at(20), false), None);
+    chores.request(at(20), Task::List);
+    assert_eq!(chores.begin_next(at(20), true), Some(Task::List));
+    chores.finish(at(20), Task::List, ms(0), TurnOutcome::Done);
+    assert_eq!(chores.begin_next(at(95), false), None);
+    assert_eq!(chores.begin_next(at(105), false), Some(Task::Upkeep), "a tenth of 100 ms is the debt");
 }
 
 #[test]
 fn what_fails_rests_longer_each_time_and_being_asked_for_does_not_shorten_it() {
     let mut chores = scheduler(Budget::default());
     let (mut now, mut rests) = (0, Vec::new());
-    chores.ask(at(0), Chore::Upkeep);
+    chores.request(at(0), Task::Upkeep);
     for _ in 0..12 {
         let began = now;
         let chore = loop {
-            chores.ask(at(now), Chore::Upkeep);
-            if let Some(chore) = chores.take(at(now), false) {
+            chores.request(at(now), Task::Upkeep);
+            if let Some(chore) = chores.begin_next(at(now), false) {
                 break chore;
             }
             now += 1;
         };
         rests.push(now - began);
-        chores.done(at(now), chore, ms(0), End::Failed);
+        chores.finish(at(now), chore, ms(0), TurnOutcome::Failed);
     }
     assert!(rests[1..].iter().all(|&rest| rest >= 50), "{rests:?}");
     assert!(rests[8..].iter().sum::<i64>() > rests[1..5].iter().sum::<i64>() * 3, "{rests:?}");
@@ -87,14 +89,14 @@
 #[test]
 fn what_is_asked_for_while_it_runs_is_done_again() {
     let mut chores = scheduler(Budget::default());
-    chores.ask(at(0), Chore::Upkeep);
-    assert_eq!(chores.take(at(0), false), Some(Chore::Upkeep));
-    assert_eq!(chores.take(at(1), false), None, "never twice at once");
-    chores.ask(at(1), Chore::Upkeep);
-    chores.done(at(2), Chore::Upkeep, ms(0), End::Done);
-    assert_eq!(chores.take(at(2), false), Some(Chore::Upkeep));
-    chores.done(at(3), Chore::Upkeep, ms(0), End::Done);
-    assert_eq!(chores.take(at(4), false), None);
+    chores.request(at(0), Task::Upkeep);
+    assert_eq!(chores.begin_next(at(0), false), Some(Task::Upkeep));
+    assert_eq!(chores.begin_next(at(1), false), None, "never twice at once");
+    chores.request(at(1), Task::Upkeep);
+    chores.finish(at(2), Task::Upkeep, ms(0), TurnOutcome::Done);
+    assert_eq!(chores.begin_next(at(2), false), Some(Task::Upkeep));
+    chores.finish(at(3), Task::Upkeep, ms(0), TurnOutcome::Done);
+    assert_eq!(chores.begin_next(at(4), false), None);
 }
 
 #[test]
@@ -102,7 +104,7 @@
     let dues: Vec<Timestamp> = (0..50)
         .filter_map(|seed| {
             let mut chores = Scheduler::new(at(0), Budget::default(), seed);
-            chores.add(at(0), 0, Terms::every("tick", Rank::Usual, ms(1000)));
+            chores.add(at(0), 0, TaskConfig::periodic("tick", Priority::Normal, ms(1000)));
             chores.next_at()
         })
         .collect();
@@ -117,20 +119,20 @@
     fn nothing_starves(
         steps in proptest::collection::vec((0_usize..3, any::<bool>(), 0_i64..40, 0_u8..3), 30..200),
     ) {
-        let mut chores = scheduler(Budget { thread: 0.01, burst: ms(5), ..Budget::default() });
+        let mut chores = scheduler(Budget { thread_share: 0.01, thread_burst: ms(5), ..Budget::default() });
         let (mut now, mut due) = (0_i64, BTreeMap::new());
-        let within = BTreeMap::from([(Chore::List, 50), (Chore::Upkeep, 300), (Chore::Idle, 500)]);
+        let within = BTreeMap::from([(Task::List, 50), (Task::Upkeep, 300), (Task::Idle, 500)]);
         for (which, ops, cost, end) in steps {
-            let asked = [Chore::List, Chore::Upkeep, Chore::Idle][which];
+            let asked = [Task::List, Task::Upkeep, Task::Idle][which];
             due.entry(asked).or_insert(now);
-            chores.ask(at(now), asked);
-            if let Some(chore) = chores.take(at(now), ops) {
+            chores.request(at(now), asked);
+            if let Some(chore) = chores.begin_next(at(now), ops) {
                 let since = due.remove(&chore);
                 prop_assert!(since.is_some(), "{chore:?} was not due");
-                let end = [End::Done, End::More, End::Done][usize::from(end)];
+                let end = [TurnOutcome::Done, TurnOutcome::More, TurnOutcome::Done][usize::from(end)];
                 now += cost;
-                chores.done(at(now), chore, ms(cost), end);
-                if end == End::More {
+                chores.finish(at(now), chore, ms(cost), end);
+                if end == TurnOutcome::More {
                     due.insert(chore, now);
                 }
             } else {
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Slices leave the same as lists at once, and between two of them each host is as one list or another has it.
+    /// ListSlicer leave the same as lists at once, and between two of them each host is as one list or another has it.
     #[test]
     fn slices_come_to_what_whole_lists_come_to(
         all in proptest::collection::vec(
@@ -151,18 +153,18 @@
         size in 1_usize..9,
         turns in proptest::collection::vec(0_usize..12, 6),
     ) {
-        let mut slices = Slices::new(size);
+        let mut slices = ListSlicer::new(size);
         let (mut plain, mut sliced) = (BTreeMap::new(), BTreeMap::<u8, (u8, u64)>::new());
         let mut seen: BTreeMap<u8, Vec<Option<u8>>> = BTreeMap::new();
-        let work = |slices: &mut Slices<(u8, u8)>, sliced: &mut BTreeMap<u8, (u8, u64)>| {
-            match slices.slice() {
-                Some(Slice::Lines(lines)) => {
+        let work = |slices: &mut ListSlicer<(u8, u8)>, sliced: &mut BTreeMap<u8, (u8, u64)>| {
+            match slices.next_slice() {
+                Some(ListSlice::Entries(lines)) => {
                     assert!(lines.len() <= size || lines.iter().any(|(_, what)| *what == 0));
-                    let turn = slices.turn();
+                    let turn = slices.generation();
                     sliced.extend(lines.into_iter().map(|(host, what)| (host, (what, turn))));
                 }
-                Some(Slice::Missing(turn)) => sliced.retain(|_, (_, named)| *named >= turn),
-                Some(Slice::Through(_)) => {}
+                Some(ListSlice::RemoveUnlisted(turn)) => sliced.retain(|_, (_, named)| *named >= turn),
+                Some(ListSlice::Complete(_)) => {}
                 None => return false,
             }
             true
@@ -192,25 +194,25 @@
 
 #[test]
 fn what_closes_hosts_goes_first_and_before_lists_that_came_earlier() {
-    let mut slices = Slices::new(2);
-    let push = |slices: &mut Slices<(char, u8)>, number, whole, lines: &[(char, u8)]| {
+    let mut slices = ListSlicer::new(2);
+    let push = |slices: &mut ListSlicer<(char, u8)>, number, whole, lines: &[(char, u8)]| {
         slices.push(number, whole, lines.to_vec(), |&(_, rank)| rank, |&(host, _)| host);
     };
     push(&mut slices, 7, true, &[('a', 3), ('b', 1), ('c', 0), ('d', 3), ('e', 3)]);
-    assert_eq!(slices.slice(), Some(Slice::Lines(vec![('c', 0)])));
-    assert_eq!(slices.slice(), Some(Slice::Lines(vec![('b', 1), ('a', 3)])));
+    assert_eq!(slices.next_slice(), Some(ListSlice::Entries(vec![('c', 0)])));
+    assert_eq!(slices.next_slice(), Some(ListSlice::Entries(vec![('b', 1), ('a', 3)])));
     // d drains while the older list, which calls it ready, is worked off.
     push(&mut slices, 8, false, &[('e', 3), ('d', 0)]);
     assert_eq!(
-        slices.slice(),
-        Some(Slice::Lines(vec![('d', 3), ('d', 0)])),
+        slices.next_slice(),
+        Some(ListSlice::Entries(vec![('d', 3), ('d', 0)])),
         "what was said of it before, too"
     );
-    assert_eq!(slices.slice(), Some(Slice::Lines(vec![('e', 3)])));
-    assert_eq!(slices.slice(), Some(Slice::Missing(1)));
-    assert_eq!(slices.slice(), Some(Slice::Through(7)));
-    assert!(!slices.is_empty() && slices.has_to(1));
-    assert_eq!(slices.slice(), Some(Slice::Lines(vec![('e', 3)])));
-    assert_eq!(slices.slice(), Some(Slice::Through(8)));
-    assert!(slices.is_empty() && !slices.has_to(2) && slices.has_to(3));
+    assert_eq!(slices.next_slice(), Some(ListSlice::Entries(vec![('e', 3)])));
+    assert_eq!(slices.next_slice(), Some(ListSlice::RemoveUnlisted(1)));
+    assert_eq!(slices.next_slice(), Some(ListSlice::Complete(7)));
+    assert!(!slices.is_empty() && slices.needs_slicing(1));
+    assert_eq!(slices.next_slice(), Some(ListSlice::Entries(vec![('e', 3)])));
+    assert_eq!(slices.next_slice(), Some(ListSlice::Complete(8)));
+    assert!(slices.is_empty() && !slices.needs_slicing(2) && slices.needs_slicing(3));
 }
--- a/crates/arrowyard-core/src/discovery.rs
+++ b/crates/arrowyard-core/src/discovery.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use arrowyard_startup::{Credence, Herd, Verdict};
+use arrowyard_startup::{CallPacer, ListDecision, ListVersionTracker};
 use arrowyard_types::TimeDelta;
 use bytes::BytesMut;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -25,8 +25,8 @@
 
 /// How a router asks that comes back among many, and what it believes; where the operator's file says so.
 pub struct Manners {
-    pub credence: Credence,
-    pub herd: Herd,
+    pub credence: ListVersionTracker,
+    pub herd: CallPacer,
     /// A list is there that is used.
     pub listed: bool,
     pub clock: Clock,
@@ -35,8 +35,8 @@
 impl Manners {
     /// How long the next call waits. One that is asked for while calls succeed is urgent: somebody knows of news.
     fn wait(&mut self, first: bool) -> TimeDelta {
-        let urgent = !first && !self.herd.fails();
-        if urgent { TimeDelta::ZERO } else { self.herd.wait(self.listed) }
+        let urgent = !first && !self.herd.is_failing();
+        if urgent { TimeDelta::ZERO } else { self.herd.next_wait(self.listed) }
     }
 }
 
@@ -80,14 +80,16 @@
                 // and the old watch stands till then.
                 Wish::Move(dial) => {
                     self.dial = dial;
-                    self.manners.iter().for_each(|manners| manners.borrow_mut().credence.moved());
+                    self.manners.iter().for_each(|manners| manners.borrow_mut().credence.address_changed());
                     if let Some(old) = watch.take() {
                         watch = Some(self.begin(true, Some(old)));
                     }
                 }
                 Wish::Fetch => drop(spawn_local(self.clone().call(false, TimeDelta::ZERO, None))),
                 Wish::Routers(routers) => {
-                    self.manners.iter().for_each(|manners| manners.borrow_mut().herd.count(routers));
+                    self.manners
+                        .iter()
+                        .for_each(|manners| manners.borrow_mut().herd.set_router_count(routers));
                 }
             }
         }
@@ -110,7 +112,7 @@
         }
         drop(old);
         if let Err(why) = self.read(watch).await {
-            self.manners.iter().for_each(|manners| manners.borrow_mut().herd.failed());
+            self.manners.iter().for_each(|manners| manners.borrow_mut().herd.record_failure());
             let call = if watch { "watch" } else { "fetch" };
             tracing::warn!("{call} of the list failed: {why}");
             // The route stage is gone only when the router ends.
@@ -185,16 +187,18 @@
     }
 
     fn believed(&self, manners: &mut Manners, list: &List) -> Result<bool, String> {
-        let held = manners.credence.held().unwrap_or_default();
-        match manners.credence.weigh(manners.clock.now(), list.version, list.whole) {
-            Verdict::Take => {}
-            Verdict::Anew => tracing::warn!(held, told = list.version, "discovery counts its lists anew"),
+        let held = manners.credence.accepted_version().unwrap_or_default();
+        match manners.credence.evaluate(manners.clock.now(), list.version, list.whole) {
+            ListDecision::Accept => {}
+            ListDecision::Reset => {
+                tracing::warn!(held, told = list.version, "discovery counts its lists anew")
+            }
             // The call has failed: another one may meet a discovery that is not behind.
-            Verdict::Pass => {
+            ListDecision::Ignore => {
                 return Err(format!("list {} is older than {held}, it is passed over", list.version));
             }
         }
-        manners.herd.good();
+        manners.herd.record_success();
         manners.listed = true;
         Ok(true)
     }
--- a/crates/arrowyard-core/src/leases.rs
+++ b/crates/arrowyard-core/src/leases.rs
@@ -8,12 +8,12 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use arrowyard_leases::message::{self, DATAGRAM};
+use arrowyard_leases::message::{self, MAX_DATAGRAM_BYTES};
 use arrowyard_leases::{
-    Candidate, CandidateId, Clocks, Duty, Event, Image, Joins, LeaseId, Permit, Stage, To, Voter, VoterId,
-    Word, keep, lease,
+    Candidate, CandidateId, ClockMonitor, Destination, Duty, Event, LeaseId, LeaseSettings, Message, Permit,
+    Stage, Voter, VoterId, VoterSnapshot, lease_id, storage,
 };
-use arrowyard_store::{Disk, System};
+use arrowyard_store::{Disk, SystemDisk};
 use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 use rustix::time::{ClockId, clock_gettime};
@@ -88,7 +88,7 @@
 pub struct Leases {
     candidate: Candidate,
     voter: Option<Voter>,
-    clocks: Clocks,
+    clocks: ClockMonitor,
     clock: LeaseClock,
     name: String,
     group: u64,
@@ -117,13 +117,13 @@
 }
 
 /// What the voter kept. Nothing where there is nothing, or what there is cannot be used: then what it granted is lost.
-async fn load(folder: PathBuf, group: u64, name: String) -> Option<Image> {
+async fn load(folder: PathBuf, group: u64, name: String) -> Option<VoterSnapshot> {
     let reading = spawn_blocking(move || {
         let _ = std::fs::create_dir_all(&folder);
-        System.read(&path(&folder), keep::LARGEST)
+        SystemDisk.read(&path(&folder), storage::MAX_FILE_BYTES)
     });
     let read = match timeout(DISK, reading).await {
-        Ok(Ok(Ok((bytes, _)))) => keep::read(&bytes, group, &name).map_err(|why| format!("{why:?}")),
+        Ok(Ok(Ok((bytes, _)))) => storage::decode(&bytes, group, &name).map_err(|why| format!("{why:?}")),
         Ok(Ok(Err(error))) => Err(error.to_string()),
         _ => Err("the disk did not answer in time".to_string()),
     };
@@ -135,12 +135,16 @@
     ///
     /// # Errors
     /// The address cannot be listened at, or a voter has no place for its votes.
-    pub async fn open(joins: Joins, name: &str, seed: u64) -> Result<(Self, mpsc::Sender<Errand>), String> {
-        let Joins { fleet, listen, voters, store, terms, duties } = joins;
+    pub async fn open(
+        joins: LeaseSettings,
+        name: &str,
+        seed: u64,
+    ) -> Result<(Self, mpsc::Sender<Errand>), String> {
+        let LeaseSettings { fleet, listen, voters, store, config: terms, duties } = joins;
         let socket = UdpSocket::bind(listen).await.map_err(|e| format!("{listen}: {e}"))?;
         let local = socket.local_addr().map_err(|e| e.to_string())?;
         let names: Vec<String> = voters.iter().map(|(name, _)| name.clone()).collect();
-        let group = message::group(&fleet, &names, terms.term, terms.drift_ppm);
+        let group = message::group_id(&fleet, &names, terms.term, terms.drift_ppm);
         let clock = LeaseClock::start();
         let me = names.iter().position(|one| one == name).map(|at| VoterId(at as u8));
         let mut voter = None;
@@ -153,13 +157,13 @@
         // Drawn anew by each process, whatever its seed: two of one name are two candidates.
         let id = CandidateId(fastrand::u64(1..) ^ mono_us().unsigned_abs().rotate_left(20));
         let mut rng = Rng::with_seed(seed ^ id.0);
-        let mut candidate = Candidate::start(terms, id);
+        let mut candidate = Candidate::new(terms, id);
         let now = clock.now();
         // One draw for all its duties: what is asked for together stays together.
         let draw = rng.f64();
         let doing = |duty: Duty| {
-            let lease = lease(&duty.name);
-            candidate.want(now, lease, duty.rank, draw);
+            let lease = lease_id(&duty.name);
+            candidate.request(now, lease, duty.rank, draw);
             Doing { lease, duty, next: now, acting: false, acts: 0, failed: 0 }
         };
         let doing = duties.into_iter().map(doing).collect();
@@ -167,7 +171,7 @@
         let votes = me.is_some();
         tracing::info!(fleet, votes, candidate = format!("{:016x}", id.0), "leases at {local}");
         let leases = Leases {
-            clocks: Clocks::new(terms.voters, terms.drift_ppm),
+            clocks: ClockMonitor::new(terms.voter_count, terms.drift_ppm),
             candidate,
             voter,
             clock,
@@ -194,7 +198,7 @@
     }
 
     pub async fn run(mut self) {
-        let mut buffer = vec![0; 2 * DATAGRAM];
+        let mut buffer = vec![0; 2 * MAX_DATAGRAM_BYTES];
         loop {
             let next = self.next();
             tokio::select! {
@@ -225,7 +229,7 @@
             let now = self.clock.now();
             let permit = self.candidate.permit(now, one.lease)?;
             // One that does not last long enough for an act is waited for till it is granted again.
-            permit.allows(now, one.duty.takes).then_some(one.next)
+            permit.allows(now, one.duty.max_duration).then_some(one.next)
         });
         let voter = self.voter.as_ref().and_then(Voter::next_at);
         let next = acts.chain(voter).chain(self.candidate.next_at()).min();
@@ -242,11 +246,11 @@
 
     fn got(&mut self, got: std::io::Result<(usize, SocketAddr)>, buffer: &[u8]) {
         let Ok((length, from)) = got else { return };
-        let Ok(word) = message::read(&buffer[..length], self.group) else {
+        let Ok(word) = message::decode(&buffer[..length], self.group) else {
             self.dropped += 1;
             return;
         };
-        if let Word::Ask { from: id, .. } | Word::Free { from: id, .. } = &word {
+        if let Message::Request { from: id, .. } | Message::Release { from: id, .. } = &word {
             if self.candidates.len() >= CANDIDATES && !self.candidates.contains_key(id) {
                 // Danger: invented candidates. The one that was silent for longest gives way.
                 let oldest = self.candidates.iter().min_by_key(|(_, (_, at))| *at).map(|(id, _)| *id);
@@ -260,11 +264,11 @@
     }
 
     /// A word that came, or that this router says to itself.
-    fn take(&mut self, word: &Word) {
+    fn take(&mut self, word: &Message) {
         let now = self.clock.now();
         match word {
-            Word::Answer { .. } | Word::Vacant { .. } => {
-                if let Some((voter, ppm)) = self.clocks.saw(now, word) {
+            Message::Response { .. } | Message::Available { .. } => {
+                if let Some((voter, ppm)) = self.clocks.observe(now, word) {
                     // Danger: beyond the bound two may hold one lease at a time. It is said, once a voter.
                     if self.drifts.insert(voter, ppm).is_none() {
                         let voter = &self.voters[usize::from(voter.0)].0;
@@ -276,9 +280,9 @@
                     }
                 }
                 let rng = &mut self.rng;
-                self.candidate.heard(now, word, || rng.f64());
+                self.candidate.handle_message(now, word, || rng.f64());
             }
-            word => self.voter.iter_mut().for_each(|voter| voter.heard(now, word)),
+            word => self.voter.iter_mut().for_each(|voter| voter.handle_message(now, word)),
         }
     }
 
@@ -286,31 +290,31 @@
     fn carry_out(&mut self) {
         // Each turn hands on what this router says to itself; a candidate's word, a voter's answer, what follows from it.
         for _ in 0..4 {
-            let mut words = std::mem::take(&mut self.candidate.out);
+            let mut words = std::mem::take(&mut self.candidate.outbox);
             if let Some(voter) = &mut self.voter {
-                if let Some((number, image)) = voter.to_keep() {
-                    let bytes = keep::write(&image, self.group, &self.name);
+                if let Some((number, image)) = voter.start_write() {
+                    let bytes = storage::encode(&image, self.group, &self.name);
                     self.keep(number, bytes);
                 }
-                words.extend(self.voter.iter_mut().flat_map(Voter::sends).collect::<Vec<_>>());
+                words.extend(self.voter.iter_mut().flat_map(Voter::take_outgoing).collect::<Vec<_>>());
             }
             if words.is_empty() {
                 break;
             }
             for (to, word) in words {
                 let now = self.clock.now();
-                if let Word::Ask { .. } = &word {
-                    self.clocks.saw(now, &word);
+                if let Message::Request { .. } = &word {
+                    self.clocks.observe(now, &word);
                 }
                 match to {
-                    To::Voter(voter) if Some(voter) == self.me => self.take(&word),
-                    To::Candidate(id) if id == self.candidate.me() => self.take(&word),
-                    To::Voter(voter) => {
+                    Destination::Voter(voter) if Some(voter) == self.me => self.take(&word),
+                    Destination::Candidate(id) if id == self.candidate.id() => self.take(&word),
+                    Destination::Voter(voter) => {
                         if let Some((_, at)) = self.voters.get(usize::from(voter.0)) {
                             self.send(*at, &word);
                         }
                     }
-                    To::Candidate(id) => {
+                    Destination::Candidate(id) => {
                         if let Some((at, _)) = self.candidates.get(&id) {
                             self.send(*at, &word);
                         }
@@ -323,8 +327,8 @@
     }
 
     /// What cannot be sent now is lost, as the network may lose it; the decisions bear that.
-    fn send(&self, to: SocketAddr, word: &Word) {
-        let _ = self.socket.try_send_to(&message::write(word, self.group), to);
+    fn send(&self, to: SocketAddr, word: &Message) {
+        let _ = self.socket.try_send_to(&message::encode(word, self.group), to);
     }
 
     /// Votes are on disk before they are told; on a thread of its own, so that no op waits for the disk.
@@ -335,8 +339,8 @@
         drop(spawn_local(async move {
             let written = spawn_blocking(move || {
                 let beside = folder.join("votes.next");
-                System.write(&beside, &bytes)?;
-                System.replace(&beside, &path(&folder))
+                SystemDisk.write(&beside, &bytes)?;
+                SystemDisk.replace(&beside, &path(&folder))
             });
             let written = written.await.map_err(std::io::Error::other).and_then(|done| done);
             if let Err(why) = &written {
@@ -357,26 +361,26 @@
                 duty.map(|one| one.duty.name.clone()).unwrap_or_default()
             };
             match event {
-                Event::Began { lease, epoch } => {
+                Event::Acquired { lease, epoch } => {
                     tracing::info!(mono_us, lease = name(lease), epoch = epoch.0, "lease is held");
                 }
-                Event::Lost { lease, epoch } => {
+                Event::Expired { lease, epoch } => {
                     tracing::warn!(mono_us, lease = name(lease), epoch = epoch.0, "lease is lost");
                 }
-                Event::Gave { lease, epoch } => {
+                Event::Released { lease, epoch } => {
                     tracing::info!(mono_us, lease = name(lease), epoch = epoch.0, "lease is given back");
                 }
             }
         }
         if let Some(voter) = &self.voter {
             let stage = match voter.stage() {
-                Stage::Waits(_) => "waits out the longest lease",
-                Stage::Learns(_) => "asks the other voters what it has lost",
-                Stage::Votes => "votes",
+                Stage::Waiting(_) => "waits out the longest lease",
+                Stage::Recovering(_) => "asks the other voters what it has lost",
+                Stage::Voting => "votes",
             };
             if self.stage != stage {
                 self.stage = stage;
-                tracing::info!(mono_us, life = voter.life(), "voter {stage}");
+                tracing::info!(mono_us, life = voter.incarnation(), "voter {stage}");
             }
         }
     }
@@ -388,16 +392,18 @@
         }
         for (at, one) in self.doing.iter_mut().enumerate() {
             let permit = self.candidate.permit(now, one.lease);
-            let Some(permit) = permit.filter(|permit| permit.allows(now, one.duty.takes)) else { continue };
+            let Some(permit) = permit.filter(|permit| permit.allows(now, one.duty.max_duration)) else {
+                continue;
+            };
             if one.acting || now < one.next {
                 continue;
             }
-            one.next = now + one.duty.every;
+            one.next = now + one.duty.interval;
             let (duty, clock, own) = (one.duty.clone(), self.clock, self.own.clone());
             drop(spawn_local(async move {
                 let epoch = permit.epoch.0;
                 tracing::debug!(mono_us = mono_us(), lease = duty.name, epoch, "act begins");
-                let within = duration(duty.takes);
+                let within = duration(duty.max_duration);
                 let acted = timeout(within, call(&duty, permit, clock)).await;
                 let acted = acted.unwrap_or_else(|_| Err("no answer in time".to_string()));
                 tracing::debug!(mono_us = mono_us(), lease = duty.name, epoch, "act ends: {acted:?}");
@@ -423,7 +429,7 @@
                 self.stop();
             }
             Errand::Kept(number, done) => {
-                self.voter.iter_mut().for_each(|voter| voter.kept(number, done));
+                self.voter.iter_mut().for_each(|voter| voter.write_finished(number, done));
             }
             Errand::Acted(at, acted) => {
                 let Some(one) = self.doing.get_mut(at) else { return };
@@ -455,9 +461,9 @@
             return;
         }
         let (now, rng) = (self.clock.now(), &mut self.rng);
-        self.candidate.fit(now, self.fit, || rng.f64());
+        self.candidate.set_eligible(now, self.fit, || rng.f64());
         if let Some(done) = self.leaving.take() {
-            self.candidate.leave();
+            self.candidate.release_all();
             self.carry_out();
             // Whoever asked may be gone.
             let _ = done.send(());
@@ -468,11 +474,11 @@
     fn report(&self) -> String {
         let now = self.clock.now();
         let ms = |span: TimeDelta| span.micros() / 1000;
-        let rows = self.candidate.seen(now).map(|seen| {
+        let rows = self.candidate.statuses(now).map(|seen| {
             let one = self.doing.iter().find(|one| one.lease == seen.lease);
             let (acts, failed) = one.map_or((0, 0), |one| (one.acts, one.failed));
-            json!({"name": one.map(|one| &one.duty.name), "held": seen.left.is_some(),
-                "left_ms": seen.left.map(ms), "epoch": seen.epoch.0, "acts": acts, "failed": failed})
+            json!({"name": one.map(|one| &one.duty.name), "held": seen.remaining.is_some(),
+                "left_ms": seen.remaining.map(ms), "epoch": seen.epoch.0, "acts": acts, "failed": failed})
         });
         let votes = self.voter.iter().flat_map(Voter::votes).map(|(lease, vote)| {
             let one = self.doing.iter().find(|one| one.lease == lease);
@@ -482,8 +488,8 @@
         });
         let drifts =
             self.drifts.iter().map(|(voter, ppm)| (self.voters[usize::from(voter.0)].0.clone(), *ppm));
-        json!({"name": self.name, "candidate": format!("{:016x}", self.candidate.me().0), "mono_us": mono_us(),
-            "voter": self.voter.as_ref().map(|_| self.stage), "life": self.voter.as_ref().map(Voter::life),
+        json!({"name": self.name, "candidate": format!("{:016x}", self.candidate.id().0), "mono_us": mono_us(),
+            "voter": self.voter.as_ref().map(|_| self.stage), "life": self.voter.as_ref().map(Voter::incarnation),
             "voters": self.voters.iter().map(|(name, _)| name).collect::<Vec<_>>(),
             "leases": rows.collect::<Vec<_>>(), "votes": votes.collect::<Vec<_>>(),
             "writes": self.writes.get(), "dropped": self.dropped,
@@ -495,15 +501,15 @@
 /// One act: a call that carries the lease, its epoch and how long it lasts. The status that came back.
 async fn call(duty: &Duty, permit: Permit, clock: LeaseClock) -> Result<u16, String> {
     let failed = |error: std::io::Error| error.to_string();
-    let mut stream = TcpStream::connect(duty.at).await.map_err(failed)?;
+    let mut stream = TcpStream::connect(duty.address).await.map_err(failed)?;
     // The last moment. Danger: connecting took long, or the process was halted since it looked; from here on only the
     // epoch, which the taker looks at, tells that the lease has ended.
     let now = clock.now();
     if !permit.allows(now, TimeDelta::ZERO) {
         return Err("the lease ended before the act began".to_string());
     }
-    let left_ms = permit.left(now).micros() / 1000;
-    let (path, at, name) = (&duty.path, duty.at, &duty.name);
+    let left_ms = permit.remaining(now).micros() / 1000;
+    let (path, at, name) = (&duty.path, duty.address, &duty.name);
     let (epoch, holder) = (permit.epoch.0, permit.holder.0);
     let request = format!(
         "POST {path} HTTP/1.1\r\nHost: {at}\r\nContent-Length: 0\r\nConnection: close\r\nLease: {name}\r\n\
--- a/crates/arrowyard-core/src/returns.rs
+++ b/crates/arrowyard-core/src/returns.rs
@@ -5,8 +5,10 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use arrowyard_startup::{Comes, Full, Return, Stage, Terms, weigh};
-use arrowyard_store::{Found, Snapshot, Store, System};
+use arrowyard_startup::{
+    Stage, StartupConfig, StartupReport, StartupSettings, StartupTracker, discount_hosts,
+};
+use arrowyard_store::{GenerationState, Snapshot, Store, SystemDisk};
 use arrowyard_types::{Availability, GroupId, OpId, TimeDelta, Timestamp};
 use fastrand::Rng;
 use serde_json::{Map, Value};
@@ -38,15 +40,24 @@
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-fn store(folder: &Path, deployment: u64) -> Store<System> {
-    Store { disk: System, folder: folder.to_path_buf(), deployment: Some(deployment), skew_ms: SKEW }
+fn store(folder: &Path, deployment: u64) -> Store<SystemDisk> {
+    Store {
+        disk: SystemDisk,
+        folder: folder.to_path_buf(),
+        deployment: Some(deployment),
+        max_clock_skew_ms: SKEW,
+    }
 }
 
 /// The list to start with: the platform's own, and what a stored one has beyond it, weighed by its age. Whatever is wrong
 /// with the store is logged and passed over.
 ///
 /// With it the number of the stored list, if it is used: what discovery tells under a smaller one is older.
-pub async fn read(comes: &Comes, deployment: u64, known: Option<List>) -> (Option<List>, Option<i64>) {
+pub async fn read(
+    comes: &StartupSettings,
+    deployment: u64,
+    known: Option<List>,
+) -> (Option<List>, Option<i64>) {
     let Some(folder) = comes.store.clone() else { return (known, None) };
     let now = unix_ms();
     let loading = spawn_blocking(move || {
@@ -58,9 +69,9 @@
         tracing::warn!("the store did not answer in time: this start goes on without it");
         return (known, None);
     };
-    for (kept, found) in &loaded.found {
+    for (kept, found) in &loaded.generations {
         match found {
-            Found::Whole(_) | Found::Missing => {}
+            GenerationState::Valid(_) | GenerationState::Missing => {}
             why => tracing::warn!("the store's generation {kept:?} is of no use: {why:?}"),
         }
     }
@@ -71,7 +82,7 @@
     let age = TimeDelta::from_millis(now.saturating_sub(stored.written_ms) as i64);
     let names: Vec<String> =
         known.iter().flat_map(|list| &list.lines).map(|line| line.host.clone()).collect();
-    let weighed = weigh(stored, age, comes.trust, &names);
+    let weighed = discount_hosts(stored, age, comes.trust, &names);
     let confidence = weighed.first().map_or(0.0, |one| one.confidence);
     let age_s = age.as_secs_f64();
     tracing::info!(age_s, hosts = weighed.len(), confidence, "a stored list is used till discovery speaks");
@@ -92,8 +103,8 @@
 
 /// One start, and what is kept for the next.
 pub struct Returning {
-    start: Return,
-    comes: Comes,
+    start: StartupTracker,
+    comes: StartupSettings,
     deployment: u64,
     router: String,
     rng: Rng,
@@ -111,13 +122,13 @@
     #[must_use]
     pub fn new(
         now: Timestamp,
-        comes: Comes,
+        comes: StartupSettings,
         deployment: u64,
         router: &str,
         listed: bool,
         seed: u64,
     ) -> Returning {
-        let start = Return::start(now, Terms::default(), listed);
+        let start = StartupTracker::start(now, StartupConfig::default(), listed);
         Returning {
             told: start.stage(),
             start,
@@ -135,7 +146,7 @@
 
     pub fn asked(&mut self, op: OpId, group: GroupId, write: bool) {
         if !self.start.is_over() {
-            self.start.asked(group, write);
+            self.start.op_received(group, write);
             self.ops.insert(op, (group, write));
         }
     }
@@ -143,20 +154,20 @@
     /// An op had its final answer.
     pub fn answered(&mut self, now: Timestamp, op: OpId, acked: bool) {
         match self.ops.remove(&op) {
-            Some((group, write)) if acked => self.start.acked(now, group, write),
-            Some(_) => self.start.failed(),
+            Some((group, write)) if acked => self.start.op_acked(now, group, write),
+            Some(_) => self.start.op_failed(),
             None => {}
         }
     }
 
     pub fn listed(&mut self, now: Timestamp, version: i64) {
-        self.start.listed(now);
+        self.start.discovery_responded(now);
         (self.changed, self.version) = (true, version);
     }
 
     /// When a client that is given back may come again.
     pub fn after(&mut self, told: Option<TimeDelta>, most: Option<TimeDelta>) -> Option<TimeDelta> {
-        most.map_or(told, |most| self.start.after(told, most, &mut self.rng))
+        most.map_or(told, |most| self.start.retry_after(told, most, &mut self.rng))
     }
 
     /// What time has changed; what is logged of the start.
@@ -166,7 +177,15 @@
             self.told = self.start.stage();
             tracing::info!("the start is at {:?}", self.told);
         }
-        let Some(Full { took, waited_for, waited, full }) = full else { return };
+        let Some(StartupReport {
+            took,
+            longest_stage: waited_for,
+            longest_wait: waited,
+            is_full_service: full,
+        }) = full
+        else {
+            return;
+        };
         let (ms, waited_ms) = (took.micros() / 1000, waited.micros() / 1000);
         self.ops = HashMap::new();
         if full {
@@ -182,8 +201,10 @@
 
     /// Whether the list is to be written now; it is said once, and till `saved` is called not again.
     pub fn due(&mut self, now: Timestamp) -> bool {
-        let due =
-            self.comes.store.is_some() && self.changed && !self.saving && now - self.saved >= self.comes.save;
+        let due = self.comes.store.is_some()
+            && self.changed
+            && !self.saving
+            && now - self.saved >= self.comes.save_interval;
         if due {
             (self.changed, self.saving, self.saved) = (false, true, now);
         }
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 
 use arrowyard::Router;
-use arrowyard_background_tasks::{Budget, End as Ending, Rank, Scheduler, Slice, Slices, Terms};
+use arrowyard_background_tasks::{
+    Budget, ListSlice, ListSlicer, Priority, Scheduler, TaskConfig, TurnOutcome as Ending,
+};
 use arrowyard_cells::Layout;
 use arrowyard_cells::admission::{CellEvent, RejectReason};
 use arrowyard_types::*;
@@ -87,7 +89,7 @@
     rung: u64,
     chores: Scheduler<Chore>,
     /// Long lists that are worked off.
-    slices: Slices<Line>,
+    slices: ListSlicer<Line>,
     /// Connections begun by the last tally.
     dialed: u64,
     /// Hosts that others say are leaving.
@@ -138,18 +140,24 @@
         let mut chores = Scheduler::new(now, Budget::default(), seed ^ CHORES);
         let limits = yard.limits.clone();
         let mut add = |chore, terms| chores.add(now, chore, terms);
-        add(Chore::List, Terms::asked("lists", Rank::First, span(limits.listed)));
-        add(Chore::Tally, Terms::every("tally", Rank::Usual, span(limits.tally)));
+        add(Chore::List, TaskConfig::on_demand("lists", Priority::Urgent, span(limits.listed)));
+        add(Chore::Tally, TaskConfig::periodic("tally", Priority::Normal, span(limits.tally)));
         let often = span(limits.idle) * 0.125;
-        add(Chore::Sweep, Terms { within: often, ..Terms::every("idle connections", Rank::Idle, often) });
+        add(
+            Chore::Sweep,
+            TaskConfig {
+                max_delay: often,
+                ..TaskConfig::periodic("idle connections", Priority::Idle, often)
+            },
+        );
         if yard.peers.is_some() {
-            add(Chore::Hints, Terms::every("hints", Rank::Usual, span(limits.look)));
+            add(Chore::Hints, TaskConfig::periodic("hints", Priority::Normal, span(limits.look)));
         }
         if returns.is_some() {
-            add(Chore::Start, Terms::every("start", Rank::Usual, span(limits.look)));
-            add(Chore::Save, Terms::asked("store", Rank::Idle, span(limits.store)));
+            add(Chore::Start, TaskConfig::periodic("start", Priority::Normal, span(limits.look)));
+            add(Chore::Save, TaskConfig::on_demand("store", Priority::Idle, span(limits.store)));
         }
-        let slices = Slices::new(limits.slice);
+        let slices = ListSlicer::new(limits.slice);
         let mut route = Route {
             yard,
             ward,
@@ -457,7 +465,7 @@
 
     /// One turn of a chore, if one may be done; `ops`: others wait for the thread.
     fn chore(&mut self, now: Timestamp, ops: bool) {
-        let Some(chore) = self.chores.take(now, ops) else { return };
+        let Some(chore) = self.chores.begin_next(now, ops) else { return };
         let end = match chore {
             Chore::List => self.slice(),
             Chore::Tally => {
@@ -481,7 +489,7 @@
                 if let Some(returns) = &mut self.returns {
                     returns.tick(now);
                     if returns.due(now) {
-                        self.chores.ask(now, Chore::Save);
+                        self.chores.request(now, Chore::Save);
                     }
                 }
                 Ending::Done
@@ -494,7 +502,7 @@
             }
         };
         let ended = self.yard.clock.now();
-        self.chores.done(ended, chore, ended - now, end);
+        self.chores.finish(ended, chore, ended - now, end);
     }
 
     /// Other routers hear which hosts the own list has left out.
@@ -525,15 +533,15 @@
 
     /// One slice of the lists that wait.
     fn slice(&mut self) -> Ending {
-        let lines = match self.slices.slice() {
-            Some(Slice::Lines(lines)) => lines,
-            Some(Slice::Missing(turn)) => {
+        let lines = match self.slices.next_slice() {
+            Some(ListSlice::Entries(lines)) => lines,
+            Some(ListSlice::RemoveUnlisted(turn)) => {
                 let lines = self.yard.roster.missing(turn);
                 // They are closed at once, however many: what is gone is not to be sent to.
                 tracing::info!(gone = lines.len(), "a whole list leaves out hosts");
                 lines
             }
-            Some(Slice::Through(number)) => {
+            Some(ListSlice::Complete(number)) => {
                 if let Some(returns) = &mut self.returns {
                     returns.listed(self.yard.clock.now(), number);
                 }
@@ -541,7 +549,7 @@
             }
             None => return Ending::Done,
         };
-        self.yard.roster.turn(self.slices.turn());
+        self.yard.roster.turn(self.slices.generation());
         let part = List { version: 0, whole: false, lines };
         let note = self.listed(&part, None);
         let mut actions = Vec::new();
@@ -655,7 +663,7 @@
                 let _ = client.send((self.taken, self.acked + u64::from(self.book.tally.acked)));
                 None
             }
-            Mail::News(mail::News::Listed(list)) if self.slices.has_to(list.lines.len()) => {
+            Mail::News(mail::News::Listed(list)) if self.slices.needs_slicing(list.lines.len()) => {
                 let wanted = |line: &Line| line.group.is_some_and(|group| self.wanted.contains(&group));
                 let rank = |line: &Line| match line.availability {
                     Availability::Ready if wanted(line) => 1,
@@ -665,7 +673,7 @@
                 };
                 let host = |line: &Line| line.host.clone();
                 self.slices.push(list.version, list.whole, list.lines, rank, host);
-                self.chores.ask(self.yard.clock.now(), Chore::List);
+                self.chores.request(self.yard.clock.now(), Chore::List);
                 None
             }
             Mail::News(mail::News::Listed(list)) => Some(self.listed(&list, Some(false))),
--- a/crates/arrowyard-daemon/src/base.rs
+++ b/crates/arrowyard-daemon/src/base.rs
@@ -23,7 +23,7 @@
 use arrowyard_core::waybill::Waybill;
 use arrowyard_operator_config::{Yardbook, belongs, layout, leases, returns as comes, schema};
 use arrowyard_platform_settings::manifest;
-use arrowyard_startup::{Credence, Herd};
+use arrowyard_startup::{CallPacer, ListVersionTracker};
 use arrowyard_types::{RouterSettingsExt, SettingValue};
 use tokio::runtime::Builder;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -96,8 +96,8 @@
             let (name, seed) = (&waybill.name, waybill.seed);
             let held = stored.max(version.get());
             manners = Some(Rc::new(RefCell::new(Manners {
-                credence: Credence::new(clock.now(), held, comes.doubt),
-                herd: Herd::new(comes.pace, told.number_or("routers", 1.0), seed ^ HERD),
+                credence: ListVersionTracker::new(clock.now(), held, comes.rollback_delay),
+                herd: CallPacer::new(comes.pacing, told.number_or("routers", 1.0), seed ^ HERD),
                 listed: known.is_some(),
                 clock,
             })));
--- a/crates/arrowyard-daemon/src/leases.rs
+++ b/crates/arrowyard-daemon/src/leases.rs
@@ -4,8 +4,8 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use arrowyard_leases::{Epoch, Image, keep, message};
-use arrowyard_store::{Disk, System};
+use arrowyard_leases::{Epoch, VoterSnapshot, message, storage};
+use arrowyard_store::{Disk, SystemDisk};
 use clap::{Args, Subcommand};
 use serde_json::Value;
 
@@ -60,20 +60,23 @@
         return Err(format!("{} is none of the voters", told.name));
     }
     let folder = joins.store.ok_or("leases.store is not set")?;
-    let group = message::group(&joins.fleet, &names, joins.terms.term, joins.terms.drift_ppm);
+    let group = message::group_id(&joins.fleet, &names, joins.config.term, joins.config.drift_ppm);
     std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     let path = folder.join("votes");
     // Danger: votes that are good are thrown away, and their epochs are given once more.
-    let there =
-        System.read(&path, keep::LARGEST).ok().map(|(bytes, _)| keep::read(&bytes, group, &told.name));
+    let there = SystemDisk
+        .read(&path, storage::MAX_FILE_BYTES)
+        .ok()
+        .map(|(bytes, _)| storage::decode(&bytes, group, &told.name));
     if let Some(Ok(_)) = there {
         return Err(format!("{}: there are votes, and they are good", path.display()));
     }
-    let image = Image { whole: true, floor: Epoch(told.floor), ..Image::default() };
+    let image =
+        VoterSnapshot { is_complete: true, epoch_floor: Epoch(told.floor), ..VoterSnapshot::default() };
     let beside = folder.join("votes.next");
-    let made = System
-        .write(&beside, &keep::write(&image, group, &told.name))
-        .and_then(|()| System.replace(&beside, &path));
+    let made = SystemDisk
+        .write(&beside, &storage::encode(&image, group, &told.name))
+        .and_then(|()| SystemDisk.replace(&beside, &path));
     made.map_err(|error| format!("{}: {error}", path.display()))?;
     println!("{}: made", path.display());
     Ok(ExitCode::SUCCESS)
--- a/crates/arrowyard-daemon/src/store.rs
+++ b/crates/arrowyard-daemon/src/store.rs
@@ -4,7 +4,7 @@
 use std::process::ExitCode;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-use arrowyard_store::{Found, Store, System};
+use arrowyard_store::{GenerationState, Store, SystemDisk};
 use clap::{Args, Subcommand};
 use serde_json::json;
 
@@ -26,23 +26,23 @@
     json: bool,
 }
 
-fn told(found: &Found) -> String {
+fn told(found: &GenerationState) -> String {
     match found {
-        Found::Whole(snapshot) => {
+        GenerationState::Valid(snapshot) => {
             format!("whole, number {}, {} hosts", snapshot.number, snapshot.hosts.len())
         }
-        Found::Missing => "missing".to_string(),
-        Found::NoFile => "no file".to_string(),
-        Found::NoRights => "no right to read it".to_string(),
-        Found::Unreadable(why) => format!("unreadable: {why}"),
-        Found::Empty => "empty".to_string(),
-        Found::Huge(bytes) => format!("{bytes} bytes, more than it may have"),
-        Found::Truncated => "it ends too early".to_string(),
-        Found::Garbled => "garbled".to_string(),
-        Found::Newer(form) => format!("of the later form {form}"),
-        Found::Older(form) => format!("of the former form {form}"),
-        Found::Foreign => "of another deployment".to_string(),
-        Found::Future(ms) => format!("written {ms} ms in the future"),
+        GenerationState::Missing => "missing".to_string(),
+        GenerationState::NoFile => "no file".to_string(),
+        GenerationState::NoRights => "no right to read it".to_string(),
+        GenerationState::Unreadable(why) => format!("unreadable: {why}"),
+        GenerationState::Empty => "empty".to_string(),
+        GenerationState::Huge(bytes) => format!("{bytes} bytes, more than it may have"),
+        GenerationState::Truncated => "it ends too early".to_string(),
+        GenerationState::Garbled => "garbled".to_string(),
+        GenerationState::Newer(form) => format!("of the later form {form}"),
+        GenerationState::Older(form) => format!("of the former form {form}"),
+        GenerationState::Foreign => "of another deployment".to_string(),
+        GenerationState::Future(ms) => format!("written {ms} ms in the future"),
     }
 }
 
@@ -56,11 +56,11 @@
         return Err(format!("{}: no folder", folder.display()));
     }
     let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
-    let store = Store { disk: System, folder: folder.clone(), deployment: None, skew_ms: 1000 };
+    let store = Store { disk: SystemDisk, folder: folder.clone(), deployment: None, max_clock_skew_ms: 1000 };
     let loaded = store.load(now_ms);
     let whole = loaded.newest();
     if let Command::Check(_) = command {
-        let rows = loaded.found.iter().map(|(kept, found)| (format!("{kept:?}"), told(found)));
+        let rows = loaded.generations.iter().map(|(kept, found)| (format!("{kept:?}"), told(found)));
         if *json {
             let rows: Vec<_> =
                 rows.map(|(kept, found)| json!({"generation": kept, "found": found})).collect();
--- a/crates/arrowyard-daemon/tests/returns.rs
+++ b/crates/arrowyard-daemon/tests/returns.rs
@@ -133,13 +133,13 @@
     let _ = std::fs::remove_file(&b);
     std::fs::create_dir(&a).expect("a folder can be made");
     let foreign = arrowyard_store::Snapshot { deployment: 1, written_ms: 1, number: 9, ..Default::default() };
-    std::fs::write(&b, arrowyard_store::write(&foreign)).expect("it can be written");
+    std::fs::write(&b, arrowyard_store::encode(&foreign)).expect("it can be written");
     rig.begin(0).expect("it starts");
     assert!(said(&rig, 0, "NoFile", 1_000) && said(&rig, 0, "Foreign", 1_000));
     rig.kill(0);
     // From a clock that was an hour ahead then.
     let future = arrowyard_store::Snapshot { written_ms: 4_000_000_000_000, ..foreign };
-    std::fs::write(&b, arrowyard_store::write(&future)).expect("it can be written");
+    std::fs::write(&b, arrowyard_store::encode(&future)).expect("it can be written");
     let shown =
         Command::new(env!("CARGO_BIN_EXE_arrowyard")).args(["store", "check"]).arg(rig.store(0)).output();
     let shown = shown.expect("it runs");
@@ -337,11 +337,11 @@
     for name in ["hosts.a", "hosts.b"] {
         let path = rig.store(who).join(name);
         let Ok(bytes) = std::fs::read(&path) else { continue };
-        if let arrowyard_store::Found::Whole(mut snapshot) =
-            arrowyard_store::judge(&bytes, None, u64::MAX / 2, 0)
+        if let arrowyard_store::GenerationState::Valid(mut snapshot) =
+            arrowyard_store::decode(&bytes, None, u64::MAX / 2, 0)
         {
             change(&mut snapshot);
-            std::fs::write(&path, arrowyard_store::write(&snapshot)).expect("it can be written");
+            std::fs::write(&path, arrowyard_store::encode(&snapshot)).expect("it can be written");
         }
     }
 }
--- a/crates/arrowyard-leases/examples/cost.rs
+++ b/crates/arrowyard-leases/examples/cost.rs
@@ -5,8 +5,11 @@
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-use arrowyard_leases::message::write;
-use arrowyard_leases::{Candidate, CandidateId, Image, LeaseId, Terms, To, Voter, VoterId, Word, lease};
+use arrowyard_leases::message::encode;
+use arrowyard_leases::{
+    Candidate, CandidateId, Destination, LeaseConfig, LeaseId, Message, Voter, VoterId, VoterSnapshot,
+    lease_id,
+};
 use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
@@ -19,44 +22,44 @@
     candidates: Vec<(Candidate, Duration)>,
     /// Words under way, the earliest first, each with its number.
     net: BinaryHeap<std::cmp::Reverse<(i64, u64)>>,
-    words: std::collections::HashMap<u64, (To, Word)>,
+    words: std::collections::HashMap<u64, (Destination, Message)>,
     sent: u64,
     bytes: u64,
 }
 
 impl World {
-    fn post(&mut self, now: i64, out: Vec<(To, Word)>) {
+    fn post(&mut self, now: i64, out: Vec<(Destination, Message)>) {
         for (to, word) in out {
             self.sent += 1;
-            self.bytes += write(&word, 1).len() as u64;
+            self.bytes += encode(&word, 1).len() as u64;
             self.net.push(std::cmp::Reverse((now + 1000, self.sent)));
             self.words.insert(self.sent, (to, word));
         }
     }
 
-    fn voter(&mut self, now: i64, of: usize, word: Option<&Word>) {
+    fn voter(&mut self, now: i64, of: usize, word: Option<&Message>) {
         let (voter, spent) = &mut self.voters[of];
         let began = Instant::now();
         match word {
-            Some(word) => voter.heard(at(now), word),
+            Some(word) => voter.handle_message(at(now), word),
             None => voter.tick(at(now)),
         }
-        if let Some((number, _)) = voter.to_keep() {
-            voter.kept(number, true);
+        if let Some((number, _)) = voter.start_write() {
+            voter.write_finished(number, true);
         }
-        let out = voter.sends();
+        let out = voter.take_outgoing();
         *spent += began.elapsed();
         self.post(now, out);
     }
 
-    fn candidate(&mut self, now: i64, of: usize, word: Option<&Word>, rng: &mut Rng) {
+    fn candidate(&mut self, now: i64, of: usize, word: Option<&Message>, rng: &mut Rng) {
         let (one, spent) = &mut self.candidates[of];
         let began = Instant::now();
         match word {
-            Some(word) => one.heard(at(now), word, || rng.f64()),
+            Some(word) => one.handle_message(at(now), word, || rng.f64()),
             None => one.tick(at(now), || rng.f64()),
         }
-        let out = std::mem::take(&mut one.out);
+        let out = std::mem::take(&mut one.outbox);
         one.events.clear();
         *spent += began.elapsed();
         self.post(now, out);
@@ -67,19 +70,19 @@
     println!(
         "| leases | candidates | words/s | KB/s | one voter, us/s | busiest candidate, us/s | held |\n| --- | --- | --- | --- | --- | --- | --- |"
     );
-    let terms = Terms::default();
+    let terms = LeaseConfig::default();
     for leases in [1, 100, 10_000] {
         for count in [3_usize, 8, 30] {
             let mut rng = Rng::with_seed(5);
-            let image = Image { whole: true, ..Image::default() };
+            let image = VoterSnapshot { is_complete: true, ..VoterSnapshot::default() };
             let long_ago = at(0) - TimeDelta::from_millis(10_000);
             let voter =
                 |of| (Voter::start(long_ago, terms, VoterId(of), Some(image.clone()), 1), Duration::ZERO);
-            let names: Vec<LeaseId> = (0..leases).map(|n| lease(&format!("task-{n}"))).collect();
+            let names: Vec<LeaseId> = (0..leases).map(|n| lease_id(&format!("task-{n}"))).collect();
             let candidates = (0..count as u64).map(|id| {
-                let mut one = Candidate::start(terms, CandidateId(id));
+                let mut one = Candidate::new(terms, CandidateId(id));
                 let draw = rng.f64();
-                names.iter().for_each(|&name| one.want(at(0), name, 0, draw));
+                names.iter().for_each(|&name| one.request(at(0), name, 0, draw));
                 (one, Duration::ZERO)
             });
             let mut world = World {
@@ -104,8 +107,10 @@
                         let Some(std::cmp::Reverse((_, number))) = world.net.pop() else { break };
                         let Some((to, word)) = world.words.remove(&number) else { break };
                         match to {
-                            To::Voter(VoterId(of)) => world.voter(now, of.into(), Some(&word)),
-                            To::Candidate(id) => world.candidate(now, id.0 as usize, Some(&word), &mut rng),
+                            Destination::Voter(VoterId(of)) => world.voter(now, of.into(), Some(&word)),
+                            Destination::Candidate(id) => {
+                                world.candidate(now, id.0 as usize, Some(&word), &mut rng)
+                            }
                         }
                     }
                     (_, Some((at, of))) => {
--- a/crates/arrowyard-leases/src/candidate.rs
+++ b/crates/arrowyard-leases/src/candidate.rs
@@ -5,11 +5,11 @@
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
-use crate::guard::Permit;
 #[cfg(any(test, feature = "flaws"))]
-use crate::terms::Flaw;
-use crate::terms::{CandidateId, Epoch, LeaseId, Terms, VoterId};
-use crate::{To, Verdict, Want, Word};
+use crate::config::Flaw;
+use crate::config::{CandidateId, Epoch, LeaseConfig, LeaseId, VoterId};
+use crate::fencing::Permit;
+use crate::{Destination, LeaseEpoch, Message, Verdict};
 
 /// Voters that granted a round, a bit each.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
@@ -32,11 +32,11 @@
         }
     }
 
-    fn won(self, terms: &Terms) -> bool {
+    fn won(self, terms: &LeaseConfig) -> bool {
         #[cfg(any(test, feature = "flaws"))]
         match terms.flaw {
-            Some(Flaw::CountTwice) => return usize::from(self.count) >= terms.majority(),
-            Some(Flaw::MajorityOfAnswers) => {
+            Some(Flaw::CountDuplicateGrants) => return usize::from(self.count) >= terms.majority(),
+            Some(Flaw::MajorityOfResponses) => {
                 return self.granted.count_ones() > self.refused.count_ones() && self.granted > 0;
             }
             _ => {}
@@ -45,8 +45,8 @@
     }
 
     /// So many refused that no majority is left.
-    fn is_lost(self, terms: &Terms) -> bool {
-        usize::from(terms.voters) - (self.refused.count_ones() as usize) < terms.majority()
+    fn is_lost(self, terms: &LeaseConfig) -> bool {
+        usize::from(terms.voter_count) - (self.refused.count_ones() as usize) < terms.majority()
     }
 }
 
@@ -100,17 +100,17 @@
 /// What happened, for the log and for whoever does the task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    Began {
+    Acquired {
         lease: LeaseId,
         epoch: Epoch,
     },
     /// Its time ran out before it was granted again.
-    Lost {
+    Expired {
         lease: LeaseId,
         epoch: Epoch,
     },
     /// It gave it back.
-    Gave {
+    Released {
         lease: LeaseId,
         epoch: Epoch,
     },
@@ -118,17 +118,17 @@
 
 /// How a lease looks from here.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Seen {
+pub struct LeaseStatus {
     pub lease: LeaseId,
     pub wanted: bool,
     /// Held by this one, and for how long still.
-    pub left: Option<TimeDelta>,
+    pub remaining: Option<TimeDelta>,
     pub epoch: Epoch,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Candidate {
-    terms: Terms,
+    terms: LeaseConfig,
     me: CandidateId,
     round: u64,
     tasks: BTreeMap<LeaseId, Task>,
@@ -136,13 +136,13 @@
     due: BTreeSet<(Timestamp, LeaseId)>,
     unfit: bool,
     /// What is sent, and what happened; taken by the caller.
-    pub out: Vec<(To, Word)>,
+    pub outbox: Vec<(Destination, Message)>,
     pub events: Vec<Event>,
 }
 
 impl Candidate {
     #[must_use]
-    pub fn start(terms: Terms, me: CandidateId) -> Candidate {
+    pub fn new(terms: LeaseConfig, me: CandidateId) -> Candidate {
         Candidate {
             terms,
             me,
@@ -150,7 +150,7 @@
             tasks: BTreeMap::new(),
             due: BTreeSet::new(),
             unfit: false,
-            out: Vec::new(),
+            outbox: Vec::new(),
             events: Vec::new(),
         }
     }
@@ -171,16 +171,16 @@
     }
 
     #[must_use]
-    pub fn me(&self) -> CandidateId {
+    pub fn id(&self) -> CandidateId {
         self.me
     }
 
     /// It wants this lease from now on; `rank`: those with a smaller one try sooner. `draw` is drawn evenly from 0 to 1.
-    pub fn want(&mut self, now: Timestamp, lease: LeaseId, rank: u32, draw: f64) {
-        let next = now + self.terms.spread * (f64::from(rank) + draw);
+    pub fn request(&mut self, now: Timestamp, lease: LeaseId, rank: u32, draw: f64) {
+        let next = now + self.terms.contention_window * (f64::from(rank) + draw);
         let (state, known) = (State::Idle, Epoch::default());
         let rank = if self.unfit { rank.saturating_add(UNFIT) } else { rank };
-        let next = if self.unfit { next + self.terms.spread * f64::from(UNFIT) } else { next };
+        let next = if self.unfit { next + self.terms.contention_window * f64::from(UNFIT) } else { next };
         let new = Task { wanted: true, rank, state, known, next, conflicts: 0, vacant: None, filed: None };
         let task = self.tasks.entry(lease).or_insert(new);
         (task.wanted, task.rank) = (true, rank);
@@ -190,7 +190,7 @@
 
     /// Whether this one is fit to do tasks: one that serves nobody, or doubts itself, gives back what it has, and tries for it
     /// again only after all that are fit had their time. Nothing here decides who may hold: it may be the last one there is.
-    pub fn fit(&mut self, now: Timestamp, fit: bool, mut draw: impl FnMut() -> f64) {
+    pub fn set_eligible(&mut self, now: Timestamp, fit: bool, mut draw: impl FnMut() -> f64) {
         if self.unfit != fit {
             return;
         }
@@ -202,7 +202,7 @@
             .map(|(lease, task)| (*lease, task.rank))
             .collect();
         if !fit {
-            self.give_back_all(leases.iter().map(|(lease, _)| *lease).collect());
+            self.release_leases(leases.iter().map(|(lease, _)| *lease).collect());
         }
         for (lease, rank) in leases {
             let rank = if fit { rank.saturating_sub(UNFIT) } else { rank.saturating_add(UNFIT) };
@@ -210,8 +210,8 @@
                 (task.wanted, task.rank) = (true, rank);
                 if task.state == State::Idle {
                     // Beyond the words that tell the others of the vacancy, and beyond their first rounds.
-                    let wait = if fit { TimeDelta::ZERO } else { self.terms.retry * 2.0 };
-                    task.next = now + wait + self.terms.spread * (f64::from(rank) + draw());
+                    let wait = if fit { TimeDelta::ZERO } else { self.terms.retry_interval * 2.0 };
+                    task.next = now + wait + self.terms.contention_window * (f64::from(rank) + draw());
                     // It is not told of its own vacancy.
                     task.vacant = Some(task.known);
                 }
@@ -222,12 +222,12 @@
 
     /// It wants this lease no more, and gives it back if it has it. Danger: what is given back may be held by another the next
     /// moment; so nothing that was begun under it may still go on.
-    pub fn give_back(&mut self, lease: LeaseId) {
-        self.give_back_all(vec![lease]);
+    pub fn release(&mut self, lease: LeaseId) {
+        self.release_leases(vec![lease]);
     }
 
-    fn give_back_all(&mut self, leases: Vec<LeaseId>) {
-        let mut gives: BTreeMap<(u64, bool), Vec<Want>> = BTreeMap::new();
+    fn release_leases(&mut self, leases: Vec<LeaseId>) {
+        let mut releases: BTreeMap<(u64, bool), Vec<LeaseEpoch>> = BTreeMap::new();
         for lease in leases {
             let Some(task) = self.tasks.get_mut(&lease) else { continue };
             task.wanted = false;
@@ -242,23 +242,23 @@
             self.file(lease);
             let Some((epoch, round, held)) = back else { continue };
             if held {
-                self.events.push(Event::Gave { lease, epoch });
+                self.events.push(Event::Released { lease, epoch });
             }
-            gives.entry((round, held)).or_default().push(Want { lease, epoch });
+            releases.entry((round, held)).or_default().push(LeaseEpoch { lease, epoch });
         }
-        gives.into_iter().for_each(|((round, held), wants)| self.free(round, held, wants));
+        releases.into_iter().for_each(|((round, held), wants)| self.free(round, held, wants));
     }
 
     /// It ends: all is given back, in as few words as there are rounds.
-    pub fn leave(&mut self) {
-        self.give_back_all(self.tasks.keys().copied().collect());
+    pub fn release_all(&mut self) {
+        self.release_leases(self.tasks.keys().copied().collect());
     }
 
-    fn free(&mut self, round: u64, held: bool, wants: Vec<Want>) {
-        for wants in wants.chunks(self.terms.batch.max(1)) {
-            let word = Word::Free { from: self.me, round, held, wants: wants.to_vec() };
-            for voter in 0..self.terms.voters {
-                self.out.push((To::Voter(VoterId(voter)), word.clone()));
+    fn free(&mut self, round: u64, held: bool, wants: Vec<LeaseEpoch>) {
+        for wants in wants.chunks(self.terms.max_batch_leases.max(1)) {
+            let word = Message::Release { from: self.me, round, held, leases: wants.to_vec() };
+            for voter in 0..self.terms.voter_count {
+                self.outbox.push((Destination::Voter(VoterId(voter)), word.clone()));
             }
         }
     }
@@ -279,7 +279,7 @@
         let soon = now + terms.term * (f64::from(terms.renew_percent) / 400.0);
         let due: Vec<LeaseId> =
             self.due.range(..=(soon, LeaseId(u64::MAX))).map(|(_, lease)| *lease).collect();
-        let mut gives: BTreeMap<u64, Vec<Want>> = BTreeMap::new();
+        let mut releases: BTreeMap<u64, Vec<LeaseEpoch>> = BTreeMap::new();
         let mut asks: Vec<(LeaseId, Epoch)> = Vec::new();
         for lease in due {
             let Some(task) = self.tasks.get_mut(&lease) else { continue };
@@ -288,8 +288,8 @@
             {
                 task.state = State::Idle;
                 task.known = task.known.max(epoch);
-                task.next = now + terms.spread * (f64::from(task.rank) + draw());
-                self.events.push(Event::Lost { lease, epoch });
+                task.next = now + terms.contention_window * (f64::from(task.rank) + draw());
+                self.events.push(Event::Expired { lease, epoch });
             }
             let open = matches!(task.state, State::Holds { round: Some(_), .. });
             let along = matches!(task.state, State::Holds { .. }) && !open;
@@ -300,9 +300,9 @@
                 State::Asks { epoch, tries, round } => {
                     // Danger: two share the voters that answer, one is silent, and each waits for a majority that the other keeps.
                     let shared = round.votes.granted != 0 && round.votes.refused != 0;
-                    if tries >= terms.tries || shared {
+                    if tries >= terms.max_attempts || shared {
                         // Nobody has a majority, or voters do not answer. What was granted here blocks the others.
-                        gives.entry(round.number).or_default().push(Want { lease, epoch });
+                        releases.entry(round.number).or_default().push(LeaseEpoch { lease, epoch });
                         task.state = State::Idle;
                         task.conflicts = task.conflicts.saturating_add(1);
                         task.next = now + pause(&terms, task, draw());
@@ -314,8 +314,8 @@
             }
             self.file(lease);
         }
-        gives.into_iter().for_each(|(round, wants)| self.free(round, false, wants));
-        for batch in asks.chunks(terms.batch.max(1)) {
+        releases.into_iter().for_each(|(round, wants)| self.free(round, false, wants));
+        for batch in asks.chunks(terms.max_batch_leases.max(1)) {
             self.ask(now, batch);
         }
     }
@@ -326,7 +326,7 @@
         for (lease, epoch) in batch {
             let Some(task) = self.tasks.get_mut(lease) else { continue };
             let round = Round { number, asked: now, votes: Votes::default() };
-            task.next = now + self.terms.retry;
+            task.next = now + self.terms.retry_interval;
             task.state = match task.state {
                 State::Idle => State::Asks { epoch: *epoch, tries: 1, round },
                 State::Asks { tries, .. } => State::Asks { epoch: *epoch, tries: tries + 1, round },
@@ -336,17 +336,17 @@
             };
             self.file(*lease);
         }
-        let wants = batch.iter().map(|&(lease, epoch)| Want { lease, epoch }).collect();
-        let word = Word::Ask { from: self.me, round: number, wants };
-        for voter in 0..self.terms.voters {
-            self.out.push((To::Voter(VoterId(voter)), word.clone()));
+        let wants = batch.iter().map(|&(lease, epoch)| LeaseEpoch { lease, epoch }).collect();
+        let word = Message::Request { from: self.me, round: number, leases: wants };
+        for voter in 0..self.terms.voter_count {
+            self.outbox.push((Destination::Voter(VoterId(voter)), word.clone()));
         }
     }
 
     /// A word came.
-    pub fn heard(&mut self, now: Timestamp, word: &Word, mut draw: impl FnMut() -> f64) {
+    pub fn handle_message(&mut self, now: Timestamp, word: &Message, mut draw: impl FnMut() -> f64) {
         match word {
-            Word::Answer { from, round, verdicts, .. } if from.0 < self.terms.voters => {
+            Message::Response { from, round, verdicts, .. } if from.0 < self.terms.voter_count => {
                 // One draw for all: what was refused together is asked for together.
                 let draw = draw();
                 let mut back = Vec::new();
@@ -358,7 +358,7 @@
                     self.free(*round, false, back);
                 }
             }
-            Word::Vacant { lease, epoch, .. } => {
+            Message::Available { lease, epoch, .. } => {
                 let Some(task) = self.tasks.get_mut(lease).filter(|task| task.wanted) else { return };
                 // Danger: two that asked at once give back what each was granted, are both told that it is vacant, and ask at
                 // once again, without end (the checker found it). Who rests after a conflict goes on resting; and a hint
@@ -386,10 +386,10 @@
         lease: LeaseId,
         verdict: Verdict,
         draw: f64,
-    ) -> Option<Want> {
+    ) -> Option<LeaseEpoch> {
         let terms = self.terms;
         let task = self.tasks.get_mut(&lease)?;
-        if let Verdict::Held { epoch, .. } | Verdict::Old(epoch) = verdict {
+        if let Verdict::Held { epoch, .. } | Verdict::StaleEpoch(epoch) = verdict {
             task.known = task.known.max(epoch);
         }
         // Only the round that is open counts. Danger: grants of two rounds together are no majority at any one time.
@@ -402,9 +402,9 @@
             return None;
         }
         round.votes.add(voter, verdict == Verdict::Granted(epoch));
-        let end = round.asked + terms.held();
+        let end = round.asked + terms.usable_term();
         #[cfg(any(test, feature = "flaws"))]
-        let end = if terms.flaw == Some(Flaw::CountFromReceipt) { now + terms.held() } else { end };
+        let end = if terms.flaw == Some(Flaw::CountFromReceipt) { now + terms.usable_term() } else { end };
         let won = round.votes.won(&terms) && now < end;
         let renew = round.asked + terms.term * (f64::from(terms.renew_percent) / 100.0);
         match &mut task.state {
@@ -413,7 +413,7 @@
                 task.state = State::Holds { epoch, end, last: number, round: None };
                 task.known = task.known.max(epoch);
                 (task.next, task.conflicts) = (renew, 0);
-                self.events.push(Event::Began { lease, epoch });
+                self.events.push(Event::Acquired { lease, epoch });
             }
             State::Asks { round: open, .. } => {
                 *open = round;
@@ -426,23 +426,23 @@
                     task.next = now
                         + match verdict {
                             // The others' word, not a conflict: with the next epoch it may go through.
-                            Verdict::Old(_) => terms.spread * (0.1 * draw),
+                            Verdict::StaleEpoch(_) => terms.contention_window * (0.1 * draw),
                             // It was given back, and the word of that has not come to all voters yet.
                             Verdict::Held { epoch, .. } if !granted && task.vacant == Some(epoch) => {
                                 task.conflicts = task.conflicts.saturating_add(1);
                                 pause(&terms, task, draw)
                             }
-                            Verdict::Held { left, .. } if !granted => {
+                            Verdict::Held { remaining: left, .. } if !granted => {
                                 // It is held in order: whatever conflict there was is over, and a hint counts again.
                                 task.conflicts = 0;
-                                left + terms.spread * (f64::from(task.rank) + draw)
+                                left + terms.contention_window * (f64::from(task.rank) + draw)
                             }
                             _ => {
                                 task.conflicts = task.conflicts.saturating_add(1);
                                 pause(&terms, task, draw)
                             }
                         };
-                    return granted.then_some(Want { lease, epoch });
+                    return granted.then_some(LeaseEpoch { lease, epoch });
                 }
             }
             State::Holds { end: until, last, round: open, .. } => {
@@ -465,7 +465,7 @@
             State::Holds { epoch, end, .. } => {
                 #[cfg(any(test, feature = "flaws"))]
                 let end =
-                    if self.terms.flaw == Some(Flaw::BlindHolder) { now + self.terms.term } else { end };
+                    if self.terms.flaw == Some(Flaw::SkipExpiryCheck) { now + self.terms.term } else { end };
                 (now < end).then_some(Permit { lease, epoch, holder: self.me, end })
             }
             _ => None,
@@ -474,7 +474,7 @@
 
     /// The round in which it asks for the lease just now.
     #[must_use]
-    pub fn open(&self, lease: LeaseId) -> Option<u64> {
+    pub fn open_round(&self, lease: LeaseId) -> Option<u64> {
         match self.tasks.get(&lease)?.state {
             State::Asks { round, .. } | State::Holds { round: Some(round), .. } => Some(round.number),
             _ => None,
@@ -482,9 +482,9 @@
     }
 
     /// All leases that it wants or has.
-    pub fn seen(&self, now: Timestamp) -> impl Iterator<Item = Seen> {
+    pub fn statuses(&self, now: Timestamp) -> impl Iterator<Item = LeaseStatus> {
         self.tasks.iter().map(move |(&lease, task)| {
-            let left = match task.state {
+            let remaining = match task.state {
                 State::Holds { end, .. } if now < end => Some(end - now),
                 _ => None,
             };
@@ -492,13 +492,13 @@
                 State::Holds { epoch, .. } => epoch,
                 _ => task.known,
             };
-            Seen { lease, wanted: task.wanted, left, epoch }
+            LeaseStatus { lease, wanted: task.wanted, remaining, epoch }
         })
     }
 }
 
 /// How long one waits after a conflict: full jitter in a window that doubles.
-fn pause(terms: &Terms, task: &Task, draw: f64) -> TimeDelta {
-    let window = terms.spread * f64::from(1_u32 << task.conflicts.min(12));
-    terms.spread * f64::from(task.rank) + window.min(terms.most_spread) * draw
+fn pause(terms: &LeaseConfig, task: &Task, draw: f64) -> TimeDelta {
+    let window = terms.contention_window * f64::from(1_u32 << task.conflicts.min(12));
+    terms.contention_window * f64::from(task.rank) + window.min(terms.max_contention_window) * draw
 }
--- a/crates/arrowyard-leases/src/terms.rs
+++ b/crates/arrowyard-leases/src/config.rs
@@ -31,15 +31,15 @@
 
 /// The lease of this name: FNV-1a of its bytes.
 #[must_use]
-pub fn lease(name: &str) -> LeaseId {
+pub fn lease_id(name: &str) -> LeaseId {
     let step = |mark: u64, byte: u8| (mark ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     LeaseId(name.bytes().fold(0xcbf2_9ce4_8422_2325, step))
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseConfig {
     /// How many vote.
-    pub voters: u8,
+    pub voter_count: u8,
     /// How long a grant holds, by the voter's clock; the same at all voters and candidates of a fleet.
     pub term: TimeDelta,
     /// How much a clock may run too fast or too slow, in millionths.
@@ -47,53 +47,53 @@
     /// A holder asks for more once this much of the term has passed, in hundredths.
     pub renew_percent: u8,
     /// A round that brought no majority is followed by another after this.
-    pub retry: TimeDelta,
+    pub retry_interval: TimeDelta,
     /// So many rounds without a majority, and what was granted is given back.
-    pub tries: u8,
+    pub max_attempts: u8,
     /// Those that want the same lease spread over this, each by its preference and a draw; doubled with each conflict.
-    pub spread: TimeDelta,
-    pub most_spread: TimeDelta,
+    pub contention_window: TimeDelta,
+    pub max_contention_window: TimeDelta,
     /// Leases that a voter knows at most.
-    pub leases: usize,
+    pub max_leases: usize,
     /// Leases in one round at most, so that it fits into a datagram.
-    pub batch: usize,
+    pub max_batch_leases: usize,
     #[cfg(any(test, feature = "flaws"))]
     pub flaw: Option<Flaw>,
 }
 
-impl Default for Terms {
+impl Default for LeaseConfig {
     fn default() -> Self {
         let ms = TimeDelta::from_millis;
-        Terms {
-            voters: 3,
+        LeaseConfig {
+            voter_count: 3,
             term: ms(3000),
             drift_ppm: 1000,
             renew_percent: 33,
-            retry: ms(150),
-            tries: 3,
-            spread: ms(60),
-            most_spread: ms(2000),
-            leases: 16_384,
-            batch: 32,
+            retry_interval: ms(150),
+            max_attempts: 3,
+            contention_window: ms(60),
+            max_contention_window: ms(2000),
+            max_leases: 16_384,
+            max_batch_leases: 32,
             #[cfg(any(test, feature = "flaws"))]
             flaw: None,
         }
     }
 }
 
-impl Terms {
+impl LeaseConfig {
     /// A majority of all voters. Danger: a majority of those in reach is none; two parts of a cut would each have one.
     #[must_use]
     pub fn majority(&self) -> usize {
-        usize::from(self.voters) / 2 + 1
+        usize::from(self.voter_count) / 2 + 1
     }
 
     /// How long a holder may act from before it asked, by its own clock. A voter's clock that runs too fast ends the
     /// grant after term / (1 + drift) of true time; the holder's own, if it runs too slow, shows (1 - drift) of that.
     #[must_use]
-    pub fn held(&self) -> TimeDelta {
+    pub fn usable_term(&self) -> TimeDelta {
         #[cfg(any(test, feature = "flaws"))]
-        if self.flaw == Some(Flaw::NoDrift) {
+        if self.flaw == Some(Flaw::IgnoreDrift) {
             return self.term;
         }
         let drift = i64::from(self.drift_ppm);
@@ -106,25 +106,25 @@
 #[derive(Clone, Debug)]
 pub struct Duty {
     pub name: String,
-    pub at: SocketAddr,
+    pub address: SocketAddr,
     pub path: String,
-    pub every: TimeDelta,
+    pub interval: TimeDelta,
     /// How long a call may take: it is begun only where the lease lasts longer.
-    pub takes: TimeDelta,
+    pub max_duration: TimeDelta,
     /// Those with a smaller number try for it sooner.
     pub rank: u32,
 }
 
 /// How a router takes part in leases, from the operator's file.
 #[derive(Clone, Debug)]
-pub struct Joins {
+pub struct LeaseSettings {
     pub fleet: String,
     pub listen: SocketAddr,
     /// The voters' names in order, and where they are reached from here.
     pub voters: Vec<(String, SocketAddr)>,
     /// Where votes are kept, if this router is a voter.
     pub store: Option<PathBuf>,
-    pub terms: Terms,
+    pub config: LeaseConfig,
     pub duties: Vec<Duty>,
 }
 
@@ -135,17 +135,17 @@
     /// A holder counts from when a grant reached it, not from before it asked.
     CountFromReceipt,
     /// A voter votes as soon as it has started.
-    NoWait,
+    NoStartupWait,
     /// A grant that comes twice counts for two.
-    CountTwice,
+    CountDuplicateGrants,
     /// Whoever takes an effect does not look at its epoch.
-    BlindTaker,
+    SkipFencingCheck,
     /// A majority of those that answered does.
-    MajorityOfAnswers,
-    /// Clocks are taken for true.
-    NoDrift,
+    MajorityOfResponses,
+    /// Clock drift is ignored.
+    IgnoreDrift,
     /// A voter that lost its store votes without asking the others what was granted.
-    NoLearning,
+    NoRecovery,
     /// The holder does not look at its clock before it acts.
-    BlindHolder,
+    SkipExpiryCheck,
 }
--- a/crates/arrowyard-leases/src/drift.rs
+++ b/crates/arrowyard-leases/src/drift.rs
@@ -6,8 +6,8 @@
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
-use crate::Word;
-use crate::terms::VoterId;
+use crate::Message;
+use crate::config::VoterId;
 
 /// An answer: asked and received by the own clock, and what the other one showed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -18,15 +18,15 @@
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Drift {
+pub struct DriftEstimator {
     first: Option<Sample>,
 }
 
 /// The clocks of all voters, as their answers to the rounds of one candidate show them.
 #[derive(Clone, Debug)]
-pub struct Clocks {
+pub struct ClockMonitor {
     bound_ppm: u32,
-    drifts: Vec<Drift>,
+    drifts: Vec<DriftEstimator>,
     /// The last rounds, and when each was begun.
     asked: VecDeque<(u64, Timestamp)>,
 }
@@ -34,17 +34,17 @@
 /// Rounds whose begin is remembered.
 const ASKED: usize = 32;
 
-impl Clocks {
+impl ClockMonitor {
     #[must_use]
-    pub fn new(voters: u8, bound_ppm: u32) -> Clocks {
-        let drifts = vec![Drift::default(); usize::from(voters)];
-        Clocks { bound_ppm, drifts, asked: VecDeque::new() }
+    pub fn new(voters: u8, bound_ppm: u32) -> ClockMonitor {
+        let drifts = vec![DriftEstimator::default(); usize::from(voters)];
+        ClockMonitor { bound_ppm, drifts, asked: VecDeque::new() }
     }
 
     /// A word goes out, or has come; by how much a voter's clock surely runs away, if it does.
-    pub fn saw(&mut self, now: Timestamp, word: &Word) -> Option<(VoterId, i64)> {
+    pub fn observe(&mut self, now: Timestamp, word: &Message) -> Option<(VoterId, i64)> {
         match word {
-            Word::Ask { round, .. } => {
+            Message::Request { round, .. } => {
                 if self.asked.len() == ASKED {
                     self.asked.pop_front();
                 }
@@ -53,10 +53,10 @@
                 }
                 None
             }
-            Word::Answer { from, round, clock, .. } => {
+            Message::Response { from, round, clock, .. } => {
                 let asked = self.asked.iter().find(|(number, _)| number == round)?.1;
                 let drift = self.drifts.get_mut(usize::from(from.0))?;
-                Some(*from).zip(drift.sample(asked, now, *clock, self.bound_ppm))
+                Some(*from).zip(drift.add_sample(asked, now, *clock, self.bound_ppm))
             }
             _ => None,
         }
@@ -67,10 +67,10 @@
 const NEAR: TimeDelta = TimeDelta::from_millis(5_000);
 const FAR: TimeDelta = TimeDelta::from_millis(600_000);
 
-impl Drift {
+impl DriftEstimator {
     /// One more answer; by how many millionths the clocks surely run apart, if that is more than twice the bound (each of the
     /// two may be off by it).
-    pub fn sample(
+    pub fn add_sample(
         &mut self,
         asked: Timestamp,
         came: Timestamp,
--- a/crates/arrowyard-leases/src/guard.rs
+++ b/crates/arrowyard-leases/src/fencing.rs
@@ -6,7 +6,7 @@
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
-use crate::terms::{CandidateId, Epoch, LeaseId};
+use crate::config::{CandidateId, Epoch, LeaseId};
 
 /// The right to act, till its end by the holder's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
@@ -26,38 +26,38 @@
 
     /// How long an act may still take.
     #[must_use]
-    pub fn left(&self, now: Timestamp) -> TimeDelta {
+    pub fn remaining(&self, now: Timestamp) -> TimeDelta {
         (self.end - now).max(TimeDelta::ZERO)
     }
 }
 
 /// An effect came too late: something was done under this newer epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Behind(pub Epoch);
+pub struct StaleEpoch(pub Epoch);
 
 /// Whoever takes effects: the newest epoch of each lease under which something was done.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Taker {
+pub struct FencingGuard {
     newest: BTreeMap<LeaseId, (Epoch, CandidateId)>,
 }
 
-impl Taker {
+impl FencingGuard {
     /// Whether this effect may be had. Two of one epoch are possible only where voters lost more than they may; then the one
     /// that came first has it.
     ///
     /// # Errors
     /// Something was done under a newer epoch, or under this one by another.
-    pub fn take(&mut self, lease: LeaseId, epoch: Epoch, holder: CandidateId) -> Result<(), Behind> {
+    pub fn admit(&mut self, lease: LeaseId, epoch: Epoch, holder: CandidateId) -> Result<(), StaleEpoch> {
         let newest = self.newest.entry(lease).or_insert((epoch, holder));
         if epoch < newest.0 || epoch == newest.0 && holder != newest.1 {
-            return Err(Behind(newest.0));
+            return Err(StaleEpoch(newest.0));
         }
         *newest = (epoch, holder);
         Ok(())
     }
 
     #[must_use]
-    pub fn newest(&self, lease: LeaseId) -> Option<Epoch> {
+    pub fn newest_epoch(&self, lease: LeaseId) -> Option<Epoch> {
         self.newest.get(&lease).map(|(epoch, _)| *epoch)
     }
 }
--- a/crates/arrowyard-leases/src/message.rs
+++ b/crates/arrowyard-leases/src/message.rs
@@ -3,14 +3,14 @@
 //! different terms would not keep each other's promises.
 
 use arrowyard_types::{TimeDelta, Timestamp};
-use prost::Message;
+use prost::Message as _;
 
-use crate::terms::{CandidateId, Epoch, LeaseId, VoterId};
-use crate::{Verdict, Want, Word};
+use crate::config::{CandidateId, Epoch, LeaseId, VoterId};
+use crate::{LeaseEpoch, Message, Verdict};
 
 /// The form that is written, and bytes of a datagram at most.
 const FORM: u32 = 1;
-pub const DATAGRAM: usize = 1200;
+pub const MAX_DATAGRAM_BYTES: usize = 1200;
 const CHECK: usize = 4;
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -57,7 +57,7 @@
 
 /// Why a datagram is not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Dropped {
+pub enum DecodeError {
     TooLarge,
     Garbled,
     /// Of a later form.
@@ -68,54 +68,60 @@
 
 /// What a fleet's datagrams are marked with: its name, its voters and the term that they count with.
 #[must_use]
-pub fn group(fleet: &str, voters: &[String], term: TimeDelta, drift_ppm: u32) -> u64 {
+pub fn group_id(fleet: &str, voters: &[String], term: TimeDelta, drift_ppm: u32) -> u64 {
     let text = format!("{fleet}\n{}\n{}\n{drift_ppm}", voters.join("\n"), term.micros());
-    crate::lease(&text).0
+    crate::lease_id(&text).0
 }
 
-fn wants(rows: &[Row]) -> Vec<Want> {
-    rows.iter().map(|row| Want { lease: LeaseId(row.lease), epoch: Epoch(row.epoch) }).collect()
+fn wants(rows: &[Row]) -> Vec<LeaseEpoch> {
+    rows.iter().map(|row| LeaseEpoch { lease: LeaseId(row.lease), epoch: Epoch(row.epoch) }).collect()
 }
 
-fn rows(wants: &[Want]) -> Vec<Row> {
-    let row = |want: &Want| Row { lease: want.lease.0, epoch: want.epoch.0, ..Row::default() };
+fn rows(wants: &[LeaseEpoch]) -> Vec<Row> {
+    let row = |want: &LeaseEpoch| Row { lease: want.lease.0, epoch: want.epoch.0, ..Row::default() };
     wants.iter().map(row).collect()
 }
 
 #[must_use]
-pub fn write(word: &Word, group: u64) -> Vec<u8> {
+pub fn encode(word: &Message, group: u64) -> Vec<u8> {
     let mut form = Form { form: FORM, group, ..Form::default() };
     match word {
-        Word::Ask { from, round, wants } | Word::Free { from, round, wants, .. } => {
-            form.kind = if matches!(word, Word::Ask { .. }) { 1 } else { 2 };
-            form.whole = matches!(word, Word::Free { held: true, .. });
-            (form.candidate, form.round, form.rows) = (from.0, *round, rows(wants));
+        Message::Request { from, round, leases } | Message::Release { from, round, leases, .. } => {
+            form.kind = if matches!(word, Message::Request { .. }) { 1 } else { 2 };
+            form.whole = matches!(word, Message::Release { held: true, .. });
+            (form.candidate, form.round, form.rows) = (from.0, *round, rows(leases));
         }
-        Word::Answer { from, round, clock, verdicts } => {
+        Message::Response { from, round, clock, verdicts } => {
             (form.kind, form.voter, form.round, form.clock_us) = (3, from.0.into(), *round, clock.micros());
             form.rows = verdicts
                 .iter()
                 .map(|(lease, verdict)| {
                     let (kind, epoch, left) = match *verdict {
                         Verdict::Granted(epoch) => (1, epoch, TimeDelta::ZERO),
-                        Verdict::Held { epoch, left } => (2, epoch, left),
-                        Verdict::Old(epoch) => (3, epoch, TimeDelta::ZERO),
-                        Verdict::Abstains => (4, Epoch(0), TimeDelta::ZERO),
-                        Verdict::Full => (5, Epoch(0), TimeDelta::ZERO),
+                        Verdict::Held { epoch, remaining: left } => (2, epoch, left),
+                        Verdict::StaleEpoch(epoch) => (3, epoch, TimeDelta::ZERO),
+                        Verdict::Abstained => (4, Epoch(0), TimeDelta::ZERO),
+                        Verdict::AtCapacity => (5, Epoch(0), TimeDelta::ZERO),
                     };
                     let left_us = left.micros().max(0) as u64;
                     Row { lease: lease.0, epoch: epoch.0, verdict: kind, left_us }
                 })
                 .collect();
         }
-        Word::Vacant { from, lease, epoch } => {
+        Message::Available { from, lease, epoch } => {
             (form.kind, form.voter) = (4, from.0.into());
-            form.rows = rows(&[Want { lease: *lease, epoch: *epoch }]);
+            form.rows = rows(&[LeaseEpoch { lease: *lease, epoch: *epoch }]);
         }
-        Word::Learn { from, life, start } => {
+        Message::RecoveryRequest { from, incarnation: life, nonce: start } => {
             (form.kind, form.voter, form.life, form.candidate) = (5, from.0.into(), *life, *start);
         }
-        Word::Learnt { from, asked, highest, life, whole } => {
+        Message::RecoveryResponse {
+            from,
+            requested_by: asked,
+            highest,
+            last_known: life,
+            is_complete: whole,
+        } => {
             (form.kind, form.voter, form.life, form.round) = (6, from.0.into(), *life, *asked);
             (form.highest, form.whole) = (highest.0, *whole);
         }
@@ -128,53 +134,59 @@
 
 /// # Errors
 /// Why it is dropped.
-pub fn read(bytes: &[u8], group: u64) -> Result<Word, Dropped> {
-    if bytes.len() > DATAGRAM {
-        return Err(Dropped::TooLarge);
+pub fn decode(bytes: &[u8], group: u64) -> Result<Message, DecodeError> {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
+        return Err(DecodeError::TooLarge);
     }
-    let (check, body) = bytes.split_first_chunk::<CHECK>().ok_or(Dropped::Garbled)?;
+    let (check, body) = bytes.split_first_chunk::<CHECK>().ok_or(DecodeError::Garbled)?;
     if crc32c::crc32c(body) != u32::from_le_bytes(*check) {
-        return Err(Dropped::Garbled);
+        return Err(DecodeError::Garbled);
     }
-    let form = Form::decode(body).map_err(|_| Dropped::Garbled)?;
+    let form = Form::decode(body).map_err(|_| DecodeError::Garbled)?;
     if form.form > FORM {
-        return Err(Dropped::Newer);
+        return Err(DecodeError::Newer);
     }
     if form.group != group {
-        return Err(Dropped::Foreign);
+        return Err(DecodeError::Foreign);
     }
     let from = CandidateId(form.candidate);
-    let voter = u8::try_from(form.voter).map(VoterId).map_err(|_| Dropped::Garbled)?;
+    let voter = u8::try_from(form.voter).map(VoterId).map_err(|_| DecodeError::Garbled)?;
     let round = form.round;
     Ok(match form.kind {
-        1 => Word::Ask { from, round, wants: wants(&form.rows) },
-        2 => Word::Free { from, round, held: form.whole, wants: wants(&form.rows) },
+        1 => Message::Request { from, round, leases: wants(&form.rows) },
+        2 => Message::Release { from, round, held: form.whole, leases: wants(&form.rows) },
         3 => {
             let verdict = |row: &Row| {
                 let epoch = Epoch(row.epoch);
                 let left = TimeDelta::from_micros(i64::try_from(row.left_us).unwrap_or(i64::MAX));
                 let verdict = match row.verdict {
                     1 => Verdict::Granted(epoch),
-                    2 => Verdict::Held { epoch, left },
-                    3 => Verdict::Old(epoch),
-                    4 => Verdict::Abstains,
-                    5 => Verdict::Full,
+                    2 => Verdict::Held { epoch, remaining: left },
+                    3 => Verdict::StaleEpoch(epoch),
+                    4 => Verdict::Abstained,
+                    5 => Verdict::AtCapacity,
                     _ => return None,
                 };
                 Some((LeaseId(row.lease), verdict))
             };
             let verdicts = form.rows.iter().filter_map(verdict).collect();
-            Word::Answer { from: voter, round, clock: Timestamp::from_micros(form.clock_us), verdicts }
+            Message::Response { from: voter, round, clock: Timestamp::from_micros(form.clock_us), verdicts }
         }
         4 => {
-            let row = form.rows.first().ok_or(Dropped::Garbled)?;
-            Word::Vacant { from: voter, lease: LeaseId(row.lease), epoch: Epoch(row.epoch) }
+            let row = form.rows.first().ok_or(DecodeError::Garbled)?;
+            Message::Available { from: voter, lease: LeaseId(row.lease), epoch: Epoch(row.epoch) }
         }
-        5 => Word::Learn { from: voter, life: form.life, start: form.candidate },
+        5 => Message::RecoveryRequest { from: voter, incarnation: form.life, nonce: form.candidate },
         6 => {
             let highest = Epoch(form.highest);
-            Word::Learnt { from: voter, asked: round, highest, life: form.life, whole: form.whole }
+            Message::RecoveryResponse {
+                from: voter,
+                requested_by: round,
+                highest,
+                last_known: form.life,
+                is_complete: form.whole,
+            }
         }
-        _ => return Err(Dropped::Garbled),
+        _ => return Err(DecodeError::Garbled),
     })
 }
--- a/crates/arrowyard-leases/src/keep.rs
+++ b/crates/arrowyard-leases/src/storage.rs
@@ -3,14 +3,14 @@
 
 use prost::Message;
 
-use crate::terms::{CandidateId, Epoch, LeaseId, VoterId};
-use crate::voter::Image;
+use crate::config::{CandidateId, Epoch, LeaseId, VoterId};
+use crate::voter::VoterSnapshot;
 
 const MARK: [u8; 4] = *b"AYLV";
 const FORM: u16 = 1;
 const HEAD: usize = 4 + 2 + 4;
 /// Bytes of a file at most.
-pub const LARGEST: usize = 4 * 1024 * 1024;
+pub const MAX_FILE_BYTES: usize = 4 * 1024 * 1024;
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct VoteRow {
@@ -53,7 +53,7 @@
 
 /// Why a file is of no use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Useless {
+pub enum LoadError {
     Truncated,
     Garbled,
     Newer,
@@ -66,7 +66,7 @@
 }
 
 #[must_use]
-pub fn write(image: &Image, group: u64, voter: &str) -> Vec<u8> {
+pub fn encode(image: &VoterSnapshot, group: u64, voter: &str) -> Vec<u8> {
     let vote = |&(lease, epoch, holder): &(LeaseId, Epoch, CandidateId)| VoteRow {
         lease: lease.0,
         epoch: epoch.0,
@@ -76,11 +76,11 @@
     let kept = Kept {
         group,
         voter: voter.to_string(),
-        life: image.life,
-        floor: image.floor.0,
-        whole: image.whole,
+        life: image.incarnation,
+        floor: image.epoch_floor.0,
+        whole: image.is_complete,
         votes: image.votes.iter().map(vote).collect(),
-        lives: image.lives.iter().map(life).collect(),
+        lives: image.incarnations.iter().map(life).collect(),
     };
     let mut bytes = MARK.to_vec();
     bytes.extend(FORM.to_le_bytes());
@@ -93,29 +93,29 @@
 
 /// # Errors
 /// Why it is of no use.
-pub fn read(bytes: &[u8], group: u64, voter: &str) -> Result<Image, Useless> {
-    let Some((head, body)) = bytes.split_first_chunk::<HEAD>() else { return Err(Useless::Truncated) };
+pub fn decode(bytes: &[u8], group: u64, voter: &str) -> Result<VoterSnapshot, LoadError> {
+    let Some((head, body)) = bytes.split_first_chunk::<HEAD>() else { return Err(LoadError::Truncated) };
     let told = u32::from_le_bytes([head[6], head[7], head[8], head[9]]);
     if head[..4] != MARK || check(bytes) != told {
-        return Err(Useless::Garbled);
+        return Err(LoadError::Garbled);
     }
     if u16::from_le_bytes([head[4], head[5]]) > FORM {
-        return Err(Useless::Newer);
+        return Err(LoadError::Newer);
     }
-    let kept = Kept::decode(body).map_err(|_| Useless::Garbled)?;
+    let kept = Kept::decode(body).map_err(|_| LoadError::Garbled)?;
     if kept.group != group || kept.voter != voter {
-        return Err(Useless::Foreign);
+        return Err(LoadError::Foreign);
     }
     let votes = kept.votes.iter().map(|row| (LeaseId(row.lease), Epoch(row.epoch), CandidateId(row.holder)));
     let lives = kept
         .lives
         .iter()
         .filter_map(|row| Some((VoterId(u8::try_from(row.voter).ok()?), row.life, row.start)));
-    Ok(Image {
-        life: kept.life,
-        floor: Epoch(kept.floor),
-        whole: kept.whole,
+    Ok(VoterSnapshot {
+        incarnation: kept.life,
+        epoch_floor: Epoch(kept.floor),
+        is_complete: kept.whole,
         votes: votes.collect(),
-        lives: lives.collect(),
+        incarnations: lives.collect(),
     })
 }
--- a/crates/arrowyard-leases/tests/checked.rs
+++ b/crates/arrowyard-leases/tests/checked.rs
@@ -5,7 +5,8 @@
 use std::collections::BTreeSet;
 
 use arrowyard_leases::{
-    Candidate, CandidateId, Epoch, Flaw, Image, Permit, Stage, Taker, Terms, To, Voter, Word, lease,
+    Candidate, CandidateId, Destination, Epoch, FencingGuard, Flaw, LeaseConfig, Message, Permit, Stage,
+    Voter, VoterSnapshot, lease_id,
 };
 use arrowyard_types::{TimeDelta, Timestamp};
 use stateright::{Checker, HasDiscoveries, Model, Property};
@@ -20,7 +21,7 @@
 
 #[derive(Clone, Debug)]
 struct Scene {
-    terms: Terms,
+    terms: LeaseConfig,
     /// How many ticks there are, how fast each clock runs (in hundredths), and which crashes there may be, each once.
     ticks: u8,
     voter_clocks: [i64; 3],
@@ -41,17 +42,17 @@
 impl Scene {
     fn of(flaw: Option<Flaw>) -> Scene {
         let ms = TimeDelta::from_millis;
-        let terms = Terms {
+        let terms = LeaseConfig {
             term: ms(3),
             // A quarter: clocks that differ so much show in few ticks.
             drift_ppm: 0,
             renew_percent: 50,
-            retry: ms(2),
-            tries: 1,
-            spread: ms(1),
-            most_spread: ms(1),
+            retry_interval: ms(2),
+            max_attempts: 1,
+            contention_window: ms(1),
+            max_contention_window: ms(1),
             flaw,
-            ..Terms::default()
+            ..LeaseConfig::default()
         };
         Scene {
             terms,
@@ -72,17 +73,17 @@
 struct World {
     tick: u8,
     voters: Vec<Voter>,
-    disks: Vec<Image>,
-    olds: Vec<Image>,
+    disks: Vec<VoterSnapshot>,
+    olds: Vec<VoterSnapshot>,
     candidates: Vec<Candidate>,
-    net: BTreeSet<(To, Word)>,
-    late: BTreeSet<(To, Word)>,
+    net: BTreeSet<(Destination, Message)>,
+    late: BTreeSet<(Destination, Message)>,
     faults: u8,
     crashes: Vec<bool>,
     doubles: u8,
     /// Acts that were begun and have not come to the taker, and what it has taken.
     acts: BTreeSet<(usize, Epoch)>,
-    taker: Taker,
+    fencing_guard: FencingGuard,
     fell: bool,
     taken: Option<Epoch>,
     /// Who held last, under which epoch; and whether another began under that one, or an older one.
@@ -95,8 +96,8 @@
     Tick,
     /// A candidate comes round, and what it says has these fates; till then it is halted.
     Round(usize, [Fate; 3]),
-    Deliver(To, Word),
-    Double(To, Word),
+    Deliver(Destination, Message),
+    Double(Destination, Message),
     Crash(usize, usize, Store),
     Leave(usize, [Fate; 3]),
     Begin(usize),
@@ -142,29 +143,29 @@
         Timestamp::from_micros(2_000_000 + i64::from(tick) * 10 * self.candidate_clocks[of])
     }
 
-    fn kept(&self, world: &mut World, of: usize) -> Vec<(To, Word)> {
-        if let Some((number, image)) = world.voters[of].to_keep() {
+    fn write_and_take_outgoing(&self, world: &mut World, of: usize) -> Vec<(Destination, Message)> {
+        if let Some((number, image)) = world.voters[of].start_write() {
             world.disks[of] = image;
-            world.voters[of].kept(number, true);
+            world.voters[of].write_finished(number, true);
         }
-        world.voters[of].sends()
+        world.voters[of].take_outgoing()
     }
 
     fn keep(&self, world: &mut World, of: usize) {
-        let sends = self.kept(world, of);
+        let sends = self.write_and_take_outgoing(world, of);
         world.net.extend(sends);
     }
 
     fn permit(&self, world: &World, of: usize) -> Option<Permit> {
-        world.candidates[of].permit(self.candidate_now(world.tick, of), lease(NAME))
+        world.candidates[of].permit(self.candidate_now(world.tick, of), lease_id(NAME))
     }
 
     /// Answers to rounds that are closed change nothing but what a candidate knows of epochs: they count as lost.
     fn tidy(world: &mut World) {
         let World { net, candidates, .. } = world;
         net.retain(|(to, word)| match (to, word) {
-            (To::Candidate(id), Word::Answer { round, .. }) => {
-                candidates[id.0 as usize].open(lease(NAME)) == Some(*round)
+            (Destination::Candidate(id), Message::Response { round, .. }) => {
+                candidates[id.0 as usize].open_round(lease_id(NAME)) == Some(*round)
             }
             _ => true,
         });
@@ -173,8 +174,8 @@
     /// A candidate's words go out, each with the fate of its voter.
     fn say(&self, world: &mut World, of: usize, fates: [Fate; 3]) {
         world.candidates[of].events.clear();
-        for (to, word) in std::mem::take(&mut world.candidates[of].out) {
-            let To::Voter(voter) = to else { continue };
+        for (to, word) in std::mem::take(&mut world.candidates[of].outbox) {
+            let Destination::Voter(voter) = to else { continue };
             let at = usize::from(voter.0);
             world.faults -= u8::from(fates[at] != Fate::Answered);
             match fates[at] {
@@ -184,8 +185,8 @@
                 }
                 fate => {
                     let now = self.voter_now(world.tick, at);
-                    world.voters[at].heard(now, &word);
-                    for (to, answer) in self.kept(world, at) {
+                    world.voters[at].handle_message(now, &word);
+                    for (to, answer) in self.write_and_take_outgoing(world, at) {
                         match fate {
                             Fate::Answered => self.deliver(world, to, &answer),
                             Fate::Slow => {
@@ -199,18 +200,18 @@
         }
     }
 
-    fn deliver(&self, world: &mut World, to: To, word: &Word) {
+    fn deliver(&self, world: &mut World, to: Destination, word: &Message) {
         match to {
-            To::Voter(voter) => {
+            Destination::Voter(voter) => {
                 let of = usize::from(voter.0);
                 let now = self.voter_now(world.tick, of);
-                world.voters[of].heard(now, word);
+                world.voters[of].handle_message(now, word);
                 self.keep(world, of);
             }
-            To::Candidate(id) => {
+            Destination::Candidate(id) => {
                 let of = id.0 as usize;
                 let now = self.candidate_now(world.tick, of);
-                world.candidates[of].heard(now, word, || 1.0);
+                world.candidates[of].handle_message(now, word, || 1.0);
                 // What it gives back when no majority is left comes in time; that it is lost is Fate::Heard of the round's answer.
                 self.say(world, of, [Fate::Answered; 3]);
             }
@@ -226,23 +227,23 @@
         let term = self.terms;
         // Voters have stood for long: they vote from the start.
         let long_ago = |of: usize| self.voter_now(0, of) - TimeDelta::from_millis(1000);
-        let image = Image { whole: true, ..Image::default() };
+        let image = VoterSnapshot { is_complete: true, ..VoterSnapshot::default() };
         let voters = (0..3_u8).map(|of| {
             let me = arrowyard_leases::VoterId(of);
             let mut voter = Voter::start(long_ago(of.into()), term, me, Some(image.clone()), 1);
             voter.tick(self.voter_now(0, of.into()));
-            if let Some((number, _)) = voter.to_keep() {
-                voter.kept(number, true);
+            if let Some((number, _)) = voter.start_write() {
+                voter.write_finished(number, true);
             }
-            voter.sends();
-            assert_eq!(*voter.stage(), Stage::Votes);
+            voter.take_outgoing();
+            assert_eq!(*voter.stage(), Stage::Voting);
             voter
         });
         let voters: Vec<Voter> = voters.collect();
-        let image = Image { life: 1, ..image };
+        let image = VoterSnapshot { incarnation: 1, ..image };
         let candidates = (0..2).map(|of| {
-            let mut one = Candidate::start(term, CandidateId(of));
-            one.want(self.candidate_now(0, of as usize), lease(NAME), 0, 0.0);
+            let mut one = Candidate::new(term, CandidateId(of));
+            one.request(self.candidate_now(0, of as usize), lease_id(NAME), 0, 0.0);
             one
         });
         vec![World {
@@ -257,7 +258,7 @@
             crashes: vec![false; self.crashes.len()],
             doubles: self.doubles,
             acts: BTreeSet::new(),
-            taker: Taker::default(),
+            fencing_guard: FencingGuard::default(),
             fell: false,
             taken: None,
             newest: None,
@@ -337,7 +338,7 @@
                 self.keep(&mut world, of);
             }
             Step::Leave(of, fates) => {
-                world.candidates[of].give_back(lease(NAME));
+                world.candidates[of].release(lease_id(NAME));
                 self.say(&mut world, of, fates);
             }
             Step::Begin(of) => {
@@ -346,8 +347,8 @@
             }
             Step::Effect(of, epoch) => {
                 world.acts.remove(&(of, epoch));
-                let taken = world.taker.take(lease(NAME), epoch, CandidateId(of as u64)).is_ok();
-                if taken || self.terms.flaw == Some(Flaw::BlindTaker) {
+                let taken = world.fencing_guard.admit(lease_id(NAME), epoch, CandidateId(of as u64)).is_ok();
+                if taken || self.terms.flaw == Some(Flaw::SkipFencingCheck) {
                     world.fell |= world.taken.is_some_and(|newest| epoch < newest);
                     world.taken = Some(epoch);
                 }
@@ -416,7 +417,7 @@
             ticks: 5,
             voter_clocks: [125; 3],
             candidate_clocks: [75, 100],
-            terms: Terms { drift_ppm: 250_000, ..base.terms },
+            terms: LeaseConfig { drift_ppm: 250_000, ..base.terms },
             ..base
         },
         "a voter starts anew" => Scene { faults: 1, ticks: 4, crashes: vec![(1, Store::Kept)], ..base },
@@ -452,14 +453,14 @@
 fn each_variant_that_is_wrong_is_caught() {
     let cases = [
         (Flaw::CountFromReceipt, "late and lost"),
-        (Flaw::MajorityOfAnswers, "late and lost"),
-        (Flaw::BlindHolder, "late and lost"),
-        (Flaw::CountTwice, "doubled"),
-        (Flaw::BlindTaker, "late acts"),
-        (Flaw::NoDrift, "clocks apart"),
-        (Flaw::NoWait, "a voter starts anew"),
-        (Flaw::NoWait, "a voter loses its store"),
-        (Flaw::NoLearning, "a voter loses its store"),
+        (Flaw::MajorityOfResponses, "late and lost"),
+        (Flaw::SkipExpiryCheck, "late and lost"),
+        (Flaw::CountDuplicateGrants, "doubled"),
+        (Flaw::SkipFencingCheck, "late acts"),
+        (Flaw::IgnoreDrift, "clocks apart"),
+        (Flaw::NoStartupWait, "a voter starts anew"),
+        (Flaw::NoStartupWait, "a voter loses its store"),
+        (Flaw::NoRecovery, "a voter loses its store"),
     ];
     for (flaw, name) in cases {
         let (states, broken) = check(scene(name, Some(flaw)));
--- a/crates/arrowyard-operator-config/src/layout.rs
+++ b/crates/arrowyard-operator-config/src/layout.rs
@@ -4,9 +4,9 @@
     Cell, ConcurrencyLimitConfig, Layout, Lease, NetworkRule, RetryBudgetConfig, RolloutConfig,
 };
 use arrowyard_cells::tenant_move::{MoveConfig, Step};
-use arrowyard_leases::{Duty, Joins};
+use arrowyard_leases::{Duty, LeaseSettings};
 use arrowyard_peers::{MembershipConfig, PeerSettings};
-use arrowyard_startup::{Comes, Pace as Calls, Trust};
+use arrowyard_startup::{PacingConfig as Calls, StartupSettings, Trust};
 use arrowyard_types::{CellId, GroupId, TimeDelta, Timestamp};
 use ipnet::IpNet;
 
@@ -127,23 +127,26 @@
 }
 
 /// What a book that was checked says of coming back; nothing if it does not.
-pub fn returns(book: &schema::Yardbook) -> Option<Comes> {
+pub fn returns(book: &schema::Yardbook) -> Option<StartupSettings> {
     let told = book.returns.as_ref()?;
     let usual = Trust::default();
-    let life = told.host_life_ms.map_or(usual.life, |life| TimeDelta::from_millis(life as i64));
-    Some(Comes {
+    let life = told.host_life_ms.map_or(usual.host_lifetime, |life| TimeDelta::from_millis(life as i64));
+    Some(StartupSettings {
         store: told.store.as_ref().map(std::path::PathBuf::from),
-        trust: Trust { life, ..usual },
-        save: span(told.save_ms, 5000),
-        pace: Calls { calls: told.discovery_calls.unwrap_or(Calls::default().calls), ..Calls::default() },
-        doubt: span(told.doubt_ms, 2000),
+        trust: Trust { host_lifetime: life, ..usual },
+        save_interval: span(told.save_ms, 5000),
+        pacing: Calls {
+            max_calls_per_s: told.discovery_calls.unwrap_or(Calls::default().max_calls_per_s),
+            ..Calls::default()
+        },
+        rollback_delay: span(told.doubt_ms, 2000),
     })
 }
 
 /// What a book that was checked says of leases; nothing if it does not.
-pub fn leases(book: &schema::Yardbook) -> Option<Joins> {
+pub fn leases(book: &schema::Yardbook) -> Option<LeaseSettings> {
     let told = book.leases.as_ref()?;
-    let usual = arrowyard_leases::Terms::default();
+    let usual = arrowyard_leases::LeaseConfig::default();
     let mut voters: Vec<_> =
         told.voter.iter().filter_map(|one| Some((one.name().to_string(), one.at().parse().ok()?))).collect();
     // All routers number them alike, in whatever order their files name them.
@@ -151,19 +154,19 @@
     let duty = |duty: &schema::Duty| {
         Some(Duty {
             name: duty.name().to_string(),
-            at: duty.at().parse().ok()?,
+            address: duty.at().parse().ok()?,
             path: duty.path.clone().unwrap_or_else(|| "/".to_string()),
-            every: span(duty.every_ms, 1000),
-            takes: span(duty.takes_ms, 200),
+            interval: span(duty.every_ms, 1000),
+            max_duration: span(duty.takes_ms, 200),
             rank: duty.rank(),
         })
     };
-    Some(Joins {
+    Some(LeaseSettings {
         fleet: told.fleet().to_string(),
         listen: told.listen().parse().ok()?,
         store: told.store.as_ref().map(std::path::PathBuf::from),
-        terms: arrowyard_leases::Terms {
-            voters: voters.len() as u8,
+        config: arrowyard_leases::LeaseConfig {
+            voter_count: voters.len() as u8,
             term: span(told.term_ms, 3000),
             drift_ppm: told.drift_ppm.unwrap_or(usual.drift_ppm),
             ..usual
--- a/crates/arrowyard-startup/src/credence.rs
+++ b/crates/arrowyard-startup/src/list_version.rs
@@ -7,17 +7,17 @@
 
 /// What is done with a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    Take,
+pub enum ListDecision {
+    Accept,
     /// It is older than what is held.
-    Pass,
+    Ignore,
     /// Discovery counts anew: it is taken as if it were the first.
-    Anew,
+    Reset,
 }
 
 /// What is believed of one discovery.
 #[derive(Clone, Debug)]
-pub struct Credence {
+pub struct ListVersionTracker {
     /// The number of the newest list that was taken.
     held: Option<i64>,
     /// When that one, or a newer one, was last told; older ones since then, and the number of the last of them.
@@ -33,41 +33,41 @@
 /// So many older ones, in numbers that do not fall, are believed once time is up.
 const AGREED: u32 = 2;
 
-impl Credence {
+impl ListVersionTracker {
     /// `held` is the number of the list that a router starts with, if any.
     #[must_use]
-    pub fn new(now: Timestamp, held: Option<i64>, doubt: TimeDelta) -> Credence {
-        Credence { held, heard: now, older: 0, last: i64::MIN, doubt, moved: false }
+    pub fn new(now: Timestamp, held: Option<i64>, doubt: TimeDelta) -> ListVersionTracker {
+        ListVersionTracker { held, heard: now, older: 0, last: i64::MIN, doubt, moved: false }
     }
 
     /// Discovery is reached at another address from now on.
-    pub fn moved(&mut self) {
+    pub fn address_changed(&mut self) {
         self.moved = true;
     }
 
     /// A list of this number came.
-    pub fn weigh(&mut self, now: Timestamp, number: i64, whole: bool) -> Verdict {
-        let Some(held) = self.held else { return self.take(now, number, Verdict::Take) };
+    pub fn evaluate(&mut self, now: Timestamp, number: i64, whole: bool) -> ListDecision {
+        let Some(held) = self.held else { return self.take(now, number, ListDecision::Accept) };
         if number >= held {
-            return self.take(now, number, Verdict::Take);
+            return self.take(now, number, ListDecision::Accept);
         }
         if !whole {
             // Danger: changes since an older list are put on a newer one.
-            return Verdict::Pass;
+            return ListDecision::Ignore;
         }
         if self.moved {
-            return self.take(now, number, Verdict::Anew);
+            return self.take(now, number, ListDecision::Reset);
         }
         // Two discoveries that both fell behind tell numbers that go up and down; one that lost its state counts up.
         self.older = if number >= self.last { self.older + 1 } else { 1 };
         self.last = number;
         if self.older >= AGREED && now - self.heard >= self.doubt {
-            return self.take(now, number, Verdict::Anew);
+            return self.take(now, number, ListDecision::Reset);
         }
-        Verdict::Pass
+        ListDecision::Ignore
     }
 
-    fn take(&mut self, now: Timestamp, number: i64, verdict: Verdict) -> Verdict {
+    fn take(&mut self, now: Timestamp, number: i64, verdict: ListDecision) -> ListDecision {
         (self.held, self.heard, self.older, self.last) = (Some(number), now, 0, i64::MIN);
         self.moved = false;
         verdict
@@ -75,7 +75,7 @@
 
     /// The number of the newest list that is believed.
     #[must_use]
-    pub fn held(&self) -> Option<i64> {
+    pub fn accepted_version(&self) -> Option<i64> {
         self.held
     }
 }
--- a/crates/arrowyard-startup/src/stage.rs
+++ b/crates/arrowyard-startup/src/stage.rs
@@ -9,9 +9,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
     /// Nothing is known of any host.
-    Blank,
+    NoHosts,
     /// A list is there, and nobody has said that it still holds: the platform's own, or a stored one.
-    Guess,
+    Unconfirmed,
     /// Discovery has spoken.
     Listed,
     /// Each group that was asked for has answered a read and, if writes came, a write.
@@ -21,39 +21,39 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-pub struct Terms {
+pub struct StartupConfig {
     /// Full service: this share of the ops that are answered in each of so many slices of time in a row is acked.
-    pub share: f64,
-    pub slice: TimeDelta,
-    pub slices: u32,
+    pub min_acked_share: f64,
+    pub window: TimeDelta,
+    pub required_windows: u32,
     /// A slice with fewer answers says nothing and is joined to the next.
-    pub ops: u32,
+    pub min_window_ops: u32,
     /// After this long a start is over, whatever is served: what is missing then is no matter of the start.
-    pub over: TimeDelta,
+    pub timeout: TimeDelta,
 }
 
-impl Default for Terms {
+impl Default for StartupConfig {
     fn default() -> Self {
-        Terms {
-            share: 0.95,
-            slice: TimeDelta::from_millis(250),
-            slices: 8,
-            ops: 4,
-            over: TimeDelta::from_millis(60_000),
+        StartupConfig {
+            min_acked_share: 0.95,
+            window: TimeDelta::from_millis(250),
+            required_windows: 8,
+            min_window_ops: 4,
+            timeout: TimeDelta::from_millis(60_000),
         }
     }
 }
 
 /// A start that is over.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Full {
+pub struct StartupReport {
     /// From the start to the begin of the slices that were served.
     pub took: TimeDelta,
     /// The stage that took longest, and how long.
-    pub waited_for: Stage,
-    pub waited: TimeDelta,
+    pub longest_stage: Stage,
+    pub longest_wait: TimeDelta,
     /// Whether service is full, or time was up.
-    pub full: bool,
+    pub is_full_service: bool,
 }
 
 /// What became of the ops of a group since the start.
@@ -66,8 +66,8 @@
 }
 
 /// One router's start.
-pub struct Return {
-    terms: Terms,
+pub struct StartupTracker {
+    terms: StartupConfig,
     began: Timestamp,
     stage: Stage,
     /// When each stage was reached.
@@ -82,13 +82,13 @@
     over: bool,
 }
 
-impl Return {
+impl StartupTracker {
     /// `listed`: a list is there already, which nobody has confirmed.
     #[must_use]
-    pub fn start(now: Timestamp, terms: Terms, listed: bool) -> Return {
-        let stage = if listed { Stage::Guess } else { Stage::Blank };
-        let reached = BTreeMap::from([(Stage::Blank, now), (stage, now)]);
-        Return {
+    pub fn start(now: Timestamp, terms: StartupConfig, listed: bool) -> StartupTracker {
+        let stage = if listed { Stage::Unconfirmed } else { Stage::NoHosts };
+        let reached = BTreeMap::from([(Stage::NoHosts, now), (stage, now)]);
+        StartupTracker {
             terms,
             began: now,
             stage,
@@ -122,17 +122,17 @@
     }
 
     /// A list came from a store or from the platform after the start.
-    pub fn guessed(&mut self, now: Timestamp) {
-        self.reach(now, Stage::Guess);
+    pub fn unconfirmed_list_received(&mut self, now: Timestamp) {
+        self.reach(now, Stage::Unconfirmed);
     }
 
     /// Discovery has spoken.
-    pub fn listed(&mut self, now: Timestamp) {
+    pub fn discovery_responded(&mut self, now: Timestamp) {
         self.reach(now, Stage::Listed);
     }
 
     /// An op came.
-    pub fn asked(&mut self, group: GroupId, write: bool) {
+    pub fn op_received(&mut self, group: GroupId, write: bool) {
         if self.over {
             return;
         }
@@ -141,7 +141,7 @@
     }
 
     /// An op was acked.
-    pub fn acked(&mut self, now: Timestamp, group: GroupId, write: bool) {
+    pub fn op_acked(&mut self, now: Timestamp, group: GroupId, write: bool) {
         if self.over {
             return;
         }
@@ -149,25 +149,25 @@
         let one = self.groups.entry(group).or_default();
         (one.read, one.wrote) = (one.read || !write, one.wrote || write);
         let proven = |one: &Group| !one.asked || one.wrote || one.read && !one.writes;
-        if self.stage >= Stage::Guess && self.groups.values().all(proven) {
+        if self.stage >= Stage::Unconfirmed && self.groups.values().all(proven) {
             // Without discovery, too: hosts that answer are there, whatever nobody says of them.
             self.reach(now, Stage::Proven);
         }
     }
 
     /// An op was given back, or failed.
-    pub fn failed(&mut self) {
+    pub fn op_failed(&mut self) {
         self.failed += u32::from(!self.over);
     }
 
     /// Time has passed; once, what the start took.
-    pub fn tick(&mut self, now: Timestamp) -> Option<Full> {
+    pub fn tick(&mut self, now: Timestamp) -> Option<StartupReport> {
         if self.over {
             return None;
         }
         let answered = self.acked + self.failed;
-        if now - self.slice >= self.terms.slice && (answered >= self.terms.ops || answered == 0) {
-            let served = f64::from(self.acked) >= f64::from(answered) * self.terms.share;
+        if now - self.slice >= self.terms.window && (answered >= self.terms.min_window_ops || answered == 0) {
+            let served = f64::from(self.acked) >= f64::from(answered) * self.terms.min_acked_share;
             if answered == 0 {
                 // Nobody asks, or nobody was answered yet: that says nothing, either way.
             } else if served && self.stage >= Stage::Proven {
@@ -180,8 +180,8 @@
             }
             (self.slice, self.acked, self.failed) = (now, 0, 0);
         }
-        let full = self.good >= self.terms.slices;
-        if !full && now - self.began < self.terms.over {
+        let full = self.good >= self.terms.required_windows;
+        if !full && now - self.began < self.terms.timeout {
             return None;
         }
         self.over = true;
@@ -199,23 +199,28 @@
         if !full {
             longest = longest.max((now - before, Stage::Full));
         }
-        Some(Full { took: end - self.began, waited_for: longest.1, waited: longest.0, full })
+        Some(StartupReport {
+            took: end - self.began,
+            longest_stage: longest.1,
+            longest_wait: longest.0,
+            is_full_service: full,
+        })
     }
 
     /// When a client that is given back should come again. Danger: a whole fleet starts at once, gives its clients back at
     /// once, and all of them come again at the same moment, for which nobody is ready either.
     #[must_use]
-    pub fn after(&self, told: Option<TimeDelta>, most: TimeDelta, rng: &mut Rng) -> Option<TimeDelta> {
+    pub fn retry_after(&self, told: Option<TimeDelta>, most: TimeDelta, rng: &mut Rng) -> Option<TimeDelta> {
         if self.over {
             return told;
         }
-        Some(spread(told, most, rng))
+        Some(jittered_retry_after(told, most, rng))
     }
 }
 
 /// A time between what was told and the most that a client may be told, drawn evenly: full jitter.
 #[must_use]
-pub fn spread(told: Option<TimeDelta>, most: TimeDelta, rng: &mut Rng) -> TimeDelta {
+pub fn jittered_retry_after(told: Option<TimeDelta>, most: TimeDelta, rng: &mut Rng) -> TimeDelta {
     let from = told.unwrap_or_default().min(most);
     from + (most - from) * rng.f64()
 }
--- a/crates/arrowyard-startup/src/weigh.rs
+++ b/crates/arrowyard-startup/src/trust.rs
@@ -7,35 +7,35 @@
 use arrowyard_store::{Host, Snapshot};
 use arrowyard_types::TimeDelta;
 
-use crate::herd::Pace;
+use crate::pacing::PacingConfig;
 
 /// What of a list is used.
 #[derive(Clone, Copy, Debug)]
 pub struct Trust {
     /// How long a host stays, on average.
-    pub life: TimeDelta,
+    pub host_lifetime: TimeDelta,
     /// Below this confidence an entry is left out.
-    pub least: f64,
+    pub min_confidence: f64,
 }
 
 impl Default for Trust {
     fn default() -> Self {
-        Trust { life: TimeDelta::from_millis(6 * 3_600_000), least: 0.05 }
+        Trust { host_lifetime: TimeDelta::from_millis(6 * 3_600_000), min_confidence: 0.05 }
     }
 }
 
 /// How a router comes back, from the operator's file.
 #[derive(Clone, Debug)]
-pub struct Comes {
+pub struct StartupSettings {
     /// The folder in which it keeps its list; nothing is kept where there is none.
     pub store: Option<PathBuf>,
     pub trust: Trust,
     /// The list is written at most so often.
-    pub save: TimeDelta,
+    pub save_interval: TimeDelta,
     /// How discovery is asked, by all routers together.
-    pub pace: Pace,
+    pub pacing: PacingConfig,
     /// For so long older lists than the one held have to come, and no newer one, till they are believed.
-    pub doubt: TimeDelta,
+    pub rollback_delay: TimeDelta,
 }
 
 /// The chance that a host which was there so long ago is there now.
@@ -46,7 +46,7 @@
 
 /// An entry of a stored list, as it may be used.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Weighed {
+pub struct DiscountedHost {
     pub host: Host,
     /// The share of its size that it is used with.
     pub confidence: f64,
@@ -56,13 +56,18 @@
 /// changed since. A primary is taken for none: the group is asked. A host that had begun to drain stays closed till
 /// discovery says otherwise. One that is new to the platform's own list and not in it is left to that list, where there is one.
 #[must_use]
-pub fn weigh(stored: &Snapshot, age: TimeDelta, trust: Trust, known: &[String]) -> Vec<Weighed> {
-    let confidence = confidence(age, trust.life);
-    if confidence < trust.least {
+pub fn discount_hosts(
+    stored: &Snapshot,
+    age: TimeDelta,
+    trust: Trust,
+    known: &[String],
+) -> Vec<DiscountedHost> {
+    let confidence = confidence(age, trust.host_lifetime);
+    if confidence < trust.min_confidence {
         return Vec::new();
     }
     let fit = |host: &&Host| !host.draining && !host.dial.is_empty() && !known.contains(&host.name);
-    let used = |host: &Host| Weighed {
+    let used = |host: &Host| DiscountedHost {
         // Its warmth goes by its start, which does not change; its role and its readiness do.
         host: Host { was_primary: false, size: host.size * confidence, ..host.clone() },
         confidence,
--- a/crates/arrowyard-startup/tests/start.rs
+++ b/crates/arrowyard-startup/tests/start.rs
@@ -1,6 +1,8 @@
 //! What is trusted after how long, and when a start is over.
 
-use arrowyard_startup::{Return, Stage, Terms, Trust, confidence, spread, weigh};
+use arrowyard_startup::{
+    Stage, StartupConfig, StartupTracker, Trust, confidence, discount_hosts, jittered_retry_after,
+};
 use arrowyard_store::{Host, Snapshot};
 use arrowyard_types::{GroupId, TimeDelta, Timestamp};
 use proptest::prelude::*;
@@ -35,68 +37,68 @@
 
 #[test]
 fn an_old_list_is_used_less_and_a_very_old_one_not_at_all() {
-    let trust = Trust { life: ms(3_600_000), least: 0.05 };
+    let trust = Trust { host_lifetime: ms(3_600_000), min_confidence: 0.05 };
     let names = |age: TimeDelta| {
-        weigh(&stored(), age, trust, &[]).iter().map(|one| one.host.name.clone()).collect::<Vec<_>>()
+        discount_hosts(&stored(), age, trust, &[]).iter().map(|one| one.host.name.clone()).collect::<Vec<_>>()
     };
     assert_eq!(names(ms(0)), ["p", "r"], "neither the one that drains nor the one without an address");
     assert_eq!(names(ms(2 * 3_600_000)).len(), 2);
     assert!(names(ms(4 * 3_600_000)).is_empty());
-    let half = weigh(&stored(), ms(2_495_329), trust, &[]);
+    let half = discount_hosts(&stored(), ms(2_495_329), trust, &[]);
     assert!((half[0].host.size - 1.0).abs() < 0.01 && (half[0].confidence - 0.5).abs() < 0.01);
     assert!(half.iter().all(|one| !one.host.was_primary), "no role is taken from a store");
     assert_eq!(half[0].host.born_ms, 5.0);
     // A clock that went back since: as new, and no newer.
-    assert_eq!(confidence(ms(-5000), trust.life), 1.0);
+    assert_eq!(confidence(ms(-5000), trust.host_lifetime), 1.0);
     // What the platform's own list has is left to it.
-    let known = weigh(&stored(), ms(0), trust, &["p".to_string()]);
+    let known = discount_hosts(&stored(), ms(0), trust, &["p".to_string()]);
     assert_eq!(known.iter().map(|one| &*one.host.name).collect::<Vec<_>>(), ["r"]);
 }
 
 #[test]
 fn a_start_goes_through_its_stages_and_says_what_it_waited_for() {
-    let mut start = Return::start(at(0), Terms::default(), false);
-    assert_eq!(start.stage(), Stage::Blank);
-    start.asked(GroupId(1), false);
-    start.acked(at(100), GroupId(1), false);
-    assert_eq!(start.stage(), Stage::Blank, "nothing is known that could have answered");
-    start.listed(at(3_000));
-    start.guessed(at(3_100));
+    let mut start = StartupTracker::start(at(0), StartupConfig::default(), false);
+    assert_eq!(start.stage(), Stage::NoHosts);
+    start.op_received(GroupId(1), false);
+    start.op_acked(at(100), GroupId(1), false);
+    assert_eq!(start.stage(), Stage::NoHosts, "nothing is known that could have answered");
+    start.discovery_responded(at(3_000));
+    start.unconfirmed_list_received(at(3_100));
     assert_eq!(start.stage(), Stage::Listed, "never back");
     let mut now = 3_000;
     let mut done = None;
     while done.is_none() && now < 20_000 {
         now += 50;
         // Writes are served from the fifth second on.
-        start.asked(GroupId(2), true);
+        start.op_received(GroupId(2), true);
         if now >= 5_000 {
-            start.acked(at(now), GroupId(2), true);
+            start.op_acked(at(now), GroupId(2), true);
         } else {
-            start.failed();
+            start.op_failed();
         }
-        start.asked(GroupId(1), false);
-        start.acked(at(now), GroupId(1), false);
+        start.op_received(GroupId(1), false);
+        start.op_acked(at(now), GroupId(1), false);
         done = start.tick(at(now));
     }
     let done = done.expect("it is over");
-    assert!(done.full && (4_700..5_500).contains(&(done.took.micros() / 1000)), "{done:?}");
-    assert_eq!((done.waited_for, done.waited), (Stage::Listed, ms(3_000)));
+    assert!(done.is_full_service && (4_700..5_500).contains(&(done.took.micros() / 1000)), "{done:?}");
+    assert_eq!((done.longest_stage, done.longest_wait), (Stage::Listed, ms(3_000)));
     assert!(now >= 5_000 + 1_900, "and it lasted for a while: {now}");
     assert_eq!((start.stage(), start.tick(at(30_000))), (Stage::Full, None));
 }
 
 #[test]
 fn a_start_that_is_never_served_ends_by_time_and_silence_of_clients_says_nothing() {
-    let mut start = Return::start(at(0), Terms::default(), true);
+    let mut start = StartupTracker::start(at(0), StartupConfig::default(), true);
     for now in (0..59_000).step_by(100) {
-        start.asked(GroupId(1), true);
-        start.failed();
+        start.op_received(GroupId(1), true);
+        start.op_failed();
         assert_eq!(start.tick(at(now)), None);
     }
     let over = start.tick(at(60_000)).expect("time is up");
-    assert!(!over.full && start.is_over());
-    assert_eq!(over.waited_for, Stage::Full);
-    let mut idle = Return::start(at(0), Terms::default(), true);
+    assert!(!over.is_full_service && start.is_over());
+    assert_eq!(over.longest_stage, Stage::Full);
+    let mut idle = StartupTracker::start(at(0), StartupConfig::default(), true);
     for now in (0..59_000).step_by(100) {
         assert_eq!(idle.tick(at(now)), None);
     }
@@ -107,12 +109,16 @@
     let mut rng = fastrand::Rng::with_seed(3);
     let mut tenths = [0; 10];
     for _ in 0..10_000 {
-        let after = spread(Some(ms(200)), ms(2000), &mut rng);
+        let after = jittered_retry_after(Some(ms(200)), ms(2000), &mut rng);
         assert!((ms(200)..=ms(2000)).contains(&after));
         tenths[((after.micros() - 200_000) / 180_001) as usize] += 1;
     }
     assert!(tenths.iter().all(|count| (850..1150).contains(count)), "{tenths:?}");
-    assert_eq!(spread(Some(ms(5000)), ms(2000), &mut rng), ms(2000), "never beyond what clients may be told");
+    assert_eq!(
+        jittered_retry_after(Some(ms(5000)), ms(2000), &mut rng),
+        ms(2000),
+        "never beyond what clients may be told"
+    );
 }
 
 proptest! {
@@ -122,29 +128,29 @@
     fn it_is_full_only_after_enough_was_served(
         steps in prop::collection::vec((1_i64..400, 0_u32..6, 0_u32..6, prop::bool::weighted(0.1)), 1..300),
     ) {
-        let terms = Terms::default();
-        let mut start = Return::start(at(0), terms, false);
-        let (mut now, mut acks, mut told, mut stage) = (0, 0, 0, Stage::Blank);
+        let terms = StartupConfig::default();
+        let mut start = StartupTracker::start(at(0), terms, false);
+        let (mut now, mut acks, mut told, mut stage) = (0, 0, 0, Stage::NoHosts);
         for (step, asked, acked, listed) in steps {
             now += step;
             if listed {
-                start.listed(at(now));
+                start.discovery_responded(at(now));
             }
             for _ in 0..asked {
-                start.asked(GroupId(0), false);
+                start.op_received(GroupId(0), false);
             }
-            (acked..asked).for_each(|_| start.failed());
+            (acked..asked).for_each(|_| start.op_failed());
             for _ in 0..acked.min(asked) {
-                start.acked(at(now), GroupId(0), false);
+                start.op_acked(at(now), GroupId(0), false);
                 acks += 1;
             }
             if let Some(done) = start.tick(at(now)) {
                 told += 1;
-                if done.full {
-                    prop_assert!(acks >= terms.slices * 3, "{acks} acks are too few");
+                if done.is_full_service {
+                    prop_assert!(acks >= terms.required_windows * 3, "{acks} acks are too few");
                     prop_assert!(done.took <= ms(now) && start.stage() == Stage::Full);
                 } else {
-                    prop_assert!(ms(now) >= terms.over);
+                    prop_assert!(ms(now) >= terms.timeout);
                 }
             }
             prop_assert!(start.stage() >= stage);
--- a/crates/arrowyard-store/src/disk.rs
+++ b/crates/arrowyard-store/src/disk.rs
@@ -23,9 +23,9 @@
 }
 
 /// The system's.
-pub struct System;
+pub struct SystemDisk;
 
-impl Disk for System {
+impl Disk for SystemDisk {
     fn read(&self, path: &Path, most: usize) -> io::Result<(Vec<u8>, u64)> {
         let told = fs::metadata(path)?;
         if !told.is_file() {
--- a/crates/arrowyard-store/src/form.rs
+++ b/crates/arrowyard-store/src/format.rs
@@ -9,7 +9,7 @@
 /// Mark, form, least form for a reader, length, checksum.
 const HEAD: usize = 4 + 2 + 2 + 4 + 4;
 /// Bytes of a file at most: 100,000 hosts fit.
-pub const LARGEST: usize = 16 * 1024 * 1024;
+pub const MAX_FILE_BYTES: usize = 16 * 1024 * 1024;
 
 /// A host as it was last known.
 #[derive(Clone, PartialEq, prost::Message)]
@@ -57,8 +57,8 @@
 
 /// What was found where a generation should be.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Found {
-    Whole(Snapshot),
+pub enum GenerationState {
+    Valid(Snapshot),
     Missing,
     /// A folder, or something else that is no file.
     NoFile,
@@ -82,7 +82,7 @@
 
 /// The bytes of a file.
 #[must_use]
-pub fn write(snapshot: &Snapshot) -> Vec<u8> {
+pub fn encode(snapshot: &Snapshot) -> Vec<u8> {
     let body = snapshot.encode_to_vec();
     let mut bytes = Vec::with_capacity(HEAD + body.len());
     bytes.extend(MARK);
@@ -101,38 +101,38 @@
 
 /// What the bytes are, for this deployment (any, if none is said) at this time (Unix milliseconds); clocks may differ by `skew_ms`.
 #[must_use]
-pub fn judge(bytes: &[u8], deployment: Option<u64>, now_ms: u64, skew_ms: u64) -> Found {
+pub fn decode(bytes: &[u8], deployment: Option<u64>, now_ms: u64, skew_ms: u64) -> GenerationState {
     if bytes.is_empty() {
-        return Found::Empty;
+        return GenerationState::Empty;
     }
-    if bytes.len() > LARGEST {
-        return Found::Huge(bytes.len() as u64);
+    if bytes.len() > MAX_FILE_BYTES {
+        return GenerationState::Huge(bytes.len() as u64);
     }
-    let Some((head, body)) = bytes.split_first_chunk::<HEAD>() else { return Found::Truncated };
+    let Some((head, body)) = bytes.split_first_chunk::<HEAD>() else { return GenerationState::Truncated };
     if head[..4] != MARK {
-        return Found::Garbled;
+        return GenerationState::Garbled;
     }
     let two = |at: usize| u16::from_le_bytes([head[at], head[at + 1]]);
     let four = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
     let (form, least, length, told) = (two(4), two(6), four(8) as usize, four(12));
     if body.len() < length {
-        return Found::Truncated;
+        return GenerationState::Truncated;
     }
     if body.len() > length || check(&head[..12], body) != told {
-        return Found::Garbled;
+        return GenerationState::Garbled;
     }
     if least > FORM {
-        return Found::Newer(form);
+        return GenerationState::Newer(form);
     }
     if form < LEAST {
-        return Found::Older(form);
+        return GenerationState::Older(form);
     }
-    let Ok(snapshot) = Snapshot::decode(body) else { return Found::Garbled };
+    let Ok(snapshot) = Snapshot::decode(body) else { return GenerationState::Garbled };
     if deployment.is_some_and(|deployment| snapshot.deployment != deployment) {
-        return Found::Foreign;
+        return GenerationState::Foreign;
     }
     if snapshot.written_ms > now_ms + skew_ms {
-        return Found::Future(snapshot.written_ms - now_ms);
+        return GenerationState::Future(snapshot.written_ms - now_ms);
     }
-    Found::Whole(snapshot)
+    GenerationState::Valid(snapshot)
 }
--- a/crates/arrowyard-store/src/lib.rs
+++ b/crates/arrowyard-store/src/lib.rs
@@ -3,9 +3,9 @@
 //! wrong with a file told apart, reported, and no reason not to start. Writing blocks: it is for a thread of its own.
 
 mod disk;
-mod form;
+mod format;
 mod generations;
 
-pub use disk::{Disk, System};
-pub use form::{Found, Host, LARGEST, Snapshot, judge, write};
-pub use generations::{Kept, Loaded, Store};
+pub use disk::{Disk, SystemDisk};
+pub use format::{GenerationState, Host, MAX_FILE_BYTES, Snapshot, decode, encode};
+pub use generations::{Generation, Loaded, Store};
--- a/crates/arrowyard-store/tests/store.rs
+++ b/crates/arrowyard-store/tests/store.rs
@@ -5,7 +5,9 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-use arrowyard_store::{Disk, Found, Host, LARGEST, Snapshot, Store, System, judge, write};
+use arrowyard_store::{
+    Disk, GenerationState, Host, MAX_FILE_BYTES, Snapshot, Store, SystemDisk, decode, encode,
+};
 use proptest::prelude::*;
 
 const NOW: u64 = 1_800_000_000_000;
@@ -23,40 +25,46 @@
 
 #[test]
 fn what_is_wrong_with_a_file_is_told_apart() {
-    let good = write(&snapshot(4, 3));
-    assert_eq!(judge(&good, Some(7), NOW, 500), Found::Whole(snapshot(4, 3)));
-    assert_eq!(judge(&[], Some(7), NOW, 500), Found::Empty);
+    let good = encode(&snapshot(4, 3));
+    assert_eq!(decode(&good, Some(7), NOW, 500), GenerationState::Valid(snapshot(4, 3)));
+    assert_eq!(decode(&[], Some(7), NOW, 500), GenerationState::Empty);
     for cut in 1..good.len() {
-        assert_eq!(judge(&good[..cut], Some(7), NOW, 500), Found::Truncated, "{cut}");
+        assert_eq!(decode(&good[..cut], Some(7), NOW, 500), GenerationState::Truncated, "{cut}");
     }
     for byte in 0..good.len() {
         for bit in 0..8 {
             let mut bad = good.clone();
             bad[byte] ^= 1 << bit;
-            let found = judge(&bad, Some(7), NOW, 500);
-            assert!(matches!(found, Found::Garbled | Found::Truncated), "byte {byte}, bit {bit}: {found:?}");
+            let found = decode(&bad, Some(7), NOW, 500);
+            assert!(
+                matches!(found, GenerationState::Garbled | GenerationState::Truncated),
+                "byte {byte}, bit {bit}: {found:?}"
+            );
         }
     }
-    assert_eq!(judge(&[&good[..], b"x"].concat(), Some(7), NOW, 500), Found::Garbled);
-    assert_eq!(judge(&vec![0; LARGEST + 1], Some(7), NOW, 500), Found::Huge(LARGEST as u64 + 1));
-    assert_eq!(judge(&good, Some(8), NOW, 500), Found::Foreign);
+    assert_eq!(decode(&[&good[..], b"x"].concat(), Some(7), NOW, 500), GenerationState::Garbled);
     assert_eq!(
-        judge(&good, Some(7), NOW - 1500, 500),
-        Found::Whole(snapshot(4, 3)),
+        decode(&vec![0; MAX_FILE_BYTES + 1], Some(7), NOW, 500),
+        GenerationState::Huge(MAX_FILE_BYTES as u64 + 1)
+    );
+    assert_eq!(decode(&good, Some(8), NOW, 500), GenerationState::Foreign);
+    assert_eq!(
+        decode(&good, Some(7), NOW - 1500, 500),
+        GenerationState::Valid(snapshot(4, 3)),
         "clocks may differ so far"
     );
-    assert_eq!(judge(&good, Some(7), NOW - 1501, 500), Found::Future(501));
+    assert_eq!(decode(&good, Some(7), NOW - 1501, 500), GenerationState::Future(501));
     let formed = |form: u16, least: u16| {
         let mut bytes = good.clone();
         bytes[4..6].copy_from_slice(&form.to_le_bytes());
         bytes[6..8].copy_from_slice(&least.to_le_bytes());
         let check = crc32c::crc32c_append(crc32c::crc32c(&bytes[..12]), &bytes[16..]);
         bytes[12..16].copy_from_slice(&check.to_le_bytes());
-        judge(&bytes, Some(7), NOW, 500)
+        decode(&bytes, Some(7), NOW, 500)
     };
-    assert_eq!(formed(9, 9), Found::Newer(9));
-    assert_eq!(formed(9, 1), Found::Whole(snapshot(4, 3)), "a later form that can be read");
-    assert_eq!(formed(0, 0), Found::Older(0));
+    assert_eq!(formed(9, 9), GenerationState::Newer(9));
+    assert_eq!(formed(9, 1), GenerationState::Valid(snapshot(4, 3)), "a later form that can be read");
+    assert_eq!(formed(0, 0), GenerationState::Older(0));
 }
 
 /// A disk in memory that breaks at a step: what it was doing is done in part, and nothing after it.
@@ -103,7 +111,7 @@
 fn killed_five_hundred_times_in_its_writes_each_start_finds_one_whole_generation() {
     let disk = Torn::default();
     disk.left.set(usize::MAX);
-    let store = Store { disk, folder: "s".into(), deployment: Some(7), skew_ms: 500 };
+    let store = Store { disk, folder: "s".into(), deployment: Some(7), max_clock_skew_ms: 500 };
     let mut rng = fastrand::Rng::with_seed(9);
     let mut last = 0;
     for turn in 0..500 {
@@ -150,7 +158,8 @@
 #[test]
 fn on_a_real_disk_two_generations_take_turns_and_what_is_no_file_is_told() {
     let folder = Folder::new("turns");
-    let store = Store { disk: System, folder: folder.0.clone(), deployment: Some(7), skew_ms: 500 };
+    let store =
+        Store { disk: SystemDisk, folder: folder.0.clone(), deployment: Some(7), max_clock_skew_ms: 500 };
     assert!(store.load(NOW).newest().is_none());
     for number in 1..5 {
         store.save(snapshot(0, number), NOW).expect("it can be written");
@@ -163,25 +172,30 @@
     assert_eq!(mode & 0o777, 0o600, "its owner's alone");
     // The newer one breaks: the older one is taken, and the broken one is replaced next.
     let (newest, _) = store.load(NOW).newest().map(|(kept, one)| (kept, one.number)).expect("one is whole");
-    let broken = folder.0.join(if newest == arrowyard_store::Kept::A { "hosts.a" } else { "hosts.b" });
+    let broken = folder.0.join(if newest == arrowyard_store::Generation::A { "hosts.a" } else { "hosts.b" });
     std::fs::write(&broken, b"AYST").expect("it can be written");
     assert_eq!(store.load(NOW).newest().map(|(_, one)| one.number), Some(3));
-    assert_eq!(store.load(NOW).next().0, newest);
+    assert_eq!(store.load(NOW).next_generation().0, newest);
     std::fs::remove_file(&broken).expect("it is there");
     std::fs::create_dir(&broken).expect("a folder can be made");
-    assert!(store.load(NOW).found.iter().any(|(_, found)| *found == Found::NoFile));
+    assert!(store.load(NOW).generations.iter().any(|(_, found)| *found == GenerationState::NoFile));
     assert!(store.save(snapshot(0, 1), NOW).is_err(), "a folder is not replaced");
     assert_eq!(store.load(NOW).newest().map(|(_, one)| one.number), Some(3), "and the other is as it was");
-    let nowhere = Store { disk: System, folder: folder.0.join("none"), deployment: Some(7), skew_ms: 500 };
+    let nowhere = Store {
+        disk: SystemDisk,
+        folder: folder.0.join("none"),
+        deployment: Some(7),
+        max_clock_skew_ms: 500,
+    };
     assert!(nowhere.save(snapshot(0, 1), NOW).is_err());
 }
 
 proptest! {
     #[test]
     fn no_bytes_make_it_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
-        let _ = judge(&bytes, Some(7), NOW, 500);
+        let _ = decode(&bytes, Some(7), NOW, 500);
         let mut marked = b"AYST".to_vec();
         marked.extend(bytes);
-        let _ = judge(&marked, Some(7), NOW, 500);
+        let _ = decode(&marked, Some(7), NOW, 500);
     }
 }
