--- a/crates/arrowyard-system/src/bin/arrowyard-sluice.rs
+++ b/crates/arrowyard-system/src/bin/arrowyard-sluice.rs
@@ -3,7 +3,7 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use arrowyard_pooler::Sluice;
+use arrowyard_pooler::RouterPlane;
 use arrowyard_runtime::{LoopConfig, run};
 use arrowyard_system::{init_logging, load_settings, random_incarnation, settings_path, settings_reloader};
 use bpaf::Bpaf;
@@ -43,7 +43,7 @@
     };
     let listen_addresses = vec![bind_address("front")?, bind_address("readiness")?];
     let max_connections = settings.limits.fd_limit.saturating_sub(RESERVED_DESCRIPTORS).max(MIN_CONNECTIONS);
-    let mut plane = Sluice::new(settings, random_incarnation(), settings_reloader(path));
+    let mut plane = RouterPlane::new(settings, random_incarnation(), settings_reloader(path));
     run(LoopConfig { listen_addresses, store: None, max_connections }, &mut plane)
         .map_err(|error| error.to_string())
 }
