--- a/crates/arrowyard-cells/src/assignment.rs
+++ b/crates/arrowyard-cells/src/assignment.rs
@@ -189,8 +189,8 @@
     names.extend(others);
     names.sort_unstable();
     names.dedup();
-    let cells = |assign: &mut CellAssignment, layout: &Layout, name: &str| -> Vec<Box<str>> {
-        let cells = assign.cells_for(Some(name), None, GroupId(0)).unwrap_or_default();
+    let cells = |assignment: &mut CellAssignment, layout: &Layout, name: &str| -> Vec<Box<str>> {
+        let cells = assignment.cells_for(Some(name), None, GroupId(0)).unwrap_or_default();
         let mut cells: Vec<Box<str>> = cells.iter().map(|&id| layout.cell(id).name.clone()).collect();
         cells.sort_unstable();
         cells
--- a/crates/arrowyard-cells/tests/admission.rs
+++ b/crates/arrowyard-cells/tests/admission.rs
@@ -208,7 +208,7 @@
         .take_events()
         .iter()
         .filter_map(
-            |news| if let CellEvent::ReleaseVerdict(verdict) = news { Some(verdict.verdict) } else { None },
+            |event| if let CellEvent::ReleaseVerdict(verdict) = event { Some(verdict.verdict) } else { None },
         )
         .collect();
     assert_eq!(verdict, [ReleaseVerdict::Good, ReleaseVerdict::Bad]);
--- a/crates/arrowyard-peers/src/config.rs
+++ b/crates/arrowyard-peers/src/config.rs
@@ -25,7 +25,7 @@
     pub probe_timeout: TimeDelta,
     /// Silence after which a member with at least two accusers is lost; doubled with a single accuser.
     pub lost_after: TimeDelta,
-    /// A member that this router heard from within this time is not suspected on the word of others.
+    /// A member that this router heard from within this time is not suspected on reports of others.
     pub freshness_window: TimeDelta,
     /// How long lost and dead members are remembered and probed.
     pub forget_after: TimeDelta,
--- a/crates/arrowyard-peers/src/membership.rs
+++ b/crates/arrowyard-peers/src/membership.rs
@@ -499,10 +499,10 @@
             }
             (previous != standing).then(|| (member.name.clone(), member.incarnation))
         });
-        let Some(Some((name, life))) = changed else { return };
+        let Some(Some((name, incarnation))) = changed else { return };
         self.events.push(Event::StandingChanged {
             name,
-            incarnation: life,
+            incarnation,
             standing,
             reported_by: reporter.clone(),
         });
