--- a/crates/arrowyard-control/src/control.rs
+++ b/crates/arrowyard-control/src/control.rs
@@ -57,6 +57,9 @@
 const REQUEST_DRAIN_TIMEOUT: TimeDelta = TimeDelta::from_millis(800);
 const VOTE_HANDOVER_TIMEOUT: TimeDelta = TimeDelta::from_millis(2500);
 
+/// How long departed hosts are remembered by promotions.
+const DEPARTED_HOST_RETENTION: TimeDelta = TimeDelta::from_millis(30_000);
+
 /// Reads the settings file again; `None` if that fails.
 pub type ReloadSettings = Box<dyn FnMut() -> Option<Settings>>;
 
@@ -272,7 +275,7 @@
             let registry = &self.registry;
             self.departures.retain(|host| registry.get(host).is_some());
         }
-        self.departed_hosts.retain(|(at, _)| now - *at < TimeDelta::from_millis(30_000));
+        self.departed_hosts.retain(|(at, _)| now - *at < DEPARTED_HOST_RETENTION);
         self.expire_host_requests(now, commands);
         self.count_routers(now, commands);
         self.store_registry(now, commands);
@@ -316,9 +319,9 @@
         }
     }
 
-    fn disk_changed(&mut self, works: bool) {
-        self.disk.set_working(works);
-        if works {
+    fn disk_changed(&mut self, working: bool) {
+        self.disk.set_working(working);
+        if working {
             self.replicated_log.disk_recovered();
             log::info!("disk: stored a complete snapshot; this machine votes again");
         } else {
--- a/crates/arrowyard-control/src/control/fair_shares.rs
+++ b/crates/arrowyard-control/src/control/fair_shares.rs
@@ -19,20 +19,20 @@
 /// Allocation state of a control machine.
 #[derive(Default)]
 pub struct Shares {
-    terms: ShareConfig,
-    /// Slot of the configuration that `terms` was read from.
+    config: ShareConfig,
+    /// Slot of the configuration that `config` was read from.
     slot: u64,
     /// Present while this machine holds the duty.
-    allotter: Option<Allocator>,
+    allocator: Option<Allocator>,
     /// The control machine through which each router is reached; `None` if it is subscribed here.
     routes: FxHashMap<u64, Option<u32>>,
 }
 
 impl Shares {
-    pub fn shown(&self) -> Vec<(ServiceStatus, &str)> {
-        let rows = self.allotter.iter().flat_map(Allocator::status);
+    pub fn status(&self) -> Vec<(ServiceStatus, &str)> {
+        let rows = self.allocator.iter().flat_map(Allocator::status);
         rows.map(|row| {
-            let name = self.terms.service_name(row.service);
+            let name = self.config.service_name(row.service);
             (row, name)
         })
         .collect()
@@ -42,8 +42,8 @@
 impl Control {
     /// Creates or drops the allocator when the duty is taken up or given up.
     pub(super) fn start_allocator(&mut self, now: Timestamp, after_another: bool) {
-        let waits = if after_another { PREVIOUS_HOLDER_TIMEOUT } else { TimeDelta::ZERO };
-        self.shares.allotter = self.fence.map(|fence| Allocator::start(now, fence, waits));
+        let delay = if after_another { PREVIOUS_HOLDER_TIMEOUT } else { TimeDelta::ZERO };
+        self.shares.allocator = self.fence.map(|fence| Allocator::start(now, fence, delay));
     }
 
     /// Handles a demand report from a router, or from the control machine that it is subscribed to.
@@ -51,10 +51,10 @@
         &mut self,
         now: Timestamp,
         from: Option<u32>,
-        needs: DemandReport,
+        report: DemandReport,
         commands: &mut Commands,
     ) {
-        if self.shares.allotter.is_none() {
+        if self.shares.allocator.is_none() {
             // Forwarded once, to the duty holder only.
             let holder = self
                 .replicated_log
@@ -63,7 +63,7 @@
                 .get(crate::applied_state::PROMOTION_DUTY)
                 .map(|duty| duty.holder);
             if let Some(holder) = holder.filter(|holder| from.is_none() && *holder != self.local_ip) {
-                self.send_to_peer(holder, &Payload::DemandReport(needs), commands);
+                self.send_to_peer(holder, &Payload::DemandReport(report), commands);
             }
             return;
         }
@@ -71,22 +71,22 @@
         if !self.replicated_log.applied().configuration.division_enabled() {
             return;
         }
-        let Shares { terms, allotter, routes, .. } = &mut self.shares;
-        let Some(allotter) = allotter else { return };
+        let Shares { config, allocator, routes, .. } = &mut self.shares;
+        let Some(allocator) = allocator else { return };
         if routes.len() >= MAX_ROUTERS {
             routes.clear();
         }
-        routes.insert(needs.router, from);
-        for HostDemand { host, slots, fence, answers, services: list, group } in needs.hosts {
+        routes.insert(report.router, from);
+        for HostDemand { host, slots, fence, answers, services: list, group } in report.hosts {
             let need = |need: arrowyard_messages::ServiceDemand| ServiceDemand {
-                service: terms.service_id(&need.service),
+                service: config.service_id(&need.service),
                 in_flight: need.running_milli,
                 queued: need.waiting_milli,
             };
             let answers = if Some(fence) == self.fence { answers } else { 0 };
             let list = list.into_iter().take(MAX_SERVICES_PER_REPORT).map(need).collect();
             let at = HostInfo { id: &host, group: &group, slots };
-            allotter.record_demand(now, &at, RouterId(needs.router), (needs.echo, answers), list);
+            allocator.record_demand(now, &at, RouterId(report.router), (report.echo, answers), list);
         }
         self.allocate_shares(now, commands);
     }
@@ -95,32 +95,32 @@
         let applied = self.replicated_log.applied();
         if self.shares.slot != applied.slot {
             self.shares.slot = applied.slot;
-            self.shares.terms.apply_configuration(&applied.configuration);
+            self.shares.config.apply_configuration(&applied.configuration);
         }
     }
 
     /// Computes the allocations that are due and sends them.
     pub(super) fn allocate_shares(&mut self, now: Timestamp, commands: &mut Commands) {
         let (routers, fence) = (self.routers, self.fence.unwrap_or_default());
-        let Shares { terms, allotter, routes, .. } = &mut self.shares;
-        let Some(allotter) = allotter else { return };
-        let division = allotter.allocate(now, terms, routers);
+        let Shares { config, allocator, routes, .. } = &mut self.shares;
+        let Some(allocator) = allocator else { return };
+        let division = allocator.allocate(now, config, routers);
         let mut by_router: std::collections::BTreeMap<u64, Vec<HostAllocation>> =
             std::collections::BTreeMap::new();
-        for (router, allot) in division.allocations {
-            let caps = allot.caps.iter();
+        for (router, allocation) in division.allocations {
+            let caps = allocation.caps.iter();
             let cap = |(of, cap): &(_, u32)| ServiceCap {
-                service: terms.service_name(*of).to_string(),
+                service: config.service_name(*of).to_string(),
                 cap_milli: *cap,
             };
             by_router.entry(router.0).or_default().push(HostAllocation {
-                host: allot.host,
-                number: allot.number,
-                echo: allot.report,
-                overloaded: allot.overloaded,
+                host: allocation.host,
+                number: allocation.number,
+                echo: allocation.report,
+                overloaded: allocation.overloaded,
                 caps: caps.map(cap).collect(),
-                capacity_milli: allot.permits,
-                routers: allot.routers,
+                capacity_milli: allocation.permits,
+                routers: allocation.routers,
             });
         }
         let by_route: Vec<(Option<u32>, HostAllocations)> = by_router
--- a/crates/arrowyard-control/src/control/platform.rs
+++ b/crates/arrowyard-control/src/control/platform.rs
@@ -67,10 +67,10 @@
     ) {
         let stage = &self.promotions.get_or_create(service).stage;
         let is_repeated = matches!(stage, Stage::Promoting { retries, .. } if *retries > 0);
-        let decided = self.decisions.by_service.get(service);
+        let pending = self.decisions.by_service.get(service);
         let is_valid =
-            |decided: &&PendingDecision| is_repeated && decided.host == host && now < decided.until;
-        let agreed = decided.filter(is_valid).and_then(|decided| Some((decided.fence?, decided.until)));
+            |pending: &&PendingDecision| is_repeated && pending.host == host && now < pending.until;
+        let agreed = pending.filter(is_valid).and_then(|pending| Some((pending.fence?, pending.until)));
         match agreed {
             Some((fence, until)) => self.call_platform(now, service, host, (fence, until), commands),
             None if now < self.decisions.not_before => {
@@ -94,18 +94,18 @@
     /// Where the platform does not check fencing tokens, delays the first decision until the previous
     /// holder's calls have expired.
     pub(super) fn set_decision_start(&mut self, now: Timestamp, after_another: bool) {
-        let waits = after_another && !self.settings.envelope.fence_checked;
-        self.decisions.not_before = if waits { now + UNFENCED_WAIT } else { now };
+        let delayed = after_another && !self.settings.envelope.fence_checked;
+        self.decisions.not_before = if delayed { now + UNFENCED_WAIT } else { now };
     }
 
     /// Sends the call once connected, if it has not expired.
     pub(super) fn on_platform_connected(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
-        let Some(Connection::Platform(platform)) = self.connections.get(&conn) else { return };
-        if now < platform.until {
-            commands.write(conn, &[platform.request.as_bytes()]);
-        } else if let Some(Connection::Platform(platform)) = self.connections.remove(&conn) {
+        let Some(Connection::Platform(call)) = self.connections.get(&conn) else { return };
+        if now < call.until {
+            commands.write(conn, &[call.request.as_bytes()]);
+        } else if let Some(Connection::Platform(call)) = self.connections.remove(&conn) {
             commands.reset(conn);
-            self.on_platform_closed(now, &platform, commands);
+            self.on_platform_closed(now, &call, commands);
         }
     }
 
@@ -114,9 +114,9 @@
         let Some(duty_fence) = self.fence else { return };
         self.decisions.last_number += 1;
         let number = self.decisions.last_number;
-        let decided =
+        let pending =
             PendingDecision { host: host.to_string(), number, fence: None, until: now + DECISION_VALIDITY };
-        self.decisions.by_service.insert(service.to_string(), decided);
+        self.decisions.by_service.insert(service.to_string(), pending);
         let decision = Decision {
             service: service.to_string(),
             host: host.to_string(),
@@ -143,12 +143,12 @@
         if !is_own_decision || self.fence != Some(decision.duty_fence) {
             return;
         }
-        let Some(decided) = self.decisions.by_service.get_mut(&decision.service) else { return };
-        if decided.number != decision.number || decided.fence.is_some() {
+        let Some(pending) = self.decisions.by_service.get_mut(&decision.service) else { return };
+        if pending.number != decision.number || pending.fence.is_some() {
             return;
         }
-        decided.fence = Some(slot);
-        let until = decided.until;
+        pending.fence = Some(slot);
+        let until = pending.until;
         if self.survey_newcomers(now, &decision.service, commands) {
             return;
         }
@@ -174,11 +174,11 @@
         &mut self,
         now: Timestamp,
         ticket: ProposalId,
-        answer: ProposalOutcome,
+        outcome: ProposalOutcome,
         commands: &mut Commands,
     ) -> bool {
         let Some(service) = self.decisions.proposed.remove(&ticket) else { return false };
-        if !matches!(answer, ProposalOutcome::Committed(_)) {
+        if !matches!(outcome, ProposalOutcome::Committed(_)) {
             log::warn!("promotion: {service}: the decision was not chosen in time");
             self.promotion_replied(now, &service, Reply::Platform { status: 0 }, commands);
         }
@@ -194,7 +194,7 @@
         (fence, until): (u64, Timestamp),
         commands: &mut Commands,
     ) {
-        let Some(platform) = &self.settings.platform_api else {
+        let Some(platform_api) = &self.settings.platform_api else {
             log::error!("promotion: {service}: no platform API is configured");
             return;
         };
@@ -204,22 +204,23 @@
         let fence = fence.to_string();
         let headers =
             [("Arrowyard-Duty-Holder", self.settings.node.as_str()), ("Arrowyard-Fence", fence.as_str())];
-        let request = format_request("POST", "/promotion", &platform.address.to_string(), &headers, &body);
-        let conn = commands.dial(platform.address);
-        let platform =
+        let request =
+            format_request("POST", "/promotion", &platform_api.address.to_string(), &headers, &body);
+        let conn = commands.dial(platform_api.address);
+        let call =
             PlatformCall { messages: HttpDecoder::default(), request, service: service.to_string(), until };
-        self.connections.insert(conn, Connection::Platform(platform));
+        self.connections.insert(conn, Connection::Platform(call));
         self.platform_calls.push((conn, now + RESPONSE_TIMEOUT));
     }
 
     pub(super) fn on_platform_data(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
-        let Some(Connection::Platform(platform)) = self.connections.get_mut(&conn) else { return };
-        let status = match platform.messages.next_response() {
+        let Some(Connection::Platform(call)) = self.connections.get_mut(&conn) else { return };
+        let status = match call.messages.next_response() {
             Ok(None) => return,
             Ok(Some(response)) => response.status,
             Err(_) => 0,
         };
-        let service = platform.service.clone();
+        let service = call.service.clone();
         commands.close(conn);
         drop(self.connections.remove(&conn));
         self.platform_replied(now, &service, status, commands);
@@ -228,10 +229,10 @@
     pub(super) fn on_platform_closed(
         &mut self,
         now: Timestamp,
-        platform: &PlatformCall,
+        call: &PlatformCall,
         commands: &mut Commands,
     ) {
-        self.platform_replied(now, &platform.service, 0, commands);
+        self.platform_replied(now, &call.service, 0, commands);
     }
 
     fn platform_replied(&mut self, now: Timestamp, service: &str, status: u16, commands: &mut Commands) {
@@ -241,13 +242,13 @@
 
     /// Fails calls that were not answered in time.
     pub(super) fn drop_late_calls(&mut self, now: Timestamp, commands: &mut Commands) {
-        let late: Vec<Conn> =
+        let expired: Vec<Conn> =
             self.platform_calls.iter().filter(|(_, until)| *until <= now).map(|(conn, _)| *conn).collect();
         self.platform_calls.retain(|(_, until)| *until > now);
-        for conn in late {
-            if let Some(Connection::Platform(platform)) = self.connections.remove(&conn) {
+        for conn in expired {
+            if let Some(Connection::Platform(call)) = self.connections.remove(&conn) {
                 commands.reset(conn);
-                self.on_platform_closed(now, &platform, commands);
+                self.on_platform_closed(now, &call, commands);
             }
         }
     }
