--- a/crates/arrowyard-leases/src/config.rs
+++ b/crates/arrowyard-leases/src/config.rs
@@ -1,24 +1,24 @@
-//! Ids, and every time and count of leases; filled once at start.
+//! Identifiers and configuration of leases.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
 use arrowyard_types::TimeDelta;
 
-/// A task that one does for all, by the mark of its name.
+/// Identifies a lease by the hash of its name; see [`lease_id`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseId(pub u64);
 
-/// A voter, by its place among the voters' names in order.
+/// The index of a voter among the voters' names in sorted order.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VoterId(pub u8);
 
-/// One life of a process that wants leases, drawn at its start. Danger: under its name a process that started anew would
-/// take the lease of its former life for its own, while that one is only halted.
+/// Identifies one incarnation of a candidate process, drawn at random at its start. A name would not do: a restarted process
+/// would take over the lease of its previous incarnation, which may only be paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CandidateId(pub u64);
 
-/// Rises with each holder of a lease.
+/// The fencing token of a lease; increases with each new holder.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch(pub u64);
 
@@ -29,33 +29,33 @@
     }
 }
 
-/// The lease of this name: FNV-1a of its bytes.
+/// The identifier of the lease of this name: the FNV-1a hash of its bytes.
 #[must_use]
 pub fn lease_id(name: &str) -> LeaseId {
-    let step = |mark: u64, byte: u8| (mark ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
+    let step = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3);
     LeaseId(name.bytes().fold(0xcbf2_9ce4_8422_2325, step))
 }
 
+/// Timing and limits; `voter_count`, `term` and `drift_ppm` must be the same at all voters and candidates of a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
-    /// How many vote.
     pub voter_count: u8,
-    /// How long a grant holds, by the voter's clock; the same at all voters and candidates of a fleet.
+    /// The duration of a grant by the voter's clock.
     pub term: TimeDelta,
-    /// How much a clock may run too fast or too slow, in millionths.
+    /// The bound on the drift of each clock, in parts per million.
     pub drift_ppm: u32,
-    /// A holder asks for more once this much of the term has passed, in hundredths.
+    /// A holder requests a renewal after this percentage of the term.
     pub renew_percent: u8,
-    /// A round that brought no majority is followed by another after this.
+    /// The delay between a round without a majority and the next one.
     pub retry_interval: TimeDelta,
-    /// So many rounds without a majority, and what was granted is given back.
+    /// After this many rounds without a majority, a candidate releases the grants that it got.
     pub max_attempts: u8,
-    /// Those that want the same lease spread over this, each by its preference and a draw; doubled with each conflict.
+    /// Candidates delay their requests by their rank and a random share of this window, which doubles with each conflict.
     pub contention_window: TimeDelta,
     pub max_contention_window: TimeDelta,
-    /// Leases that a voter knows at most.
+    /// The maximum number of leases that a voter tracks.
     pub max_leases: usize,
-    /// Leases in one round at most, so that it fits into a datagram.
+    /// The maximum number of leases in one message, so that it fits into a datagram.
     pub max_batch_leases: usize,
     #[cfg(any(test, feature = "flaws"))]
     pub flaw: Option<Flaw>,
@@ -82,14 +82,14 @@
 }
 
 impl LeaseConfig {
-    /// A majority of all voters. Danger: a majority of those in reach is none; two parts of a cut would each have one.
+    /// The quorum: a majority of all voters, reachable or not, so that two sides of a network partition cannot both have one.
     #[must_use]
     pub fn majority(&self) -> usize {
         usize::from(self.voter_count) / 2 + 1
     }
 
-    /// How long a holder may act from before it asked, by its own clock. A voter's clock that runs too fast ends the
-    /// grant after term / (1 + drift) of true time; the holder's own, if it runs too slow, shows (1 - drift) of that.
+    /// How long a holder may act by its own clock, counted from before it sent its request. A voter's fast clock ends the grant
+    /// after term / (1 + drift) of true time, of which the holder's slow clock shows (1 - drift).
     #[must_use]
     pub fn usable_term(&self) -> TimeDelta {
         #[cfg(any(test, feature = "flaws"))]
@@ -102,50 +102,50 @@
     }
 }
 
-/// A task that whoever holds its lease does: a call to whoever takes the effect.
+/// A singleton task: an HTTP call that the holder of the lease makes periodically.
 #[derive(Clone, Debug)]
 pub struct Duty {
     pub name: String,
     pub address: SocketAddr,
     pub path: String,
     pub interval: TimeDelta,
-    /// How long a call may take: it is begun only where the lease lasts longer.
+    /// The maximum duration of a call; a call is started only if the lease lasts longer.
     pub max_duration: TimeDelta,
-    /// Those with a smaller number try for it sooner.
+    /// Routers with a lower rank request the lease earlier.
     pub rank: u32,
 }
 
-/// How a router takes part in leases, from the operator's file.
+/// How a router takes part in the lease protocol, from the operator's configuration file.
 #[derive(Clone, Debug)]
 pub struct LeaseSettings {
     pub fleet: String,
     pub listen: SocketAddr,
-    /// The voters' names in order, and where they are reached from here.
+    /// The voters' names in sorted order, and their addresses as seen from this router.
     pub voters: Vec<(String, SocketAddr)>,
-    /// Where votes are kept, if this router is a voter.
+    /// The directory of a voter's file; required if this router is a voter.
     pub store: Option<PathBuf>,
     pub config: LeaseConfig,
     pub duties: Vec<Duty>,
 }
 
-/// What is left out on purpose.
+/// A deliberate protocol violation, used to prove that the tests detect it.
 #[cfg(any(test, feature = "flaws"))]
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Flaw {
-    /// A holder counts from when a grant reached it, not from before it asked.
+    /// A holder counts its term from the receipt of a grant instead of from before its request.
     CountFromReceipt,
-    /// A voter votes as soon as it has started.
+    /// A voter votes immediately after its start.
     NoStartupWait,
-    /// A grant that comes twice counts for two.
+    /// A duplicated grant is counted twice.
     CountDuplicateGrants,
-    /// Whoever takes an effect does not look at its epoch.
+    /// The receiver of effects does not check epochs.
     SkipFencingCheck,
-    /// A majority of those that answered does.
+    /// A majority of the responses received is taken for a quorum.
     MajorityOfResponses,
     /// Clock drift is ignored.
     IgnoreDrift,
-    /// A voter that lost its store votes without asking the others what was granted.
+    /// A voter that lost its votes skips recovery from the others.
     NoRecovery,
-    /// The holder does not look at its clock before it acts.
+    /// The holder does not check whether its lease has expired.
     SkipExpiryCheck,
 }
--- a/crates/arrowyard-leases/src/drift.rs
+++ b/crates/arrowyard-leases/src/drift.rs
@@ -1,6 +1,6 @@
-//! Whether another's clock keeps within the bound, as far as its answers tell. An answer shows its clock at some moment
-//! between the question and the receipt; two answers far apart bound how fast it runs beside the own one. Danger: beyond
-//! the bound two may hold one lease at a time, and nobody would know why.
+//! Detects voter clocks that exceed the drift bound. A response shows the voter's clock at some moment between request and
+//! receipt, so two responses far apart bound its rate relative to the local clock. Beyond the bound, two candidates may hold
+//! one lease at the same time, and the drift must be reported.
 
 use std::collections::VecDeque;
 
@@ -9,88 +9,91 @@
 use crate::Message;
 use crate::config::VoterId;
 
-/// An answer: asked and received by the own clock, and what the other one showed.
+/// One response: when it was requested and received by the local clock, and the remote clock that it carried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Sample {
-    asked: Timestamp,
-    came: Timestamp,
-    showed: Timestamp,
+    sent_at: Timestamp,
+    received_at: Timestamp,
+    remote_clock: Timestamp,
 }
 
+/// Compares the clock of one voter with the local one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DriftEstimator {
-    first: Option<Sample>,
+    baseline: Option<Sample>,
 }
 
-/// The clocks of all voters, as their answers to the rounds of one candidate show them.
+/// Drift estimators for all voters, fed from the responses to one candidate's rounds.
 #[derive(Clone, Debug)]
 pub struct ClockMonitor {
     bound_ppm: u32,
     drifts: Vec<DriftEstimator>,
-    /// The last rounds, and when each was begun.
-    asked: VecDeque<(u64, Timestamp)>,
+    /// The latest rounds, and when each request was sent.
+    sent_rounds: VecDeque<(u64, Timestamp)>,
 }
 
-/// Rounds whose begin is remembered.
-const ASKED: usize = 32;
+/// Rounds whose send time is remembered.
+const MAX_TRACKED_ROUNDS: usize = 32;
 
 impl ClockMonitor {
     #[must_use]
     pub fn new(voters: u8, bound_ppm: u32) -> ClockMonitor {
         let drifts = vec![DriftEstimator::default(); usize::from(voters)];
-        ClockMonitor { bound_ppm, drifts, asked: VecDeque::new() }
+        ClockMonitor { bound_ppm, drifts, sent_rounds: VecDeque::new() }
     }
 
-    /// A word goes out, or has come; by how much a voter's clock surely runs away, if it does.
-    pub fn observe(&mut self, now: Timestamp, word: &Message) -> Option<(VoterId, i64)> {
-        match word {
+    /// Records a message that was sent or received. Returns the voter and its drift in parts per million if that provably
+    /// exceeds the bound.
+    pub fn observe(&mut self, now: Timestamp, message: &Message) -> Option<(VoterId, i64)> {
+        match message {
             Message::Request { round, .. } => {
-                if self.asked.len() == ASKED {
-                    self.asked.pop_front();
+                if self.sent_rounds.len() == MAX_TRACKED_ROUNDS {
+                    self.sent_rounds.pop_front();
                 }
-                if self.asked.back().is_none_or(|(last, _)| last != round) {
-                    self.asked.push_back((*round, now));
+                if self.sent_rounds.back().is_none_or(|(last, _)| last != round) {
+                    self.sent_rounds.push_back((*round, now));
                 }
                 None
             }
             Message::Response { from, round, clock, .. } => {
-                let asked = self.asked.iter().find(|(number, _)| number == round)?.1;
+                let sent_at = self.sent_rounds.iter().find(|(number, _)| number == round)?.1;
                 let drift = self.drifts.get_mut(usize::from(from.0))?;
-                Some(*from).zip(drift.add_sample(asked, now, *clock, self.bound_ppm))
+                Some(*from).zip(drift.add_sample(sent_at, now, *clock, self.bound_ppm))
             }
             _ => None,
         }
     }
 }
 
-/// Samples nearer to each other than this tell nothing, and farther ones are begun anew.
-const NEAR: TimeDelta = TimeDelta::from_millis(5_000);
-const FAR: TimeDelta = TimeDelta::from_millis(600_000);
+/// Samples closer together than the first are too imprecise; a baseline older than the second is replaced.
+const MIN_BASELINE: TimeDelta = TimeDelta::from_millis(5_000);
+const MAX_BASELINE: TimeDelta = TimeDelta::from_millis(600_000);
 
 impl DriftEstimator {
-    /// One more answer; by how many millionths the clocks surely run apart, if that is more than twice the bound (each of the
-    /// two may be off by it).
+    /// Adds a response. Returns the drift in parts per million if it provably exceeds twice the bound, since each of the two
+    /// clocks may be off by the bound.
     pub fn add_sample(
         &mut self,
-        asked: Timestamp,
-        came: Timestamp,
-        showed: Timestamp,
+        sent_at: Timestamp,
+        received_at: Timestamp,
+        remote_clock: Timestamp,
         bound_ppm: u32,
     ) -> Option<i64> {
-        let sample = Sample { asked, came, showed };
-        let first = *self.first.get_or_insert(sample);
-        let least = (asked - first.came).micros();
-        let most = (came - first.asked).micros();
-        let theirs = (showed - first.showed).micros();
-        if asked - first.came < NEAR {
+        let sample = Sample { sent_at, received_at, remote_clock };
+        let first = *self.baseline.get_or_insert(sample);
+        let min_interval_us = (sent_at - first.received_at).micros();
+        let max_interval_us = (received_at - first.sent_at).micros();
+        let remote_us = (remote_clock - first.remote_clock).micros();
+        if sent_at - first.received_at < MIN_BASELINE {
             return None;
         }
-        if came - first.asked > FAR {
-            self.first = Some(sample);
+        if received_at - first.sent_at > MAX_BASELINE {
+            self.baseline = Some(sample);
         }
-        let ppm = |theirs: i64, ours: i64| ((theirs - ours) as f64 / ours as f64 * 1e6) as i64;
-        // At least so fast, if the own time between the two was the most that it may have been; and the other way round.
-        let (slowest, fastest) = (ppm(theirs, most), ppm(theirs, least));
+        let ppm =
+            |remote_us: i64, local_us: i64| ((remote_us - local_us) as f64 / local_us as f64 * 1e6) as i64;
+        // The longest possible local interval gives the lowest rate of the remote clock, the shortest one the highest.
+        let (slowest, fastest) = (ppm(remote_us, max_interval_us), ppm(remote_us, min_interval_us));
         let bound = 2 * i64::from(bound_ppm);
         if slowest > bound {
             return Some(slowest);
--- a/crates/arrowyard-leases/src/fencing.rs
+++ b/crates/arrowyard-leases/src/fencing.rs
@@ -1,6 +1,6 @@
-//! What stands before every effect: the holder looks at its permit at the last moment, and whoever takes the effect looks at
-//! the epoch. Danger: a holder that is halted between its look and its act comes back when another one has acted since; no
-//! look of its own can tell it that.
+//! Checks before each effect: the holder checks its permit at the last moment, and the receiver of the effect checks the epoch.
+//! A holder that is paused between its check and its effect may resume after another holder has acted, which only the
+//! receiver's check can detect.
 
 use std::collections::BTreeMap;
 
@@ -8,7 +8,7 @@
 
 use crate::config::{CandidateId, Epoch, LeaseId};
 
-/// The right to act, till its end by the holder's clock.
+/// The right to act under a lease until `end` by the holder's clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Permit {
     pub lease: LeaseId,
@@ -18,35 +18,35 @@
 }
 
 impl Permit {
-    /// Whether an act that takes so long may begin now.
+    /// Whether an action that takes up to `duration` may start now.
     #[must_use]
-    pub fn allows(&self, now: Timestamp, takes: TimeDelta) -> bool {
-        now + takes < self.end
+    pub fn allows(&self, now: Timestamp, duration: TimeDelta) -> bool {
+        now + duration < self.end
     }
 
-    /// How long an act may still take.
+    /// The time until the permit ends.
     #[must_use]
     pub fn remaining(&self, now: Timestamp) -> TimeDelta {
         (self.end - now).max(TimeDelta::ZERO)
     }
 }
 
-/// An effect came too late: something was done under this newer epoch.
+/// An effect was rejected: another was accepted under this newer epoch.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StaleEpoch(pub Epoch);
 
-/// Whoever takes effects: the newest epoch of each lease under which something was done.
+/// The receiver's check of fencing tokens: the newest epoch of each lease under which an effect was accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FencingGuard {
     newest: BTreeMap<LeaseId, (Epoch, CandidateId)>,
 }
 
 impl FencingGuard {
-    /// Whether this effect may be had. Two of one epoch are possible only where voters lost more than they may; then the one
-    /// that came first has it.
+    /// Accepts or rejects an effect. Two holders under one epoch are possible only if more voters lost their votes than the
+    /// protocol tolerates; then the first one is accepted.
     ///
     /// # Errors
-    /// Something was done under a newer epoch, or under this one by another.
+    /// An effect was accepted under a newer epoch, or under this one from another holder.
     pub fn admit(&mut self, lease: LeaseId, epoch: Epoch, holder: CandidateId) -> Result<(), StaleEpoch> {
         let newest = self.newest.entry(lease).or_insert((epoch, holder));
         if epoch < newest.0 || epoch == newest.0 && holder != newest.1 {
@@ -56,6 +56,7 @@
         Ok(())
     }
 
+    /// The newest epoch of this lease under which an effect was accepted.
     #[must_use]
     pub fn newest_epoch(&self, lease: LeaseId) -> Option<Epoch> {
         self.newest.get(&lease).map(|(epoch, _)| *epoch)
--- a/crates/arrowyard-leases/src/lib.rs
+++ b/crates/arrowyard-leases/src/lib.rs
@@ -1,13 +1,13 @@
-//! Leases: who of many routers does a task for all, for a bounded time. A few named routers are voters; whoever wants a lease
-//! asks all of them, and holds it while a majority has granted it, counted from before it asked. Epochs only rise, and go
-//! with every effect to whoever takes it. Two things are promised, each by itself:
+//! Leases for singleton tasks. A fixed set of routers are voters. A candidate requests a lease from all voters and holds it
+//! while a majority has granted it, counted from before the request was sent. Each new holder gets a higher epoch, which
+//! accompanies every effect as its fencing token. Two properties hold independently:
 //!
-//! 1. While clocks keep within the stated bound of drift, no two believe at one time to hold one lease.
-//! 2. Whatever clocks and halts do, nothing that is done under an older epoch has an effect after something was done under
-//!    a newer one, where the taker of the effect checks epochs (as [`FencingGuard`] does).
+//! 1. While clock drift stays within the configured bound, no two candidates hold one lease at the same time.
+//! 2. Regardless of clocks and pauses, no effect under an older epoch is accepted after an effect under a newer one, provided
+//!    that the receiver of effects checks epochs, as [`FencingGuard`] does.
 //!
-//! No I/O and no clock: the caller hands in words and the time, keeps what is to be kept before it sends what waits for
-//! that, and carries words. `docs/notes/leases.md` has the ways that were weighed and the argument for safety.
+//! The package does no I/O and reads no clock: the caller passes in messages and the time, stores what must be durable before
+//! the messages that depend on it are sent, and transports messages. The safety argument is in `docs/notes/leases.md`.
 
 mod candidate;
 mod config;
@@ -27,48 +27,48 @@
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
-/// One lease that is asked for.
+/// A lease at an epoch, as a candidate requests or releases it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct LeaseEpoch {
     pub lease: LeaseId,
     pub epoch: Epoch,
 }
 
-/// What a voter says of one lease.
+/// A voter's decision on one requested lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Verdict {
     Granted(Epoch),
-    /// Another has it for so long at most.
+    /// Another candidate holds it for at most `remaining`.
     Held {
         epoch: Epoch,
         remaining: TimeDelta,
     },
-    /// The epoch has been given away already; the newest that is known.
+    /// The requested epoch was granted before; carries the newest epoch that the voter knows.
     StaleEpoch(Epoch),
-    /// It started lately, or has lost what it knew.
+    /// The voter is in its startup wait, or recovers lost votes.
     Abstained,
-    /// It knows as many leases as it may.
+    /// The voter already tracks its maximum of leases.
     AtCapacity,
 }
 
-/// What voters and candidates tell each other.
+/// A message of the lease protocol.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Message {
-    /// A candidate wants these, or wants them for longer, all in one round.
+    /// A candidate requests or renews these leases in one round.
     Request { from: CandidateId, round: u64, leases: Vec<LeaseEpoch> },
-    /// A candidate gives these back; it acts under none of them any more. `held`: it held them, and was not just refused a
-    /// majority: then others are told of the vacancy.
+    /// A candidate releases these leases and performs nothing under them any more. `held`: it held them, rather than failed
+    /// to get a majority; only then does the voter notify a waiting candidate.
     Release { from: CandidateId, round: u64, held: bool, leases: Vec<LeaseEpoch> },
-    /// A voter's answer, and its clock as it answered.
+    /// A voter's decisions on a request, and its clock at that moment.
     Response { from: VoterId, round: u64, clock: Timestamp, verdicts: Vec<(LeaseId, Verdict)> },
-    /// A lease was given back: a hint for those that were refused it.
+    /// A lease was released: a hint for a candidate that was refused it.
     Available { from: VoterId, lease: LeaseId, epoch: Epoch },
-    /// A voter has started, in this life of its store; `start` is drawn at each start.
+    /// A voter that starts asks the others what they know. `nonce` is drawn at random at each start and distinguishes two
+    /// starts with the same incarnation.
     RecoveryRequest { from: VoterId, incarnation: u64, nonce: u64 },
-    /// The newest epoch that a voter has granted of any lease, and the latest life that it knew of the one that asked before
-    /// this start.
-    /// `whole`: it has its store, and has lost nothing.
-    /// `asked` is the life in which it was asked.
+    /// Answers a recovery request. `requested_by`: the incarnation that asked. `highest`: the newest epoch of any lease that
+    /// this voter has granted. `last_known`: the latest incarnation of the asking voter known before this request.
+    /// `is_complete`: this voter has lost none of its own votes.
     RecoveryResponse { from: VoterId, requested_by: u64, highest: Epoch, last_known: u64, is_complete: bool },
 }
 
--- a/crates/arrowyard-leases/src/message.rs
+++ b/crates/arrowyard-leases/src/message.rs
@@ -1,6 +1,6 @@
-//! Words as datagrams: protobuf's encoding behind a CRC-32C, marked with the fleet, the voters and the term. A datagram of
-//! other voters or another term is dropped: voters are not changed while routers run (see the note), and two that count with
-//! different terms would not keep each other's promises.
+//! Encoding of messages as datagrams: a CRC-32C followed by protobuf, marked with a hash of the fleet, the voter set and the
+//! lease term. Datagrams of another group are dropped: the voter set is fixed while routers run, and participants with
+//! different terms would not honour each other's grants.
 
 use arrowyard_types::{TimeDelta, Timestamp};
 use prost::Message as _;
@@ -8,10 +8,11 @@
 use crate::config::{CandidateId, Epoch, LeaseId, VoterId};
 use crate::{LeaseEpoch, Message, Verdict};
 
-/// The form that is written, and bytes of a datagram at most.
-const FORM: u32 = 1;
+/// Format version written to datagrams.
+const FORMAT_VERSION: u32 = 1;
+/// Maximum size of a datagram.
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
-const CHECK: usize = 4;
+const CHECKSUM_BYTES: usize = 4;
 
 #[derive(Clone, PartialEq, prost::Message)]
 struct Row {
@@ -19,7 +20,7 @@
     lease: u64,
     #[prost(uint64, tag = "2")]
     epoch: u64,
-    /// Of an answer: 1 granted, 2 held, 3 old, 4 abstains, 5 full.
+    /// In a response: 1 granted, 2 held, 3 stale epoch, 4 abstained, 5 at capacity.
     #[prost(uint32, tag = "3")]
     verdict: u32,
     #[prost(uint64, tag = "4")]
@@ -27,13 +28,13 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct Form {
+struct Datagram {
     #[prost(uint32, tag = "1")]
-    form: u32,
-    /// Of the fleet's name, the voters' names and the term, together.
+    format_version: u32,
+    /// See [`group_id`].
     #[prost(fixed64, tag = "2")]
     group: u64,
-    /// 1 ask, 2 free, 3 answer, 4 vacant, 5 learn, 6 learnt.
+    /// 1 request, 2 release, 3 response, 4 available, 5 recovery request, 6 recovery response.
     #[prost(uint32, tag = "3")]
     kind: u32,
     #[prost(fixed64, tag = "4")]
@@ -48,120 +49,121 @@
     life: u64,
     #[prost(uint64, tag = "9")]
     highest: u64,
-    /// Of a voter that has its store; of what is given back, that it was held.
+    /// In a recovery response: `is_complete`; in a release: `held`.
     #[prost(bool, tag = "10")]
     whole: bool,
     #[prost(message, repeated, tag = "11")]
     rows: Vec<Row>,
 }
 
-/// Why a datagram is not taken.
+/// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
     TooLarge,
     Garbled,
-    /// Of a later form.
+    /// Of a later format version.
     Newer,
-    /// Of another fleet, other voters or another term.
+    /// Of another fleet, voter set or lease term.
     Foreign,
 }
 
-/// What a fleet's datagrams are marked with: its name, its voters and the term that they count with.
+/// Identifies the participants that may exchange messages: a hash of the fleet's name, the voters' names in order, the lease
+/// term and the drift bound.
 #[must_use]
 pub fn group_id(fleet: &str, voters: &[String], term: TimeDelta, drift_ppm: u32) -> u64 {
     let text = format!("{fleet}\n{}\n{}\n{drift_ppm}", voters.join("\n"), term.micros());
     crate::lease_id(&text).0
 }
 
-fn wants(rows: &[Row]) -> Vec<LeaseEpoch> {
+fn decode_leases(rows: &[Row]) -> Vec<LeaseEpoch> {
     rows.iter().map(|row| LeaseEpoch { lease: LeaseId(row.lease), epoch: Epoch(row.epoch) }).collect()
 }
 
-fn rows(wants: &[LeaseEpoch]) -> Vec<Row> {
-    let row = |want: &LeaseEpoch| Row { lease: want.lease.0, epoch: want.epoch.0, ..Row::default() };
-    wants.iter().map(row).collect()
+fn lease_rows(leases: &[LeaseEpoch]) -> Vec<Row> {
+    let row = |one: &LeaseEpoch| Row { lease: one.lease.0, epoch: one.epoch.0, ..Row::default() };
+    leases.iter().map(row).collect()
 }
 
+/// Encodes a message for this group.
 #[must_use]
-pub fn encode(word: &Message, group: u64) -> Vec<u8> {
-    let mut form = Form { form: FORM, group, ..Form::default() };
-    match word {
+pub fn encode(message: &Message, group: u64) -> Vec<u8> {
+    let mut datagram = Datagram { format_version: FORMAT_VERSION, group, ..Datagram::default() };
+    match message {
         Message::Request { from, round, leases } | Message::Release { from, round, leases, .. } => {
-            form.kind = if matches!(word, Message::Request { .. }) { 1 } else { 2 };
-            form.whole = matches!(word, Message::Release { held: true, .. });
-            (form.candidate, form.round, form.rows) = (from.0, *round, rows(leases));
+            datagram.kind = if matches!(message, Message::Request { .. }) { 1 } else { 2 };
+            datagram.whole = matches!(message, Message::Release { held: true, .. });
+            (datagram.candidate, datagram.round, datagram.rows) = (from.0, *round, lease_rows(leases));
         }
         Message::Response { from, round, clock, verdicts } => {
-            (form.kind, form.voter, form.round, form.clock_us) = (3, from.0.into(), *round, clock.micros());
-            form.rows = verdicts
+            (datagram.kind, datagram.voter, datagram.round, datagram.clock_us) =
+                (3, from.0.into(), *round, clock.micros());
+            datagram.rows = verdicts
                 .iter()
                 .map(|(lease, verdict)| {
-                    let (kind, epoch, left) = match *verdict {
+                    let (kind, epoch, remaining) = match *verdict {
                         Verdict::Granted(epoch) => (1, epoch, TimeDelta::ZERO),
-                        Verdict::Held { epoch, remaining: left } => (2, epoch, left),
+                        Verdict::Held { epoch, remaining } => (2, epoch, remaining),
                         Verdict::StaleEpoch(epoch) => (3, epoch, TimeDelta::ZERO),
                         Verdict::Abstained => (4, Epoch(0), TimeDelta::ZERO),
                         Verdict::AtCapacity => (5, Epoch(0), TimeDelta::ZERO),
                     };
-                    let left_us = left.micros().max(0) as u64;
+                    let left_us = remaining.micros().max(0) as u64;
                     Row { lease: lease.0, epoch: epoch.0, verdict: kind, left_us }
                 })
                 .collect();
         }
         Message::Available { from, lease, epoch } => {
-            (form.kind, form.voter) = (4, from.0.into());
-            form.rows = rows(&[LeaseEpoch { lease: *lease, epoch: *epoch }]);
+            (datagram.kind, datagram.voter) = (4, from.0.into());
+            datagram.rows = lease_rows(&[LeaseEpoch { lease: *lease, epoch: *epoch }]);
         }
-        Message::RecoveryRequest { from, incarnation: life, nonce: start } => {
-            (form.kind, form.voter, form.life, form.candidate) = (5, from.0.into(), *life, *start);
+        Message::RecoveryRequest { from, incarnation, nonce } => {
+            (datagram.kind, datagram.voter, datagram.life, datagram.candidate) =
+                (5, from.0.into(), *incarnation, *nonce);
         }
-        Message::RecoveryResponse {
-            from,
-            requested_by: asked,
-            highest,
-            last_known: life,
-            is_complete: whole,
-        } => {
-            (form.kind, form.voter, form.life, form.round) = (6, from.0.into(), *life, *asked);
-            (form.highest, form.whole) = (highest.0, *whole);
+        Message::RecoveryResponse { from, requested_by, highest, last_known, is_complete } => {
+            (datagram.kind, datagram.voter, datagram.life, datagram.round) =
+                (6, from.0.into(), *last_known, *requested_by);
+            (datagram.highest, datagram.whole) = (highest.0, *is_complete);
         }
     }
-    let body = form.encode_to_vec();
+    let body = datagram.encode_to_vec();
     let mut bytes = crc32c::crc32c(&body).to_le_bytes().to_vec();
     bytes.extend(body);
     bytes
 }
 
+/// Decodes a datagram of this group.
+///
 /// # Errors
-/// Why it is dropped.
+/// The datagram is too large, damaged, of a later format version, or of another group.
 pub fn decode(bytes: &[u8], group: u64) -> Result<Message, DecodeError> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DecodeError::TooLarge);
     }
-    let (check, body) = bytes.split_first_chunk::<CHECK>().ok_or(DecodeError::Garbled)?;
+    let (check, body) = bytes.split_first_chunk::<CHECKSUM_BYTES>().ok_or(DecodeError::Garbled)?;
     if crc32c::crc32c(body) != u32::from_le_bytes(*check) {
         return Err(DecodeError::Garbled);
     }
-    let form = Form::decode(body).map_err(|_| DecodeError::Garbled)?;
-    if form.form > FORM {
+    let datagram = Datagram::decode(body).map_err(|_| DecodeError::Garbled)?;
+    if datagram.format_version > FORMAT_VERSION {
         return Err(DecodeError::Newer);
     }
-    if form.group != group {
+    if datagram.group != group {
         return Err(DecodeError::Foreign);
     }
-    let from = CandidateId(form.candidate);
-    let voter = u8::try_from(form.voter).map(VoterId).map_err(|_| DecodeError::Garbled)?;
-    let round = form.round;
-    Ok(match form.kind {
-        1 => Message::Request { from, round, leases: wants(&form.rows) },
-        2 => Message::Release { from, round, held: form.whole, leases: wants(&form.rows) },
+    let from = CandidateId(datagram.candidate);
+    let voter = u8::try_from(datagram.voter).map(VoterId).map_err(|_| DecodeError::Garbled)?;
+    let round = datagram.round;
+    Ok(match datagram.kind {
+        1 => Message::Request { from, round, leases: decode_leases(&datagram.rows) },
+        2 => Message::Release { from, round, held: datagram.whole, leases: decode_leases(&datagram.rows) },
         3 => {
             let verdict = |row: &Row| {
                 let epoch = Epoch(row.epoch);
-                let left = TimeDelta::from_micros(i64::try_from(row.left_us).unwrap_or(i64::MAX));
+                let remaining = TimeDelta::from_micros(i64::try_from(row.left_us).unwrap_or(i64::MAX));
                 let verdict = match row.verdict {
                     1 => Verdict::Granted(epoch),
-                    2 => Verdict::Held { epoch, remaining: left },
+                    2 => Verdict::Held { epoch, remaining },
                     3 => Verdict::StaleEpoch(epoch),
                     4 => Verdict::Abstained,
                     5 => Verdict::AtCapacity,
@@ -169,22 +171,27 @@
                 };
                 Some((LeaseId(row.lease), verdict))
             };
-            let verdicts = form.rows.iter().filter_map(verdict).collect();
-            Message::Response { from: voter, round, clock: Timestamp::from_micros(form.clock_us), verdicts }
+            let verdicts = datagram.rows.iter().filter_map(verdict).collect();
+            Message::Response {
+                from: voter,
+                round,
+                clock: Timestamp::from_micros(datagram.clock_us),
+                verdicts,
+            }
         }
         4 => {
-            let row = form.rows.first().ok_or(DecodeError::Garbled)?;
+            let row = datagram.rows.first().ok_or(DecodeError::Garbled)?;
             Message::Available { from: voter, lease: LeaseId(row.lease), epoch: Epoch(row.epoch) }
         }
-        5 => Message::RecoveryRequest { from: voter, incarnation: form.life, nonce: form.candidate },
+        5 => Message::RecoveryRequest { from: voter, incarnation: datagram.life, nonce: datagram.candidate },
         6 => {
-            let highest = Epoch(form.highest);
+            let highest = Epoch(datagram.highest);
             Message::RecoveryResponse {
                 from: voter,
                 requested_by: round,
                 highest,
-                last_known: form.life,
-                is_complete: form.whole,
+                last_known: datagram.life,
+                is_complete: datagram.whole,
             }
         }
         _ => return Err(DecodeError::Garbled),
--- a/crates/arrowyard-leases/src/storage.rs
+++ b/crates/arrowyard-leases/src/storage.rs
@@ -1,15 +1,16 @@
-//! A voter's image as the bytes of a file: a mark, a form, a checksum over all, protobuf. Anything that is wrong with it means
-//! that what was granted is lost, and which thing it is, is said.
+//! File format of a voter's snapshot: magic bytes, format version, checksum and protobuf. A file that cannot be decoded means
+//! that the voter has lost its votes; the error says why.
 
 use prost::Message;
 
 use crate::config::{CandidateId, Epoch, LeaseId, VoterId};
 use crate::voter::VoterSnapshot;
 
-const MARK: [u8; 4] = *b"AYLV";
-const FORM: u16 = 1;
-const HEAD: usize = 4 + 2 + 4;
-/// Bytes of a file at most.
+const MAGIC: [u8; 4] = *b"AYLV";
+const FORMAT_VERSION: u16 = 1;
+/// Magic, format version, checksum.
+const HEADER_BYTES: usize = 4 + 2 + 4;
+/// Maximum size of a file.
 pub const MAX_FILE_BYTES: usize = 4 * 1024 * 1024;
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -23,7 +24,7 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct LifeRow {
+struct IncarnationRow {
     #[prost(uint32, tag = "1")]
     voter: u32,
     #[prost(uint64, tag = "2")]
@@ -33,8 +34,8 @@
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
-struct Kept {
-    /// Whose votes these are.
+struct VoterFile {
+    /// The group that the votes belong to.
     #[prost(fixed64, tag = "1")]
     group: u64,
     #[prost(string, tag = "2")]
@@ -48,73 +49,79 @@
     #[prost(message, repeated, tag = "6")]
     votes: Vec<VoteRow>,
     #[prost(message, repeated, tag = "7")]
-    lives: Vec<LifeRow>,
+    lives: Vec<IncarnationRow>,
 }
 
-/// Why a file is of no use.
+/// Why a file cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadError {
     Truncated,
     Garbled,
     Newer,
-    /// Of another fleet, of other voters, or of another one of them.
+    /// Of another fleet, voter set or voter.
     Foreign,
 }
 
-fn check(bytes: &[u8]) -> u32 {
-    crc32c::crc32c_append(crc32c::crc32c(&bytes[..6]), &bytes[HEAD..])
+fn checksum(bytes: &[u8]) -> u32 {
+    crc32c::crc32c_append(crc32c::crc32c(&bytes[..6]), &bytes[HEADER_BYTES..])
 }
 
+/// Encodes a voter's snapshot as the bytes of its file.
 #[must_use]
-pub fn encode(image: &VoterSnapshot, group: u64, voter: &str) -> Vec<u8> {
+pub fn encode(snapshot: &VoterSnapshot, group: u64, voter: &str) -> Vec<u8> {
     let vote = |&(lease, epoch, holder): &(LeaseId, Epoch, CandidateId)| VoteRow {
         lease: lease.0,
         epoch: epoch.0,
         holder: holder.0,
     };
-    let life = |&(voter, life, start): &(VoterId, u64, u64)| LifeRow { voter: voter.0.into(), life, start };
-    let kept = Kept {
+    let life =
+        |&(voter, life, start): &(VoterId, u64, u64)| IncarnationRow { voter: voter.0.into(), life, start };
+    let file = VoterFile {
         group,
         voter: voter.to_string(),
-        life: image.incarnation,
-        floor: image.epoch_floor.0,
-        whole: image.is_complete,
-        votes: image.votes.iter().map(vote).collect(),
-        lives: image.incarnations.iter().map(life).collect(),
+        life: snapshot.incarnation,
+        floor: snapshot.epoch_floor.0,
+        whole: snapshot.is_complete,
+        votes: snapshot.votes.iter().map(vote).collect(),
+        lives: snapshot.incarnations.iter().map(life).collect(),
     };
-    let mut bytes = MARK.to_vec();
-    bytes.extend(FORM.to_le_bytes());
+    let mut bytes = MAGIC.to_vec();
+    bytes.extend(FORMAT_VERSION.to_le_bytes());
     bytes.extend([0; 4]);
-    bytes.extend(kept.encode_to_vec());
-    let check = check(&bytes);
-    bytes[6..HEAD].copy_from_slice(&check.to_le_bytes());
+    bytes.extend(file.encode_to_vec());
+    let checksum = checksum(&bytes);
+    bytes[6..HEADER_BYTES].copy_from_slice(&checksum.to_le_bytes());
     bytes
 }
 
+/// Decodes the file of this voter of this group.
+///
 /// # Errors
-/// Why it is of no use.
+/// The file is damaged, of a later format version, or of another voter or group.
 pub fn decode(bytes: &[u8], group: u64, voter: &str) -> Result<VoterSnapshot, LoadError> {
-    let Some((head, body)) = bytes.split_first_chunk::<HEAD>() else { return Err(LoadError::Truncated) };
-    let told = u32::from_le_bytes([head[6], head[7], head[8], head[9]]);
-    if head[..4] != MARK || check(bytes) != told {
+    let Some((head, body)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
+        return Err(LoadError::Truncated);
+    };
+    let stored_checksum = u32::from_le_bytes([head[6], head[7], head[8], head[9]]);
+    if head[..4] != MAGIC || checksum(bytes) != stored_checksum {
         return Err(LoadError::Garbled);
     }
-    if u16::from_le_bytes([head[4], head[5]]) > FORM {
+    if u16::from_le_bytes([head[4], head[5]]) > FORMAT_VERSION {
         return Err(LoadError::Newer);
     }
-    let kept = Kept::decode(body).map_err(|_| LoadError::Garbled)?;
-    if kept.group != group || kept.voter != voter {
+    let file = VoterFile::decode(body).map_err(|_| LoadError::Garbled)?;
+    if file.group != group || file.voter != voter {
         return Err(LoadError::Foreign);
     }
-    let votes = kept.votes.iter().map(|row| (LeaseId(row.lease), Epoch(row.epoch), CandidateId(row.holder)));
-    let lives = kept
+    let votes = file.votes.iter().map(|row| (LeaseId(row.lease), Epoch(row.epoch), CandidateId(row.holder)));
+    let lives = file
         .lives
         .iter()
         .filter_map(|row| Some((VoterId(u8::try_from(row.voter).ok()?), row.life, row.start)));
     Ok(VoterSnapshot {
-        incarnation: kept.life,
-        epoch_floor: Epoch(kept.floor),
-        is_complete: kept.whole,
+        incarnation: file.life,
+        epoch_floor: Epoch(file.floor),
+        is_complete: file.whole,
         votes: votes.collect(),
         incarnations: lives.collect(),
     })
