--- a/crates/arrowyard-leases/src/voter.rs
+++ b/crates/arrowyard-leases/src/voter.rs
@@ -1,5 +1,5 @@
-//! One voter: what it grants, what it keeps before it says so, and what it does after a start. It never votes twice: for
-//! each lease it knows the newest epoch that it granted and to whom, and till when that holds by its own clock.
+//! A voter: what it grants, what it makes durable before it responds, and how it recovers after a start. For each lease it
+//! remembers the newest epoch that it granted, to whom, and until when by its own clock, so that it never votes twice.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -16,42 +16,45 @@
 pub struct Vote {
     pub epoch: Epoch,
     pub holder: CandidateId,
-    /// The holder's round in which it was granted last, or given back.
+    /// The holder's round of the latest grant or release.
     pub round: u64,
     pub until: Timestamp,
-    /// Those that were refused it lately: they are told when it is given back.
-    waits: SmallVec<[CandidateId; WAITS]>,
+    /// The latest candidates that were refused the lease, in the order of their requests.
+    waiters: SmallVec<[CandidateId; MAX_WAITERS]>,
 }
 
-/// Candidates that are told of a lease that was given back.
-const WAITS: usize = 4;
+/// Candidates remembered per lease for the notification of its release.
+const MAX_WAITERS: usize = 4;
 
-/// What outlasts a voter: written before what follows from it is told.
+/// The durable state of a voter, written before any message that depends on it is sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VoterSnapshot {
-    /// Rises with each start.
+    /// Incremented at each start.
     pub incarnation: u64,
-    /// No epoch up to this one is granted anew, whatever the lease.
+    /// Epochs up to this one are not granted again, whatever the lease.
     pub epoch_floor: Epoch,
-    /// Nothing that was granted is missing in it.
+    /// No vote is missing.
     pub is_complete: bool,
     pub votes: Vec<(LeaseId, Epoch, CandidateId)>,
-    /// The latest life that is known of each other voter, and by what its start is told from others of that life.
+    /// The latest known incarnation of each other voter, with the nonce of its start.
     pub incarnations: Vec<(VoterId, u64, u64)>,
 }
 
+/// The stage of a voter since its start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Stage {
-    /// What it granted before its start may still be held, and it does not know by whom.
+    /// Abstains until this time, since a grant from before the start may still be held.
     Waiting(Timestamp),
-    /// It has lost what it granted: these others have told it what they know.
+    /// Has lost votes and asks the others; these have responded.
     Recovering(BTreeSet<VoterId>),
+    /// Grants and refuses requests.
     Voting,
 }
 
+/// The protocol state of one voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Voter {
-    terms: LeaseConfig,
+    config: LeaseConfig,
     me: VoterId,
     stage: Stage,
     is_complete: bool,
@@ -60,173 +63,168 @@
     votes: BTreeMap<LeaseId, Vote>,
     incarnations: BTreeMap<VoterId, (u64, u64)>,
     start_nonce: u64,
-    /// What waits to be sent, each with the image that has to be kept before.
+    /// Messages to send, each with the number of the snapshot that must be durable before.
     pending: VecDeque<(u64, Destination, Message)>,
-    /// Images that differ are numbered; which one was kept, and which one is being written.
-    changed: u64,
-    kept: u64,
+    /// The number of the current snapshot, and of the newest durable one.
+    snapshot_number: u64,
+    durable_number: u64,
     writing: bool,
-    /// When the others are asked next what they know.
-    asks_at: Timestamp,
+    /// When the next recovery request is sent.
+    next_recovery_request_at: Timestamp,
 }
 
 impl Voter {
-    /// Starts one with what it kept; `drawn` anew at each start.
+    /// Starts a voter from its snapshot, or from none if that was missing or unusable: then its votes are lost. `nonce` is
+    /// drawn at random at each start.
     ///
-    /// With nothing, or with what was broken, it has lost what it granted.
-    ///
-    /// Danger: what was granted before may be held still, by someone who asked a moment before the start. So it abstains for the
-    /// longest that any grant holds, even to the holder that it remembers: an image may be an older copy, and then the one
-    /// that it remembers is not the one that holds.
+    /// A grant from before the start may still be held, so the voter abstains for a full term. That includes the holder that
+    /// it remembers: the snapshot may be an older copy, in which the current holder is missing.
     #[must_use]
     pub fn start(
         now: Timestamp,
-        terms: LeaseConfig,
+        config: LeaseConfig,
         me: VoterId,
-        image: Option<VoterSnapshot>,
-        drawn: u64,
+        snapshot: Option<VoterSnapshot>,
+        nonce: u64,
     ) -> Voter {
-        let whole = image.as_ref().is_some_and(|image| image.is_complete);
-        let image = image.unwrap_or_default();
+        let is_complete = snapshot.as_ref().is_some_and(|snapshot| snapshot.is_complete);
+        let snapshot = snapshot.unwrap_or_default();
         let vote = |(lease, epoch, holder): (LeaseId, Epoch, CandidateId)| {
-            (lease, Vote { epoch, holder, round: 0, until: now, waits: SmallVec::new() })
+            (lease, Vote { epoch, holder, round: 0, until: now, waiters: SmallVec::new() })
         };
-        let wait = now + terms.term;
+        let wait = now + config.term;
         #[cfg(any(test, feature = "flaws"))]
-        let wait = if terms.flaw == Some(Flaw::NoStartupWait) { now } else { wait };
+        let wait = if config.flaw == Some(Flaw::NoStartupWait) { now } else { wait };
         let mut voter = Voter {
-            terms,
+            config,
             me,
             stage: Stage::Waiting(wait),
-            is_complete: whole,
-            incarnation: image.incarnation + 1,
-            epoch_floor: image.epoch_floor,
-            votes: image.votes.into_iter().map(vote).collect(),
-            incarnations: image
+            is_complete,
+            incarnation: snapshot.incarnation + 1,
+            epoch_floor: snapshot.epoch_floor,
+            votes: snapshot.votes.into_iter().map(vote).collect(),
+            incarnations: snapshot
                 .incarnations
                 .into_iter()
-                .map(|(of, life, start)| (of, (life, start)))
+                .map(|(voter, incarnation, nonce)| (voter, (incarnation, nonce)))
                 .collect(),
-            start_nonce: drawn,
+            start_nonce: nonce,
             pending: VecDeque::new(),
-            changed: 1,
-            kept: 0,
+            snapshot_number: 1,
+            durable_number: 0,
             writing: false,
-            asks_at: now,
+            next_recovery_request_at: now,
         };
         voter.tick(now);
         voter
     }
 
+    /// The current stage.
     #[must_use]
     pub fn stage(&self) -> &Stage {
         &self.stage
     }
 
+    /// The current incarnation; increases with each start and each recovery.
     #[must_use]
     pub fn incarnation(&self) -> u64 {
         self.incarnation
     }
 
+    /// The newest grant of each lease.
     pub fn votes(&self) -> impl Iterator<Item = (LeaseId, &Vote)> {
         self.votes.iter().map(|(lease, vote)| (*lease, vote))
     }
 
-    /// When time has something to do next; nothing while it just votes.
+    /// When [`Voter::tick`] has to be called next; `None` while it votes.
     #[must_use]
     pub fn next_at(&self) -> Option<Timestamp> {
         match &self.stage {
-            Stage::Waiting(till) => Some((*till).min(self.asks_at)),
-            Stage::Recovering(_) => Some(self.asks_at),
+            Stage::Waiting(until) => Some((*until).min(self.next_recovery_request_at)),
+            Stage::Recovering(_) => Some(self.next_recovery_request_at),
             Stage::Voting => None,
         }
     }
 
     fn others(&self) -> impl Iterator<Item = VoterId> + use<> {
         let me = self.me;
-        (0..self.terms.voter_count).map(VoterId).filter(move |one| *one != me)
+        (0..self.config.voter_count).map(VoterId).filter(move |one| *one != me)
     }
 
-    /// Time has passed.
+    /// Advances the stage and repeats recovery requests.
     pub fn tick(&mut self, now: Timestamp) {
-        if let Stage::Waiting(till) = self.stage
-            && now >= till
+        if let Stage::Waiting(until) = self.stage
+            && now >= until
         {
             #[cfg(any(test, feature = "flaws"))]
-            let learns = !self.is_complete && self.terms.flaw != Some(Flaw::NoRecovery);
+            let needs_recovery = !self.is_complete && self.config.flaw != Some(Flaw::NoRecovery);
             #[cfg(not(any(test, feature = "flaws")))]
-            let learns = !self.is_complete;
-            // What the others tell counts only from now on. Danger: a grant of the former life may be on its way to its
-            // holder; till the wait is over a majority with it may still come about at the others.
+            let needs_recovery = !self.is_complete;
+            // Recovery responses count only from now on: during the wait, a grant of the previous incarnation could still
+            // complete a majority with new grants of the others.
             self.stage = Stage::Voting;
-            self.asks_at = now;
-            if learns {
-                self.learn();
+            self.next_recovery_request_at = now;
+            if needs_recovery {
+                self.start_recovery();
             }
         }
-        if self.stage != Stage::Voting && now >= self.asks_at {
-            self.asks_at = now + self.terms.retry_interval * 4.0;
-            let word = Message::RecoveryRequest {
+        if self.stage != Stage::Voting && now >= self.next_recovery_request_at {
+            self.next_recovery_request_at = now + self.config.retry_interval * 4.0;
+            let message = Message::RecoveryRequest {
                 from: self.me,
                 incarnation: self.incarnation,
                 nonce: self.start_nonce,
             };
-            self.others().for_each(|one| self.say(Destination::Voter(one), word.clone()));
+            self.others().for_each(|one| self.enqueue(Destination::Voter(one), message.clone()));
         }
     }
 
-    /// Asks the others from now on, in a life of its own. Danger: what they answered before the wait was over comes late, when
-    /// it counts: a grant that came about since is missing in it. Answers to an earlier life are passed over.
-    fn learn(&mut self) {
+    /// Starts recovery under a new incarnation. Responses to an earlier incarnation are ignored, since they may lack grants
+    /// that were made after they were sent.
+    fn start_recovery(&mut self) {
         self.stage = Stage::Recovering(BTreeSet::new());
         self.incarnation += 1;
-        self.changed += 1;
+        self.snapshot_number += 1;
     }
 
-    /// Goes out once all that has changed so far is kept.
-    fn say(&mut self, to: Destination, word: Message) {
-        // Danger: a disk that hangs, and words that add up. The oldest is lost, as a datagram may be.
-        if self.pending.len() >= PENDING {
+    /// Queues a message until the current snapshot is durable.
+    fn enqueue(&mut self, to: Destination, message: Message) {
+        // Bounds the queue while the disk hangs. The oldest message is dropped, as a datagram may be.
+        if self.pending.len() >= MAX_PENDING_MESSAGES {
             self.pending.pop_front();
         }
-        self.pending.push_back((self.changed, to, word));
+        self.pending.push_back((self.snapshot_number, to, message));
     }
 
-    /// A word came.
-    pub fn handle_message(&mut self, now: Timestamp, word: &Message) {
+    /// Handles a message from a candidate or another voter.
+    pub fn handle_message(&mut self, now: Timestamp, message: &Message) {
         self.tick(now);
-        match word {
-            Message::Request { from, round, leases: wants } => self.asked(now, *from, *round, wants),
-            Message::Release { from, round, held, leases: wants } => {
-                self.freed(now, *from, *round, *held, wants)
+        match message {
+            Message::Request { from, round, leases } => self.handle_request(now, *from, *round, leases),
+            Message::Release { from, round, held, leases } => {
+                self.handle_release(now, *from, *round, *held, leases)
             }
-            Message::RecoveryRequest { from, incarnation: life, nonce: start } if *from != self.me => {
-                let (mut known, of) = self.incarnations.get(from).copied().unwrap_or_default();
-                if *life > known {
-                    self.incarnations.insert(*from, (*life, *start));
-                    self.changed += 1;
-                } else if *life == known && *start == of {
-                    // It asks once more, and is the one that is known.
+            Message::RecoveryRequest { from, incarnation, nonce } if *from != self.me => {
+                let (mut known, known_nonce) = self.incarnations.get(from).copied().unwrap_or_default();
+                if *incarnation > known {
+                    self.incarnations.insert(*from, (*incarnation, *nonce));
+                    self.snapshot_number += 1;
+                } else if *incarnation == known && *nonce == known_nonce {
+                    // A repeated request of the same start.
                     known -= 1;
                 }
-                let (highest, whole) = (self.highest(), self.is_complete);
-                let word = Message::RecoveryResponse {
+                let (highest, is_complete) = (self.highest(), self.is_complete);
+                let message = Message::RecoveryResponse {
                     from: self.me,
-                    requested_by: *life,
+                    requested_by: *incarnation,
                     highest,
                     last_known: known,
-                    is_complete: whole,
+                    is_complete,
                 };
-                self.say(Destination::Voter(*from), word);
+                self.enqueue(Destination::Voter(*from), message);
             }
-            Message::RecoveryResponse {
-                from,
-                requested_by: asked,
-                highest,
-                last_known: life,
-                is_complete: whole,
-            } => {
-                self.learnt(*from, *asked, *highest, *life, *whole);
+            Message::RecoveryResponse { from, requested_by, highest, last_known, is_complete } => {
+                self.apply_recovery_response(*from, *requested_by, *highest, *last_known, *is_complete);
             }
             _ => {}
         }
@@ -236,158 +234,182 @@
         self.votes.values().map(|vote| vote.epoch).max().unwrap_or_default().max(self.epoch_floor)
     }
 
-    fn asked(&mut self, now: Timestamp, from: CandidateId, round: u64, wants: &[LeaseEpoch]) {
-        let verdicts: Vec<(LeaseId, Verdict)> = wants
+    fn handle_request(&mut self, now: Timestamp, from: CandidateId, round: u64, leases: &[LeaseEpoch]) {
+        let verdicts: Vec<(LeaseId, Verdict)> = leases
             .iter()
-            .take(self.terms.max_batch_leases)
-            .filter_map(|want| Some((want.lease, self.decide(now, from, round, *want)?)))
+            .take(self.config.max_batch_leases)
+            .filter_map(|requested| Some((requested.lease, self.decide(now, from, round, *requested)?)))
             .collect();
         if !verdicts.is_empty() {
-            let word = Message::Response { from: self.me, round, clock: now, verdicts };
-            self.say(Destination::Candidate(from), word);
+            let message = Message::Response { from: self.me, round, clock: now, verdicts };
+            self.enqueue(Destination::Candidate(from), message);
         }
     }
 
-    /// What it says to one that wants a lease; nothing to a word that is overtaken.
-    fn decide(&mut self, now: Timestamp, from: CandidateId, round: u64, want: LeaseEpoch) -> Option<Verdict> {
+    /// Decides on one requested lease; `None` for a request of an outdated round.
+    fn decide(
+        &mut self,
+        now: Timestamp,
+        from: CandidateId,
+        round: u64,
+        requested: LeaseEpoch,
+    ) -> Option<Verdict> {
         if self.stage != Stage::Voting {
             return Some(Verdict::Abstained);
         }
-        let until = now + self.terms.term;
-        let (known, most) = (self.votes.len(), self.terms.max_leases);
-        let Some(vote) = self.votes.get_mut(&want.lease) else {
-            if want.epoch <= self.epoch_floor {
+        let until = now + self.config.term;
+        let (lease_count, max_leases) = (self.votes.len(), self.config.max_leases);
+        let Some(vote) = self.votes.get_mut(&requested.lease) else {
+            if requested.epoch <= self.epoch_floor {
                 return Some(Verdict::StaleEpoch(self.epoch_floor));
             }
-            // Danger: invented leases. What it knows of a lease it cannot forget.
-            if known >= most {
+            // A vote can never be forgotten, so the number of leases is bounded.
+            if lease_count >= max_leases {
                 return Some(Verdict::AtCapacity);
             }
-            let vote = Vote { epoch: want.epoch, holder: from, round, until, waits: SmallVec::new() };
-            self.votes.insert(want.lease, vote);
-            self.changed += 1;
-            return Some(Verdict::Granted(want.epoch));
+            let vote = Vote { epoch: requested.epoch, holder: from, round, until, waiters: SmallVec::new() };
+            self.votes.insert(requested.lease, vote);
+            self.snapshot_number += 1;
+            return Some(Verdict::Granted(requested.epoch));
         };
-        if vote.holder == from && vote.epoch == want.epoch {
+        if vote.holder == from && vote.epoch == requested.epoch {
             if round < vote.round {
                 return None;
             }
-            // Danger: an old word that comes again holds the lease for one that has long given it back. A round that was
-            // granted is granted again, and not for longer.
+            // A repeated round is granted again, but not extended: a delayed duplicate must not hold the lease for a candidate
+            // that has released it.
             if round > vote.round {
                 (vote.round, vote.until) = (round, until);
             }
-            return Some(Verdict::Granted(want.epoch));
+            return Some(Verdict::Granted(requested.epoch));
         }
         if now < vote.until && vote.holder != from {
-            // The one that asked last stands last.
-            vote.waits.retain(|one| *one != from);
-            if vote.waits.len() == WAITS {
-                vote.waits.remove(0);
+            // The latest request stands last.
+            vote.waiters.retain(|one| *one != from);
+            if vote.waiters.len() == MAX_WAITERS {
+                vote.waiters.remove(0);
             }
-            vote.waits.push(from);
+            vote.waiters.push(from);
             return Some(Verdict::Held { epoch: vote.epoch, remaining: vote.until - now });
         }
         let newest = vote.epoch.max(self.epoch_floor);
-        if want.epoch <= newest {
+        if requested.epoch <= newest {
             return Some(Verdict::StaleEpoch(newest));
         }
-        (vote.epoch, vote.holder, vote.round, vote.until) = (want.epoch, from, round, until);
-        self.changed += 1;
-        Some(Verdict::Granted(want.epoch))
+        (vote.epoch, vote.holder, vote.round, vote.until) = (requested.epoch, from, round, until);
+        self.snapshot_number += 1;
+        Some(Verdict::Granted(requested.epoch))
     }
 
-    fn freed(&mut self, now: Timestamp, from: CandidateId, round: u64, held: bool, wants: &[LeaseEpoch]) {
-        for want in wants.iter().take(self.terms.max_batch_leases) {
-            let Some(vote) = self.votes.get_mut(&want.lease) else { continue };
-            let of = vote.holder == from && vote.epoch == want.epoch;
-            // Danger: a late word gives back what was asked for again since. Only its own round, or an older one, is given back;
-            // a round whose asking comes after this is no grant any more.
-            if !of || round < vote.round {
+    fn handle_release(
+        &mut self,
+        now: Timestamp,
+        from: CandidateId,
+        round: u64,
+        held: bool,
+        leases: &[LeaseEpoch],
+    ) {
+        for requested in leases.iter().take(self.config.max_batch_leases) {
+            let Some(vote) = self.votes.get_mut(&requested.lease) else { continue };
+            let is_holder = vote.holder == from && vote.epoch == requested.epoch;
+            // A delayed release must not undo a later round. A request of the released round that arrives afterwards is not
+            // extended.
+            if !is_holder || round < vote.round {
                 continue;
             }
             (vote.round, vote.until) = (round, vote.until.min(now));
             let epoch = vote.epoch;
-            // Danger: what two that collided give back is told to a third, which collides with both.
+            // A release after a collision is not announced, or a third candidate would join the collision.
             if !held {
                 continue;
             }
-            let waits = std::mem::take(&mut vote.waits);
-            // One is told, so that those that wait do not all ask at one moment; the others see it by themselves. The one that asked
-            // last: it lives, and all voters heard of it last. Danger: the first is a process that was killed since, and nobody asks.
-            if let Some(last) = waits.last() {
-                let word = Message::Available { from: self.me, lease: want.lease, epoch };
-                self.say(Destination::Candidate(*last), word);
+            let waiters = std::mem::take(&mut vote.waiters);
+            // Notifies only the candidate whose request came last, so that waiting candidates do not all request at once. It is
+            // the least likely to have stopped meanwhile; the others retry by themselves.
+            if let Some(last) = waiters.last() {
+                let message = Message::Available { from: self.me, lease: requested.lease, epoch };
+                self.enqueue(Destination::Candidate(*last), message);
             }
         }
     }
 
-    /// Another voter has told what it knows.
-    fn learnt(&mut self, from: VoterId, asked: u64, highest: Epoch, life: u64, whole: bool) {
-        if life >= self.incarnation {
-            // Danger: what it started with is an older copy, in which later grants are missing; it would give their epochs away
-            // again. So it has lost what it knew, and this life begins after the one that was known.
+    /// Applies the recovery response of another voter.
+    fn apply_recovery_response(
+        &mut self,
+        from: VoterId,
+        requested_by: u64,
+        highest: Epoch,
+        last_known: u64,
+        is_complete: bool,
+    ) {
+        if last_known >= self.incarnation {
+            // The other voter knows a later incarnation: the snapshot was an older copy that lacks later grants. The votes
+            // are treated as lost, and the incarnation continues after the known one.
             self.is_complete = false;
-            self.incarnation = life;
+            self.incarnation = last_known;
             if self.stage == Stage::Voting {
-                self.learn();
+                self.start_recovery();
             } else {
                 self.incarnation += 1;
-                self.changed += 1;
+                self.snapshot_number += 1;
             }
             return;
         }
-        let Stage::Recovering(told) = &mut self.stage else { return };
-        if !whole || from == self.me || asked != self.incarnation {
+        let Stage::Recovering(responders) = &mut self.stage else { return };
+        if !is_complete || from == self.me || requested_by != self.incarnation {
             return;
         }
-        told.insert(from);
-        let enough = told.len() >= self.terms.majority();
+        responders.insert(from);
+        let has_quorum = responders.len() >= self.config.majority();
         if highest > self.epoch_floor {
             self.epoch_floor = highest;
-            self.changed += 1;
+            self.snapshot_number += 1;
         }
-        // Any majority that has granted something has one of these in it, beside this one: majorities less one and as
-        // many others as a majority are more than all others.
-        if enough {
+        // Every majority that granted an epoch includes at least one of these voters besides this one: a majority minus one
+        // plus a majority exceeds the number of other voters.
+        if has_quorum {
             (self.stage, self.is_complete) = (Stage::Voting, true);
-            self.changed += 1;
+            self.snapshot_number += 1;
         }
     }
 
-    /// What is to be written now, and its number; nothing if it is kept already, or one is being written.
+    /// The snapshot to write and its number; `None` if it is durable or a write is in progress.
     pub fn start_write(&mut self) -> Option<(u64, VoterSnapshot)> {
-        if self.writing || self.kept == self.changed {
+        if self.writing || self.durable_number == self.snapshot_number {
             return None;
         }
         self.writing = true;
         let votes = self.votes.iter().map(|(lease, vote)| (*lease, vote.epoch, vote.holder)).collect();
-        let lives = self.incarnations.iter().map(|(voter, (life, start))| (*voter, *life, *start)).collect();
-        let image = VoterSnapshot {
+        let incarnations = self
+            .incarnations
+            .iter()
+            .map(|(voter, (incarnation, nonce))| (*voter, *incarnation, *nonce))
+            .collect();
+        let snapshot = VoterSnapshot {
             incarnation: self.incarnation,
             epoch_floor: self.epoch_floor,
             is_complete: self.is_complete,
             votes,
-            incarnations: lives,
+            incarnations,
         };
-        Some((self.changed, image))
+        Some((self.snapshot_number, snapshot))
     }
 
-    /// An image was written, or that failed; then what waits for it goes on waiting, and it is written again.
+    /// Reports the end of a write. After a failure its messages stay queued, and the snapshot is written again.
     pub fn write_finished(&mut self, number: u64, done: bool) {
         self.writing = false;
         if done {
-            self.kept = self.kept.max(number);
+            self.durable_number = self.durable_number.max(number);
         }
     }
 
-    /// Words that may go out now.
+    /// The messages that may be sent now.
     pub fn take_outgoing(&mut self) -> Vec<(Destination, Message)> {
-        let ready = self.pending.iter().take_while(|(after, ..)| *after <= self.kept).count();
-        self.pending.drain(..ready).map(|(_, to, word)| (to, word)).collect()
+        let ready = self.pending.iter().take_while(|(after, ..)| *after <= self.durable_number).count();
+        self.pending.drain(..ready).map(|(_, to, message)| (to, message)).collect()
     }
 
-    /// How long until the lease is free here, if it is held.
+    /// How long this voter regards the lease as held, if it does.
     #[must_use]
     pub fn remaining(&self, now: Timestamp, lease: LeaseId) -> Option<TimeDelta> {
         let vote = self.votes.get(&lease)?;
@@ -395,5 +417,5 @@
     }
 }
 
-/// Words that wait for the disk at most.
-const PENDING: usize = 1024;
+/// Maximum number of messages that wait for the disk.
+const MAX_PENDING_MESSAGES: usize = 1024;
