--- a/crates/arrowyard-background-tasks/src/lib.rs
+++ b/crates/arrowyard-background-tasks/src/lib.rs
@@ -1,7 +1,7 @@
-//! Background work on the thread that ops are served on: what is done next, when, and at whose expense. Chores have ranks,
-//! a budget of the thread's time together and of what they take outside, pauses after failures, and give way to ops;
-//! each is done within a stated time all the same. Decided without I/O and clock: the caller asks for the next turn, does it,
-//! and says what it cost.
+//! Cooperative scheduling of background tasks on the thread that serves operations. Tasks have priorities,
+//! share a budget of thread time and of external resources, back off after failures, and yield to waiting
+//! operations, but each runs within its maximum delay. No I/O and no clock: the caller asks for the next
+//! turn, runs it and reports what it cost.
 
 mod budget;
 mod slices;
@@ -12,47 +12,48 @@
 use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
-/// Who goes before whom.
+/// The priority of a task, highest first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Priority {
-    /// Ops are wrong without it: lists that name hosts that leave. It waits for no budget.
+    /// Required for correct routing, such as lists of draining hosts. Not limited by the thread budget.
     Urgent,
-    /// Upkeep that ops gain by.
+    /// Maintenance that improves the service.
     Normal,
-    /// What can wait while ops do.
+    /// Runs only while no operation waits.
     Idle,
 }
 
-/// What is asked of one chore.
+/// The configuration of one task.
 #[derive(Clone, Copy, Debug)]
 pub struct TaskConfig {
     pub name: &'static str,
     pub priority: Priority,
-    /// So long after its last turn it is due again; never by itself if absent.
+    /// The interval after the previous turn; `None` for a task that runs only on request.
     pub interval: Option<TimeDelta>,
-    /// That time is drawn from this share less to this share more, so that processes do not fall in step.
+    /// The interval varies by up to this share in both directions, so that processes do not synchronize.
     pub jitter: f64,
-    /// So long after it was due it goes before all that are not, whatever ops wait and whatever was spent.
+    /// A task that is overdue by this time runs before all others, regardless of waiting operations and the
+    /// budget.
     pub max_delay: TimeDelta,
-    /// The pause after a turn that failed, doubled with each in a row, up to the longest.
+    /// The backoff after a failed turn, doubled with each consecutive failure up to the maximum.
     pub retry_backoff: TimeDelta,
     pub max_retry_backoff: TimeDelta,
-    /// What a turn takes outside: connections, probes, calls.
+    /// The external cost of a turn: connections, probes, calls.
     pub external_cost: f64,
 }
 
 impl TaskConfig {
-    /// Upkeep that is due so often.
+    /// A task that runs periodically.
     #[must_use]
-    pub fn periodic(name: &'static str, priority: Priority, every: TimeDelta) -> TaskConfig {
+    pub fn periodic(name: &'static str, priority: Priority, interval: TimeDelta) -> TaskConfig {
         TaskConfig {
-            interval: Some(every),
-            max_delay: every * 2.0,
-            ..TaskConfig::on_demand(name, priority, every)
+            interval: Some(interval),
+            max_delay: interval * 2.0,
+            ..TaskConfig::on_demand(name, priority, interval)
         }
     }
 
-    /// What is done when it is asked for.
+    /// A task that runs on request.
     #[must_use]
     pub fn on_demand(name: &'static str, priority: Priority, max_delay: TimeDelta) -> TaskConfig {
         let (retry_backoff, max_retry_backoff) =
@@ -70,13 +71,13 @@
     }
 }
 
-/// What all chores together may spend.
+/// The budget that all tasks share.
 #[derive(Clone, Copy, Debug)]
 pub struct Budget {
-    /// The share of the thread's time, and how much of it may be saved up.
+    /// The share of the thread's time, and the unused time that may accumulate.
     pub thread_share: f64,
     pub thread_burst: TimeDelta,
-    /// What may be taken outside, a second, and saved up.
+    /// The external cost per second, and the unused cost that may accumulate.
     pub external_rate: f64,
     pub external_burst: f64,
 }
@@ -92,120 +93,121 @@
     }
 }
 
-/// How a turn ended.
+/// The result of a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TurnOutcome {
     Done,
-    /// A slice was done; there is more.
+    /// Part of the work is done; the task is due again immediately.
     More,
     Failed,
 }
 
-/// What became of a chore so far.
+/// Statistics of a task.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct TaskStats {
     pub turns: u64,
     pub failed: u64,
     pub thread_time: TimeDelta,
-    /// The longest single turn, and the longest time from due to begin.
+    /// The longest turn, and the longest delay between due time and start.
     pub longest_turn: TimeDelta,
     pub longest_delay: TimeDelta,
 }
 
 #[derive(Clone, Debug)]
-struct State<C> {
-    chore: C,
-    terms: TaskConfig,
+struct TaskState<C> {
+    id: C,
+    config: TaskConfig,
     due: Option<Timestamp>,
     running: bool,
-    /// It was asked for while it ran.
-    again: bool,
-    failed: u32,
+    /// Requested again while running.
+    requested_again: bool,
+    consecutive_failures: u32,
     stats: TaskStats,
 }
 
-/// `C` names the chores.
+/// Schedules background tasks; `C` identifies a task.
 pub struct Scheduler<C> {
-    chores: Vec<State<C>>,
-    thread: TokenBucket,
-    takes: TokenBucket,
-    /// The earliest moment at which anything may be due: one comparison for callers that come round all the time.
+    tasks: Vec<TaskState<C>>,
+    thread_budget: TokenBucket,
+    external_budget: TokenBucket,
+    /// The earliest time at which any task may be due, so that frequent polls cost one comparison.
     next: Option<Timestamp>,
     rng: Rng,
 }
 
-/// So soon a chore that is due and may not be done yet is looked at again.
-const LOOK_AGAIN: TimeDelta = TimeDelta::from_millis(5);
+/// The delay before a due task that may not run yet is considered again.
+const BLOCKED_RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(5);
 
 impl<C: Copy + PartialEq> Scheduler<C> {
+    /// Creates a scheduler without tasks; `seed` determines its jitter.
     #[must_use]
     pub fn new(now: Timestamp, budget: Budget, seed: u64) -> Scheduler<C> {
         Scheduler {
-            chores: Vec::new(),
-            thread: TokenBucket::new(now, budget.thread_share, budget.thread_burst.as_secs_f64()),
-            takes: TokenBucket::new(now, budget.external_rate, budget.external_burst),
+            tasks: Vec::new(),
+            thread_budget: TokenBucket::new(now, budget.thread_share, budget.thread_burst.as_secs_f64()),
+            external_budget: TokenBucket::new(now, budget.external_rate, budget.external_burst),
             next: None,
             rng: Rng::with_seed(seed),
         }
     }
 
-    /// One more chore; one that is done from time to time is due for the first time within its time.
-    pub fn add(&mut self, now: Timestamp, chore: C, terms: TaskConfig) {
-        let due = terms.interval.map(|every| now + every * self.rng.f64());
-        self.chores.push(State {
-            chore,
-            terms,
+    /// Adds a task. A periodic one is first due at a random time within its interval.
+    pub fn add(&mut self, now: Timestamp, id: C, config: TaskConfig) {
+        let due = config.interval.map(|every| now + every * self.rng.f64());
+        self.tasks.push(TaskState {
+            id,
+            config,
             due,
             running: false,
-            again: false,
-            failed: 0,
+            requested_again: false,
+            consecutive_failures: 0,
             stats: TaskStats::default(),
         });
-        self.look();
+        self.update_next();
     }
 
-    fn of(&mut self, chore: C) -> Option<&mut State<C>> {
-        self.chores.iter_mut().find(|one| one.chore == chore)
+    fn task_mut(&mut self, id: C) -> Option<&mut TaskState<C>> {
+        self.tasks.iter_mut().find(|one| one.id == id)
     }
 
-    /// It is due from now on, if it is not yet. One that rests after a failure goes on resting.
-    pub fn request(&mut self, now: Timestamp, chore: C) {
-        let Some(one) = self.of(chore) else { return };
+    /// Makes a task due now. A task in backoff after a failure stays in backoff.
+    pub fn request(&mut self, now: Timestamp, id: C) {
+        let Some(one) = self.task_mut(id) else { return };
         if one.running {
-            one.again = true;
-        } else if one.failed == 0 {
+            one.requested_again = true;
+        } else if one.consecutive_failures == 0 {
             one.due = Some(one.due.map_or(now, |due| due.min(now)));
         } else {
             one.due = one.due.or(Some(now));
         }
-        self.look();
+        self.update_next();
     }
 
-    fn look(&mut self) {
-        self.next = self.chores.iter().filter(|one| !one.running).filter_map(|one| one.due).min();
+    fn update_next(&mut self) {
+        self.next = self.tasks.iter().filter(|one| !one.running).filter_map(|one| one.due).min();
     }
 
-    /// When a turn may be taken next, if nothing else happens: at once for one that only waits for ops or for its budget.
+    /// When [`Scheduler::begin_next`] has to be called next.
     #[must_use]
     pub fn next_at(&self) -> Option<Timestamp> {
         self.next
     }
 
-    /// The chore whose turn it is, if any. `ops`: others wait for the thread.
+    /// Starts the next turn, if a task may run; `ops`: operations wait for the thread.
     ///
-    /// First those that are late beyond their time, the one that is latest by its own measure first. Danger: a router that is
-    /// never idle never saves its list, and one that never has budget left never closes an idle connection. Each
-    /// turn of them is one slice, so that between two of them ops are served; all the same the debt is kept and paid by the rest.
+    /// Tasks beyond their maximum delay come first, the most overdue one relative to its maximum delay
+    /// before the others, so that a constantly busy router does not starve them. Their cost is still charged
+    /// to the budget.
     pub fn begin_next(&mut self, now: Timestamp, ops: bool) -> Option<C> {
         if self.next.is_none_or(|next| next > now) {
             return None;
         }
-        let due = |one: &(usize, &State<C>)| !one.1.running && one.1.due.is_some_and(|due| due <= now);
-        let lateness = |one: &State<C>| {
-            (now - one.due.unwrap_or(now)) / one.terms.max_delay.max(TimeDelta::from_micros(1))
+        let due = |one: &(usize, &TaskState<C>)| !one.1.running && one.1.due.is_some_and(|due| due <= now);
+        let lateness = |one: &TaskState<C>| {
+            (now - one.due.unwrap_or(now)) / one.config.max_delay.max(TimeDelta::from_micros(1))
         };
         let latest = self
-            .chores
+            .tasks
             .iter()
             .enumerate()
             .filter(|one| due(one) && lateness(one.1) >= 1.0)
@@ -213,73 +215,73 @@
         if let Some((at, _)) = latest {
             return Some(self.begin(now, at));
         }
-        let thread = self.thread.level(now) > 0.0;
-        let level = self.takes.level(now);
-        let may = |one: &State<C>| {
-            let takes =
-                one.terms.external_cost == 0.0 || level >= one.terms.external_cost.min(self.takes.capacity());
-            match one.terms.priority {
-                Priority::Urgent => takes,
-                Priority::Normal => thread && takes,
-                Priority::Idle => thread && takes && !ops,
+        let has_thread_budget = self.thread_budget.level(now) > 0.0;
+        let external_level = self.external_budget.level(now);
+        let may_run = |one: &TaskState<C>| {
+            let has_external_budget = one.config.external_cost == 0.0
+                || external_level >= one.config.external_cost.min(self.external_budget.capacity());
+            match one.config.priority {
+                Priority::Urgent => has_external_budget,
+                Priority::Normal => has_thread_budget && has_external_budget,
+                Priority::Idle => has_thread_budget && has_external_budget && !ops,
             }
         };
-        let fit = self.chores.iter().enumerate().filter(|one| due(one) && may(one.1));
-        let next = fit.min_by_key(|one| (one.1.terms.priority, one.1.due)).map(|one| one.0);
+        let runnable = self.tasks.iter().enumerate().filter(|one| due(one) && may_run(one.1));
+        let next = runnable.min_by_key(|one| (one.1.config.priority, one.1.due)).map(|one| one.0);
         if next.is_none() {
-            // Danger: what is due and may not be done is asked for again and again, and the thread is never idle.
-            let later = self.chores.iter().filter(|one| !one.running).filter_map(|one| one.due);
-            self.next = later.map(|due| due.max(now + LOOK_AGAIN)).min();
+            // Delays the next attempt, or blocked tasks would keep the thread polling.
+            let later = self.tasks.iter().filter(|one| !one.running).filter_map(|one| one.due);
+            self.next = later.map(|due| due.max(now + BLOCKED_RETRY_INTERVAL)).min();
         }
         Some(self.begin(now, next?))
     }
 
     fn begin(&mut self, now: Timestamp, at: usize) -> C {
-        let one = &mut self.chores[at];
-        let late = now - one.due.unwrap_or(now);
-        one.stats.longest_delay = one.stats.longest_delay.max(late);
+        let one = &mut self.tasks[at];
+        let delay = now - one.due.unwrap_or(now);
+        one.stats.longest_delay = one.stats.longest_delay.max(delay);
         (one.running, one.due) = (true, None);
-        self.takes.spend(now, one.terms.external_cost);
-        let chore = one.chore;
-        self.look();
-        chore
+        self.external_budget.spend(now, one.config.external_cost);
+        let id = one.id;
+        self.update_next();
+        id
     }
 
-    /// A turn has ended, and took so much of the thread's time.
-    pub fn finish(&mut self, now: Timestamp, chore: C, took: TimeDelta, end: TurnOutcome) {
-        self.thread.spend(now, took.as_secs_f64());
+    /// Reports the end of a turn that took this much thread time.
+    pub fn finish(&mut self, now: Timestamp, id: C, took: TimeDelta, end: TurnOutcome) {
+        self.thread_budget.spend(now, took.as_secs_f64());
         let draw = self.rng.f64();
-        let Some(one) = self.of(chore) else { return };
+        let Some(one) = self.task_mut(id) else { return };
         let stats = &mut one.stats;
         (stats.turns, stats.thread_time) = (stats.turns + 1, stats.thread_time + took);
         stats.longest_turn = stats.longest_turn.max(took);
         one.running = false;
-        let again = std::mem::take(&mut one.again);
+        let requested_again = std::mem::take(&mut one.requested_again);
         one.due = match end {
             TurnOutcome::Failed => {
                 stats.failed += 1;
-                // Danger: what fails at once is tried all the time. Full jitter: what many processes share is asked by each at
-                // its own moment.
-                let rest = one.terms.retry_backoff * f64::from(1_u32 << one.failed.min(16));
-                one.failed += 1;
-                Some(now + one.terms.retry_backoff * 0.5 + rest.min(one.terms.max_retry_backoff) * draw)
+                // Exponential backoff with jitter, so that processes do not retry a shared resource at the
+                // same moment.
+                let backoff = one.config.retry_backoff * f64::from(1_u32 << one.consecutive_failures.min(16));
+                one.consecutive_failures += 1;
+                Some(now + one.config.retry_backoff * 0.5 + backoff.min(one.config.max_retry_backoff) * draw)
             }
             TurnOutcome::More => {
-                one.failed = 0;
+                one.consecutive_failures = 0;
                 Some(now)
             }
             TurnOutcome::Done => {
-                one.failed = 0;
-                let jitter = 1.0 + one.terms.jitter * (2.0 * draw - 1.0);
-                let every = one.terms.interval.map(|every| now + every * jitter);
-                if again { Some(now) } else { every }
+                one.consecutive_failures = 0;
+                let jitter = 1.0 + one.config.jitter * (2.0 * draw - 1.0);
+                let every = one.config.interval.map(|every| now + every * jitter);
+                if requested_again { Some(now) } else { every }
             }
         };
-        self.look();
+        self.update_next();
     }
 
-    /// Of all chores: their names and what became of them.
+    /// The names and statistics of all tasks.
     pub fn stats(&self) -> impl Iterator<Item = (&'static str, TaskStats)> {
-        self.chores.iter().map(|one| (one.terms.name, one.stats))
+        self.tasks.iter().map(|one| (one.config.name, one.stats))
     }
 }
--- a/crates/arrowyard-background-tasks/src/slices.rs
+++ b/crates/arrowyard-background-tasks/src/slices.rs
@@ -1,118 +1,134 @@
-//! Long lists worked off in slices, so that no op waits for a whole one. What closes hosts goes first and in one piece, then
-//! what ops wait for, what leads, the rest; a whole list ends with the hosts that it does not name. Each slice stands for itself: it says of the hosts in it
-//! what the list says, and nothing of others, so that between two slices each host is as one of two lists has it.
+//! Applies long host lists in slices, so that no operation waits for a whole list. Entries that close
+//! hosts come first and in one piece, followed by groups with waiting operations, primaries and the rest; a
+//! whole list ends with the removal of the hosts that it does not name. Each slice is consistent in itself:
+//! between slices, every host is in the state of one of the lists.
 
 use std::collections::{HashSet, VecDeque};
 use std::hash::Hash;
 
-/// Part of a list.
+/// A part of a list.
 #[derive(Debug, PartialEq)]
 pub enum ListSlice<L> {
-    /// These lines, as changes.
+    /// Entries to apply as changes.
     Entries(Vec<L>),
-    /// The whole list of this turn is through but for the hosts that it did not name: they are gone by it.
+    /// All entries of the whole list of this generation are applied; hosts that it did not name are to be
+    /// removed.
     RemoveUnlisted(u64),
-    /// The list of this number is through.
+    /// The list of this version is fully applied.
     Complete(i64),
 }
 
-struct Long<L> {
-    number: i64,
+struct PendingList<L> {
+    version: i64,
     whole: bool,
-    /// Which whole list it is, to tell its hosts by.
-    turn: u64,
-    lines: VecDeque<L>,
-    missing: bool,
+    /// The number of the whole list, which marks its hosts.
+    generation: u64,
+    entries: VecDeque<L>,
+    needs_removal: bool,
 }
 
-/// Lists that wait for their slices, the oldest first, behind what closes hosts.
+/// Pending lists, oldest first, and the entries that close hosts, which precede them.
 pub struct ListSlicer<L> {
-    /// Lines that go before all lists.
+    /// Entries that precede all lists.
     urgent: VecDeque<L>,
-    waits: VecDeque<Long<L>>,
-    size: usize,
-    turns: u64,
+    pending: VecDeque<PendingList<L>>,
+    slice_size: usize,
+    generation: u64,
 }
 
 impl<L> ListSlicer<L> {
+    /// Creates an empty queue; `size` is the maximum number of entries in a slice of a list.
     #[must_use]
     pub fn new(size: usize) -> ListSlicer<L> {
-        ListSlicer { urgent: VecDeque::new(), waits: VecDeque::new(), size: size.max(1), turns: 0 }
+        ListSlicer {
+            urgent: VecDeque::new(),
+            pending: VecDeque::new(),
+            slice_size: size.max(1),
+            generation: 0,
+        }
     }
 
-    /// Whether a list of so many lines has to be sliced: it is long, or others wait that came before it.
+    /// Whether a list of this many entries has to be sliced, because it is long or earlier lists are
+    /// pending.
     #[must_use]
-    pub fn needs_slicing(&self, lines: usize) -> bool {
-        lines > self.size || !self.is_empty()
+    pub fn needs_slicing(&self, entries: usize) -> bool {
+        entries > self.slice_size || !self.is_empty()
     }
 
-    /// One more list. `rank` tells of a line what matters most: 0 that a host is left, 1 that ops wait for its group, 2 that
-    /// it leads, 3 all else; `host` whom it is about.
+    /// Adds a list. `rank` classifies an entry: 0 closes a host, 1 operations wait for its group, 2 primary,
+    /// 3 any other; `host` returns the host of an entry.
     ///
-    /// A whole list makes all that wait before it void. Danger: older lines that are put on newer ones open a host again
-    /// that the newer list closed; so lists are worked off in the order in which they came. And a host that drains is sent to
-    /// past its grace, since its word waits behind thousands of others; so a line that closes goes before all lists, with what
-    /// they say of its host right before it.
+    /// A whole list replaces all pending ones. Lists are applied in order, since an older entry could reopen
+    /// a host that a newer one closed. Entries that close a host precede all lists, directly after the
+    /// pending entries of that host; otherwise a draining host would receive operations until thousands of
+    /// other entries are applied.
     pub fn push<K: Eq + Hash + Clone>(
         &mut self,
-        number: i64,
+        version: i64,
         whole: bool,
-        lines: Vec<L>,
+        entries: Vec<L>,
         rank: impl Fn(&L) -> u8,
         host: impl Fn(&L) -> K,
     ) {
         if whole {
-            self.waits.clear();
+            self.pending.clear();
             self.urgent.clear();
-            self.turns += 1;
+            self.generation += 1;
         }
         let mut parts: [Vec<L>; 4] = Default::default();
-        for line in lines {
-            parts[usize::from(rank(&line).min(3))].push(line);
+        for entry in entries {
+            parts[usize::from(rank(&entry).min(3))].push(entry);
         }
-        let [closing, wanted, leading, rest] = parts;
-        if !self.waits.is_empty() && !closing.is_empty() {
+        let [closing, awaited, primaries, rest] = parts;
+        if !self.pending.is_empty() && !closing.is_empty() {
             let closed: HashSet<K> = closing.iter().map(&host).collect();
-            for long in &mut self.waits {
-                let (of, others) = std::mem::take(&mut long.lines)
+            for list in &mut self.pending {
+                let (closed_entries, others) = std::mem::take(&mut list.entries)
                     .into_iter()
-                    .partition::<VecDeque<L>, _>(|line| closed.contains(&host(line)));
-                long.lines = others;
-                self.urgent.extend(of);
+                    .partition::<VecDeque<L>, _>(|entry| closed.contains(&host(entry)));
+                list.entries = others;
+                self.urgent.extend(closed_entries);
             }
         }
         self.urgent.extend(closing);
-        let lines = wanted.into_iter().chain(leading).chain(rest).collect();
-        self.waits.push_back(Long { number, whole, turn: self.turns, lines, missing: whole });
+        let entries = awaited.into_iter().chain(primaries).chain(rest).collect();
+        self.pending.push_back(PendingList {
+            version,
+            whole,
+            generation: self.generation,
+            entries,
+            needs_removal: whole,
+        });
     }
 
-    /// The number that marks the hosts of the whole list in hand.
+    /// The number that marks the hosts of the current whole list.
     #[must_use]
     pub fn generation(&self) -> u64 {
-        self.turns
+        self.generation
     }
 
+    /// Whether no entries or lists are pending.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.waits.is_empty() && self.urgent.is_empty()
+        self.pending.is_empty() && self.urgent.is_empty()
     }
 
     /// The next slice.
     pub fn next_slice(&mut self) -> Option<ListSlice<L>> {
         if !self.urgent.is_empty() {
-            // What is said of one host stays together, whatever the size: between its lines it would be open.
+            // Not split, whatever its size: a host would be open between its entries.
             return Some(ListSlice::Entries(self.urgent.drain(..).collect()));
         }
-        let long = self.waits.front_mut()?;
-        if !long.lines.is_empty() {
-            let size = self.size.min(long.lines.len());
-            return Some(ListSlice::Entries(long.lines.drain(..size).collect()));
+        let list = self.pending.front_mut()?;
+        if !list.entries.is_empty() {
+            let size = self.slice_size.min(list.entries.len());
+            return Some(ListSlice::Entries(list.entries.drain(..size).collect()));
         }
-        if long.whole && std::mem::take(&mut long.missing) {
-            return Some(ListSlice::RemoveUnlisted(long.turn));
+        if list.whole && std::mem::take(&mut list.needs_removal) {
+            return Some(ListSlice::RemoveUnlisted(list.generation));
         }
-        let number = long.number;
-        self.waits.pop_front();
-        Some(ListSlice::Complete(number))
+        let version = list.version;
+        self.pending.pop_front();
+        Some(ListSlice::Complete(version))
     }
 }
--- a/crates/arrowyard-leases/src/candidate.rs
+++ b/crates/arrowyard-leases/src/candidate.rs
@@ -1,5 +1,5 @@
-//! A candidate: when it requests and renews leases, counts grants, holds and releases. All leases that are due share one
-//! round, so that thousands of leases cost a few messages per term.
+//! A candidate: when it requests and renews leases, counts grants, holds and releases. All leases that are
+//! due share one round, so that thousands of leases cost a few messages per term.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -205,8 +205,9 @@
         self.reschedule(lease);
     }
 
-    /// Sets whether this candidate should run tasks. An ineligible one releases its leases and requests them again only after
-    /// all eligible candidates had time to do so. It may still hold leases, since it may be the only candidate left.
+    /// Sets whether this candidate should run tasks. An ineligible one releases its leases and requests them
+    /// again only after all eligible candidates had time to do so. It may still hold leases, since it may be
+    /// the only candidate left.
     pub fn set_eligible(&mut self, now: Timestamp, eligible: bool, mut draw: impl FnMut() -> f64) {
         if self.ineligible != eligible {
             return;
@@ -241,8 +242,8 @@
         }
     }
 
-    /// Stops competing for this lease and releases it if it is held. Another candidate may hold it immediately afterwards, so
-    /// no action under it may still be running.
+    /// Stops competing for this lease and releases it if it is held. Another candidate may hold it
+    /// immediately afterwards, so no action under it may still be running.
     pub fn release(&mut self, lease: LeaseId) {
         self.release_leases(vec![lease]);
     }
@@ -296,7 +297,8 @@
         if self.next_at().is_none_or(|at| at > now) {
             return;
         }
-        // Renewals that are due soon join this round, so that leases acquired one by one come to share messages.
+        // Renewals that are due soon join this round, so that leases acquired one by one come to share
+        // messages.
         let renewal_horizon = now + config.term * (f64::from(config.renew_percent) / 400.0);
         let due: Vec<LeaseId> =
             self.due.range(..=(renewal_horizon, LeaseId(u64::MAX))).map(|(_, lease)| *lease).collect();
@@ -319,7 +321,8 @@
                 State::Idle if !task.wanted => {}
                 State::Idle => requests.push((lease, task.newest_known.next())),
                 State::Requesting { epoch, attempts, round } => {
-                    // With one voter unreachable, two candidates can split the others, and neither gets a majority.
+                    // With one voter unreachable, two candidates can split the others, and neither gets a
+                    // majority.
                     let shared = round.votes.granted != 0 && round.votes.refused != 0;
                     if attempts >= config.max_attempts || shared {
                         // Grants without a majority block the other candidates.
@@ -383,8 +386,9 @@
             }
             Message::Available { lease, epoch, .. } => {
                 let Some(task) = self.tasks.get_mut(lease).filter(|task| task.wanted) else { return };
-                // A candidate in backoff after a conflict ignores the hint, and a hint counts once per epoch. Otherwise two
-                // candidates that collided would release, be notified and collide again without end.
+                // A candidate in backoff after a conflict ignores the hint, and a hint counts once per
+                // epoch. Otherwise two candidates that collided would release, be notified and collide again
+                // without end.
                 let new = *epoch >= task.newest_known && task.released_epoch != Some(*epoch);
                 task.newest_known = task.newest_known.max(*epoch);
                 if task.state == State::Idle && task.conflicts == 0 && new {
@@ -441,8 +445,8 @@
                 *open = round;
                 let lost = round.votes.is_lost(&config);
                 if lost {
-                    // A majority is out of reach. The grants are released, or two competing candidates would block each other
-                    // for a whole term.
+                    // A majority is out of reach. The grants are released, or two competing candidates would
+                    // block each other for a whole term.
                     let granted = round.votes.granted != 0;
                     task.state = State::Idle;
                     task.next = now
--- a/crates/arrowyard-leases/src/config.rs
+++ b/crates/arrowyard-leases/src/config.rs
@@ -13,8 +13,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct VoterId(pub u8);
 
-/// Identifies one incarnation of a candidate process, drawn at random at its start. A name would not do: a restarted process
-/// would take over the lease of its previous incarnation, which may only be paused.
+/// Identifies one incarnation of a candidate process, drawn at random at its start. A name would not do: a
+/// restarted process would take over the lease of its previous incarnation, which may only be paused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CandidateId(pub u64);
 
@@ -36,7 +36,8 @@
     LeaseId(name.bytes().fold(0xcbf2_9ce4_8422_2325, step))
 }
 
-/// Timing and limits; `voter_count`, `term` and `drift_ppm` must be the same at all voters and candidates of a fleet.
+/// Timing and limits; `voter_count`, `term` and `drift_ppm` must be the same at all voters and candidates of
+/// a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
     pub voter_count: u8,
@@ -50,7 +51,8 @@
     pub retry_interval: TimeDelta,
     /// After this many rounds without a majority, a candidate releases the grants that it got.
     pub max_attempts: u8,
-    /// Candidates delay their requests by their rank and a random share of this window, which doubles with each conflict.
+    /// Candidates delay their requests by their rank and a random share of this window, which doubles with
+    /// each conflict.
     pub contention_window: TimeDelta,
     pub max_contention_window: TimeDelta,
     /// The maximum number of leases that a voter tracks.
@@ -82,14 +84,16 @@
 }
 
 impl LeaseConfig {
-    /// The quorum: a majority of all voters, reachable or not, so that two sides of a network partition cannot both have one.
+    /// The quorum: a majority of all voters, reachable or not, so that two sides of a network partition
+    /// cannot both have one.
     #[must_use]
     pub fn majority(&self) -> usize {
         usize::from(self.voter_count) / 2 + 1
     }
 
-    /// How long a holder may act by its own clock, counted from before it sent its request. A voter's fast clock ends the grant
-    /// after term / (1 + drift) of true time, of which the holder's slow clock shows (1 - drift).
+    /// How long a holder may act by its own clock, counted from before it sent its request. A voter's fast
+    /// clock ends the grant after term / (1 + drift) of true time, of which the holder's slow clock shows (1
+    /// - drift).
     #[must_use]
     pub fn usable_term(&self) -> TimeDelta {
         #[cfg(any(test, feature = "flaws"))]
--- a/crates/arrowyard-leases/src/drift.rs
+++ b/crates/arrowyard-leases/src/drift.rs
@@ -1,6 +1,6 @@
-//! Detects voter clocks that exceed the drift bound. A response shows the voter's clock at some moment between request and
-//! receipt, so two responses far apart bound its rate relative to the local clock. Beyond the bound, two candidates may hold
-//! one lease at the same time, and the drift must be reported.
+//! Detects voter clocks that exceed the drift bound. A response shows the voter's clock at some moment
+//! between request and receipt, so two responses far apart bound its rate relative to the local clock.
+//! Beyond the bound, two candidates may hold one lease at the same time, and the drift must be reported.
 
 use std::collections::VecDeque;
 
@@ -9,7 +9,8 @@
 use crate::Message;
 use crate::config::VoterId;
 
-/// One response: when it was requested and received by the local clock, and the remote clock that it carried.
+/// One response: when it was requested and received by the local clock, and the remote clock that it
+/// carried.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Sample {
     sent_at: Timestamp,
@@ -42,8 +43,8 @@
         ClockMonitor { bound_ppm, drifts, sent_rounds: VecDeque::new() }
     }
 
-    /// Records a message that was sent or received. Returns the voter and its drift in parts per million if that provably
-    /// exceeds the bound.
+    /// Records a message that was sent or received. Returns the voter and its drift in parts per million if
+    /// that provably exceeds the bound.
     pub fn observe(&mut self, now: Timestamp, message: &Message) -> Option<(VoterId, i64)> {
         match message {
             Message::Request { round, .. } => {
@@ -70,8 +71,8 @@
 const MAX_BASELINE: TimeDelta = TimeDelta::from_millis(600_000);
 
 impl DriftEstimator {
-    /// Adds a response. Returns the drift in parts per million if it provably exceeds twice the bound, since each of the two
-    /// clocks may be off by the bound.
+    /// Adds a response. Returns the drift in parts per million if it provably exceeds twice the bound, since
+    /// each of the two clocks may be off by the bound.
     pub fn add_sample(
         &mut self,
         sent_at: Timestamp,
@@ -92,7 +93,8 @@
         }
         let ppm =
             |remote_us: i64, local_us: i64| ((remote_us - local_us) as f64 / local_us as f64 * 1e6) as i64;
-        // The longest possible local interval gives the lowest rate of the remote clock, the shortest one the highest.
+        // The longest possible local interval gives the lowest rate of the remote clock, the shortest one
+        // the highest.
         let (slowest, fastest) = (ppm(remote_us, max_interval_us), ppm(remote_us, min_interval_us));
         let bound = 2 * i64::from(bound_ppm);
         if slowest > bound {
--- a/crates/arrowyard-leases/src/fencing.rs
+++ b/crates/arrowyard-leases/src/fencing.rs
@@ -1,6 +1,6 @@
-//! Checks before each effect: the holder checks its permit at the last moment, and the receiver of the effect checks the epoch.
-//! A holder that is paused between its check and its effect may resume after another holder has acted, which only the
-//! receiver's check can detect.
+//! Checks before each effect: the holder checks its permit at the last moment, and the receiver of the
+//! effect checks the epoch. A holder that is paused between its check and its effect may resume after
+//! another holder has acted, which only the receiver's check can detect.
 
 use std::collections::BTreeMap;
 
@@ -35,15 +35,16 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StaleEpoch(pub Epoch);
 
-/// The receiver's check of fencing tokens: the newest epoch of each lease under which an effect was accepted.
+/// The receiver's check of fencing tokens: the newest epoch of each lease under which an effect was
+/// accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FencingGuard {
     newest: BTreeMap<LeaseId, (Epoch, CandidateId)>,
 }
 
 impl FencingGuard {
-    /// Accepts or rejects an effect. Two holders under one epoch are possible only if more voters lost their votes than the
-    /// protocol tolerates; then the first one is accepted.
+    /// Accepts or rejects an effect. Two holders under one epoch are possible only if more voters lost their
+    /// votes than the protocol tolerates; then the first one is accepted.
     ///
     /// # Errors
     /// An effect was accepted under a newer epoch, or under this one from another holder.
--- a/crates/arrowyard-leases/src/message.rs
+++ b/crates/arrowyard-leases/src/message.rs
@@ -1,6 +1,6 @@
-//! Encoding of messages as datagrams: a CRC-32C followed by protobuf, marked with a hash of the fleet, the voter set and the
-//! lease term. Datagrams of another group are dropped: the voter set is fixed while routers run, and participants with
-//! different terms would not honour each other's grants.
+//! Encoding of messages as datagrams: a CRC-32C followed by protobuf, marked with a hash of the fleet, the
+//! voter set and the lease term. Datagrams of another group are dropped: the voter set is fixed while
+//! routers run, and participants with different terms would not honour each other's grants.
 
 use arrowyard_types::{TimeDelta, Timestamp};
 use prost::Message as _;
@@ -67,8 +67,8 @@
     Foreign,
 }
 
-/// Identifies the participants that may exchange messages: a hash of the fleet's name, the voters' names in order, the lease
-/// term and the drift bound.
+/// Identifies the participants that may exchange messages: a hash of the fleet's name, the voters' names in
+/// order, the lease term and the drift bound.
 #[must_use]
 pub fn group_id(fleet: &str, voters: &[String], term: TimeDelta, drift_ppm: u32) -> u64 {
     let text = format!("{fleet}\n{}\n{}\n{drift_ppm}", voters.join("\n"), term.micros());
--- a/crates/arrowyard-leases/src/storage.rs
+++ b/crates/arrowyard-leases/src/storage.rs
@@ -1,5 +1,5 @@
-//! File format of a voter's snapshot: magic bytes, format version, checksum and protobuf. A file that cannot be decoded means
-//! that the voter has lost its votes; the error says why.
+//! File format of a voter's snapshot: magic bytes, format version, checksum and protobuf. A file that cannot
+//! be decoded means that the voter has lost its votes; the error says why.
 
 use prost::Message;
 
--- a/crates/arrowyard-leases/src/voter.rs
+++ b/crates/arrowyard-leases/src/voter.rs
@@ -1,5 +1,6 @@
-//! A voter: what it grants, what it makes durable before it responds, and how it recovers after a start. For each lease it
-//! remembers the newest epoch that it granted, to whom, and until when by its own clock, so that it never votes twice.
+//! A voter: what it grants, what it makes durable before it responds, and how it recovers after a start. For
+//! each lease it remembers the newest epoch that it granted, to whom, and until when by its own clock, so
+//! that it never votes twice.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
@@ -74,11 +75,12 @@
 }
 
 impl Voter {
-    /// Starts a voter from its snapshot, or from none if that was missing or unusable: then its votes are lost. `nonce` is
-    /// drawn at random at each start.
+    /// Starts a voter from its snapshot, or from none if that was missing or unusable: then its votes are
+    /// lost. `nonce` is drawn at random at each start.
     ///
-    /// A grant from before the start may still be held, so the voter abstains for a full term. That includes the holder that
-    /// it remembers: the snapshot may be an older copy, in which the current holder is missing.
+    /// A grant from before the start may still be held, so the voter abstains for a full term. That includes
+    /// the holder that it remembers: the snapshot may be an older copy, in which the current holder is
+    /// missing.
     #[must_use]
     pub fn start(
         now: Timestamp,
@@ -160,8 +162,8 @@
             let needs_recovery = !self.is_complete && self.config.flaw != Some(Flaw::NoRecovery);
             #[cfg(not(any(test, feature = "flaws")))]
             let needs_recovery = !self.is_complete;
-            // Recovery responses count only from now on: during the wait, a grant of the previous incarnation could still
-            // complete a majority with new grants of the others.
+            // Recovery responses count only from now on: during the wait, a grant of the previous
+            // incarnation could still complete a majority with new grants of the others.
             self.stage = Stage::Voting;
             self.next_recovery_request_at = now;
             if needs_recovery {
@@ -179,8 +181,8 @@
         }
     }
 
-    /// Starts recovery under a new incarnation. Responses to an earlier incarnation are ignored, since they may lack grants
-    /// that were made after they were sent.
+    /// Starts recovery under a new incarnation. Responses to an earlier incarnation are ignored, since they
+    /// may lack grants that were made after they were sent.
     fn start_recovery(&mut self) {
         self.stage = Stage::Recovering(BTreeSet::new());
         self.incarnation += 1;
@@ -276,8 +278,8 @@
             if round < vote.round {
                 return None;
             }
-            // A repeated round is granted again, but not extended: a delayed duplicate must not hold the lease for a candidate
-            // that has released it.
+            // A repeated round is granted again, but not extended: a delayed duplicate must not hold the
+            // lease for a candidate that has released it.
             if round > vote.round {
                 (vote.round, vote.until) = (round, until);
             }
@@ -312,8 +314,8 @@
         for requested in leases.iter().take(self.config.max_batch_leases) {
             let Some(vote) = self.votes.get_mut(&requested.lease) else { continue };
             let is_holder = vote.holder == from && vote.epoch == requested.epoch;
-            // A delayed release must not undo a later round. A request of the released round that arrives afterwards is not
-            // extended.
+            // A delayed release must not undo a later round. A request of the released round that arrives
+            // afterwards is not extended.
             if !is_holder || round < vote.round {
                 continue;
             }
@@ -324,8 +326,9 @@
                 continue;
             }
             let waiters = std::mem::take(&mut vote.waiters);
-            // Notifies only the candidate whose request came last, so that waiting candidates do not all request at once. It is
-            // the least likely to have stopped meanwhile; the others retry by themselves.
+            // Notifies only the candidate whose request came last, so that waiting candidates do not all
+            // request at once. It is the least likely to have stopped meanwhile; the others retry by
+            // themselves.
             if let Some(last) = waiters.last() {
                 let message = Message::Available { from: self.me, lease: requested.lease, epoch };
                 self.enqueue(Destination::Candidate(*last), message);
@@ -343,8 +346,8 @@
         is_complete: bool,
     ) {
         if last_known >= self.incarnation {
-            // The other voter knows a later incarnation: the snapshot was an older copy that lacks later grants. The votes
-            // are treated as lost, and the incarnation continues after the known one.
+            // The other voter knows a later incarnation: the snapshot was an older copy that lacks later
+            // grants. The votes are treated as lost, and the incarnation continues after the known one.
             self.is_complete = false;
             self.incarnation = last_known;
             if self.stage == Stage::Voting {
@@ -365,8 +368,8 @@
             self.epoch_floor = highest;
             self.snapshot_number += 1;
         }
-        // Every majority that granted an epoch includes at least one of these voters besides this one: a majority minus one
-        // plus a majority exceeds the number of other voters.
+        // Every majority that granted an epoch includes at least one of these voters besides this one: a
+        // majority minus one plus a majority exceeds the number of other voters.
         if has_quorum {
             (self.stage, self.is_complete) = (Stage::Voting, true);
             self.snapshot_number += 1;
@@ -395,7 +398,8 @@
         Some((self.snapshot_number, snapshot))
     }
 
-    /// Reports the end of a write. After a failure its messages stay queued, and the snapshot is written again.
+    /// Reports the end of a write. After a failure its messages stay queued, and the snapshot is written
+    /// again.
     pub fn write_finished(&mut self, number: u64, done: bool) {
         self.writing = false;
         if done {
--- a/crates/arrowyard-startup/src/lib.rs
+++ b/crates/arrowyard-startup/src/lib.rs
@@ -1,5 +1,5 @@
-//! Coming back: what a router that starts knows at each stage, how far it trusts that, when its service is full, and how
-//! clients that it gives back are spread. Decided without I/O and clock.
+//! Startup and recovery of a router: the stages of a start, how far restored state is trusted, when service
+//! is complete, and how retries of rejected clients are spread. No I/O and no clock.
 
 mod list_version;
 mod pacing;
--- a/crates/arrowyard-startup/src/list_version.rs
+++ b/crates/arrowyard-startup/src/list_version.rs
@@ -1,81 +1,92 @@
-//! Which of discovery's lists are believed. Several may answer behind one address by turns, and one that was cut off from the
-//! others tells what held then: a host that is gone looks ready in it, and one that was told to drain takes ops again. Each
-//! list has a number that only rises, so an older one holds nothing that is not known; but a discovery that lost its state
-//! counts from the beginning, and its lists are older by their number for ever.
+//! Decides which host lists of discovery are accepted. Several discovery instances may answer at one
+//! address, and a stale one lists hosts that have gone or are draining. Lists carry increasing version
+//! numbers, so an older list is ignored. A discovery that lost its state restarts its numbering, and its
+//! lists must be accepted eventually.
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
-/// What is done with a list.
+/// The decision on a list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListDecision {
     Accept,
-    /// It is older than what is held.
+    /// The list is older than the accepted one.
     Ignore,
-    /// Discovery counts anew: it is taken as if it were the first.
+    /// Discovery has restarted its numbering: the list is accepted like a first one.
     Reset,
 }
 
-/// What is believed of one discovery.
+/// Tracks the versions of discovery's lists.
 #[derive(Clone, Debug)]
 pub struct ListVersionTracker {
-    /// The number of the newest list that was taken.
-    held: Option<i64>,
-    /// When that one, or a newer one, was last told; older ones since then, and the number of the last of them.
-    heard: Timestamp,
-    older: u32,
-    last: i64,
-    /// For so long only older ones have to come till they are believed.
-    doubt: TimeDelta,
-    /// It was moved to another address, where numbers may be others.
-    moved: bool,
+    /// The version of the list that was accepted last.
+    accepted: Option<i64>,
+    /// When a list of that version or a newer one was last received.
+    last_current_at: Timestamp,
+    /// Consecutive older lists with versions that do not decrease, and the version of the latest.
+    older_count: u32,
+    last_older_version: i64,
+    /// Older lists are accepted after only older ones have been received for this long.
+    rollback_delay: TimeDelta,
+    /// Discovery moved to another address, where versions may differ.
+    address_changed: bool,
 }
 
-/// So many older ones, in numbers that do not fall, are believed once time is up.
-const AGREED: u32 = 2;
+/// Consecutive older lists, with versions that do not decrease, that are required to accept a restarted
+/// numbering.
+const MIN_OLDER_LISTS: u32 = 2;
 
 impl ListVersionTracker {
-    /// `held` is the number of the list that a router starts with, if any.
+    /// `held` is the version of the list that the router starts with, if any.
     #[must_use]
-    pub fn new(now: Timestamp, held: Option<i64>, doubt: TimeDelta) -> ListVersionTracker {
-        ListVersionTracker { held, heard: now, older: 0, last: i64::MIN, doubt, moved: false }
+    pub fn new(now: Timestamp, held: Option<i64>, rollback_delay: TimeDelta) -> ListVersionTracker {
+        ListVersionTracker {
+            accepted: held,
+            last_current_at: now,
+            older_count: 0,
+            last_older_version: i64::MIN,
+            rollback_delay,
+            address_changed: false,
+        }
     }
 
-    /// Discovery is reached at another address from now on.
+    /// Discovery is reached at another address from now on, so the next whole list is accepted whatever its
+    /// version.
     pub fn address_changed(&mut self) {
-        self.moved = true;
+        self.address_changed = true;
     }
 
-    /// A list of this number came.
-    pub fn evaluate(&mut self, now: Timestamp, number: i64, whole: bool) -> ListDecision {
-        let Some(held) = self.held else { return self.take(now, number, ListDecision::Accept) };
-        if number >= held {
-            return self.take(now, number, ListDecision::Accept);
+    /// Decides on a received list of this version; `whole` is false for a list of changes.
+    pub fn evaluate(&mut self, now: Timestamp, version: i64, whole: bool) -> ListDecision {
+        let Some(accepted) = self.accepted else { return self.accept(now, version, ListDecision::Accept) };
+        if version >= accepted {
+            return self.accept(now, version, ListDecision::Accept);
         }
         if !whole {
-            // Danger: changes since an older list are put on a newer one.
+            // Changes relative to an older list do not apply to the accepted one.
             return ListDecision::Ignore;
         }
-        if self.moved {
-            return self.take(now, number, ListDecision::Reset);
+        if self.address_changed {
+            return self.accept(now, version, ListDecision::Reset);
         }
-        // Two discoveries that both fell behind tell numbers that go up and down; one that lost its state counts up.
-        self.older = if number >= self.last { self.older + 1 } else { 1 };
-        self.last = number;
-        if self.older >= AGREED && now - self.heard >= self.doubt {
-            return self.take(now, number, ListDecision::Reset);
+        // Two stale instances send versions that go up and down; an instance that lost its state counts up.
+        self.older_count = if version >= self.last_older_version { self.older_count + 1 } else { 1 };
+        self.last_older_version = version;
+        if self.older_count >= MIN_OLDER_LISTS && now - self.last_current_at >= self.rollback_delay {
+            return self.accept(now, version, ListDecision::Reset);
         }
         ListDecision::Ignore
     }
 
-    fn take(&mut self, now: Timestamp, number: i64, verdict: ListDecision) -> ListDecision {
-        (self.held, self.heard, self.older, self.last) = (Some(number), now, 0, i64::MIN);
-        self.moved = false;
-        verdict
+    fn accept(&mut self, now: Timestamp, version: i64, decision: ListDecision) -> ListDecision {
+        (self.accepted, self.last_current_at, self.older_count, self.last_older_version) =
+            (Some(version), now, 0, i64::MIN);
+        self.address_changed = false;
+        decision
     }
 
-    /// The number of the newest list that is believed.
+    /// The version of the list that was accepted last.
     #[must_use]
     pub fn accepted_version(&self) -> Option<i64> {
-        self.held
+        self.accepted
     }
 }
--- a/crates/arrowyard-startup/src/pacing.rs
+++ b/crates/arrowyard-startup/src/pacing.rs
@@ -1,16 +1,19 @@
-//! How a router that starts asks discovery, when all others start with it. Discovery bears so many calls a second from the
-//! whole fleet; each router knows how many there are, and draws its moment in the time that all of them need together.
+//! Paces the calls of a router to discovery when many routers start at once. Discovery sustains a bounded
+//! rate of calls from the whole fleet; each router knows the size of the fleet and draws its call time from
+//! the window that all calls need.
 
 use arrowyard_types::TimeDelta;
 use fastrand::Rng;
 
+/// Limits on calls to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PacingConfig {
-    /// Calls a second that discovery bears from all routers together.
+    /// The rate of calls that discovery sustains from all routers together.
     pub max_calls_per_s: f64,
-    /// A router that knows no host waits no longer than this for its first call: all its ops wait, too.
+    /// The maximum delay of the first call of a router that knows no host, since all its operations wait for
+    /// it.
     pub max_first_wait: TimeDelta,
-    /// The longest pause after calls that failed, and the shortest.
+    /// The longest and the shortest backoff after failed calls.
     pub max_backoff: TimeDelta,
     pub min_backoff: TimeDelta,
 }
@@ -27,64 +30,66 @@
     }
 }
 
-/// One router among those that call.
+/// Schedules the calls of one router.
 #[derive(Clone, Debug)]
 pub struct CallPacer {
-    pace: PacingConfig,
+    config: PacingConfig,
     routers: f64,
-    /// Calls in a row that failed.
-    failed: u32,
+    /// Consecutive failed calls.
+    failures: u32,
     rng: Rng,
 }
 
-/// Doublings of the pause at most.
-const DOUBLINGS: u32 = 10;
+/// Maximum number of doublings of the backoff window.
+const MAX_DOUBLINGS: u32 = 10;
 
 impl CallPacer {
+    /// Creates the schedule of one router in a fleet of `routers`.
     #[must_use]
-    pub fn new(pace: PacingConfig, routers: f64, seed: u64) -> CallPacer {
-        CallPacer { pace, routers: routers.max(1.0), failed: 0, rng: Rng::with_seed(seed) }
+    pub fn new(config: PacingConfig, routers: f64, seed: u64) -> CallPacer {
+        CallPacer { config, routers: routers.max(1.0), failures: 0, rng: Rng::with_seed(seed) }
     }
 
-    /// How many routers there are, as far as is known now.
+    /// Updates the number of routers in the fleet.
     pub fn set_router_count(&mut self, routers: f64) {
         self.routers = routers.max(1.0);
     }
 
-    /// The time that all routers together need for a call each.
+    /// The time that discovery needs for one call of each router.
     #[must_use]
     pub fn window(&self) -> TimeDelta {
-        TimeDelta::from_micros((self.routers / self.pace.max_calls_per_s.max(1e-3) * 1e6) as i64)
+        TimeDelta::from_micros((self.routers / self.config.max_calls_per_s.max(1e-3) * 1e6) as i64)
     }
 
-    /// How long to wait before the next call. `listed`: a list is there that is used meanwhile. Danger: a fleet that starts
-    /// at once, or loses its discovery at once, calls at one moment; whoever is refused calls again, all at one moment, and
-    /// a discovery that is just up falls under calls that are not served before their callers give up. So the moment is
-    /// drawn in the whole of a window (full jitter), and the window doubles with each call in a row that fails.
+    /// The delay before the next call; `listed`: a list is in use meanwhile. The delay is drawn from a whole
+    /// window (full jitter), which doubles with each consecutive failure. Otherwise a fleet that starts at
+    /// once would call at the same moment, and retry at the same moment, until discovery is overloaded by
+    /// calls whose callers have given up.
     pub fn next_wait(&mut self, listed: bool) -> TimeDelta {
         let window = self.window();
-        if self.failed == 0 {
-            let window = if listed { window } else { window.min(self.pace.max_first_wait) };
+        if self.failures == 0 {
+            let window = if listed { window } else { window.min(self.config.max_first_wait) };
             return window * self.rng.f64();
         }
-        let doubled = window.max(self.pace.min_backoff) * f64::from(1_u32 << self.failed.min(DOUBLINGS));
-        // Never at once: a refusal that costs nothing is asked for as fast as it comes.
-        self.pace.min_backoff + doubled.min(self.pace.max_backoff) * self.rng.f64()
+        let doubled =
+            window.max(self.config.min_backoff) * f64::from(1_u32 << self.failures.min(MAX_DOUBLINGS));
+        // Never zero, since refusals may return immediately.
+        self.config.min_backoff + doubled.min(self.config.max_backoff) * self.rng.f64()
     }
 
     /// Whether the last call failed.
     #[must_use]
     pub fn is_failing(&self) -> bool {
-        self.failed > 0
+        self.failures > 0
     }
 
-    /// A call brought a list.
+    /// A call returned a list.
     pub fn record_success(&mut self) {
-        self.failed = 0;
+        self.failures = 0;
     }
 
-    /// A call failed, whatever of it: refused, broken off, silent.
+    /// A call failed: refused, interrupted or timed out.
     pub fn record_failure(&mut self) {
-        self.failed += 1;
+        self.failures += 1;
     }
 }
--- a/crates/arrowyard-startup/src/stage.rs
+++ b/crates/arrowyard-startup/src/stage.rs
@@ -1,34 +1,36 @@
-//! The stages of a start, and what full service is.
+//! The stages of a start, and the criterion for full service.
 
 use std::collections::BTreeMap;
 
 use arrowyard_types::{GroupId, TimeDelta, Timestamp};
 use fastrand::Rng;
 
-/// How far a start has come.
+/// The progress of a start.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Stage {
-    /// Nothing is known of any host.
+    /// No host is known.
     NoHosts,
-    /// A list is there, and nobody has said that it still holds: the platform's own, or a stored one.
+    /// A list from the platform or from the store is in use, which discovery has not confirmed.
     Unconfirmed,
-    /// Discovery has spoken.
+    /// Discovery has sent a list.
     Listed,
-    /// Each group that was asked for has answered a read and, if writes came, a write.
+    /// Each requested group has acknowledged a read and, if writes were requested, a write.
     Proven,
-    /// Most ops are served, and were for a while.
+    /// Nearly all operations have been acknowledged in the required number of windows.
     Full,
 }
 
+/// The criterion for full service.
 #[derive(Clone, Copy, Debug)]
 pub struct StartupConfig {
-    /// Full service: this share of the ops that are answered in each of so many slices of time in a row is acked.
+    /// Service is full once this share of the finished operations is acknowledged in each of
+    /// `required_windows` consecutive windows.
     pub min_acked_share: f64,
     pub window: TimeDelta,
     pub required_windows: u32,
-    /// A slice with fewer answers says nothing and is joined to the next.
+    /// A window with fewer finished operations is extended.
     pub min_window_ops: u32,
-    /// After this long a start is over, whatever is served: what is missing then is no matter of the start.
+    /// The start ends after this time even without full service.
     pub timeout: TimeDelta,
 }
 
@@ -44,74 +46,75 @@
     }
 }
 
-/// A start that is over.
+/// The result of a completed start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartupReport {
-    /// From the start to the begin of the slices that were served.
+    /// From the start to the beginning of the served windows.
     pub took: TimeDelta,
-    /// The stage that took longest, and how long.
+    /// The stage that took longest to reach, and how long.
     pub longest_stage: Stage,
     pub longest_wait: TimeDelta,
-    /// Whether service is full, or time was up.
+    /// False if the start ended by timeout.
     pub is_full_service: bool,
 }
 
-/// What became of the ops of a group since the start.
+/// The operations of a group since the start.
 #[derive(Clone, Copy, Debug, Default)]
-struct Group {
-    asked: bool,
-    read: bool,
-    wrote: bool,
-    writes: bool,
+struct GroupStats {
+    requested: bool,
+    read_acked: bool,
+    write_acked: bool,
+    write_requested: bool,
 }
 
-/// One router's start.
+/// Tracks the start of a router.
 pub struct StartupTracker {
-    terms: StartupConfig,
-    began: Timestamp,
+    config: StartupConfig,
+    started_at: Timestamp,
     stage: Stage,
     /// When each stage was reached.
     reached: BTreeMap<Stage, Timestamp>,
-    groups: BTreeMap<GroupId, Group>,
-    slice: Timestamp,
+    groups: BTreeMap<GroupId, GroupStats>,
+    window_start: Timestamp,
     acked: u32,
     failed: u32,
-    good: u32,
-    /// When the slices in a row that are served began.
-    since: Option<Timestamp>,
-    over: bool,
+    served_windows: u32,
+    /// When the current run of served windows began.
+    served_since: Option<Timestamp>,
+    is_over: bool,
 }
 
 impl StartupTracker {
-    /// `listed`: a list is there already, which nobody has confirmed.
+    /// Begins a start; `listed`: an unconfirmed list is available already.
     #[must_use]
-    pub fn start(now: Timestamp, terms: StartupConfig, listed: bool) -> StartupTracker {
+    pub fn start(now: Timestamp, config: StartupConfig, listed: bool) -> StartupTracker {
         let stage = if listed { Stage::Unconfirmed } else { Stage::NoHosts };
         let reached = BTreeMap::from([(Stage::NoHosts, now), (stage, now)]);
         StartupTracker {
-            terms,
-            began: now,
+            config,
+            started_at: now,
             stage,
             reached,
             groups: BTreeMap::new(),
-            slice: now,
+            window_start: now,
             acked: 0,
             failed: 0,
-            good: 0,
-            since: None,
-            over: false,
+            served_windows: 0,
+            served_since: None,
+            is_over: false,
         }
     }
 
+    /// The stage reached so far.
     #[must_use]
     pub fn stage(&self) -> Stage {
         self.stage
     }
 
-    /// Whether the start is over, by full service or by time.
+    /// Whether the start is over, by full service or by timeout.
     #[must_use]
     pub fn is_over(&self) -> bool {
-        self.over
+        self.is_over
     }
 
     fn reach(&mut self, now: Timestamp, stage: Stage) {
@@ -121,76 +124,80 @@
         }
     }
 
-    /// A list came from a store or from the platform after the start.
+    /// A list came from the store or the platform after the start.
     pub fn unconfirmed_list_received(&mut self, now: Timestamp) {
         self.reach(now, Stage::Unconfirmed);
     }
 
-    /// Discovery has spoken.
+    /// Discovery has sent a list.
     pub fn discovery_responded(&mut self, now: Timestamp) {
         self.reach(now, Stage::Listed);
     }
 
-    /// An op came.
+    /// A client requested an operation.
     pub fn op_received(&mut self, group: GroupId, write: bool) {
-        if self.over {
+        if self.is_over {
             return;
         }
         let group = self.groups.entry(group).or_default();
-        (group.asked, group.writes) = (true, group.writes || write);
+        (group.requested, group.write_requested) = (true, group.write_requested || write);
     }
 
-    /// An op was acked.
+    /// An operation was acknowledged.
     pub fn op_acked(&mut self, now: Timestamp, group: GroupId, write: bool) {
-        if self.over {
+        if self.is_over {
             return;
         }
         self.acked += 1;
-        let one = self.groups.entry(group).or_default();
-        (one.read, one.wrote) = (one.read || !write, one.wrote || write);
-        let proven = |one: &Group| !one.asked || one.wrote || one.read && !one.writes;
+        let stats = self.groups.entry(group).or_default();
+        (stats.read_acked, stats.write_acked) = (stats.read_acked || !write, stats.write_acked || write);
+        let proven = |stats: &GroupStats| {
+            !stats.requested || stats.write_acked || stats.read_acked && !stats.write_requested
+        };
         if self.stage >= Stage::Unconfirmed && self.groups.values().all(proven) {
-            // Without discovery, too: hosts that answer are there, whatever nobody says of them.
+            // Also without discovery, since hosts that respond are proven to exist.
             self.reach(now, Stage::Proven);
         }
     }
 
-    /// An op was given back, or failed.
+    /// An operation was rejected or failed.
     pub fn op_failed(&mut self) {
-        self.failed += u32::from(!self.over);
+        self.failed += u32::from(!self.is_over);
     }
 
-    /// Time has passed; once, what the start took.
+    /// Evaluates the current window. Returns the report once, when the start is over.
     pub fn tick(&mut self, now: Timestamp) -> Option<StartupReport> {
-        if self.over {
+        if self.is_over {
             return None;
         }
-        let answered = self.acked + self.failed;
-        if now - self.slice >= self.terms.window && (answered >= self.terms.min_window_ops || answered == 0) {
-            let served = f64::from(self.acked) >= f64::from(answered) * self.terms.min_acked_share;
-            if answered == 0 {
-                // Nobody asks, or nobody was answered yet: that says nothing, either way.
+        let finished = self.acked + self.failed;
+        if now - self.window_start >= self.config.window
+            && (finished >= self.config.min_window_ops || finished == 0)
+        {
+            let served = f64::from(self.acked) >= f64::from(finished) * self.config.min_acked_share;
+            if finished == 0 {
+                // No operation finished: neither served nor failed.
             } else if served && self.stage >= Stage::Proven {
-                // A slice may have begun before anything could be served.
+                // The window may have begun before anything could be served.
                 let proven = self.reached.get(&Stage::Proven).copied().unwrap_or(now);
-                self.since = self.since.or(Some(self.slice.max(proven)));
-                self.good += 1;
+                self.served_since = self.served_since.or(Some(self.window_start.max(proven)));
+                self.served_windows += 1;
             } else {
-                (self.since, self.good) = (None, 0);
+                (self.served_since, self.served_windows) = (None, 0);
             }
-            (self.slice, self.acked, self.failed) = (now, 0, 0);
+            (self.window_start, self.acked, self.failed) = (now, 0, 0);
         }
-        let full = self.good >= self.terms.required_windows;
-        if !full && now - self.began < self.terms.timeout {
+        let full = self.served_windows >= self.config.required_windows;
+        if !full && now - self.started_at < self.config.timeout {
             return None;
         }
-        self.over = true;
-        let end = if full { self.since.unwrap_or(now) } else { now };
+        self.is_over = true;
+        let end = if full { self.served_since.unwrap_or(now) } else { now };
         if full {
             self.reach(end, Stage::Full);
         }
-        // What each stage took: from the one before it.
-        let mut before = self.began;
+        // The duration of each stage, counted from the previous one.
+        let mut before = self.started_at;
         let mut longest = (TimeDelta::ZERO, self.stage);
         for (&stage, &at) in &self.reached {
             longest = longest.max((at - before, stage));
@@ -200,27 +207,32 @@
             longest = longest.max((now - before, Stage::Full));
         }
         Some(StartupReport {
-            took: end - self.began,
+            took: end - self.started_at,
             longest_stage: longest.1,
             longest_wait: longest.0,
             is_full_service: full,
         })
     }
 
-    /// When a client that is given back should come again. Danger: a whole fleet starts at once, gives its clients back at
-    /// once, and all of them come again at the same moment, for which nobody is ready either.
+    /// When a rejected client should retry. During a start the delay is jittered, so that the clients of a
+    /// fleet that starts at once do not all retry at the same moment.
     #[must_use]
-    pub fn retry_after(&self, told: Option<TimeDelta>, most: TimeDelta, rng: &mut Rng) -> Option<TimeDelta> {
-        if self.over {
-            return told;
+    pub fn retry_after(
+        &self,
+        requested: Option<TimeDelta>,
+        max: TimeDelta,
+        rng: &mut Rng,
+    ) -> Option<TimeDelta> {
+        if self.is_over {
+            return requested;
         }
-        Some(jittered_retry_after(told, most, rng))
+        Some(jittered_retry_after(requested, max, rng))
     }
 }
 
-/// A time between what was told and the most that a client may be told, drawn evenly: full jitter.
+/// A delay drawn uniformly between `requested` and `max`, the maximum that a client accepts.
 #[must_use]
-pub fn jittered_retry_after(told: Option<TimeDelta>, most: TimeDelta, rng: &mut Rng) -> TimeDelta {
-    let from = told.unwrap_or_default().min(most);
-    from + (most - from) * rng.f64()
+pub fn jittered_retry_after(requested: Option<TimeDelta>, max: TimeDelta, rng: &mut Rng) -> TimeDelta {
+    let from = requested.unwrap_or_default().min(max);
+    from + (max - from) * rng.f64()
 }
--- a/crates/arrowyard-startup/src/trust.rs
+++ b/crates/arrowyard-startup/src/trust.rs
@@ -1,6 +1,6 @@
-//! How far a stored list is trusted. Hosts are replaced at some rate, and each that is gone, or is another by now, costs
-//! whoever dials it. If a host stays for `life` on average, and goes at no time more likely than at another, the chance that
-//! it is still there after `age` is exp(-age / life): that is the confidence, and the share of its size that it is used with.
+//! How far a stored host list is trusted. If hosts are replaced at a constant rate and stay for
+//! `host_lifetime` on average, the probability that a host still exists after `age` is exp(-age /
+//! host_lifetime). This is the confidence, and the share of its size with which the host is used.
 
 use std::path::PathBuf;
 
@@ -9,12 +9,12 @@
 
 use crate::pacing::PacingConfig;
 
-/// What of a list is used.
+/// How a stored list is trusted.
 #[derive(Clone, Copy, Debug)]
 pub struct Trust {
-    /// How long a host stays, on average.
+    /// The mean lifetime of a host.
     pub host_lifetime: TimeDelta,
-    /// Below this confidence an entry is left out.
+    /// Below this confidence the stored list is not used.
     pub min_confidence: f64,
 }
 
@@ -24,37 +24,37 @@
     }
 }
 
-/// How a router comes back, from the operator's file.
+/// Settings of startup and recovery, from the operator's configuration file.
 #[derive(Clone, Debug)]
 pub struct StartupSettings {
-    /// The folder in which it keeps its list; nothing is kept where there is none.
+    /// The directory of the stored list; `None` stores nothing.
     pub store: Option<PathBuf>,
     pub trust: Trust,
-    /// The list is written at most so often.
+    /// The minimum time between two writes of the list.
     pub save_interval: TimeDelta,
-    /// How discovery is asked, by all routers together.
+    /// Limits on calls to discovery.
     pub pacing: PacingConfig,
-    /// For so long older lists than the one held have to come, and no newer one, till they are believed.
+    /// Lists older than the accepted one are accepted after only such lists have been received for this
+    /// long.
     pub rollback_delay: TimeDelta,
 }
 
-/// The chance that a host which was there so long ago is there now.
+/// The probability that a host that existed `age` ago still exists.
 #[must_use]
-pub fn confidence(age: TimeDelta, life: TimeDelta) -> f64 {
-    (-(age.as_secs_f64().max(0.0) / life.as_secs_f64().max(1e-3))).exp()
+pub fn confidence(age: TimeDelta, host_lifetime: TimeDelta) -> f64 {
+    (-(age.as_secs_f64().max(0.0) / host_lifetime.as_secs_f64().max(1e-3))).exp()
 }
 
-/// An entry of a stored list, as it may be used.
+/// A stored host with its size reduced by the confidence in it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DiscountedHost {
     pub host: Host,
-    /// The share of its size that it is used with.
+    /// The share of the stored size that remains.
     pub confidence: f64,
 }
 
-/// The entries that may be used, at a time so long after the list was written. Danger: what was decided before and has
-/// changed since. A primary is taken for none: the group is asked. A host that had begun to drain stays closed till
-/// discovery says otherwise. One that is new to the platform's own list and not in it is left to that list, where there is one.
+/// The usable hosts of a list that was written `age` ago. Roles are not restored, since the primary may have
+/// changed. Hosts that were draining, and hosts in `known`, the platform's own list, are left out.
 #[must_use]
 pub fn discount_hosts(
     stored: &Snapshot,
@@ -66,11 +66,11 @@
     if confidence < trust.min_confidence {
         return Vec::new();
     }
-    let fit = |host: &&Host| !host.draining && !host.dial.is_empty() && !known.contains(&host.name);
-    let used = |host: &Host| DiscountedHost {
-        // Its warmth goes by its start, which does not change; its role and its readiness do.
+    let is_usable = |host: &&Host| !host.draining && !host.dial.is_empty() && !known.contains(&host.name);
+    let discounted = |host: &Host| DiscountedHost {
+        // The start time of a host does not change, unlike its role.
         host: Host { was_primary: false, size: host.size * confidence, ..host.clone() },
         confidence,
     };
-    stored.hosts.iter().filter(fit).map(used).collect()
+    stored.hosts.iter().filter(is_usable).map(discounted).collect()
 }
--- a/crates/arrowyard-store/src/disk.rs
+++ b/crates/arrowyard-store/src/disk.rs
@@ -1,40 +1,42 @@
-//! The few things that are asked of a disk, so that tests can break each of them.
+//! The file operations of the store, behind a trait so that tests can inject failures.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::Path;
 
+/// File operations that the store depends on.
 pub trait Disk {
-    /// Reads a file, no more than so many bytes of it, and says how many it has.
+    /// Reads up to about `max_bytes` bytes of a file. Returns them and the length of the file.
     ///
     /// # Errors
-    /// As the system says.
-    fn read(&self, path: &Path, most: usize) -> io::Result<(Vec<u8>, u64)>;
-    /// Writes a new file whole, for its owner only, and waits till it is on the disk.
+    /// The error of the operating system.
+    fn read(&self, path: &Path, max_bytes: usize) -> io::Result<(Vec<u8>, u64)>;
+    /// Writes and syncs a file that only its owner may read.
     ///
     /// # Errors
-    /// As the system says; what is there then may be a part of it.
+    /// The error of the operating system; the file may be incomplete.
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()>;
-    /// Puts a file in the place of another in one step, and waits till that is on the disk.
+    /// Renames a file over another atomically and syncs the directory.
     ///
     /// # Errors
-    /// As the system says.
+    /// The error of the operating system.
     fn replace(&self, from: &Path, to: &Path) -> io::Result<()>;
 }
 
-/// The system's.
+/// The file system of the operating system.
 pub struct SystemDisk;
 
 impl Disk for SystemDisk {
-    fn read(&self, path: &Path, most: usize) -> io::Result<(Vec<u8>, u64)> {
-        let told = fs::metadata(path)?;
-        if !told.is_file() {
+    fn read(&self, path: &Path, max_bytes: usize) -> io::Result<(Vec<u8>, u64)> {
+        let metadata = fs::metadata(path)?;
+        if !metadata.is_file() {
             return Err(io::Error::from(io::ErrorKind::IsADirectory));
         }
         let mut bytes = Vec::new();
-        // Danger: it grows while it is read, or says a wrong length; no more is taken than may be.
-        File::open(path)?.take(most as u64 + 1).read_to_end(&mut bytes)?;
-        Ok((bytes, told.len()))
+        // The file may grow while it is read, so the read is limited. One byte more tells a file that is too
+        // long.
+        File::open(path)?.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
+        Ok((bytes, metadata.len()))
     }
 
     fn write(&self, path: &Path, bytes: &[u8]) -> io::Result<()> {
@@ -44,13 +46,13 @@
         std::os::unix::fs::OpenOptionsExt::mode(&mut options, 0o600);
         let mut file = options.open(path)?;
         file.write_all(bytes)?;
-        // Danger: renamed before its bytes are on the disk, a power cut leaves an empty file in the place of a good one.
+        // Without a sync before the rename, a power failure could replace a valid file by an empty one.
         file.sync_all()
     }
 
     fn replace(&self, from: &Path, to: &Path) -> io::Result<()> {
         fs::rename(from, to)?;
-        let Some(folder) = to.parent() else { return Ok(()) };
-        File::open(folder)?.sync_all()
+        let Some(directory) = to.parent() else { return Ok(()) };
+        File::open(directory)?.sync_all()
     }
 }
--- a/crates/arrowyard-store/src/format.rs
+++ b/crates/arrowyard-store/src/format.rs
@@ -1,17 +1,18 @@
-//! The form of a file: a head with a mark, the form's number, a length and a checksum, then protobuf. No I/O.
+//! The file format of a snapshot: a header of magic bytes, format version, minimum reader version, length
+//! and checksum, followed by protobuf. No I/O.
 
 use prost::Message;
 
-/// What a file begins with, the form that is written, and the least form that is understood.
-const MARK: [u8; 4] = *b"AYST";
-const FORM: u16 = 2;
-const LEAST: u16 = 1;
-/// Mark, form, least form for a reader, length, checksum.
-const HEAD: usize = 4 + 2 + 2 + 4 + 4;
-/// Bytes of a file at most: 100,000 hosts fit.
+/// The magic bytes, the format version that is written, and the oldest version that is understood.
+const MAGIC: [u8; 4] = *b"AYST";
+const FORMAT_VERSION: u16 = 2;
+const MIN_FORMAT_VERSION: u16 = 1;
+/// Magic, format version, minimum reader version, length, checksum.
+const HEADER_BYTES: usize = 4 + 2 + 2 + 4 + 4;
+/// Maximum size of a file; sufficient for 100,000 hosts.
 pub const MAX_FILE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A host as it was last known.
+/// The last known state of a host.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Host {
     #[prost(string, tag = "1")]
@@ -24,82 +25,85 @@
     pub group: i64,
     #[prost(double, tag = "5")]
     pub size: f64,
-    /// Unix milliseconds; 0 for long ago.
+    /// The start of the host in Unix milliseconds; 0 if it started long ago.
     #[prost(double, tag = "6")]
     pub born_ms: f64,
-    /// It had begun to drain.
+    /// The host was draining.
     #[prost(bool, tag = "7")]
     pub draining: bool,
-    /// It was primary then, which says nothing of now.
+    /// The host was a primary when the snapshot was written.
     #[prost(bool, tag = "8")]
     pub was_primary: bool,
 }
 
+/// A host list with its origin.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct Snapshot {
-    /// Whose hosts these are: the deployment, as its settings mark it.
+    /// A hash that identifies the deployment.
     #[prost(fixed64, tag = "1")]
     pub deployment: u64,
-    /// Which router wrote it.
+    /// The name of the router that wrote the snapshot.
     #[prost(string, tag = "2")]
     pub router: String,
     #[prost(uint64, tag = "3")]
     pub written_ms: u64,
-    /// Grows with each that is written.
+    /// Increases with each written snapshot.
     #[prost(uint64, tag = "4")]
     pub number: u64,
-    /// Of discovery's list.
+    /// The version of discovery's list.
     #[prost(int64, tag = "5")]
     pub version: i64,
     #[prost(message, repeated, tag = "6")]
     pub hosts: Vec<Host>,
 }
 
-/// What was found where a generation should be.
+/// The state of the file of a generation.
 #[derive(Clone, Debug, PartialEq)]
 pub enum GenerationState {
     Valid(Snapshot),
     Missing,
-    /// A folder, or something else that is no file.
+    /// A directory, or anything else that is not a regular file.
     NoFile,
     NoRights,
-    /// The system could not read it, and says why.
+    /// Any other read error, with its message.
     Unreadable(String),
     Empty,
     Huge(u64),
-    /// It ends before it should.
+    /// Shorter than its header says.
     Truncated,
-    /// Its checksum, or what it holds, is wrong.
+    /// The checksum or the content is invalid.
     Garbled,
-    /// Of a later form that cannot be read here, or an earlier one that cannot any more.
+    /// Of a later format version that requires a newer reader.
     Newer(u16),
+    /// Of a format version that is no longer supported.
     Older(u16),
     /// Of another deployment.
     Foreign,
-    /// Written later than now, beyond what clocks may differ: by so many milliseconds.
+    /// Written this many milliseconds in the future, beyond the accepted clock skew.
     Future(u64),
 }
 
-/// The bytes of a file.
+/// Encodes a snapshot as the bytes of a file.
 #[must_use]
 pub fn encode(snapshot: &Snapshot) -> Vec<u8> {
     let body = snapshot.encode_to_vec();
-    let mut bytes = Vec::with_capacity(HEAD + body.len());
-    bytes.extend(MARK);
-    bytes.extend(FORM.to_le_bytes());
-    bytes.extend(LEAST.to_le_bytes());
+    let mut bytes = Vec::with_capacity(HEADER_BYTES + body.len());
+    bytes.extend(MAGIC);
+    bytes.extend(FORMAT_VERSION.to_le_bytes());
+    bytes.extend(MIN_FORMAT_VERSION.to_le_bytes());
     bytes.extend((body.len() as u32).to_le_bytes());
-    bytes.extend(check(&bytes, &body).to_le_bytes());
+    bytes.extend(checksum(&bytes, &body).to_le_bytes());
     bytes.extend(body);
     bytes
 }
 
-/// Over the head, too: else one bit of the length or the form is read as another file.
-fn check(head: &[u8], body: &[u8]) -> u32 {
+/// Covers the header too, so that a flipped bit in the version or the length is detected.
+fn checksum(head: &[u8], body: &[u8]) -> u32 {
     crc32c::crc32c_append(crc32c::crc32c(head), body)
 }
 
-/// What the bytes are, for this deployment (any, if none is said) at this time (Unix milliseconds); clocks may differ by `skew_ms`.
+/// Decodes and validates a file. `deployment`: the expected deployment, or `None` for any; `now_ms`: Unix
+/// milliseconds; `skew_ms`: the accepted clock skew.
 #[must_use]
 pub fn decode(bytes: &[u8], deployment: Option<u64>, now_ms: u64, skew_ms: u64) -> GenerationState {
     if bytes.is_empty() {
@@ -108,24 +112,27 @@
     if bytes.len() > MAX_FILE_BYTES {
         return GenerationState::Huge(bytes.len() as u64);
     }
-    let Some((head, body)) = bytes.split_first_chunk::<HEAD>() else { return GenerationState::Truncated };
-    if head[..4] != MARK {
+    let Some((head, body)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
+        return GenerationState::Truncated;
+    };
+    if head[..4] != MAGIC {
         return GenerationState::Garbled;
     }
-    let two = |at: usize| u16::from_le_bytes([head[at], head[at + 1]]);
-    let four = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let (form, least, length, told) = (two(4), two(6), four(8) as usize, four(12));
+    let read_u16 = |at: usize| u16::from_le_bytes([head[at], head[at + 1]]);
+    let read_u32 = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
+    let (format_version, min_reader_version, length, stored_checksum) =
+        (read_u16(4), read_u16(6), read_u32(8) as usize, read_u32(12));
     if body.len() < length {
         return GenerationState::Truncated;
     }
-    if body.len() > length || check(&head[..12], body) != told {
+    if body.len() > length || checksum(&head[..12], body) != stored_checksum {
         return GenerationState::Garbled;
     }
-    if least > FORM {
-        return GenerationState::Newer(form);
+    if min_reader_version > FORMAT_VERSION {
+        return GenerationState::Newer(format_version);
     }
-    if form < LEAST {
-        return GenerationState::Older(form);
+    if format_version < MIN_FORMAT_VERSION {
+        return GenerationState::Older(format_version);
     }
     let Ok(snapshot) = Snapshot::decode(body) else { return GenerationState::Garbled };
     if deployment.is_some_and(|deployment| snapshot.deployment != deployment) {
--- a/crates/arrowyard-store/src/generations.rs
+++ b/crates/arrowyard-store/src/generations.rs
@@ -1,4 +1,5 @@
-//! Two generations of a snapshot: the older one is replaced, the newer one stays till that is done.
+//! Two generations of a snapshot: the older one is replaced, and the newer one stays until the write has
+//! completed.
 
 use std::io;
 use std::path::PathBuf;
@@ -6,17 +7,17 @@
 use crate::disk::Disk;
 use crate::format::{GenerationState, MAX_FILE_BYTES, Snapshot, decode, encode};
 
-/// Whose snapshots, where.
+/// The snapshots of one deployment in a directory.
 pub struct Store<D: Disk> {
     pub disk: D,
     pub folder: PathBuf,
-    /// Of any if none is said, as for a look from outside.
+    /// The expected deployment; `None` accepts any, for inspection.
     pub deployment: Option<u64>,
-    /// How far clocks may differ, in milliseconds.
+    /// The accepted clock skew.
     pub max_clock_skew_ms: u64,
 }
 
-/// Which of the two.
+/// One of the two generations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Generation {
     A,
@@ -24,9 +25,9 @@
 }
 
 impl Generation {
-    const BOTH: [Generation; 2] = [Generation::A, Generation::B];
+    const ALL: [Generation; 2] = [Generation::A, Generation::B];
 
-    fn name(self) -> &'static str {
+    fn file_name(self) -> &'static str {
         match self {
             Generation::A => "hosts.a",
             Generation::B => "hosts.b",
@@ -34,25 +35,25 @@
     }
 }
 
-/// What was found of both.
+/// The state of both generations.
 #[derive(Debug)]
 pub struct Loaded {
     pub generations: [(Generation, GenerationState); 2],
 }
 
 impl Loaded {
-    /// The newest whole one.
+    /// The newest valid generation.
     #[must_use]
     pub fn newest(&self) -> Option<(Generation, &Snapshot)> {
-        let whole = self.generations.iter().filter_map(|(kept, found)| match found {
-            GenerationState::Valid(snapshot) => Some((*kept, snapshot)),
+        let valid = self.generations.iter().filter_map(|(generation, state)| match state {
+            GenerationState::Valid(snapshot) => Some((*generation, snapshot)),
             _ => None,
         });
-        whole.max_by_key(|(_, snapshot)| snapshot.number)
+        valid.max_by_key(|(_, snapshot)| snapshot.number)
     }
 
-    /// Which one the next snapshot replaces, and its number. Danger: the only whole one is replaced, and the router is killed
-    /// meanwhile. So it is never that.
+    /// The generation that the next snapshot replaces, and its number. It is never the newest valid one,
+    /// which must survive a crash during the write.
     #[must_use]
     pub fn next_generation(&self) -> (Generation, u64) {
         match self.newest() {
@@ -64,12 +65,12 @@
 }
 
 impl<D: Disk> Store<D> {
-    fn path(&self, kept: Generation) -> PathBuf {
-        self.folder.join(kept.name())
+    fn path(&self, generation: Generation) -> PathBuf {
+        self.folder.join(generation.file_name())
     }
 
-    fn read_generation(&self, kept: Generation, now_ms: u64) -> GenerationState {
-        match self.disk.read(&self.path(kept), MAX_FILE_BYTES) {
+    fn read_generation(&self, generation: Generation, now_ms: u64) -> GenerationState {
+        match self.disk.read(&self.path(generation), MAX_FILE_BYTES) {
             Ok((_, length)) if length > MAX_FILE_BYTES as u64 => GenerationState::Huge(length),
             Ok((bytes, _)) => decode(&bytes, self.deployment, now_ms, self.max_clock_skew_ms),
             Err(error) => match error.kind() {
@@ -81,27 +82,33 @@
         }
     }
 
-    /// What there is; never an error.
+    /// Reads both generations; errors are part of their states.
     #[must_use]
     pub fn load(&self, now_ms: u64) -> Loaded {
-        Loaded { generations: Generation::BOTH.map(|kept| (kept, self.read_generation(kept, now_ms))) }
+        Loaded {
+            generations: Generation::ALL
+                .map(|generation| (generation, self.read_generation(generation, now_ms))),
+        }
     }
 
-    /// Writes the next snapshot in the place of the older generation, and reads it back.
+    /// Replaces the older generation by this snapshot, whose number and deployment are set here.
     ///
     /// # Errors
-    /// What went wrong; the newer generation is as it was.
+    /// The error of a failed write; the newer generation is unchanged.
     pub fn save(&self, mut snapshot: Snapshot, now_ms: u64) -> io::Result<Generation> {
-        let (kept, number) = self.load(now_ms).next_generation();
+        let (generation, number) = self.load(now_ms).next_generation();
         snapshot.deployment = self.deployment.unwrap_or(snapshot.deployment);
         snapshot.number = number;
         let bytes = encode(&snapshot);
         if bytes.len() > MAX_FILE_BYTES {
-            return Err(io::Error::new(io::ErrorKind::FileTooLarge, "more hosts than a snapshot may hold"));
+            return Err(io::Error::new(
+                io::ErrorKind::FileTooLarge,
+                "the encoded snapshot exceeds the maximum file size",
+            ));
         }
-        let beside = self.folder.join("hosts.next");
-        self.disk.write(&beside, &bytes)?;
-        self.disk.replace(&beside, &self.path(kept))?;
-        Ok(kept)
+        let temporary_path = self.folder.join("hosts.next");
+        self.disk.write(&temporary_path, &bytes)?;
+        self.disk.replace(&temporary_path, &self.path(generation))?;
+        Ok(generation)
     }
 }
--- a/crates/arrowyard-store/src/lib.rs
+++ b/crates/arrowyard-store/src/lib.rs
@@ -1,6 +1,7 @@
-//! What a router keeps on disk: the list of hosts as it last knew it. Two generations, each written whole beside the old
-//! one, synced and renamed, so that a router killed at any moment finds one that is whole; and each thing that can be
-//! wrong with a file told apart, reported, and no reason not to start. Writing blocks: it is for a thread of its own.
+//! On-disk snapshots of the host list that a router last knew. Two generations are kept, each written to a
+//! temporary file, synced and renamed, so that a router that is killed at any moment finds a valid one. Each
+//! kind of damage is reported separately, and none prevents a start. Writes block and belong on a thread of
+//! their own.
 
 mod disk;
 mod format;
