--- a/crates/arrowyard-daemon/src/lib.rs
+++ b/crates/arrowyard-daemon/src/lib.rs
@@ -2,10 +2,10 @@
 //! what fronts they have is their own.
 
 mod ask;
-pub mod base;
 mod cells;
 mod leases;
 mod peers;
+pub mod router_service;
 pub mod serve;
 mod store;
 
--- a/crates/arrowyard-daemon/src/base.rs
+++ b/crates/arrowyard-daemon/src/router_service.rs
@@ -47,7 +47,7 @@
 const HERD: u64 = 0x6865_7264;
 
 /// The stages of a router that is to serve: fronts hand their ops in here.
-pub struct Base<B: Back> {
+pub struct RouterService<B: Back> {
     pub gate: Rc<Gate>,
     pub mail: mpsc::Sender<Mail<B>>,
     /// Connections of clients, of every front.
@@ -62,7 +62,7 @@
     route: JoinHandle<()>,
 }
 
-impl<B: Back> Base<B> {
+impl<B: Back> RouterService<B> {
     /// Starts them; `back` makes what carries sends to hosts.
     ///
     /// # Errors
@@ -164,7 +164,19 @@
         let route = spawn_local(route.run(inbox));
         let clients = Rc::new(Cell::new(0));
         let drain = Drain { stage, clients: clients.clone(), limits: limits.clone() };
-        Ok(Base { peers, gate, mail, clients, stage: staged, beat, clock, limits, drain, signals, route })
+        Ok(RouterService {
+            peers,
+            gate,
+            mail,
+            clients,
+            stage: staged,
+            beat,
+            clock,
+            limits,
+            drain,
+            signals,
+            route,
+        })
     }
 
     /// Serves till it is told to end, or a front does, which never should.
@@ -213,7 +225,7 @@
 ///
 /// # Errors
 /// What it could not start with, or why it ended.
-pub fn serve_with<F: Future<Output = Result<(), String>>>(
+pub fn run_single_threaded<F: Future<Output = Result<(), String>>>(
     path: Option<PathBuf>,
     run: impl FnOnce(Waybill, Option<PathBuf>, Option<Yardbook>) -> F,
 ) -> Result<(), String> {
--- a/crates/arrowyard-flight-daemon/src/main.rs
+++ b/crates/arrowyard-flight-daemon/src/main.rs
@@ -12,7 +12,7 @@
 use arrowyard_core::hatch::{self, Tail};
 use arrowyard_core::waybill::Waybill;
 use arrowyard_core::{Back, Limits};
-use arrowyard_daemon::base::{Base, serve_with};
+use arrowyard_daemon::router_service::{RouterService, run_single_threaded};
 use arrowyard_daemon::serve;
 use arrowyard_flight::ticket::Key;
 use arrowyard_front_flight::answer::{lift, lift_parcel};
@@ -21,7 +21,7 @@
 use arrowyard_front_flight::listen::{Door, serve as speak};
 use arrowyard_front_flight::service::Known;
 use arrowyard_front_flight::{Errand, FlightBack, FlightFront, FlightLimits, Served};
-use arrowyard_front_pg::take_in::call;
+use arrowyard_front_pg::take_in::op_call;
 use arrowyard_operator_config::Yardbook;
 use arrowyard_operator_config::schema::{Flight, Speaks};
 use tokio::net::TcpListener;
@@ -49,7 +49,7 @@
 
 /// Opens the front of Flight SQL; what is returned resolves if its server ends untold.
 async fn listen<B, L, T>(
-    base: &Base<B>,
+    base: &RouterService<B>,
     at: SocketAddr,
     limits: FlightLimits,
     load: L,
@@ -63,7 +63,7 @@
     let listener = TcpListener::bind(at).await.map_err(|e| format!("{at}: {e}"))?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
     let (hatch, desk) = hatch::open(limits.inbox, base.clock, base.gate.clone(), base.mail.clone());
-    drop(spawn_local(desk.run(|errand| call(&errand.statement, errand.address), load, lift)));
+    drop(spawn_local(desk.run(|errand| op_call(&errand.statement, errand.address), load, lift)));
     let (counter, own, chores) = clerk::open(limits.inbox);
     let (arrivals, arrived) = mpsc::channel(16);
     drop(spawn_local(Clerk::new(base.clock, key(), limits).run(own, chores, arrived)));
@@ -90,13 +90,13 @@
     let at = told.listen().parse().map_err(|e| format!("flight.listen: {e}"))?;
     if told.hosts() == Speaks::FlightSql {
         let back = |of: &Rc<Limits>| Rc::new(FlightBack::new(of.clone(), limits(of, &told)));
-        let base = Base::start(&waybill, path, book.as_ref(), back).await?;
+        let base = RouterService::start(&waybill, path, book.as_ref(), back).await?;
         let of = limits(&base.limits, &told);
         let (address, ended) = listen(&base, at, of, |errand| errand, lift).await?;
         tracing::info!("serving at {address}, discovery at {}", waybill.discovery);
         return base.run(ended).await;
     }
-    let base = Base::start(&waybill, path, book.as_ref(), serve::back).await?;
+    let base = RouterService::start(&waybill, path, book.as_ref(), serve::backend).await?;
     let of = limits(&base.limits, &told);
     let (_, ended) = listen(&base, at, of, |errand| errand.statement, lift_parcel).await?;
     serve::listen(&base, waybill.listen, waybill.discovery).await?;
@@ -104,5 +104,5 @@
 }
 
 fn main() -> ExitCode {
-    arrowyard_daemon::run(|path| serve_with(path, run))
+    arrowyard_daemon::run(|path| run_single_threaded(path, run))
 }
--- a/crates/arrowyard-flight/tests/calls.rs
+++ b/crates/arrowyard-flight/tests/calls.rs
@@ -14,7 +14,7 @@
 fn comment_and_metadata_become_one() {
     let whole = "/* id=9b1f03aa5c7e2d41,c=look,d=800,cluster=4 */ SELECT 1";
     let told = op(whole, &Notes::default(), || 1).expect("it says all");
-    assert_eq!(told.timed(800), whole, "what says all by itself passes on unchanged");
+    assert_eq!(told.text_with_timeout(800), whole, "what says all by itself passes on unchanged");
     let named = [
         ("arrowyard-op-type", "look"),
         ("arrowyard-group", "4"),
@@ -24,12 +24,12 @@
         ("user-agent", "anything, at all"),
     ];
     let told = op("SELECT 1", &notes(&named), || 0x9b1f_03aa_5c7e_2d41).expect("it says all");
-    assert_eq!((told.op_type.as_str(), told.group, told.wait_ms), ("look", 4, 800));
+    assert_eq!((told.op_type.as_str(), told.group, told.timeout_ms), ("look", 4, 800));
     assert_eq!(
         (told.tenant.as_deref(), told.token, told.id),
         (Some("ann"), Some(0x5c0f_6e1a_2b3d_4c59), 0x9b1f_03aa_5c7e_2d41)
     );
-    assert!(told.timed(5).ends_with("*/ SELECT 1"));
+    assert!(told.text_with_timeout(5).ends_with("*/ SELECT 1"));
     // Of the two, what is missing in one; the same in both is no contradiction.
     let mixed = op("/* c=look,d=800 */ SELECT 1", &notes(&named), || 3).expect("they agree");
     assert_eq!((mixed.group, mixed.id), (4, 3));
@@ -46,16 +46,18 @@
     ] {
         assert!(matches!(merge(whole, &notes(&[(name, value)])), Err(Fault::NoOp(_))), "{name}");
     }
-    let after =
-        |value| op(whole, &notes(&[("arrowyard-after", value)]), || 1).expect("both are lower bounds").after;
+    let after = |value| {
+        op(whole, &notes(&[("arrowyard-after", value)]), || 1).expect("both are lower bounds").last_commit_ms
+    };
     assert_eq!((after("40"), after("60")), (Some(50), Some(60)));
-    assert!(op(whole, &notes(&[("arrowyard-again", "1")]), || 1).is_ok_and(|told| told.again));
+    assert!(op(whole, &notes(&[("arrowyard-again", "1")]), || 1).is_ok_and(|told| told.is_retry));
 }
 
 #[test]
 fn the_clients_timer_is_the_time_that_it_waits_unless_less_is_said() {
-    let wait =
-        |text: &str, timer: &str| op(text, &notes(&[("grpc-timeout", timer)]), || 1).map(|told| told.wait_ms);
+    let wait = |text: &str, timer: &str| {
+        op(text, &notes(&[("grpc-timeout", timer)]), || 1).map(|told| told.timeout_ms)
+    };
     let (timed, untimed) = ("/* id=1,c=look,d=800 */ SELECT 1", "/* id=1,c=look */ SELECT 1");
     for (timer, wanted) in [("2S", 2000), ("150m", 150), ("150000u", 150), ("90000000n", 90), ("1M", 60_000)]
     {
@@ -82,7 +84,7 @@
         &notes(&[("arrowyard-op-type", "look"), ("grpc-timeout", "1S")]),
         || 1,
     );
-    assert!(told.is_ok_and(|told| told.timed(1).contains("/* made by a tool */ SELECT 1")));
+    assert!(told.is_ok_and(|told| told.text_with_timeout(1).contains("/* made by a tool */ SELECT 1")));
 }
 
 /// The same cases each time.
--- a/crates/arrowyard-front-flight/src/answer.rs
+++ b/crates/arrowyard-front-flight/src/answer.rs
@@ -8,8 +8,8 @@
 use arrow_flight::FlightData;
 use arrowyard_core::hatch::Tail;
 use arrowyard_flight::hold::{Hold, Holds, Next};
-use arrowyard_front_pg::link::Parcel;
-use arrowyard_pg::{Statement, value};
+use arrowyard_front_pg::link::PgResponse;
+use arrowyard_pg::{Statement, single_value};
 use bytes::Bytes;
 use tokio::sync::{Notify, mpsc, oneshot};
 
@@ -142,15 +142,15 @@
 }
 
 /// For hosts that speak PostgreSQL's protocol: a row of one column, which is one batch of one binary column.
-pub fn lift_parcel(Parcel { answer, room }: Parcel) -> (Served, Option<Tail>) {
+pub fn lift_parcel(PgResponse { result, memory }: PgResponse) -> (Served, Option<Tail>) {
     let (done, told) = oneshot::channel();
-    let text = value(&answer.row).unwrap_or_default();
+    let text = single_value(&result.data_row).unwrap_or_default();
     // A command's tag ends with its count, as in `INSERT 0 1`.
-    let tag = String::from_utf8_lossy(&answer.complete);
+    let tag = String::from_utf8_lossy(&result.command_complete);
     let count = tag.trim_end_matches('\0').rsplit(' ').next().and_then(|count| count.parse().ok());
-    let value = if is_bytea(&answer.columns) { unhex(&text).unwrap_or(text) } else { text };
+    let value = if is_bytea(&result.row_description) { unhex(&text).unwrap_or(text) } else { text };
     let served = Served::Value { value, count: count.unwrap_or(0), done };
-    (served, Some(Tail { done: told, keep: Box::new(room) }))
+    (served, Some(Tail { done: told, keep: Box::new(memory) }))
 }
 
 /// The type of the one column, by its number in PostgreSQL's catalogue.
--- a/crates/arrowyard-front-flight/src/back.rs
+++ b/crates/arrowyard-front-flight/src/back.rs
@@ -15,7 +15,7 @@
 use arrowyard_flight::batches::{Bounds, Checker};
 use arrowyard_flight::hold::{Holds, Next as Held};
 use arrowyard_flight::status::{NEVER, outcome};
-use arrowyard_pg::{Statement, report};
+use arrowyard_pg::{Statement, parse_load_report};
 use arrowyard_types::{HostId, HostStatus, Outcome, Role, Timestamp};
 use bytes::Bytes;
 use http::{HeaderMap, Request};
@@ -205,7 +205,8 @@
         wait: u64,
         queued: impl FnOnce(),
     ) -> Result<(i64, HostStatus), Fail> {
-        let command = CommandStatementUpdate { query: statement.timed(wait), transaction_id: None };
+        let command =
+            CommandStatementUpdate { query: statement.text_with_timeout(wait), transaction_id: None };
         let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
         let data = FlightData { flight_descriptor: Some(descriptor), ..FlightData::default() };
         let (_call, head, mut body) = self.call(line, "DoPut", &data, wait, queued).await?;
@@ -224,7 +225,8 @@
         wait: u64,
         progress: &Progress<Answer>,
     ) -> Result<(Option<Answer>, HostStatus), Fail> {
-        let command = CommandStatementQuery { query: statement.timed(wait), transaction_id: None };
+        let command =
+            CommandStatementQuery { query: statement.text_with_timeout(wait), transaction_id: None };
         let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
         // Danger: nothing keeps a host from running a statement as it plans it. So it may have run from here on.
         let queued = || progress.written();
@@ -338,7 +340,10 @@
             .map_err(|_| Fail::Spoilt("a report that cannot be read"))?;
         let text = String::from_utf8(result.body.to_vec()).ok();
         // Danger: a report that cannot be read, taken for word that all is well.
-        let told = text.as_deref().and_then(report).ok_or(Fail::Spoilt("a report that cannot be read"))?;
+        let told = text
+            .as_deref()
+            .and_then(parse_load_report)
+            .ok_or(Fail::Spoilt("a report that cannot be read"))?;
         for (name, number) in told {
             match name.as_str() {
                 "position" => word.position = Some(Timestamp::from_micros((number * 1000.0) as i64)),
@@ -357,7 +362,7 @@
 /// Where the host names the op, it has to be this one.
 fn is_of(head: &HeaderMap, statement: &Statement) -> Result<(), Fail> {
     let named = head.get(ID).and_then(|id| id.to_str().ok());
-    let same = named.is_none_or(|named| Statement::id_of(named) == statement.id);
+    let same = named.is_none_or(|named| Statement::parse_id(named) == statement.id);
     same.then_some(()).ok_or(Fail::Spoilt("an answer to another op"))
 }
 
--- a/crates/arrowyard-front-flight/src/service.rs
+++ b/crates/arrowyard-front-flight/src/service.rs
@@ -145,7 +145,7 @@
     async fn op(&self, text: &str, asked: &Asked, update: bool) -> Result<Served, Fault> {
         let came = self.clock.now();
         let statement = brief::op(text, &asked.notes, || fastrand::u64(1..))?;
-        let due = came + TimeDelta::from_millis(statement.wait_ms.into());
+        let due = came + TimeDelta::from_millis(statement.timeout_ms.into());
         let errand = Errand { statement, update, address: Some(asked.peer.address.ip()) };
         match self.hatch.ask(errand).await {
             Ok(Reply::Acked(served)) => Ok(served),
--- a/crates/arrowyard-front-pg/src/back.rs
+++ b/crates/arrowyard-front-pg/src/back.rs
@@ -12,23 +12,23 @@
 use bytes::BytesMut;
 use tokio::time::Instant;
 
-use crate::link::{Parcel, PgLink};
+use crate::link::{PgConnection, PgResponse};
 use crate::probe;
 
-pub struct PgBack {
-    pool: Rc<Pool<PgLink>>,
+pub struct PgBackend {
+    pool: Rc<Pool<PgConnection>>,
     limits: Rc<Limits>,
 }
 
-impl PgBack {
+impl PgBackend {
     pub fn new(limits: Rc<Limits>) -> Self {
-        PgBack { pool: Pool::new(limits.clone()), limits }
+        PgBackend { pool: Pool::new(limits.clone()), limits }
     }
 }
 
-impl Back for PgBack {
+impl Back for PgBackend {
     type Payload = Statement;
-    type Answer = Parcel;
+    type Answer = PgResponse;
 
     fn sweep(&self) {
         self.pool.sweep();
@@ -41,8 +41,8 @@
         statement: &Statement,
         until: Timestamp,
         clock: Clock,
-        progress: &Progress<Parcel>,
-    ) -> Told<Parcel> {
+        progress: &Progress<PgResponse>,
+    ) -> Told<PgResponse> {
         let mut link = match self.pool.take(host, dial).await {
             Ok(link) => link,
             Err(outcome) => return (outcome, HostStatus::default(), None),
@@ -50,7 +50,7 @@
         let mut out = BytesMut::new();
         // Whole milliseconds, and the host must not give up before the router does.
         let wait = (until - clock.now()).micros().max(0) as u64;
-        statement.put(&mut out, wait.div_ceil(1000));
+        statement.put_query(&mut out, wait.div_ceil(1000));
         if let Err(broken) = link.write(&out).await {
             tracing::debug!(%dial, "not written: {}", broken.0);
             return (Outcome::ConnectFailed, HostStatus::default(), None);
@@ -62,7 +62,7 @@
                     self.pool.put_back(host, link);
                 }
                 let outcome = told.outcome();
-                (outcome, told.word, told.answer.filter(|_| outcome == Outcome::Acked))
+                (outcome, told.status, told.response.filter(|_| outcome == Outcome::Acked))
             }
             Err(broken) => {
                 tracing::debug!(%dial, "broken: {}", broken.0);
--- a/crates/arrowyard-front-pg/src/lib.rs
+++ b/crates/arrowyard-front-pg/src/lib.rs
@@ -6,5 +6,5 @@
 pub mod relay;
 pub mod take_in;
 
-pub use back::PgBack;
-pub use take_in::Front;
+pub use back::PgBackend;
+pub use take_in::Frontend;
--- a/crates/arrowyard-front-pg/src/take_in.rs
+++ b/crates/arrowyard-front-pg/src/take_in.rs
@@ -13,7 +13,8 @@
 use arrowyard_core::mail::Mail;
 use arrowyard_core::{Call, Limits, Reply};
 use arrowyard_pg::{
-    Asked, Malformed, Opening, Statement, code, greet, put_done, put_empty, put_fatal, put_ready, put_value,
+    FrontendMessage, ProtocolError, StartupPacket, Statement, code, put_command_complete,
+    put_empty_query_response, put_fatal_error, put_ready_for_query, put_single_value, put_startup_response,
 };
 use arrowyard_types::Timestamp;
 use bytes::BytesMut;
@@ -23,50 +24,61 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::back::PgBack;
-use crate::link::Parcel;
+use crate::back::PgBackend;
+use crate::link::PgResponse;
 use crate::relay;
 
 /// What the statement's comment says of its op.
-pub fn call(statement: &Statement, address: Option<IpAddr>) -> Call<'_> {
-    let Statement { id, wait_ms, op_type, tenant, group, after, again, token, key, .. } = statement;
+pub fn op_call(statement: &Statement, address: Option<IpAddr>) -> Call<'_> {
+    let Statement {
+        id,
+        timeout_ms,
+        op_type,
+        tenant,
+        group,
+        last_commit_ms,
+        is_retry,
+        token,
+        session_key,
+        ..
+    } = statement;
     Call {
         id: *id,
         op_type,
         tenant: tenant.as_deref(),
         group: *group,
-        wait_ms: *wait_ms,
-        after: *after,
-        again: *again,
+        wait_ms: *timeout_ms,
+        after: *last_commit_ms,
+        again: *is_retry,
         token: *token,
-        session: *key,
+        session: *session_key,
         address,
-        bytes: statement.bytes(),
+        bytes: statement.text_bytes(),
     }
 }
 
 /// What the connections of all clients share.
-pub struct Front {
+pub struct Frontend {
     pub gate: Rc<Gate>,
-    pub mail: mpsc::Sender<Mail<PgBack>>,
+    pub mail: mpsc::Sender<Mail<PgBackend>>,
     pub clients: Rc<Cell<usize>>,
-    pub idlers: Idlers,
+    pub idle_connections: IdleConnections,
     pub stage: watch::Receiver<Stage>,
     pub beat: Rc<Beat>,
     pub limits: Rc<Limits>,
 }
 
 /// A connection's place among those of all clients; empty once it was told to make room.
-type Place = Rc<RefCell<Option<Count>>>;
+type ConnectionSlot = Rc<RefCell<Option<Count>>>;
 
 /// Connections that wait for a message, the longest idle first. Those that are gone on are left in until there
 /// are too many.
 #[derive(Default)]
-pub struct Idlers(RefCell<VecDeque<(oneshot::Sender<()>, Place)>>);
+pub struct IdleConnections(RefCell<VecDeque<(oneshot::Sender<()>, ConnectionSlot)>>);
 
-impl Idlers {
+impl IdleConnections {
     /// Resolves when this connection is to make room; `most` is how many there can be.
-    fn wait(&self, place: &Place, most: usize) -> oneshot::Receiver<()> {
+    fn wait(&self, place: &ConnectionSlot, most: usize) -> oneshot::Receiver<()> {
         let (close, closed) = oneshot::channel();
         let mut waiting = self.0.borrow_mut();
         if waiting.len() >= most * 4 {
@@ -85,11 +97,11 @@
     }
 }
 
-impl Front {
+impl Frontend {
     /// Whether the clients fit; idle connections go first. Danger: a client that asks as it comes is turned away
     /// while others hold places and say nothing.
     fn make_room(&self) -> bool {
-        while self.clients.get() > self.limits.clients && self.idlers.close_oldest() {}
+        while self.clients.get() > self.limits.clients && self.idle_connections.close_oldest() {}
         self.clients.get() <= self.limits.clients
     }
 
@@ -126,7 +138,7 @@
 }
 
 struct Client {
-    front: Rc<Front>,
+    front: Rc<Frontend>,
     stream: TcpStream,
     came: BytesMut,
     out: BytesMut,
@@ -134,14 +146,14 @@
     /// Whether it ever sent a whole message after the first.
     asked: bool,
     address: Option<IpAddr>,
-    place: Place,
+    place: ConnectionSlot,
 }
 
 /// The connection ends: the client left, broke the protocol, or the router closes it.
 struct Ended;
 
 impl Client {
-    fn new(front: Rc<Front>, stream: TcpStream, count: Count) -> Self {
+    fn new(front: Rc<Frontend>, stream: TcpStream, count: Count) -> Self {
         let (came, out) = (BytesMut::new(), BytesMut::new());
         let place = Rc::new(RefCell::new(Some(count)));
         let address = stream.peer_addr().ok().map(|address| address.ip());
@@ -162,23 +174,27 @@
         loop {
             let asked = self.next().await?;
             match asked {
-                Asked::Query(text) => self.query(text).await?,
-                Asked::Terminate => return Ok(()),
-                Asked::Other(_) => return self.fatal(code::NOT_SUPPORTED, "only simple queries").await,
+                FrontendMessage::Query(text) => self.query(text).await?,
+                FrontendMessage::Terminate => return Ok(()),
+                FrontendMessage::Other(_) => {
+                    return self.fatal(code::NOT_SUPPORTED, "only simple queries").await;
+                }
             }
         }
     }
 
     async fn open(&mut self) -> Result<(), Ended> {
         loop {
-            match Opening::take(&mut self.came, self.front.limits.message) {
-                Ok(Some(Opening::Startup)) => {
-                    greet(&mut self.out);
+            match StartupPacket::decode(&mut self.came, self.front.limits.message) {
+                Ok(Some(StartupPacket::Startup)) => {
+                    put_startup_response(&mut self.out);
                     return self.write().await;
                 }
                 // Not here; the client may go on in the clear.
-                Ok(Some(Opening::Encryption)) => self.stream.write_all(b"N").await.map_err(|_| Ended)?,
-                Ok(Some(Opening::Cancel)) => return Err(Ended),
+                Ok(Some(StartupPacket::EncryptionRequest)) => {
+                    self.stream.write_all(b"N").await.map_err(|_| Ended)?
+                }
+                Ok(Some(StartupPacket::CancelRequest)) => return Err(Ended),
                 Ok(None) => self.fill(true, None).await?,
                 Err(malformed) => return self.malformed(malformed).await,
             }
@@ -187,11 +203,11 @@
 
     /// The next message. Danger: clients that let themselves in and say nothing, or never come to the end of what
     /// they say, a byte at a time; both have the time of a greeting.
-    async fn next(&mut self) -> Result<Asked, Ended> {
+    async fn next(&mut self) -> Result<FrontendMessage, Ended> {
         let greeting = self.front.limits.greeting;
         let mut begun = None;
         loop {
-            match Asked::take(&mut self.came, self.front.limits.message) {
+            match FrontendMessage::decode(&mut self.came, self.front.limits.message) {
                 Ok(Some(asked)) => {
                     self.asked = true;
                     return Ok(asked);
@@ -218,7 +234,7 @@
             // The room that a large op took is given back.
             (self.came, self.out) = (BytesMut::new(), BytesMut::new());
         }
-        let closed = front.idlers.wait(&self.place, front.limits.clients);
+        let closed = front.idle_connections.wait(&self.place, front.limits.clients);
         let filled = tokio::select! {
             biased;
             read = self.read() => read,
@@ -238,18 +254,18 @@
         let command = text.trim_matches(|c: char| c.is_whitespace() || c == ';');
         let word = command.split_ascii_whitespace().next().unwrap_or_default().to_ascii_uppercase();
         match word.as_str() {
-            "" => put_empty(&mut self.out),
-            "SET" | "RESET" => put_done(&mut self.out, &word),
-            "DISCARD" => put_done(&mut self.out, "DISCARD ALL"),
+            "" => put_empty_query_response(&mut self.out),
+            "SET" | "RESET" => put_command_complete(&mut self.out, &word),
+            "DISCARD" => put_command_complete(&mut self.out, "DISCARD ALL"),
             "SHOW" if self.front.gate.has_cells() && command.eq_ignore_ascii_case("show cells") => {
                 let (client, answer) = oneshot::channel();
                 self.front.mail.send(Mail::Show(client)).await.map_err(|_| Ended)?;
-                put_value(&mut self.out, "cells", &answer.await.map_err(|_| Ended)?);
+                put_single_value(&mut self.out, "cells", &answer.await.map_err(|_| Ended)?);
             }
             "SHOW" if self.front.gate.peers && command.eq_ignore_ascii_case("show peers") => {
                 let (client, answer) = oneshot::channel();
                 self.front.mail.send(Mail::ShowPeers(client)).await.map_err(|_| Ended)?;
-                put_value(&mut self.out, "peers", &answer.await.map_err(|_| Ended)?);
+                put_single_value(&mut self.out, "peers", &answer.await.map_err(|_| Ended)?);
             }
             "SHOW" if self.front.gate.leases.is_some() && command.eq_ignore_ascii_case("show leases") => {
                 let (client, answer) = oneshot::channel();
@@ -257,29 +273,29 @@
                     let shown = leases.send(leases::Errand::Show(client));
                     shown.await.map_err(|_| Ended)?;
                 }
-                put_value(&mut self.out, "leases", &answer.await.map_err(|_| Ended)?);
+                put_single_value(&mut self.out, "leases", &answer.await.map_err(|_| Ended)?);
             }
             _ if !self.front.make_room() => {
-                relay::put_crowded(&mut self.out);
+                relay::put_too_many_clients(&mut self.out);
                 return self.end().await;
             }
             _ => {
                 let reply = match Statement::parse(text) {
                     Ok(statement) => self.op(statement, arrived).await?,
-                    Err(Malformed(why)) => Reply::Refused(why),
+                    Err(ProtocolError(why)) => Reply::Refused(why),
                 };
-                relay::put(&reply, &mut self.out);
+                relay::put_reply(&reply, &mut self.out);
                 return self.write().await;
             }
         }
-        put_ready(&mut self.out);
+        put_ready_for_query(&mut self.out);
         self.write().await
     }
 
     /// One op, from its admission to its final answer.
-    async fn op(&mut self, statement: Statement, arrived: Timestamp) -> Result<Reply<Parcel>, Ended> {
+    async fn op(&mut self, statement: Statement, arrived: Timestamp) -> Result<Reply<PgResponse>, Ended> {
         let Admitted { ask, claim, place: _open } =
-            match self.front.gate.admit(call(&statement, self.address), arrived) {
+            match self.front.gate.admit(op_call(&statement, self.address), arrived) {
                 Ok(admitted) => admitted,
                 Err(reply) => return Ok(reply),
             };
@@ -319,7 +335,7 @@
         self.write().await?;
         let _ = self.stream.shutdown().await;
         let (front, linger) = (self.front.clone(), self.front.limits.linger);
-        let closed = front.idlers.wait(&self.place, front.limits.clients);
+        let closed = front.idle_connections.wait(&self.place, front.limits.clients);
         let rest = async {
             while self.read().await.is_ok() {
                 self.came.clear();
@@ -332,13 +348,13 @@
         Err(Ended)
     }
 
-    async fn malformed<T>(&mut self, Malformed(why): Malformed) -> Result<T, Ended> {
+    async fn malformed<T>(&mut self, ProtocolError(why): ProtocolError) -> Result<T, Ended> {
         tracing::warn!("a client broke the protocol: {why}");
         self.fatal(code::PROTOCOL_VIOLATION, why).await
     }
 
     async fn fatal<T>(&mut self, code: &str, why: &str) -> Result<T, Ended> {
-        put_fatal(&mut self.out, code, why);
+        put_fatal_error(&mut self.out, code, why);
         self.end().await
     }
 }
--- a/crates/arrowyard-pg/src/frame.rs
+++ b/crates/arrowyard-pg/src/frame.rs
@@ -5,29 +5,29 @@
 
 /// The other side broke the protocol; what it did.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Malformed(pub &'static str);
+pub struct ProtocolError(pub &'static str);
 
 /// The length that the next message says it has, beside its letter.
-pub fn promised(came: &[u8]) -> Option<u32> {
+pub fn declared_length(came: &[u8]) -> Option<u32> {
     came.get(1..5).and_then(|four| four.try_into().ok()).map(u32::from_be_bytes)
 }
 
 /// Takes the next whole message off what came; nothing while its end is missing. Danger: a hostile length. It is
 /// checked against the most before room is made for anything.
-pub fn take(came: &mut BytesMut, most: usize) -> Result<Option<(u8, Bytes)>, Malformed> {
+pub fn take(came: &mut BytesMut, most: usize) -> Result<Option<(u8, Bytes)>, ProtocolError> {
     let Some(&letter) = came.first() else { return Ok(None) };
     Ok(take_at(came, 1, most)?.map(|body| (letter, body)))
 }
 
-pub fn take_bare(came: &mut BytesMut, most: usize) -> Result<Option<Bytes>, Malformed> {
+pub fn take_bare(came: &mut BytesMut, most: usize) -> Result<Option<Bytes>, ProtocolError> {
     take_at(came, 0, most)
 }
 
-fn take_at(came: &mut BytesMut, head: usize, most: usize) -> Result<Option<Bytes>, Malformed> {
+fn take_at(came: &mut BytesMut, head: usize, most: usize) -> Result<Option<Bytes>, ProtocolError> {
     let Some(&[a, b, c, d]) = came.get(head..head + 4) else { return Ok(None) };
     let length = u32::from_be_bytes([a, b, c, d]) as usize;
     if length < 4 || length > most {
-        return Err(Malformed("a message's length is out of range"));
+        return Err(ProtocolError("a message's length is out of range"));
     }
     if came.len() < head + length {
         return Ok(None);
@@ -53,8 +53,8 @@
 }
 
 /// Takes a text that ends with a zero byte off the body.
-pub fn take_text(body: &mut Bytes) -> Result<Bytes, Malformed> {
-    let end = body.iter().position(|&byte| byte == 0).ok_or(Malformed("a text has no end"))?;
+pub fn take_text(body: &mut Bytes) -> Result<Bytes, ProtocolError> {
+    let end = body.iter().position(|&byte| byte == 0).ok_or(ProtocolError("a text has no end"))?;
     let text = body.split_to(end);
     body.advance(1);
     Ok(text)
--- a/crates/arrowyard-pg/src/host.rs
+++ b/crates/arrowyard-pg/src/host.rs
@@ -2,93 +2,97 @@
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-use crate::frame::{Malformed, promised, put, put_text, take, take_text};
+use crate::frame::{ProtocolError, declared_length, put, put_text, take, take_text};
 
 /// A whole answer, each part as the host wrote it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Answer {
-    pub columns: Bytes,
-    pub row: Bytes,
-    pub complete: Bytes,
+pub struct QueryResult {
+    pub row_description: Bytes,
+    pub data_row: Bytes,
+    pub command_complete: Bytes,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
+pub enum AccessMode {
     ReadWrite,
     ReadOnly,
 }
 
 /// What a host says of itself beside its answers.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Status {
-    Mode(Mode),
+pub enum ParameterStatus {
+    AccessMode(AccessMode),
     /// A position or a commit, as Unix time in milliseconds.
     Position(i64),
     /// A load report.
-    Stats(Vec<(String, f64)>),
+    LoadReport(Vec<(String, f64)>),
     Other,
 }
 
 /// One message of a host.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Heard {
+pub enum BackendMessage {
     /// It lets the router in.
-    Welcome,
-    Status(Status),
-    Columns(Bytes),
+    AuthenticationOk,
+    ParameterStatus(ParameterStatus),
+    RowDescription(Bytes),
     /// The only row of an answer, of one column.
-    Row(Bytes),
-    Complete(Bytes),
-    Empty,
+    DataRow(Bytes),
+    CommandComplete(Bytes),
+    EmptyQueryResponse,
     /// The code of an error.
-    Error(String),
-    Ready,
+    ErrorResponse(String),
+    ReadyForQuery,
     /// A notice, a key for cancelling, and the like.
-    Aside,
+    Other,
 }
 
-impl Heard {
+impl BackendMessage {
     /// `row` is the most bytes of a row, `other` those of any other message.
-    pub fn take(came: &mut BytesMut, row: usize, other: usize) -> Result<Option<Heard>, Malformed> {
+    pub fn decode(
+        came: &mut BytesMut,
+        row: usize,
+        other: usize,
+    ) -> Result<Option<BackendMessage>, ProtocolError> {
         let most = if came.first() == Some(&b'D') { row } else { other };
         check_head(came)?;
         let Some((letter, mut body)) = take(came, most)? else { return Ok(None) };
         Ok(Some(match letter {
-            b'R' if body[..] == [0, 0, 0, 0] => Heard::Welcome,
-            b'R' => return Err(Malformed("the host asks for a password")),
-            b'S' => Heard::Status(status(&mut body)?),
+            b'R' if body[..] == [0, 0, 0, 0] => BackendMessage::AuthenticationOk,
+            b'R' => return Err(ProtocolError("the host asks for a password")),
+            b'S' => BackendMessage::ParameterStatus(status(&mut body)?),
             b'T' => {
-                one_column(&body).ok_or(Malformed("an answer is not of one column"))?;
-                Heard::Columns(body)
+                one_column(&body).ok_or(ProtocolError("an answer is not of one column"))?;
+                BackendMessage::RowDescription(body)
             }
             b'D' => {
-                value(&body).ok_or(Malformed("a row is not of one column"))?;
-                Heard::Row(body)
+                single_value(&body).ok_or(ProtocolError("a row is not of one column"))?;
+                BackendMessage::DataRow(body)
             }
             b'C' if body.iter().position(|&byte| byte == 0).map(|end| end + 1) != Some(body.len()) => {
-                return Err(Malformed("the end of an answer is no text"));
+                return Err(ProtocolError("the end of an answer is no text"));
             }
-            b'C' => Heard::Complete(body),
-            b'I' => Heard::Empty,
-            b'E' => Heard::Error(error_code(body)?),
-            b'Z' => Heard::Ready,
-            b'N' | b'K' | b'A' => Heard::Aside,
-            _ => return Err(Malformed("the host sent a message of another kind")),
+            b'C' => BackendMessage::CommandComplete(body),
+            b'I' => BackendMessage::EmptyQueryResponse,
+            b'E' => BackendMessage::ErrorResponse(error_code(body)?),
+            b'Z' => BackendMessage::ReadyForQuery,
+            b'N' | b'K' | b'A' => BackendMessage::Other,
+            _ => return Err(ProtocolError("the host sent a message of another kind")),
         }))
     }
 }
 
 /// What the first bytes of a message already show. Danger: noise that promises more than ever comes would be
 /// waited for till the time is up. A row's one value fills it.
-fn check_head(came: &[u8]) -> Result<(), Malformed> {
+fn check_head(came: &[u8]) -> Result<(), ProtocolError> {
     let Some(&letter) = came.first() else { return Ok(()) };
     if !b"RSTDCIEZNKA".contains(&letter) {
-        return Err(Malformed("the host sent a message of another kind"));
+        return Err(ProtocolError("the host sent a message of another kind"));
     }
-    let Some(length) = promised(came).filter(|_| letter == b'D') else { return Ok(()) };
+    let Some(length) = declared_length(came).filter(|_| letter == b'D') else { return Ok(()) };
     let Some(&[a, b, c, d, e, f]) = came.get(5..11) else { return Ok(()) };
     if [a, b] != [0, 1] || u32::from_be_bytes([c, d, e, f]).checked_add(10) != Some(length) {
-        return Err(Malformed("a row is not of one column"));
+        return Err(ProtocolError("a row is not of one column"));
     }
     Ok(())
 }
@@ -101,21 +105,23 @@
     (name.len() - end - 1 == 18).then_some(())
 }
 
-fn status(body: &mut Bytes) -> Result<Status, Malformed> {
+fn status(body: &mut Bytes) -> Result<ParameterStatus, ProtocolError> {
     let (name, told) = (take_text(body)?, take_text(body)?);
-    let Ok(told) = std::str::from_utf8(&told) else { return Ok(Status::Other) };
+    let Ok(told) = std::str::from_utf8(&told) else { return Ok(ParameterStatus::Other) };
     Ok(match (&name[..], told) {
-        (b"mode", "read-write") => Status::Mode(Mode::ReadWrite),
-        (b"mode", "read-only") => Status::Mode(Mode::ReadOnly),
-        (b"wal_time", told) => told.parse().map_or(Status::Other, Status::Position),
-        (b"stats", told) => report(told).map_or(Status::Other, Status::Stats),
-        _ => Status::Other,
+        (b"mode", "read-write") => ParameterStatus::AccessMode(AccessMode::ReadWrite),
+        (b"mode", "read-only") => ParameterStatus::AccessMode(AccessMode::ReadOnly),
+        (b"wal_time", told) => told.parse().map_or(ParameterStatus::Other, ParameterStatus::Position),
+        (b"stats", told) => {
+            parse_load_report(told).map_or(ParameterStatus::Other, ParameterStatus::LoadReport)
+        }
+        _ => ParameterStatus::Other,
     })
 }
 
 /// A load report, as in `inflight=7,util=0.61`; nothing if any of it cannot be read, since the rest is then
 /// spoilt as likely.
-pub fn report(told: &str) -> Option<Vec<(String, f64)>> {
+pub fn parse_load_report(told: &str) -> Option<Vec<(String, f64)>> {
     let field = |field: &str| {
         let (name, number) = field.trim().split_once('=')?;
         let number = number.parse().ok().filter(|number: &f64| number.is_finite())?;
@@ -125,7 +131,7 @@
 }
 
 /// The value of a row of one column; nothing if it is none, or null.
-pub fn value(row: &Bytes) -> Option<Bytes> {
+pub fn single_value(row: &Bytes) -> Option<Bytes> {
     let mut row = row.clone();
     if row.len() < 6 || row.get_u16() != 1 {
         return None;
@@ -134,7 +140,7 @@
     (row.len() == length).then_some(row)
 }
 
-fn error_code(mut body: Bytes) -> Result<String, Malformed> {
+fn error_code(mut body: Bytes) -> Result<String, ProtocolError> {
     while body.first().is_some_and(|&letter| letter != 0) {
         let letter = body.get_u8();
         let told = take_text(&mut body)?;
@@ -142,10 +148,10 @@
             return Ok(String::from_utf8_lossy(&told).into_owned());
         }
     }
-    Err(Malformed("an error has no code"))
+    Err(ProtocolError("an error has no code"))
 }
 
-pub fn put_startup(out: &mut BytesMut, user: &str, database: &str) {
+pub fn put_startup_packet(out: &mut BytesMut, user: &str, database: &str) {
     put(out, None, |out| {
         out.put_u32(196_608);
         for text in ["user", user, "database", database] {
@@ -156,6 +162,6 @@
 }
 
 /// A command that is not a client's.
-pub fn put_plain(out: &mut BytesMut, command: &str) {
+pub fn put_query(out: &mut BytesMut, command: &str) {
     put(out, Some(b'Q'), |out| put_text(out, command));
 }
--- a/crates/arrowyard-pg/src/lib.rs
+++ b/crates/arrowyard-pg/src/lib.rs
@@ -8,10 +8,14 @@
 mod statement;
 
 pub use client::{
-    Asked, Opening, greet, put_busy, put_done, put_empty, put_error, put_fatal, put_ready, put_value,
+    FrontendMessage, StartupPacket, put_busy_error, put_command_complete, put_empty_query_response,
+    put_error, put_fatal_error, put_ready_for_query, put_single_value, put_startup_response,
+};
+pub use frame::{ProtocolError, declared_length};
+pub use host::{
+    AccessMode, BackendMessage, ParameterStatus, QueryResult, parse_load_report, put_query,
+    put_startup_packet, single_value,
 };
-pub use frame::{Malformed, promised};
-pub use host::{Answer, Heard, Mode, Status, put_plain, put_startup, report, value};
 pub use statement::Statement;
 
 /// Codes of errors, as PostgreSQL's public list names them.
