--- a/crates/arrowyard-control/src/control/fair_shares.rs
+++ b/crates/arrowyard-control/src/control/fair_shares.rs
@@ -1,7 +1,7 @@
-//! The division of pressed hosts between services: whoever holds the duty divides, the others carry words to and from the
-//! routers that they feed.
+//! Allocation of overloaded hosts to services. The duty holder allocates; the other control machines
+//! forward messages to and from the routers subscribed to them.
 
-use arrowyard_fair_shares::{Allotter, At, Need, Router as RouterId, Shown, Terms};
+use arrowyard_fair_shares::{Allocator, HostInfo, RouterId, ServiceDemand, ServiceStatus, ShareConfig};
 use arrowyard_messages::{
     DemandReport, HostAllocation, HostAllocations, HostDemand, OverloadedHosts, Payload, ServiceCap,
 };
@@ -9,30 +9,30 @@
 use arrowyard_types::{TimeDelta, Timestamp};
 use rustc_hash::FxHashMap;
 
-use super::{Control, Line};
+use super::{Connection, Control};
 
-/// How long whoever held the duty before may go on dividing: till it notices that it is cut off.
-const BEFORE: TimeDelta = TimeDelta::from_millis(1750);
-/// Routers whose control machine is remembered.
-const MOST_ROUTERS: usize = 65_536;
+/// How long the previous holder may still allocate before it notices that it is partitioned.
+const PREVIOUS_HOLDER_TIMEOUT: TimeDelta = TimeDelta::from_millis(1750);
+/// Limit of the routers whose control machine is remembered.
+const MAX_ROUTERS: usize = 65_536;
 
-/// What a control machine knows of shares.
+/// Allocation state of a control machine.
 #[derive(Default)]
 pub struct Shares {
-    terms: Terms,
-    /// The slot of the configuration that the terms are of.
+    config: ShareConfig,
+    /// Slot of the configuration that `config` was read from.
     slot: u64,
-    /// While it holds the duty.
-    allotter: Option<Allotter>,
-    /// By way of which control machine each router is reached; none where it is fed here.
-    ways: FxHashMap<u64, Option<u32>>,
+    /// Present while this machine holds the duty.
+    allocator: Option<Allocator>,
+    /// The control machine through which each router is reached; `None` if it is subscribed here.
+    routes: FxHashMap<u64, Option<u32>>,
 }
 
 impl Shares {
-    pub fn shown(&self) -> Vec<(Shown, &str)> {
-        let rows = self.allotter.iter().flat_map(Allotter::shown);
+    pub fn status(&self) -> Vec<(ServiceStatus, &str)> {
+        let rows = self.allocator.iter().flat_map(Allocator::status);
         rows.map(|row| {
-            let name = self.terms.name(row.service);
+            let name = self.config.service_name(row.service);
             (row, name)
         })
         .collect()
@@ -40,126 +40,130 @@
 }
 
 impl Control {
-    /// The duty was taken up, or laid down.
-    pub(super) fn divide_from(&mut self, now: Timestamp, after_another: bool) {
-        let waits = if after_another { BEFORE } else { TimeDelta::ZERO };
-        self.shares.allotter = self.fence.map(|fence| Allotter::begin(now, fence, waits));
+    /// Creates or drops the allocator when the duty is taken up or given up.
+    pub(super) fn start_allocator(&mut self, now: Timestamp, after_another: bool) {
+        let delay = if after_another { PREVIOUS_HOLDER_TIMEOUT } else { TimeDelta::ZERO };
+        self.shares.allocator = self.fence.map(|fence| Allocator::start(now, fence, delay));
     }
 
-    /// A router's needs, from itself or from the control machine that feeds it.
-    pub(super) fn needs(
+    /// Handles a demand report from a router, or from the control machine that it is subscribed to.
+    pub(super) fn handle_demand(
         &mut self,
         now: Timestamp,
         from: Option<u32>,
-        needs: DemandReport,
+        report: DemandReport,
         commands: &mut Commands,
     ) {
-        if self.shares.allotter.is_none() {
-            // It is passed on once, to the holder alone.
+        if self.shares.allocator.is_none() {
+            // Forwarded once, to the duty holder only.
             let holder = self
-                .ledger
+                .replicated_log
                 .applied()
                 .duties
                 .get(crate::applied_state::PROMOTION_DUTY)
                 .map(|duty| duty.holder);
-            if let Some(holder) = holder.filter(|holder| from.is_none() && *holder != self.me) {
-                self.say_to_peer(holder, &Payload::DemandReport(needs), commands);
+            if let Some(holder) = holder.filter(|holder| from.is_none() && *holder != self.local_ip) {
+                self.send_to_peer(holder, &Payload::DemandReport(report), commands);
             }
             return;
         }
-        self.read_terms();
-        if !self.ledger.applied().configuration.division_enabled() {
+        self.update_shares_config();
+        if !self.replicated_log.applied().configuration.division_enabled() {
             return;
         }
-        let Shares { terms, allotter, ways, .. } = &mut self.shares;
-        let Some(allotter) = allotter else { return };
-        if ways.len() >= MOST_ROUTERS {
-            ways.clear();
+        let Shares { config, allocator, routes, .. } = &mut self.shares;
+        let Some(allocator) = allocator else { return };
+        if routes.len() >= MAX_ROUTERS {
+            routes.clear();
         }
-        ways.insert(needs.router, from);
-        for HostDemand { host, slots, fence, answers, services: list, group } in needs.hosts {
-            let need = |need: arrowyard_messages::ServiceDemand| Need {
-                service: terms.id(&need.service),
-                runs: need.running_milli,
-                waits: need.waiting_milli,
+        routes.insert(report.router, from);
+        for HostDemand { host, slots, fence, answers, services: list, group } in report.hosts {
+            let need = |need: arrowyard_messages::ServiceDemand| ServiceDemand {
+                service: config.service_id(&need.service),
+                in_flight: need.running_milli,
+                queued: need.waiting_milli,
             };
             let answers = if Some(fence) == self.fence { answers } else { 0 };
-            let list = list.into_iter().take(MOST_SERVICES).map(need).collect();
-            let at = At { id: &host, group: &group, slots };
-            allotter.heard(now, &at, RouterId(needs.router), (needs.echo, answers), list);
+            let list = list.into_iter().take(MAX_SERVICES_PER_REPORT).map(need).collect();
+            let at = HostInfo { id: &host, group: &group, slots };
+            allocator.record_demand(now, &at, RouterId(report.router), (report.echo, answers), list);
         }
-        self.divide(now, commands);
+        self.allocate_shares(now, commands);
     }
 
-    fn read_terms(&mut self) {
-        let applied = self.ledger.applied();
+    fn update_shares_config(&mut self) {
+        let applied = self.replicated_log.applied();
         if self.shares.slot != applied.slot {
             self.shares.slot = applied.slot;
-            self.shares.terms.configure(&applied.configuration);
+            self.shares.config.apply_configuration(&applied.configuration);
         }
     }
 
-    /// Divides what is due, and says what came of it.
-    pub(super) fn divide(&mut self, now: Timestamp, commands: &mut Commands) {
+    /// Computes the allocations that are due and sends them.
+    pub(super) fn allocate_shares(&mut self, now: Timestamp, commands: &mut Commands) {
         let (routers, fence) = (self.routers, self.fence.unwrap_or_default());
-        let Shares { terms, allotter, ways, .. } = &mut self.shares;
-        let Some(allotter) = allotter else { return };
-        let division = allotter.divide(now, terms, routers);
+        let Shares { config, allocator, routes, .. } = &mut self.shares;
+        let Some(allocator) = allocator else { return };
+        let division = allocator.allocate(now, config, routers);
         let mut by_router: std::collections::BTreeMap<u64, Vec<HostAllocation>> =
             std::collections::BTreeMap::new();
-        for (router, allot) in division.allots {
-            let caps = allot.caps.iter();
-            let cap =
-                |(of, cap): &(_, u32)| ServiceCap { service: terms.name(*of).to_string(), cap_milli: *cap };
+        for (router, allocation) in division.allocations {
+            let caps = allocation.caps.iter();
+            let cap = |(of, cap): &(_, u32)| ServiceCap {
+                service: config.service_name(*of).to_string(),
+                cap_milli: *cap,
+            };
             by_router.entry(router.0).or_default().push(HostAllocation {
-                host: allot.host,
-                number: allot.number,
-                echo: allot.echo,
-                overloaded: allot.pressed,
+                host: allocation.host,
+                number: allocation.number,
+                echo: allocation.report,
+                overloaded: allocation.overloaded,
                 caps: caps.map(cap).collect(),
-                capacity_milli: allot.places,
-                routers: allot.routers,
+                capacity_milli: allocation.permits,
+                routers: allocation.routers,
             });
         }
-        let said: Vec<(Option<u32>, HostAllocations)> = by_router
+        let by_route: Vec<(Option<u32>, HostAllocations)> = by_router
             .into_iter()
-            .filter_map(|(router, allots)| {
-                Some((*ways.get(&router)?, HostAllocations { router, fence, allocations: allots }))
+            .filter_map(|(router, allocations)| {
+                Some((*routes.get(&router)?, HostAllocations { router, fence, allocations }))
             })
             .collect();
-        for (way, allots) in said {
-            match way {
-                Some(peer) => self.say_to_peer(peer, &Payload::HostAllocations(allots), commands),
-                None => self.allots(allots, commands),
+        for (route, allocations) in by_route {
+            match route {
+                Some(peer) => self.send_to_peer(peer, &Payload::HostAllocations(allocations), commands),
+                None => self.forward_allocations(allocations, commands),
             }
         }
-        if !division.ask.is_empty() {
-            let word = Payload::OverloadedHosts(OverloadedHosts { hosts: division.ask });
-            self.say_to_peers(&word, commands);
-            self.pressed(&word, commands);
+        if !division.poll.is_empty() {
+            let message = Payload::OverloadedHosts(OverloadedHosts { hosts: division.poll });
+            self.broadcast_to_peers(&message, commands);
+            self.forward_overload(&message, commands);
         }
     }
 
-    /// Parts for a router that is fed here, or was.
-    pub(super) fn allots(&mut self, allots: HostAllocations, commands: &mut Commands) {
-        let fed =
-            self.routers_fed().find(|(_, router)| router.incarnation == allots.router).map(|(conn, _)| conn);
-        if let Some(conn) = fed {
-            self.say(conn, Payload::HostAllocations(allots), commands);
+    /// Sends allocations to a router subscribed here, if it still is.
+    pub(super) fn forward_allocations(&mut self, allocations: HostAllocations, commands: &mut Commands) {
+        let subscribed = self
+            .subscribed_routers()
+            .find(|(_, router)| router.incarnation == allocations.router)
+            .map(|(conn, _)| conn);
+        if let Some(conn) = subscribed {
+            self.send(conn, Payload::HostAllocations(allocations), commands);
         }
     }
 
-    /// Routers are asked what they need of hosts that are pressed.
-    pub(super) fn pressed(&mut self, word: &Payload, commands: &mut Commands) {
-        let mut fed: Vec<Conn> = self
-            .lines
+    /// Asks the subscribed routers for their demand at overloaded hosts.
+    pub(super) fn forward_overload(&mut self, message: &Payload, commands: &mut Commands) {
+        let mut subscribed: Vec<Conn> = self
+            .connections
             .iter()
-            .filter_map(|(conn, line)| matches!(line, Line::Router(_)).then_some(*conn))
+            .filter_map(|(conn, connection)| matches!(connection, Connection::Router(_)).then_some(*conn))
             .collect();
-        fed.sort_unstable();
-        fed.into_iter().for_each(|conn| self.say(conn, word.clone(), commands));
+        subscribed.sort_unstable();
+        subscribed.into_iter().for_each(|conn| self.send(conn, message.clone(), commands));
     }
 }
 
-/// Services of one router at one host.
-const MOST_SERVICES: usize = 256;
+/// Limit of the services in one router's report for one host.
+const MAX_SERVICES_PER_REPORT: usize = 256;
--- a/crates/arrowyard-core/src/returns.rs
+++ b/crates/arrowyard-core/src/returns.rs
@@ -5,8 +5,10 @@
 use std::path::Path;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use arrowyard_startup::{Comes, Full, Return, Stage, Terms, weigh};
-use arrowyard_store::{Found, Snapshot, Store, System};
+use arrowyard_startup::{
+    Stage, StartupConfig, StartupReport, StartupSettings, StartupTracker, discount_hosts,
+};
+use arrowyard_store::{GenerationState, Snapshot, Store, SystemDisk};
 use arrowyard_types::{Availability, GroupId, OpId, TimeDelta, Timestamp};
 use fastrand::Rng;
 use serde_json::{Map, Value};
@@ -38,8 +40,13 @@
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-fn store(folder: &Path, deployment: u64) -> Store<System> {
-    Store { disk: System, folder: folder.to_path_buf(), deployment: Some(deployment), skew_ms: SKEW }
+fn store(folder: &Path, deployment: u64) -> Store<SystemDisk> {
+    Store {
+        disk: SystemDisk,
+        folder: folder.to_path_buf(),
+        deployment: Some(deployment),
+        max_clock_skew_ms: SKEW,
+    }
 }
 
 /// The list to start with: the platform's own, and what a stored one has beyond it, weighed by its age. Whatever is wrong
@@ -47,7 +54,7 @@
 ///
 /// With it the number of the stored list, if it is used: what discovery tells under a smaller one is older.
 pub async fn load_stored_list(
-    comes: &Comes,
+    comes: &StartupSettings,
     deployment: u64,
     known: Option<HostList>,
 ) -> (Option<HostList>, Option<i64>) {
@@ -62,9 +69,9 @@
         tracing::warn!("the store did not answer in time: this start goes on without it");
         return (known, None);
     };
-    for (kept, found) in &loaded.found {
+    for (kept, found) in &loaded.generations {
         match found {
-            Found::Whole(_) | Found::Missing => {}
+            GenerationState::Valid(_) | GenerationState::Missing => {}
             why => tracing::warn!("the store's generation {kept:?} is of no use: {why:?}"),
         }
     }
@@ -75,7 +82,7 @@
     let age = TimeDelta::from_millis(now.saturating_sub(stored.written_ms) as i64);
     let names: Vec<String> =
         known.iter().flat_map(|list| &list.entries).map(|line| line.host.clone()).collect();
-    let weighed = weigh(stored, age, comes.trust, &names);
+    let weighed = discount_hosts(stored, age, comes.trust, &names);
     let confidence = weighed.first().map_or(0.0, |one| one.confidence);
     let age_s = age.as_secs_f64();
     tracing::info!(age_s, hosts = weighed.len(), confidence, "a stored list is used till discovery speaks");
@@ -96,8 +103,8 @@
 
 /// One start, and what is kept for the next.
 pub struct RouterStartup {
-    start: Return,
-    comes: Comes,
+    start: StartupTracker,
+    comes: StartupSettings,
     deployment: u64,
     router: String,
     rng: Rng,
@@ -115,13 +122,13 @@
     #[must_use]
     pub fn new(
         now: Timestamp,
-        comes: Comes,
+        comes: StartupSettings,
         deployment: u64,
         router: &str,
         listed: bool,
         seed: u64,
     ) -> RouterStartup {
-        let start = Return::start(now, Terms::default(), listed);
+        let start = StartupTracker::start(now, StartupConfig::default(), listed);
         RouterStartup {
             told: start.stage(),
             start,
@@ -139,7 +146,7 @@
 
     pub fn op_started(&mut self, op: OpId, group: GroupId, write: bool) {
         if !self.start.is_over() {
-            self.start.asked(group, write);
+            self.start.op_received(group, write);
             self.ops.insert(op, (group, write));
         }
     }
@@ -147,20 +154,20 @@
     /// An op had its final answer.
     pub fn op_finished(&mut self, now: Timestamp, op: OpId, acked: bool) {
         match self.ops.remove(&op) {
-            Some((group, write)) if acked => self.start.acked(now, group, write),
-            Some(_) => self.start.failed(),
+            Some((group, write)) if acked => self.start.op_acked(now, group, write),
+            Some(_) => self.start.op_failed(),
             None => {}
         }
     }
 
     pub fn list_received(&mut self, now: Timestamp, version: i64) {
-        self.start.listed(now);
+        self.start.discovery_responded(now);
         (self.changed, self.version) = (true, version);
     }
 
     /// When a client that is given back may come again.
     pub fn retry_after(&mut self, told: Option<TimeDelta>, most: Option<TimeDelta>) -> Option<TimeDelta> {
-        most.map_or(told, |most| self.start.after(told, most, &mut self.rng))
+        most.map_or(told, |most| self.start.retry_after(told, most, &mut self.rng))
     }
 
     /// What time has changed; what is logged of the start.
@@ -170,7 +177,15 @@
             self.told = self.start.stage();
             tracing::info!("the start is at {:?}", self.told);
         }
-        let Some(Full { took, waited_for, waited, full }) = full else { return };
+        let Some(StartupReport {
+            took,
+            longest_stage: waited_for,
+            longest_wait: waited,
+            is_full_service: full,
+        }) = full
+        else {
+            return;
+        };
         let (ms, waited_ms) = (took.micros() / 1000, waited.micros() / 1000);
         self.ops = HashMap::new();
         if full {
@@ -186,8 +201,10 @@
 
     /// Whether the list is to be written now; it is said once, and till `saved` is called not again.
     pub fn should_save(&mut self, now: Timestamp) -> bool {
-        let due =
-            self.comes.store.is_some() && self.changed && !self.saving && now - self.saved >= self.comes.save;
+        let due = self.comes.store.is_some()
+            && self.changed
+            && !self.saving
+            && now - self.saved >= self.comes.save_interval;
         if due {
             (self.changed, self.saving, self.saved) = (false, true, now);
         }
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -5,7 +5,9 @@
 use std::rc::Rc;
 
 use arrowyard::Router;
-use arrowyard_background_tasks::{Budget, End as Ending, Rank, Scheduler, Slice, Slices, Terms};
+use arrowyard_background_tasks::{
+    Budget, ListSlice, ListSlicer, Priority, Scheduler, TaskConfig, TurnOutcome as Ending,
+};
 use arrowyard_cells::Layout;
 use arrowyard_cells::admission::{CellEvent, RejectReason};
 use arrowyard_types::*;
@@ -87,7 +89,7 @@
     rung: u64,
     chores: Scheduler<Chore>,
     /// Long lists that are worked off.
-    slices: Slices<HostListEntry>,
+    slices: ListSlicer<HostListEntry>,
     /// Connections begun by the last tally.
     dialed: u64,
     /// Hosts that others say are leaving.
@@ -138,18 +140,33 @@
         let mut chores = Scheduler::new(now, Budget::default(), seed ^ CHORES);
         let limits = yard.limits.clone();
         let mut add = |chore, terms| chores.add(now, chore, terms);
-        add(Chore::List, Terms::asked("lists", Rank::First, span(limits.list_slice_deadline)));
-        add(Chore::Tally, Terms::every("tally", Rank::Usual, span(limits.counters_interval)));
+        add(Chore::List, TaskConfig::on_demand("lists", Priority::Urgent, span(limits.list_slice_deadline)));
+        add(Chore::Tally, TaskConfig::periodic("tally", Priority::Normal, span(limits.counters_interval)));
         let often = span(limits.host_idle_timeout) * 0.125;
-        add(Chore::Sweep, Terms { within: often, ..Terms::every("idle connections", Rank::Idle, often) });
+        add(
+            Chore::Sweep,
+            TaskConfig {
+                max_delay: often,
+                ..TaskConfig::periodic("idle connections", Priority::Idle, often)
+            },
+        );
         if yard.peers.is_some() {
-            add(Chore::Hints, Terms::every("hints", Rank::Usual, span(limits.startup_check_interval)));
+            add(
+                Chore::Hints,
+                TaskConfig::periodic("hints", Priority::Normal, span(limits.startup_check_interval)),
+            );
         }
         if returns.is_some() {
-            add(Chore::Start, Terms::every("start", Rank::Usual, span(limits.startup_check_interval)));
-            add(Chore::Save, Terms::asked("store", Rank::Idle, span(limits.list_store_deadline)));
+            add(
+                Chore::Start,
+                TaskConfig::periodic("start", Priority::Normal, span(limits.startup_check_interval)),
+            );
+            add(
+                Chore::Save,
+                TaskConfig::on_demand("store", Priority::Idle, span(limits.list_store_deadline)),
+            );
         }
-        let slices = Slices::new(limits.list_slice_len);
+        let slices = ListSlicer::new(limits.list_slice_len);
         let mut route = RouteTask {
             yard,
             ward,
@@ -465,7 +482,7 @@
 
     /// One turn of a chore, if one may be done; `ops`: others wait for the thread.
     fn chore(&mut self, now: Timestamp, ops: bool) {
-        let Some(chore) = self.chores.take(now, ops) else { return };
+        let Some(chore) = self.chores.begin_next(now, ops) else { return };
         let end = match chore {
             Chore::List => self.slice(),
             Chore::Tally => {
@@ -489,7 +506,7 @@
                 if let Some(returns) = &mut self.returns {
                     returns.tick(now);
                     if returns.should_save(now) {
-                        self.chores.ask(now, Chore::Save);
+                        self.chores.request(now, Chore::Save);
                     }
                 }
                 Ending::Done
@@ -502,7 +519,7 @@
             }
         };
         let ended = self.yard.clock.now();
-        self.chores.done(ended, chore, ended - now, end);
+        self.chores.finish(ended, chore, ended - now, end);
     }
 
     /// Other routers hear which hosts the own list has left out.
@@ -533,15 +550,15 @@
 
     /// One slice of the lists that wait.
     fn slice(&mut self) -> Ending {
-        let lines = match self.slices.slice() {
-            Some(Slice::Lines(lines)) => lines,
-            Some(Slice::Missing(turn)) => {
+        let lines = match self.slices.next_slice() {
+            Some(ListSlice::Entries(lines)) => lines,
+            Some(ListSlice::RemoveUnlisted(turn)) => {
                 let lines = self.yard.hosts.missing_hosts(turn);
                 // They are closed at once, however many: what is gone is not to be sent to.
                 tracing::info!(gone = lines.len(), "a whole list leaves out hosts");
                 lines
             }
-            Some(Slice::Through(number)) => {
+            Some(ListSlice::Complete(number)) => {
                 if let Some(returns) = &mut self.returns {
                     returns.list_received(self.yard.clock.now(), number);
                 }
@@ -549,7 +566,7 @@
             }
             None => return Ending::Done,
         };
-        self.yard.hosts.set_list_number(self.slices.turn());
+        self.yard.hosts.set_list_number(self.slices.generation());
         let part = HostList { version: 0, is_full: false, entries: lines };
         let note = self.listed(&part, None);
         let mut actions = Vec::new();
@@ -675,7 +692,7 @@
                 None
             }
             RouteMessage::Discovery(messages::DiscoveryEvent::List(list))
-                if self.slices.has_to(list.entries.len()) =>
+                if self.slices.needs_slicing(list.entries.len()) =>
             {
                 let wanted =
                     |line: &HostListEntry| line.group.is_some_and(|group| self.wanted.contains(&group));
@@ -687,7 +704,7 @@
                 };
                 let host = |line: &HostListEntry| line.host.clone();
                 self.slices.push(list.version, list.is_full, list.entries, rank, host);
-                self.chores.ask(self.yard.clock.now(), Chore::List);
+                self.chores.request(self.yard.clock.now(), Chore::List);
                 None
             }
             RouteMessage::Discovery(messages::DiscoveryEvent::List(list)) => {
--- a/crates/arrowyard-daemon/src/base.rs
+++ b/crates/arrowyard-daemon/src/router_service.rs
@@ -25,7 +25,7 @@
     Yardbook, cell_layout, lease_settings, peer_settings, schema, startup_settings,
 };
 use arrowyard_platform_settings::router_settings;
-use arrowyard_startup::{Credence, Herd};
+use arrowyard_startup::{CallPacer, ListVersionTracker};
 use arrowyard_types::{RouterSettingsExt, SettingValue};
 use tokio::runtime::Builder;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -49,7 +49,7 @@
 const HERD: u64 = 0x6865_7264;
 
 /// The stages of a router that is to serve: fronts hand their ops in here.
-pub struct Base<B: HostTransport> {
+pub struct RouterService<B: HostTransport> {
     pub gate: Rc<AdmissionController>,
     pub mail: mpsc::Sender<RouteMessage<B>>,
     /// Connections of clients, of every front.
@@ -64,7 +64,7 @@
     route: JoinHandle<()>,
 }
 
-impl<B: HostTransport> Base<B> {
+impl<B: HostTransport> RouterService<B> {
     /// Starts them; `back` makes what carries sends to hosts.
     ///
     /// # Errors
@@ -98,8 +98,8 @@
             let (name, seed) = (&waybill.name, waybill.seed);
             let held = stored.max(version.get());
             manners = Some(Rc::new(RefCell::new(ReconnectPolicy {
-                credence: Credence::new(clock.now(), held, comes.doubt),
-                herd: Herd::new(comes.pace, told.number_or("routers", 1.0), seed ^ HERD),
+                credence: ListVersionTracker::new(clock.now(), held, comes.rollback_delay),
+                herd: CallPacer::new(comes.pacing, told.number_or("routers", 1.0), seed ^ HERD),
                 has_list: known.is_some(),
                 clock,
             })));
@@ -167,7 +167,19 @@
         let route = spawn_local(route.run(inbox));
         let clients = Rc::new(Cell::new(0));
         let drain = Drain { stage, clients: clients.clone(), limits: limits.clone() };
-        Ok(Base { peers, gate, mail, clients, stage: staged, beat, clock, limits, drain, signals, route })
+        Ok(RouterService {
+            peers,
+            gate,
+            mail,
+            clients,
+            stage: staged,
+            beat,
+            clock,
+            limits,
+            drain,
+            signals,
+            route,
+        })
     }
 
     /// Serves till it is told to end, or a front does, which never should.
@@ -216,7 +228,7 @@
 ///
 /// # Errors
 /// What it could not start with, or why it ended.
-pub fn serve_with<F: Future<Output = Result<(), String>>>(
+pub fn run_single_threaded<F: Future<Output = Result<(), String>>>(
     path: Option<PathBuf>,
     run: impl FnOnce(RouterConfig, Option<PathBuf>, Option<Yardbook>) -> F,
 ) -> Result<(), String> {
