--- a/crates/arrowyard-config/src/configuration.rs
+++ b/crates/arrowyard-config/src/configuration.rs
@@ -22,7 +22,7 @@
     /// Reads go to replicas whose staleness is bounded.
     BoundedStaleness,
     /// Reads go to hosts that have the session's own commits.
-    OwnRegion,
+    ReadYourWrites,
 }
 
 /// A route from a database name to a service.
@@ -35,7 +35,7 @@
     pub kind: RouteKind,
     pub deadline_ms: f64,
     /// Latency target of an operation.
-    pub setpoint_ms: f64,
+    pub latency_target_ms: f64,
     /// 0 is the highest.
     pub priority: u32,
     pub service: String,
@@ -77,16 +77,20 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
     /// Time to the first message of a session.
-    pub header_wait_ms: f64,
+    pub first_message_timeout_ms: f64,
     /// Idle time outside of a transaction.
-    pub idle_bound_ms: f64,
+    pub idle_timeout_ms: f64,
     /// Idle time inside of a transaction.
-    pub tx_idle_ms: f64,
+    pub transaction_idle_timeout_ms: f64,
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Limits { header_wait_ms: 3000.0, idle_bound_ms: 15_000.0, tx_idle_ms: 3000.0 }
+        Limits {
+            first_message_timeout_ms: 3000.0,
+            idle_timeout_ms: 15_000.0,
+            transaction_idle_timeout_ms: 3000.0,
+        }
     }
 }
 
@@ -96,9 +100,9 @@
     /// it cannot be read: {0}
     Unreadable(String),
     /// {0}: {1}
-    Wrong(String, &'static str),
+    Invalid(String, &'static str),
     /// revision: {0} is not above {1}, which is in place
-    Old(u64, u64),
+    StaleRevision(u64, u64),
 }
 
 /// A parsed item with its JSON as it was sent.
@@ -123,7 +127,7 @@
 }
 
 fn invalid(path: impl Into<String>, what: &'static str) -> ConfigError {
-    ConfigError::Wrong(path.into(), what)
+    ConfigError::Invalid(path.into(), what)
 }
 
 fn required_string(item: &Value, field: &str, path: &str) -> Result<String, ConfigError> {
@@ -149,7 +153,7 @@
         let kind = match item.pointer(["kind"]).and_then(|kind| kind.as_str()) {
             Some("primary") | None => RouteKind::Primary,
             Some("bounded_staleness") => RouteKind::BoundedStaleness,
-            Some("own_region") => RouteKind::OwnRegion,
+            Some("own_region") => RouteKind::ReadYourWrites,
             Some(_) => return Err(invalid(format!("{path}/kind"), "is no kind of route")),
         };
         let deadline_ms = non_negative_number(item, "deadline-ms", path, 1000.0)?;
@@ -170,7 +174,7 @@
                 .to_string(),
             kind,
             deadline_ms,
-            setpoint_ms: non_negative_number(item, "setpoint-ms", path, deadline_ms)?.max(1.0),
+            latency_target_ms: non_negative_number(item, "setpoint-ms", path, deadline_ms)?.max(1.0),
             priority: non_negative_number(item, "priority", path, 0.0)? as u32,
             service: required_string(item, "service", path)?,
             tries: non_negative_number(item, "tries", path, 1.0)?.clamp(1.0, 16.0) as u32,
@@ -191,7 +195,7 @@
         let kind = match self.kind {
             RouteKind::Primary => "primary",
             RouteKind::BoundedStaleness => "bounded_staleness",
-            RouteKind::OwnRegion => "own_region",
+            RouteKind::ReadYourWrites => "own_region",
         };
         format!("{kind}/{}", self.priority)
     }
@@ -246,9 +250,19 @@
     fn parse(item: &Value, path: &str) -> Result<Self, ConfigError> {
         let default = Limits::default();
         Ok(Limits {
-            header_wait_ms: non_negative_number(item, "header-wait-ms", path, default.header_wait_ms)?,
-            idle_bound_ms: non_negative_number(item, "idle-bound-ms", path, default.idle_bound_ms)?,
-            tx_idle_ms: non_negative_number(item, "tx-idle-ms", path, default.tx_idle_ms)?,
+            first_message_timeout_ms: non_negative_number(
+                item,
+                "header-wait-ms",
+                path,
+                default.first_message_timeout_ms,
+            )?,
+            idle_timeout_ms: non_negative_number(item, "idle-bound-ms", path, default.idle_timeout_ms)?,
+            transaction_idle_timeout_ms: non_negative_number(
+                item,
+                "tx-idle-ms",
+                path,
+                default.transaction_idle_timeout_ms,
+            )?,
         })
     }
 }
@@ -490,7 +504,7 @@
     /// Checks references between items and that the revision is above the current one.
     fn validated(self, current: u64) -> Result<Self, ConfigError> {
         if self.revision <= current {
-            return Err(ConfigError::Old(self.revision, current));
+            return Err(ConfigError::StaleRevision(self.revision, current));
         }
         let services: BTreeSet<&str> = self.services().map(|service| service.name.as_str()).collect();
         let shares: BTreeSet<&str> = self.shares().map(|share| share.name.as_str()).collect();
--- a/crates/arrowyard-config/tests/configuration.rs
+++ b/crates/arrowyard-config/tests/configuration.rs
@@ -27,7 +27,7 @@
     let read = first();
     let kinds: Vec<RouteKind> = read.channels().map(|channel| channel.kind).collect();
     assert_eq!(kinds, [RouteKind::Primary, RouteKind::BoundedStaleness]);
-    assert_eq!(read.limits().tx_idle_ms, 3000.0);
+    assert_eq!(read.limits().transaction_idle_timeout_ms, 3000.0);
 }
 
 #[test]
@@ -48,7 +48,7 @@
     assert!(rejection(&unknown).contains("/channels/1/service"));
     let same = FIRST.replace("\"revision\":7", "\"revision\":9").replace("db2", "db1");
     assert!(rejection(&same).contains("/channels/1"));
-    assert_eq!(first().replace(FIRST.as_bytes()), Err(ConfigError::Old(7, 7)));
+    assert_eq!(first().replace(FIRST.as_bytes()), Err(ConfigError::StaleRevision(7, 7)));
 }
 
 #[test]
--- a/crates/arrowyard-control/src/control/api.rs
+++ b/crates/arrowyard-control/src/control/api.rs
@@ -207,7 +207,7 @@
         let applied = self.replicated_log.applied();
         let invalid =
             if revised.whole { Configuration::default().replace(&revised.body).err() } else { None };
-        if let Some(refusal) = invalid.filter(|refusal| !matches!(refusal, ConfigError::Old(..))) {
+        if let Some(refusal) = invalid.filter(|refusal| !matches!(refusal, ConfigError::StaleRevision(..))) {
             return self.reject_change(conn, &refusal, commands);
         }
         let revision = parse_revision(&revised.body);
--- a/crates/arrowyard-control/src/control/departures.rs
+++ b/crates/arrowyard-control/src/control/departures.rs
@@ -158,7 +158,7 @@
     }
 
     /// Stores a drain or departure reported to another control machine.
-    pub(super) fn handle_departing(
+    pub(super) fn handle_departure_notice(
         &mut self,
         now: Timestamp,
         ip: u32,
@@ -194,7 +194,7 @@
         self.acknowledge_departures(now, commands);
     }
 
-    pub(super) fn handle_departure_kept(
+    pub(super) fn handle_departure_stored(
         &mut self,
         now: Timestamp,
         ip: u32,
--- a/crates/arrowyard-control/src/control/fair_shares.rs
+++ b/crates/arrowyard-control/src/control/fair_shares.rs
@@ -1,5 +1,6 @@
 //! Allocation of overloaded hosts to services. The duty holder allocates; the other control machines
-//! forward messages to and from the routers subscribed to them.
+//! forward messages to and from the routers subscribed to them. A service here is a class of requests that
+//! the operator configures as a share.
 
 use arrowyard_fair_shares::{Allocator, HostInfo, RouterId, ServiceDemand, ServiceStatus, ShareConfig};
 use arrowyard_messages::{
@@ -19,20 +20,21 @@
 /// Allocation state of a control machine.
 #[derive(Default)]
 pub struct Shares {
-    terms: ShareConfig,
-    /// Slot of the configuration that `terms` was read from.
+    config: ShareConfig,
+    /// Slot of the configuration that `config` was read from.
     slot: u64,
     /// Present while this machine holds the duty.
-    allotter: Option<Allocator>,
-    /// The control machine through which each router is reached; `None` if it is subscribed here.
-    routes: FxHashMap<u64, Option<u32>>,
+    allocator: Option<Allocator>,
+    /// By incarnation of the router: the control machine that it is subscribed to; `None` if that is this one.
+    next_hops: FxHashMap<u64, Option<u32>>,
 }
 
 impl Shares {
-    pub fn shown(&self) -> Vec<(ServiceStatus, &str)> {
-        let rows = self.allotter.iter().flat_map(Allocator::status);
+    /// Status of each service at each host with the name of the service; empty without the duty.
+    pub fn status(&self) -> Vec<(ServiceStatus, &str)> {
+        let rows = self.allocator.iter().flat_map(Allocator::status);
         rows.map(|row| {
-            let name = self.terms.service_name(row.service);
+            let name = self.config.service_name(row.service);
             (row, name)
         })
         .collect()
@@ -41,9 +43,9 @@
 
 impl Control {
     /// Creates or drops the allocator when the duty is taken up or given up.
-    pub(super) fn start_allocator(&mut self, now: Timestamp, after_another: bool) {
-        let waits = if after_another { PREVIOUS_HOLDER_TIMEOUT } else { TimeDelta::ZERO };
-        self.shares.allotter = self.fence.map(|fence| Allocator::start(now, fence, waits));
+    pub(super) fn start_allocator(&mut self, now: Timestamp, after_another_holder: bool) {
+        let handover_wait = if after_another_holder { PREVIOUS_HOLDER_TIMEOUT } else { TimeDelta::ZERO };
+        self.shares.allocator = self.fence.map(|fence| Allocator::start(now, fence, handover_wait));
     }
 
     /// Handles a demand report from a router, or from the control machine that it is subscribed to.
@@ -51,10 +53,10 @@
         &mut self,
         now: Timestamp,
         from: Option<u32>,
-        needs: DemandReport,
+        report: DemandReport,
         commands: &mut Commands,
     ) {
-        if self.shares.allotter.is_none() {
+        if self.shares.allocator.is_none() {
             // Forwarded once, to the duty holder only.
             let holder = self
                 .replicated_log
@@ -63,7 +65,7 @@
                 .get(crate::applied_state::PROMOTION_DUTY)
                 .map(|duty| duty.holder);
             if let Some(holder) = holder.filter(|holder| from.is_none() && *holder != self.local_ip) {
-                self.send_to_peer(holder, &Payload::DemandReport(needs), commands);
+                self.send_to_peer(holder, &Payload::DemandReport(report), commands);
             }
             return;
         }
@@ -71,22 +73,29 @@
         if !self.replicated_log.applied().configuration.division_enabled() {
             return;
         }
-        let Shares { terms, allotter, routes, .. } = &mut self.shares;
-        let Some(allotter) = allotter else { return };
-        if routes.len() >= MAX_ROUTERS {
-            routes.clear();
+        let Shares { config, allocator, next_hops, .. } = &mut self.shares;
+        let Some(allocator) = allocator else { return };
+        if next_hops.len() >= MAX_ROUTERS {
+            next_hops.clear();
         }
-        routes.insert(needs.router, from);
-        for HostDemand { host, slots, fence, answers, services: list, group } in needs.hosts {
-            let need = |need: arrowyard_messages::ServiceDemand| ServiceDemand {
-                service: terms.service_id(&need.service),
-                in_flight: need.running_milli,
-                queued: need.waiting_milli,
+        next_hops.insert(report.router, from);
+        for HostDemand { host, slots, fence, allocation_number, services, group } in report.hosts {
+            let decode = |demand: arrowyard_messages::ServiceDemand| ServiceDemand {
+                service: config.service_id(&demand.service),
+                in_flight: demand.running_milli,
+                queued: demand.waiting_milli,
             };
-            let answers = if Some(fence) == self.fence { answers } else { 0 };
-            let list = list.into_iter().take(MAX_SERVICES_PER_REPORT).map(need).collect();
-            let at = HostInfo { id: &host, group: &group, slots };
-            allotter.record_demand(now, &at, RouterId(needs.router), (needs.echo, answers), list);
+            // A number given under another fence acknowledges no allocation of this allocator.
+            let acknowledged = if Some(fence) == self.fence { allocation_number } else { 0 };
+            let demands = services.into_iter().take(MAX_SERVICES_PER_REPORT).map(decode).collect();
+            let host_info = HostInfo { id: &host, group: &group, slots };
+            allocator.record_demand(
+                now,
+                &host_info,
+                RouterId(report.router),
+                (report.number, acknowledged),
+                demands,
+            );
         }
         self.allocate_shares(now, commands);
     }
@@ -95,48 +104,48 @@
         let applied = self.replicated_log.applied();
         if self.shares.slot != applied.slot {
             self.shares.slot = applied.slot;
-            self.shares.terms.apply_configuration(&applied.configuration);
+            self.shares.config.apply_configuration(&applied.configuration);
         }
     }
 
     /// Computes the allocations that are due and sends them.
     pub(super) fn allocate_shares(&mut self, now: Timestamp, commands: &mut Commands) {
         let (routers, fence) = (self.routers, self.fence.unwrap_or_default());
-        let Shares { terms, allotter, routes, .. } = &mut self.shares;
-        let Some(allotter) = allotter else { return };
-        let division = allotter.allocate(now, terms, routers);
+        let Shares { config, allocator, next_hops, .. } = &mut self.shares;
+        let Some(allocator) = allocator else { return };
+        let round = allocator.allocate(now, config, routers);
         let mut by_router: std::collections::BTreeMap<u64, Vec<HostAllocation>> =
             std::collections::BTreeMap::new();
-        for (router, allot) in division.allocations {
-            let caps = allot.caps.iter();
-            let cap = |(of, cap): &(_, u32)| ServiceCap {
-                service: terms.service_name(*of).to_string(),
+        for (router, allocation) in round.allocations {
+            let caps = allocation.caps.iter();
+            let cap = |(service, cap): &(_, u32)| ServiceCap {
+                service: config.service_name(*service).to_string(),
                 cap_milli: *cap,
             };
             by_router.entry(router.0).or_default().push(HostAllocation {
-                host: allot.host,
-                number: allot.number,
-                echo: allot.report,
-                overloaded: allot.overloaded,
+                host: allocation.host,
+                number: allocation.number,
+                report_number: allocation.report,
+                overloaded: allocation.overloaded,
                 caps: caps.map(cap).collect(),
-                capacity_milli: allot.permits,
-                routers: allot.routers,
+                capacity_milli: allocation.permits,
+                routers: allocation.routers,
             });
         }
-        let by_route: Vec<(Option<u32>, HostAllocations)> = by_router
+        let by_next_hop: Vec<(Option<u32>, HostAllocations)> = by_router
             .into_iter()
             .filter_map(|(router, allocations)| {
-                Some((*routes.get(&router)?, HostAllocations { router, fence, allocations }))
+                Some((*next_hops.get(&router)?, HostAllocations { router, fence, allocations }))
             })
             .collect();
-        for (route, allocations) in by_route {
-            match route {
+        for (next_hop, allocations) in by_next_hop {
+            match next_hop {
                 Some(peer) => self.send_to_peer(peer, &Payload::HostAllocations(allocations), commands),
                 None => self.forward_allocations(allocations, commands),
             }
         }
-        if !division.poll.is_empty() {
-            let message = Payload::OverloadedHosts(OverloadedHosts { hosts: division.poll });
+        if !round.poll.is_empty() {
+            let message = Payload::OverloadedHosts(OverloadedHosts { hosts: round.poll });
             self.broadcast_to_peers(&message, commands);
             self.forward_overload(&message, commands);
         }
--- a/crates/arrowyard-control/src/control/feed.rs
+++ b/crates/arrowyard-control/src/control/feed.rs
@@ -86,7 +86,7 @@
                     Some(Payload::FeedAck(seen)) => {
                         router.last_heard_at = now;
                         router.seen = seen;
-                        if seen.lost {
+                        if seen.needs_snapshot {
                             self.send_snapshot(conn, commands);
                         }
                     }
--- a/crates/arrowyard-control/src/control/host_requests.rs
+++ b/crates/arrowyard-control/src/control/host_requests.rs
@@ -133,11 +133,11 @@
                     self.relays.direct_answered(&id);
                     let host = id.clone();
                     let reply = match (row, fault) {
-                        (Some(row), _) => request.row_kind().map(|kind| Reply::Row { host, kind, row }),
+                        (Some(row), _) => request.request_kind().map(|kind| Reply::Row { host, kind, row }),
                         (None, Some(FaultCode::Saturated | FaultCode::Overload)) => {
                             Some(Reply::Busy { host })
                         }
-                        (None, Some(_)) => Some(Reply::Silent { host }),
+                        (None, Some(_)) => Some(Reply::NoResponse { host }),
                         (None, None) => None,
                     };
                     log::debug!("hosts: reply to {request:?}: {reply:?}");
@@ -169,7 +169,7 @@
         let (service, in_flight) = (connection.service.clone(), connection.in_flight.is_some());
         self.drop_host_connection(id, commands);
         if in_flight && !self.relays.direct_failed(id) {
-            self.promotion_replied(now, &service, Reply::Silent { host: id.to_string() }, commands);
+            self.promotion_replied(now, &service, Reply::NoResponse { host: id.to_string() }, commands);
         }
     }
 
--- a/crates/arrowyard-control/src/control/peers.rs
+++ b/crates/arrowyard-control/src/control/peers.rs
@@ -405,8 +405,8 @@
                     self.poll_promotions(now, commands);
                 }
             }
-            Payload::DepartureNotice(departing) => self.handle_departing(now, ip, departing, commands),
-            Payload::DepartureStored(kept) => self.handle_departure_kept(now, ip, kept.number, commands),
+            Payload::DepartureNotice(departing) => self.handle_departure_notice(now, ip, departing, commands),
+            Payload::DepartureStored(kept) => self.handle_departure_stored(now, ip, kept.number, commands),
             Payload::Suspect(suspect) => self.handle_suspicion(now, suspect, commands),
             Payload::Demotion(yielded) => self.handle_yielded(now, false, yielded, commands),
             message @ Payload::Replacements(_) => self.forward_replacements(&message, commands),
--- a/crates/arrowyard-control/src/control/relays.rs
+++ b/crates/arrowyard-control/src/control/relays.rs
@@ -112,7 +112,7 @@
         let Some((host, relay)) = outcome else { return RelayOutcome::Waiting };
         let host = host.clone();
         relay.outstanding = relay.outstanding.saturating_sub(1);
-        if let Some((row, kind)) = response.row.as_ref().zip(relay.request.row_kind()) {
+        if let Some((row, kind)) = response.row.as_ref().zip(relay.request.request_kind()) {
             let service = relay.service.clone();
             self.by_host.remove(&host);
             return RelayOutcome::Answered { service, reply: Reply::Row { host, kind, row: observed(row) } };
@@ -225,7 +225,7 @@
                 self.promotion_replied(now, &service, reply, commands);
             }
             RelayOutcome::Unreachable { service, host } => {
-                self.promotion_replied(now, &service, Reply::Silent { host }, commands);
+                self.promotion_replied(now, &service, Reply::NoResponse { host }, commands);
             }
         }
     }
--- a/crates/arrowyard-control/src/control/status.rs
+++ b/crates/arrowyard-control/src/control/status.rs
@@ -38,7 +38,7 @@
         let stages = self.promotions.by_service.iter().map(|(service, promotion)| {
             format!("{{\"service\":{},\"stage\":{}}}", text(service), text(&promotion.stage.to_string()))
         });
-        let shares = self.shares.shown().into_iter().map(|(row, name)| {
+        let shares = self.shares.status().into_iter().map(|(row, name)| {
             format!(
                 "{{\"host\":{},\"service\":{},\"owed\":\"{:.2}\",\"runs\":\"{:.2}\",\"waits\":\"{:.2}\",\"held\":{},\"pressed-ms\":{}}}",
                 text(&row.host),
--- a/crates/arrowyard-control/src/lib.rs
+++ b/crates/arrowyard-control/src/lib.rs
@@ -17,7 +17,7 @@
 pub use host_registry::HostRegistry;
 pub use peer_view::PeerView;
 pub use promotion::{
-    HostsSnapshot, Promotion, PromotionRequest, Promotions, Reply, RowKind, Stage, is_redundant,
+    HostsSnapshot, Promotion, PromotionRequest, Promotions, Reply, RequestKind, Stage, is_redundant,
 };
 pub use record::{Record, RecordKind, RegistrySnapshot};
 pub use replicated_log::{Output, ProposalId, ProposalOutcome, ReplicatedLog};
--- a/crates/arrowyard-control/src/promotion/mod.rs
+++ b/crates/arrowyard-control/src/promotion/mod.rs
@@ -20,7 +20,7 @@
 use arrowyard_types::{TimeDelta, Timestamp};
 
 pub use primary_watch::PrimaryWatch;
-pub use request::{PromotionRequest, Reply, RowKind, is_redundant};
+pub use request::{PromotionRequest, Reply, RequestKind, is_redundant};
 pub use stage::Stage;
 
 use crate::HostRegistry;
@@ -331,19 +331,19 @@
         match &reply {
             // Safety: the host may have been paused again meanwhile, or a delayed pause request may still
             // arrive.
-            Reply::Row { host, kind: RowKind::Continue, .. }
+            Reply::Row { host, kind: RequestKind::Continue, .. }
                 if self.stage == Stage::Idle && now - self.paused_at >= MAX_PAUSE_DELAY =>
             {
                 self.paused_hosts.remove(host);
             }
-            Reply::Row { kind: RowKind::Observe, row, .. } if row.primary => {
+            Reply::Row { kind: RequestKind::Observe, row, .. } if row.primary => {
                 let floors = std::mem::take(&mut self.floor_pending).into_iter();
                 self.floors.extend(floors.map(|host| (host, row.received)));
             }
             _ => {}
         }
         match (self.stage.clone(), reply) {
-            (Stage::Checking { host, timeouts }, Reply::Silent { host: of }) if host == of => {
+            (Stage::Checking { host, timeouts }, Reply::NoResponse { host: of }) if host == of => {
                 if timeouts + 1 < FAILURE_THRESHOLD {
                     return self.set_stage(
                         Stage::Checking { host, timeouts: timeouts + 1 },
@@ -371,7 +371,7 @@
                 self.set_stage(Stage::Surveying { old, planned, rows, unanswered }, wake_at);
                 self.finish_survey(now, hosts, requests);
             }
-            (Stage::Surveying { old, planned, rows, mut unanswered }, Reply::Silent { host }) => {
+            (Stage::Surveying { old, planned, rows, mut unanswered }, Reply::NoResponse { host }) => {
                 unanswered.insert(host);
                 let wake_at = self.wake_at;
                 self.set_stage(Stage::Surveying { old, planned, rows, unanswered }, wake_at);
@@ -379,7 +379,7 @@
             }
             (
                 Stage::Fencing { old, candidate, pending_hosts, term, mut rows },
-                Reply::Row { host, kind: RowKind::Pause(attempt), row },
+                Reply::Row { host, kind: RequestKind::Pause(attempt), row },
             ) if attempt == self.attempt && pending_hosts.contains(&host) => {
                 rows.insert(host, row);
                 let wake_at = self.wake_at;
@@ -406,7 +406,7 @@
                 let stage = Stage::CatchingUp { old, candidate, required, includes_old: true, until };
                 self.set_stage(stage, Some(now + RETRY_INTERVAL));
             }
-            (Stage::CatchingUp { old, candidate, .. }, Reply::Silent { host })
+            (Stage::CatchingUp { old, candidate, .. }, Reply::NoResponse { host })
                 if host == candidate || old.as_ref() == Some(&host) =>
             {
                 self.abort(now, requests);
--- a/crates/arrowyard-control/src/promotion/request.rs
+++ b/crates/arrowyard-control/src/promotion/request.rs
@@ -18,19 +18,19 @@
 /// The kind of request that a row answers. Safety: a late response to an earlier request does not prove
 /// that a host has stopped receiving.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum RowKind {
+pub enum RequestKind {
     Observe,
     Pause(u64),
     Continue,
 }
 
 impl PromotionRequest {
-    /// The kind of row that answers this request; `None` for a request to the platform.
-    pub fn row_kind(&self) -> Option<RowKind> {
+    /// The kind of this request; `None` for a request to the platform.
+    pub fn request_kind(&self) -> Option<RequestKind> {
         match self {
-            PromotionRequest::Observe { .. } => Some(RowKind::Observe),
-            PromotionRequest::Pause { attempt, .. } => Some(RowKind::Pause(*attempt)),
-            PromotionRequest::Continue { .. } => Some(RowKind::Continue),
+            PromotionRequest::Observe { .. } => Some(RequestKind::Observe),
+            PromotionRequest::Pause { attempt, .. } => Some(RequestKind::Pause(*attempt)),
+            PromotionRequest::Continue { .. } => Some(RequestKind::Continue),
             PromotionRequest::Promote { .. } => None,
         }
     }
@@ -55,9 +55,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     /// A host responded with its role and position.
-    Row { host: String, kind: RowKind, row: Observed },
+    Row { host: String, kind: RequestKind, row: Observed },
     /// The host did not respond, or responded with an error.
-    Silent { host: String },
+    NoResponse { host: String },
     /// The host is alive but has no capacity for the request.
     Busy { host: String },
     /// A router made the old primary yield: it was alive, and replicas that joined it may have acknowledged
--- a/crates/arrowyard-control/src/replicated_log.rs
+++ b/crates/arrowyard-control/src/replicated_log.rs
@@ -77,7 +77,7 @@
 
 #[derive(Clone, Debug)]
 struct PendingProposal {
-    ticket: ProposalId,
+    id: ProposalId,
     proposal: Proposal,
     deadline: Timestamp,
 }
@@ -142,7 +142,7 @@
         (self.applied.snapshot(), &self.retained, self.promised, &self.accepted, &self.sends_after_store)
             .hash(state);
         self.round.iter().for_each(|round| (round.slot, round.ballot, &round.phase).hash(state));
-        self.pending.iter().for_each(|pending| (pending.ticket, &pending.proposal).hash(state));
+        self.pending.iter().for_each(|pending| (pending.id, &pending.proposal).hash(state));
     }
 }
 
@@ -243,7 +243,7 @@
         self.pending.retain(|pending| {
             let expired = pending.deadline <= now;
             if expired {
-                out.push(Output::Resolved { proposal: pending.ticket, outcome: ProposalOutcome::Unknown });
+                out.push(Output::Resolved { proposal: pending.id, outcome: ProposalOutcome::Unknown });
             }
             !expired
         });
--- a/crates/arrowyard-control/src/replicated_log/learner.rs
+++ b/crates/arrowyard-control/src/replicated_log/learner.rs
@@ -64,10 +64,7 @@
         let is_this_entry = |pending: &PendingProposal| matches!(&pending.proposal, Proposal::Append(proposed) if *proposed == entry);
         if let Some(position) = self.pending.iter().position(is_this_entry) {
             let pending = self.pending.remove(position).expect("the position was just found");
-            out.push(Output::Resolved {
-                proposal: pending.ticket,
-                outcome: ProposalOutcome::Committed(slot),
-            });
+            out.push(Output::Resolved { proposal: pending.id, outcome: ProposalOutcome::Committed(slot) });
         }
         if self.round.as_ref().is_some_and(|round| round.slot <= slot) {
             self.round = None;
--- a/crates/arrowyard-control/src/replicated_log/proposer.rs
+++ b/crates/arrowyard-control/src/replicated_log/proposer.rs
@@ -8,7 +8,7 @@
         ProposalId(self.last_proposal + 1)
     }
 
-    /// Proposes an entry; the outcome is reported by `until`.
+    /// Proposes an entry; the outcome is reported by `deadline`.
     pub fn propose_entry(
         &mut self,
         now: Timestamp,
@@ -22,9 +22,9 @@
     /// Proposes a linearizable read: the outcome is `Current` once every entry acknowledged so far is known
     /// locally.
     pub fn propose_read(&mut self, now: Timestamp, deadline: Timestamp, out: &mut Vec<Output>) -> ProposalId {
-        let ticket = self.propose(now, Proposal::Read { responded: BTreeSet::new(), slot: 0 }, deadline, out);
-        self.broadcast(now, &Payload::Probe(Probe { ticket: ticket.0 }), out);
-        ticket
+        let id = self.propose(now, Proposal::Read { responded: BTreeSet::new(), slot: 0 }, deadline, out);
+        self.broadcast(now, &Payload::Probe(Probe { ticket: id.0 }), out);
+        id
     }
 
     pub(super) fn propose(
@@ -35,14 +35,14 @@
         out: &mut Vec<Output>,
     ) -> ProposalId {
         self.last_proposal += 1;
-        let ticket = ProposalId(self.last_proposal);
+        let id = ProposalId(self.last_proposal);
         if self.pending.len() >= MAX_PENDING_PROPOSALS {
-            out.push(Output::Resolved { proposal: ticket, outcome: ProposalOutcome::QueueFull });
-            return ticket;
+            out.push(Output::Resolved { proposal: id, outcome: ProposalOutcome::QueueFull });
+            return id;
         }
-        self.pending.push_back(PendingProposal { ticket, proposal, deadline });
+        self.pending.push_back(PendingProposal { id, proposal, deadline });
         self.begin_round(now, out);
-        ticket
+        id
     }
 
     /// Begins a round if an entry is pending and no round is in progress.
@@ -57,7 +57,7 @@
         self.highest_round += 1;
         let (slot, ballot) = (
             self.applied.slot + 1,
-            Ballot { round: self.highest_round, by: self.local_ip, incarnation: self.incarnation },
+            Ballot { round: self.highest_round, proposer: self.local_ip, incarnation: self.incarnation },
         );
         let phase = Phase::Preparing { promised: BTreeSet::new(), highest: None };
         self.round = Some(Round { slot, ballot, phase, deadline: now + ROUND_TIMEOUT });
@@ -200,7 +200,7 @@
             let superseded =
                 matches!(&pending.proposal, Proposal::Append(entry) if !applied.is_applicable(entry));
             if superseded {
-                out.push(Output::Resolved { proposal: pending.ticket, outcome: ProposalOutcome::Superseded });
+                out.push(Output::Resolved { proposal: pending.id, outcome: ProposalOutcome::Superseded });
             }
             !superseded
         });
--- a/crates/arrowyard-control/src/replicated_log/reads.rs
+++ b/crates/arrowyard-control/src/replicated_log/reads.rs
@@ -11,7 +11,7 @@
         let ahead = probed.chosen.max(probed.accepted);
         for pending in &mut self.pending {
             if let Proposal::Read { responded, slot } = &mut pending.proposal
-                && pending.ticket.0 == probed.ticket
+                && pending.id.0 == probed.ticket
                 && probed.votes
             {
                 responded.insert(from);
@@ -32,10 +32,7 @@
                 Proposal::Read { responded, slot }
                     if self.is_majority(responded) && (*slot <= known || Some(*slot) == free) =>
                 {
-                    out.push(Output::Resolved {
-                        proposal: pending.ticket,
-                        outcome: ProposalOutcome::Current,
-                    });
+                    out.push(Output::Resolved { proposal: pending.id, outcome: ProposalOutcome::Current });
                 }
                 _ => self.pending.push_back(pending),
             }
--- a/crates/arrowyard-control/tests/control.rs
+++ b/crates/arrowyard-control/tests/control.rs
@@ -4,7 +4,7 @@
 
 use arrowyard_control::{
     AppliedState, DiskHealth, DutyElection, HostRegistry, HostsSnapshot, PeerView, Promotion,
-    PromotionRequest, Reply, RowKind, Stage,
+    PromotionRequest, Reply, RequestKind, Stage,
 };
 use arrowyard_messages::{DbRole, Duty, Entry, EntryPayload, Host, KnownControl, Phase};
 use arrowyard_protocol::{Observed, Position};
@@ -215,7 +215,7 @@
     fn row(&mut self, host: &str, primary: bool, number: u64) -> Vec<PromotionRequest> {
         let row = Observed { primary, term: 3, received: Position { term: 3, number } };
         let fencing = matches!(self.promotion.stage, Stage::Fencing { .. });
-        let kind = if fencing { RowKind::Pause(1) } else { RowKind::Observe };
+        let kind = if fencing { RequestKind::Pause(1) } else { RequestKind::Observe };
         let reply = Reply::Row { host: host.into(), kind, row };
         let mut requests = self.with_hosts(|promotion, now, hosts, requests| {
             promotion.handle_reply(now, reply, hosts, requests)
@@ -228,7 +228,7 @@
     }
 
     fn silent(&mut self, host: &str) -> Vec<PromotionRequest> {
-        let reply = Reply::Silent { host: host.into() };
+        let reply = Reply::NoResponse { host: host.into() };
         self.with_hosts(|promotion, now, hosts, requests| promotion.handle_reply(now, reply, hosts, requests))
     }
 
@@ -290,7 +290,7 @@
         fixture.fail_primary();
         ["b", "c", "b"].iter().for_each(|host| _ = fixture.row(host, false, 20));
         let row = Observed { primary: false, term: 3, received: Position { term: 3, number: 20 } };
-        let last = Reply::Row { host: "c".into(), kind: RowKind::Pause(1), row };
+        let last = Reply::Row { host: "c".into(), kind: RequestKind::Pause(1), row };
         fixture
             .with_hosts(|promotion, now, hosts, requests| promotion.handle_reply(now, last, hosts, requests));
         assert_eq!(
@@ -413,7 +413,7 @@
     assert!(matches!(fixture.promotion.stage, Stage::Fencing { .. }));
     let late = Observed { primary: false, term: 3, received: Position { term: 3, number: 20 } };
     for host in ["b", "c"] {
-        let reply = Reply::Row { host: host.into(), kind: RowKind::Observe, row: late };
+        let reply = Reply::Row { host: host.into(), kind: RequestKind::Observe, row: late };
         fixture.with_hosts(|promotion, now, hosts, requests| {
             promotion.handle_reply(now, reply, hosts, requests)
         });
@@ -431,7 +431,7 @@
     fixture.advance(0);
     assert_eq!(fixture.advance(1000), [continue_b], "the request was lost");
     let row = Observed { primary: false, term: 3, received: Position { term: 3, number: 24 } };
-    let reply = Reply::Row { host: "b".into(), kind: RowKind::Continue, row };
+    let reply = Reply::Row { host: "b".into(), kind: RequestKind::Continue, row };
     fixture.with_hosts(|promotion, now, hosts, requests| promotion.handle_reply(now, reply, hosts, requests));
     assert!(fixture.advance(1000).is_empty() && fixture.advance(9000).is_empty());
 }
@@ -443,7 +443,7 @@
     fixture.registry.merge_report(at(900), host("a", DbRole::Primary, Phase::InService, 3));
     let continue_b = PromotionRequest::Continue { host: "b".into() };
     let row = Observed { primary: false, term: 3, received: Position { term: 3, number: 24 } };
-    let reply = Reply::Row { host: "b".into(), kind: RowKind::Continue, row };
+    let reply = Reply::Row { host: "b".into(), kind: RequestKind::Continue, row };
     fixture.advance(500);
     fixture.with_hosts(|promotion, now, hosts, requests| {
         promotion.handle_reply(now, reply.clone(), hosts, requests)
--- a/crates/arrowyard-control/tests/relays.rs
+++ b/crates/arrowyard-control/tests/relays.rs
@@ -1,6 +1,6 @@
 //! Tests of requests to silent hosts that are relayed by routers.
 
-use arrowyard_control::{PromotionRequest, RelayOutcome, Relays, Reply, RowKind};
+use arrowyard_control::{PromotionRequest, RelayOutcome, Relays, Reply, RequestKind};
 use arrowyard_messages::{HostStatus, RelayedRequest, RelayedResponse};
 use arrowyard_protocol::{Observed, Position};
 use arrowyard_types::Timestamp;
@@ -37,7 +37,7 @@
     let received = Position { term: 3, number: 21 };
     let reply = Reply::Row {
         host: "c".into(),
-        kind: RowKind::Pause(5),
+        kind: RequestKind::Pause(5),
         row: Observed { primary: false, term: 3, received },
     };
     let outcome = RelayOutcome::Answered { service: "s".into(), reply };
--- a/crates/arrowyard-control/tests/replicated_log.rs
+++ b/crates/arrowyard-control/tests/replicated_log.rs
@@ -469,7 +469,7 @@
     let (mut out, now) = (Vec::new(), Timestamp::from_micros(0));
     let mut log = ReplicatedLog::open(1, 1, &[], Some(&[1, 2, 3]), &mut out).expect("empty disk");
     out.clear();
-    let ballot = Ballot { round: 7, by: 2, incarnation: 1 };
+    let ballot = Ballot { round: 7, proposer: 2, incarnation: 1 };
     log.on_message(now, 2, &Payload::Prepare(Prepare { slot: 1, ballot }), &mut out);
     let Some(Output::Store { ticket, .. }) = out.pop() else { panic!("the promise is stored first") };
     log.record_stored(now, ticket, false, &mut out);
@@ -478,7 +478,7 @@
     assert_eq!(out, [], "the record was refused");
     let disk = [log.snapshot(None)];
     let mut again = ReplicatedLog::open(1, 2, &disk, None, &mut out).expect("records written by this log");
-    let older = Prepare { slot: 1, ballot: Ballot { round: 6, by: 3, incarnation: 1 } };
+    let older = Prepare { slot: 1, ballot: Ballot { round: 6, proposer: 3, incarnation: 1 } };
     again.on_message(now, 3, &Payload::Prepare(older), &mut out);
     let promised = out.iter().find_map(|one| match one {
         Output::Send { payload: Payload::Promise(promise), .. } => Some(promise.promised),
--- a/crates/arrowyard-emulator/src/models/promotion.rs
+++ b/crates/arrowyard-emulator/src/models/promotion.rs
@@ -7,7 +7,7 @@
 use std::hash::{BuildHasher, Hash, Hasher};
 
 use arrowyard_control::{
-    HostRegistry, HostsSnapshot, Promotion, PromotionRequest, Reply, RowKind, Stage, is_redundant,
+    HostRegistry, HostsSnapshot, Promotion, PromotionRequest, Reply, RequestKind, Stage, is_redundant,
 };
 use arrowyard_messages::{DbRole, Host, Phase};
 use arrowyard_protocol::{Observed, Position};
@@ -208,23 +208,23 @@
 
     fn hear(&mut self, reply: Reply) {
         let reply = match reply {
-            Reply::Silent { host }
+            Reply::NoResponse { host }
                 if self.left.flaw == Some(Flaw::SilentHasNothing)
                     && !matches!(self.promotion.stage, Stage::Checking { .. }) =>
             {
                 let row = Observed { primary: false, term: 1, received: Position::default() };
                 let kind = if matches!(self.promotion.stage, Stage::Fencing { .. }) {
-                    RowKind::Pause(self.promotion.attempt())
+                    RequestKind::Pause(self.promotion.attempt())
                 } else {
-                    RowKind::Observe
+                    RequestKind::Observe
                 };
                 Reply::Row { host, kind, row }
             }
-            Reply::Row { host, kind: RowKind::Observe, row }
+            Reply::Row { host, kind: RequestKind::Observe, row }
                 if self.left.flaw == Some(Flaw::AnyRowIsAPause)
                     && matches!(self.promotion.stage, Stage::Fencing { .. }) =>
             {
-                Reply::Row { host, kind: RowKind::Pause(self.promotion.attempt()), row }
+                Reply::Row { host, kind: RequestKind::Pause(self.promotion.attempt()), row }
             }
             reply => reply,
         };
@@ -245,7 +245,7 @@
             _ => {}
         }
         let row = Observed { primary: server.leads, term: self.term, received: server.received() };
-        Some(Reply::Row { host: NAMES[number].into(), kind: ask.row_kind()?, row })
+        Some(Reply::Row { host: NAMES[number].into(), kind: ask.request_kind()?, row })
     }
 
     /// The platform makes a host lead with what it has; what others have beyond that is cut back.
@@ -469,13 +469,13 @@
                 world.left.lost -= 1;
                 world.obey(number)?;
                 world.servers[number].queue.clear();
-                world.hear(Reply::Silent { host: NAMES[number].into() });
+                world.hear(Reply::NoResponse { host: NAMES[number].into() });
             }
             Step::QuestionLost(number) => {
                 let is_reached = world.servers[number].up && world.is_reached(number);
                 world.left.lost -= u8::from(is_reached);
                 world.servers[number].queue.clear();
-                world.hear(Reply::Silent { host: NAMES[number].into() });
+                world.hear(Reply::NoResponse { host: NAMES[number].into() });
             }
             Step::Platform => {
                 let host = world.calls.remove(0);
--- a/crates/arrowyard-messages/src/message.rs
+++ b/crates/arrowyard-messages/src/message.rs
@@ -1,4 +1,5 @@
-//! The messages. A machine is identified by its IPv4 address as a 32-bit integer.
+//! The messages between control machines, and between control machines and routers. A machine is identified
+//! by its IPv4 address as a 32-bit integer.
 
 use std::net::Ipv4Addr;
 
@@ -152,7 +153,7 @@
     #[prost(uint64, tag = "1")]
     pub round: u64,
     #[prost(fixed32, tag = "2")]
-    pub by: u32,
+    pub proposer: u32,
     #[prost(fixed64, tag = "3")]
     pub incarnation: u64,
 }
@@ -244,7 +245,7 @@
     /// The most recent configuration changes.
     #[prost(message, repeated, tag = "5")]
     pub applied_changes: Vec<AppliedChange>,
-    /// The newest revision whose change is no longer in `applied_changes`; 0 for none.
+    /// The newest revision whose change was dropped from `applied_changes`; 0 for none.
     #[prost(uint64, tag = "6")]
     pub forgotten: u64,
     /// Identifies the deployment: a digest of the first entry of its log.
@@ -466,13 +467,13 @@
     pub revised: ConfigRevision,
 }
 
-/// From a router: the updates up to this number are applied. If `lost` is set, it needs a [`FeedSnapshot`].
+/// From a router: the updates up to this number are applied. If `needs_snapshot` is set, it needs a [`FeedSnapshot`].
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct FeedAck {
     #[prost(uint64, tag = "1")]
     pub number: u64,
     #[prost(bool, tag = "2")]
-    pub lost: bool,
+    pub needs_snapshot: bool,
     /// The configuration revision that the router has in force.
     #[prost(uint64, tag = "3")]
     pub revision: u64,
@@ -490,7 +491,8 @@
     pub by: u32,
 }
 
-/// From a router through its control machine to the allocator: the demand of its services at each host.
+/// From a router through its control machine to the allocator: the demand at each host by class of requests,
+/// which the messages on allocations call a service.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct DemandReport {
     /// Incarnation of the router.
@@ -498,7 +500,7 @@
     pub router: u64,
     /// Sequence number of the report within this incarnation.
     #[prost(uint64, tag = "2")]
-    pub echo: u64,
+    pub number: u64,
     #[prost(message, repeated, tag = "3")]
     pub hosts: Vec<HostDemand>,
 }
@@ -514,17 +516,17 @@
     /// Fence of the allocator whose allocation the router applied last.
     #[prost(uint64, tag = "3")]
     pub fence: u64,
-    /// Number of that allocation.
+    /// `number` of that allocation.
     #[prost(uint64, tag = "4")]
-    pub answers: u64,
+    pub allocation_number: u64,
     #[prost(message, repeated, tag = "5")]
     pub services: Vec<ServiceDemand>,
-    /// The service that the host is a replica of.
+    /// The configured service that the host belongs to, as its primary or a replica.
     #[prost(string, tag = "6")]
     pub group: String,
 }
 
-/// The demand of one service, in thousandths of a concurrent statement.
+/// The demand of one class of requests, in thousandths of a concurrent statement.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct ServiceDemand {
     #[prost(string, tag = "1")]
@@ -535,7 +537,7 @@
     pub waiting_milli: u32,
 }
 
-/// From the allocator through a control machine to one router.
+/// From the allocator through a control machine to one router, given by its incarnation.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct HostAllocations {
     #[prost(fixed64, tag = "1")]
@@ -546,7 +548,7 @@
     pub allocations: Vec<HostAllocation>,
 }
 
-/// The share of one host that a router may use. Services without a cap are not limited.
+/// The share of one host that a router may use. Classes of requests without a cap are not limited.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct HostAllocation {
     #[prost(string, tag = "1")]
@@ -555,7 +557,7 @@
     pub number: u64,
     /// Sequence number of the [`DemandReport`] that this is based on.
     #[prost(uint64, tag = "3")]
-    pub echo: u64,
+    pub report_number: u64,
     #[prost(bool, tag = "4")]
     pub overloaded: bool,
     #[prost(message, repeated, tag = "5")]
@@ -568,7 +570,7 @@
     pub routers: u32,
 }
 
-/// Limit on the in-flight statements of one service, in thousandths.
+/// Limit on the in-flight statements of one class of requests, in thousandths.
 #[derive(Clone, PartialEq, Eq, Hash, Message)]
 pub struct ServiceCap {
     #[prost(string, tag = "1")]
@@ -621,11 +623,12 @@
 /// Asks a voter for the highest slots that it knows, without a promise.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct Probe {
+    /// Identifies the read at the sender; returned in the response.
     #[prost(uint64, tag = "1")]
     pub ticket: u64,
 }
 
-/// The response to [`Probe`].
+/// The response to [`Probe`], with the same ticket.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Message)]
 pub struct Probed {
     #[prost(uint64, tag = "1")]
--- a/crates/arrowyard-pooler/src/plane/clients.rs
+++ b/crates/arrowyard-pooler/src/plane/clients.rs
@@ -23,7 +23,7 @@
 impl RouterPlane {
     pub(super) fn accept_client(&mut self, now: Timestamp, conn: Conn) {
         let mut session = Session::new();
-        let timeout_ms = self.configured.routes.limits.header_wait_ms as i64;
+        let timeout_ms = self.configured.routes.limits.first_message_timeout_ms as i64;
         let timeout = if timeout_ms > 0 { TimeDelta::from_millis(timeout_ms) } else { DEFAULT_OPEN_TIMEOUT };
         session.timer = Some(self.timers.set(now + timeout, Timer::SessionIdle(conn)));
         self.endpoints.insert(conn, Endpoint::Client(Box::new(session)));
@@ -376,7 +376,7 @@
 
     /// Starts the idle timeout of an open transaction, if the configuration sets one.
     pub(super) fn start_transaction_timeout(&mut self, now: Timestamp, conn: Conn) {
-        let timeout_ms = self.configured.routes.limits.tx_idle_ms;
+        let timeout_ms = self.configured.routes.limits.transaction_idle_timeout_ms;
         if self
             .session(conn)
             .is_none_or(|session| session.transaction_state != TransactionState::InTransaction)
--- a/crates/arrowyard-pooler/src/plane/feed.rs
+++ b/crates/arrowyard-pooler/src/plane/feed.rs
@@ -153,8 +153,11 @@
     /// Acknowledges the last update. With `lost`, control sends a new snapshot.
     fn acknowledge_feed(&mut self, now: Timestamp, conn: Conn, lost: bool, commands: &mut Commands) {
         self.feed.acked_at = now;
-        let ack =
-            FeedAck { number: self.feed.number, lost, revision: self.configured.configuration.revision };
+        let ack = FeedAck {
+            number: self.feed.number,
+            needs_snapshot: lost,
+            revision: self.configured.configuration.revision,
+        };
         commands.write(conn, &[&encode_payload(Payload::FeedAck(ack))]);
     }
 
--- a/crates/arrowyard-pooler/src/plane/ops.rs
+++ b/crates/arrowyard-pooler/src/plane/ops.rs
@@ -54,7 +54,7 @@
         let Some(session) = self.session(conn) else { return };
         let host_conn = session.transaction.as_ref().and_then(|transaction| transaction.host_conn);
         let min_position =
-            session.last_commit.map(|(_, sent)| sent).filter(|_| channel.kind == RouteKind::OwnRegion);
+            session.last_commit.map(|(_, sent)| sent).filter(|_| channel.kind == RouteKind::ReadYourWrites);
         let pinned_host =
             host_conn.and_then(|host_conn| self.host_connection(host_conn)).map(|connection| connection.host);
         let statement = PendingStatement {
@@ -75,7 +75,7 @@
             host_conn,
             verifies_primary: false,
             timer: None,
-            connection_wait: TimeDelta::from_micros((channel.setpoint_ms * 1000.0) as i64)
+            connection_wait: TimeDelta::from_micros((channel.latency_target_ms * 1000.0) as i64)
                 * CONNECTION_WAIT_FRACTION,
             last_fault: None,
         };
@@ -628,7 +628,7 @@
         let own = session
             .last_commit
             .map(|(position, _)| position)
-            .filter(|_| channel.kind == RouteKind::OwnRegion);
+            .filter(|_| channel.kind == RouteKind::ReadYourWrites);
         Some(match known {
             Some(known) => ReadRequirement::Position(own.map_or(known, |own| known.max(own))),
             // No position is known for the staleness bound; the primary has every commit.
--- a/crates/arrowyard-pooler/src/plane/shares.rs
+++ b/crates/arrowyard-pooler/src/plane/shares.rs
@@ -138,7 +138,7 @@
             } else {
                 self.shares.reported.insert(host, (now, demands.clone()));
             }
-            let (fence, answers) = self.shares.leases.last_applied(&id);
+            let (fence, allocation_number) = self.shares.leases.last_applied(&id);
             let encode = |demand: &ServiceDemand| arrowyard_messages::ServiceDemand {
                 service: self.shares.config.service_name(demand.service).to_string(),
                 running_milli: demand.in_flight,
@@ -149,16 +149,16 @@
                 .filter(|demand| demand.in_flight > 0 || demand.queued > 0)
                 .map(encode)
                 .collect();
-            hosts.push(HostDemand { host: id, slots, fence, answers, services: list, group });
+            hosts.push(HostDemand { host: id, slots, fence, allocation_number, services: list, group });
             self.shares.demands.insert(host, demands);
         }
         if let Some(conn) = self.feed.open_conn().filter(|_| !hosts.is_empty()) {
-            let echo = self.shares.leases.next_report(now);
+            let number = self.shares.leases.next_report(now);
             commands.write(
                 conn,
                 &[&encode_payload(Payload::DemandReport(DemandReport {
                     router: self.incarnation,
-                    echo,
+                    number,
                     hosts,
                 }))],
             );
@@ -210,7 +210,7 @@
                 host: allocation.host,
                 fence: allocations.fence,
                 number: allocation.number,
-                report: allocation.echo,
+                report: allocation.report_number,
                 overloaded: allocation.overloaded,
                 caps,
                 permits: allocation.capacity_milli,
--- a/crates/arrowyard-pooler/src/routes.rs
+++ b/crates/arrowyard-pooler/src/routes.rs
@@ -41,7 +41,7 @@
         let key = (
             channel.kind,
             statement,
-            channel.setpoint_ms as i64,
+            channel.latency_target_ms as i64,
             channel.deadline_ms as i64,
             channel.priority,
             channel.staleness_bound_ms as i64,
@@ -50,7 +50,7 @@
             return *id;
         }
         let consistency = match (statement, channel.kind) {
-            (StatementKind::Read, RouteKind::BoundedStaleness | RouteKind::OwnRegion) => {
+            (StatementKind::Read, RouteKind::BoundedStaleness | RouteKind::ReadYourWrites) => {
                 Consistency::Bounded(millis(channel.staleness_bound_ms))
             }
             (StatementKind::Read, RouteKind::Primary) => Consistency::Fresh,
@@ -63,7 +63,7 @@
         };
         let id = OpTypeId(self.rows.len() as u32);
         self.rows.push(OpType {
-            latency_target: millis(channel.setpoint_ms),
+            latency_target: millis(channel.latency_target_ms),
             op_timeout: millis(channel.deadline_ms),
             value: 4.0 / f64::from(channel.priority + 1),
             // An answer after the latency target keeps a part of its value.
