--- a/crates/arrowyard-config/tests/configuration.rs
+++ b/crates/arrowyard-config/tests/configuration.rs
@@ -27,7 +27,7 @@
     let read = first();
     let kinds: Vec<RouteKind> = read.channels().map(|channel| channel.kind).collect();
     assert_eq!(kinds, [RouteKind::Primary, RouteKind::BoundedStaleness]);
-    assert_eq!(read.limits().tx_idle_ms, 3000.0);
+    assert_eq!(read.limits().transaction_idle_timeout_ms, 3000.0);
 }
 
 #[test]
--- a/crates/arrowyard-control/src/control/fair_shares.rs
+++ b/crates/arrowyard-control/src/control/fair_shares.rs
@@ -1,5 +1,6 @@
 //! Allocation of overloaded hosts to services. The duty holder allocates; the other control machines
-//! forward messages to and from the routers subscribed to them.
+//! forward messages to and from the routers subscribed to them. A service here is a class of requests that
+//! the operator configures as a share.
 
 use arrowyard_fair_shares::{Allocator, HostInfo, RouterId, ServiceDemand, ServiceStatus, ShareConfig};
 use arrowyard_messages::{
@@ -24,11 +25,12 @@
     slot: u64,
     /// Present while this machine holds the duty.
     allocator: Option<Allocator>,
-    /// The control machine through which each router is reached; `None` if it is subscribed here.
-    routes: FxHashMap<u64, Option<u32>>,
+    /// By incarnation of the router: the control machine that it is subscribed to; `None` if that is this one.
+    next_hops: FxHashMap<u64, Option<u32>>,
 }
 
 impl Shares {
+    /// Status of each service at each host with the name of the service; empty without the duty.
     pub fn status(&self) -> Vec<(ServiceStatus, &str)> {
         let rows = self.allocator.iter().flat_map(Allocator::status);
         rows.map(|row| {
@@ -41,9 +43,9 @@
 
 impl Control {
     /// Creates or drops the allocator when the duty is taken up or given up.
-    pub(super) fn start_allocator(&mut self, now: Timestamp, after_another: bool) {
-        let delay = if after_another { PREVIOUS_HOLDER_TIMEOUT } else { TimeDelta::ZERO };
-        self.shares.allocator = self.fence.map(|fence| Allocator::start(now, fence, delay));
+    pub(super) fn start_allocator(&mut self, now: Timestamp, after_another_holder: bool) {
+        let handover_wait = if after_another_holder { PREVIOUS_HOLDER_TIMEOUT } else { TimeDelta::ZERO };
+        self.shares.allocator = self.fence.map(|fence| Allocator::start(now, fence, handover_wait));
     }
 
     /// Handles a demand report from a router, or from the control machine that it is subscribed to.
@@ -71,22 +73,29 @@
         if !self.replicated_log.applied().configuration.division_enabled() {
             return;
         }
-        let Shares { config, allocator, routes, .. } = &mut self.shares;
+        let Shares { config, allocator, next_hops, .. } = &mut self.shares;
         let Some(allocator) = allocator else { return };
-        if routes.len() >= MAX_ROUTERS {
-            routes.clear();
+        if next_hops.len() >= MAX_ROUTERS {
+            next_hops.clear();
         }
-        routes.insert(report.router, from);
-        for HostDemand { host, slots, fence, answers, services: list, group } in report.hosts {
-            let need = |need: arrowyard_messages::ServiceDemand| ServiceDemand {
-                service: config.service_id(&need.service),
-                in_flight: need.running_milli,
-                queued: need.waiting_milli,
+        next_hops.insert(report.router, from);
+        for HostDemand { host, slots, fence, allocation_number, services, group } in report.hosts {
+            let decode = |demand: arrowyard_messages::ServiceDemand| ServiceDemand {
+                service: config.service_id(&demand.service),
+                in_flight: demand.running_milli,
+                queued: demand.waiting_milli,
             };
-            let answers = if Some(fence) == self.fence { answers } else { 0 };
-            let list = list.into_iter().take(MAX_SERVICES_PER_REPORT).map(need).collect();
-            let at = HostInfo { id: &host, group: &group, slots };
-            allocator.record_demand(now, &at, RouterId(report.router), (report.echo, answers), list);
+            // A number given under another fence acknowledges no allocation of this allocator.
+            let acknowledged = if Some(fence) == self.fence { allocation_number } else { 0 };
+            let demands = services.into_iter().take(MAX_SERVICES_PER_REPORT).map(decode).collect();
+            let host_info = HostInfo { id: &host, group: &group, slots };
+            allocator.record_demand(
+                now,
+                &host_info,
+                RouterId(report.router),
+                (report.number, acknowledged),
+                demands,
+            );
         }
         self.allocate_shares(now, commands);
     }
@@ -102,41 +111,41 @@
     /// Computes the allocations that are due and sends them.
     pub(super) fn allocate_shares(&mut self, now: Timestamp, commands: &mut Commands) {
         let (routers, fence) = (self.routers, self.fence.unwrap_or_default());
-        let Shares { config, allocator, routes, .. } = &mut self.shares;
+        let Shares { config, allocator, next_hops, .. } = &mut self.shares;
         let Some(allocator) = allocator else { return };
-        let division = allocator.allocate(now, config, routers);
+        let round = allocator.allocate(now, config, routers);
         let mut by_router: std::collections::BTreeMap<u64, Vec<HostAllocation>> =
             std::collections::BTreeMap::new();
-        for (router, allocation) in division.allocations {
+        for (router, allocation) in round.allocations {
             let caps = allocation.caps.iter();
-            let cap = |(of, cap): &(_, u32)| ServiceCap {
-                service: config.service_name(*of).to_string(),
+            let cap = |(service, cap): &(_, u32)| ServiceCap {
+                service: config.service_name(*service).to_string(),
                 cap_milli: *cap,
             };
             by_router.entry(router.0).or_default().push(HostAllocation {
                 host: allocation.host,
                 number: allocation.number,
-                echo: allocation.report,
+                report_number: allocation.report,
                 overloaded: allocation.overloaded,
                 caps: caps.map(cap).collect(),
                 capacity_milli: allocation.permits,
                 routers: allocation.routers,
             });
         }
-        let by_route: Vec<(Option<u32>, HostAllocations)> = by_router
+        let by_next_hop: Vec<(Option<u32>, HostAllocations)> = by_router
             .into_iter()
             .filter_map(|(router, allocations)| {
-                Some((*routes.get(&router)?, HostAllocations { router, fence, allocations }))
+                Some((*next_hops.get(&router)?, HostAllocations { router, fence, allocations }))
             })
             .collect();
-        for (route, allocations) in by_route {
-            match route {
+        for (next_hop, allocations) in by_next_hop {
+            match next_hop {
                 Some(peer) => self.send_to_peer(peer, &Payload::HostAllocations(allocations), commands),
                 None => self.forward_allocations(allocations, commands),
             }
         }
-        if !division.poll.is_empty() {
-            let message = Payload::OverloadedHosts(OverloadedHosts { hosts: division.poll });
+        if !round.poll.is_empty() {
+            let message = Payload::OverloadedHosts(OverloadedHosts { hosts: round.poll });
             self.broadcast_to_peers(&message, commands);
             self.forward_overload(&message, commands);
         }
