--- a/crates/arrowyard-pooler/src/decision.rs
+++ b/crates/arrowyard-pooler/src/decision.rs
@@ -108,14 +108,17 @@
         self.router.handle(now, event, actions);
     }
 
+    /// The host with this number. Panics if the number was not assigned.
     pub fn host(&self, id: HostId) -> &KnownHost {
         &self.hosts[id.0 as usize]
     }
 
+    /// All hosts ever reported, in the order of their numbers.
     pub fn hosts(&self) -> impl Iterator<Item = &KnownHost> {
         self.hosts.iter()
     }
 
+    /// The number of a host by its name.
     pub fn host_id(&self, name: &str) -> Option<HostId> {
         self.ids_by_name.get(name).copied()
     }
@@ -193,9 +196,9 @@
 
     /// Since when a host is draining. It keeps its first time whatever role it has meanwhile, since the
     /// bound on what it may still run starts at its first announcement. A host that this router never saw
-    /// in service may have announced it long ago, so its bound counts as expired. A primary in service
-    /// keeps accepting writes until the bound, so that there is a host to write to until its successor
-    /// takes over.
+    /// in service may have announced it long ago, so its bound counts as expired. A primary that was seen in
+    /// service still gets the full bound: closing it at once would leave no host to write to until its
+    /// successor takes over.
     fn draining_since(&self, now: Timestamp, id: HostId, is_known: bool) -> Timestamp {
         let known = self.hosts.get(id.0 as usize).filter(|_| is_known);
         known.map_or(now - self.drain_bound, |known| known.draining_since.unwrap_or(now))
--- a/crates/arrowyard-pooler/src/host_connection.rs
+++ b/crates/arrowyard-pooler/src/host_connection.rs
@@ -102,6 +102,7 @@
 }
 
 impl HostConnection {
+    /// A connection that was just dialed.
     pub fn new(conn: Conn, host: HostId, now: Timestamp) -> Self {
         HostConnection {
             conn,
--- a/crates/arrowyard-pooler/src/plane.rs
+++ b/crates/arrowyard-pooler/src/plane.rs
@@ -117,6 +117,8 @@
 }
 
 impl RouterPlane {
+    /// Creates the plane of a router. `incarnation` identifies this run of the process and seeds its random
+    /// numbers.
     pub fn new(settings: Settings, incarnation: u64, reload_settings: ReloadSettings) -> Self {
         let now = Timestamp::from_micros(0);
         let mut actions = Vec::new();
--- a/crates/arrowyard-pooler/src/routes.rs
+++ b/crates/arrowyard-pooler/src/routes.rs
@@ -101,6 +101,7 @@
 }
 
 impl Routes {
+    /// The routes and services of a configuration.
     pub fn new(configuration: &Configuration) -> Self {
         let mut by_database: FxHashMap<String, Rc<Channel>> = FxHashMap::default();
         for channel in configuration.channels() {
@@ -133,6 +134,7 @@
 pub struct Groups(FxHashMap<String, GroupId>);
 
 impl Groups {
+    /// The number of a service, if it has one.
     pub fn get(&self, service: &str) -> Option<GroupId> {
         self.0.get(service).copied()
     }
--- a/crates/arrowyard-pooler/src/session.rs
+++ b/crates/arrowyard-pooler/src/session.rs
@@ -93,6 +93,7 @@
 }
 
 impl Session {
+    /// A session whose client has not opened a database yet.
     pub fn new() -> Self {
         Session {
             stage: SessionStage::New,
