--- a/crates/arrowyard-store/src/generations.rs
+++ b/crates/arrowyard-store/src/generations.rs
@@ -1,107 +1,114 @@
-//! Two generations of a snapshot: the older one is replaced, the newer one stays till that is done.
+//! Two generations of a snapshot: the older one is replaced, and the newer one stays until the write has
+//! completed.
 
 use std::io;
 use std::path::PathBuf;
 
 use crate::disk::Disk;
-use crate::form::{Found, LARGEST, Snapshot, judge, write};
+use crate::format::{GenerationState, MAX_FILE_BYTES, Snapshot, decode, encode};
 
-/// Whose snapshots, where.
+/// The snapshots of one deployment in a directory.
 pub struct Store<D: Disk> {
     pub disk: D,
     pub folder: PathBuf,
-    /// Of any if none is said, as for a look from outside.
+    /// The expected deployment; `None` accepts any, for inspection.
     pub deployment: Option<u64>,
-    /// How far clocks may differ, in milliseconds.
-    pub skew_ms: u64,
+    /// The accepted clock skew.
+    pub max_clock_skew_ms: u64,
 }
 
-/// Which of the two.
+/// One of the two generations.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Kept {
+pub enum Generation {
     A,
     B,
 }
 
-impl Kept {
-    const BOTH: [Kept; 2] = [Kept::A, Kept::B];
+impl Generation {
+    const ALL: [Generation; 2] = [Generation::A, Generation::B];
 
-    fn name(self) -> &'static str {
+    fn file_name(self) -> &'static str {
         match self {
-            Kept::A => "hosts.a",
-            Kept::B => "hosts.b",
+            Generation::A => "hosts.a",
+            Generation::B => "hosts.b",
         }
     }
 }
 
-/// What was found of both.
+/// The state of both generations.
 #[derive(Debug)]
 pub struct Loaded {
-    pub found: [(Kept, Found); 2],
+    pub generations: [(Generation, GenerationState); 2],
 }
 
 impl Loaded {
-    /// The newest whole one.
+    /// The newest valid generation.
     #[must_use]
-    pub fn newest(&self) -> Option<(Kept, &Snapshot)> {
-        let whole = self.found.iter().filter_map(|(kept, found)| match found {
-            Found::Whole(snapshot) => Some((*kept, snapshot)),
+    pub fn newest(&self) -> Option<(Generation, &Snapshot)> {
+        let valid = self.generations.iter().filter_map(|(generation, state)| match state {
+            GenerationState::Valid(snapshot) => Some((*generation, snapshot)),
             _ => None,
         });
-        whole.max_by_key(|(_, snapshot)| snapshot.number)
+        valid.max_by_key(|(_, snapshot)| snapshot.number)
     }
 
-    /// Which one the next snapshot replaces, and its number. Danger: the only whole one is replaced, and the router is killed
-    /// meanwhile. So it is never that.
+    /// The generation that the next snapshot replaces, and its number. It is never the newest valid one,
+    /// which must survive a crash during the write.
     #[must_use]
-    pub fn next(&self) -> (Kept, u64) {
+    pub fn next_generation(&self) -> (Generation, u64) {
         match self.newest() {
-            Some((Kept::A, newest)) => (Kept::B, newest.number + 1),
-            Some((Kept::B, newest)) => (Kept::A, newest.number + 1),
-            None => (Kept::A, 1),
+            Some((Generation::A, newest)) => (Generation::B, newest.number + 1),
+            Some((Generation::B, newest)) => (Generation::A, newest.number + 1),
+            None => (Generation::A, 1),
         }
     }
 }
 
 impl<D: Disk> Store<D> {
-    fn path(&self, kept: Kept) -> PathBuf {
-        self.folder.join(kept.name())
+    fn path(&self, generation: Generation) -> PathBuf {
+        self.folder.join(generation.file_name())
     }
 
-    fn found(&self, kept: Kept, now_ms: u64) -> Found {
-        match self.disk.read(&self.path(kept), LARGEST) {
-            Ok((_, length)) if length > LARGEST as u64 => Found::Huge(length),
-            Ok((bytes, _)) => judge(&bytes, self.deployment, now_ms, self.skew_ms),
+    fn read_generation(&self, generation: Generation, now_ms: u64) -> GenerationState {
+        match self.disk.read(&self.path(generation), MAX_FILE_BYTES) {
+            Ok((_, length)) if length > MAX_FILE_BYTES as u64 => GenerationState::Huge(length),
+            Ok((bytes, _)) => decode(&bytes, self.deployment, now_ms, self.max_clock_skew_ms),
             Err(error) => match error.kind() {
-                io::ErrorKind::NotFound => Found::Missing,
-                io::ErrorKind::PermissionDenied => Found::NoRights,
-                io::ErrorKind::IsADirectory => Found::NoFile,
-                _ => Found::Unreadable(error.to_string()),
+                io::ErrorKind::NotFound => GenerationState::Missing,
+                io::ErrorKind::PermissionDenied => GenerationState::NoRights,
+                io::ErrorKind::IsADirectory => GenerationState::NoFile,
+                _ => GenerationState::Unreadable(error.to_string()),
             },
         }
     }
 
-    /// What there is; never an error.
+    /// Reads both generations; errors are part of their states.
     #[must_use]
     pub fn load(&self, now_ms: u64) -> Loaded {
-        Loaded { found: Kept::BOTH.map(|kept| (kept, self.found(kept, now_ms))) }
+        Loaded {
+            generations: Generation::ALL
+                .map(|generation| (generation, self.read_generation(generation, now_ms))),
+        }
     }
 
-    /// Writes the next snapshot in the place of the older generation, and reads it back.
+    /// Replaces the older generation by this snapshot, whose number and deployment are set here.
     ///
     /// # Errors
-    /// What went wrong; the newer generation is as it was.
-    pub fn save(&self, mut snapshot: Snapshot, now_ms: u64) -> io::Result<Kept> {
-        let (kept, number) = self.load(now_ms).next();
+    /// The error of a failed write; the newer generation is unchanged.
+    pub fn save(&self, mut snapshot: Snapshot, now_ms: u64) -> io::Result<Generation> {
+        let (generation, number) = self.load(now_ms).next_generation();
         snapshot.deployment = self.deployment.unwrap_or(snapshot.deployment);
         snapshot.number = number;
-        let bytes = write(&snapshot);
-        if bytes.len() > LARGEST {
-            return Err(io::Error::new(io::ErrorKind::FileTooLarge, "more hosts than a snapshot may hold"));
+        let bytes = encode(&snapshot);
+        if bytes.len() > MAX_FILE_BYTES {
+            return Err(io::Error::new(
+                io::ErrorKind::FileTooLarge,
+                "the encoded snapshot exceeds the maximum file size",
+            ));
         }
-        let beside = self.folder.join("hosts.next");
-        self.disk.write(&beside, &bytes)?;
-        self.disk.replace(&beside, &self.path(kept))?;
-        Ok(kept)
+        let temporary_path = self.folder.join("hosts.next");
+        self.disk.write(&temporary_path, &bytes)?;
+        self.disk.replace(&temporary_path, &self.path(generation))?;
+        Ok(generation)
     }
 }
