--- a/crates/arrowyard-core/src/admission.rs
+++ b/crates/arrowyard-core/src/admission.rs
@@ -1,4 +1,4 @@
-//! What may become an op: caps, names to ids, and the point at which the client gives up.
+//! Admission control: limits on open ops and their bytes, name resolution and the deadline of each op.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{HashMap, HashSet};
@@ -18,19 +18,20 @@
 use crate::cell_scheduler::OpOrigin;
 use crate::reply::Reply;
 
+/// Admits client requests as ops while the limits of this router allow it.
 pub struct AdmissionController {
     op_types: HashMap<String, (OpTypeId, OpType)>,
     tenants: HashMap<String, TenantId>,
-    next: Cell<u64>,
-    open: Rc<Cell<usize>>,
+    next_op: Cell<u64>,
+    open_ops: Rc<Cell<usize>>,
     bytes: Rc<Cell<usize>>,
     ids: Rc<RefCell<HashSet<u64>>>,
     limits: Rc<Limits>,
-    /// Whether there are cells, which want to know more of an op.
-    cells: bool,
+    /// Whether cells are configured; they need the origin of each op.
+    has_cells: bool,
     /// Whether the router belongs to a fleet.
     pub in_fleet: bool,
-    /// The task that wants leases, where there is one.
+    /// Commands to the lease task, if leases are configured.
     pub leases: Option<mpsc::Sender<crate::leases::LeasesCommand>>,
 }
 
@@ -42,7 +43,7 @@
     pub slot: OpSlot,
 }
 
-/// An op's place among those in hand, for as long as it is kept.
+/// An op's share of the admission limits; dropping it releases them and the op's client-chosen id.
 #[derive(Debug)]
 pub struct OpSlot {
     _open: UsageGuard,
@@ -57,7 +58,7 @@
     }
 }
 
-/// The names of a list of the settings, in order.
+/// The `name` of each row of a list in the settings, in order.
 fn names<'a>(settings: &'a Map<String, Value>, list: &str) -> Vec<&'a str> {
     let rows = settings.get(list).and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
     rows.iter().map(|row| row.get("name").and_then(Value::as_str).unwrap_or_default()).collect()
@@ -66,11 +67,11 @@
 impl AdmissionController {
     pub fn new(
         settings: &Map<String, Value>,
-        manifest: &RouterSettings,
+        router_settings: &RouterSettings,
         limits: Rc<Limits>,
-        cells: bool,
+        has_cells: bool,
     ) -> Self {
-        let rows = names(settings, "grades").into_iter().zip(OpType::rows(manifest));
+        let rows = names(settings, "grades").into_iter().zip(OpType::rows(router_settings));
         let tenants = names(settings, "parties").into_iter().enumerate();
         AdmissionController {
             op_types: (0..)
@@ -78,80 +79,91 @@
                 .map(|(n, (name, row))| (name.to_string(), (OpTypeId(n), row)))
                 .collect(),
             tenants: tenants.map(|(n, name)| (name.to_string(), TenantId(n as u32))).collect(),
-            next: Cell::new(0),
-            open: Rc::default(),
+            next_op: Cell::new(0),
+            open_ops: Rc::default(),
             bytes: Rc::default(),
             ids: Rc::default(),
             limits,
-            cells,
+            has_cells,
             in_fleet: false,
             leases: None,
         }
     }
 
     pub fn has_cells(&self) -> bool {
-        self.cells
+        self.has_cells
     }
 
-    /// The op that the call asks for, with its place. Danger: more ops, or more bytes of them, than the
-    /// router's memory holds.
-    pub fn admit<A>(&self, call: ClientRequest<'_>, arrived: Timestamp) -> Result<AdmittedOp, Reply<A>> {
-        let Some((op_type, row)) = self.op_types.get(call.op_type) else {
+    /// Admits a request that arrived at `arrived`.
+    ///
+    /// # Errors
+    /// `Reply::Refused` if the request is invalid, `Reply::Busy` if the ops or bytes in flight reach the limit.
+    pub fn admit<A>(
+        &self,
+        client_request: ClientRequest<'_>,
+        arrived: Timestamp,
+    ) -> Result<AdmittedOp, Reply<A>> {
+        let Some((op_type, row)) = self.op_types.get(client_request.op_type) else {
             return Err(Reply::Refused("its op type is not known"));
         };
-        let tenant = match call.tenant {
+        let tenant = match client_request.tenant {
             Some(name) if !self.tenants.is_empty() => {
                 let known = self.tenants.get(name).copied();
                 Some(known.ok_or(Reply::Refused("its tenant is not known"))?)
             }
             _ => None,
         };
-        let tokened = matches!(row.retry_safety, RetrySafety::Deduplicated { .. });
-        if tokened && call.token.is_none() {
+        let is_deduplicated = matches!(row.retry_safety, RetrySafety::Deduplicated { .. });
+        if is_deduplicated && client_request.token.is_none() {
             return Err(Reply::Refused("an op of this type needs its mark, k"));
         }
-        let with_session = matches!(row.consistency, Consistency::Session | Consistency::Write);
-        let bytes = call.bytes;
-        if self.open.get() >= self.limits.max_ops
+        let uses_session = matches!(row.consistency, Consistency::Session | Consistency::Write);
+        let bytes = client_request.bytes;
+        if self.open_ops.get() >= self.limits.max_ops
             || self.bytes.get() + bytes > self.limits.max_statement_bytes
         {
             return Err(Reply::Busy(None));
         }
-        // Danger: a client that names another's open op. Hosts turn the second away, or both.
-        if !self.ids.borrow_mut().insert(call.id) {
+        // Hosts reject one or both of two ops with the same id.
+        if !self.ids.borrow_mut().insert(client_request.id) {
             return Err(Reply::Refused("an op of this id is open"));
         }
-        let place = OpSlot {
-            _open: UsageGuard::one(&self.open),
+        let slot = OpSlot {
+            _open: UsageGuard::one(&self.open_ops),
             _bytes: UsageGuard::add(&self.bytes, bytes),
-            id: call.id,
+            id: client_request.id,
             ids: self.ids.clone(),
         };
-        let op = OpId(self.next.get());
-        self.next.set(op.0 + 1);
+        let op = OpId(self.next_op.get());
+        self.next_op.set(op.0 + 1);
         let commit = |millis: i64| Timestamp::from_micros(millis.saturating_mul(1000));
-        let token_age = call.last_commit_ms.map(|after| match after {
+        let token_age = client_request.last_commit_ms.map(|last_commit_ms| match last_commit_ms {
             0 => TimeDelta::ZERO,
-            after => (arrived - commit(after)).max(TimeDelta::from_micros(1)),
+            last_commit_ms => (arrived - commit(last_commit_ms)).max(TimeDelta::from_micros(1)),
         });
-        let ask = OpRequest {
+        let request = OpRequest {
             op,
             op_type: *op_type,
             tenant,
             cell: CellId::default(),
-            group: GroupId(call.group),
-            session: call.session.filter(|_| with_session).map(SessionId),
-            is_retry: call.is_retry,
+            group: GroupId(client_request.group),
+            session: client_request.session.filter(|_| uses_session).map(SessionId),
+            is_retry: client_request.is_retry,
             token_age,
             min_position: None,
             pinned_host: None,
-            deadline: arrived + TimeDelta::from_millis(call.timeout_ms.into()),
+            deadline: arrived + TimeDelta::from_millis(client_request.timeout_ms.into()),
         };
-        let claim = self.cells.then(|| {
-            let (tenant, address) = (call.tenant.map(Box::from), call.address);
-            Box::new(OpOrigin { tenant, address, bytes: bytes as u64, token: call.token.filter(|_| tokened) })
+        let origin = self.has_cells.then(|| {
+            let (tenant, address) = (client_request.tenant.map(Box::from), client_request.address);
+            Box::new(OpOrigin {
+                tenant,
+                address,
+                bytes: bytes as u64,
+                token: client_request.token.filter(|_| is_deduplicated),
+            })
         });
-        Ok(AdmittedOp { request: ask, origin: claim, slot: place })
+        Ok(AdmittedOp { request, origin, slot })
     }
 }
 
@@ -159,26 +171,26 @@
 mod tests {
     use super::*;
 
-    /// With room for two ops of 100 bytes.
-    fn gate() -> AdmissionController {
-        let (waybill, manifest, limits) = Limits::for_test(serde_json::json!({
+    /// A controller with room for two ops of 100 bytes.
+    fn controller() -> AdmissionController {
+        let (config, router_settings, limits) = Limits::for_test(serde_json::json!({
             "grades": [{"name": "look", "objective": 5.0}], "parties": [{"name": "p"}, {"name": "q"}],
             "domain": {"read_level": ["own_writes"]}, "caps": {"open_cap": 2}}));
         let limits = Limits { max_statement_bytes: 200, ..limits };
-        AdmissionController::new(&waybill.settings, &manifest, Rc::new(limits), false)
+        AdmissionController::new(&config.settings, &router_settings, Rc::new(limits), false)
     }
 
-    fn call(id: u64, bytes: usize) -> ClientRequest<'static> {
+    fn client_request(id: u64, bytes: usize) -> ClientRequest<'static> {
         let (op_type, tenant, session) = ("look", Some("q"), Some(0xff));
         let blank = (None, false, None);
-        let (after, again, token) = blank;
+        let (last_commit_ms, again, token) = blank;
         ClientRequest {
             id,
             op_type,
             tenant,
             group: 4,
             timeout_ms: 80,
-            last_commit_ms: after,
+            last_commit_ms,
             is_retry: again,
             token,
             session,
@@ -190,10 +202,12 @@
     type Refusal = Reply<()>;
 
     #[test]
-    fn names_become_ids_and_times_points() {
+    fn resolves_names_and_times() {
         let arrived = Timestamp::from_micros(5_000_000);
-        let call = ClientRequest { last_commit_ms: Some(4900), is_retry: true, ..call(1, 0) };
-        let AdmittedOp { request: ask, .. } = gate().admit::<()>(call, arrived).expect("there is room");
+        let client_request =
+            ClientRequest { last_commit_ms: Some(4900), is_retry: true, ..client_request(1, 0) };
+        let AdmittedOp { request, .. } =
+            controller().admit::<()>(client_request, arrived).expect("there is room");
         let wanted = OpRequest {
             op: OpId(0),
             op_type: OpTypeId(0),
@@ -207,13 +221,14 @@
             pinned_host: None,
             deadline: Timestamp::from_micros(5_080_000),
         };
-        assert_eq!(ask, wanted);
+        assert_eq!(request, wanted);
     }
 
     #[test]
-    fn ops_beyond_the_count_or_the_bytes_are_busy_replied_till_a_place_is_free() {
-        let (gate, now) = (gate(), Timestamp::from_micros(0));
-        let admit = |id, length| gate.admit(call(id, length), now).map(|admitted| admitted.slot);
+    fn ops_beyond_the_op_or_byte_limit_get_busy_replies() {
+        let (controller, now) = (controller(), Timestamp::from_micros(0));
+        let admit =
+            |id, length| controller.admit(client_request(id, length), now).map(|admitted| admitted.slot);
         let (first, second) = (admit(1, 100), admit(2, 100));
         assert!(first.is_ok() && second.is_ok());
         assert_eq!(admit(3, 100).err(), Some(Refusal::Busy(None)));
@@ -223,9 +238,9 @@
     }
 
     #[test]
-    fn an_id_names_one_open_op_and_is_free_again_once_that_is_over() {
-        let (gate, now) = (gate(), Timestamp::from_micros(0));
-        let admit = || gate.admit(call(1, 0), now).map(|admitted| admitted.slot);
+    fn an_id_can_be_reused_only_after_its_op_ended() {
+        let (controller, now) = (controller(), Timestamp::from_micros(0));
+        let admit = || controller.admit(client_request(1, 0), now).map(|admitted| admitted.slot);
         let first = admit();
         assert!(first.is_ok());
         assert!(matches!(admit().err(), Some(Refusal::Refused(_))));
--- a/crates/arrowyard-core/src/cell_scheduler.rs
+++ b/crates/arrowyard-core/src/cell_scheduler.rs
@@ -1,6 +1,5 @@
-//! The route stage's side of cells: each op gets its cell before it waits for its turn, turns are fair over cells,
-//! and what the module is told of an op names groups as its cell sees them. What is decided is decided in
-//! `arrowyard-cells` and the module.
+//! Cells in the route stage: assigns each op to its cell, schedules messages fairly over the cells, and keeps the ops
+//! that wait for a tenant move. The decisions are those of `arrowyard-cells` and the decision module.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -17,17 +16,17 @@
 };
 use serde_json::{Value, json};
 
-/// What an op's client says beyond its `Ask`, for cells.
+/// What cells need to know of an op beyond its `OpRequest`.
 #[derive(Clone, Debug)]
 pub struct OpOrigin {
     pub tenant: Option<Box<str>>,
     pub address: Option<IpAddr>,
     pub bytes: u64,
-    /// The token, if the op type's repeats have one effect.
+    /// The idempotency token, if hosts deduplicate ops of this type.
     pub token: Option<u64>,
 }
 
-/// What is kept of an op that has a place.
+/// An admitted op until it is closed.
 struct PermittedOp {
     permit: AdmissionPermit,
     op_type: usize,
@@ -35,57 +34,58 @@
     position: Option<Timestamp>,
 }
 
-/// Where an op goes next.
+/// The result of the admission of an op.
 pub enum Placement<T> {
-    /// To the module, when its cell's turn comes.
+    /// To the decision module, when its cell is scheduled.
     Dispatch(OpRequest, T),
+    /// The op waits, for example for a tenant move.
     Queued,
     Busy(Option<TimeDelta>, T),
     Error(RejectReason, T),
 }
 
+/// An op that waits until it is admitted again.
 struct QueuedOp<T> {
-    ask: OpRequest,
-    claim: Box<OpOrigin>,
+    request: OpRequest,
+    origin: Box<OpOrigin>,
     permit: AdmissionPermit,
-    until: Timestamp,
+    retry_at: Timestamp,
     payload: T,
 }
 
-/// `M` is mail that waits for its turn, `T` what goes with an op that is held.
+/// `M` is a message queued per cell, `T` the payload of a queued op.
 pub struct CellScheduler<M, T> {
     cells: Cells,
     queue: FairQueue<M>,
     permitted: HashMap<OpId, PermittedOp>,
     queued: Vec<QueuedOp<T>>,
-    /// By cell: how many further sends the module believes that it has.
+    /// By cell: the remaining retries last reported to the decision module.
     reported_budgets: HashMap<CellId, Option<u32>>,
     op_types: Vec<OpType>,
 }
 
-/// A host that started within so many spans in which it is cold belongs to a release that is judged.
+/// A host counts as part of a new release for this multiple of the time for which a started host is cold.
 pub const RELEASE_WINDOW_FACTOR: f64 = 10.0;
 
 impl<M, T> CellScheduler<M, T> {
-    pub fn new(now: Timestamp, layout: Layout, totals: Capacity, op_types: Vec<OpType>, marks: bool) -> Self {
-        let settle = op_types.iter().map(|row| row.op_timeout).max().unwrap_or_default();
-        let skew = layout.lease.map_or(TimeDelta::ZERO, |lease| lease.max_clock_skew);
-        let fair = FairQueue::new(layout.cells.iter().map(|cell| cell.weight));
+    pub fn new(
+        now: Timestamp,
+        layout: Layout,
+        totals: Capacity,
+        op_types: Vec<OpType>,
+        clients_mark_retries: bool,
+    ) -> Self {
+        let max_op_timeout = op_types.iter().map(|row| row.op_timeout).max().unwrap_or_default();
+        let max_clock_skew = layout.lease.map_or(TimeDelta::ZERO, |lease| lease.max_clock_skew);
+        let queue = FairQueue::new(layout.cells.iter().map(|cell| cell.weight));
         let cells = Cells::new(
             now,
             layout,
             totals,
-            MoveSettings { clients_mark_retries: marks, max_op_timeout: settle, max_clock_skew: skew },
+            MoveSettings { clients_mark_retries, max_op_timeout, max_clock_skew },
         );
-        let (kept, held, spares) = Default::default();
-        CellScheduler {
-            cells,
-            queue: fair,
-            permitted: kept,
-            queued: held,
-            reported_budgets: spares,
-            op_types,
-        }
+        let (permitted, queued, reported_budgets) = Default::default();
+        CellScheduler { cells, queue, permitted, queued, reported_budgets, op_types }
     }
 
     pub fn layout(&self) -> &Layout {
@@ -96,44 +96,50 @@
         self.cells.index()
     }
 
-    /// The op's cell is found, and its place taken; `rest` comes back with the verdict, or later if it is held.
-    pub fn admit(&mut self, now: Timestamp, ask: OpRequest, claim: Box<OpOrigin>, rest: T) -> Placement<T> {
-        let row = &self.op_types[ask.op_type.0 as usize];
-        let facts = OpContext {
-            tenant: claim.tenant.as_deref(),
-            address: claim.address,
-            group: ask.group,
-            bytes: claim.bytes,
+    /// Assigns the op to its cell and asks for admission there; `payload` is returned now or, if queued, by `tick`.
+    pub fn admit(
+        &mut self,
+        now: Timestamp,
+        request: OpRequest,
+        origin: Box<OpOrigin>,
+        payload: T,
+    ) -> Placement<T> {
+        let row = &self.op_types[request.op_type.0 as usize];
+        let context = OpContext {
+            tenant: origin.tenant.as_deref(),
+            address: origin.address,
+            group: request.group,
+            bytes: origin.bytes,
             consistency: row.consistency,
-            session: ask.session.map(|session| session.0),
-            token: claim.token,
-            is_retry: ask.is_retry,
-            deadline: ask.deadline,
+            session: request.session.map(|session| session.0),
+            token: origin.token,
+            is_retry: request.is_retry,
+            deadline: request.deadline,
         };
-        match self.cells.admit(now, &facts) {
-            AdmissionDecision::Admit { permit: pass, group, min_position: floor } => {
-                let (op_type, ran, position) = (ask.op_type.0 as usize, WriteOutcome::NotExecuted, None);
-                self.permitted
-                    .insert(ask.op, PermittedOp { permit: pass, op_type, write_outcome: ran, position });
-                Placement::Dispatch(OpRequest { cell: pass.cell, group, min_position: floor, ..ask }, rest)
+        match self.cells.admit(now, &context) {
+            AdmissionDecision::Admit { permit, group, min_position } => {
+                let (op_type, write_outcome, position) =
+                    (request.op_type.0 as usize, WriteOutcome::NotExecuted, None);
+                self.permitted.insert(request.op, PermittedOp { permit, op_type, write_outcome, position });
+                Placement::Dispatch(OpRequest { cell: permit.cell, group, min_position, ..request }, payload)
             }
-            AdmissionDecision::Hold { permit: pass, until } => {
-                self.queued.push(QueuedOp { ask, claim, permit: pass, until, payload: rest });
+            AdmissionDecision::Hold { permit, until: retry_at } => {
+                self.queued.push(QueuedOp { request, origin, permit, retry_at, payload });
                 Placement::Queued
             }
-            AdmissionDecision::Busy { retry_after: after, .. } => Placement::Busy(after, rest),
-            AdmissionDecision::Error { reason: why } => Placement::Error(why, rest),
+            AdmissionDecision::Busy { retry_after: after, .. } => Placement::Busy(after, payload),
+            AdmissionDecision::Error { reason } => Placement::Error(reason, payload),
         }
     }
 
-    /// RouteMessage of an op waits for its cell's turn; back if the op is not known here.
-    pub fn enqueue(&mut self, op: OpId, mail: M) -> Option<M> {
+    /// Queues a message of an op in its cell; returns the message if the op is unknown.
+    pub fn enqueue(&mut self, op: OpId, message: M) -> Option<M> {
         match self.permitted.get(&op) {
-            Some(kept) => {
-                self.queue.push(kept.permit.cell, mail);
+            Some(op_state) => {
+                self.queue.push(op_state.permit.cell, message);
                 None
             }
-            None => Some(mail),
+            None => Some(message),
         }
     }
 
@@ -145,68 +151,78 @@
         self.queue.len()
     }
 
-    /// What the module has to be told before it hears of this cell again.
+    /// The cell's remaining retries, if they differ from what was reported to the decision module.
     pub fn retry_budget_update(&mut self, now: Timestamp, cell: CellId) -> Option<RouterEvent> {
         let sends = self.cells.remaining_retries(now, cell);
-        let told = self.reported_budgets.insert(cell, sends).unwrap_or(None);
-        (told != sends).then_some(RouterEvent::RetryBudget { cell, retries: sends })
+        let reported = self.reported_budgets.insert(cell, sends).unwrap_or(None);
+        (reported != sends).then_some(RouterEvent::RetryBudget { cell, retries: sends })
     }
 
     pub fn cell_of(&self, op: OpId) -> Option<CellId> {
-        self.permitted.get(&op).map(|kept| kept.permit.cell)
+        self.permitted.get(&op).map(|op_state| op_state.permit.cell)
     }
 
     pub fn record_send(&mut self, now: Timestamp, op: OpId, send: SendIndex) {
-        let Some(kept) = self.permitted.get(&op) else { return };
-        self.cells.record_send(now, &kept.permit, send.0 == 0);
-        if let Some(Some(spare)) = self.reported_budgets.get_mut(&kept.permit.cell).filter(|_| send.0 > 0) {
-            // As the module counts.
-            *spare = spare.saturating_sub(1);
+        let Some(op_state) = self.permitted.get(&op) else { return };
+        self.cells.record_send(now, &op_state.permit, send.0 == 0);
+        if let Some(Some(retries)) =
+            self.reported_budgets.get_mut(&op_state.permit.cell).filter(|_| send.0 > 0)
+        {
+            // The decision module counts down its own copy in the same way.
+            *retries = retries.saturating_sub(1);
         }
     }
 
-    pub fn send_ended(&mut self, op: OpId, outcome: Outcome, took: TimeDelta, word: &HostStatus, new: bool) {
-        let Some(kept) = self.permitted.get_mut(&op) else { return };
-        let row = &self.op_types[kept.op_type];
-        let (ran, fate) = match outcome {
+    pub fn send_ended(
+        &mut self,
+        op: OpId,
+        outcome: Outcome,
+        elapsed: TimeDelta,
+        status: &HostStatus,
+        new: bool,
+    ) {
+        let Some(op_state) = self.permitted.get_mut(&op) else { return };
+        let row = &self.op_types[op_state.op_type];
+        let (write_outcome, send_outcome) = match outcome {
             Outcome::Acked => (WriteOutcome::Acked, SendOutcome::Acked),
             outcome if outcome.never_ran() => (WriteOutcome::NotExecuted, SendOutcome::NotExecuted),
             Outcome::Cancelled => (WriteOutcome::Unknown, SendOutcome::NotExecuted),
             _ => (WriteOutcome::Unknown, SendOutcome::Failed),
         };
-        // Turned away tells of load as a time-out does, though it never ran.
-        let fate = if outcome == Outcome::Overloaded { SendOutcome::Failed } else { fate };
-        kept.write_outcome = kept.write_outcome.max(ran);
-        if ran == WriteOutcome::Acked && row.consistency == Consistency::Write {
-            kept.position = word.position;
+        // A rejection by an overloaded host indicates load as a time-out does, though the op never ran.
+        let send_outcome = if outcome == Outcome::Overloaded { SendOutcome::Failed } else { send_outcome };
+        op_state.write_outcome = op_state.write_outcome.max(write_outcome);
+        if write_outcome == WriteOutcome::Acked && row.consistency == Consistency::Write {
+            op_state.position = status.position;
         }
-        self.cells.record_send_end(&kept.permit, fate, took / row.latency_target, new);
+        self.cells.record_send_end(&op_state.permit, send_outcome, elapsed / row.latency_target, new);
     }
 
-    /// The op is answered and none of its sends is out.
+    /// The op is answered and has no send in flight: releases its permit.
     pub fn op_closed(&mut self, now: Timestamp, op: OpId) {
-        if let Some(kept) = self.permitted.remove(&op) {
-            self.cells.release(now, kept.permit, kept.write_outcome, kept.position);
+        if let Some(op_state) = self.permitted.remove(&op) {
+            self.cells.release(now, op_state.permit, op_state.write_outcome, op_state.position);
         }
     }
 
-    /// The client of an op that may be held went away.
+    /// The client disconnected: removes the op if it is queued.
     pub fn client_disconnected(&mut self, now: Timestamp, op: OpId) {
-        if let Some(place) = self.queued.iter().position(|held| held.ask.op == op) {
-            let held = self.queued.swap_remove(place);
-            self.cells.release(now, held.permit, WriteOutcome::NotExecuted, None);
+        if let Some(index) = self.queued.iter().position(|queued_op| queued_op.request.op == op) {
+            let queued_op = self.queued.swap_remove(index);
+            self.cells.release(now, queued_op.permit, WriteOutcome::NotExecuted, None);
         }
     }
 
-    /// Time has passed: held ops whose time it is, or all if something changed, are placed anew.
+    /// Retries the admission of queued ops that are due, or of all if the cells' state changed.
     pub fn tick(&mut self, now: Timestamp) -> Vec<Placement<T>> {
         let changed = self.cells.tick(now);
-        let (due, rest) = self.queued.drain(..).partition(|held| changed || now >= held.until);
-        self.queued = rest;
+        let (due, payload) =
+            self.queued.drain(..).partition(|queued_op| changed || now >= queued_op.retry_at);
+        self.queued = payload;
         let due: Vec<QueuedOp<T>> = due;
-        let turn = |QueuedOp { ask, claim, permit: pass, payload: rest, .. }: QueuedOp<T>| {
-            self.cells.release(now, pass, WriteOutcome::NotExecuted, None);
-            self.admit(now, ask, claim, rest)
+        let turn = |QueuedOp { request, origin, permit, payload, .. }: QueuedOp<T>| {
+            self.cells.release(now, permit, WriteOutcome::NotExecuted, None);
+            self.admit(now, request, origin, payload)
         };
         due.into_iter().map(turn).collect()
     }
@@ -215,14 +231,17 @@
         self.cells.take_events()
     }
 
-    /// Takes a new layout, or says why not.
+    /// Replaces the layout.
+    ///
+    /// # Errors
+    /// The new layout is invalid or older; the old one stays.
     pub fn replace_layout(&mut self, now: Timestamp, layout: Layout) -> Result<(), LayoutError> {
         self.cells.replace_layout(now, layout)?;
         self.queue.set_weights(self.cells.layout().cells.iter().map(|cell| cell.weight));
         Ok(())
     }
 
-    /// Whether a host of the cell may be probed now; if so it counts till it is told to have ended.
+    /// Whether a host of the cell may be probed now; if so the probe counts until `end_probe`.
     pub fn try_start_probe(&mut self, now: Timestamp, cell: CellId) -> bool {
         self.cells.try_start_probe(now, cell)
     }
@@ -231,7 +250,7 @@
         self.cells.end_probe(cell);
     }
 
-    /// Groups whose hosts have to be asked for their positions.
+    /// Groups whose hosts have to be probed for their replication positions.
     pub fn groups_awaiting_positions(&self) -> Vec<GroupId> {
         self.cells.groups_awaiting_positions().to_vec()
     }
@@ -240,9 +259,9 @@
         self.cells.set_group_hosts(group, hosts);
     }
 
-    pub fn record_position(&mut self, host: HostId, word: &HostStatus) {
-        if let Some(position) = word.position {
-            self.cells.record_position(host, position, word.role == Some(Role::Primary));
+    pub fn record_position(&mut self, host: HostId, status: &HostStatus) {
+        if let Some(position) = status.position {
+            self.cells.record_position(host, position, status.role == Some(Role::Primary));
         }
     }
 
@@ -280,7 +299,7 @@
     }
 }
 
-/// As logs and reports name it.
+/// The name of the stage in logs and reports.
 pub fn stage_name(stage: Stage) -> &'static str {
     match stage {
         Stage::Open => "open",
--- a/crates/arrowyard-core/src/client_request.rs
+++ b/crates/arrowyard-core/src/client_request.rs
@@ -1,27 +1,27 @@
-//! What a client says of its op, whatever protocol it says it in.
+//! A client's request, independent of the protocol.
 
 use std::net::IpAddr;
 
-/// An op before its admission: each front decodes its own form into this, once.
+/// A request before admission; each front end decodes its protocol into this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ClientRequest<'a> {
-    /// The number of its id; it names one open op.
+    /// The op's id, unique among open ops.
     pub id: u64,
     pub op_type: &'a str,
     pub tenant: Option<&'a str>,
     pub group: i64,
-    /// For so many milliseconds, from when it asked, the client waits.
+    /// How long the client waits for the answer, in milliseconds.
     pub timeout_ms: u32,
-    /// The session's last commit, as Unix time in milliseconds; 0 for none.
+    /// The session's last commit, as Unix time in milliseconds; 0 if it has not committed.
     pub last_commit_ms: Option<i64>,
-    /// Whether the client says that it asks again.
+    /// Whether the client marks this request as a retry.
     pub is_retry: bool,
-    /// The token by which hosts know a repeat.
+    /// The idempotency token by which hosts recognise a repeated op.
     pub token: Option<u64>,
-    /// What names the session, in op types that have one.
+    /// The session key, in op types that use one.
     pub session: Option<u64>,
-    /// Where the client is, if that is known.
+    /// The client's address, if it is known.
     pub address: Option<IpAddr>,
-    /// The bytes that it takes while it is in hand.
+    /// Memory that the request takes while it is in flight.
     pub bytes: usize,
 }
--- a/crates/arrowyard-core/src/count.rs
+++ b/crates/arrowyard-core/src/count.rs
@@ -1,20 +1,20 @@
-//! Counts of what the router has in hand.
+//! Counters of resources in use.
 
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// So many more of something (connections, bytes) for as long as it is kept.
+/// Adds to a counter of connections or bytes, and subtracts the same amount when it is dropped.
 #[derive(Debug, PartialEq)]
 pub struct UsageGuard(Rc<Cell<usize>>, usize);
 
 impl UsageGuard {
-    pub fn one(of: &Rc<Cell<usize>>) -> Self {
-        UsageGuard::add(of, 1)
+    pub fn one(counter: &Rc<Cell<usize>>) -> Self {
+        UsageGuard::add(counter, 1)
     }
 
-    pub fn add(of: &Rc<Cell<usize>>, more: usize) -> Self {
-        of.set(of.get() + more);
-        UsageGuard(of.clone(), more)
+    pub fn add(counter: &Rc<Cell<usize>>, amount: usize) -> Self {
+        counter.set(counter.get() + amount);
+        UsageGuard(counter.clone(), amount)
     }
 }
 
--- a/crates/arrowyard-core/src/drain.rs
+++ b/crates/arrowyard-core/src/drain.rs
@@ -1,4 +1,4 @@
-//! The planned end: the router goes on accepting for a while, then closes what is idle and finishes its ops.
+//! Graceful shutdown: the router accepts connections for a grace period, then closes idle ones and finishes its ops.
 
 use std::cell::Cell;
 use std::io;
@@ -10,16 +10,17 @@
 
 use crate::limits::Limits;
 
-/// How far the end has come.
+/// The stage of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     Serving,
-    /// It was told to end, and goes on accepting: others may not have heard of it yet. What it does for all is over.
+    /// A termination signal came; connections are still accepted, since clients may not know of it yet. Leases are given back.
     Draining,
-    /// No new connections; connections end between ops.
+    /// No new connections are accepted, and open ones are closed between ops.
     Closing,
 }
 
+/// Drains the router after a termination signal.
 pub struct Drain {
     pub stage: watch::Sender<Stage>,
     pub clients: Rc<Cell<usize>>,
@@ -31,7 +32,7 @@
 }
 
 impl Drain {
-    /// OptionalStartup once a signal has come and no client is left, or the last ops have had their time.
+    /// Returns once a signal came and either no client is left or `drain_timeout` is over.
     pub async fn run(&self, (mut terminate, mut interrupt): (Signal, Signal)) {
         tokio::select! {
             _ = terminate.recv() => tracing::info!(clients = self.clients.get(), "SIGTERM: ending"),
@@ -40,8 +41,8 @@
         self.stage.send_replace(Stage::Draining);
         sleep(self.limits.drain_accept_period).await;
         self.stage.send_replace(Stage::Closing);
-        let last = Instant::now() + self.limits.drain_timeout;
-        while self.clients.get() > 0 && Instant::now() < last {
+        let deadline = Instant::now() + self.limits.drain_timeout;
+        while self.clients.get() > 0 && Instant::now() < deadline {
             sleep(self.limits.retry_pause).await;
         }
         tracing::info!(clients = self.clients.get(), "ended");
--- a/crates/arrowyard-core/src/hints.rs
+++ b/crates/arrowyard-core/src/hints.rs
@@ -1,144 +1,141 @@
-//! What another router's word about a host leads to: an own look, and nothing more. A router whose watch of the list is
-//! stale or hangs goes on sending to a host that drains; others who heard of it say so, and it asks for the list itself.
-//! Decided without I/O.
+//! Hints from other routers that a host is draining. They make a router whose watch of the host list is stale fetch
+//! the list, and, while the list is unavailable, close few of the hinted hosts. No I/O.
 
 use std::collections::BTreeMap;
 
 use arrowyard_types::{PeerId, TimeDelta, Timestamp};
 use smallvec::SmallVec;
 
-/// The form of a hint, by its first byte and its length; the module's news has another length.
-const FORM: u8 = 2;
-const LENGTH: usize = 5;
-/// Hints that wait at most.
-const MOST: usize = 64;
+/// The message type and length of a hint; messages of the decision module have another length.
+const MESSAGE_TYPE: u8 = 2;
+const HINT_BYTES: usize = 5;
+/// Upper limit for hinted hosts, and for hosts that are announced.
+const MAX_HOSTS: usize = 64;
 
-/// A host is leaving, by what all routers call it.
+/// Encodes a hint that the host with this address hash is draining.
 #[must_use]
-pub fn encode_hint(tag: u32) -> Vec<u8> {
-    [&[FORM][..], &tag.to_le_bytes()].concat()
+pub fn encode_hint(address_hash: u32) -> Vec<u8> {
+    [&[MESSAGE_TYPE][..], &address_hash.to_le_bytes()].concat()
 }
 
-/// The host that a hint names; nothing if it is none.
+/// The address hash in a hint; `None` if the message is not a hint.
 #[must_use]
 pub fn decode_hint(bytes: &[u8]) -> Option<u32> {
     match bytes {
-        [FORM, a, b, c, d] if bytes.len() == LENGTH => Some(u32::from_le_bytes([*a, *b, *c, *d])),
+        [MESSAGE_TYPE, a, b, c, d] if bytes.len() == HINT_BYTES => Some(u32::from_le_bytes([*a, *b, *c, *d])),
         _ => None,
     }
 }
 
-/// Members whose word on one host is remembered.
-const TELLERS: usize = 4;
-/// So many members have to say so till their word counts where the own list cannot be had.
-const AGREED: usize = 2;
-/// Hosts that are closed by others' word at most, as a share of those that are ready.
-const BY_WORD: usize = 4;
+/// How many reporting routers are remembered for each host.
+const MAX_REPORTERS: usize = 4;
+/// How many routers must report a host before it is closed without the list.
+const MIN_REPORTERS: usize = 2;
+/// At most one ready host in this number is closed because of hints.
+const CLOSED_HOSTS_DIVISOR: usize = 4;
 
-/// So often is a host told of that left the own list: each time to others that are drawn. Danger: told once, a router
-/// that is cut off from discovery hears it of fewer than two in one case of twelve (three of five are drawn).
-const TOLD: u8 = 4;
+/// How often a host that is no longer ready is announced. Each announcement goes to randomly chosen routers; several
+/// are needed so that a router without discovery receives `MIN_REPORTERS` reports.
+const ANNOUNCEMENTS: u8 = 4;
 
-/// What is known of one host that others say is leaving.
+/// Reports of other routers on one host.
 #[derive(Debug)]
 struct Hint {
     due: Timestamp,
-    by: SmallVec<[PeerId; TELLERS]>,
-    /// When the list was asked for because of it.
-    asked: Option<Timestamp>,
+    reporters: SmallVec<[PeerId; MAX_REPORTERS]>,
+    /// When the list was fetched because of this hint.
+    fetched_at: Option<Timestamp>,
 }
 
-/// What others say of hosts that leave, till the own list speaks.
+/// Hints on draining hosts that the own host list has not confirmed.
 #[derive(Debug)]
 pub struct Hints {
     hosts: BTreeMap<u32, Hint>,
-    wait: TimeDelta,
-    /// How often the list is asked for because of hints, at most.
-    gap: TimeDelta,
-    asked: Timestamp,
-    /// Hosts that were closed by others' word since the own list spoke.
+    confirmation_timeout: TimeDelta,
+    /// The minimum interval between two fetches because of hints.
+    fetch_interval: TimeDelta,
+    fetched_at: Timestamp,
+    /// Hosts closed because of hints since the last list.
     closed: usize,
-    /// Hosts that the own list left out: when they are told of again, and how often.
-    own: BTreeMap<u32, (Timestamp, u8)>,
+    /// Hosts that the own list no longer has as ready: the time of the next announcement and how many are left.
+    announcements: BTreeMap<u32, (Timestamp, u8)>,
 }
 
 impl Hints {
-    /// `wait` is how long the own watch is given, `gap` the least time between two looks.
+    /// `confirmation_timeout` is how long the own watch may take to confirm a hint, `fetch_interval` the minimum interval between two fetches.
     #[must_use]
-    pub fn new(wait: TimeDelta, gap: TimeDelta) -> Hints {
+    pub fn new(confirmation_timeout: TimeDelta, fetch_interval: TimeDelta) -> Hints {
         Hints {
             hosts: BTreeMap::new(),
-            wait,
-            gap,
-            asked: Timestamp::DISTANT_PAST,
+            confirmation_timeout,
+            fetch_interval,
+            fetched_at: Timestamp::DISTANT_PAST,
             closed: 0,
-            own: BTreeMap::new(),
+            announcements: BTreeMap::new(),
         }
     }
 
-    /// The own list has left out a host: others are to hear of it, now and again.
-    pub fn host_not_ready(&mut self, now: Timestamp, tag: u32) {
-        if self.own.len() < MOST || self.own.contains_key(&tag) {
-            self.own.insert(tag, (now, TOLD));
+    /// The own list no longer has the host as ready: schedules its announcements.
+    pub fn host_not_ready(&mut self, now: Timestamp, address_hash: u32) {
+        if self.announcements.len() < MAX_HOSTS || self.announcements.contains_key(&address_hash) {
+            self.announcements.insert(address_hash, (now, ANNOUNCEMENTS));
         }
     }
 
-    /// Hosts that are told of now.
+    /// Hosts to announce now.
     pub fn take_announcements(&mut self, now: Timestamp) -> SmallVec<[u32; 4]> {
-        let due = self.own.iter_mut().filter(|(_, (at, _))| *at <= now);
-        let told: SmallVec<[u32; 4]> = due
-            .map(|(&tag, (at, left))| {
-                (*at, *left) = (now + self.wait, *left - 1);
-                tag
+        let due = self.announcements.iter_mut().filter(|(_, (at, _))| *at <= now);
+        let announced: SmallVec<[u32; 4]> = due
+            .map(|(&address_hash, (at, left))| {
+                (*at, *left) = (now + self.confirmation_timeout, *left - 1);
+                address_hash
             })
             .collect();
-        self.own.retain(|_, (_, left)| *left > 0);
-        told
+        self.announcements.retain(|_, (_, left)| *left > 0);
+        announced
     }
 
-    /// Another router says that the host is leaving.
-    pub fn record_hint(&mut self, now: Timestamp, tag: u32, by: PeerId) {
-        // Danger: one that names thousands of hosts. What finds no room is named again by those that mean it, or is not.
-        if self.hosts.len() >= MOST && !self.hosts.contains_key(&tag) {
+    /// Records that another router reports the host as draining.
+    pub fn record_hint(&mut self, now: Timestamp, address_hash: u32, reporter: PeerId) {
+        // Bounds memory against a router that reports thousands of hosts.
+        if self.hosts.len() >= MAX_HOSTS && !self.hosts.contains_key(&address_hash) {
             return;
         }
-        let new = Hint { due: now + self.wait, by: SmallVec::new(), asked: None };
-        let hint = self.hosts.entry(tag).or_insert(new);
-        if hint.by.len() < TELLERS && !hint.by.contains(&by) {
-            hint.by.push(by);
+        let new = Hint { due: now + self.confirmation_timeout, reporters: SmallVec::new(), fetched_at: None };
+        let hint = self.hosts.entry(address_hash).or_insert(new);
+        if hint.reporters.len() < MAX_REPORTERS && !hint.reporters.contains(&reporter) {
+            hint.reporters.push(reporter);
         }
     }
 
-    /// The own list has spoken, whatever it said: it goes before others' word.
+    /// A list arrived; it takes precedence over hints.
     pub fn list_received(&mut self) {
-        self.hosts.retain(|_, hint| hint.asked.is_none());
+        self.hosts.retain(|_, hint| hint.fetched_at.is_none());
         self.closed = 0;
     }
 
-    /// Whether the list is to be asked for now: some host was said to be leaving, the own watch had its time, and still holds
-    /// it as ready. Danger: all routers ask at the moment in which the first one hears of a drain; so those whose own
-    /// watch tells them in time ask nothing, and one asks once in a while, whatever it is told.
+    /// Whether to fetch the list now: a hinted host is still ready in the own list after the confirmation timeout. It and the minimum
+    /// interval keep the routers from all fetching at once when a host drains.
     pub fn should_fetch(&mut self, now: Timestamp, holds_ready: impl Fn(u32) -> bool) -> bool {
-        let mut stale = false;
-        self.hosts.retain(|tag, hint| {
-            let due = hint.due <= now && hint.asked.is_none();
-            let ready = !due || holds_ready(*tag);
-            stale |= due && ready;
+        let mut unconfirmed = false;
+        self.hosts.retain(|address_hash, hint| {
+            let due = hint.due <= now && hint.fetched_at.is_none();
+            let ready = !due || holds_ready(*address_hash);
+            unconfirmed |= due && ready;
             ready
         });
-        let may = stale && now - self.asked >= self.gap;
-        if may {
-            self.asked = now;
-            let due = self.hosts.values_mut().filter(|hint| hint.due <= now && hint.asked.is_none());
-            due.for_each(|hint| hint.asked = Some(now));
+        let fetch = unconfirmed && now - self.fetched_at >= self.fetch_interval;
+        if fetch {
+            self.fetched_at = now;
+            let due = self.hosts.values_mut().filter(|hint| hint.due <= now && hint.fetched_at.is_none());
+            due.for_each(|hint| hint.fetched_at = Some(now));
         }
-        may
+        fetch
     }
 
-    /// Hosts that are to be closed by others' word: the list was asked for because of them and has not spoken since, and two
-    /// members at least say so. Danger: a router that is cut off from discovery sends to a host that is gone for all others; and
-    /// one bad router, or a few, empty another's hosts. So the word of one counts for nothing, and never more than a quarter of
-    /// the hosts that are ready are closed so, till the own list speaks.
+    /// Hosts to close because of hints: the list was fetched because of them and did not arrive, and at least `MIN_REPORTERS`
+    /// routers reported them. At most a quarter of the ready hosts are closed until a list arrives, so that faulty routers
+    /// cannot close all hosts of another one.
     pub fn hosts_to_close(
         &mut self,
         now: Timestamp,
@@ -146,17 +143,23 @@
         holds_ready: impl Fn(u32) -> bool,
     ) -> SmallVec<[u32; 4]> {
         let mut closed = SmallVec::new();
-        let Hints { hosts, closed: so_far, gap, .. } = self;
-        hosts.retain(|tag, hint| {
-            let Some(asked) = hint.asked.filter(|asked| now - *asked >= *gap * 0.5) else { return true };
-            if !holds_ready(*tag) || now - asked >= *gap * 20.0 {
+        let Hints { hosts, closed: so_far, fetch_interval, .. } = self;
+        hosts.retain(|address_hash, hint| {
+            let Some(fetched_at) =
+                hint.fetched_at.filter(|fetched_at| now - *fetched_at >= *fetch_interval * 0.5)
+            else {
+                return true;
+            };
+            if !holds_ready(*address_hash) || now - fetched_at >= *fetch_interval * 20.0 {
                 return false;
             }
-            if hint.by.len() < AGREED || (*so_far + 1) * BY_WORD > ready.max(BY_WORD) {
+            if hint.reporters.len() < MIN_REPORTERS
+                || (*so_far + 1) * CLOSED_HOSTS_DIVISOR > ready.max(CLOSED_HOSTS_DIVISOR)
+            {
                 return true;
             }
             *so_far += 1;
-            closed.push(*tag);
+            closed.push(*address_hash);
             false
         });
         closed
@@ -172,17 +175,17 @@
     }
 
     #[test]
-    fn only_what_the_own_watch_did_not_tell_in_time_is_looked_at_and_seldom() {
+    fn fetches_only_for_unconfirmed_hints_and_at_a_limited_rate() {
         let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
         let by = PeerId(1);
         hints.record_hint(at(0), 7, by);
-        assert!(!hints.should_fetch(at(399), |_| true), "the watch has its time");
-        assert!(!hints.should_fetch(at(400), |_| false), "it told");
-        assert!(!hints.should_fetch(at(900), |_| true), "it was looked at");
+        assert!(!hints.should_fetch(at(399), |_| true), "the watch may still confirm it");
+        assert!(!hints.should_fetch(at(400), |_| false), "the watch confirmed it");
+        assert!(!hints.should_fetch(at(900), |_| true), "it was fetched already");
         for tag in 0..1000 {
             hints.record_hint(at(1000), tag, by);
         }
-        assert_eq!(hints.hosts.len(), MOST);
+        assert_eq!(hints.hosts.len(), MAX_HOSTS);
         assert!(hints.should_fetch(at(1400), |tag| tag == 9));
         hints.list_received();
         hints.record_hint(at(1500), 9, by);
@@ -192,32 +195,29 @@
     }
 
     #[test]
-    fn where_the_own_list_cannot_be_had_the_word_of_two_closes_a_quarter_of_the_hosts_at_most() {
+    fn two_reports_close_at_most_a_quarter_of_the_hosts_while_the_list_is_unavailable() {
         let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
         for tag in 0..8 {
             hints.record_hint(at(0), tag, PeerId(1));
             hints.record_hint(at(0), tag, PeerId(1));
         }
         assert!(hints.should_fetch(at(500), |_| true));
-        assert!(hints.hosts_to_close(at(1100), 8, |_| true).is_empty(), "one member's word, twice");
+        assert!(hints.hosts_to_close(at(1100), 8, |_| true).is_empty(), "the same router twice");
         (0..8).for_each(|tag| hints.record_hint(at(1100), tag, PeerId(2)));
-        assert!(hints.hosts_to_close(at(900), 8, |_| true).is_empty(), "the list may still come");
+        assert!(hints.hosts_to_close(at(900), 8, |_| true).is_empty(), "the list may still arrive");
         assert_eq!(
             hints.hosts_to_close(at(1200), 8, |tag| tag != 0).to_vec(),
             [1, 2],
-            "and the own list has closed one"
-        );
-        assert!(
-            hints.hosts_to_close(at(1300), 6, |_| true).is_empty(),
-            "a quarter, till the own list speaks"
+            "host 0 is not ready in the own list"
         );
+        assert!(hints.hosts_to_close(at(1300), 6, |_| true).is_empty(), "the quarter is used up");
         hints.list_received();
-        assert!(hints.hosts_to_close(at(9000), 8, |_| true).is_empty(), "it has spoken");
+        assert!(hints.hosts_to_close(at(9000), 8, |_| true).is_empty(), "a list arrived");
         assert!(Hints::new(TimeDelta::ZERO, TimeDelta::ZERO).hosts_to_close(at(0), 0, |_| true).is_empty());
     }
 
     #[test]
-    fn a_hint_is_none_of_the_modules_news() {
+    fn only_hints_are_decoded_as_hints() {
         assert_eq!(decode_hint(&encode_hint(0x1234_5678)), Some(0x1234_5678));
         for other in [&[][..], &[2, 1, 2, 3], &[1, 1, 2, 3, 4], &[2, 1, 2, 3, 4, 5], &[2; 9]] {
             assert_eq!(decode_hint(other), None);
--- a/crates/arrowyard-core/src/limits.rs
+++ b/crates/arrowyard-core/src/limits.rs
@@ -1,4 +1,4 @@
-//! Every size, count and time of the network code, filled at start from what the router is told.
+//! Sizes, counts and time limits of the network code, derived at start from the router's configuration.
 
 use std::time::Duration;
 
@@ -8,117 +8,117 @@
 use crate::clock::duration;
 use crate::router_config::RouterConfig;
 
+/// Limits of one router.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
-    /// Connections of clients; at this number the longest idle one is closed for a new one.
+    /// Client connections; beyond this number the longest idle one is closed for a new one.
     pub max_client_connections: usize,
-    /// Further connections of clients, which are told that the router is busy.
+    /// Further client connections, which get a busy answer.
     pub max_rejected_connections: usize,
-    /// Connections to database hosts, of all hosts together.
+    /// Connections to all database hosts together.
     pub max_host_connections: usize,
-    /// Ops in hand, and the bytes of their statements.
+    /// Ops in flight, and the bytes of their statements.
     pub max_ops: usize,
     pub max_statement_bytes: usize,
-    /// RouteMessage that waits for the route stage; wishes that wait for discovery.
+    /// Capacity of the channels to the route stage and to discovery.
     pub queue_capacity: usize,
-    /// Bytes of one message of a client, and of a database host.
+    /// Bytes of one message from a client, and from a database host.
     pub max_client_message_bytes: usize,
     pub max_host_message_bytes: usize,
-    /// Bytes of a host's message that is no row.
+    /// Bytes of a host's message that is not a row.
     pub max_control_message_bytes: usize,
-    /// Bytes of all answers together that are larger than a message of a client may be.
+    /// Total bytes of answers larger than `max_client_message_bytes`.
     pub max_large_answer_bytes: usize,
     /// Bytes of one line of discovery's answer, and of an HTTP head.
     pub max_list_line_bytes: usize,
     pub max_http_head_bytes: usize,
-    /// Bytes that are asked of a socket at once.
+    /// Bytes to reserve for one read of a socket.
     pub read_chunk_bytes: usize,
-    /// How often the file is read on SIGHUP before it counts as broken.
+    /// Attempts to read the configuration file on SIGHUP.
     pub max_file_reads: u32,
-    /// Lines of the log in a second.
+    /// Log lines per second.
     pub log_lines_per_second: u32,
     /// How long a connection to a host may take to come up, and a probe to be answered.
     pub connect_timeout: Duration,
-    /// How long a connection to a host may stay idle here: less than the host bears.
+    /// How long a connection to a host may stay idle; shorter than the host's own limit.
     pub host_idle_timeout: Duration,
-    /// How long the end of a whole answer is waited for.
+    /// How long to wait for the end marker after a complete answer.
     pub ready_timeout: Duration,
-    /// How long a client may take till its first op, and from the start of a message to its end; and how long
-    /// to take an answer.
+    /// How long a client may take until its first op and for each message, and how long to read an answer.
     pub client_message_timeout: Duration,
     pub client_write_timeout: Duration,
-    /// How long a client that is let go may go on talking.
+    /// How long input is still read from a client whose connection is being closed.
     pub linger_timeout: Duration,
-    /// How long discovery may take for a whole list, and a watch may stay silent: it speaks every 2 s.
+    /// How long discovery may take for a full list, and how long a watch may stay silent; it sends a line every 2 s.
     pub list_fetch_timeout: Duration,
     pub watch_idle_timeout: Duration,
-    /// How long a router that is to end goes on accepting, and how long its last ops may take.
+    /// How long a draining router accepts connections, and how long its last ops may take.
     pub drain_accept_period: Duration,
     pub drain_timeout: Duration,
-    /// How long a host that is gone is remembered: longer than any send, and than the end of one is on its way.
+    /// How long the id of a removed host is kept; longer than any send to it can last.
     pub removed_host_retention: Duration,
-    /// How long is waited before something is tried once more.
+    /// The pause before a retry.
     pub retry_pause: Duration,
-    /// How far a position may lie ahead of this router's clock.
+    /// How far a reported position may lie ahead of this router's clock.
     pub max_position_lead: TimeDelta,
-    /// How often the thread notes that it comes round.
+    /// Interval of the stall detector.
     pub stall_check_interval: Duration,
-    /// How often cells are asked what time has changed.
+    /// Interval at which cells are updated.
     pub cell_tick_interval: Duration,
-    /// How often the tally is logged.
+    /// Interval at which the counters are logged.
     pub counters_interval: Duration,
-    /// Lines of a list that are taken at once; a longer one is worked off in slices.
+    /// Entries of a list that are applied at once; a longer list is applied in slices.
     pub list_slice_len: usize,
-    /// Groups that are remembered as asked for since the start.
+    /// Groups that are remembered as requested since the start.
     pub max_requested_groups: usize,
-    /// Within this time a slice is due: a host that a list closes is closed before the grace is over.
+    /// The maximum delay of a list slice, so that a removed host is closed within its grace period.
     pub list_slice_deadline: Duration,
-    /// How often a start is looked at, and what other routers hint at.
+    /// Interval at which the startup stage and the hints of other routers are checked.
     pub startup_check_interval: Duration,
-    /// How long a list may wait to be stored while ops want the thread.
+    /// How long storing a list may be delayed in favour of ops.
     pub list_store_deadline: Duration,
 }
 
-/// Values are of 64 KiB at most; as text each of their bytes takes two, and the statement some more.
+/// The largest value in a statement; each byte takes two in text form, and the statement adds some overhead.
 const MAX_VALUE_BYTES: usize = 64 * 1024;
 const STATEMENT_OVERHEAD_BYTES: usize = 8 * 1024;
 
 impl Limits {
-    pub fn new(waybill: &RouterConfig, manifest: &RouterSettings) -> Self {
+    pub fn new(config: &RouterConfig, settings: &RouterSettings) -> Self {
         let message = 2 * MAX_VALUE_BYTES + STATEMENT_OVERHEAD_BYTES;
-        let sockets = waybill.sockets;
-        let told = manifest.number_or("max_open", f64::MAX) as usize;
-        // Danger: a time that was not told is zero, no connection comes up, and each is idle for too long.
-        let told_span = |name: &str| match duration(manifest.time_delta(name)) {
+        let sockets = config.sockets;
+        let told = settings.number_or("max_open", f64::MAX) as usize;
+        // A missing time-out is zero, which would close every connection; one second is used instead.
+        let time_or_default = |name: &str| match duration(settings.time_delta(name)) {
             Duration::ZERO => Duration::from_secs(1),
             told => told,
         };
-        let longest = OpType::rows(manifest).iter().map(|row| row.op_timeout).max().unwrap_or_default();
+        let longest = OpType::rows(settings).iter().map(|row| row.op_timeout).max().unwrap_or_default();
         let last = duration(longest.max(TimeDelta::from_millis(3000)));
         Limits {
-            // Danger: clients, too, hold only so many connections, a third of this router's descriptors; idle ones that
-            // are kept here up to that number leave them none to ask over. So this is less than a third.
+            // Clients hold connections up to a third of this router's descriptors. This limit is lower, so that idle
+            // connections don't use up all that they have.
             max_client_connections: (sockets * 9 / 32).max(1),
             max_rejected_connections: sockets / 16,
             max_host_connections: sockets * 13 / 32,
             max_ops: told.min(sockets),
-            // The rest is for what clients send just now, and for answers.
-            max_statement_bytes: waybill.memory_mb * 1024 * 1024 / 4,
+            // The rest of the memory is for messages being received and for answers.
+            max_statement_bytes: config.memory_mb * 1024 * 1024 / 4,
             queue_capacity: 1024,
             max_client_message_bytes: message,
-            // Danger: hosts' values are larger than a client may send. What bounds them is this router's memory.
-            max_host_message_bytes: (waybill.memory_mb * 1024 * 1024 / 16).max(message),
+            // Hosts' values may exceed the size of a client's message; only this router's memory limits them.
+            max_host_message_bytes: (config.memory_mb * 1024 * 1024 / 16).max(message),
             max_control_message_bytes: 16 * 1024,
-            max_large_answer_bytes: waybill.memory_mb * 1024 * 1024 / 4,
+            max_large_answer_bytes: config.memory_mb * 1024 * 1024 / 4,
             max_list_line_bytes: 4 * 1024 * 1024,
             max_http_head_bytes: 16 * 1024,
             read_chunk_bytes: 4 * 1024,
             max_file_reads: 20,
             log_lines_per_second: 50,
-            connect_timeout: told_span("connect_timeout"),
-            host_idle_timeout: told_span("idle_close").mul_f64(0.8),
-            ready_timeout: duration(manifest.time_delta("tick").max(TimeDelta::from_millis(1))),
-            // A connection without an open op may be closed after 2 s, and one that only holds a place must be within 3.
+            connect_timeout: time_or_default("connect_timeout"),
+            host_idle_timeout: time_or_default("idle_close").mul_f64(0.8),
+            ready_timeout: duration(settings.time_delta("tick").max(TimeDelta::from_millis(1))),
+            // A connection without an open op may be closed after 2 s, and an unused one must be closed within 3 s.
             client_message_timeout: Duration::from_millis(2300),
             client_write_timeout: Duration::from_secs(2),
             linger_timeout: Duration::from_millis(200),
@@ -128,7 +128,7 @@
             drain_timeout: last,
             removed_host_retention: last * 4,
             retry_pause: Duration::from_millis(5),
-            // Commits are told in whole milliseconds, rounded up.
+            // Commit positions are reported in whole milliseconds, rounded up.
             max_position_lead: TimeDelta::from_millis(5),
             stall_check_interval: Duration::from_millis(5),
             cell_tick_interval: Duration::from_millis(25),
@@ -141,10 +141,10 @@
         }
     }
 
-    /// What cells divide. Each op in hand holds a client's connection, so that there are never more of them.
+    /// The capacity that cells share. Each op in flight holds a client connection, which limits their number.
     pub fn cell_capacity(&self) -> Capacity {
         let ops = self.max_ops.min(self.max_client_connections * 7 / 8).max(1);
-        // Of the connections to hosts, those that ops in hand cannot take.
+        // The host connections that ops in flight cannot use.
         let probes = self.max_host_connections.saturating_sub(ops).max(1);
         Capacity { ops: ops as u64, bytes: self.max_statement_bytes as u64, probes: probes as u64 }
     }
@@ -152,7 +152,7 @@
 
 #[cfg(any(test, feature = "blank"))]
 impl Limits {
-    /// Of a router that is told these settings and otherwise the least.
+    /// The configuration and limits of a router with these settings and defaults otherwise.
     pub fn for_test(settings: serde_json::Value) -> (RouterConfig, RouterSettings, Limits) {
         let told = serde_json::json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
             "seed": "1f", "settings": settings});
--- a/crates/arrowyard-core/src/list.rs
+++ b/crates/arrowyard-core/src/list.rs
@@ -1,10 +1,11 @@
-//! Discovery's list of database hosts, as it tells it.
+//! Discovery's list of database hosts.
 
 use std::net::SocketAddr;
 
 use arrowyard_types::Availability;
 use serde_json::Value;
 
+/// A full list, or the changes since an earlier version.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostList {
     pub version: i64,
@@ -12,7 +13,7 @@
     pub entries: Vec<HostListEntry>,
 }
 
-/// A line of the list; a line about a host that is gone may leave out most.
+/// One host in the list; an entry for a removed host may omit most fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostListEntry {
     pub host: String,
@@ -21,34 +22,37 @@
     pub site: Option<String>,
     pub group: Option<i64>,
     pub size: Option<f64>,
-    /// Unix time in milliseconds; 0 for long ago.
+    /// Unix time in milliseconds; 0 if the host started long ago.
     pub started_at_ms: Option<f64>,
     pub is_primary: Option<bool>,
 }
 
 impl HostList {
+    /// Parses a list in JSON.
     pub fn parse(text: &[u8]) -> Result<HostList, String> {
         HostList::from_json(&serde_json::from_slice(text).map_err(|e| format!("list: {e}"))?)
     }
 
-    pub fn from_json(told: &Value) -> Result<HostList, String> {
-        let lines = told.get("hosts").and_then(Value::as_array).ok_or("list: no hosts")?;
+    pub fn from_json(json: &Value) -> Result<HostList, String> {
+        let entries = json.get("hosts").and_then(Value::as_array).ok_or("list: no hosts")?;
         Ok(HostList {
-            version: told.get("seq").and_then(Value::as_i64).ok_or("list: no seq")?,
-            is_full: told.get("whole").and_then(Value::as_bool).unwrap_or(false),
-            // Danger: one line that makes no sense, and the news of all other hosts is lost with it.
-            entries: lines
+            version: json.get("seq").and_then(Value::as_i64).ok_or("list: no seq")?,
+            is_full: json.get("whole").and_then(Value::as_bool).unwrap_or(false),
+            // An invalid entry is skipped, so that it does not discard the other entries.
+            entries: entries
                 .iter()
-                .filter_map(|line| HostListEntry::from_json(line).map_err(|why| tracing::warn!("{why}")).ok())
+                .filter_map(|entry| {
+                    HostListEntry::from_json(entry).map_err(|why| tracing::warn!("{why}")).ok()
+                })
                 .collect(),
         })
     }
 }
 
 impl HostListEntry {
-    fn from_json(told: &Value) -> Result<HostListEntry, String> {
-        let text = |field: &str| told.get(field).and_then(Value::as_str);
-        let number = |field: &str| told.get(field).and_then(Value::as_f64);
+    fn from_json(json: &Value) -> Result<HostListEntry, String> {
+        let text = |field: &str| json.get(field).and_then(Value::as_str);
+        let number = |field: &str| json.get(field).and_then(Value::as_f64);
         let dial = text("dial").map(|dial| dial.parse().map_err(|e| format!("list: dial {dial}: {e}")));
         Ok(HostListEntry {
             host: text("host").ok_or("list: a line without host")?.to_string(),
--- a/crates/arrowyard-core/src/messages.rs
+++ b/crates/arrowyard-core/src/messages.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a router tell each other: mail to the one that owns the module, wishes to discovery's.
+//! Messages between the tasks of a router: to the route task, from discovery and to discovery.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -13,50 +13,50 @@
 use crate::send::EndedSend;
 use crate::transport::HostTransport;
 
-/// What the other tasks tell the one that owns the module.
+/// Messages to the route task, which owns the decision module.
 pub enum RouteMessage<B: HostTransport> {
-    /// With what cells want to know of it, where there are any.
+    /// An admitted op, with its origin if cells are configured, its payload and the channel for the reply.
     OpAdmitted(OpRequest, Option<Box<OpOrigin>>, Rc<B::Payload>, oneshot::Sender<Reply<B::Answer>>),
     ClientDisconnected(OpId),
-    /// The answer goes to the client, and the send goes on.
+    /// An answer begins; it goes to the client while the send continues.
     AnswerBegun(OpId, B::Answer),
     SendEnded(OpId, SendIndex, HostId, EndedSend<B::Answer>),
-    /// In the name of the cell, where there are any.
+    /// A probe ended; with the cell that it counts for, if cells are configured.
     ProbeEnded(HostId, Option<CellId>, Outcome, HostStatus),
-    /// A host was asked for its position since a tenant moves there.
+    /// The status of a host that was probed because a tenant moves to it.
     PositionProbed(HostId, HostStatus),
-    /// The operator's file was read anew.
+    /// The operator's file was read again.
     LayoutReloaded(Box<Layout>),
-    /// Somebody wants to see the cells.
+    /// Requests the report on cells.
     ShowCells(oneshot::Sender<String>),
-    /// Somebody wants to see the other routers.
+    /// Requests the report on peers.
     ShowPeers(oneshot::Sender<String>),
-    /// Shares are reckoned by this number of routers from now on.
+    /// The number of routers that share the load changed.
     RouterCountChanged(f64),
-    /// What another router's module told.
+    /// A message from another router.
     PeerMessage(PeerId, Vec<u8>),
-    /// The list was stored, or that failed.
+    /// Writing the list ended; true if it failed.
     ListSaved(bool),
-    /// Whether the stage comes round: ops taken and acked since the start.
+    /// Requests the numbers of ops taken and acknowledged since the start, as a liveness check.
     CheckLiveness(oneshot::Sender<(u64, u64)>),
-    /// Of discovery.
+    /// An event from discovery.
     Discovery(DiscoveryEvent),
 }
 
-/// What discovery tells.
+/// Events from discovery.
 #[derive(Debug)]
 pub enum DiscoveryEvent {
     List(HostList),
     Failed,
 }
 
-/// What discovery is asked for.
+/// Commands to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryCommand {
     Watch(bool),
     Fetch,
-    /// It is reached at another address from now on.
+    /// Discovery's address changed.
     SetAddress(SocketAddr),
-    /// So many routers ask it.
+    /// The number of routers that call discovery.
     SetRouterCount(f64),
 }
--- a/crates/arrowyard-core/src/op_table.rs
+++ b/crates/arrowyard-core/src/op_table.rs
@@ -1,4 +1,4 @@
-//! What became of each op: exactly one end for each of its sends, and one final answer.
+//! The open ops: each send ends exactly once, and each op gets exactly one final answer.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -10,21 +10,21 @@
 
 struct OpEntry<P, A> {
     payload: Rc<P>,
-    /// Until the final answer is given.
+    /// Present until the final answer is sent.
     client: Option<oneshot::Sender<Reply<A>>>,
-    /// By number.
+    /// Indexed by `SendIndex`.
     sends: Vec<SendState>,
 }
 
-/// How a send stands.
+/// The state of one send.
 enum SendState {
     InFlight(oneshot::Sender<()>),
-    /// Its end is still to come.
+    /// Cancelled, but its end has not been reported yet.
     Cancelled,
     Ended,
 }
 
-/// What has been answered since the last tally.
+/// Counts since they were last logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpCounters {
     pub acked: u32,
@@ -33,19 +33,18 @@
     pub disconnected: u32,
     pub sends: u32,
     pub lost_sends: u32,
-    /// What the whole fleet pays for, beside first sends: further sends of an op, sends to hosts that are warming up,
-    /// probes, and lines of the list.
+    /// Load besides first sends: retries, sends to cold hosts, probes and entries of host lists.
     pub retries: u32,
     pub cold_sends: u32,
     pub probes: u32,
     pub list_entries: u32,
 }
 
-/// `P` is what fronts hand in, `A` a host's answer.
+/// The open ops. `P` is the payload of a request, `A` a host's answer.
 pub struct OpTable<P, A> {
     ops: HashMap<OpId, OpEntry<P, A>>,
     pub counters: OpCounters,
-    /// Ops whose pages are closed, where somebody wants to know.
+    /// Ops that were removed, collected if cells are configured.
     pub closed_ops: Option<Vec<OpId>>,
 }
 
@@ -64,27 +63,27 @@
         self.ops.len()
     }
 
-    /// The number of the op's next send, its payload, and what tells it that it is called off; for an op that is
-    /// over it is so at once. Nothing for an op whose page is closed.
+    /// Starts a send: its index, the payload and its cancellation signal, which is already set if the op was answered.
+    /// `None` if the op is unknown.
     pub fn start_send(&mut self, op: OpId) -> Option<(SendIndex, Rc<P>, oneshot::Receiver<()>)> {
-        let page = self.ops.get_mut(&op)?;
-        let (call_off, called_off) = oneshot::channel();
-        page.sends.push(if page.client.is_some() {
-            SendState::InFlight(call_off)
+        let op_entry = self.ops.get_mut(&op)?;
+        let (cancel, cancelled) = oneshot::channel();
+        op_entry.sends.push(if op_entry.client.is_some() {
+            SendState::InFlight(cancel)
         } else {
             SendState::Cancelled
         });
         self.counters.sends += 1;
-        self.counters.retries += u32::from(page.sends.len() > 1);
-        Some((SendIndex(page.sends.len() as u32 - 1), page.payload.clone(), called_off))
+        self.counters.retries += u32::from(op_entry.sends.len() > 1);
+        Some((SendIndex(op_entry.sends.len() as u32 - 1), op_entry.payload.clone(), cancelled))
     }
 
     pub fn cancel_send(&mut self, op: OpId, send: SendIndex) {
-        let Some(stand) = self.send_state(op, send) else { return };
-        match std::mem::replace(stand, SendState::Cancelled) {
-            // The send's end may be on its way already; then nobody hears this.
-            SendState::InFlight(call_off) => drop(call_off.send(())),
-            other => *stand = other,
+        let Some(state) = self.send_state(op, send) else { return };
+        match std::mem::replace(state, SendState::Cancelled) {
+            // The send may have ended already, so nobody may be listening.
+            SendState::InFlight(cancel) => drop(cancel.send(())),
+            other => *state = other,
         }
     }
 
@@ -92,8 +91,8 @@
         self.ops.get_mut(&op)?.sends.get_mut(send.0 as usize)
     }
 
-    /// Takes the end of a send; the first acked one goes to the client. Tells whether the op is over; nothing for
-    /// an end that was taken before. Danger: an end taken twice would end another send in the module's eyes.
+    /// Records the end of a send and completes the op with the first acknowledged answer. Returns whether the op is
+    /// answered, or `None` if the end was recorded before: the decision module must see each end once.
     pub fn end_send(
         &mut self,
         op: OpId,
@@ -101,26 +100,26 @@
         outcome: Outcome,
         answer: Option<A>,
     ) -> Option<bool> {
-        let stand = self.send_state(op, send).filter(|stand| !matches!(stand, SendState::Ended))?;
-        *stand = SendState::Ended;
+        let state = self.send_state(op, send).filter(|state| !matches!(state, SendState::Ended))?;
+        *state = SendState::Ended;
         self.counters.lost_sends += u32::from(!outcome.is_answer());
         if let Some(answer) = answer.filter(|_| outcome == Outcome::Acked) {
             self.complete(op, Reply::Acked(answer));
         }
-        let over = self.ops.get(&op).is_none_or(|page| page.client.is_none());
+        let over = self.ops.get(&op).is_none_or(|op_entry| op_entry.client.is_none());
         self.remove_if_done(op);
         Some(over)
     }
 
-    /// An answer of one of its sends begins, and goes to the client. Danger: it comes as the op was given up, and the
-    /// client would be answered twice; then it is dropped, which ends its send.
+    /// Completes the op with an answer that is still being received. If the op was already answered, the answer is
+    /// dropped, which ends its send.
     pub fn begin_answer(&mut self, op: OpId, answer: A) {
         self.complete(op, Reply::Acked(answer));
     }
 
-    /// The final answer, if the op has none yet.
+    /// Sends the final answer, unless the op has one.
     pub fn complete(&mut self, op: OpId, reply: Reply<A>) {
-        let Some(client) = self.ops.get_mut(&op).and_then(|page| page.client.take()) else { return };
+        let Some(client) = self.ops.get_mut(&op).and_then(|op_entry| op_entry.client.take()) else { return };
         let count = match reply {
             Reply::Acked(_) => &mut self.counters.acked,
             Reply::Busy(_) => &mut self.counters.busy,
@@ -133,17 +132,17 @@
         self.remove_if_done(op);
     }
 
-    /// The client went away; false if the op was over.
+    /// The client disconnected; false if the op was already answered.
     pub fn client_disconnected(&mut self, op: OpId) -> bool {
-        let client = self.ops.get_mut(&op).and_then(|page| page.client.take());
+        let client = self.ops.get_mut(&op).and_then(|op_entry| op_entry.client.take());
         self.counters.disconnected += u32::from(client.is_some());
         self.remove_if_done(op);
         client.is_some()
     }
 
     fn remove_if_done(&mut self, op: OpId) {
-        let done = |page: &OpEntry<P, A>| {
-            page.client.is_none() && page.sends.iter().all(|stand| matches!(stand, SendState::Ended))
+        let done = |op_entry: &OpEntry<P, A>| {
+            op_entry.client.is_none() && op_entry.sends.iter().all(|state| matches!(state, SendState::Ended))
         };
         if self.ops.get(&op).is_some_and(done) {
             self.ops.remove(&op);
@@ -163,54 +162,54 @@
 
     fn open() -> (OpTable<(), ()>, oneshot::Receiver<Reply<()>>) {
         let (client, answered) = oneshot::channel();
-        let mut book = OpTable::default();
-        book.insert(OP, Rc::new(()), client);
-        (book, answered)
+        let mut table = OpTable::default();
+        table.insert(OP, Rc::new(()), client);
+        (table, answered)
     }
 
     #[test]
-    fn a_send_ends_once_and_the_first_answer_is_the_only_one() {
-        let (mut book, mut answered) = open();
-        let sends: Vec<_> = (0..2).filter_map(|_| book.start_send(OP)).collect();
-        assert_eq!(book.end_send(OP, SendIndex(0), Outcome::Reset, None), Some(false));
-        assert_eq!(book.end_send(OP, SendIndex(0), Outcome::Acked, Some(())), None);
-        assert_eq!(book.end_send(OP, SendIndex(1), Outcome::Acked, Some(())), Some(true));
-        book.complete(OP, Reply::Errored);
+    fn a_send_ends_once_and_only_the_first_answer_counts() {
+        let (mut table, mut answered) = open();
+        let sends: Vec<_> = (0..2).filter_map(|_| table.start_send(OP)).collect();
+        assert_eq!(table.end_send(OP, SendIndex(0), Outcome::Reset, None), Some(false));
+        assert_eq!(table.end_send(OP, SendIndex(0), Outcome::Acked, Some(())), None);
+        assert_eq!(table.end_send(OP, SendIndex(1), Outcome::Acked, Some(())), Some(true));
+        table.complete(OP, Reply::Errored);
         assert_eq!(answered.try_recv(), Ok(Reply::Acked(())));
-        assert_eq!((book.open_ops(), book.end_send(OP, SendIndex(1), Outcome::Acked, None)), (0, None));
-        assert!(book.start_send(OP).is_none());
+        assert_eq!((table.open_ops(), table.end_send(OP, SendIndex(1), Outcome::Acked, None)), (0, None));
+        assert!(table.start_send(OP).is_none());
         drop(sends);
     }
 
     #[test]
-    fn an_op_that_is_over_is_kept_till_its_sends_have_ended_and_sends_no_more() {
-        let (mut book, mut answered) = open();
-        let (number, _, mut called_off) = book.start_send(OP).expect("the op is open");
-        book.complete(OP, Reply::Busy(None));
+    fn an_answered_op_stays_until_its_sends_end_and_starts_none() {
+        let (mut table, mut answered) = open();
+        let (number, _, mut cancelled) = table.start_send(OP).expect("the op is open");
+        table.complete(OP, Reply::Busy(None));
         assert_eq!(answered.try_recv(), Ok(Reply::Busy(None)));
-        assert!(!book.client_disconnected(OP));
-        let (late, _, mut too_late) = book.start_send(OP).expect("its page is open");
+        assert!(!table.client_disconnected(OP));
+        let (late, _, mut too_late) = table.start_send(OP).expect("the op has a send in flight");
         assert_eq!(too_late.try_recv(), Err(TryRecvError::Closed));
-        assert_eq!(book.end_send(OP, late, Outcome::NotSent, None), Some(true));
-        book.cancel_send(OP, number);
-        book.cancel_send(OP, number);
-        assert_eq!(called_off.try_recv(), Ok(()));
-        assert_eq!(book.end_send(OP, number, Outcome::Cancelled, None), Some(true));
-        assert_eq!(book.open_ops(), 0);
+        assert_eq!(table.end_send(OP, late, Outcome::NotSent, None), Some(true));
+        table.cancel_send(OP, number);
+        table.cancel_send(OP, number);
+        assert_eq!(cancelled.try_recv(), Ok(()));
+        assert_eq!(table.end_send(OP, number, Outcome::Cancelled, None), Some(true));
+        assert_eq!(table.open_ops(), 0);
     }
 
     proptest! {
-        /// A plain model: which sends are out, and what ended the op first.
+        /// Compares the table with a model: sends in flight, ended sends and what ended the op first.
         #[test]
-        fn whatever_comes_in_whatever_order_each_send_ends_once_and_the_op_once(
+        fn each_send_and_each_op_ends_once_in_any_order(
             steps in prop::collection::vec((0_u8..6, 0_u32..4), 0..40),
         ) {
-            let (mut book, mut answered) = open();
+            let (mut table, mut answered) = open();
             let (mut out, mut ended, mut first) = (Vec::new(), Vec::new(), None);
             for (step, number) in steps {
                 let known = out.contains(&number) && !ended.contains(&number);
                 match step {
-                    0 => match book.start_send(OP) {
+                    0 => match table.start_send(OP) {
                         Some((SendIndex(number), ..)) => {
                             prop_assert_eq!(number, out.len() as u32);
                             out.push(number);
@@ -225,22 +224,22 @@
                         if known && step == 1 {
                             first.get_or_insert(Some(Reply::Acked(())));
                         }
-                        let told = book.end_send(OP, SendIndex(number), outcome, answer);
-                        prop_assert_eq!(told, known.then_some(first.is_some()));
+                        let answered_now = table.end_send(OP, SendIndex(number), outcome, answer);
+                        prop_assert_eq!(answered_now, known.then_some(first.is_some()));
                         ended.extend(known.then_some(number));
                     }
                     3 => {
-                        book.complete(OP, Reply::Errored);
+                        table.complete(OP, Reply::Errored);
                         first.get_or_insert(Some(Reply::Errored));
                     }
                     4 => {
-                        prop_assert_eq!(book.client_disconnected(OP), first.is_none());
+                        prop_assert_eq!(table.client_disconnected(OP), first.is_none());
                         first.get_or_insert(None);
                     }
-                    _ => book.cancel_send(OP, SendIndex(number)),
+                    _ => table.cancel_send(OP, SendIndex(number)),
                 }
                 let gone = first.is_some() && out.len() == ended.len();
-                prop_assert_eq!(book.open_ops(), usize::from(!gone));
+                prop_assert_eq!(table.open_ops(), usize::from(!gone));
             }
             prop_assert_eq!(answered.try_recv().ok(), first.flatten());
         }
--- a/crates/arrowyard-core/src/reply.rs
+++ b/crates/arrowyard-core/src/reply.rs
@@ -2,13 +2,13 @@
 
 use arrowyard_types::TimeDelta;
 
-/// What an op's client is told; `A` is the answer of a host, in the words of the protocol.
+/// The final reply to the client; `A` is a host's answer in the form of the protocol.
 #[derive(Debug, PartialEq)]
 pub enum Reply<A> {
     Acked(A),
-    /// Trying again is harmless, after this span if one is named.
+    /// The op did not run and may be retried, after this time if it is given.
     Busy(Option<TimeDelta>),
     Errored,
-    /// What was asked cannot be an op of this router.
+    /// The request is invalid.
     Refused(&'static str),
 }
--- a/crates/arrowyard-core/src/router_config.rs
+++ b/crates/arrowyard-core/src/router_config.rs
@@ -1,4 +1,4 @@
-//! What a router is told when it starts: its file, or the variables where the file is silent.
+//! The router's startup configuration: a JSON file, with environment variables for missing fields.
 
 use std::env;
 use std::net::SocketAddr;
@@ -7,6 +7,7 @@
 
 use crate::list::HostList;
 
+/// The startup configuration.
 pub struct RouterConfig {
     pub name: String,
     pub listen: SocketAddr,
@@ -14,7 +15,7 @@
     pub seed: u64,
     pub memory_mb: usize,
     pub sockets: usize,
-    /// The list of hosts that this router had last.
+    /// The router's last list of hosts before this start.
     pub host_list: Option<HostList>,
     pub settings: Map<String, Value>,
 }
@@ -23,27 +24,27 @@
     pub fn load() -> Result<RouterConfig, String> {
         let path = env::var("RELAY_CONFIG").map_err(|e| format!("RELAY_CONFIG: {e}"))?;
         let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
-        let told: Value = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
-        RouterConfig::from_json(&told, |name| env::var(name).ok())
+        let json: Value = serde_json::from_slice(&text).map_err(|e| format!("{path}: {e}"))?;
+        RouterConfig::from_json(&json, |name| env::var(name).ok())
     }
 
     pub fn from_json(
-        told: &Value,
+        json: &Value,
         variable: impl Fn(&str) -> Option<String>,
     ) -> Result<RouterConfig, String> {
         let text = |field: &str, name: &str| {
-            let inside = told.get(field).and_then(Value::as_str).map(str::to_string);
-            inside.or_else(|| variable(name)).ok_or_else(|| format!("neither {field} nor {name} is told"))
+            let value = json.get(field).and_then(Value::as_str).map(str::to_string);
+            value.or_else(|| variable(name)).ok_or_else(|| format!("neither {field} nor {name} is told"))
         };
         let address = |field: &str, name: &str| {
             text(field, name)?.parse().map_err(|e| format!("{field} is not an address: {e}"))
         };
-        let limit = |name: &str, otherwise: u64| {
-            let told = told.get("limits").and_then(|limits| limits.get(name)).and_then(Value::as_f64);
-            told.map_or(otherwise, |number| number as u64) as usize
+        let limit = |name: &str, default: u64| {
+            let json = json.get("limits").and_then(|limits| limits.get(name)).and_then(Value::as_f64);
+            json.map_or(default, |number| number as u64) as usize
         };
-        let seed = told.get("seed").and_then(Value::as_str).unwrap_or_default();
-        let settings = told.get("settings").and_then(Value::as_object).ok_or("no settings are told")?;
+        let seed = json.get("seed").and_then(Value::as_str).unwrap_or_default();
+        let settings = json.get("settings").and_then(Value::as_object).ok_or("no settings are told")?;
         Ok(RouterConfig {
             name: text("name", "RELAY_NAME")?,
             listen: address("listen", "RELAY_LISTEN")?,
@@ -51,8 +52,8 @@
             seed: u64::from_str_radix(seed, 16).map_err(|e| format!("seed: {e}"))?,
             memory_mb: limit("memory_mb", 128),
             sockets: limit("sockets", 512),
-            // Danger: a saved list that makes no sense keeps the router from starting. Discovery has a new one.
-            host_list: told.get("known").and_then(|known| HostList::from_json(known).ok()),
+            // An invalid saved list is ignored, since discovery has a current one.
+            host_list: json.get("known").and_then(|known| HostList::from_json(known).ok()),
             settings: settings.clone(),
         })
     }
--- a/crates/arrowyard-core/src/send.rs
+++ b/crates/arrowyard-core/src/send.rs
@@ -1,4 +1,4 @@
-//! One send of an op to a host, from the moment it is ordered to its end.
+//! One send of an op to a host.
 
 use std::future::poll_fn;
 use std::net::SocketAddr;
@@ -13,12 +13,13 @@
 use crate::clock::Clock;
 use crate::transport::{HostTransport, Progress};
 
+/// A send to be carried out.
 pub struct SendRequest<P> {
     pub host: HostId,
     pub address: SocketAddr,
     pub payload: Rc<P>,
     pub deadline: Timestamp,
-    /// Resolves when the send is called off.
+    /// Resolves when the send is cancelled.
     pub cancelled: oneshot::Receiver<()>,
 }
 
@@ -32,7 +33,7 @@
 }
 
 impl<A> EndedSend<A> {
-    /// Of a send that was never tried: its op is over, its time has run out, or its host is nowhere.
+    /// A send that was not attempted: its op was answered, its deadline passed or its host has no address.
     pub fn unsent() -> Self {
         EndedSend {
             outcome: Outcome::NotSent,
@@ -43,25 +44,25 @@
     }
 }
 
-/// Carries the order out. Until the payload is wholly written it never ran, whatever happens; from then on it may
-/// have. Giving up closes the connection. `begun` is handed an answer that begins before the send has ended.
+/// Carries out a send until it ends, is cancelled or reaches its deadline. A send whose payload was not written
+/// completely never ran; after that it may have. `begun` receives an answer that begins before the send ends.
 pub async fn run<B: HostTransport>(
-    mut order: SendRequest<B::Payload>,
-    back: &B,
+    mut request: SendRequest<B::Payload>,
+    transport: &B,
     clock: Clock,
     begun: impl AsyncFn(B::Answer),
 ) -> EndedSend<B::Answer> {
     let (started, progress) = (clock.now(), Progress::default());
-    if started >= order.deadline || order.cancelled.try_recv() != Err(TryRecvError::Empty) {
+    if started >= request.deadline || request.cancelled.try_recv() != Err(TryRecvError::Empty) {
         return EndedSend::unsent();
     }
-    let SendRequest { host, address, payload, deadline, mut cancelled } = order;
-    let mut exchange = pin!(back.exchange(host, address, &payload, deadline, clock, &progress));
-    let (outcome, word, answer) = loop {
+    let SendRequest { host, address, payload, deadline, mut cancelled } = request;
+    let mut exchange = pin!(transport.exchange(host, address, &payload, deadline, clock, &progress));
+    let (outcome, status, answer) = loop {
         tokio::select! {
             biased;
-            told = &mut exchange => break told,
-            // An answer begins while the exchange is polled, just before this; nobody has to be woken for it.
+            result = &mut exchange => break result,
+            // An answer begins only while the exchange is polled just before this, so no waker is needed.
             answer = poll_fn(|_| progress.take_begun_answer().map_or(Poll::Pending, Poll::Ready)) => begun(answer).await,
             _ = &mut cancelled => break (Outcome::Cancelled, HostStatus::default(), None),
             () = sleep_until(clock.instant_at(deadline)) => break (Outcome::TimedOut, HostStatus::default(), None),
@@ -78,9 +79,9 @@
         outcome => outcome,
     };
     if outcome == Outcome::TimedOut {
-        back.send_timed_out(host, clock.instant_at(started));
+        transport.send_timed_out(host, clock.instant_at(started));
     }
-    EndedSend { outcome, elapsed: clock.now() - started, status: word, answer }
+    EndedSend { outcome, elapsed: clock.now() - started, status, answer }
 }
 
 #[cfg(test)]
@@ -93,17 +94,17 @@
     use super::*;
     use crate::transport::ExchangeResult;
 
-    /// A host that does as it is told with a send that was wholly written.
+    /// How a scripted host treats a send that was written completely.
     #[derive(Clone, Copy)]
     enum Script {
         Hang,
-        /// Its client is waited for.
-        HeldUp,
-        /// It was held up for a while, and goes on.
-        Freed,
-        /// An answer begins, and the send goes on till it is called off.
+        /// The send waits for its client.
+        ClientBlocked,
+        /// The send waited for its client and continues.
+        ClientUnblocked,
+        /// An answer begins and the send does not end.
         Begin,
-        /// An answer begins as the send ends.
+        /// An answer begins and the send ends.
         BeginAndEnd,
     }
 
@@ -123,8 +124,8 @@
             progress.mark_written();
             match self {
                 Script::Hang => {}
-                Script::HeldUp => progress.set_client_blocked(true),
-                Script::Freed => {
+                Script::ClientBlocked => progress.set_client_blocked(true),
+                Script::ClientUnblocked => {
                     progress.set_client_blocked(true);
                     progress.set_client_blocked(false);
                 }
@@ -154,33 +155,27 @@
         }
     }
 
-    /// How the send ends, and what began meanwhile.
-    async fn play(script: Script) -> (Outcome, Vec<u8>) {
+    /// The outcome of the send and the answers that began.
+    async fn run_script(script: Script) -> (Outcome, Vec<u8>) {
         let (clock, begun) = (Clock::start(), RefCell::new(Vec::new()));
-        let (_call_off, called_off) = oneshot::channel();
-        let until = clock.now() + TimeDelta::from_millis(50);
-        let dial = SocketAddr::from(([127, 0, 0, 1], 9));
-        let order = SendRequest {
-            host: HostId(0),
-            address: dial,
-            payload: Rc::new(()),
-            deadline: until,
-            cancelled: called_off,
-        };
-        let end = run(order, &script, clock, async |answer| begun.borrow_mut().push(answer)).await;
+        let (_cancel, cancelled) = oneshot::channel();
+        let deadline = clock.now() + TimeDelta::from_millis(50);
+        let address = SocketAddr::from(([127, 0, 0, 1], 9));
+        let request = SendRequest { host: HostId(0), address, payload: Rc::new(()), deadline, cancelled };
+        let end = run(request, &script, clock, async |answer| begun.borrow_mut().push(answer)).await;
         (end.outcome, begun.into_inner())
     }
 
     #[tokio::test(start_paused = true)]
-    async fn a_host_is_not_blamed_for_the_time_that_its_client_took() {
-        assert_eq!(play(Script::Hang).await.0, Outcome::TimedOut);
-        assert_eq!(play(Script::Freed).await.0, Outcome::TimedOut);
-        assert_eq!(play(Script::HeldUp).await.0, Outcome::Cancelled);
+    async fn time_spent_waiting_for_the_client_is_not_a_host_timeout() {
+        assert_eq!(run_script(Script::Hang).await.0, Outcome::TimedOut);
+        assert_eq!(run_script(Script::ClientUnblocked).await.0, Outcome::TimedOut);
+        assert_eq!(run_script(Script::ClientBlocked).await.0, Outcome::Cancelled);
     }
 
     #[tokio::test(start_paused = true)]
-    async fn an_answer_that_begins_is_handed_on_once_even_as_its_send_ends() {
-        assert_eq!(play(Script::Begin).await, (Outcome::TimedOut, vec![7]));
-        assert_eq!(play(Script::BeginAndEnd).await, (Outcome::Acked, vec![7]));
+    async fn a_begun_answer_is_passed_on_once_even_if_its_send_ends() {
+        assert_eq!(run_script(Script::Begin).await, (Outcome::TimedOut, vec![7]));
+        assert_eq!(run_script(Script::BeginAndEnd).await, (Outcome::Acked, vec![7]));
     }
 }
--- a/crates/arrowyard-core/src/submission.rs
+++ b/crates/arrowyard-core/src/submission.rs
@@ -1,6 +1,4 @@
-//! Where fronts of other threads hand their ops in. A front whose library wants futures that may move between
-//! threads cannot hold the core's counts; it puts a value that may move through a bounded channel, and a task on
-//! the core's thread takes it from there. No lock of this program's is held by either side.
+//! Submission of ops by front ends on other threads, over a bounded channel to a task on the core's thread.
 
 use std::any::Any;
 use std::rc::Rc;
@@ -16,33 +14,33 @@
 use crate::reply::Reply;
 use crate::transport::HostTransport;
 
-/// An op as it comes from another thread. `P` tells its own call; `R` is the answer in a form that may move.
+/// An op from another thread. `P` is the payload, `R` the answer in a form that is `Send`.
 struct Submission<P, R> {
     payload: P,
     arrived: Timestamp,
     client: oneshot::Sender<Reply<R>>,
 }
 
-/// What an answer keeps here while its client is not done with it: its op's place, and the room that it takes.
+/// Resources of an answer that stay allocated on the core's thread until the front end is done with it.
 pub struct RetainedResources {
-    /// Resolves once the front is done with the answer, or has dropped it.
+    /// Resolves once the front end is done with the answer or dropped it.
     pub done: oneshot::Receiver<()>,
     pub resources: Box<dyn Any>,
 }
 
-/// The side of the front; it may be cloned, sent and shared.
+/// The front end's side of the channel.
 pub struct OpSubmitter<P, R> {
-    errands: mpsc::Sender<Submission<P, R>>,
+    submissions: mpsc::Sender<Submission<P, R>>,
     clock: Clock,
 }
 
 impl<P, R> Clone for OpSubmitter<P, R> {
     fn clone(&self) -> Self {
-        OpSubmitter { errands: self.errands.clone(), clock: self.clock }
+        OpSubmitter { submissions: self.submissions.clone(), clock: self.clock }
     }
 }
 
-/// Why there is no answer: the router has ended, or takes no more at this moment and nothing was done.
+/// Why there is no answer: the router stopped, or the queue is full and the op did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitError {
     Stopped,
@@ -50,12 +48,14 @@
 }
 
 impl<P, R> OpSubmitter<P, R> {
-    /// Hands an op in and waits for its final answer; dropping the future is a client that left. Danger: a front
-    /// that waits for room holds its clients past their time; with none left it is told so at once.
+    /// Submits an op and waits for its final reply; dropping the future cancels the op.
+    ///
+    /// # Errors
+    /// `Full` at once if the queue is full, so that clients are not held past their deadline; `Stopped` if the router ended.
     pub async fn submit(&self, payload: P) -> Result<Reply<R>, SubmitError> {
         let (client, answer) = oneshot::channel();
         let errand = Submission { payload, arrived: self.clock.now(), client };
-        self.errands.try_send(errand).map_err(|refused| match refused {
+        self.submissions.try_send(errand).map_err(|refused| match refused {
             mpsc::error::TrySendError::Full(_) => SubmitError::Full,
             mpsc::error::TrySendError::Closed(_) => SubmitError::Stopped,
         })?;
@@ -63,27 +63,27 @@
     }
 }
 
-/// The side of the core.
+/// The core's side of the channel.
 pub struct OpIntake<B: HostTransport, P, R> {
-    errands: mpsc::Receiver<Submission<P, R>>,
-    gate: Rc<AdmissionController>,
-    mail: mpsc::Sender<RouteMessage<B>>,
+    submissions: mpsc::Receiver<Submission<P, R>>,
+    controller: Rc<AdmissionController>,
+    messages: mpsc::Sender<RouteMessage<B>>,
 }
 
-/// A hatch with room for so many ops that were not taken in yet.
+/// Creates a channel for `capacity` ops that were not admitted yet.
 pub fn channel<B: HostTransport, P, R>(
-    room: usize,
+    capacity: usize,
     clock: Clock,
-    gate: Rc<AdmissionController>,
-    mail: mpsc::Sender<RouteMessage<B>>,
+    controller: Rc<AdmissionController>,
+    messages: mpsc::Sender<RouteMessage<B>>,
 ) -> (OpSubmitter<P, R>, OpIntake<B, P, R>) {
-    let (errands, taken) = mpsc::channel(room);
-    (OpSubmitter { errands, clock }, OpIntake { errands: taken, gate, mail })
+    let (submissions, taken) = mpsc::channel(capacity);
+    (OpSubmitter { submissions, clock }, OpIntake { submissions: taken, controller, messages })
 }
 
 impl<B: HostTransport, P: 'static, R: 'static> OpIntake<B, P, R> {
-    /// Takes errands till every front has gone. `call` tells what the payload asks for, `load` makes of it what
-    /// the back carries, and `lift` makes of a host's answer what may move, and what stays here till that is used up.
+    /// Admits submissions until every submitter is dropped. `call` describes the payload's request, `load` converts it to
+    /// the transport's payload, and `lift` splits a host's answer into a part that is `Send` and retained resources.
     pub async fn run(
         mut self,
         call: impl Fn(&P) -> ClientRequest<'_> + 'static,
@@ -91,19 +91,21 @@
         lift: impl Fn(B::Answer) -> (R, Option<RetainedResources>) + 'static,
     ) {
         let lift = Rc::new(lift);
-        while let Some(Submission { payload, arrived, mut client }) = self.errands.recv().await {
-            let AdmittedOp { request: ask, origin: claim, slot: place } =
-                match self.gate.admit(call(&payload), arrived) {
-                    Ok(admitted) => admitted,
-                    Err(reply) => {
-                        // A front that left does not hear it.
-                        let _ = client.send(reply);
-                        continue;
-                    }
-                };
+        while let Some(Submission { payload, arrived, mut client }) = self.submissions.recv().await {
+            let AdmittedOp { request, origin, slot } = match self.controller.admit(call(&payload), arrived) {
+                Ok(admitted) => admitted,
+                Err(reply) => {
+                    // The front end may have dropped the op.
+                    let _ = client.send(reply);
+                    continue;
+                }
+            };
             let (answer, answered) = oneshot::channel();
-            let (op, mail, lift) = (ask.op, self.mail.clone(), lift.clone());
-            if mail.send(RouteMessage::OpAdmitted(ask, claim, Rc::new(load(payload)), answer)).await.is_err()
+            let (op, messages, lift) = (request.op, self.messages.clone(), lift.clone());
+            if messages
+                .send(RouteMessage::OpAdmitted(request, origin, Rc::new(load(payload)), answer))
+                .await
+                .is_err()
             {
                 return;
             }
@@ -111,9 +113,9 @@
                 let reply = tokio::select! {
                     biased;
                     reply = answered => reply.unwrap_or(Reply::Errored),
-                    // Danger: the front's client left, and hosts go on working for nobody.
+                    // The client disconnected: cancels the op, so that hosts do not work for it any longer.
                     () = client.closed() => {
-                        let _ = mail.send(RouteMessage::ClientDisconnected(op)).await;
+                        let _ = messages.send(RouteMessage::ClientDisconnected(op)).await;
                         return;
                     }
                 };
@@ -131,11 +133,11 @@
                 if client.send(reply).is_ok()
                     && let Some(RetainedResources { done, resources: keep }) = tail
                 {
-                    // Danger: a client that reads slowly gives its op's place away and takes the next, without end.
+                    // Keeps the op's slot until a slow client has read its answer.
                     let _ = done.await;
                     drop(keep);
                 }
-                drop(place);
+                drop(slot);
             }));
         }
     }
@@ -154,10 +156,10 @@
     use crate::limits::Limits;
     use crate::transport::{ExchangeResult, Progress};
 
-    /// Never sent to: the test answers in the route stage's place.
-    struct Nowhere;
+    /// Unused transport: the test answers in place of the route stage.
+    struct UnusedTransport;
 
-    impl HostTransport for Nowhere {
+    impl HostTransport for UnusedTransport {
         type Payload = u64;
         type Answer = Rc<u64>;
 
@@ -208,50 +210,51 @@
     }
 
     #[test]
-    fn ops_from_many_threads_get_their_own_answer_and_one_that_left_is_hung_up() {
-        let (waybill, manifest, limits) =
+    fn ops_of_many_threads_get_their_answers_and_a_dropped_one_is_cancelled() {
+        let (config, manifest, limits) =
             Limits::for_test(serde_json::json!({"grades": [{"name": "look", "objective": 5.0}]}));
         let front = Builder::new_multi_thread().worker_threads(4).build().expect("threads can be had");
         let core = Builder::new_current_thread().enable_all().build().expect("a runtime can be had");
         let threads = front.handle().clone();
-        let hung = LocalSet::new().block_on(&core, async move {
-            let gate =
-                Rc::new(AdmissionController::new(&waybill.settings, &manifest, Rc::new(limits), false));
-            let (mail, mut inbox) = mpsc::channel(64);
-            let (hatch, desk) = channel::<Nowhere, u64, u64>(64, Clock::start(), gate, mail);
-            drop(spawn_local(desk.run(call, |payload| payload, |answer| (*answer, None))));
-            let asked: Vec<_> = (0..32)
+        let disconnected = LocalSet::new().block_on(&core, async move {
+            let controller =
+                Rc::new(AdmissionController::new(&config.settings, &manifest, Rc::new(limits), false));
+            let (messages, mut inbox) = mpsc::channel(64);
+            let (submitter, intake) =
+                channel::<UnusedTransport, u64, u64>(64, Clock::start(), controller, messages);
+            drop(spawn_local(intake.run(call, |payload| payload, |answer| (*answer, None))));
+            let pending: Vec<_> = (0..32)
                 .map(|id| {
-                    let hatch = hatch.clone();
-                    threads.spawn(async move { (id, hatch.submit(id).await) })
+                    let submitter = submitter.clone();
+                    threads.spawn(async move { (id, submitter.submit(id).await) })
                 })
                 .collect();
-            let leaver = threads.spawn({
-                let hatch = hatch.clone();
-                async move { hatch.submit(1000).await }
+            let dropped = threads.spawn({
+                let submitter = submitter.clone();
+                async move { submitter.submit(1000).await }
             });
-            let (mut left, mut kept) = (None, Vec::new());
-            let hung = loop {
+            let (mut dropped_op, mut kept) = (None, Vec::new());
+            let disconnected = loop {
                 match inbox.recv().await.expect("the desk holds the other end") {
-                    RouteMessage::OpAdmitted(ask, _, payload, client) if *payload == 1000 => {
-                        left = Some(ask.op);
+                    RouteMessage::OpAdmitted(request, _, payload, client) if *payload == 1000 => {
+                        dropped_op = Some(request.op);
                         kept.push(client);
-                        leaver.abort();
+                        dropped.abort();
                     }
                     RouteMessage::OpAdmitted(_, _, payload, client) => {
                         client.send(Reply::Acked(Rc::new(*payload * 2))).expect("its front waits");
                     }
-                    RouteMessage::ClientDisconnected(op) => break Some(op) == left,
+                    RouteMessage::ClientDisconnected(op) => break Some(op) == dropped_op,
                     _ => panic!("nobody sends and nobody probes"),
                 }
             };
-            for asked in asked {
-                let (id, reply) = asked.await.expect("its thread runs");
+            for pending in pending {
+                let (id, reply) = pending.await.expect("its thread runs");
                 assert_eq!(reply, Ok(Reply::Acked(id * 2)));
             }
-            hung
+            disconnected
         });
-        assert!(hung, "the one that left");
+        assert!(disconnected, "the one that left");
         drop(front);
     }
 }
--- a/crates/arrowyard-core/src/transport.rs
+++ b/crates/arrowyard-core/src/transport.rs
@@ -1,4 +1,4 @@
-//! What the core asks of a kind of host connection.
+//! The interface between the core and a protocol that carries ops to database hosts.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -9,24 +9,28 @@
 
 use crate::clock::Clock;
 
-/// One send or probe: how it ended, what the host said of itself, and the answer if it is whole.
+/// One send: its outcome, the status that the host reported, and the answer if it is complete.
 pub type ExchangeResult<A> = (Outcome, HostStatus, Option<A>);
 
-/// How far a send is, as its back tells while it goes on.
+/// Progress of a send, reported by its transport.
 pub struct Progress<A> {
     written: Cell<bool>,
-    begun: Cell<Option<A>>,
-    client_waits: Cell<bool>,
+    begun_answer: Cell<Option<A>>,
+    client_blocked: Cell<bool>,
 }
 
 impl<A> Default for Progress<A> {
     fn default() -> Self {
-        Progress { written: Cell::new(false), begun: Cell::new(None), client_waits: Cell::new(false) }
+        Progress {
+            written: Cell::new(false),
+            begun_answer: Cell::new(None),
+            client_blocked: Cell::new(false),
+        }
     }
 }
 
 impl<A> Progress<A> {
-    /// The payload's last byte is written: before that the send never ran, whatever happens; from now on it may have.
+    /// The payload is written completely: before this call the op cannot have run, after it the op may have run.
     pub fn mark_written(&self) {
         self.written.set(true);
     }
@@ -35,60 +39,60 @@
         self.written.get()
     }
 
-    /// The answer goes to the client now, though the host is not done with it: what is still to come goes by a way
-    /// that the answer itself holds. The op is over with that, and the send goes on till the back ends it.
+    /// Passes a streamed answer to the client before it is complete; the rest follows over a channel in the answer. This
+    /// completes the op, and the send continues until the transport ends it.
     pub fn begin_answer(&self, answer: A) {
-        self.begun.set(Some(answer));
+        self.begun_answer.set(Some(answer));
     }
 
-    /// Whether it is the client that keeps the send from going on. Danger: a client that reads slowly makes a host that
-    /// answered in time look ill.
+    /// Whether the send waits for its client, so that a slow client is not counted as a slow host.
     pub fn set_client_blocked(&self, by_client: bool) {
-        self.client_waits.set(by_client);
+        self.client_blocked.set(by_client);
     }
 
     pub(crate) fn is_client_blocked(&self) -> bool {
-        self.client_waits.get()
+        self.client_blocked.get()
     }
 
-    /// An answer that began since this was last asked.
+    /// The answer that began since the last call.
     pub(crate) fn take_begun_answer(&self) -> Option<A> {
-        self.begun.take()
+        self.begun_answer.take()
     }
 }
 
-/// Carries sends and probes to hosts, over connections of one protocol. It decides nothing: the module chose the
-/// host, and the core ends what takes too long by dropping the future.
+/// Carries sends and probes to hosts over one protocol. It makes no routing decisions; the core enforces deadlines by
+/// dropping the returned future.
 pub trait HostTransport: 'static {
-    /// What a front hands in, and what it gets back; the core understands neither.
+    /// The request and the answer of the front end; both are opaque to the core.
     type Payload: 'static;
     type Answer: 'static;
 
-    /// Sends the payload once, and tells how far it is. Dropping the future gives the send up.
+    /// Sends the payload once and reports its progress. Dropping the future cancels the send.
     fn exchange(
         &self,
         host: HostId,
-        dial: SocketAddr,
+        address: SocketAddr,
         payload: &Self::Payload,
-        until: Timestamp,
+        deadline: Timestamp,
         clock: Clock,
         progress: &Progress<Self::Answer>,
     ) -> impl Future<Output = ExchangeResult<Self::Answer>>;
 
-    /// Asks the host for its report.
-    fn probe(&self, host: HostId, dial: SocketAddr) -> impl Future<Output = (Outcome, HostStatus)>;
+    /// Asks the host for its status.
+    fn probe(&self, host: HostId, address: SocketAddr) -> impl Future<Output = (Outcome, HostStatus)>;
 
-    /// A send begun then was wholly written and not answered.
+    /// A send that started at `since` was written completely and got no answer in time.
     fn send_timed_out(&self, host: HostId, since: Instant);
 
+    /// Closes the idle connections to the host.
     fn close_idle(&self, host: HostId);
 
-    /// Closes what was idle for too long; called from time to time.
+    /// Closes connections that were idle for too long; called periodically.
     fn close_expired(&self) {}
 
-    /// Connections that stand.
+    /// The number of open connections.
     fn open_connections(&self) -> usize;
 
-    /// Connections that were begun since the start.
+    /// The number of connections started since the process started.
     fn connections_started(&self) -> u64;
 }
