--- a/crates/arrowyard-core/src/peers.rs
+++ b/crates/arrowyard-core/src/peers.rs
@@ -1,5 +1,5 @@
-//! The task that belongs to a fleet: a socket for datagrams, the membership's decisions, and what the rest of the router
-//! hears of it. It decides nothing. Without an operator's file that names a fleet none of this is started.
+//! The fleet membership task: connects the decisions of `arrowyard-peers` to a UDP socket and to the other tasks. It is
+//! started only if the operator's file configures a fleet.
 
 use std::collections::HashMap;
 use std::io;
@@ -21,57 +21,56 @@
 use crate::messages::RouteMessage;
 use crate::transport::HostTransport;
 
-/// What others ask of the task.
+/// Commands to the membership task.
 pub enum PeersCommand {
-    /// The module has a word for all.
+    /// Sends a message of the decision module to all members.
     Broadcast(Vec<u8>),
     Show(oneshot::Sender<String>),
-    /// The router ends; answered once that was said.
+    /// Announces that the router leaves; answered once that was sent.
     Leave(oneshot::Sender<()>),
-    /// The machine there refused a datagram for this life of a member.
+    /// The machine refused a datagram to this incarnation of a member.
     PortRefused(Rc<str>, u64),
-    /// How the route stage does: ops taken and acked since the start; nothing where it did not answer in time.
+    /// Ops taken and acknowledged since the start; `None` if the route task did not answer in time.
     ServiceReport(Option<(u64, u64)>),
 }
 
-/// Errands that wait at most, datagrams that are read before others get a turn, and looks under way.
-const ERRANDS: usize = 256;
-const TURN: usize = 16;
-const LOOKS: usize = 32;
-/// How long a refusal may take to come, and the route stage to say how it does.
-const LOOK: Duration = Duration::from_millis(150);
-const STAGE: Duration = Duration::from_secs(2);
-/// A router that took so many ops since it last acked one, for so long, serves nobody.
-const UNSERVED: u64 = 8;
-const UNSERVED_FOR: Duration = Duration::from_secs(2);
+/// Capacity of the command channel, datagrams read before yielding, and concurrent port checks.
+const COMMAND_QUEUE: usize = 256;
+const MAX_DATAGRAMS_PER_TURN: usize = 16;
+const MAX_PORT_CHECKS: usize = 32;
+/// Time-outs of a port check and of a liveness check of the route task.
+const PORT_CHECK_TIMEOUT: Duration = Duration::from_millis(150);
+const LIVENESS_TIMEOUT: Duration = Duration::from_secs(2);
+/// A router is idle if it took this many ops since it last acknowledged one, for this long.
+const MIN_UNSERVED_OPS: u64 = 8;
+const UNSERVED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Microseconds of the machine's monotonic clock, the same for all its processes: what several of them wrote down can be
-/// laid over each other.
+/// Microseconds of the machine's monotonic clock, which is the same for all processes, so that their logs can be merged.
 #[must_use]
 pub fn mono_us() -> i64 {
     let now = clock_gettime(ClockId::Monotonic);
     now.tv_sec * 1_000_000 + now.tv_nsec / 1000
 }
 
-/// Whether ops are served, as seen over time.
-struct Serving {
+/// Detects a router that acknowledges no ops.
+struct ServiceMonitor {
     acked: u64,
     taken: u64,
     since: Instant,
 }
 
-impl Serving {
-    /// Nobody is served: many were taken since the last ack, or the stage does not answer.
+impl ServiceMonitor {
+    /// Whether no op is served: many were taken since the last acknowledgement, or the route task does not answer.
     fn idle(&mut self, told: Option<(u64, u64)>) -> bool {
         let Some((taken, acked)) = told else { return true };
-        if acked > self.acked || taken < self.taken + UNSERVED {
+        if acked > self.acked || taken < self.taken + MIN_UNSERVED_OPS {
             if acked > self.acked {
                 (self.acked, self.taken) = (acked, taken);
             }
             self.since = Instant::now();
             return false;
         }
-        self.since.elapsed() >= UNSERVED_FOR
+        self.since.elapsed() >= UNSERVED_TIMEOUT
     }
 }
 
@@ -79,26 +78,26 @@
     fleet: Membership,
     socket: UdpSocket,
     clock: Clock,
-    errands: mpsc::Receiver<PeersCommand>,
+    commands: mpsc::Receiver<PeersCommand>,
     own: mpsc::Sender<PeersCommand>,
     mail: mpsc::Sender<RouteMessage<B>>,
     shares: bool,
     news: bool,
     routers: f64,
-    looks: Rc<std::cell::Cell<usize>>,
-    asked_stage: Instant,
-    serving: Serving,
-    /// The task that wants leases, and what it was told last.
+    port_checks: Rc<std::cell::Cell<usize>>,
+    last_liveness_check: Instant,
+    serving: ServiceMonitor,
+    /// Commands to the lease task, and the idle state last reported to it.
     leases: Option<mpsc::Sender<leases::LeasesCommand>>,
     idle: bool,
     errors: u64,
 }
 
 impl<B: HostTransport> PeersTask<B> {
-    /// Opens the socket; the task and where its errands go.
+    /// Opens the socket; returns the task and its command channel.
     ///
     /// # Errors
-    /// The address cannot be listened at.
+    /// The address cannot be bound.
     pub async fn open(
         belongs: PeerSettings,
         name: &str,
@@ -113,27 +112,27 @@
         let at = belongs.advertise.unwrap_or(local);
         let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let life = unix.as_millis() as u64;
-        // The earlier start has the lesser mark; what is drawn tells two of one millisecond apart.
+        // Ordered by start time; random bits distinguish two starts in one millisecond.
         let nonce = life << 20 | fastrand::u64(..1 << 20);
         let me = LocalMember { name: name.into(), address: at, incarnation: life, nonce };
         let fleet = belongs.config.fleet.clone();
-        let (own, errands) = mpsc::channel(ERRANDS);
-        let decisions = Membership::new(clock.now(), belongs.config, me, settings, seed ^ nonce);
+        let (own, commands) = mpsc::channel(COMMAND_QUEUE);
+        let membership = Membership::new(clock.now(), belongs.config, me, settings, seed ^ nonce);
         tracing::info!(fleet, at = %at, life, "member of a fleet, datagrams at {local}");
         let moment = Instant::now();
         let peers = PeersTask {
-            fleet: decisions,
+            fleet: membership,
             socket,
             clock,
-            errands,
+            commands,
             own: own.clone(),
             mail,
             shares: belongs.count_members,
             news: belongs.relay_app_messages,
             routers: settings,
-            looks: Rc::default(),
-            asked_stage: moment,
-            serving: Serving { acked: 0, taken: 0, since: moment },
+            port_checks: Rc::default(),
+            last_liveness_check: moment,
+            serving: ServiceMonitor { acked: 0, taken: 0, since: moment },
             leases,
             idle: false,
             errors: 0,
@@ -147,52 +146,52 @@
             let next = self.clock.instant_at(self.fleet.next_deadline());
             tokio::select! {
                 biased;
-                // Time goes first. Danger: after a halt a socket full of old datagrams is taken for news of now.
+                // Timers go first, so that datagrams queued during a halt of the process are not taken as current.
                 () = sleep_until(next) => self.fleet.tick(self.clock.now()),
-                errand = self.errands.recv() => match errand {
-                    Some(errand) => self.errand(errand),
+                command = self.commands.recv() => match command {
+                    Some(command) => self.command(command),
                     None => return,
                 },
                 got = self.socket.recv_from(&mut buffer) => {
                     self.got(got, &buffer);
-                    for _ in 1..TURN {
+                    for _ in 1..MAX_DATAGRAMS_PER_TURN {
                         let Ok(got) = self.socket.try_recv_from(&mut buffer) else { break };
                         self.got(Ok(got), &buffer);
                     }
                     self.carry_out().await;
-                    // Danger: a flood of datagrams keeps the thread from the ops.
+                    // Lets ops run during a flood of datagrams.
                     yield_now().await;
                 }
             }
             self.carry_out().await;
-            self.ask_stage();
+            self.check_route_task();
         }
     }
 
     fn got(&mut self, got: io::Result<(usize, SocketAddr)>, buffer: &[u8]) {
         match got {
             Ok((length, from)) => self.fleet.receive(self.clock.now(), from, &buffer[..length]),
-            // A refusal for some datagram before; which one is not said.
+            // An error for an earlier datagram; the system does not say which one.
             Err(_) => self.errors += 1,
         }
     }
 
-    fn errand(&mut self, errand: PeersCommand) {
+    fn command(&mut self, command: PeersCommand) {
         let now = self.clock.now();
-        match errand {
+        match command {
             PeersCommand::Broadcast(bytes) if self.news => self.fleet.broadcast(now, &bytes),
             PeersCommand::Broadcast(_) => {}
             PeersCommand::Show(client) => drop(client.send(self.report().to_string())),
             PeersCommand::Leave(done) => {
                 self.fleet.leave(now);
-                // Whoever asked may be gone.
+                // The requester may be gone.
                 let _ = done.send(());
             }
             PeersCommand::PortRefused(name, life) => self.fleet.port_refused(&name, life),
             PeersCommand::ServiceReport(told) => {
                 let idle = self.serving.idle(told);
                 self.fleet.set_idle(now, idle);
-                // Full of errands, it hears of it the next time.
+                // If the lease task's channel is full, the state is sent with the next report.
                 if let Some(leases) = self.leases.as_ref().filter(|_| self.idle != idle)
                     && leases.try_send(leases::LeasesCommand::SetEligible(!idle)).is_ok()
                 {
@@ -202,33 +201,35 @@
         }
     }
 
-    /// Asks the route stage how it does, once a period and no more.
-    fn ask_stage(&mut self) {
-        if self.asked_stage.elapsed() < STAGE / 2 {
+    /// Checks the liveness of the route task, once per interval.
+    fn check_route_task(&mut self) {
+        if self.last_liveness_check.elapsed() < LIVENESS_TIMEOUT / 2 {
             return;
         }
-        self.asked_stage = Instant::now();
+        self.last_liveness_check = Instant::now();
         let (mail, own) = (self.mail.clone(), self.own.clone());
         drop(spawn_local(async move {
             let (client, answer) = oneshot::channel();
-            let told = timeout(STAGE, async {
+            let told = timeout(LIVENESS_TIMEOUT, async {
                 mail.send(RouteMessage::CheckLiveness(client)).await.ok()?;
                 answer.await.ok()
             });
             let told = told.await.ok().flatten();
-            // A full channel has other errands that say that it lives.
+            // If the channel is full, the result is dropped.
             let _ = own.try_send(PeersCommand::ServiceReport(told));
         }));
     }
 
     async fn carry_out(&mut self) {
-        for deed in std::mem::take(&mut self.fleet.actions) {
-            match deed {
-                // What cannot be sent now is lost, as the network may lose it; the decisions bear that.
+        for action in std::mem::take(&mut self.fleet.actions) {
+            match action {
+                // A datagram that cannot be sent is lost, which the membership protocol tolerates.
                 Action::Send { to, bytes } => {
                     self.errors += u64::from(self.socket.try_send_to(&bytes, to).is_err());
                 }
-                Action::CheckPort { to, name, incarnation: life, bytes } => self.look(to, name, life, bytes),
+                Action::CheckPort { to, name, incarnation: life, bytes } => {
+                    self.check_port(to, name, life, bytes)
+                }
             }
         }
         for event in std::mem::take(&mut self.fleet.events) {
@@ -251,7 +252,7 @@
         }
         for (from, bytes) in std::mem::take(&mut self.fleet.app_messages) {
             if self.news {
-                self.hear(from, bytes).await;
+                self.forward_message(from, bytes).await;
             }
         }
         if self.shares && self.routers != self.fleet.router_count() {
@@ -265,25 +266,25 @@
         }
     }
 
-    /// Danger: a full inbox of the route stage, and others' news before the ops of this router. It is dropped then.
-    async fn hear(&self, from: PeerId, bytes: Vec<u8>) {
+    /// Passes a message to the route task. It is dropped if the channel is full, since ops have priority.
+    async fn forward_message(&self, from: PeerId, bytes: Vec<u8>) {
         let _ = self.mail.try_send(RouteMessage::PeerMessage(from, bytes));
     }
 
-    /// Whether the machine there refuses datagrams.
-    fn look(&self, to: SocketAddr, name: Rc<str>, life: u64, bytes: Vec<u8>) {
-        if self.looks.get() >= LOOKS {
+    /// Checks whether the machine refuses datagrams to the port.
+    fn check_port(&self, to: SocketAddr, name: Rc<str>, life: u64, bytes: Vec<u8>) {
+        if self.port_checks.get() >= MAX_PORT_CHECKS {
             return;
         }
-        self.looks.set(self.looks.get() + 1);
-        let (looks, own) = (self.looks.clone(), self.own.clone());
+        self.port_checks.set(self.port_checks.get() + 1);
+        let (port_checks, own) = (self.port_checks.clone(), self.own.clone());
         let any: SocketAddr = if to.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0_u16; 8], 0).into() };
         drop(spawn_local(async move {
             let refused = async {
                 let socket = UdpSocket::bind(any).await.ok()?;
                 socket.connect(to).await.ok()?;
                 socket.send(&bytes).await.ok()?;
-                match timeout(LOOK, socket.recv(&mut [0; 64])).await.ok()? {
+                match timeout(PORT_CHECK_TIMEOUT, socket.recv(&mut [0; 64])).await.ok()? {
                     Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => Some(()),
                     _ => None,
                 }
@@ -291,7 +292,7 @@
             if refused.await.is_some() {
                 let _ = own.try_send(PeersCommand::PortRefused(name, life));
             }
-            looks.set(looks.get() - 1);
+            port_checks.set(port_checks.get() - 1);
         }));
     }
 
@@ -354,15 +355,15 @@
     use super::*;
 
     #[tokio::test(start_paused = true)]
-    async fn a_router_that_acks_nothing_of_many_ops_serves_nobody() {
-        let mut serving = Serving { acked: 0, taken: 0, since: Instant::now() };
-        assert!(!serving.idle(Some((5, 0))), "few ops say nothing");
-        tokio::time::advance(UNSERVED_FOR).await;
-        assert!(!serving.idle(Some((UNSERVED - 1, 0))));
-        assert!(!serving.idle(Some((50, 0))), "it has to last");
-        tokio::time::advance(UNSERVED_FOR).await;
+    async fn a_router_that_acknowledges_none_of_many_ops_is_idle() {
+        let mut serving = ServiceMonitor { acked: 0, taken: 0, since: Instant::now() };
+        assert!(!serving.idle(Some((5, 0))), "too few ops to decide");
+        tokio::time::advance(UNSERVED_TIMEOUT).await;
+        assert!(!serving.idle(Some((MIN_UNSERVED_OPS - 1, 0))));
+        assert!(!serving.idle(Some((50, 0))), "not for long enough");
+        tokio::time::advance(UNSERVED_TIMEOUT).await;
         assert!(serving.idle(Some((60, 0))));
         assert!(!serving.idle(Some((60, 1))), "one was served");
-        assert!(serving.idle(None), "the route stage hangs");
+        assert!(serving.idle(None), "the route task hangs");
     }
 }
--- a/crates/arrowyard-core/src/returns.rs
+++ b/crates/arrowyard-core/src/returns.rs
@@ -1,5 +1,5 @@
-//! Coming back: the stored list is read before the start, written while in service, and the start's stages are told. What is
-//! decided of it stands in `arrowyard-startup`; files are `arrowyard-store`'s.
+//! Restart: reads the stored host list before the start, writes it while in service and logs the stages of the start.
+//! Decisions are made by `arrowyard-startup`; `arrowyard-store` reads and writes the files.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -20,17 +20,17 @@
 use crate::messages::RouteMessage;
 use crate::transport::HostTransport;
 
-/// How long a start waits for its disk. Danger: a disk that hangs, and a router that never starts.
-const DISK: Duration = Duration::from_millis(500);
-/// How far clocks may differ, in milliseconds, between two starts.
-const SKEW: u64 = 1000;
+/// How long a start waits for its disk; a disk that hangs must not prevent the start.
+const DISK_TIMEOUT: Duration = Duration::from_millis(500);
+/// How far the clock may differ between two starts, in milliseconds.
+const MAX_CLOCK_SKEW_MS: u64 = 1000;
 
 fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-/// By what a store is known to be of this deployment: its sites, its op types and what is asked of hosts. Numbers that
-/// operators tune are left out, since a new latency target is no other deployment.
+/// A fingerprint of the deployment that a store belongs to: sites, op types and the hosts' domain settings. Tunable
+/// numbers are left out, since a changed latency target does not make another deployment.
 #[must_use]
 pub fn deployment_fingerprint(settings: &Map<String, Value>) -> u64 {
     let names = settings.get("grades").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
@@ -45,14 +45,14 @@
         disk: SystemDisk,
         folder: folder.to_path_buf(),
         deployment: Some(deployment),
-        max_clock_skew_ms: SKEW,
+        max_clock_skew_ms: MAX_CLOCK_SKEW_MS,
     }
 }
 
-/// The list to start with: the platform's own, and what a stored one has beyond it, weighed by its age. Whatever is wrong
-/// with the store is logged and passed over.
+/// The list to start with: the platform's list, extended by stored hosts that are discounted by age. Errors of the store
+/// are logged and ignored.
 ///
-/// With it the number of the stored list, if it is used: what discovery tells under a smaller one is older.
+/// Also returns the version of the stored list if it is used; lists of discovery with a lower version are older.
 pub async fn load_stored_list(
     comes: &StartupSettings,
     deployment: u64,
@@ -61,11 +61,11 @@
     let Some(folder) = comes.store.clone() else { return (known, None) };
     let now = unix_ms();
     let loading = spawn_blocking(move || {
-        // A folder that is not there yet is made, so that the first snapshot finds it.
+        // Creates the folder for the first snapshot.
         let _ = std::fs::create_dir_all(&folder);
         store(&folder, deployment).load(now)
     });
-    let Ok(Ok(loaded)) = timeout(DISK, loading).await else {
+    let Ok(Ok(loaded)) = timeout(DISK_TIMEOUT, loading).await else {
         tracing::warn!("the store did not answer in time: this start goes on without it");
         return (known, None);
     };
@@ -76,17 +76,22 @@
         }
     }
     let Some((_, stored)) = loaded.newest() else {
-        tracing::info!("nothing is stored for this start");
+        tracing::info!("no stored host list was found");
         return (known, None);
     };
     let age = TimeDelta::from_millis(now.saturating_sub(stored.written_ms) as i64);
     let names: Vec<String> =
         known.iter().flat_map(|list| &list.entries).map(|line| line.host.clone()).collect();
-    let weighed = discount_hosts(stored, age, comes.trust, &names);
-    let confidence = weighed.first().map_or(0.0, |one| one.confidence);
+    let discounted = discount_hosts(stored, age, comes.trust, &names);
+    let confidence = discounted.first().map_or(0.0, |one| one.confidence);
     let age_s = age.as_secs_f64();
-    tracing::info!(age_s, hosts = weighed.len(), confidence, "a stored list is used till discovery speaks");
-    let lines = weighed.into_iter().map(|one| HostListEntry {
+    tracing::info!(
+        age_s,
+        hosts = discounted.len(),
+        confidence,
+        "a stored list is used till discovery speaks"
+    );
+    let lines = discounted.into_iter().map(|one| HostListEntry {
         host: one.host.name,
         availability: Availability::Ready,
         address: one.host.dial.parse().ok(),
@@ -101,17 +106,17 @@
     (Some(list), (confidence > 0.0).then_some(stored.version))
 }
 
-/// One start, and what is kept for the next.
+/// Tracks the stages of this start and stores the list for the next one.
 pub struct RouterStartup {
     start: StartupTracker,
     comes: StartupSettings,
     deployment: u64,
     router: String,
     rng: Rng,
-    /// Ops of the start that are in hand: their group, and whether they write.
+    /// Ops in flight during the start: their group, and whether they write.
     ops: HashMap<OpId, (GroupId, bool)>,
     told: Stage,
-    /// Discovery has changed the list since it was saved last; when that was; and whether a write is under way.
+    /// Whether the list changed since it was saved last, when that was, and whether a write is in progress.
     changed: bool,
     saved: Timestamp,
     saving: bool,
@@ -151,7 +156,7 @@
         }
     }
 
-    /// An op had its final answer.
+    /// An op got its final answer.
     pub fn op_finished(&mut self, now: Timestamp, op: OpId, acked: bool) {
         match self.ops.remove(&op) {
             Some((group, write)) if acked => self.start.op_acked(now, group, write),
@@ -165,12 +170,12 @@
         (self.changed, self.version) = (true, version);
     }
 
-    /// When a client that is given back may come again.
+    /// The retry delay for a busy reply, with jitter during the start.
     pub fn retry_after(&mut self, told: Option<TimeDelta>, most: Option<TimeDelta>) -> Option<TimeDelta> {
         most.map_or(told, |most| self.start.retry_after(told, most, &mut self.rng))
     }
 
-    /// What time has changed; what is logged of the start.
+    /// Advances the start and logs its stage and its end.
     pub fn tick(&mut self, now: Timestamp) {
         let full = self.start.tick(now);
         if self.told != self.start.stage() {
@@ -199,7 +204,7 @@
         }
     }
 
-    /// Whether the list is to be written now; it is said once, and till `saved` is called not again.
+    /// Whether to write the list now; once true, it stays false until `save_finished` is called.
     pub fn should_save(&mut self, now: Timestamp) -> bool {
         let due = self.comes.store.is_some()
             && self.changed
@@ -213,11 +218,11 @@
 
     pub fn save_finished(&mut self, failed: bool) {
         self.saving = false;
-        // Danger: a disk that is full is tried as often as time allows, and no more.
+        // A failed write is retried after the normal interval.
         self.changed |= failed;
     }
 
-    /// Writes the list, on a thread of its own: a disk that hangs is waited for by nobody.
+    /// Writes the list on a separate thread, so that a hanging disk delays nothing else.
     pub fn save<B: HostTransport>(
         &self,
         hosts: Vec<arrowyard_store::Host>,
@@ -252,5 +257,5 @@
     }
 }
 
-/// What a route stage has of it, if the operator's file says so.
+/// The startup tracking of a route task, if it is configured.
 pub type OptionalStartup = Option<Box<RouterStartup>>;
--- a/crates/arrowyard-core/src/roster.rs
+++ b/crates/arrowyard-core/src/roster.rs
@@ -1,4 +1,4 @@
-//! The hosts that this router's lists have named: their ids, where to dial them, what was last said of them.
+//! The hosts in this router's lists: their ids, addresses and latest entries.
 
 use std::collections::{HashMap, VecDeque};
 use std::net::SocketAddr;
@@ -17,28 +17,28 @@
 use crate::limits::Limits;
 use crate::list::{HostList, HostListEntry};
 
-/// A group that is nobody's cell.
-fn whole(group: GroupId) -> GroupMemberships {
+/// The membership of a host in a group without cells.
+fn group_membership(group: GroupId) -> GroupMemberships {
     [GroupMembership { group, primary_only: false }].into()
 }
 
+/// The registry of database hosts.
 pub struct HostRegistry {
     ids: HashMap<String, HostId>,
-    dials: Vec<Option<SocketAddr>>,
-    last: Vec<HostEntry>,
+    addresses: Vec<Option<SocketAddr>>,
+    entries: Vec<HostEntry>,
     zones: HashMap<String, ZoneId>,
-    /// By host: its name, its group as lists name it, and its size without what trust makes of it.
-    raw: Vec<(String, GroupId, f64)>,
-    /// A group as a cell sees it, by the lists' group and the cell. Numbers that no list has: they begin where the
-    /// least one ends.
-    views: HashMap<(GroupId, CellId), GroupId>,
-    /// What all routers call the hosts that ceased to be ready since somebody asked.
-    ceased: Vec<u32>,
-    /// Hosts that are gone, and since when; the longest first.
-    gone: VecDeque<(Instant, String)>,
-    /// By host: which whole list named it last, of those that are worked off in slices; and which one is in hand.
-    named: Vec<u64>,
-    turn: u64,
+    /// By host: its name, its group in the lists, and its size before it is scaled by trust.
+    list_values: Vec<(String, GroupId, f64)>,
+    /// The group ids that stand for a list's group within a cell. They count up from `i64::MIN`, which lists don't use.
+    cell_groups: HashMap<(GroupId, CellId), GroupId>,
+    /// Address hashes of hosts that are no longer ready, since the last `take_not_ready`.
+    not_ready: Vec<u32>,
+    /// Removed hosts with the time of removal, oldest first.
+    removed: VecDeque<(Instant, String)>,
+    /// By host: the number of the last full list in slices that named it; and the number of the current one.
+    named_in: Vec<u64>,
+    list_number: u64,
     limits: Rc<Limits>,
 }
 
@@ -47,16 +47,28 @@
         let sites = settings.get("dcs").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
         let sites = sites.iter().filter_map(Value::as_str).enumerate();
         let zones = sites.map(|(n, site)| (site.to_string(), ZoneId(n as u32))).collect();
-        let (ids, dials, last, raw, views, ceased, gone) = Default::default();
-        let (named, turn) = (Vec::new(), 0);
-        HostRegistry { ids, dials, last, zones, raw, views, ceased, gone, named, turn, limits }
+        let (ids, addresses, entries, list_values, cell_groups, not_ready, removed) = Default::default();
+        let (named_in, list_number) = (Vec::new(), 0);
+        HostRegistry {
+            ids,
+            addresses,
+            entries,
+            zones,
+            list_values,
+            cell_groups,
+            not_ready,
+            removed,
+            named_in,
+            list_number,
+            limits,
+        }
     }
 
     pub fn address(&self, host: HostId) -> Option<SocketAddr> {
-        self.dials.get(host.0 as usize).copied().flatten()
+        self.addresses.get(host.0 as usize).copied().flatten()
     }
 
-    /// The list as a note; a saved one is the router's last list before it started.
+    /// Applies a list and returns the event for the decision module; a saved list is the last one before this start.
     pub fn apply_list(&mut self, list: &HostList, saved: bool) -> RouterEvent {
         let form = match (saved, list.is_full) {
             (true, _) => ListKind::Saved,
@@ -69,17 +81,18 @@
         }
     }
 
-    /// From now on lines are of this whole list.
-    pub fn set_list_number(&mut self, turn: u64) {
-        self.turn = turn;
+    /// Entries applied from now on belong to the full list with this number.
+    pub fn set_list_number(&mut self, list_number: u64) {
+        self.list_number = list_number;
     }
 
-    /// The hosts that this whole list did not name: they are gone by it.
-    pub fn missing_hosts(&self, turn: u64) -> Vec<HostListEntry> {
-        let there = self.last.iter().zip(&self.named);
-        let there = there.filter(|(entry, named)| entry.availability != Availability::Gone && **named < turn);
+    /// Removal entries for the hosts that the full list with this number did not name.
+    pub fn missing_hosts(&self, list_number: u64) -> Vec<HostListEntry> {
+        let present = self.entries.iter().zip(&self.named_in);
+        let present = present
+            .filter(|(entry, named_in)| entry.availability != Availability::Gone && **named_in < list_number);
         let line = |entry: &HostEntry| HostListEntry {
-            host: self.raw[entry.host.0 as usize].0.clone(),
+            host: self.list_values[entry.host.0 as usize].0.clone(),
             availability: Availability::Gone,
             address: None,
             site: None,
@@ -88,28 +101,28 @@
             started_at_ms: None,
             is_primary: None,
         };
-        there.map(|(entry, _)| line(entry)).collect()
+        present.map(|(entry, _)| line(entry)).collect()
     }
 
-    /// The id of the host that is gone for longest, if none of its sends can be under way any more; it names another
-    /// from now on. Danger: hosts come and go for as long as the router runs, and what is kept of each adds up.
-    fn forget(&mut self) -> Option<HostId> {
-        let (since, _) = self.gone.front()?;
+    /// The id of the host that was removed first, for reuse, once none of its sends can be in flight. Reuse bounds the
+    /// memory of a router whose hosts are replaced again and again.
+    fn reusable_id(&mut self) -> Option<HostId> {
+        let (since, _) = self.removed.front()?;
         if since.elapsed() < self.limits.removed_host_retention {
             return None;
         }
-        let (_, name) = self.gone.pop_front()?;
+        let (_, name) = self.removed.pop_front()?;
         self.ids.remove(&name)
     }
 
-    /// The group as the cell sees it.
+    /// The id that stands for the group within the cell.
     pub fn cell_group(&mut self, group: GroupId, cell: CellId) -> GroupId {
-        let next = GroupId(i64::MIN + self.views.len() as i64);
-        *self.views.entry((group, cell)).or_insert(next)
+        let next = GroupId(i64::MIN + self.cell_groups.len() as i64);
+        *self.cell_groups.entry((group, cell)).or_insert(next)
     }
 
-    /// The entries as cells divide them: each host in the views of its cells, and in those of the others as their
-    /// primary only. `trust` tells for a cell how much of its size a host that started so lately is trusted with.
+    /// Sets the memberships of the entries: full members in the host's own cells, primary only in the others. `trust`
+    /// gives the fraction of its size that a host of the cell with this start time is trusted with.
     pub fn assign_cells(
         &mut self,
         entries: &mut [HostEntry],
@@ -117,7 +130,7 @@
         mut trust: impl FnMut(CellId, Timestamp) -> f64,
     ) {
         for entry in entries {
-            let (name, group, size) = self.raw[entry.host.0 as usize].clone();
+            let (name, group, size) = self.list_values[entry.host.0 as usize].clone();
             let mut part = 1.0_f64;
             entry.memberships = index
                 .cells_for_host(group, &name)
@@ -132,18 +145,18 @@
         }
     }
 
-    /// All hosts that are there, as they were listed last.
+    /// The latest entries of all hosts that are not removed.
     pub fn current_entries(&self) -> Vec<HostEntry> {
-        self.last.iter().filter(|entry| entry.availability != Availability::Gone).cloned().collect()
+        self.entries.iter().filter(|entry| entry.availability != Availability::Gone).cloned().collect()
     }
 
-    /// The hosts that are there, for the store.
+    /// The hosts that are not removed, in the form of the store.
     pub fn stored_hosts(&self) -> Vec<Host> {
-        let there = self.last.iter().filter(|entry| entry.availability != Availability::Gone);
+        let present = self.entries.iter().filter(|entry| entry.availability != Availability::Gone);
         let zone =
             |id: ZoneId| self.zones.iter().find(|(_, zone)| **zone == id).map(|(name, _)| name.clone());
         let host = |entry: &HostEntry| {
-            let (name, group, size) = &self.raw[entry.host.0 as usize];
+            let (name, group, size) = &self.list_values[entry.host.0 as usize];
             Host {
                 name: name.clone(),
                 dial: self.address(entry.host).map(|dial| dial.to_string()).unwrap_or_default(),
@@ -155,62 +168,64 @@
                 was_primary: entry.is_primary,
             }
         };
-        there.map(host).collect()
+        present.map(host).collect()
     }
 
-    /// What all routers call the hosts that ceased to be ready since this was asked last.
+    /// Address hashes of hosts that are no longer ready, since the last call.
     pub fn take_not_ready(&mut self) -> Vec<u32> {
-        std::mem::take(&mut self.ceased)
+        std::mem::take(&mut self.not_ready)
     }
 
-    /// Whether the list holds the host that all routers call so as ready.
+    /// Whether the host with this address hash is ready.
     pub fn is_ready(&self, tag: u32) -> bool {
-        self.last.iter().any(|entry| entry.address_hash == tag && entry.availability == Availability::Ready)
+        self.entries
+            .iter()
+            .any(|entry| entry.address_hash == tag && entry.availability == Availability::Ready)
     }
 
-    /// How many hosts the list holds as ready.
+    /// The number of ready hosts.
     pub fn ready_count(&self) -> usize {
-        self.last.iter().filter(|entry| entry.availability == Availability::Ready).count()
+        self.entries.iter().filter(|entry| entry.availability == Availability::Ready).count()
     }
 
-    /// The host that all routers call so is held as leaving, by others' word; its entry.
+    /// Marks a ready host as draining because of hints; returns its entry.
     pub fn mark_draining(&mut self, tag: u32) -> Option<HostEntry> {
         let ready =
             |entry: &&mut HostEntry| entry.address_hash == tag && entry.availability == Availability::Ready;
-        let entry = self.last.iter_mut().find(ready)?;
+        let entry = self.entries.iter_mut().find(ready)?;
         entry.availability = Availability::Draining;
         Some(entry.clone())
     }
 
-    /// The hosts of a group, as lists name it, and their names.
+    /// The hosts of a group of the lists, with their names.
     pub fn group_hosts(&self, group: GroupId) -> Vec<(HostId, &str)> {
-        let of = |entry: &&HostEntry| self.raw[entry.host.0 as usize].1 == group;
-        let there = self.last.iter().filter(|entry| entry.availability != Availability::Gone);
-        there.filter(of).map(|entry| (entry.host, &*self.raw[entry.host.0 as usize].0)).collect()
+        let of = |entry: &&HostEntry| self.list_values[entry.host.0 as usize].1 == group;
+        let present = self.entries.iter().filter(|entry| entry.availability != Availability::Gone);
+        present.filter(of).map(|entry| (entry.host, &*self.list_values[entry.host.0 as usize].0)).collect()
     }
 
-    /// The cell in whose name the host is probed: the first whose own it is, else the first that it serves.
+    /// The cell that probes of the host count for: the first that it is a full member of, else the first.
     pub fn probe_cell(&self, host: HostId, index: &CellIndex) -> Option<CellId> {
-        let (name, group, _) = self.raw.get(host.0 as usize)?;
+        let (name, group, _) = self.list_values.get(host.0 as usize)?;
         let mut parts = index.cells_for_host(*group, name);
         let first = parts.next()?;
         let own = std::iter::once(first).chain(parts).find(|(_, guest)| !guest);
         Some(own.unwrap_or(first).0)
     }
 
-    /// Whether the host started within this span.
+    /// Whether the host started within this time.
     pub fn started_within(&self, host: HostId, now: Timestamp, within: TimeDelta) -> bool {
-        let started = self.last.get(host.0 as usize).and_then(|entry| entry.started_at);
+        let started = self.entries.get(host.0 as usize).and_then(|entry| entry.started_at);
         started.is_some_and(|started| now - started < within)
     }
 
     fn entry(&mut self, line: &HostListEntry) -> HostEntry {
         let known = self.ids.get(&line.host).copied();
-        let host = known.or_else(|| self.forget()).unwrap_or(HostId(self.dials.len() as u32));
+        let host = known.or_else(|| self.reusable_id()).unwrap_or(HostId(self.addresses.len() as u32));
         let place = host.0 as usize;
         if known.is_none() {
             self.ids.insert(line.host.clone(), host);
-            let (parts, zone, availability) = (whole(GroupId(0)), ZoneId(0), line.availability);
+            let (parts, zone, availability) = (group_membership(GroupId(0)), ZoneId(0), line.availability);
             let tag = address_hash(&line.host);
             let blank = HostEntry {
                 host,
@@ -222,48 +237,48 @@
                 is_primary: false,
                 started_at: None,
             };
-            if place == self.dials.len() {
-                self.dials.push(None);
-                self.named.push(0);
-                self.last.push(blank);
-                self.raw.push((line.host.clone(), GroupId(0), 1.0));
+            if place == self.addresses.len() {
+                self.addresses.push(None);
+                self.named_in.push(0);
+                self.entries.push(blank);
+                self.list_values.push((line.host.clone(), GroupId(0), 1.0));
             } else {
-                (self.dials[place], self.last[place]) = (None, blank);
-                self.raw[place] = (line.host.clone(), GroupId(0), 1.0);
+                (self.addresses[place], self.entries[place]) = (None, blank);
+                self.list_values[place] = (line.host.clone(), GroupId(0), 1.0);
             }
         }
-        self.named[place] = self.turn;
+        self.named_in[place] = self.list_number;
         let left = line.availability == Availability::Gone
-            && (known.is_none() || self.last[place].availability != Availability::Gone);
+            && (known.is_none() || self.entries[place].availability != Availability::Gone);
         if left {
-            self.gone.push_back((Instant::now(), line.host.clone()));
+            self.removed.push_back((Instant::now(), line.host.clone()));
         } else if line.availability != Availability::Gone {
-            self.gone.retain(|(_, name)| *name != line.host);
+            self.removed.retain(|(_, name)| *name != line.host);
         }
-        self.dials[place] = line.address.or(self.dials[place]);
-        let last = &mut self.last[place];
-        if last.availability == Availability::Ready
+        self.addresses[place] = line.address.or(self.addresses[place]);
+        let entry = &mut self.entries[place];
+        if entry.availability == Availability::Ready
             && line.availability != Availability::Ready
             && known.is_some()
         {
-            self.ceased.push(last.address_hash);
+            self.not_ready.push(entry.address_hash);
         }
-        if last.availability != line.availability || known.is_none() {
-            let dial = self.dials[place];
+        if entry.availability != line.availability || known.is_none() {
+            let dial = self.addresses[place];
             tracing::info!(host = line.host, dial = ?dial, "host is {:?}", line.availability);
         }
-        last.availability = line.availability;
-        let raw = &mut self.raw[place];
-        raw.1 = line.group.map_or(raw.1, GroupId);
-        raw.2 = line.size.unwrap_or(raw.2);
-        (last.memberships, last.size) = (whole(raw.1), raw.2);
-        last.zone = line.site.as_ref().and_then(|site| self.zones.get(site).copied()).unwrap_or(last.zone);
-        last.is_primary =
-            line.is_primary.unwrap_or(last.is_primary && line.availability != Availability::Gone);
+        entry.availability = line.availability;
+        let list_values = &mut self.list_values[place];
+        list_values.1 = line.group.map_or(list_values.1, GroupId);
+        list_values.2 = line.size.unwrap_or(list_values.2);
+        (entry.memberships, entry.size) = (group_membership(list_values.1), list_values.2);
+        entry.zone = line.site.as_ref().and_then(|site| self.zones.get(site).copied()).unwrap_or(entry.zone);
+        entry.is_primary =
+            line.is_primary.unwrap_or(entry.is_primary && line.availability != Availability::Gone);
         if let Some(born) = line.started_at_ms {
-            last.started_at = (born > 0.0).then(|| timestamp_from_millis(born));
+            entry.started_at = (born > 0.0).then(|| timestamp_from_millis(born));
         }
-        last.clone()
+        entry.clone()
     }
 }
 
@@ -272,7 +287,7 @@
     use super::*;
 
     #[tokio::test(start_paused = true)]
-    async fn the_id_of_a_host_that_is_gone_is_given_away_once_its_sends_have_ended() {
+    async fn the_id_of_a_removed_host_is_reused_once_its_sends_ended() {
         let limits = Limits::for_test(serde_json::json!({})).2;
         let mut roster = HostRegistry::new(&Map::new(), Rc::new(limits));
         let mut told = |host: &str, health: &str| {
@@ -287,10 +302,10 @@
         assert_eq!((told("a", "SERVING").0, told("b", "SERVING").0), (0, 1));
         assert_eq!((told("a", "DELETED").0, told("b", "DELETED").0), (0, 1));
         assert_eq!(told("b", "SERVING").0, 1);
-        assert_eq!(told("c", "SERVING").0, 2, "sends to a may be under way");
+        assert_eq!(told("c", "SERVING").0, 2, "sends to a may be in flight");
         tokio::time::advance(limits.removed_host_retention).await;
         assert_eq!(told("d", "SERVING"), (0, address_hash("d")));
         assert_eq!(told("e", "SERVING").0, 3, "b is back");
-        assert_eq!(told("a", "SERVING").0, 4, "the old host is a new one now");
+        assert_eq!(told("a", "SERVING").0, 4, "a removed host gets a new id");
     }
 }
