--- a/crates/arrowyard-core/src/discovery.rs
+++ b/crates/arrowyard-core/src/discovery.rs
@@ -160,7 +160,7 @@
                 if body_bytes.len() > self.limits.max_list_line_bytes {
                     return Err("the list is too long".to_string());
                 }
-                if *body == http::Body::Over || read == 0 {
+                if *body == http::Body::Complete || read == 0 {
                     return if watch {
                         Err("the watch ended".to_string())
                     } else {
--- a/crates/arrowyard-core/src/http.rs
+++ b/crates/arrowyard-core/src/http.rs
@@ -1,52 +1,56 @@
-//! As much of HTTP/1.1 as discovery needs: one GET a connection, an answer whole, chunked or to the end.
+//! A minimal HTTP/1.1 client for discovery: one GET per connection; bodies with a length, chunked or until the end.
 
 use bytes::{Buf, BytesMut};
 
-/// The head of an answer.
+/// The head of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
     pub status: u16,
     pub body: Body,
 }
 
-/// What is still to come of a body.
+/// The state of a body being read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
     Length(usize),
     ToEnd,
-    /// Bytes left of the chunk under way.
+    /// Bytes left of the current chunk.
     Chunk(usize),
     /// The line end after a chunk.
     ChunkEnd,
     ChunkSize,
     Trailer,
-    Over,
+    Complete,
 }
 
 pub fn get(path: &str, authority: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nHost: {authority}\r\nAccept: application/json\r\n\r\n")
 }
 
-/// Takes a line off what came, without its end. Danger: a line without end; more bytes than `most` are an error.
-pub fn line(came: &mut BytesMut, most: usize) -> Result<Option<BytesMut>, String> {
-    match came.iter().position(|&byte| byte == b'\n') {
-        Some(end) if end <= most => {
-            let mut line = came.split_to(end + 1);
+/// Removes a line from the received bytes and returns it without its end; an error if it exceeds `max_bytes`.
+pub fn line(received: &mut BytesMut, max_bytes: usize) -> Result<Option<BytesMut>, String> {
+    match received.iter().position(|&byte| byte == b'\n') {
+        Some(end) if end <= max_bytes => {
+            let mut line = received.split_to(end + 1);
             let ended = line.strip_suffix(b"\r\n").map_or(end, <[u8]>::len);
             line.truncate(ended);
             Ok(Some(line))
         }
-        None if came.len() <= most => Ok(None),
+        None if received.len() <= max_bytes => Ok(None),
         _ => Err("http: a line is too long".to_string()),
     }
 }
 
-/// Takes the head of an answer off what came, once it is whole.
-pub fn head(came: &mut BytesMut, most: usize) -> Result<Option<Head>, String> {
-    let Some(end) = came.windows(4).position(|four| four == b"\r\n\r\n") else {
-        return if came.len() <= most { Ok(None) } else { Err("http: a head is too long".to_string()) };
+/// Removes the head of a response from the received bytes, once it is complete.
+pub fn head(received: &mut BytesMut, max_bytes: usize) -> Result<Option<Head>, String> {
+    let Some(end) = received.windows(4).position(|four| four == b"\r\n\r\n") else {
+        return if received.len() <= max_bytes {
+            Ok(None)
+        } else {
+            Err("http: a head is too long".to_string())
+        };
     };
-    let head = came.split_to(end + 4);
+    let head = received.split_to(end + 4);
     let text = std::str::from_utf8(&head[..end]).map_err(|_| "http: a head is not text")?;
     let mut lines = text.split("\r\n");
     let first = lines.next().unwrap_or_default();
@@ -65,44 +69,49 @@
 }
 
 impl Body {
-    /// Moves what came of the body into `data`; where more must come first, it returns. `most` bounds lines.
-    pub fn take(&mut self, came: &mut BytesMut, data: &mut BytesMut, most: usize) -> Result<(), String> {
+    /// Moves received bytes of the body into `data`; returns if more are needed. `max_bytes` limits lines.
+    pub fn take(
+        &mut self,
+        received: &mut BytesMut,
+        data: &mut BytesMut,
+        max_bytes: usize,
+    ) -> Result<(), String> {
         loop {
             match *self {
-                Body::Over | Body::Length(0) => {
-                    *self = Body::Over;
+                Body::Complete | Body::Length(0) => {
+                    *self = Body::Complete;
                     return Ok(());
                 }
                 Body::ToEnd => {
-                    data.unsplit(came.split());
+                    data.unsplit(received.split());
                     return Ok(());
                 }
                 Body::Length(left) | Body::Chunk(left) => {
-                    if came.is_empty() {
+                    if received.is_empty() {
                         return Ok(());
                     }
-                    let part = left.min(came.len());
-                    data.extend_from_slice(&came[..part]);
-                    came.advance(part);
+                    let part = left.min(received.len());
+                    data.extend_from_slice(&received[..part]);
+                    received.advance(part);
                     *self = match *self {
                         Body::Length(_) => Body::Length(left - part),
                         _ if left == part => Body::ChunkEnd,
                         _ => Body::Chunk(left - part),
                     };
                 }
-                Body::ChunkEnd => match line(came, 1)? {
+                Body::ChunkEnd => match line(received, 1)? {
                     Some(_) => *self = Body::ChunkSize,
                     None => return Ok(()),
                 },
                 Body::ChunkSize => {
-                    let Some(line) = line(came, most)? else { return Ok(()) };
+                    let Some(line) = line(received, max_bytes)? else { return Ok(()) };
                     let digits = std::str::from_utf8(&line).unwrap_or_default();
                     let digits = digits.split(';').next().unwrap_or_default().trim();
                     let size = usize::from_str_radix(digits, 16).map_err(|_| "http: no size of a chunk")?;
                     *self = if size == 0 { Body::Trailer } else { Body::Chunk(size) };
                 }
-                Body::Trailer => match line(came, most)? {
-                    Some(line) if line.is_empty() => *self = Body::Over,
+                Body::Trailer => match line(received, max_bytes)? {
+                    Some(line) if line.is_empty() => *self = Body::Complete,
                     Some(_) => {}
                     None => return Ok(()),
                 },
@@ -117,27 +126,27 @@
 
     const CHUNKED: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;x=1\r\n{\"a\"\r\n4\r\n:1}\n\r\n1\r\n\n\r\n0\r\n\r\n";
 
-    /// The lines of an answer that comes in two pieces, and whether it is over.
+    /// The lines of a response received in two pieces, and whether it is complete.
     fn lines(bytes: &[u8], cut: usize) -> Result<(Vec<String>, bool), String> {
-        let (mut came, mut data, mut body) = (BytesMut::new(), BytesMut::new(), None);
+        let (mut received, mut data, mut body) = (BytesMut::new(), BytesMut::new(), None);
         let mut lines = Vec::new();
         for piece in [&bytes[..cut], &bytes[cut..]] {
-            came.extend_from_slice(piece);
+            received.extend_from_slice(piece);
             if body.is_none() {
-                body = head(&mut came, 100)?.map(|head| head.body);
+                body = head(&mut received, 100)?.map(|head| head.body);
             }
             if let Some(body) = &mut body {
-                body.take(&mut came, &mut data, 100)?;
+                body.take(&mut received, &mut data, 100)?;
                 while let Some(line) = line(&mut data, 100)? {
                     lines.push(String::from_utf8_lossy(&line).into_owned());
                 }
             }
         }
-        Ok((lines, body == Some(Body::Over)))
+        Ok((lines, body == Some(Body::Complete)))
     }
 
     #[test]
-    fn a_chunked_answer_is_read_wherever_it_is_cut() {
+    fn a_chunked_response_is_read_however_it_is_split() {
         for cut in 0..CHUNKED.len() {
             let wanted = (vec![r#"{"a":1}"#.to_string(), String::new()], true);
             assert_eq!(lines(CHUNKED, cut), Ok(wanted), "cut at {cut}");
@@ -145,7 +154,7 @@
     }
 
     #[test]
-    fn hostile_answers_are_refused() {
+    fn invalid_responses_are_rejected() {
         let long = "x".repeat(101);
         let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
         let hostile = [
--- a/crates/arrowyard-core/src/leases.rs
+++ b/crates/arrowyard-core/src/leases.rs
@@ -1,5 +1,5 @@
-//! The task that wants leases and, where the operator's file says so, votes on them: a socket for datagrams, the decisions of
-//! `arrowyard-leases`, votes on disk before they are told, and the duties that are done under a lease. It decides nothing.
+//! The lease task: connects the decisions of `arrowyard-leases` to a UDP socket, stores votes before they are sent, and
+//! performs the duties under a lease.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -27,58 +27,60 @@
 use crate::clock::duration;
 use crate::peers::mono_us;
 
-/// What others ask of the task.
+/// Commands to the lease task.
 pub enum LeasesCommand {
     Show(oneshot::Sender<String>),
-    /// Whether this router is fit to do tasks for all: it serves.
+    /// Whether this router is eligible to hold leases, that is, serves ops.
     SetEligible(bool),
-    /// The router ends; answered once all was given back.
+    /// Releases all leases before the router ends; answered once that is done.
     Leave(oneshot::Sender<()>),
-    /// The image of this number was written, or that failed.
+    /// The snapshot with this number was written, or the write failed.
     VotesStored(u64, bool),
-    /// An act of the duty has ended: the status, or why there is none.
+    /// A call of the duty ended: the status, or the error.
     ActEnded(usize, Result<u16, String>),
 }
 
-const ERRANDS: usize = 256;
-/// Datagrams that are read before others get a turn, and candidates whose addresses a voter remembers.
-const TURN: usize = 32;
-const CANDIDATES: usize = 4096;
-/// How long a start waits for its disk.
-const DISK: Duration = Duration::from_millis(500);
-/// What the taker answers to an act that came too late.
-const BEHIND: u16 = 409;
+const COMMAND_QUEUE: usize = 256;
+/// Datagrams read before yielding, and candidates whose addresses a voter remembers.
+const MAX_DATAGRAMS_PER_TURN: usize = 32;
+const MAX_CANDIDATES: usize = 4096;
+/// How long the start waits for the disk.
+const DISK_TIMEOUT: Duration = Duration::from_millis(500);
+/// The status by which a receiver rejects an act with an outdated epoch.
+const STALE_EPOCH_STATUS: u16 = 409;
 
-/// The clock that leases are counted by: it runs on while the machine is suspended. Danger: a holder whose clock stood still
-/// with its machine believes to hold what the voters have long given to another.
+/// The clock for leases. It continues while the machine is suspended; otherwise a holder could believe that it holds a
+/// lease that the voters have granted to another one.
 #[derive(Clone, Copy, Debug)]
 struct LeaseClock {
-    /// By how many millionths it is wrong on purpose.
-    off_ppm: i64,
+    /// An artificial drift for tests, in parts per million.
+    drift_ppm: i64,
 }
 
 impl LeaseClock {
     fn start() -> LeaseClock {
-        // For tests of clocks beyond the bound; a release build has no such switch.
+        // For tests of clocks that drift too far; not in release builds.
         #[cfg(debug_assertions)]
         let off = std::env::var("ARROWYARD_TEST_CLOCK_PPM").ok().and_then(|told| told.parse().ok());
         #[cfg(not(debug_assertions))]
         let off = None;
-        LeaseClock { off_ppm: off.unwrap_or(0) }
+        LeaseClock { drift_ppm: off.unwrap_or(0) }
     }
 
     fn now(self) -> Timestamp {
         let now = clock_gettime(ClockId::Boottime);
         let us = now.tv_sec * 1_000_000 + now.tv_nsec / 1000;
-        Timestamp::from_micros(us + us / 1_000_000 * self.off_ppm + us % 1_000_000 * self.off_ppm / 1_000_000)
+        Timestamp::from_micros(
+            us + us / 1_000_000 * self.drift_ppm + us % 1_000_000 * self.drift_ppm / 1_000_000,
+        )
     }
 }
 
-/// A duty, and how far it is.
-struct Doing {
+/// The state of a duty.
+struct DutyState {
     duty: Duty,
     lease: LeaseId,
-    /// When it is done next, and whether an act is under way.
+    /// When the next act starts, and whether one is in progress.
     next: Timestamp,
     acting: bool,
     acts: u64,
@@ -96,33 +98,33 @@
     me: Option<VoterId>,
     store: Option<PathBuf>,
     socket: UdpSocket,
-    /// Where candidates are, and when each was heard last.
+    /// Addresses of candidates, and the last contact with each.
     candidates: HashMap<CandidateId, (SocketAddr, Timestamp)>,
-    doing: Vec<Doing>,
+    doing: Vec<DutyState>,
     rng: Rng,
-    errands: mpsc::Receiver<LeasesCommand>,
+    commands: mpsc::Receiver<LeasesCommand>,
     own: mpsc::Sender<LeasesCommand>,
     dropped: u64,
     writes: Rc<Cell<u64>>,
     stage: &'static str,
     drifts: HashMap<VoterId, i64>,
-    /// No act is begun any more; whether it is fit to hold leases; and who waits for their being given back.
-    stops: bool,
+    /// Whether no further act starts, whether the router is eligible, and who waits for the release of all leases.
+    is_stopped: bool,
     fit: bool,
-    leaving: Option<oneshot::Sender<()>>,
+    release_waiter: Option<oneshot::Sender<()>>,
 }
 
 fn path(folder: &Path) -> PathBuf {
     folder.join("votes")
 }
 
-/// What the voter kept. Nothing where there is nothing, or what there is cannot be used: then what it granted is lost.
+/// The voter's stored snapshot; `None` if there is none or it is unusable, in which case its grants are unknown.
 async fn load(folder: PathBuf, group: u64, name: String) -> Option<VoterSnapshot> {
     let reading = spawn_blocking(move || {
         let _ = std::fs::create_dir_all(&folder);
         SystemDisk.read(&path(&folder), storage::MAX_FILE_BYTES)
     });
-    let read = match timeout(DISK, reading).await {
+    let read = match timeout(DISK_TIMEOUT, reading).await {
         Ok(Ok(Ok((bytes, _)))) => storage::decode(&bytes, group, &name).map_err(|why| format!("{why:?}")),
         Ok(Ok(Err(error))) => Err(error.to_string()),
         _ => Err("the disk did not answer in time".to_string()),
@@ -131,10 +133,10 @@
 }
 
 impl LeasesTask {
-    /// Opens the socket; the task and where its errands go.
+    /// Opens the socket; returns the task and its command channel.
     ///
     /// # Errors
-    /// The address cannot be listened at, or a voter has no place for its votes.
+    /// The address cannot be bound, or a voter has no folder for its votes.
     pub async fn open(
         joins: LeaseSettings,
         name: &str,
@@ -154,20 +156,20 @@
             let image = load(folder, group, name.to_string()).await;
             voter = Some(Voter::start(clock.now(), terms, me, image, fastrand::u64(..)));
         }
-        // Drawn anew by each process, whatever its seed: two of one name are two candidates.
+        // Random for each process, so that two processes with one name are two candidates.
         let id = CandidateId(fastrand::u64(1..) ^ mono_us().unsigned_abs().rotate_left(20));
         let mut rng = Rng::with_seed(seed ^ id.0);
         let mut candidate = Candidate::new(terms, id);
         let now = clock.now();
-        // One draw for all its duties: what is asked for together stays together.
+        // One draw for all duties, so that leases requested together stay together.
         let draw = rng.f64();
         let doing = |duty: Duty| {
             let lease = lease_id(&duty.name);
             candidate.request(now, lease, duty.rank, draw);
-            Doing { lease, duty, next: now, acting: false, acts: 0, failed: 0 }
+            DutyState { lease, duty, next: now, acting: false, acts: 0, failed: 0 }
         };
         let doing = duties.into_iter().map(doing).collect();
-        let (own, errands) = mpsc::channel(ERRANDS);
+        let (own, commands) = mpsc::channel(COMMAND_QUEUE);
         let votes = me.is_some();
         tracing::info!(fleet, votes, candidate = format!("{:016x}", id.0), "leases at {local}");
         let leases = LeasesTask {
@@ -184,15 +186,15 @@
             candidates: HashMap::new(),
             doing,
             rng,
-            errands,
+            commands,
             own: own.clone(),
             dropped: 0,
             writes: Rc::default(),
             stage: "",
             drifts: HashMap::new(),
-            stops: false,
+            is_stopped: false,
             fit: true,
-            leaving: None,
+            release_waiter: None,
         };
         Ok((leases, own))
     }
@@ -203,20 +205,20 @@
             let next = self.next();
             tokio::select! {
                 biased;
-                // Time goes first. Danger: after a halt what waits in the socket is of before.
+                // Timers go first, so that datagrams queued during a halt of the process are not taken as current.
                 () = sleep_until(next) => self.tick(),
-                errand = self.errands.recv() => match errand {
-                    Some(errand) => self.errand(errand),
+                command = self.commands.recv() => match command {
+                    Some(command) => self.command(command),
                     None => return,
                 },
                 got = self.socket.recv_from(&mut buffer) => {
                     self.tick();
                     self.got(got, &buffer);
-                    for _ in 1..TURN {
+                    for _ in 1..MAX_DATAGRAMS_PER_TURN {
                         let Ok(got) = self.socket.try_recv_from(&mut buffer) else { break };
                         self.got(Ok(got), &buffer);
                     }
-                    // Danger: a flood of datagrams keeps the thread from the ops.
+                    // Lets ops run during a flood of datagrams.
                     yield_now().await;
                 }
             }
@@ -225,10 +227,10 @@
     }
 
     fn next(&self) -> Instant {
-        let acts = self.doing.iter().filter(|one| !one.acting && !self.stops).filter_map(|one| {
+        let acts = self.doing.iter().filter(|one| !one.acting && !self.is_stopped).filter_map(|one| {
             let now = self.clock.now();
             let permit = self.candidate.permit(now, one.lease)?;
-            // One that does not last long enough for an act is waited for till it is granted again.
+            // A lease that is too short for an act has to be renewed first.
             permit.allows(now, one.duty.max_duration).then_some(one.next)
         });
         let voter = self.voter.as_ref().and_then(Voter::next_at);
@@ -251,8 +253,8 @@
             return;
         };
         if let Message::Request { from: id, .. } | Message::Release { from: id, .. } = &word {
-            if self.candidates.len() >= CANDIDATES && !self.candidates.contains_key(id) {
-                // Danger: invented candidates. The one that was silent for longest gives way.
+            if self.candidates.len() >= MAX_CANDIDATES && !self.candidates.contains_key(id) {
+                // Bounds memory against forged candidates: the one silent for longest is removed.
                 let oldest = self.candidates.iter().min_by_key(|(_, (_, at))| *at).map(|(id, _)| *id);
                 if let Some(id) = oldest {
                     self.candidates.remove(&id);
@@ -263,13 +265,13 @@
         self.take(&word);
     }
 
-    /// A word that came, or that this router says to itself.
+    /// Handles a message from the network or from this router itself.
     fn take(&mut self, word: &Message) {
         let now = self.clock.now();
         match word {
             Message::Response { .. } | Message::Available { .. } => {
                 if let Some((voter, ppm)) = self.clocks.observe(now, word) {
-                    // Danger: beyond the bound two may hold one lease at a time. It is said, once a voter.
+                    // Beyond the bound two routers may hold one lease. Logged once for each voter.
                     if self.drifts.insert(voter, ppm).is_none() {
                         let voter = &self.voters[usize::from(voter.0)].0;
                         tracing::error!(
@@ -286,9 +288,9 @@
         }
     }
 
-    /// Sends what is to be sent, keeps what is to be kept, and tells what happened.
+    /// Sends messages, stores votes and logs events.
     fn carry_out(&mut self) {
-        // Each turn hands on what this router says to itself; a candidate's word, a voter's answer, what follows from it.
+        // Each round delivers messages of this router to itself: a candidate's request, the voter's response and so on.
         for _ in 0..4 {
             let mut words = std::mem::take(&mut self.candidate.outbox);
             if let Some(voter) = &mut self.voter {
@@ -326,12 +328,12 @@
         self.act(self.clock.now());
     }
 
-    /// What cannot be sent now is lost, as the network may lose it; the decisions bear that.
+    /// A datagram that cannot be sent is lost, which the protocol tolerates.
     fn send(&self, to: SocketAddr, word: &Message) {
         let _ = self.socket.try_send_to(&message::encode(word, self.group), to);
     }
 
-    /// Votes are on disk before they are told; on a thread of its own, so that no op waits for the disk.
+    /// Stores votes before they are sent, on a separate thread, so that no op waits for the disk.
     fn keep(&self, number: u64, bytes: Vec<u8>) {
         let (Some(folder), own, writes) = (self.store.clone(), self.own.clone(), self.writes.clone()) else {
             return;
@@ -345,7 +347,7 @@
             let written = written.await.map_err(std::io::Error::other).and_then(|done| done);
             if let Err(why) = &written {
                 tracing::warn!("votes could not be kept, and are not told: {why}");
-                // Danger: a disk that is full is written to as fast as it fails.
+                // Limits the rate of failing writes.
                 tokio::time::sleep(Duration::from_millis(200)).await;
             }
             writes.set(writes.get() + 1);
@@ -385,9 +387,9 @@
         }
     }
 
-    /// Duties that are due are done, where the lease lasts.
+    /// Starts the acts that are due and fit into their leases.
     fn act(&mut self, now: Timestamp) {
-        if self.stops {
+        if self.is_stopped {
             return;
         }
         for (at, one) in self.doing.iter_mut().enumerate() {
@@ -404,39 +406,39 @@
                 let epoch = permit.epoch.0;
                 tracing::debug!(mono_us = mono_us(), lease = duty.name, epoch, "act begins");
                 let within = duration(duty.max_duration);
-                let acted = timeout(within, call(&duty, permit, clock)).await;
-                let acted = acted.unwrap_or_else(|_| Err("no answer in time".to_string()));
-                tracing::debug!(mono_us = mono_us(), lease = duty.name, epoch, "act ends: {acted:?}");
-                let _ = own.send(LeasesCommand::ActEnded(at, acted)).await;
+                let result = timeout(within, perform_act(&duty, permit, clock)).await;
+                let result = result.unwrap_or_else(|_| Err("no answer in time".to_string()));
+                tracing::debug!(mono_us = mono_us(), lease = duty.name, epoch, "act ends: {result:?}");
+                let _ = own.send(LeasesCommand::ActEnded(at, result)).await;
             }));
             one.acting = true;
         }
     }
 
-    fn errand(&mut self, errand: LeasesCommand) {
-        match errand {
+    fn command(&mut self, command: LeasesCommand) {
+        match command {
             LeasesCommand::Show(client) => drop(client.send(self.report())),
             LeasesCommand::SetEligible(fit) => {
                 tracing::info!(mono_us = mono_us(), fit, "fit to hold leases");
-                if self.leaving.is_none() {
-                    self.stops = !fit;
+                if self.release_waiter.is_none() {
+                    self.is_stopped = !fit;
                 }
                 self.fit = fit;
-                self.stop();
+                self.release_if_idle();
             }
             LeasesCommand::Leave(done) => {
-                (self.stops, self.leaving) = (true, Some(done));
-                self.stop();
+                (self.is_stopped, self.release_waiter) = (true, Some(done));
+                self.release_if_idle();
             }
             LeasesCommand::VotesStored(number, done) => {
                 self.voter.iter_mut().for_each(|voter| voter.write_finished(number, done));
             }
-            LeasesCommand::ActEnded(at, acted) => {
+            LeasesCommand::ActEnded(at, result) => {
                 let Some(one) = self.doing.get_mut(at) else { return };
                 (one.acting, one.acts) = (false, one.acts + 1);
-                match acted {
+                match result {
                     Ok(200..=299) => {}
-                    Ok(BEHIND) => {
+                    Ok(STALE_EPOCH_STATUS) => {
                         one.failed += 1;
                         tracing::warn!(
                             lease = one.duty.name,
@@ -448,24 +450,23 @@
                         tracing::warn!(lease = one.duty.name, "an act failed: {failed:?}");
                     }
                 }
-                self.stop();
+                self.release_if_idle();
             }
         }
     }
 
-    /// Gives back what is to be given back, once no act is under way. Danger: an act that was begun goes on at whoever takes it,
-    /// though its call is given up here, and the next holder's act meets it (a test with processes found it). An act lasts no
-    /// longer than it may take, which is less than half of a term.
-    fn stop(&mut self) {
+    /// Releases leases once no act is in progress. A started act may continue at its receiver after its call is cancelled
+    /// here and would overlap with the next holder's act. An act's time limit is less than half of a term.
+    fn release_if_idle(&mut self) {
         if self.doing.iter().any(|one| one.acting) {
             return;
         }
         let (now, rng) = (self.clock.now(), &mut self.rng);
         self.candidate.set_eligible(now, self.fit, || rng.f64());
-        if let Some(done) = self.leaving.take() {
+        if let Some(done) = self.release_waiter.take() {
             self.candidate.release_all();
             self.carry_out();
-            // Whoever asked may be gone.
+            // The requester may be gone.
             let _ = done.send(());
         }
     }
@@ -498,12 +499,12 @@
     }
 }
 
-/// One act: a call that carries the lease, its epoch and how long it lasts. The status that came back.
-async fn call(duty: &Duty, permit: Permit, clock: LeaseClock) -> Result<u16, String> {
+/// One act: an HTTP call with the lease, its epoch and its remaining time. Returns the status of the response.
+async fn perform_act(duty: &Duty, permit: Permit, clock: LeaseClock) -> Result<u16, String> {
     let failed = |error: std::io::Error| error.to_string();
     let mut stream = TcpStream::connect(duty.address).await.map_err(failed)?;
-    // The last moment. Danger: connecting took long, or the process was halted since it looked; from here on only the
-    // epoch, which the taker looks at, tells that the lease has ended.
+    // Checked after connecting, which may take long. From here on only the receiver's check of the epoch detects that the
+    // lease has ended.
     let now = clock.now();
     if !permit.allows(now, TimeDelta::ZERO) {
         return Err("the lease ended before the act began".to_string());
@@ -516,13 +517,13 @@
          Epoch: {epoch}\r\nHolder: {holder:016x}\r\nLeft-Ms: {left_ms}\r\n\r\n"
     );
     stream.write_all(request.as_bytes()).await.map_err(failed)?;
-    let mut came = Vec::new();
-    while came.len() < 1024 && !came.windows(2).any(|two| two == b"\r\n") {
-        if stream.read_buf(&mut came).await.map_err(failed)? == 0 {
+    let mut received = Vec::new();
+    while received.len() < 1024 && !received.windows(2).any(|two| two == b"\r\n") {
+        if stream.read_buf(&mut received).await.map_err(failed)? == 0 {
             return Err("the answer broke off".to_string());
         }
     }
-    let text = String::from_utf8_lossy(&came);
+    let text = String::from_utf8_lossy(&received);
     let status = text.strip_prefix("HTTP/1.").and_then(|rest| rest.split(' ').nth(1)?.get(..3)?.parse().ok());
     status.ok_or_else(|| "no status".to_string())
 }
--- a/crates/arrowyard-core/src/lib.rs
+++ b/crates/arrowyard-core/src/lib.rs
@@ -1,8 +1,7 @@
-//! The stages of an op's life that no protocol knows of, on one thread, and the tasks beside them. A front decodes
-//! what clients say into a [`ClientRequest`], has it admitted by the [`AdmissionController`](admission::AdmissionController), and hands the op in as
-//! [`RouteMessage`](messages::RouteMessage) with a payload that it alone understands and a place for the one final [`Reply`]. The route
-//! stage asks the decision module where the op goes, and a [`HostTransport`] carries each send out. Whatever front and back
-//! are put together, decisions and rules are the same.
+//! The protocol-independent pipeline of an op, on one thread, and the tasks beside it. A front end decodes client input
+//! into a [`ClientRequest`], has it admitted by the [`AdmissionController`](admission::AdmissionController) and sends it
+//! as a [`RouteMessage`](messages::RouteMessage) with an opaque payload and a channel for its one final [`Reply`]. The
+//! route task asks the decision module where the op goes, and a [`HostTransport`] carries out each send.
 
 pub mod admission;
 pub mod cell_scheduler;
--- a/crates/arrowyard-core/src/logger.rs
+++ b/crates/arrowyard-core/src/logger.rs
@@ -1,5 +1,5 @@
-//! Structured logs: a line an event on standard error, as text or as JSON, and only so many a second. Fields are
-//! named alike wherever they stand: op, host, group, tenant, cell, send, outcome.
+//! Structured logs: one line per event on standard error, as text or JSON, with a rate limit. Common field names are op,
+//! host, group, tenant, cell, send and outcome.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
@@ -13,45 +13,45 @@
 use tracing_subscriber::Layer;
 use tracing_subscriber::layer::{Context, SubscriberExt};
 
-/// How lines are written.
+/// The format of log lines.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum LogFormat {
-    /// For people.
+    /// Readable text.
     #[default]
     Text,
-    /// For programs, one object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// What is logged, and how.
+/// The configuration of the log.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LogConfig {
-    /// Which router speaks.
+    /// The router's name.
     pub name: String,
     pub format: LogFormat,
     pub level: LevelFilter,
-    /// LineLayer of a second at most, up to the level `info`.
+    /// The rate limit in lines per second, at levels up to `info`.
     pub max_lines_per_second: u32,
 }
 
 impl LogConfig {
-    /// Of a router without an operator's file: `ARROWYARD_LOG` names the level, `info` otherwise.
+    /// For a router without an operator's file: the level is `ARROWYARD_LOG`, or `info`.
     pub fn from_env(name: &str, lines: u32) -> Self {
-        let told = std::env::var("ARROWYARD_LOG").ok().and_then(|level| level.parse().ok());
-        let level = told.unwrap_or(LevelFilter::INFO);
+        let parsed = std::env::var("ARROWYARD_LOG").ok().and_then(|level| level.parse().ok());
+        let level = parsed.unwrap_or(LevelFilter::INFO);
         LogConfig { name: name.to_string(), format: LogFormat::Text, level, max_lines_per_second: lines }
     }
 }
 
-/// Starts logging; a second router in one process logs as the first.
-pub fn start(book: LogConfig) {
-    let (level, lines) = (book.level, LineLayer { book, bound: LineRateLimit::default() });
+/// Starts logging. A second router in one process uses the first one's log.
+pub fn start(config: LogConfig) {
+    let (level, lines) = (config.level, LineLayer { config, rate_limit: LineRateLimit::default() });
     let subscriber = tracing_subscriber::registry().with(lines.with_filter(level));
-    // Fails only where one was set before, as by a second router in one test.
+    // Fails only if a logger is set already.
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
 
-/// Counts the lines of a second.
+/// Limits the lines per second.
 #[derive(Default)]
 struct LineRateLimit {
     second: AtomicU64,
@@ -60,7 +60,7 @@
 }
 
 impl LineRateLimit {
-    /// How many lines were not written since the last one that was; nothing if this one is not to be either.
+    /// The number of lines dropped since the last written one; `None` if this line is dropped too.
     fn admit(&self, second: u64, most: u32) -> Option<u32> {
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
@@ -74,11 +74,11 @@
 }
 
 struct LineLayer {
-    book: LogConfig,
-    bound: LineRateLimit,
+    config: LogConfig,
+    rate_limit: LineRateLimit,
 }
 
-/// What an event says: its message, and its fields in order.
+/// The message and the fields of an event, in order.
 #[derive(Default)]
 struct EventRecord {
     message: String,
@@ -124,12 +124,12 @@
 }
 
 impl EventRecord {
-    fn line(self, book: &LogConfig, unix_ms: u128, level: &str, stage: &str, dropped: u32) -> String {
+    fn line(self, config: &LogConfig, unix_ms: u128, level: &str, stage: &str, dropped: u32) -> String {
         let (seconds, millis) = (unix_ms / 1000, unix_ms % 1000);
-        if book.format == LogFormat::Json {
+        if config.format == LogFormat::Json {
             let mut object = Map::new();
             object.insert("unix_ms".to_string(), Value::from(unix_ms as u64));
-            let head = [("router", book.name.as_str()), ("level", level), ("stage", stage)];
+            let head = [("router", config.name.as_str()), ("level", level), ("stage", stage)];
             let head = head.map(|(name, text)| (name.to_string(), Value::from(text)));
             object.extend(head);
             object.insert("message".to_string(), self.message.into());
@@ -139,7 +139,7 @@
             }
             return Value::Object(object).to_string();
         }
-        let mut line = format!("{seconds}.{millis:03} {} {level} {stage}: {}", book.name, self.message);
+        let mut line = format!("{seconds}.{millis:03} {} {level} {stage}: {}", config.name, self.message);
         for (name, value) in self.fields {
             let _ = match value {
                 Value::String(text) => write!(line, " {name}={text}"),
@@ -149,7 +149,7 @@
         if dropped > 0 {
             let _ = write!(line, " (and {dropped} lines not written)");
         }
-        // Danger: what others sent is quoted, and a line end in it would begin a line of its own.
+        // Quoted input may contain line ends, which would forge log lines.
         if line.contains(char::is_control) {
             line = line.replace(char::is_control, " ");
         }
@@ -160,17 +160,16 @@
 impl<S: Subscriber> Layer<S> for LineLayer {
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        // Danger: whoever reads the log is slow, and a storm of lines stops the router. Who asks for a trace
-        // wants all of it.
+        // A slow reader of the log must not block the router. Levels above `info` are not limited.
         let most =
-            if self.book.level <= LevelFilter::INFO { self.book.max_lines_per_second } else { u32::MAX };
-        let Some(dropped) = self.bound.admit(now.as_secs(), most) else { return };
-        let mut said = EventRecord::default();
-        event.record(&mut said);
+            if self.config.level <= LevelFilter::INFO { self.config.max_lines_per_second } else { u32::MAX };
+        let Some(dropped) = self.rate_limit.admit(now.as_secs(), most) else { return };
+        let mut record = EventRecord::default();
+        event.record(&mut record);
         let (level, target) = (event.metadata().level().as_str(), event.metadata().target());
         let stage = target.rsplit("::").next().unwrap_or_default();
-        let line = said.line(&self.book, now.as_millis(), level, stage, dropped);
-        // A log that cannot be written is no reason to stop.
+        let line = record.line(&self.config, now.as_millis(), level, stage, dropped);
+        // A failure to write the log is ignored.
         let _ = writeln!(std::io::stderr(), "{line}");
     }
 }
@@ -180,35 +179,38 @@
     use super::*;
 
     #[test]
-    fn lines_beyond_the_bound_are_counted_and_told_with_the_next_one() {
-        let bound = LineRateLimit::default();
+    fn lines_beyond_the_limit_are_counted_and_reported_with_the_next_one() {
+        let rate_limit = LineRateLimit::default();
         assert_eq!(
-            [bound.admit(1, 2), bound.admit(1, 2), bound.admit(1, 2), bound.admit(1, 2)],
+            [rate_limit.admit(1, 2), rate_limit.admit(1, 2), rate_limit.admit(1, 2), rate_limit.admit(1, 2)],
             [Some(0), Some(0), None, None]
         );
-        assert_eq!([bound.admit(2, 2), bound.admit(2, 2)], [Some(2), Some(0)]);
+        assert_eq!([rate_limit.admit(2, 2), rate_limit.admit(2, 2)], [Some(2), Some(0)]);
     }
 
     #[test]
-    fn a_line_is_one_line_whatever_is_quoted_and_json_can_be_read() {
+    fn control_characters_are_replaced_and_json_is_valid() {
         for (form, wanted) in
             [(LogFormat::Text, "1.002 n0 WARN admit: no room cell=a tenant=x y z"), (LogFormat::Json, "")]
         {
-            let book = LogConfig {
+            let config = LogConfig {
                 name: "n0".to_string(),
                 format: form,
                 level: LevelFilter::INFO,
                 max_lines_per_second: 9,
             };
             let fields = vec![("cell", Value::from("a")), ("tenant", Value::from("x\ny\u{1b}z"))];
-            let line =
-                EventRecord { message: "no room".to_string(), fields }.line(&book, 1002, "WARN", "admit", 0);
+            let line = EventRecord { message: "no room".to_string(), fields }
+                .line(&config, 1002, "WARN", "admit", 0);
             assert!(!line.contains(char::is_control), "{line}");
             match form {
                 LogFormat::Text => assert_eq!(line, wanted),
                 LogFormat::Json => {
-                    let told: Value = serde_json::from_str(&line).expect("it is JSON");
-                    assert_eq!((&told["tenant"], &told["unix_ms"]), (&"x\ny\u{1b}z".into(), &1002.into()));
+                    let parsed: Value = serde_json::from_str(&line).expect("it is JSON");
+                    assert_eq!(
+                        (&parsed["tenant"], &parsed["unix_ms"]),
+                        (&"x\ny\u{1b}z".into(), &1002.into())
+                    );
                 }
             }
         }
--- a/crates/arrowyard-core/src/reload.rs
+++ b/crates/arrowyard-core/src/reload.rs
@@ -1,4 +1,4 @@
-//! A new file while in service: on SIGHUP it is read once more, and discovery is reached where it says now.
+//! Reload on SIGHUP: reads the configuration file and the operator's file again.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -14,55 +14,56 @@
 use crate::router_config::RouterConfig;
 use crate::transport::HostTransport;
 
-/// Reads the operator's file; nothing if it says nothing of cells.
+/// Reads the layout of cells from the operator's file; `None` if it has no cells.
 pub type LoadLayout = Arc<dyn Fn() -> Result<Option<Layout>, String> + Send + Sync>;
 
+/// The task that handles SIGHUP.
 pub struct ReloadTask<B: HostTransport> {
     pub discovery: mpsc::Sender<DiscoveryCommand>,
     pub limits: Rc<Limits>,
-    /// The operator's file, if there is one, and who takes what it says.
+    /// How the operator's file is read, if there is one, and the channel to the route task.
     pub layout_source: Option<(LoadLayout, mpsc::Sender<RouteMessage<B>>)>,
 }
 
 impl<B: HostTransport> ReloadTask<B> {
-    /// Goes on for as long as signals can come. All but discovery's address holds from the start to the end.
+    /// Handles signals until the router ends. Of the configuration file only discovery's address is reloaded.
     pub async fn run(self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             match self.read().await {
                 Ok(waybill) => {
                     tracing::info!(discovery = %waybill.discovery, "SIGHUP: the file was read again");
-                    // Discovery's task is gone only when the router ends.
+                    // Discovery's task ends only with the router.
                     let _ = self.discovery.send(DiscoveryCommand::SetAddress(waybill.discovery)).await;
                 }
                 Err(why) => tracing::error!("SIGHUP: nothing changes: {why}"),
             }
-            self.reread().await;
+            self.reload_layout().await;
         }
     }
 
-    /// Danger: a file that cannot be used is taken in part. It is refused whole, and all stays as it was.
-    async fn reread(&self) {
+    /// Applies a new operator's file completely; an invalid one is rejected and nothing changes.
+    async fn reload_layout(&self) {
         let Some((read, mail)) = &self.layout_source else { return };
-        // Danger: a large file is read and checked on the one thread, and every op waits for it.
+        // Reading and checking a large file on the core's thread would delay every op.
         let read = read.clone();
-        let told = spawn_blocking(move || read()).await;
-        match told.unwrap_or_else(|error| Err(error.to_string())) {
+        let loaded = spawn_blocking(move || read()).await;
+        match loaded.unwrap_or_else(|error| Err(error.to_string())) {
             Ok(Some(layout)) => drop(mail.send(RouteMessage::LayoutReloaded(Box::new(layout))).await),
             Ok(None) => tracing::error!("SIGHUP: the operator's file has no cells; they stay as they are"),
             Err(why) => why.lines().for_each(|line| tracing::error!("SIGHUP: nothing changes: {line}")),
         }
     }
 
-    /// Danger: the file is read while it is being replaced, half of it there. So it is read a few times.
+    /// Reads the file several times if it is invalid, since it may be read while it is being replaced.
     async fn read(&self) -> Result<RouterConfig, String> {
-        let mut last = RouterConfig::load();
+        let mut config = RouterConfig::load();
         for _ in 1..self.limits.max_file_reads {
-            if last.is_ok() {
+            if config.is_ok() {
                 break;
             }
             sleep(self.limits.retry_pause).await;
-            last = RouterConfig::load();
+            config = RouterConfig::load();
         }
-        last
+        config
     }
 }
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -1,4 +1,4 @@
-//! The task that owns the decision module: mail becomes notes, actions are carried out in their order.
+//! The task that owns the decision module: turns messages into events and carries out the actions in order.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
@@ -30,170 +30,179 @@
 use crate::send::{self, EndedSend, SendRequest};
 use crate::transport::HostTransport;
 
+/// What the route task uses of the rest of the router.
 pub struct RouteContext<B: HostTransport> {
     pub hosts: HostRegistry,
     pub transport: Rc<B>,
     pub clock: Clock,
     pub limits: Rc<Limits>,
     pub discovery: mpsc::Sender<DiscoveryCommand>,
-    /// For the tasks that it starts.
+    /// The sender for tasks that the route task starts.
     pub messages: mpsc::Sender<RouteMessage<B>>,
-    /// Its start, and what is kept for the next, where the operator's file says so.
+    /// The startup tracking, if configured.
     pub startup: Option<Box<RouterStartup>>,
-    /// The task that belongs to a fleet, where there is one.
+    /// Commands to the fleet membership task, if configured.
     pub peers: Option<mpsc::Sender<PeersCommand>>,
 }
 
-/// The hosts of a move's target are asked where they are once in this part of a connect time-out.
-const WATCH: f64 = 0.4;
+/// Hosts of a move's target are probed once in this fraction of the connect time-out.
+const POSITION_PROBE_FRACTION: f64 = 0.4;
 
-/// What the draws of the chores are told apart by from the module's, which have the same seed.
-const CHORES: u64 = 0x6368_6f72;
+/// Combined with the seed, so that random draws of the background tasks differ from the decision module's.
+const TASK_SEED: u64 = 0x6368_6f72;
 
-/// Work beside the ops.
+/// Background tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Chore {
-    /// A slice of a long list.
+enum Task {
+    /// Applies a slice of a long list.
     List,
     Tally,
-    /// Idle connections are closed.
+    /// Closes idle connections.
     Sweep,
-    /// What other routers hint at.
+    /// Acts on hints of other routers.
     Hints,
-    /// The stages of the start.
+    /// Advances the stages of the start.
     Start,
-    /// The list is stored.
+    /// Stores the list.
     Save,
 }
 
-fn span(time: std::time::Duration) -> TimeDelta {
+fn time_delta(time: std::time::Duration) -> TimeDelta {
     TimeDelta::from_micros(time.as_micros() as i64)
 }
 
-/// What goes with an op that waits for its cell.
-type Rest<B> = (Rc<<B as HostTransport>::Payload>, oneshot::Sender<Reply<<B as HostTransport>::Answer>>);
+/// The payload and reply channel of an op that waits for its cell.
+type QueuedPayload<B> =
+    (Rc<<B as HostTransport>::Payload>, oneshot::Sender<Reply<<B as HostTransport>::Answer>>);
 
+/// The route task.
 pub struct RouteTask<B: HostTransport> {
-    yard: RouteContext<B>,
-    ward: Option<CellScheduler<RouteMessage<B>, Rest<B>>>,
+    context: RouteContext<B>,
+    cells: Option<CellScheduler<RouteMessage<B>, QueuedPayload<B>>>,
     ticked: Instant,
-    /// Hosts that are being asked where they are since a tenant moves there.
-    watched: HashSet<HostId>,
-    watched_at: Instant,
-    /// The most that a client may be told to wait before it comes back; nothing where it may not be told.
-    most_after: Option<TimeDelta>,
+    /// Hosts being probed for their position because a tenant moves to them.
+    position_probes: HashSet<HostId>,
+    last_position_probes: Instant,
+    /// The maximum retry delay sent to clients; `None` if none may be sent.
+    max_retry_after: Option<TimeDelta>,
     cold: TimeDelta,
     router: Router,
     book: OpTable<B::Payload, B::Answer>,
-    alarms: BinaryHeap<Reverse<(Timestamp, u64, TimerId)>>,
-    rung: u64,
-    chores: Scheduler<Chore>,
-    /// Long lists that are worked off.
+    timers: BinaryHeap<Reverse<(Timestamp, u64, TimerId)>>,
+    timer_sequence: u64,
+    tasks: Scheduler<Task>,
+    /// Long lists being applied.
     slices: ListSlicer<HostListEntry>,
-    /// Connections begun by the last tally.
-    dialed: u64,
-    /// Hosts that others say are leaving.
+    /// Connections started before the counters were last logged.
+    logged_connections: u64,
+    /// Hosts that other routers report as draining.
     hints: Hints,
     returns: OptionalStartup,
     /// By op type: whether it writes, and whether it reads its session's own writes.
     writes: Vec<bool>,
-    owns: Vec<bool>,
-    /// Where the router comes back: what own-turn reads have to see at least. Danger: a session wrote by way of this router
-    /// before it ended, and nobody remembers the bound. All that was acked then was committed before the start.
-    floor: Option<Timestamp>,
-    /// Groups that were asked for, so many at most: their lines of a long list go first.
-    wanted: HashSet<i64>,
-    /// Ops taken, and acked by the last tally, since the start.
+    reads_session: Vec<bool>,
+    /// After a restart: the minimum position for session reads. A session may have written through this router before it
+    /// ended; all writes acknowledged then were committed before the start.
+    min_position: Option<Timestamp>,
+    /// Requested groups, up to a limit; their entries of a long list are applied first.
+    requested_groups: HashSet<i64>,
+    /// Ops taken, and ops acknowledged up to the last logging of counters, since the start.
     taken: u64,
     acked: u64,
 }
 
 impl<B: HostTransport> RouteTask<B> {
     pub fn start(
-        mut yard: RouteContext<B>,
+        mut context: RouteContext<B>,
         seed: u64,
         manifest: RouterSettings,
         known: Option<&HostList>,
         cells: Option<Layout>,
     ) -> Self {
         let mut actions = Vec::new();
-        let now = yard.clock.now();
-        let most_after = manifest.flag("retry_after").then(|| manifest.time_delta("max_retry_after"));
+        let now = context.clock.now();
+        let max_retry_after = manifest.flag("retry_after").then(|| manifest.time_delta("max_retry_after"));
         let cold = manifest.time_delta("cold");
-        // Within the grace the own watch should have told; where none is told, half a second.
+        // The watch should report a drain within the grace period; half a second if none is configured.
         let grace = manifest.time_delta("drain_grace").max(TimeDelta::from_millis(500));
-        let ward = cells.map(|layout| {
+        let cells = cells.map(|layout| {
             let (rows, marks) = (OpType::rows(&manifest), manifest.flag("marks_retry"));
-            CellScheduler::new(now, layout, yard.limits.cell_capacity(), rows, marks)
+            CellScheduler::new(now, layout, context.limits.cell_capacity(), rows, marks)
         });
-        let returns = yard.startup.take();
+        let returns = context.startup.take();
         let rows = OpType::rows(&manifest);
         let writes = rows.iter().map(|row| row.consistency == Consistency::Write).collect();
-        let owns = rows.iter().map(|row| row.consistency == Consistency::Session).collect();
-        // Positions of what was acked were at most so far ahead of this router's clock.
-        let floor = returns.is_some().then_some(now + yard.limits.max_position_lead);
+        let reads_session = rows.iter().map(|row| row.consistency == Consistency::Session).collect();
+        // Acknowledged positions were at most this far ahead of this router's clock.
+        let min_position = returns.is_some().then_some(now + context.limits.max_position_lead);
         let router = Router::start(now, seed, manifest, &mut actions);
         let mut book = OpTable::default();
-        book.closed_ops = ward.is_some().then(Vec::new);
-        let (alarms, moment) = (BinaryHeap::new(), Instant::now());
-        let (ticked, rung) = (moment, 0);
-        let mut chores = Scheduler::new(now, Budget::default(), seed ^ CHORES);
-        let limits = yard.limits.clone();
-        let mut add = |chore, terms| chores.add(now, chore, terms);
-        add(Chore::List, TaskConfig::on_demand("lists", Priority::Urgent, span(limits.list_slice_deadline)));
-        add(Chore::Tally, TaskConfig::periodic("tally", Priority::Normal, span(limits.counters_interval)));
-        let often = span(limits.host_idle_timeout) * 0.125;
+        book.closed_ops = cells.is_some().then(Vec::new);
+        let (timers, moment) = (BinaryHeap::new(), Instant::now());
+        let (ticked, timer_sequence) = (moment, 0);
+        let mut tasks = Scheduler::new(now, Budget::default(), seed ^ TASK_SEED);
+        let limits = context.limits.clone();
+        let mut add = |task, terms| tasks.add(now, task, terms);
         add(
-            Chore::Sweep,
+            Task::List,
+            TaskConfig::on_demand("lists", Priority::Urgent, time_delta(limits.list_slice_deadline)),
+        );
+        add(
+            Task::Tally,
+            TaskConfig::periodic("tally", Priority::Normal, time_delta(limits.counters_interval)),
+        );
+        let often = time_delta(limits.host_idle_timeout) * 0.125;
+        add(
+            Task::Sweep,
             TaskConfig {
                 max_delay: often,
                 ..TaskConfig::periodic("idle connections", Priority::Idle, often)
             },
         );
-        if yard.peers.is_some() {
+        if context.peers.is_some() {
             add(
-                Chore::Hints,
-                TaskConfig::periodic("hints", Priority::Normal, span(limits.startup_check_interval)),
+                Task::Hints,
+                TaskConfig::periodic("hints", Priority::Normal, time_delta(limits.startup_check_interval)),
             );
         }
         if returns.is_some() {
             add(
-                Chore::Start,
-                TaskConfig::periodic("start", Priority::Normal, span(limits.startup_check_interval)),
+                Task::Start,
+                TaskConfig::periodic("start", Priority::Normal, time_delta(limits.startup_check_interval)),
             );
             add(
-                Chore::Save,
-                TaskConfig::on_demand("store", Priority::Idle, span(limits.list_store_deadline)),
+                Task::Save,
+                TaskConfig::on_demand("store", Priority::Idle, time_delta(limits.list_store_deadline)),
             );
         }
         let slices = ListSlicer::new(limits.list_slice_len);
         let mut route = RouteTask {
-            yard,
-            ward,
+            context,
+            cells,
             ticked,
-            watched: HashSet::new(),
-            watched_at: moment,
-            most_after,
+            position_probes: HashSet::new(),
+            last_position_probes: moment,
+            max_retry_after,
             cold,
             router,
             book,
-            alarms,
-            rung,
-            chores,
+            timers,
+            timer_sequence,
+            tasks,
             slices,
-            dialed: 0,
+            logged_connections: 0,
             hints: Hints::new(grace, grace * 2.0),
             returns,
             writes,
-            owns,
-            floor,
-            wanted: HashSet::new(),
+            reads_session,
+            min_position,
+            requested_groups: HashSet::new(),
             taken: 0,
             acked: 0,
         };
         if let Some(list) = known {
-            let note = route.listed(list, Some(true));
-            route.router.handle(now, note, &mut actions);
+            let event = route.apply_list(list, Some(true));
+            route.router.handle(now, event, &mut actions);
         }
         actions.into_iter().for_each(|action| route.carry_out(now, action));
         route
@@ -201,70 +210,70 @@
 
     pub async fn run(mut self, mut inbox: mpsc::Receiver<RouteMessage<B>>) {
         let mut actions = Vec::new();
-        let mut turns = 0_u32;
+        let mut handled = 0_u32;
         loop {
-            if self.ward.is_some() {
-                let Some(note) = self.fair_turn(&mut inbox).await else { return };
-                if let Some(note) = note {
-                    self.hand_over(note, &mut actions);
+            if self.cells.is_some() {
+                let Some(event) = self.next_cell_event(&mut inbox).await else { return };
+                if let Some(event) = event {
+                    self.handle_event(event, &mut actions);
                 }
-                turns = turns.wrapping_add(1);
-                if turns.is_multiple_of(32) {
-                    // Danger: a queue that never empties keeps the thread from its sockets.
+                handled = handled.wrapping_add(1);
+                if handled.is_multiple_of(32) {
+                    // Lets sockets be served while the queue never empties.
                     yield_now().await;
                 }
                 continue;
             }
-            let next = self.next();
-            let note = tokio::select! {
+            let next = self.next_deadline();
+            let event = tokio::select! {
                 mail = inbox.recv() => match mail {
-                    Some(mail) => self.note(mail),
+                    Some(mail) => self.event_for(mail),
                     None => return,
                 },
                 () = sleep_until(next) => None,
             };
-            let note = note.or_else(|| self.rung(!inbox.is_empty()));
-            let Some(note) = note else { continue };
-            self.hand_over(note, &mut actions);
+            let event = event.or_else(|| self.due_event(!inbox.is_empty()));
+            let Some(event) = event else { continue };
+            self.handle_event(event, &mut actions);
         }
     }
 
-    fn hand_over(&mut self, note: RouterEvent, actions: &mut Vec<Action>) {
-        let now = self.yard.clock.now();
-        tracing::trace!(at = now.micros(), "{note:?}");
-        if let Some(ward) = &mut self.ward {
-            let cell = match &note {
-                RouterEvent::OpRequested(ask) => Some(ask.cell),
-                RouterEvent::SendEnded(end) => ward.cell_of(end.op),
+    fn handle_event(&mut self, event: RouterEvent, actions: &mut Vec<Action>) {
+        let now = self.context.clock.now();
+        tracing::trace!(at = now.micros(), "{event:?}");
+        if let Some(cells) = &mut self.cells {
+            let cell = match &event {
+                RouterEvent::OpRequested(request) => Some(request.cell),
+                RouterEvent::SendEnded(end) => cells.cell_of(end.op),
                 _ => None,
             };
-            if let Some(spare) = cell.and_then(|cell| ward.retry_budget_update(now, cell)) {
-                self.router.handle(now, spare, actions);
+            if let Some(update) = cell.and_then(|cell| cells.retry_budget_update(now, cell)) {
+                self.router.handle(now, update, actions);
             }
         }
-        self.router.handle(now, note, actions);
+        self.router.handle(now, event, actions);
         actions.drain(..).for_each(|action| self.carry_out(now, action));
-        if let Some(ward) = &mut self.ward {
+        if let Some(cells) = &mut self.cells {
             self.book
                 .closed_ops
                 .iter_mut()
                 .flat_map(|closed| closed.drain(..))
-                .for_each(|op| ward.op_closed(now, op));
+                .for_each(|op| cells.op_closed(now, op));
         }
     }
 
-    /// The next note where there are cells: an alarm that is due, mail that concerns all, else the mail whose cell's
-    /// turn it is. Nothing at all once nobody can send mail.
-    async fn fair_turn(
+    /// The next event if cells are configured: a message that concerns no cell, a timer that is due, or the message of the
+    /// next cell. `None` once the channel is closed.
+    async fn next_cell_event(
         &mut self,
         inbox: &mut mpsc::Receiver<RouteMessage<B>>,
     ) -> Option<Option<RouterEvent>> {
-        // All that has come gets its place in its cell's line first, so that a full channel delays nobody.
+        // Sorts all received messages into their cells' queues first, so that one cell does not delay the others.
         loop {
             match inbox.try_recv() {
                 Ok(mail) => {
-                    if let Some(note) = self.sort(mail) {
-                        return Some(Some(note));
+                    if let Some(event) = self.enqueue_message(mail) {
+                        return Some(Some(event));
                     }
                 }
                 Err(TryRecvError::Empty) => break,
@@ -272,58 +281,58 @@
             }
         }
         self.tick();
-        let waits = self.ward.as_ref().is_some_and(|ward| ward.queue_len() > 0);
-        if let Some(note) = self.rung(waits) {
-            return Some(Some(note));
+        let waits = self.cells.as_ref().is_some_and(|cells| cells.queue_len() > 0);
+        if let Some(event) = self.due_event(waits) {
+            return Some(Some(event));
         }
-        if let Some(mail) = self.ward.as_mut().and_then(CellScheduler::pop) {
-            return Some(self.note(mail));
+        if let Some(mail) = self.cells.as_mut().and_then(CellScheduler::pop) {
+            return Some(self.event_for(mail));
         }
-        let next = self.next().min(self.ticked + self.yard.limits.cell_tick_interval);
+        let next = self.next_deadline().min(self.ticked + self.context.limits.cell_tick_interval);
         tokio::select! {
-            mail = inbox.recv() => mail.map(|mail| self.sort(mail)),
+            mail = inbox.recv() => mail.map(|mail| self.enqueue_message(mail)),
             () = sleep_until(next) => Some(None),
         }
     }
 
-    /// RouteMessage of an op goes into its cell's line; what concerns all is taken at once.
-    fn sort(&mut self, mail: RouteMessage<B>) -> Option<RouterEvent> {
-        let now = self.yard.clock.now();
-        let ward = self.ward.as_mut()?;
+    /// Queues the message of an op in its cell; other messages are handled at once.
+    fn enqueue_message(&mut self, mail: RouteMessage<B>) -> Option<RouterEvent> {
+        let now = self.context.clock.now();
+        let cells = self.cells.as_mut()?;
         let waits = match mail {
-            RouteMessage::OpAdmitted(ask, Some(claim), payload, client) => {
-                let turn = ward.admit(now, ask, claim, (payload, client));
-                self.turn(turn);
+            RouteMessage::OpAdmitted(request, Some(origin), payload, client) => {
+                let turn = cells.admit(now, request, origin, (payload, client));
+                self.apply_placement(turn);
                 return None;
             }
             RouteMessage::SendEnded(op, ..)
             | RouteMessage::ClientDisconnected(op)
             | RouteMessage::AnswerBegun(op, _) => {
                 if matches!(mail, RouteMessage::ClientDisconnected(_)) {
-                    ward.client_disconnected(now, op);
+                    cells.client_disconnected(now, op);
                 }
-                ward.enqueue(op, mail)
+                cells.enqueue(op, mail)
             }
             mail => Some(mail),
         };
-        waits.and_then(|mail| self.note(mail))
+        waits.and_then(|mail| self.event_for(mail))
     }
 
-    fn turn(&mut self, turn: Placement<Rest<B>>) {
-        let Some(ward) = &mut self.ward else { return };
+    fn apply_placement(&mut self, turn: Placement<QueuedPayload<B>>) {
+        let Some(cells) = &mut self.cells else { return };
         match turn {
-            Placement::Dispatch(ask, (payload, client)) => {
-                let group = self.yard.hosts.cell_group(ask.group, ask.cell);
-                let asked = RouteMessage::OpAdmitted(OpRequest { group, ..ask }, None, payload, client);
-                // It has its place, so that it is known.
-                let _ = ward.enqueue(ask.op, asked);
+            Placement::Dispatch(request, (payload, client)) => {
+                let group = self.context.hosts.cell_group(request.group, request.cell);
+                let asked = RouteMessage::OpAdmitted(OpRequest { group, ..request }, None, payload, client);
+                // The op was admitted above, so it is known.
+                let _ = cells.enqueue(request.op, asked);
             }
             Placement::Queued => {}
-            // What is given up is answered at once, and says when to come back where the settings allow that.
+            // Busy replies carry a retry delay if the settings allow it.
             Placement::Busy(after, (_, client)) => {
                 self.book.counters.busy += 1;
-                // Danger: a fence or a lease is further away than clients may be told; they would take it for nonsense.
-                let after = self.most_after.map(|most| after.map_or(most, |after| after.min(most)));
+                // The end of a fence or lease may exceed the maximum retry delay that clients accept.
+                let after = self.max_retry_after.map(|most| after.map_or(most, |after| after.min(most)));
                 let _ = client.send(Reply::Busy(after));
             }
             Placement::Error(RejectReason::OutcomeUnknown, (_, client)) => {
@@ -337,30 +346,30 @@
         }
     }
 
-    /// What cells do as time passes.
+    /// Updates the cells.
     fn tick(&mut self) {
-        if self.ticked.elapsed() < self.yard.limits.cell_tick_interval {
+        if self.ticked.elapsed() < self.context.limits.cell_tick_interval {
             return;
         }
         self.ticked = Instant::now();
-        let now = self.yard.clock.now();
-        let Some(ward) = &mut self.ward else { return };
-        let turns = ward.tick(now);
-        turns.into_iter().for_each(|turn| self.turn(turn));
-        self.tell();
-        self.watch();
+        let now = self.context.clock.now();
+        let Some(cells) = &mut self.cells else { return };
+        let handled = cells.tick(now);
+        handled.into_iter().for_each(|turn| self.apply_placement(turn));
+        self.log_cell_events();
+        self.probe_target_hosts();
     }
 
-    /// Logs what operators want to know.
-    fn tell(&mut self) {
-        let Some(ward) = &mut self.ward else { return };
-        let news = ward.take_events();
-        let name = |cell: CellId| ward.layout().cell(cell).name.to_string();
-        let mut judged = false;
-        for news in news {
-            match news {
+    /// Logs the events of cells.
+    fn log_cell_events(&mut self) {
+        let Some(cells) = &mut self.cells else { return };
+        let events = cells.take_events();
+        let name = |cell: CellId| cells.layout().cell(cell).name.to_string();
+        let mut verdict_changed = false;
+        for events in events {
+            match events {
                 CellEvent::ReleaseVerdict(verdict) => {
-                    judged = true;
+                    verdict_changed = true;
                     tracing::warn!(cell = name(verdict.cell), "the release is judged {:?}", verdict.verdict);
                 }
                 CellEvent::RolloutBlocked(cell, held) => {
@@ -380,161 +389,162 @@
                 }
             }
         }
-        if judged {
-            self.redivide();
+        if verdict_changed {
+            self.resend_hosts();
         }
     }
 
-    /// Asks the hosts to which a tenant moves where they are.
-    fn watch(&mut self) {
-        // Probes cost hosts work: each is asked again only after a part of a connect time-out.
-        let rested = self.watched_at.elapsed() >= self.yard.limits.connect_timeout.mul_f64(WATCH);
-        let Some(ward) = self.ward.as_mut().filter(|_| rested) else { return };
-        self.watched_at = Instant::now();
-        for group in ward.groups_awaiting_positions() {
-            let hosts = self.yard.hosts.group_hosts(group);
-            ward.set_group_hosts(group, &hosts);
+    /// Probes the hosts to which a tenant moves for their positions.
+    fn probe_target_hosts(&mut self) {
+        // Limits the load of these probes.
+        let is_due = self.last_position_probes.elapsed()
+            >= self.context.limits.connect_timeout.mul_f64(POSITION_PROBE_FRACTION);
+        let Some(cells) = self.cells.as_mut().filter(|_| is_due) else { return };
+        self.last_position_probes = Instant::now();
+        for group in cells.groups_awaiting_positions() {
+            let hosts = self.context.hosts.group_hosts(group);
+            cells.set_group_hosts(group, &hosts);
             for (host, _) in hosts {
-                let (back, mail) = (self.yard.transport.clone(), self.yard.messages.clone());
-                let Some(dial) = self.yard.hosts.address(host) else { continue };
-                if !self.watched.insert(host) {
+                let (back, mail) = (self.context.transport.clone(), self.context.messages.clone());
+                let Some(dial) = self.context.hosts.address(host) else { continue };
+                if !self.position_probes.insert(host) {
                     continue;
                 }
                 drop(spawn_local(async move {
-                    let (outcome, word) = back.probe(host, dial).await;
-                    let word = if outcome == Outcome::Acked { word } else { HostStatus::default() };
-                    let _ = mail.send(RouteMessage::PositionProbed(host, word)).await;
+                    let (outcome, status) = back.probe(host, dial).await;
+                    let status = if outcome == Outcome::Acked { status } else { HostStatus::default() };
+                    let _ = mail.send(RouteMessage::PositionProbed(host, status)).await;
                 }));
             }
         }
     }
 
-    /// The list as a note, as cells divide it. `saved`: the router's last one before it started; nothing for a slice.
-    fn listed(&mut self, list: &HostList, saved: Option<bool>) -> RouterEvent {
-        let note = self.yard.hosts.apply_list(list, saved == Some(true));
+    /// Applies a list and returns its event. `saved` is true for the last list before this start, `None` for a slice.
+    fn apply_list(&mut self, list: &HostList, saved: Option<bool>) -> RouterEvent {
+        let event = self.context.hosts.apply_list(list, saved == Some(true));
         self.book.counters.list_entries += list.entries.len() as u32;
-        let ceased = self.yard.hosts.take_not_ready();
+        let not_ready = self.context.hosts.take_not_ready();
         if saved != Some(true) {
             self.hints.list_received();
         }
         if let Some(returns) = self.returns.as_mut().filter(|_| saved == Some(false)) {
-            returns.list_received(self.yard.clock.now(), list.version);
+            returns.list_received(self.context.clock.now(), list.version);
         }
         if saved != Some(true) {
-            let now = self.yard.clock.now();
-            ceased.into_iter().for_each(|tag| self.hints.host_not_ready(now, tag));
-            self.tell_of_ceased(now);
+            let now = self.context.clock.now();
+            not_ready.into_iter().for_each(|tag| self.hints.host_not_ready(now, tag));
+            self.announce_not_ready(now);
         }
-        match note {
-            RouterEvent::HostList { kind: form, entries } if self.ward.is_some() => {
-                RouterEvent::HostList { kind: form, entries: self.divided(entries) }
+        match event {
+            RouterEvent::HostList { kind, entries } if self.cells.is_some() => {
+                RouterEvent::HostList { kind, entries: self.assign_cells(entries) }
             }
-            note => note,
+            event => event,
         }
     }
 
-    fn divided(&mut self, mut entries: Vec<HostEntry>) -> Vec<HostEntry> {
-        let Some(ward) = &mut self.ward else { return entries };
-        let (now, within) = (self.yard.clock.now(), self.cold * RELEASE_WINDOW_FACTOR);
-        let index = ward.index().clone();
-        self.yard.hosts.assign_cells(&mut entries, &index, |cell, started| {
+    fn assign_cells(&mut self, mut entries: Vec<HostEntry>) -> Vec<HostEntry> {
+        let Some(cells) = &mut self.cells else { return entries };
+        let (now, within) = (self.context.clock.now(), self.cold * RELEASE_WINDOW_FACTOR);
+        let index = cells.index().clone();
+        self.context.hosts.assign_cells(&mut entries, &index, |cell, started| {
             if now - started >= within {
                 return 1.0;
             }
-            ward.host_restarted(cell, started, within);
-            ward.restarted_host_trust(cell)
+            cells.host_restarted(cell, started, within);
+            cells.restarted_host_trust(cell)
         });
         entries
     }
 
-    /// All hosts are listed anew: cells or their trust have changed.
-    fn redivide(&mut self) {
-        let entries = self.divided(self.yard.hosts.current_entries());
-        let (now, mut actions) = (self.yard.clock.now(), Vec::new());
+    /// Sends all hosts to the decision module again, since cells or their trust changed.
+    fn resend_hosts(&mut self) {
+        let entries = self.assign_cells(self.context.hosts.current_entries());
+        let (now, mut actions) = (self.context.clock.now(), Vec::new());
         self.router.handle(now, RouterEvent::HostList { kind: ListKind::Incremental, entries }, &mut actions);
         actions.into_iter().for_each(|action| self.carry_out(now, action));
     }
 
-    fn relayout(&mut self, layout: Layout) {
-        let (now, epoch) = (self.yard.clock.now(), layout.epoch);
-        let Some(ward) = &mut self.ward else {
+    fn replace_layout(&mut self, layout: Layout) {
+        let (now, epoch) = (self.context.clock.now(), layout.epoch);
+        let Some(cells) = &mut self.cells else {
             tracing::error!("cells begin with a restart; nothing changes");
             return;
         };
-        match ward.replace_layout(now, layout) {
+        match cells.replace_layout(now, layout) {
             Ok(()) => {
                 tracing::info!(epoch, "the operator's file holds");
-                self.redivide();
+                self.resend_hosts();
             }
             Err(why) => tracing::error!(epoch, "the operator's file is refused whole: {why:?}"),
         }
     }
 
-    /// When an alarm rings or a chore is due.
-    fn next(&self) -> Instant {
-        let alarm = self.alarms.peek().map(|Reverse((at, ..))| *at);
-        let next = [alarm, self.chores.next_at()].into_iter().flatten().min();
+    /// When the next timer or background task is due.
+    fn next_deadline(&self) -> Instant {
+        let timer = self.timers.peek().map(|Reverse((at, ..))| *at);
+        let next = [timer, self.tasks.next_at()].into_iter().flatten().min();
         next.map_or_else(
-            || Instant::now() + self.yard.limits.counters_interval,
-            |at| self.yard.clock.instant_at(at),
+            || Instant::now() + self.context.limits.counters_interval,
+            |at| self.context.clock.instant_at(at),
         )
     }
 
-    /// One turn of a chore, if one may be done; `ops`: others wait for the thread.
-    fn chore(&mut self, now: Timestamp, ops: bool) {
-        let Some(chore) = self.chores.begin_next(now, ops) else { return };
-        let end = match chore {
-            Chore::List => self.slice(),
-            Chore::Tally => {
-                self.tally();
+    /// Runs one turn of a background task, if one may run; `ops` tells whether ops are waiting.
+    fn run_task(&mut self, now: Timestamp, ops: bool) {
+        let Some(task) = self.tasks.begin_next(now, ops) else { return };
+        let end = match task {
+            Task::List => self.apply_slice(),
+            Task::Tally => {
+                self.log_counters();
                 Ending::Done
             }
-            Chore::Sweep => {
-                self.yard.transport.close_expired();
+            Task::Sweep => {
+                self.context.transport.close_expired();
                 Ending::Done
             }
-            Chore::Hints => {
-                if self.hints.should_fetch(now, |tag| self.yard.hosts.is_ready(tag)) {
+            Task::Hints => {
+                if self.hints.should_fetch(now, |tag| self.context.hosts.is_ready(tag)) {
                     tracing::info!("other routers say that a host is leaving: the list is asked for");
-                    wish(&self.yard.discovery, DiscoveryCommand::Fetch);
+                    send_command(&self.context.discovery, DiscoveryCommand::Fetch);
                 }
-                self.close_by_word(now);
-                self.tell_of_ceased(now);
+                self.close_hinted_hosts(now);
+                self.announce_not_ready(now);
                 Ending::Done
             }
-            Chore::Start => {
+            Task::Start => {
                 if let Some(returns) = &mut self.returns {
                     returns.tick(now);
                     if returns.should_save(now) {
-                        self.chores.request(now, Chore::Save);
+                        self.tasks.request(now, Task::Save);
                     }
                 }
                 Ending::Done
             }
-            Chore::Save => {
+            Task::Save => {
                 if let Some(returns) = &mut self.returns {
-                    returns.save(self.yard.hosts.stored_hosts(), self.yard.messages.clone());
+                    returns.save(self.context.hosts.stored_hosts(), self.context.messages.clone());
                 }
                 Ending::Done
             }
         };
-        let ended = self.yard.clock.now();
-        self.chores.finish(ended, chore, ended - now, end);
+        let ended = self.context.clock.now();
+        self.tasks.finish(ended, task, ended - now, end);
     }
 
-    /// Other routers hear which hosts the own list has left out.
-    fn tell_of_ceased(&mut self, now: Timestamp) {
+    /// Announces hosts that are no longer ready to other routers.
+    fn announce_not_ready(&mut self, now: Timestamp) {
         let told = self.hints.take_announcements(now);
-        let Some(peers) = &self.yard.peers else { return };
+        let Some(peers) = &self.context.peers else { return };
         told.into_iter().for_each(|tag| drop(peers.try_send(PeersCommand::Broadcast(encode_hint(tag)))));
     }
 
-    /// Closes hosts that others say are leaving, where the own list cannot be had.
-    fn close_by_word(&mut self, now: Timestamp) {
-        let RouteContext { hosts: roster, .. } = &self.yard;
+    /// Closes hosts that other routers report as draining, while the list is unavailable.
+    fn close_hinted_hosts(&mut self, now: Timestamp) {
+        let RouteContext { hosts: roster, .. } = &self.context;
         let tags = self.hints.hosts_to_close(now, roster.ready_count(), |tag| roster.is_ready(tag));
         let entries: Vec<HostEntry> =
-            tags.into_iter().filter_map(|tag| self.yard.hosts.mark_draining(tag)).collect();
+            tags.into_iter().filter_map(|tag| self.context.hosts.mark_draining(tag)).collect();
         if entries.is_empty() {
             return;
         }
@@ -542,68 +552,68 @@
             hosts = entries.len(),
             "hosts are closed by other routers' word: the list cannot be had"
         );
-        let entries = if self.ward.is_some() { self.divided(entries) } else { entries };
-        let (note, mut actions) =
+        let entries = if self.cells.is_some() { self.assign_cells(entries) } else { entries };
+        let (event, mut actions) =
             (RouterEvent::HostList { kind: ListKind::Incremental, entries }, Vec::new());
-        self.hand_over(note, &mut actions);
+        self.handle_event(event, &mut actions);
     }
 
-    /// One slice of the lists that wait.
-    fn slice(&mut self) -> Ending {
+    /// Applies one slice of the queued lists.
+    fn apply_slice(&mut self) -> Ending {
         let lines = match self.slices.next_slice() {
             Some(ListSlice::Entries(lines)) => lines,
             Some(ListSlice::RemoveUnlisted(turn)) => {
-                let lines = self.yard.hosts.missing_hosts(turn);
-                // They are closed at once, however many: what is gone is not to be sent to.
+                let lines = self.context.hosts.missing_hosts(turn);
+                // All removed hosts are closed at once, so that no op is sent to them.
                 tracing::info!(gone = lines.len(), "a whole list leaves out hosts");
                 lines
             }
             Some(ListSlice::Complete(number)) => {
                 if let Some(returns) = &mut self.returns {
-                    returns.list_received(self.yard.clock.now(), number);
+                    returns.list_received(self.context.clock.now(), number);
                 }
                 return if self.slices.is_empty() { Ending::Done } else { Ending::More };
             }
             None => return Ending::Done,
         };
-        self.yard.hosts.set_list_number(self.slices.generation());
+        self.context.hosts.set_list_number(self.slices.generation());
         let part = HostList { version: 0, is_full: false, entries: lines };
-        let note = self.listed(&part, None);
+        let event = self.apply_list(&part, None);
         let mut actions = Vec::new();
-        self.hand_over(note, &mut actions);
+        self.handle_event(event, &mut actions);
         Ending::More
     }
 
-    /// The next alarm that is due, after a turn of a chore that is.
-    fn rung(&mut self, ops: bool) -> Option<RouterEvent> {
-        let now = self.yard.clock.now();
-        if self.chores.next_at().is_some_and(|at| at <= now) {
-            self.chore(now, ops);
+    /// The next timer that is due, after a turn of a background task that is due.
+    fn due_event(&mut self, ops: bool) -> Option<RouterEvent> {
+        let now = self.context.clock.now();
+        if self.tasks.next_at().is_some_and(|at| at <= now) {
+            self.run_task(now, ops);
         }
-        let due = self.alarms.peek().is_some_and(|Reverse((at, ..))| *at <= now);
-        let alarm = due.then(|| self.alarms.pop()).flatten();
-        alarm.map(|Reverse((_, _, cookie))| RouterEvent::TimerFired { timer: cookie })
+        let due = self.timers.peek().is_some_and(|Reverse((at, ..))| *at <= now);
+        let timer = due.then(|| self.timers.pop()).flatten();
+        timer.map(|Reverse((_, _, timer_id))| RouterEvent::TimerFired { timer: timer_id })
     }
 
-    /// What the mail tells the module; nothing where it is old news.
-    fn note(&mut self, mail: RouteMessage<B>) -> Option<RouterEvent> {
+    /// The event for the decision module that follows from a message, if any.
+    fn event_for(&mut self, mail: RouteMessage<B>) -> Option<RouterEvent> {
         match mail {
-            RouteMessage::OpAdmitted(mut ask, _, payload, client) => {
+            RouteMessage::OpAdmitted(mut request, _, payload, client) => {
                 self.taken += 1;
-                if self.owns.get(ask.op_type.0 as usize) == Some(&true) {
-                    ask.min_position = ask.min_position.max(self.floor);
+                if self.reads_session.get(request.op_type.0 as usize) == Some(&true) {
+                    request.min_position = request.min_position.max(self.min_position);
                 }
-                if self.wanted.len() < self.yard.limits.max_requested_groups {
-                    self.wanted.insert(ask.group.0);
+                if self.requested_groups.len() < self.context.limits.max_requested_groups {
+                    self.requested_groups.insert(request.group.0);
                 }
                 if let Some(returns) = &mut self.returns {
-                    let write = self.writes.get(ask.op_type.0 as usize).copied().unwrap_or_default();
-                    returns.op_started(ask.op, ask.group, write);
+                    let write = self.writes.get(request.op_type.0 as usize).copied().unwrap_or_default();
+                    returns.op_started(request.op, request.group, write);
                 }
-                self.book.insert(ask.op, payload, client);
-                Some(RouterEvent::OpRequested(ask))
+                self.book.insert(request.op, payload, client);
+                Some(RouterEvent::OpRequested(request))
             }
-            // The module hears of it when the send has ended, as of any other: till then it works at its host.
+            // The decision module is informed when the send ends; until then it loads its host.
             RouteMessage::AnswerBegun(op, answer) => {
                 self.book.begin_answer(op, answer);
                 None
@@ -611,25 +621,20 @@
             RouteMessage::ClientDisconnected(op) => {
                 self.book.client_disconnected(op).then_some(RouterEvent::ClientCancelled { op })
             }
-            RouteMessage::SendEnded(
-                op,
-                send,
-                host,
-                EndedSend { outcome, elapsed: took, status: word, answer },
-            ) => {
+            RouteMessage::SendEnded(op, send, host, EndedSend { outcome, elapsed: took, status, answer }) => {
                 let finished = self.book.end_send(op, send, outcome, answer)?;
                 if let Some(returns) = self.returns.as_mut().filter(|_| finished) {
-                    returns.op_finished(self.yard.clock.now(), op, outcome == Outcome::Acked);
+                    returns.op_finished(self.context.clock.now(), op, outcome == Outcome::Acked);
                 }
-                let word = self.likely(word);
-                if let Some(ward) = &mut self.ward {
-                    let new = self.yard.hosts.started_within(
+                let status = self.without_future_position(status);
+                if let Some(cells) = &mut self.cells {
+                    let new = self.context.hosts.started_within(
                         host,
-                        self.yard.clock.now(),
+                        self.context.clock.now(),
                         self.cold * RELEASE_WINDOW_FACTOR,
                     );
-                    ward.send_ended(op, outcome, took, &word, new);
-                    ward.record_position(host, &word);
+                    cells.send_ended(op, outcome, took, &status, new);
+                    cells.record_position(host, &status);
                 }
                 Some(RouterEvent::SendEnded(SendResult {
                     op,
@@ -638,48 +643,48 @@
                     outcome,
                     elapsed: took,
                     op_finished: finished,
-                    status: word,
+                    status,
                 }))
             }
-            RouteMessage::ProbeEnded(host, cell, outcome, word) => {
-                if let (Some(ward), Some(cell)) = (&mut self.ward, cell) {
-                    ward.end_probe(cell);
+            RouteMessage::ProbeEnded(host, cell, outcome, status) => {
+                if let (Some(cells), Some(cell)) = (&mut self.cells, cell) {
+                    cells.end_probe(cell);
                 }
-                Some(RouterEvent::ProbeEnded { host, outcome, status: self.likely(word) })
+                Some(RouterEvent::ProbeEnded { host, outcome, status: self.without_future_position(status) })
             }
-            RouteMessage::PositionProbed(host, word) => {
-                self.watched.remove(&host);
-                let word = self.likely(word);
-                self.ward.iter_mut().for_each(|ward| ward.record_position(host, &word));
+            RouteMessage::PositionProbed(host, status) => {
+                self.position_probes.remove(&host);
+                let status = self.without_future_position(status);
+                self.cells.iter_mut().for_each(|cells| cells.record_position(host, &status));
                 None
             }
             RouteMessage::LayoutReloaded(layout) => {
-                self.relayout(*layout);
+                self.replace_layout(*layout);
                 None
             }
             RouteMessage::ShowCells(client) => {
-                let report = self.ward.as_mut().map(|ward| ward.report().to_string());
+                let report = self.cells.as_mut().map(|cells| cells.report().to_string());
                 let _ = client.send(report.unwrap_or_default());
                 None
             }
             RouteMessage::ShowPeers(client) => {
-                match self.yard.peers.as_ref().map(|peers| peers.try_send(PeersCommand::Show(client))) {
+                match self.context.peers.as_ref().map(|peers| peers.try_send(PeersCommand::Show(client))) {
                     Some(Ok(())) => {}
-                    // The client sees that nothing came.
+                    // Dropping the sender tells the client that there is no report.
                     _ => tracing::warn!("the task of the fleet takes no errands"),
                 }
                 None
             }
             RouteMessage::RouterCountChanged(routers) => {
-                wish(&self.yard.discovery, DiscoveryCommand::SetRouterCount(routers));
+                send_command(&self.context.discovery, DiscoveryCommand::SetRouterCount(routers));
                 Some(RouterEvent::RouterCount { routers })
             }
             RouteMessage::PeerMessage(from, mut bytes) => {
                 if let Some(tag) = decode_hint(&bytes) {
-                    self.hints.record_hint(self.yard.clock.now(), tag, from);
+                    self.hints.record_hint(self.context.clock.now(), tag, from);
                     return None;
                 }
-                // Danger: another router's word that a host is primary sends writes there. It only ever takes that away.
+                // Another router's report must not make a host primary, or writes could go to a replica.
                 arrowyard::clear_primary_claim(&mut bytes);
                 Some(RouterEvent::PeerMessage { from, bytes })
             }
@@ -694,64 +699,60 @@
             RouteMessage::Discovery(messages::DiscoveryEvent::List(list))
                 if self.slices.needs_slicing(list.entries.len()) =>
             {
-                let wanted =
-                    |line: &HostListEntry| line.group.is_some_and(|group| self.wanted.contains(&group));
+                let requested_groups = |line: &HostListEntry| {
+                    line.group.is_some_and(|group| self.requested_groups.contains(&group))
+                };
                 let rank = |line: &HostListEntry| match line.availability {
-                    Availability::Ready if wanted(line) => 1,
+                    Availability::Ready if requested_groups(line) => 1,
                     Availability::Ready if line.is_primary == Some(true) => 2,
                     Availability::Ready => 3,
                     _ => 0,
                 };
                 let host = |line: &HostListEntry| line.host.clone();
                 self.slices.push(list.version, list.is_full, list.entries, rank, host);
-                self.chores.request(self.yard.clock.now(), Chore::List);
+                self.tasks.request(self.context.clock.now(), Task::List);
                 None
             }
             RouteMessage::Discovery(messages::DiscoveryEvent::List(list)) => {
-                Some(self.listed(&list, Some(false)))
+                Some(self.apply_list(&list, Some(false)))
             }
             RouteMessage::Discovery(messages::DiscoveryEvent::Failed) => Some(RouterEvent::ListFailed),
         }
     }
 
-    /// A host's word without a position that cannot be. Danger: positions never go back, so that one spoilt on the
-    /// way, in the future, would make stale data look fresh for good.
-    fn likely(&self, word: HostStatus) -> HostStatus {
-        let latest = self.yard.clock.now() + self.yard.limits.max_position_lead;
-        let position = word.position.filter(|&position| position <= latest);
-        if position != word.position {
-            tracing::warn!(?word, "a position in the future is ignored");
+    /// The host's status without a position in the future. Positions never decrease, so a corrupted one in the future
+    /// would make stale data look fresh permanently.
+    fn without_future_position(&self, status: HostStatus) -> HostStatus {
+        let latest = self.context.clock.now() + self.context.limits.max_position_lead;
+        let position = status.position.filter(|&position| position <= latest);
+        if position != status.position {
+            tracing::warn!(?status, "a position in the future is ignored");
         }
-        HostStatus { position, ..word }
+        HostStatus { position, ..status }
     }
 
     fn carry_out(&mut self, now: Timestamp, action: Action) {
         let RouteContext { hosts: roster, transport: back, clock, discovery: wishes, messages: mail, .. } =
-            &self.yard;
+            &self.context;
         tracing::trace!(at = now.micros(), "{action:?}");
         match action {
             Action::Send { op, host, deadline: until } => {
-                let Some((send, payload, called_off)) = self.book.start_send(op) else { return };
+                let Some((send, payload, cancelled)) = self.book.start_send(op) else { return };
                 self.book.counters.cold_sends += u32::from(roster.started_within(host, now, self.cold));
-                self.ward.iter_mut().for_each(|ward| ward.record_send(now, op, send));
+                self.cells.iter_mut().for_each(|cells| cells.record_send(now, op, send));
                 let (back, clock, mail, dial) = (back.clone(), *clock, mail.clone(), roster.address(host));
                 drop(spawn_local(async move {
                     let end = match dial {
                         Some(dial) => {
-                            let order = SendRequest {
-                                host,
-                                address: dial,
-                                payload,
-                                deadline: until,
-                                cancelled: called_off,
-                            };
+                            let order =
+                                SendRequest { host, address: dial, payload, deadline: until, cancelled };
                             let begun =
                                 async |answer| drop(mail.send(RouteMessage::AnswerBegun(op, answer)).await);
                             send::run(order, &*back, clock, begun).await
                         }
                         None => EndedSend::unsent(),
                     };
-                    // The route stage is gone only when the router ends.
+                    // The route task ends only with the router.
                     let _ = mail.send(RouteMessage::SendEnded(op, send, host, end)).await;
                 }));
             }
@@ -760,7 +761,7 @@
                 let after = match &mut self.returns {
                     Some(returns) => {
                         returns.op_finished(now, op, false);
-                        returns.retry_after(retry_after, self.most_after)
+                        returns.retry_after(retry_after, self.max_retry_after)
                     }
                     None => retry_after,
                 };
@@ -773,35 +774,36 @@
             Action::Probe { host } => {
                 self.book.counters.probes += 1;
                 let (back, mail, dial) = (back.clone(), mail.clone(), roster.address(host));
-                let (mut cell, mut full) = (None, None);
-                if let Some(ward) = &mut self.ward
-                    && let Some(of) = roster.probe_cell(host, ward.index())
+                let (mut cell, mut rejected_delay) = (None, None);
+                if let Some(cells) = &mut self.cells
+                    && let Some(of) = roster.probe_cell(host, cells.index())
                 {
-                    let may = ward.try_start_probe(now, of);
-                    (cell, full) = (may.then_some(of), (!may).then_some(self.yard.limits.connect_timeout));
+                    let may = cells.try_start_probe(now, of);
+                    (cell, rejected_delay) =
+                        (may.then_some(of), (!may).then_some(self.context.limits.connect_timeout));
                 }
                 drop(spawn_local(async move {
-                    let (outcome, word) = match (dial, full) {
+                    let (outcome, status) = match (dial, rejected_delay) {
                         (Some(dial), None) => back.probe(host, dial).await,
-                        (_, full) => {
-                            // Danger: the module asks again at once. A probe that found no room takes as long as one that is lost.
-                            sleep_until(Instant::now() + full.unwrap_or_default()).await;
+                        (_, rejected_delay) => {
+                            // The decision module retries at once, so a rejected probe takes as long as a lost one.
+                            sleep_until(Instant::now() + rejected_delay.unwrap_or_default()).await;
                             (Outcome::NotSent, HostStatus::default())
                         }
                     };
-                    let _ = mail.send(RouteMessage::ProbeEnded(host, cell, outcome, word)).await;
+                    let _ = mail.send(RouteMessage::ProbeEnded(host, cell, outcome, status)).await;
                 }));
             }
-            Action::SetTimer { after, timer: cookie } => {
-                self.rung += 1;
-                self.alarms.push(Reverse((now + after, self.rung, cookie)));
+            Action::SetTimer { after, timer: timer_id } => {
+                self.timer_sequence += 1;
+                self.timers.push(Reverse((now + after, self.timer_sequence, timer_id)));
             }
-            Action::SubscribeHostList { on } => wish(wishes, DiscoveryCommand::Watch(on)),
-            Action::FetchHostList => wish(wishes, DiscoveryCommand::Fetch),
+            Action::SubscribeHostList { on } => send_command(wishes, DiscoveryCommand::Watch(on)),
+            Action::FetchHostList => send_command(wishes, DiscoveryCommand::Fetch),
             Action::CloseIdleConnections { host } => back.close_idle(host),
             Action::SendPeerMessage { bytes, .. } => {
-                if let Some(peers) = &self.yard.peers {
-                    // Danger: the fleet's task hangs, and the route stage with it. DiscoveryEvent that finds no room is lost.
+                if let Some(peers) = &self.context.peers {
+                    // Never waits for the membership task; the message is dropped if its channel is full.
                     let _ = peers.try_send(PeersCommand::Broadcast(bytes));
                 }
             }
@@ -809,32 +811,32 @@
         }
     }
 
-    fn tally(&mut self) {
-        let tally = std::mem::take(&mut self.book.counters);
-        self.acked += u64::from(tally.acked);
-        let dialed = self.yard.transport.connections_started();
+    fn log_counters(&mut self) {
+        let log_counters = std::mem::take(&mut self.book.counters);
+        self.acked += u64::from(log_counters.acked);
+        let logged_connections = self.context.transport.connections_started();
         tracing::info!(
-            acked = tally.acked,
-            busy = tally.busy,
-            errored = tally.errored,
-            gone = tally.disconnected,
-            sends = tally.sends,
-            lost = tally.lost_sends,
-            repeats = tally.retries,
-            cold = tally.cold_sends,
-            probes = tally.probes,
-            dials = dialed - std::mem::replace(&mut self.dialed, dialed),
-            listed = tally.list_entries,
+            acked = log_counters.acked,
+            busy = log_counters.busy,
+            errored = log_counters.errored,
+            gone = log_counters.disconnected,
+            sends = log_counters.sends,
+            lost = log_counters.lost_sends,
+            repeats = log_counters.retries,
+            cold = log_counters.cold_sends,
+            probes = log_counters.probes,
+            dials = logged_connections - std::mem::replace(&mut self.logged_connections, logged_connections),
+            listed = log_counters.list_entries,
             open_ops = self.book.open_ops(),
-            links = self.yard.transport.open_connections(),
+            links = self.context.transport.open_connections(),
             "tally"
         );
     }
 }
 
-fn wish(wishes: &mpsc::Sender<DiscoveryCommand>, wish: DiscoveryCommand) {
-    // Danger: discovery hangs, and the route stage with it. It never waits for room.
-    if wishes.try_send(wish).is_err() {
-        tracing::warn!(?wish, "discovery takes no more wishes, one is dropped");
+fn send_command(wishes: &mpsc::Sender<DiscoveryCommand>, send_command: DiscoveryCommand) {
+    // Never waits for discovery; the command is dropped if its channel is full.
+    if wishes.try_send(send_command).is_err() {
+        tracing::warn!(?send_command, "discovery takes no more wishes, one is dropped");
     }
 }
--- a/crates/arrowyard-core/tests/clock.rs
+++ b/crates/arrowyard-core/tests/clock.rs
@@ -1,11 +1,11 @@
-//! The router's clock beside one of the machine that is set while the router runs.
+//! The router's clock while the system clock is set.
 
 use arrowyard_core::clock::Clock;
 use arrowyard_types::TimeDelta;
 use tokio::time::{Duration, Instant, advance};
 
 #[tokio::test(start_paused = true)]
-async fn a_machine_clock_set_forward_by_a_little_is_followed_and_never_back() {
+async fn small_forward_steps_of_the_system_clock_are_followed_and_backward_steps_are_not() {
     let clock = Clock::start();
     let (copy, begun) = (clock, clock.now());
     let (step, far) = (TimeDelta::from_millis(20), TimeDelta::from_millis(1_001));
--- a/crates/arrowyard-core/tests/hints.rs
+++ b/crates/arrowyard-core/tests/hints.rs
@@ -1,4 +1,4 @@
-//! Hosts that left the own list are told of more than once, and no more hosts than there is room for.
+//! Hosts that are no longer ready are announced several times, and their number is limited.
 
 use arrowyard_core::hints::Hints;
 use arrowyard_types::{TimeDelta, Timestamp};
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_host_that_left_is_told_of_four_times_with_pauses() {
+fn a_host_that_is_not_ready_is_announced_four_times_at_intervals() {
     let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
     hints.host_not_ready(at(0), 7);
     let told = |hints: &mut Hints, ms: i64| hints.take_announcements(at(ms)).to_vec();
@@ -21,5 +21,5 @@
     assert_eq!(told(&mut hints, 1_600), [9], "four times each");
     assert!(told(&mut hints, 9_000).is_empty());
     (0..1000).for_each(|tag| hints.host_not_ready(at(9_000), tag));
-    assert!(told(&mut hints, 9_000).len() <= 64, "a list that empties floods nobody");
+    assert!(told(&mut hints, 9_000).len() <= 64, "the number of announced hosts is limited");
 }
--- a/crates/arrowyard-operator-config/src/layout.rs
+++ b/crates/arrowyard-operator-config/src/layout.rs
@@ -1,4 +1,4 @@
-//! What a checked book says of cells, in the types of the package that decides on it.
+//! Converts a validated configuration to the settings types of the packages that use them.
 
 use arrowyard_cells::layout::{
     Cell, ConcurrencyLimitConfig, Layout, Lease, NetworkRule, RetryBudgetConfig, RolloutConfig,
@@ -16,34 +16,34 @@
     Timestamp::from_micros(millis as i64 * 1000)
 }
 
-fn span(millis: Option<u32>, otherwise: u32) -> TimeDelta {
-    TimeDelta::from_millis(millis.unwrap_or(otherwise).into())
+fn time_delta_or(millis: Option<u32>, default_millis: u32) -> TimeDelta {
+    TimeDelta::from_millis(millis.unwrap_or(default_millis).into())
 }
 
-fn cell(told: &schema::Cell) -> Cell {
-    let pace = told.pace.map(|pace| ConcurrencyLimitConfig {
+fn cell(section: &schema::Cell) -> Cell {
+    let pace = section.pace.map(|pace| ConcurrencyLimitConfig {
         initial: pace.first.unwrap_or(32).into(),
         min: pace.least.unwrap_or(4).into(),
         max: pace.most.unwrap_or(512).into(),
     });
     Cell {
-        name: told.name().into(),
-        weight: told.weight.unwrap_or(1.0),
-        groups: told.group.iter().copied().map(GroupId).collect(),
-        hosts: told.host.iter().map(|host| host.as_str().into()).collect(),
-        guaranteed_fraction: told.guaranteed.unwrap_or(0.5),
-        accepts_hashed_tenants: told.placed.unwrap_or(true),
+        name: section.name().into(),
+        weight: section.weight.unwrap_or(1.0),
+        groups: section.group.iter().copied().map(GroupId).collect(),
+        hosts: section.host.iter().map(|host| host.as_str().into()).collect(),
+        guaranteed_fraction: section.guaranteed.unwrap_or(0.5),
+        accepts_hashed_tenants: section.placed.unwrap_or(true),
         concurrency_limit: pace,
         removed: false,
     }
 }
 
-/// The layout of a book that was checked; nothing if it has no cells. What does not refer to a cell of the book is
-/// left out, which the check does not let through.
-pub fn cell_layout(book: &schema::Yardbook) -> Option<Layout> {
-    let told = book.cells.as_ref()?;
+/// The layout of cells in a validated configuration; `None` if it has no cells. References to unknown cells, which
+/// validation rejects, are left out.
+pub fn cell_layout(config: &schema::Yardbook) -> Option<Layout> {
+    let section = config.cells.as_ref()?;
     let ids: std::collections::HashMap<&str, CellId> =
-        told.cell.iter().map(schema::Cell::name).zip((0..).map(CellId)).collect();
+        section.cell.iter().map(schema::Cell::name).zip((0..).map(CellId)).collect();
     let id = |name: &str| ids.get(name).copied();
     let net = |row: &schema::Net| {
         let all =
@@ -74,104 +74,111 @@
             copied_through: row.copied_through_ms.map(millis),
             target_floor: row.target_floor_ms.map(millis),
             target_host: row.target_host.as_deref().map(Box::from),
-            token_retention: span(row.memory_ms, 0),
+            token_retention: time_delta_or(row.memory_ms, 0),
         })
     };
-    let tenants = told.tenant.iter().filter_map(|row| Some((row.name().into(), id(row.cell())?)));
-    let release = told.release.as_ref().map(|release| RolloutConfig {
+    let tenants = section.tenant.iter().filter_map(|row| Some((row.name().into(), id(row.cell())?)));
+    let release = section.release.as_ref().map(|release| RolloutConfig {
         order: release.order.iter().filter_map(|name| id(name)).collect(),
         error_rate_ratio: release.worse.unwrap_or(3.0),
         error_probability: release.wrong.unwrap_or(0.001),
     });
     Some(Layout {
-        epoch: book.epoch(),
-        cells: told.cell.iter().map(cell).collect(),
+        epoch: config.epoch(),
+        cells: section.cell.iter().map(cell).collect(),
         tenants: tenants.collect(),
-        networks: told.net.iter().filter_map(net).collect(),
-        cells_per_hashed_tenant: told.rest.map(|rest| rest.each.unwrap_or(1) as usize),
-        reclaim_period: span(told.call_back_ms, 100),
-        retry_budget: told.repeats.map(|repeats| RetryBudgetConfig {
+        networks: section.net.iter().filter_map(net).collect(),
+        cells_per_hashed_tenant: section.rest.map(|rest| rest.each.unwrap_or(1) as usize),
+        reclaim_period: time_delta_or(section.call_back_ms, 100),
+        retry_budget: section.repeats.map(|repeats| RetryBudgetConfig {
             retry_ratio: repeats.share.unwrap_or(0.2),
             min_retries: repeats.least.unwrap_or(8),
-            window: span(repeats.window_ms, 10_000),
+            window: time_delta_or(repeats.window_ms, 10_000),
         }),
         rollout: release,
-        lease: told.lease.and_then(|lease| {
-            Some(Lease { expires_at: millis(lease.until_ms?), max_clock_skew: span(lease.skew_ms, 50) })
+        lease: section.lease.and_then(|lease| {
+            Some(Lease {
+                expires_at: millis(lease.until_ms?),
+                max_clock_skew: time_delta_or(lease.skew_ms, 50),
+            })
         }),
-        moves: told.r#move.iter().filter_map(moving).collect(),
+        moves: section.r#move.iter().filter_map(moving).collect(),
     })
 }
 
-/// What a book that was checked says of the fleet; nothing if it names none.
-pub fn peer_settings(book: &schema::Yardbook) -> Option<PeerSettings> {
-    let told = book.peers.as_ref()?;
-    let usual = MembershipConfig::with_probe_interval(span(told.period_ms, 500));
-    let via = told.via.iter().filter_map(|via| Some((via.name().to_string(), via.at().parse().ok()?)));
+/// The fleet settings of a validated configuration; `None` if it configures no fleet.
+pub fn peer_settings(config: &schema::Yardbook) -> Option<PeerSettings> {
+    let section = config.peers.as_ref()?;
+    let defaults = MembershipConfig::with_probe_interval(time_delta_or(section.period_ms, 500));
+    let via = section.via.iter().filter_map(|via| Some((via.name().to_string(), via.at().parse().ok()?)));
     let terms = MembershipConfig {
-        fleet: told.fleet().to_string(),
-        seeds: told.seed.iter().filter_map(|at| at.parse().ok()).collect(),
-        allowed_networks: told.allow.iter().filter_map(|net| net.parse().ok()).collect(),
+        fleet: section.fleet().to_string(),
+        seeds: section.seed.iter().filter_map(|at| at.parse().ok()).collect(),
+        allowed_networks: section.allow.iter().filter_map(|net| net.parse().ok()).collect(),
         address_overrides: via.collect(),
-        lost_after: span(told.lost_after_ms, (usual.lost_after.micros() / 1000) as u32),
-        max_members: told.members.map_or(usual.max_members, |most| most as usize),
-        ..usual
+        lost_after: time_delta_or(section.lost_after_ms, (defaults.lost_after.micros() / 1000) as u32),
+        max_members: section.members.map_or(defaults.max_members, |most| most as usize),
+        ..defaults
     };
     Some(PeerSettings {
-        listen: told.listen().parse().ok()?,
-        advertise: told.advertise.as_ref().and_then(|at| at.parse().ok()),
+        listen: section.listen().parse().ok()?,
+        advertise: section.advertise.as_ref().and_then(|at| at.parse().ok()),
         config: terms,
-        count_members: told.shares.unwrap_or(false),
-        relay_app_messages: told.news.unwrap_or(false),
+        count_members: section.shares.unwrap_or(false),
+        relay_app_messages: section.news.unwrap_or(false),
     })
 }
 
-/// What a book that was checked says of coming back; nothing if it does not.
-pub fn startup_settings(book: &schema::Yardbook) -> Option<StartupSettings> {
-    let told = book.returns.as_ref()?;
-    let usual = Trust::default();
-    let life = told.host_life_ms.map_or(usual.host_lifetime, |life| TimeDelta::from_millis(life as i64));
+/// The startup settings of a validated configuration, if any.
+pub fn startup_settings(config: &schema::Yardbook) -> Option<StartupSettings> {
+    let section = config.returns.as_ref()?;
+    let defaults = Trust::default();
+    let life =
+        section.host_life_ms.map_or(defaults.host_lifetime, |life| TimeDelta::from_millis(life as i64));
     Some(StartupSettings {
-        store: told.store.as_ref().map(std::path::PathBuf::from),
-        trust: Trust { host_lifetime: life, ..usual },
-        save_interval: span(told.save_ms, 5000),
+        store: section.store.as_ref().map(std::path::PathBuf::from),
+        trust: Trust { host_lifetime: life, ..defaults },
+        save_interval: time_delta_or(section.save_ms, 5000),
         pacing: Calls {
-            max_calls_per_s: told.discovery_calls.unwrap_or(Calls::default().max_calls_per_s),
+            max_calls_per_s: section.discovery_calls.unwrap_or(Calls::default().max_calls_per_s),
             ..Calls::default()
         },
-        rollback_delay: span(told.doubt_ms, 2000),
+        rollback_delay: time_delta_or(section.doubt_ms, 2000),
     })
 }
 
-/// What a book that was checked says of leases; nothing if it does not.
-pub fn lease_settings(book: &schema::Yardbook) -> Option<LeaseSettings> {
-    let told = book.leases.as_ref()?;
-    let usual = arrowyard_leases::LeaseConfig::default();
-    let mut voters: Vec<_> =
-        told.voter.iter().filter_map(|one| Some((one.name().to_string(), one.at().parse().ok()?))).collect();
-    // All routers number them alike, in whatever order their files name them.
+/// The lease settings of a validated configuration, if any.
+pub fn lease_settings(config: &schema::Yardbook) -> Option<LeaseSettings> {
+    let section = config.leases.as_ref()?;
+    let defaults = arrowyard_leases::LeaseConfig::default();
+    let mut voters: Vec<_> = section
+        .voter
+        .iter()
+        .filter_map(|one| Some((one.name().to_string(), one.at().parse().ok()?)))
+        .collect();
+    // Sorted, so that all routers number the voters alike whatever the order in their files.
     voters.sort();
     let duty = |duty: &schema::Duty| {
         Some(Duty {
             name: duty.name().to_string(),
             address: duty.at().parse().ok()?,
             path: duty.path.clone().unwrap_or_else(|| "/".to_string()),
-            interval: span(duty.every_ms, 1000),
-            max_duration: span(duty.takes_ms, 200),
+            interval: time_delta_or(duty.every_ms, 1000),
+            max_duration: time_delta_or(duty.takes_ms, 200),
             rank: duty.rank(),
         })
     };
     Some(LeaseSettings {
-        fleet: told.fleet().to_string(),
-        listen: told.listen().parse().ok()?,
-        store: told.store.as_ref().map(std::path::PathBuf::from),
+        fleet: section.fleet().to_string(),
+        listen: section.listen().parse().ok()?,
+        store: section.store.as_ref().map(std::path::PathBuf::from),
         config: arrowyard_leases::LeaseConfig {
             voter_count: voters.len() as u8,
-            term: span(told.term_ms, 3000),
-            drift_ppm: told.drift_ppm.unwrap_or(usual.drift_ppm),
-            ..usual
+            term: time_delta_or(section.term_ms, 3000),
+            drift_ppm: section.drift_ppm.unwrap_or(defaults.drift_ppm),
+            ..defaults
         },
         voters,
-        duties: told.duty.iter().filter_map(duty).collect(),
+        duties: section.duty.iter().filter_map(duty).collect(),
     })
 }
--- a/crates/arrowyard-operator-config/src/lib.rs
+++ b/crates/arrowyard-operator-config/src/lib.rs
@@ -1,6 +1,5 @@
-//! The operator's own file: protobuf text format by the schema `proto/yardbook.proto`. It is read whole or refused
-//! whole, and a refusal names every fault that was found, each with its line, its column, its field, and what
-//! would be right. No I/O beyond reading the one file.
+//! The operator's configuration file, in protobuf text format with the schema `proto/yardbook.proto`. An invalid file is
+//! rejected as a whole with all errors found, each with line, column, field and the expected value.
 
 mod layout;
 mod positions;
@@ -17,7 +16,7 @@
 pub use positions::{FieldPositions, Position};
 pub use validate::validate;
 
-/// The types of the schema.
+/// The types generated from the schema.
 #[allow(clippy::derive_partial_eq_without_eq)]
 pub mod schema {
     include!(concat!(env!("OUT_DIR"), "/arrowyard.yardbook.rs"));
@@ -25,13 +24,13 @@
 
 pub use schema::Yardbook;
 
-/// One thing that is wrong with a file.
+/// One error in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConfigError {
     pub position: Position,
-    /// The field's path, as in `cells.cell[1].weight`; empty where there is none.
+    /// The field's path, as in `cells.cell[1].weight`; empty if the error belongs to no field.
     pub field: String,
-    /// What is wrong, and what would be right.
+    /// What is wrong and what is expected.
     pub message: String,
 }
 
@@ -45,38 +44,41 @@
     }
 }
 
-/// Bytes of a file at most: 100,000 tenants and a thousand cells fit many times over.
+/// The maximum size of a file.
 pub const MAX_FILE_BYTES: u64 = 64 * 1024 * 1024;
 
-fn root() -> MessageDescriptor {
+fn root_descriptor() -> MessageDescriptor {
     let pool = DescriptorPool::decode(&include_bytes!(concat!(env!("OUT_DIR"), "/yardbook.bin"))[..]);
     let pool = pool.expect("the schema was compiled with this program");
     pool.get_message_by_name("arrowyard.yardbook.Yardbook").expect("the schema has its root")
 }
 
-/// Reads the text of a file; every fault of it, if there is one.
+/// Parses and validates the text of a file.
+///
+/// # Errors
+/// All errors found, sorted by position.
 pub fn parse(text: &str) -> Result<Yardbook, Vec<ConfigError>> {
-    let root = root();
-    let (places, mut faults) = scan::scan(text, &root);
+    let root_descriptor = root_descriptor();
+    let (places, mut faults) = scan::scan(text, &root_descriptor);
     if !faults.is_empty() {
         faults.sort();
         return Err(faults);
     }
-    let message = DynamicMessage::parse_text_format(root, text);
+    let message = DynamicMessage::parse_text_format(root_descriptor, text);
     let message = message.map_err(|error| vec![positions::parse_error(text, &error)])?;
-    let book = message.transcode_to::<Yardbook>().expect("both were made of one schema");
-    let mut faults = validate(&book, &places);
+    let config = message.transcode_to::<Yardbook>().expect("both were made of one schema");
+    let mut faults = validate(&config, &places);
     if faults.is_empty() {
-        return Ok(book);
+        return Ok(config);
     }
     faults.sort();
     Err(faults)
 }
 
-/// Reads a file; its faults as one report, a line each, headed by the file's name.
+/// Loads a file.
 ///
 /// # Errors
-/// The report: the file cannot be read, is too large, is no text, or has faults.
+/// A report, one line per error with the file's name: the file cannot be read, is too large, is not text or is invalid.
 pub fn load(path: &Path) -> Result<Yardbook, String> {
     let name = path.display();
     let size = std::fs::metadata(path).map_err(|error| format!("{name}: {error}"))?.len();
@@ -91,7 +93,7 @@
     })
 }
 
-/// The bytes of the book in protobuf's binary form, by which two books can be told apart.
-pub fn fingerprint(book: &Yardbook) -> Vec<u8> {
-    book.encode_to_vec()
+/// The configuration in protobuf's binary form, for comparing two configurations.
+pub fn fingerprint(config: &Yardbook) -> Vec<u8> {
+    config.encode_to_vec()
 }
--- a/crates/arrowyard-operator-config/src/positions.rs
+++ b/crates/arrowyard-operator-config/src/positions.rs
@@ -1,4 +1,4 @@
-//! Where the fields of a file stand.
+//! Positions of fields in a file.
 
 use std::collections::HashMap;
 
@@ -7,7 +7,7 @@
 
 use crate::ConfigError;
 
-/// A place in a file, both counted from 1; columns in characters.
+/// A position in a file; lines and columns count from 1, columns in characters.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position {
     pub line: usize,
@@ -23,18 +23,17 @@
     }
 }
 
-/// By the path of a field, as in `cells.cell[1].weight`, where it stands. Rows of a field that may be repeated are
-/// numbered from 0.
+/// Positions by the path of the field, as in `cells.cell[1].weight`; rows of repeated fields count from 0.
 #[derive(Debug, Default)]
 pub struct FieldPositions(pub(crate) HashMap<String, Position>);
 
 impl FieldPositions {
-    /// Where the field stands, or the nearest around it that stands anywhere.
+    /// The position of the field, or of the nearest enclosing field that is present.
     pub fn nearest(&self, path: &str) -> Position {
         let mut path = path;
         loop {
-            if let Some(&place) = self.0.get(path) {
-                return place;
+            if let Some(&position) = self.0.get(path) {
+                return position;
             }
             match path.rfind('.') {
                 Some(end) => path = &path[..end],
@@ -44,7 +43,7 @@
     }
 }
 
-/// What the library says is wrong, with its place.
+/// Converts an error of the parser, with its position.
 pub fn parse_error(text: &str, error: &ParseError) -> ConfigError {
     let offset = error.labels().and_then(|mut labels| labels.next()).map_or(0, |label| label.offset());
     let help = error.help().map_or(String::new(), |help| format!("; {help}"));
--- a/crates/arrowyard-operator-config/src/scan.rs
+++ b/crates/arrowyard-operator-config/src/scan.rs
@@ -1,6 +1,5 @@
-//! Walks the text once beside the schema: notes where each field stands, and finds every name that is unknown, every
-//! field that stands twice, and every value of the wrong kind. The library that reads the values stops at the first
-//! fault and keeps no places.
+//! Scans the text along the schema: records the position of each field and finds unknown names, repeated fields and
+//! values of the wrong kind. The parser library stops at the first error and keeps no positions.
 
 use std::collections::HashMap;
 
@@ -9,8 +8,8 @@
 use crate::ConfigError;
 use crate::positions::{FieldPositions, Position};
 
-/// How deep messages may nest.
-const DEEP: usize = 16;
+/// The maximum nesting depth of messages.
+const MAX_DEPTH: usize = 16;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Token<'a> {
@@ -29,8 +28,8 @@
     faults: Vec<ConfigError>,
 }
 
-/// The rest of the text cannot be made sense of.
-struct Lost;
+/// The rest of the text cannot be scanned.
+struct Unscannable;
 
 pub fn scan(text: &str, root: &MessageDescriptor) -> (FieldPositions, Vec<ConfigError>) {
     let mut scanner = Scanner {
@@ -54,10 +53,10 @@
         self.faults.push(ConfigError { position: place, field: field.to_string(), message: what });
     }
 
-    fn lost<T>(&mut self, field: &str, what: String) -> Result<T, Lost> {
+    fn lost<T>(&mut self, field: &str, what: String) -> Result<T, Unscannable> {
         let place = self.place();
         self.fault(place, field, what);
-        Err(Lost)
+        Err(Unscannable)
     }
 
     fn skip(&mut self) {
@@ -85,7 +84,7 @@
         found
     }
 
-    fn token(&mut self) -> Result<Option<Token<'a>>, Lost> {
+    fn token(&mut self) -> Result<Option<Token<'a>>, Unscannable> {
         let Some(first) = self.peek() else { return Ok(None) };
         let rest = &self.text[self.at..];
         let run = |also: &str| {
@@ -135,9 +134,9 @@
         path: &str,
         close: Option<char>,
         depth: usize,
-    ) -> Result<(), Lost> {
-        if depth > DEEP {
-            return self.lost(path, format!("messages nest deeper than {DEEP}"));
+    ) -> Result<(), Unscannable> {
+        if depth > MAX_DEPTH {
+            return self.lost(path, format!("messages nest deeper than {MAX_DEPTH}"));
         }
         let mut seen: HashMap<String, usize> = HashMap::new();
         loop {
@@ -155,7 +154,7 @@
                 Some(Token::Word(name)) => name,
                 _ => {
                     self.fault(place, path, "the name of a field is expected here".to_string());
-                    return Err(Lost);
+                    return Err(Unscannable);
                 }
             };
             let inside = if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
@@ -206,7 +205,13 @@
         }
     }
 
-    fn value(&mut self, field: &FieldDescriptor, path: &str, colon: bool, depth: usize) -> Result<(), Lost> {
+    fn value(
+        &mut self,
+        field: &FieldDescriptor,
+        path: &str,
+        colon: bool,
+        depth: usize,
+    ) -> Result<(), Unscannable> {
         self.skip();
         let place = self.place();
         if let Kind::Message(kind) = field.kind() {
@@ -266,13 +271,13 @@
         };
         self.fault(place, path, format!("{wanted} is expected here"));
         match token {
-            Token::Mark(_) => Err(Lost),
+            Token::Mark(_) => Err(Unscannable),
             _ => Ok(()),
         }
     }
 
     /// The value of a field that is not known.
-    fn skip_value(&mut self, depth: usize) -> Result<(), Lost> {
+    fn skip_value(&mut self, depth: usize) -> Result<(), Unscannable> {
         let _ = self.eat(':');
         let mut open = Vec::new();
         loop {
@@ -291,8 +296,8 @@
                 }
                 _ => {}
             }
-            if open.len() > DEEP - depth.min(DEEP) {
-                return self.lost("", format!("messages nest deeper than {DEEP}"));
+            if open.len() > MAX_DEPTH - depth.min(MAX_DEPTH) {
+                return self.lost("", format!("messages nest deeper than {MAX_DEPTH}"));
             }
             if open.is_empty() {
                 let _ = self.eat(',') || self.eat(';');
--- a/crates/arrowyard-operator-config/src/validate.rs
+++ b/crates/arrowyard-operator-config/src/validate.rs
@@ -1,5 +1,4 @@
-//! What a file says must be possible by itself and agree with the rest of it: values within their range, names that
-//! are there, rows that do not contradict each other. All faults are found, not only the first.
+//! Validates a parsed file: ranges of values, references to names, and rows that contradict each other. Finds all errors.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -13,50 +12,50 @@
 };
 use crate::{ConfigError, Yardbook};
 
-/// Cells at most, and rows of hosts in each.
-const MOST_CELLS: usize = 4096;
-/// What a text may be at most, in bytes.
-const MOST_TEXT: usize = 256;
-/// 2200-01-01, in Unix milliseconds: a point later than this is a slip of units.
-const LATEST_MS: u64 = 7_258_118_400_000;
+/// The maximum number of cells.
+const MAX_CELLS: usize = 4096;
+/// The maximum length of a text, in bytes.
+const MAX_TEXT_BYTES: usize = 256;
+/// 2200-01-01 in Unix milliseconds; a later time indicates a wrong unit.
+const MAX_TIMESTAMP_MS: u64 = 7_258_118_400_000;
 
-struct Checker<'a> {
+struct Validator<'a> {
     places: &'a FieldPositions,
     faults: Vec<ConfigError>,
 }
 
-/// Every fault of the book.
-pub fn validate(book: &Yardbook, places: &FieldPositions) -> Vec<ConfigError> {
-    let mut checker = Checker { places, faults: Vec::new() };
-    if book.epoch == Some(0) {
-        checker.fault("epoch", "it is 1 at least, and grows with each edit".to_string());
+/// All errors in the configuration.
+pub fn validate(config: &Yardbook, places: &FieldPositions) -> Vec<ConfigError> {
+    let mut validator = Validator { places, faults: Vec::new() };
+    if config.epoch == Some(0) {
+        validator.fault("epoch", "it is 1 at least, and grows with each edit".to_string());
     }
-    if let Some(log) = &book.log {
-        checker.log(log);
+    if let Some(log) = &config.log {
+        validator.log(log);
     }
-    if let Some(cells) = &book.cells {
-        if book.epoch.is_none() {
-            checker
+    if let Some(cells) = &config.cells {
+        if config.epoch.is_none() {
+            validator
                 .fault("cells", "a file with cells has an epoch, by which an older one is told".to_string());
         }
-        checker.cells(cells);
+        validator.cells(cells);
     }
-    if let Some(flight) = &book.flight {
-        checker.flight(flight);
+    if let Some(flight) = &config.flight {
+        validator.flight(flight);
     }
-    if let Some(peers) = &book.peers {
-        checker.peers(peers);
+    if let Some(peers) = &config.peers {
+        validator.peers(peers);
     }
-    if let Some(returns) = &book.returns {
-        checker.returns(returns);
+    if let Some(returns) = &config.returns {
+        validator.returns(returns);
     }
-    if let Some(leases) = &book.leases {
-        checker.leases(leases);
+    if let Some(leases) = &config.leases {
+        validator.leases(leases);
     }
-    checker.faults
+    validator.faults
 }
 
-impl Checker<'_> {
+impl Validator<'_> {
     fn fault(&mut self, field: &str, what: String) {
         self.faults.push(ConfigError {
             position: self.places.nearest(field),
@@ -66,7 +65,7 @@
     }
 
     fn number<T: PartialOrd + std::fmt::Display>(&mut self, field: &str, told: Option<T>, least: T, most: T) {
-        // A number that is none is in no range.
+        // NaN is in no range.
         if let Some(number) = told.filter(|number| !(*number >= least && *number <= most)) {
             self.fault(field, format!("{number} is out of range, {least} to {most}"));
         }
@@ -76,8 +75,8 @@
         match told {
             None => self.fault(field, "it has to be given".to_string()),
             Some("") => self.fault(field, "it is empty".to_string()),
-            Some(text) if text.len() > MOST_TEXT => {
-                self.fault(field, format!("{} bytes, {MOST_TEXT} at most", text.len()));
+            Some(text) if text.len() > MAX_TEXT_BYTES => {
+                self.fault(field, format!("{} bytes, {MAX_TEXT_BYTES} at most", text.len()));
             }
             Some(text) if text.chars().any(char::is_control) => {
                 self.fault(field, "it holds a control character".to_string());
@@ -230,8 +229,8 @@
         if cells.cell.is_empty() {
             self.fault("cells", "there is no cell; leave cells out to have none".to_string());
         }
-        if cells.cell.len() > MOST_CELLS {
-            self.fault("cells", format!("{} cells, {MOST_CELLS} at most", cells.cell.len()));
+        if cells.cell.len() > MAX_CELLS {
+            self.fault("cells", format!("{} cells, {MAX_CELLS} at most", cells.cell.len()));
         }
         self.number("cells.call_back_ms", cells.call_back_ms, 1, 60_000);
         let mut names: HashMap<&str, usize> = HashMap::new();
@@ -309,7 +308,7 @@
         }
     }
 
-    /// Two cells may share a host; the same name twice in one cell is a slip.
+    /// Two cells may share a host, but a cell must not name one twice.
     fn hosts(&mut self, cells: &[Cell]) {
         for (row, cell) in cells.iter().enumerate() {
             let mut seen = HashMap::new();
@@ -431,7 +430,7 @@
 
     fn point(&mut self, field: &str, told: Option<u64>) {
         // Seconds for milliseconds would lie before 1971.
-        self.number(field, told, 31_536_000_000, LATEST_MS);
+        self.number(field, told, 31_536_000_000, MAX_TIMESTAMP_MS);
     }
 
     fn moves(&mut self, cells: &Cells, names: &HashMap<&str, usize>) {
--- a/crates/arrowyard-operator-config/tests/faults.rs
+++ b/crates/arrowyard-operator-config/tests/faults.rs
@@ -1,4 +1,4 @@
-//! Files with faults: each is found, where it stands, and none hides another.
+//! Invalid files: each error is found at its position, and none hides another.
 
 use arrowyard_operator_config::{ConfigError, parse};
 use proptest::prelude::*;
@@ -7,7 +7,7 @@
     parse(text).err().unwrap_or_default()
 }
 
-/// Line, column and field of each fault, and a part of what it says.
+/// Asserts that an error with this position, field and part of the message is found.
 fn has(text: &str, line: usize, column: usize, field: &str, what: &str) {
     let found = faults(text);
     let hit = found.iter().any(|fault| {
@@ -32,7 +32,7 @@
 "#;
 
 #[test]
-fn a_whole_file_is_read() {
+fn a_valid_file_is_parsed() {
     let book = parse(GOOD).expect("nothing is wrong with it");
     let cells = book.cells.expect("it has cells");
     assert_eq!((book.epoch, cells.cell.len(), cells.cell[0].group.len()), (Some(3), 2, 2));
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn every_fault_is_told_in_one_report_with_its_place() {
+fn all_errors_are_reported_with_their_positions() {
     let text =
         "epoch: 1\nepoch: 2\nlogg { }\ncells {\n  cell { name: \"a\" weigth: 2 guaranteed: \"x\" }\n}\n";
     has(text, 2, 1, "epoch", "twice, first in line 1");
--- a/crates/arrowyard-platform-settings/src/lib.rs
+++ b/crates/arrowyard-platform-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! The settings that a router is told, under our names. The simulator's first message and the real router's
-//! file hold the same object, so that both callers of the decision module translate it here.
+//! Translates the platform's settings object to `RouterSettings`. The simulator's first message and the router's
+//! configuration file contain the same object.
 
 use arrowyard_types::{RouterSettings, SettingValue, TimeDelta as Time, Timestamp};
 use serde_json::{Map, Value};
@@ -12,8 +12,8 @@
 }
 use SettingKind::*;
 
-/// Where a setting stands on the wire (`*`: each row of a list), our name for it, and what it is.
-const NAMES: &[(&str, &str, SettingKind)] = &[
+/// The path of a setting in the platform's object (`*`: each row of a list), its name in `RouterSettings` and its kind.
+const SETTINGS: &[(&str, &str, SettingKind)] = &[
     ("balancers", "routers", Number),
     ("caps.cancel", "cancel", Flag),
     ("caps.dial_timeout", "connect_timeout", Span),
@@ -64,8 +64,8 @@
     ("weights", "sizes", Text),
 ];
 
-/// The wire's words for what a text setting may say, and ours.
-const WORDS: &[(&str, &str)] = &[
+/// The platform's values of text settings, and those of `RouterSettings`.
+const TEXT_VALUES: &[(&str, &str)] = &[
     ("read_like", "retryable"),
     ("idempotency_key", "tokened"),
     ("non_idempotent", "non-retryable"),
@@ -87,28 +87,34 @@
     ("pull", "probe"),
 ];
 
-/// Milliseconds with fractions, as the settings give times, in microseconds.
+/// Converts fractional milliseconds, as in the settings, to microseconds.
 pub fn micros_from_millis(millis: f64) -> i64 {
     (millis * 1000.0).round() as i64
 }
 
+/// Converts fractional Unix milliseconds to a timestamp.
 pub fn timestamp_from_millis(millis: f64) -> Timestamp {
     Timestamp::from_micros(micros_from_millis(millis))
 }
 
+/// Converts fractional milliseconds to a time difference.
 pub fn time_delta_from_millis(millis: f64) -> Time {
     Time::from_micros(micros_from_millis(millis))
 }
 
-/// What all routers call a host that their lists name so (FNV-1a).
+/// The hash of a host's name that all routers use for the host (FNV-1a).
 pub fn address_hash(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
-pub fn router_settings(info: &Map<String, Value>) -> Result<RouterSettings, String> {
-    let mut manifest = RouterSettings::new();
-    for (path, name, kind) in NAMES {
-        let (mut found, mut rest) = (None, info);
+/// Translates the settings; missing or null ones are left out.
+///
+/// # Errors
+/// A setting has the wrong type.
+pub fn router_settings(platform_settings: &Map<String, Value>) -> Result<RouterSettings, String> {
+    let mut settings = RouterSettings::new();
+    for (path, name, kind) in SETTINGS {
+        let (mut found, mut rest) = (None, platform_settings);
         let mut steps = path.split('.').peekable();
         while let Some(step) = steps.next() {
             let Some(value) = rest.get(step) else { break };
@@ -120,7 +126,7 @@
                         Some(field) => value.get(field),
                         None => Some(value),
                     };
-                    put(&mut manifest, path, name.replace('*', &row.to_string()), kind, value)?;
+                    insert_setting(&mut settings, path, name.replace('*', &row.to_string()), kind, value)?;
                 }
                 break;
             }
@@ -129,28 +135,29 @@
                 None => found = Some(value),
             }
         }
-        put(&mut manifest, path, name.to_string(), kind, found)?;
+        insert_setting(&mut settings, path, name.to_string(), kind, found)?;
     }
-    Ok(manifest)
+    Ok(settings)
 }
 
-fn put(
-    manifest: &mut RouterSettings,
+fn insert_setting(
+    settings: &mut RouterSettings,
     path: &str,
     name: String,
     kind: &SettingKind,
     value: Option<&Value>,
 ) -> Result<(), String> {
     let Some(value) = value.filter(|value| !value.is_null()) else { return Ok(()) };
-    let fact = match kind {
+    let converted = match kind {
         Flag => value.as_bool().map(SettingValue::Flag),
         Number => value.as_f64().map(SettingValue::Number),
         Span => value.as_f64().map(|millis| SettingValue::TimeDelta(time_delta_from_millis(millis))),
         Text => value.as_str().map(|word| {
-            let ours = WORDS.iter().find(|(wire, _)| *wire == word).map_or(word, |(_, ours)| ours);
-            SettingValue::Text(ours.to_string())
+            let internal =
+                TEXT_VALUES.iter().find(|(wire, _)| *wire == word).map_or(word, |(_, internal)| internal);
+            SettingValue::Text(internal.to_string())
         }),
     };
-    manifest.insert(name, fact.ok_or_else(|| format!("settings: {path} has the wrong type"))?);
+    settings.insert(name, converted.ok_or_else(|| format!("settings: {path} has the wrong type"))?);
     Ok(())
 }
