--- a/crates/arrowyard-control/src/control/feed.rs
+++ b/crates/arrowyard-control/src/control/feed.rs
@@ -104,7 +104,10 @@
 
     /// Whether a router has been silent for longer than its timeout.
     pub(super) fn is_router_silent(&self, now: Timestamp, conn: Conn) -> bool {
-        matches!(self.connections.get(&conn), Some(Connection::Router(router)) if now - router.last_heard_at >= ROUTER_TIMEOUT)
+        matches!(
+            self.connections.get(&conn),
+            Some(Connection::Router(router)) if now - router.last_heard_at >= ROUTER_TIMEOUT
+        )
     }
 
     /// Sends an update to every subscribed router, with the next number of each.
--- a/crates/arrowyard-control/src/promotion/request.rs
+++ b/crates/arrowyard-control/src/promotion/request.rs
@@ -7,7 +7,8 @@
 pub enum PromotionRequest {
     /// Asks a host for its role and position.
     Observe { host: String },
-    /// Tells a replica to stop receiving. `attempt` distinguishes the response from that to an earlier pause request.
+    /// Tells a replica to stop receiving. `attempt` distinguishes the response from that to an earlier
+    /// pause request.
     Pause { host: String, term: u64, attempt: u64 },
     /// Tells a replica to continue receiving.
     Continue { host: String },
--- a/crates/arrowyard-control/src/replicated_log/recovery.rs
+++ b/crates/arrowyard-control/src/replicated_log/recovery.rs
@@ -102,7 +102,7 @@
         let beyond = |slot: &u64| *slot > open;
         if promised.keys().any(beyond) || accepted.keys().any(beyond) || chosen.keys().any(beyond) {
             log::error!(
-                "replicated log: records are missing before slot {open}; this machine does not vote until it is readmitted"
+                "replicated log: records are missing before slot {open}; no vote until this machine is readmitted"
             );
             self.votes = false;
         }
