--- a/crates/arrowyard-leases/tests/parts.rs
+++ b/crates/arrowyard-leases/tests/protocol.rs
@@ -1,4 +1,5 @@
-//! The voter beside a plain model; candidates with thousands of leases; datagrams and files that are broken; clocks.
+//! The voter against a reference model, candidates with thousands of leases, damaged datagrams and files,
+//! and clock drift.
 
 use std::collections::BTreeMap;
 
@@ -20,25 +21,25 @@
 
 const TERM: i64 = 3000;
 
-/// A voter that votes from time 0 on.
+/// A voter that is past its startup wait at time 0.
 fn voter(of: u8) -> Voter {
-    let image = VoterSnapshot { is_complete: true, ..VoterSnapshot::default() };
-    let mut voter = Voter::start(at(-TERM), LeaseConfig::default(), VoterId(of), Some(image), 1);
+    let snapshot = VoterSnapshot { is_complete: true, ..VoterSnapshot::default() };
+    let mut voter = Voter::start(at(-TERM), LeaseConfig::default(), VoterId(of), Some(snapshot), 1);
     voter.tick(at(0));
-    kept(&mut voter);
+    write_and_take_outgoing(&mut voter);
     voter
 }
 
-fn kept(voter: &mut Voter) -> Vec<(Destination, Message)> {
+fn write_and_take_outgoing(voter: &mut Voter) -> Vec<(Destination, Message)> {
     if let Some((number, _)) = voter.start_write() {
         voter.write_finished(number, true);
     }
     voter.take_outgoing()
 }
 
-/// One thing that was asked of the voter, and what it said, for the plain model.
+/// A request or release, and whether it was granted, for the reference model.
 #[derive(Clone, Debug)]
-struct Asked {
+struct HistoryEntry {
     now: i64,
     who: u64,
     round: u64,
@@ -47,13 +48,20 @@
     granted: bool,
 }
 
-/// What a voter has to say, by going through all that ever happened: no state but the history.
-fn plainly(history: &[Asked], now: i64, who: u64, round: u64, epoch: u64) -> Option<&'static str> {
+/// The expected response of a voter, computed from the complete history.
+fn expected_response(
+    history: &[HistoryEntry],
+    now: i64,
+    who: u64,
+    round: u64,
+    epoch: u64,
+) -> Option<&'static str> {
     let newest = history.iter().filter(|one| one.granted).map(|one| one.epoch).max();
     let Some(newest) = newest else { return Some(if epoch == 0 { "old" } else { "granted" }) };
-    let first = history.iter().position(|one| one.granted && one.epoch == newest).expect("it was granted");
+    let first =
+        history.iter().position(|one| one.granted && one.epoch == newest).expect("the epoch was granted");
     let holder = history[first].who;
-    // The rounds of the newest grant: what came of each, in order.
+    // Replays the rounds of the newest grant in order.
     let (mut last, mut until) = (history[first].round, history[first].now + TERM);
     for one in &history[first + 1..] {
         if one.who != holder || one.epoch != newest || one.round < last {
@@ -77,20 +85,20 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(512))]
     #[test]
-    fn a_voter_votes_as_the_plain_model_does(
+    fn the_voter_responds_as_the_reference_model(
         steps in proptest::collection::vec((0_i64..2500, 0_u64..3, 0_u64..8, 0_u64..6, 0_u8..4), 1..80),
     ) {
         let mut voter = voter(0);
-        let (mut now, mut history): (i64, Vec<Asked>) = (1, Vec::new());
+        let (mut now, mut history): (i64, Vec<HistoryEntry>) = (1, Vec::new());
         let id = lease_id("a");
         for (after, who, round, epoch, kind) in steps {
             now += after;
             let wants = vec![LeaseEpoch { lease: id, epoch: Epoch(epoch) }];
             let (from, free) = (CandidateId(who), kind == 0);
-            let word = if free { Message::Release { from, round, held: round % 2 == 0, leases: wants } } else { Message::Request { from, round, leases: wants } };
-            let wanted = plainly(&history, now, who, round, epoch).filter(|_| !free);
-            voter.handle_message(at(now), &word);
-            let said = kept(&mut voter).into_iter().find_map(|(_, word)| match word {
+            let message = if free { Message::Release { from, round, held: round % 2 == 0, leases: wants } } else { Message::Request { from, round, leases: wants } };
+            let expected = expected_response(&history, now, who, round, epoch).filter(|_| !free);
+            voter.handle_message(at(now), &message);
+            let response = write_and_take_outgoing(&mut voter).into_iter().find_map(|(_, message)| match message {
                 Message::Response { verdicts, .. } => Some(match verdicts[0].1 {
                     Verdict::Granted(_) => "granted",
                     Verdict::Held { .. } => "held",
@@ -99,13 +107,13 @@
                 }),
                 _ => None,
             });
-            prop_assert_eq!(said, wanted, "{:?} after {:?}", word, history);
-            history.push(Asked { now, who, round, epoch, free, granted: said == Some("granted") });
+            prop_assert_eq!(response, expected, "{:?} after {:?}", message, history);
+            history.push(HistoryEntry { now, who, round, epoch, free, granted: response == Some("granted") });
         }
     }
 
     #[test]
-    fn broken_datagrams_are_dropped_and_whole_ones_come_as_they_went(
+    fn damaged_datagrams_are_dropped_and_valid_ones_round_trip(
         round in any::<u64>(), epoch in any::<u64>(), at in 0_usize..200, bit in 0_u8..8, cut in 0_usize..200,
     ) {
         let wants = vec![LeaseEpoch { lease: lease_id("a"), epoch: Epoch(epoch) }; 3];
@@ -113,7 +121,7 @@
             (lease_id("a"), Verdict::Held { epoch: Epoch(epoch), remaining: ms(7) }),
             (lease_id("b"), Verdict::Granted(Epoch(1))),
         ];
-        let words = [
+        let messages = [
             Message::Request { from: CandidateId(round), round, leases: wants.clone() },
             Message::Release { from: CandidateId(round), round, held: true, leases: wants },
             Message::Response { from: VoterId(2), round, clock: Timestamp::from_micros(-5), verdicts },
@@ -121,9 +129,9 @@
             Message::RecoveryRequest { from: VoterId(1), incarnation: round, nonce: epoch },
             Message::RecoveryResponse { from: VoterId(1), requested_by: epoch, highest: Epoch(epoch), last_known: round, is_complete: true },
         ];
-        for word in words {
-            let bytes = encode(&word, 7);
-            prop_assert_eq!(decode(&bytes, 7), Ok(word.clone()));
+        for message in messages {
+            let bytes = encode(&message, 7);
+            prop_assert_eq!(decode(&bytes, 7), Ok(message.clone()));
             prop_assert_eq!(decode(&bytes, 8), Err(DecodeError::Foreign));
             let mut broken = bytes.clone();
             let place = at % bytes.len();
@@ -134,20 +142,20 @@
     }
 
     #[test]
-    fn whatever_is_wrong_with_kept_votes_they_are_not_taken(
+    fn damaged_voter_files_are_rejected(
         life in any::<u64>(), floor in any::<u64>(), at in 0_usize..300, bit in 0_u8..8, cut in 0_usize..300,
     ) {
-        let image = VoterSnapshot {
+        let snapshot = VoterSnapshot {
             incarnation: life,
             epoch_floor: Epoch(floor),
             is_complete: true,
             votes: vec![(lease_id("a"), Epoch(3), CandidateId(9)), (lease_id("b"), Epoch(4), CandidateId(8))],
             incarnations: vec![(VoterId(1), life, floor)],
         };
-        let bytes = storage::encode(&image, 7, "n0");
-        prop_assert_eq!(storage::decode(&bytes, 7, "n0"), Ok(image));
+        let bytes = storage::encode(&snapshot, 7, "n0");
+        prop_assert_eq!(storage::decode(&bytes, 7, "n0"), Ok(snapshot));
         prop_assert_eq!(storage::decode(&bytes, 8, "n0"), Err(storage::LoadError::Foreign));
-        prop_assert_eq!(storage::decode(&bytes, 7, "n1"), Err(storage::LoadError::Foreign), "another voter's");
+        prop_assert_eq!(storage::decode(&bytes, 7, "n1"), Err(storage::LoadError::Foreign), "file of another voter");
         let mut broken = bytes.clone();
         let place = at % bytes.len();
         broken[place] ^= 1 << bit;
@@ -157,49 +165,46 @@
 }
 
 #[test]
-fn nothing_is_told_before_it_is_kept() {
+fn no_message_is_sent_before_its_snapshot_is_durable() {
     let mut voter = voter(0);
     let wants = vec![LeaseEpoch { lease: lease_id("a"), epoch: Epoch(1) }];
     voter.handle_message(at(1), &Message::Request { from: CandidateId(1), round: 1, leases: wants.clone() });
     assert!(voter.take_outgoing().is_empty());
-    let (number, image) = voter.start_write().expect("it has changed");
-    assert_eq!(image.votes, [(lease_id("a"), Epoch(1), CandidateId(1))]);
-    assert!(voter.start_write().is_none(), "one at a time");
+    let (number, snapshot) = voter.start_write().expect("the snapshot has changed");
+    assert_eq!(snapshot.votes, [(lease_id("a"), Epoch(1), CandidateId(1))]);
+    assert!(voter.start_write().is_none(), "one write at a time");
     voter.write_finished(number, false);
-    assert!(voter.take_outgoing().is_empty(), "the disk failed");
-    // A renewal changes nothing that is kept, and is told only after the grant is.
+    assert!(voter.take_outgoing().is_empty(), "the write failed");
+    // A renewal does not change the snapshot, but must wait for the grant to be durable.
     voter.handle_message(at(2), &Message::Request { from: CandidateId(1), round: 2, leases: wants });
     assert!(voter.take_outgoing().is_empty());
-    let (number, _) = voter.start_write().expect("it is still to be kept");
+    let (number, _) = voter.start_write().expect("the failed write is repeated");
     voter.write_finished(number, true);
     assert_eq!(voter.take_outgoing().len(), 2);
     assert!(voter.start_write().is_none());
 }
 
 #[test]
-fn a_voter_without_its_votes_learns_from_as_many_as_a_majority_and_only_after_its_wait() {
-    let terms = LeaseConfig { voter_count: 5, ..LeaseConfig::default() };
-    let mut voter = Voter::start(at(0), terms, VoterId(0), None, 3);
-    let tell = |voter: &mut Voter, now: i64, from: u8, highest: u64, whole: bool| {
+fn a_voter_without_votes_recovers_from_a_majority_of_others_after_its_wait() {
+    let config = LeaseConfig { voter_count: 5, ..LeaseConfig::default() };
+    let mut voter = Voter::start(at(0), config, VoterId(0), None, 3);
+    let respond = |voter: &mut Voter, now: i64, from: u8, highest: u64, whole: bool| {
         let asked = voter.incarnation();
-        let word = Message::RecoveryResponse {
+        let message = Message::RecoveryResponse {
             from: VoterId(from),
             requested_by: asked,
             highest: Epoch(highest),
             last_known: 0,
             is_complete: whole,
         };
-        voter.handle_message(at(now), &word);
+        voter.handle_message(at(now), &message);
     };
-    (1..5).for_each(|from| tell(&mut voter, 10, from, 9, true));
-    assert!(
-        matches!(voter.stage(), Stage::Waiting(_)),
-        "what they know may still change by its former grants"
-    );
+    (1..5).for_each(|from| respond(&mut voter, 10, from, 9, true));
+    assert!(matches!(voter.stage(), Stage::Waiting(_)), "responses during the wait do not count");
     let early = voter.incarnation();
     voter.tick(at(TERM));
     for from in 1..5 {
-        // Answered before the wait was over, and late on the way.
+        // Sent before the wait was over, and delayed.
         let (from, highest) = (VoterId(from), Epoch(3));
         voter.handle_message(
             at(TERM),
@@ -212,74 +217,78 @@
             },
         );
     }
-    assert!(matches!(voter.stage(), Stage::Recovering(_)), "what they knew then may have changed since");
-    tell(&mut voter, TERM, 1, 9, true);
-    tell(&mut voter, TERM, 1, 9, true);
-    tell(&mut voter, TERM, 2, 12, false);
-    tell(&mut voter, TERM, 3, 4, true);
     assert!(
         matches!(voter.stage(), Stage::Recovering(_)),
-        "one twice, and one that has lost its own, count for nothing"
+        "responses sent during the wait do not count later"
+    );
+    respond(&mut voter, TERM, 1, 9, true);
+    respond(&mut voter, TERM, 1, 9, true);
+    respond(&mut voter, TERM, 2, 12, false);
+    respond(&mut voter, TERM, 3, 4, true);
+    assert!(
+        matches!(voter.stage(), Stage::Recovering(_)),
+        "duplicates and voters without votes do not count"
     );
-    tell(&mut voter, TERM, 4, 7, true);
+    respond(&mut voter, TERM, 4, 7, true);
     assert_eq!(*voter.stage(), Stage::Voting);
     let ask = |epoch| Message::Request {
         from: CandidateId(1),
         round: epoch,
         leases: vec![LeaseEpoch { lease: lease_id("a"), epoch: Epoch(epoch) }],
     };
-    let mut said = |epoch| {
+    let mut response = |epoch| {
         voter.handle_message(at(TERM + 1), &ask(epoch));
-        kept(&mut voter).into_iter().find_map(|(_, word)| match word {
+        write_and_take_outgoing(&mut voter).into_iter().find_map(|(_, message)| match message {
             Message::Response { verdicts, .. } => Some(verdicts[0].1),
             _ => None,
         })
     };
-    assert_eq!(said(9), Some(Verdict::StaleEpoch(Epoch(9))));
-    assert_eq!(said(10), Some(Verdict::Granted(Epoch(10))));
+    assert_eq!(response(9), Some(Verdict::StaleEpoch(Epoch(9))));
+    assert_eq!(response(10), Some(Verdict::Granted(Epoch(10))));
 }
 
 #[test]
-fn an_older_copy_is_told_by_the_lives_that_others_remember_and_asking_twice_is_not() {
+fn an_older_snapshot_is_detected_by_its_incarnation_and_a_repeated_request_is_not() {
     let (mut other, mut one) = (voter(1), voter(0));
-    let learn = |life, start| Message::RecoveryRequest { from: VoterId(0), incarnation: life, nonce: start };
-    let known = |other: &mut Voter, word: &Message| {
-        other.handle_message(at(1), word);
-        let told = kept(other).into_iter().find_map(|(_, word)| match word {
-            Message::RecoveryResponse { last_known: life, .. } => Some((life, word)),
+    let learn = |incarnation, start| Message::RecoveryRequest { from: VoterId(0), incarnation, nonce: start };
+    let known = |other: &mut Voter, message: &Message| {
+        other.handle_message(at(1), message);
+        let response = write_and_take_outgoing(other).into_iter().find_map(|(_, message)| match message {
+            Message::RecoveryResponse { last_known, .. } => Some((last_known, message)),
             _ => None,
         });
-        told.expect("it answers")
+        response.expect("the voter responds")
     };
     assert_eq!(known(&mut other, &learn(4, 70)).0, 0);
-    assert_eq!(known(&mut other, &learn(4, 70)).0, 3, "the same start once more");
+    assert_eq!(known(&mut other, &learn(4, 70)).0, 3, "a repeated request of the same start");
     assert_eq!(known(&mut other, &learn(5, 71)).0, 4);
-    // Its store was put back: this is its fourth life once more.
+    // An older store was restored: the incarnation repeats.
     assert_eq!(known(&mut other, &learn(4, 72)).0, 5);
-    let (life, word) = known(&mut other, &learn(5, 73));
-    assert_eq!(life, 5);
-    one.handle_message(at(2), &word);
-    assert!(matches!(one.stage(), Stage::Recovering(_)), "it stops voting");
+    let (incarnation, message) = known(&mut other, &learn(5, 73));
+    assert_eq!(incarnation, 5);
+    one.handle_message(at(2), &message);
+    assert!(matches!(one.stage(), Stage::Recovering(_)), "the voter stops voting");
     assert_eq!(one.incarnation(), 6);
 }
 
-/// Voters and one candidate that hear each other at once.
+/// Delivers all messages between voters and a candidate immediately. Returns the number of messages from the
+/// candidate.
 fn settle(voters: &mut [Voter], one: &mut Candidate, now: i64) -> usize {
-    let mut words = 0;
+    let mut messages = 0;
     loop {
         let out = std::mem::take(&mut one.outbox);
         if out.is_empty() {
-            return words;
+            return messages;
         }
-        words += out.len();
-        for (to, word) in out {
+        messages += out.len();
+        for (to, message) in out {
             let Destination::Voter(VoterId(of)) = to else { continue };
             let voter = &mut voters[usize::from(of)];
-            voter.handle_message(at(now), &word);
-            for (_, answer) in kept(voter) {
+            voter.handle_message(at(now), &message);
+            for (_, answer) in write_and_take_outgoing(voter) {
                 assert!(
                     encode(&answer, 1).len() <= MAX_DATAGRAM_BYTES
-                        && encode(&word, 1).len() <= MAX_DATAGRAM_BYTES
+                        && encode(&message, 1).len() <= MAX_DATAGRAM_BYTES
                 );
                 one.handle_message(at(now), &answer, || 0.5);
             }
@@ -288,23 +297,23 @@
 }
 
 #[test]
-fn ten_thousand_leases_cost_few_words_a_term_and_go_back_at_once() {
-    let terms = LeaseConfig::default();
+fn ten_thousand_leases_share_messages_and_are_released_at_once() {
+    let config = LeaseConfig::default();
     let mut voters: Vec<Voter> = (0..3).map(voter).collect();
-    let mut one = Candidate::new(terms, CandidateId(5));
+    let mut one = Candidate::new(config, CandidateId(5));
     let leases: Vec<LeaseId> = (0..10_000).map(|n| lease_id(&format!("task-{n}"))).collect();
     leases.iter().for_each(|&lease| one.request(at(0), lease, 0, 0.0));
     one.tick(at(0), || 0.5);
     let first = settle(&mut voters, &mut one, 0);
     assert!(leases.iter().all(|&lease| one.permit(at(0), lease).is_some()));
-    assert_eq!(first, 10_000_usize.div_ceil(terms.max_batch_leases) * 3);
-    // A term of renewals.
-    let mut words = 0;
+    assert_eq!(first, 10_000_usize.div_ceil(config.max_batch_leases) * 3);
+    // Renewals during one term.
+    let mut messages = 0;
     for now in (50..=TERM).step_by(50) {
         one.tick(at(now), || 0.5);
-        words += settle(&mut voters, &mut one, now);
+        messages += settle(&mut voters, &mut one, now);
     }
-    assert!(words <= first * 4, "{words} words a term");
+    assert!(messages <= first * 4, "{messages} messages per term");
     assert!(leases.iter().all(|&lease| one.permit(at(TERM), lease).is_some()));
     one.release_all();
     settle(&mut voters, &mut one, TERM);
@@ -315,22 +324,23 @@
 }
 
 #[test]
-fn a_voter_knows_so_many_leases_and_no_more() {
-    let terms = LeaseConfig { max_leases: 4, ..LeaseConfig::default() };
-    let image = VoterSnapshot { is_complete: true, ..VoterSnapshot::default() };
-    let mut voter = Voter::start(at(-TERM), terms, VoterId(0), Some(image), 1);
+fn a_voter_limits_the_number_of_leases() {
+    let config = LeaseConfig { max_leases: 4, ..LeaseConfig::default() };
+    let snapshot = VoterSnapshot { is_complete: true, ..VoterSnapshot::default() };
+    let mut voter = Voter::start(at(-TERM), config, VoterId(0), Some(snapshot), 1);
     let wants = (0..6).map(|n| LeaseEpoch { lease: LeaseId(n), epoch: Epoch(1) }).collect();
     voter.handle_message(at(0), &Message::Request { from: CandidateId(1), round: 1, leases: wants });
-    let said = kept(&mut voter).into_iter().find_map(|(_, word)| match word {
+    let response = write_and_take_outgoing(&mut voter).into_iter().find_map(|(_, message)| match message {
         Message::Response { verdicts, .. } => Some(verdicts),
         _ => None,
     });
-    let full = said.unwrap_or_default().iter().filter(|(_, verdict)| *verdict == Verdict::AtCapacity).count();
+    let full =
+        response.unwrap_or_default().iter().filter(|(_, verdict)| *verdict == Verdict::AtCapacity).count();
     assert_eq!(full, 2);
 }
 
 #[test]
-fn clocks_that_surely_run_apart_are_told_and_slow_answers_are_not_taken_for_it() {
+fn clock_drift_is_reported_and_slow_responses_are_not() {
     let ask = |round| Message::Request { from: CandidateId(1), round, leases: Vec::new() };
     let answer = |round, clock: i64| Message::Response {
         from: VoterId(1),
@@ -338,7 +348,7 @@
         clock: Timestamp::from_micros(clock),
         verdicts: Vec::new(),
     };
-    // By how many millionths the voter's clock is off, and how long its answers take.
+    // The drift of the voter's clock, and the delay of its responses.
     for (ppm, took, wanted) in
         [(0, 2, false), (1900, 2, false), (3000, 2, true), (-3000, 2, true), (3000, 400, false)]
     {
@@ -351,12 +361,12 @@
             let showed = 77_000_000 + showed + showed * ppm / 1_000_000;
             found = found.or(clocks.observe(at(now + took), &answer(round, showed)));
         }
-        assert_eq!(found.is_some(), wanted, "{ppm} ppm, answers in {took} ms: {found:?}");
+        assert_eq!(found.is_some(), wanted, "{ppm} ppm, responses after {took} ms: {found:?}");
     }
 }
 
 #[test]
-fn the_taker_takes_no_older_epoch_and_no_second_holder() {
+fn the_fencing_guard_rejects_older_epochs_and_second_holders() {
     let mut guard = FencingGuard::default();
     let (a, b) = (lease_id("a"), lease_id("b"));
     assert!(guard.admit(a, Epoch(2), CandidateId(1)).is_ok());
@@ -369,7 +379,7 @@
 }
 
 #[test]
-fn a_holder_that_cannot_renew_loses_it_before_its_voters_give_it_away() {
+fn a_lease_that_is_not_renewed_expires_at_its_holder_before_its_voters() {
     let mut voters: Vec<Voter> = (0..3).map(voter).collect();
     let mut one = Candidate::new(LeaseConfig::default(), CandidateId(5));
     one.request(at(0), lease_id("a"), 0, 0.0);
@@ -384,16 +394,16 @@
             lost = Some(now);
         }
     }
-    let lost = lost.expect("it ends");
+    let lost = lost.expect("the lease expires");
     assert!(
         lost < TERM && voters.iter().all(|voter| voter.remaining(at(lost), lease_id("a")).is_some()),
         "{lost}"
     );
-    assert!(lost >= TERM * 99 / 100, "and not much sooner: {lost}");
+    assert!(lost >= TERM * 99 / 100, "not much earlier than the term: {lost}");
 }
 
 #[test]
-fn files_that_name_other_voters_or_terms_do_not_talk_to_each_other() {
+fn group_ids_differ_by_fleet_voters_term_and_drift_bound() {
     let names = |names: &[&str]| names.iter().map(ToString::to_string).collect::<Vec<_>>();
     let one = group_id("f", &names(&["a", "b", "c"]), ms(3000), 1000);
     let others = [
--- a/crates/arrowyard-startup/tests/start.rs
+++ b/crates/arrowyard-startup/tests/start.rs
@@ -1,4 +1,4 @@
-//! What is trusted after how long, and when a start is over.
+//! The trust in stored lists by their age, and the stages and the end of a start.
 
 use arrowyard_startup::{
     Stage, StartupConfig, StartupTracker, Trust, confidence, discount_hosts, jittered_retry_after,
@@ -36,40 +36,40 @@
 }
 
 #[test]
-fn an_old_list_is_used_less_and_a_very_old_one_not_at_all() {
+fn confidence_in_a_stored_list_decreases_with_its_age() {
     let trust = Trust { host_lifetime: ms(3_600_000), min_confidence: 0.05 };
     let names = |age: TimeDelta| {
         discount_hosts(&stored(), age, trust, &[]).iter().map(|one| one.host.name.clone()).collect::<Vec<_>>()
     };
-    assert_eq!(names(ms(0)), ["p", "r"], "neither the one that drains nor the one without an address");
+    assert_eq!(names(ms(0)), ["p", "r"], "draining hosts and hosts without an address are left out");
     assert_eq!(names(ms(2 * 3_600_000)).len(), 2);
     assert!(names(ms(4 * 3_600_000)).is_empty());
     let half = discount_hosts(&stored(), ms(2_495_329), trust, &[]);
     assert!((half[0].host.size - 1.0).abs() < 0.01 && (half[0].confidence - 0.5).abs() < 0.01);
-    assert!(half.iter().all(|one| !one.host.was_primary), "no role is taken from a store");
+    assert!(half.iter().all(|one| !one.host.was_primary), "roles are not restored");
     assert_eq!(half[0].host.born_ms, 5.0);
-    // A clock that went back since: as new, and no newer.
+    // The clock went backwards: the confidence is at most 1.
     assert_eq!(confidence(ms(-5000), trust.host_lifetime), 1.0);
-    // What the platform's own list has is left to it.
+    // Hosts of the platform's own list are left out.
     let known = discount_hosts(&stored(), ms(0), trust, &["p".to_string()]);
     assert_eq!(known.iter().map(|one| &*one.host.name).collect::<Vec<_>>(), ["r"]);
 }
 
 #[test]
-fn a_start_goes_through_its_stages_and_says_what_it_waited_for() {
+fn a_start_reports_its_stages_and_the_longest_wait() {
     let mut start = StartupTracker::start(at(0), StartupConfig::default(), false);
     assert_eq!(start.stage(), Stage::NoHosts);
     start.op_received(GroupId(1), false);
     start.op_acked(at(100), GroupId(1), false);
-    assert_eq!(start.stage(), Stage::NoHosts, "nothing is known that could have answered");
+    assert_eq!(start.stage(), Stage::NoHosts, "an acknowledgement without a known host proves nothing");
     start.discovery_responded(at(3_000));
     start.unconfirmed_list_received(at(3_100));
-    assert_eq!(start.stage(), Stage::Listed, "never back");
+    assert_eq!(start.stage(), Stage::Listed, "stages never go back");
     let mut now = 3_000;
     let mut done = None;
     while done.is_none() && now < 20_000 {
         now += 50;
-        // Writes are served from the fifth second on.
+        // Writes succeed from the fifth second on.
         start.op_received(GroupId(2), true);
         if now >= 5_000 {
             start.op_acked(at(now), GroupId(2), true);
@@ -80,22 +80,22 @@
         start.op_acked(at(now), GroupId(1), false);
         done = start.tick(at(now));
     }
-    let done = done.expect("it is over");
+    let done = done.expect("the start is over");
     assert!(done.is_full_service && (4_700..5_500).contains(&(done.took.micros() / 1000)), "{done:?}");
     assert_eq!((done.longest_stage, done.longest_wait), (Stage::Listed, ms(3_000)));
-    assert!(now >= 5_000 + 1_900, "and it lasted for a while: {now}");
+    assert!(now >= 5_000 + 1_900, "full service requires several windows: {now}");
     assert_eq!((start.stage(), start.tick(at(30_000))), (Stage::Full, None));
 }
 
 #[test]
-fn a_start_that_is_never_served_ends_by_time_and_silence_of_clients_says_nothing() {
+fn a_failing_start_ends_by_timeout_and_idle_clients_do_not_end_it() {
     let mut start = StartupTracker::start(at(0), StartupConfig::default(), true);
     for now in (0..59_000).step_by(100) {
         start.op_received(GroupId(1), true);
         start.op_failed();
         assert_eq!(start.tick(at(now)), None);
     }
-    let over = start.tick(at(60_000)).expect("time is up");
+    let over = start.tick(at(60_000)).expect("the timeout has passed");
     assert!(!over.is_full_service && start.is_over());
     assert_eq!(over.longest_stage, Stage::Full);
     let mut idle = StartupTracker::start(at(0), StartupConfig::default(), true);
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn clients_of_a_fleet_that_starts_are_told_to_come_at_times_that_are_spread() {
+fn retry_delays_during_a_start_are_spread_uniformly() {
     let mut rng = fastrand::Rng::with_seed(3);
     let mut tenths = [0; 10];
     for _ in 0..10_000 {
@@ -117,20 +117,20 @@
     assert_eq!(
         jittered_retry_after(Some(ms(5000)), ms(2000), &mut rng),
         ms(2000),
-        "never beyond what clients may be told"
+        "at most the maximum that clients accept"
     );
 }
 
 proptest! {
-    /// Beside it a plain account: full service is told once, never before slices enough were served, and the stage never
-    /// goes back.
+    /// Full service is reported at most once and only after enough served windows, and the stage never goes
+    /// back.
     #[test]
-    fn it_is_full_only_after_enough_was_served(
+    fn full_service_requires_enough_acknowledged_operations(
         steps in prop::collection::vec((1_i64..400, 0_u32..6, 0_u32..6, prop::bool::weighted(0.1)), 1..300),
     ) {
         let terms = StartupConfig::default();
         let mut start = StartupTracker::start(at(0), terms, false);
-        let (mut now, mut acks, mut told, mut stage) = (0, 0, 0, Stage::NoHosts);
+        let (mut now, mut acks, mut reports, mut stage) = (0, 0, 0, Stage::NoHosts);
         for (step, asked, acked, listed) in steps {
             now += step;
             if listed {
@@ -145,7 +145,7 @@
                 acks += 1;
             }
             if let Some(done) = start.tick(at(now)) {
-                told += 1;
+                reports += 1;
                 if done.is_full_service {
                     prop_assert!(acks >= terms.required_windows * 3, "{acks} acks are too few");
                     prop_assert!(done.took <= ms(now) && start.stage() == Stage::Full);
@@ -156,6 +156,6 @@
             prop_assert!(start.stage() >= stage);
             stage = start.stage();
         }
-        prop_assert!(told <= 1);
+        prop_assert!(reports <= 1);
     }
 }
