--- a/crates/arrowyard-leases/src/message.rs
+++ b/crates/arrowyard-leases/src/message.rs
@@ -46,9 +46,9 @@
     #[prost(int64, tag = "7")]
     clock_us: i64,
     #[prost(uint64, tag = "8")]
-    life: u64,
+    incarnation: u64,
     #[prost(uint64, tag = "9")]
-    highest: u64,
+    highest_epoch: u64,
     /// In a recovery response: `is_complete`; in a release: `held`.
     #[prost(bool, tag = "10")]
     whole: bool,
@@ -117,13 +117,13 @@
             datagram.rows = lease_rows(&[LeaseEpoch { lease: *lease, epoch: *epoch }]);
         }
         Message::RecoveryRequest { from, incarnation, nonce } => {
-            (datagram.kind, datagram.voter, datagram.life, datagram.candidate) =
+            (datagram.kind, datagram.voter, datagram.incarnation, datagram.candidate) =
                 (5, from.0.into(), *incarnation, *nonce);
         }
         Message::RecoveryResponse { from, requested_by, highest, last_known, is_complete } => {
-            (datagram.kind, datagram.voter, datagram.life, datagram.round) =
+            (datagram.kind, datagram.voter, datagram.incarnation, datagram.round) =
                 (6, from.0.into(), *last_known, *requested_by);
-            (datagram.highest, datagram.whole) = (highest.0, *is_complete);
+            (datagram.highest_epoch, datagram.whole) = (highest.0, *is_complete);
         }
     }
     let body = datagram.encode_to_vec();
@@ -183,14 +183,18 @@
             let row = datagram.rows.first().ok_or(DecodeError::Garbled)?;
             Message::Available { from: voter, lease: LeaseId(row.lease), epoch: Epoch(row.epoch) }
         }
-        5 => Message::RecoveryRequest { from: voter, incarnation: datagram.life, nonce: datagram.candidate },
+        5 => Message::RecoveryRequest {
+            from: voter,
+            incarnation: datagram.incarnation,
+            nonce: datagram.candidate,
+        },
         6 => {
-            let highest = Epoch(datagram.highest);
+            let highest = Epoch(datagram.highest_epoch);
             Message::RecoveryResponse {
                 from: voter,
                 requested_by: round,
                 highest,
-                last_known: datagram.life,
+                last_known: datagram.incarnation,
                 is_complete: datagram.whole,
             }
         }
--- a/crates/arrowyard-leases/src/storage.rs
+++ b/crates/arrowyard-leases/src/storage.rs
@@ -28,9 +28,9 @@
     #[prost(uint32, tag = "1")]
     voter: u32,
     #[prost(uint64, tag = "2")]
-    life: u64,
+    incarnation: u64,
     #[prost(fixed64, tag = "3")]
-    start: u64,
+    nonce: u64,
 }
 
 #[derive(Clone, PartialEq, prost::Message)]
@@ -41,15 +41,15 @@
     #[prost(string, tag = "2")]
     voter: String,
     #[prost(uint64, tag = "3")]
-    life: u64,
+    incarnation: u64,
     #[prost(uint64, tag = "4")]
-    floor: u64,
+    epoch_floor: u64,
     #[prost(bool, tag = "5")]
-    whole: bool,
+    is_complete: bool,
     #[prost(message, repeated, tag = "6")]
     votes: Vec<VoteRow>,
     #[prost(message, repeated, tag = "7")]
-    lives: Vec<IncarnationRow>,
+    incarnations: Vec<IncarnationRow>,
 }
 
 /// Why a file cannot be used.
@@ -74,16 +74,19 @@
         epoch: epoch.0,
         holder: holder.0,
     };
-    let life =
-        |&(voter, life, start): &(VoterId, u64, u64)| IncarnationRow { voter: voter.0.into(), life, start };
+    let incarnation_row = |&(voter, incarnation, nonce): &(VoterId, u64, u64)| IncarnationRow {
+        voter: voter.0.into(),
+        incarnation,
+        nonce,
+    };
     let file = VoterFile {
         group,
         voter: voter.to_string(),
-        life: snapshot.incarnation,
-        floor: snapshot.epoch_floor.0,
-        whole: snapshot.is_complete,
+        incarnation: snapshot.incarnation,
+        epoch_floor: snapshot.epoch_floor.0,
+        is_complete: snapshot.is_complete,
         votes: snapshot.votes.iter().map(vote).collect(),
-        lives: snapshot.incarnations.iter().map(life).collect(),
+        incarnations: snapshot.incarnations.iter().map(incarnation_row).collect(),
     };
     let mut bytes = MAGIC.to_vec();
     bytes.extend(FORMAT_VERSION.to_le_bytes());
@@ -114,15 +117,15 @@
         return Err(LoadError::Foreign);
     }
     let votes = file.votes.iter().map(|row| (LeaseId(row.lease), Epoch(row.epoch), CandidateId(row.holder)));
-    let lives = file
-        .lives
+    let incarnations = file
+        .incarnations
         .iter()
-        .filter_map(|row| Some((VoterId(u8::try_from(row.voter).ok()?), row.life, row.start)));
+        .filter_map(|row| Some((VoterId(u8::try_from(row.voter).ok()?), row.incarnation, row.nonce)));
     Ok(VoterSnapshot {
-        incarnation: file.life,
-        epoch_floor: Epoch(file.floor),
-        is_complete: file.whole,
+        incarnation: file.incarnation,
+        epoch_floor: Epoch(file.epoch_floor),
+        is_complete: file.is_complete,
         votes: votes.collect(),
-        incarnations: lives.collect(),
+        incarnations: incarnations.collect(),
     })
 }
