--- a/crates/arrowyard-pooler/src/routes.rs
+++ b/crates/arrowyard-pooler/src/routes.rs
@@ -41,7 +41,7 @@
         let key = (
             channel.kind,
             statement,
-            channel.setpoint_ms as i64,
+            channel.latency_target_ms as i64,
             channel.deadline_ms as i64,
             channel.priority,
             channel.staleness_bound_ms as i64,
@@ -50,7 +50,7 @@
             return *id;
         }
         let consistency = match (statement, channel.kind) {
-            (StatementKind::Read, RouteKind::BoundedStaleness | RouteKind::OwnRegion) => {
+            (StatementKind::Read, RouteKind::BoundedStaleness | RouteKind::ReadYourWrites) => {
                 Consistency::Bounded(millis(channel.staleness_bound_ms))
             }
             (StatementKind::Read, RouteKind::Primary) => Consistency::Fresh,
@@ -63,7 +63,7 @@
         };
         let id = OpTypeId(self.rows.len() as u32);
         self.rows.push(OpType {
-            latency_target: millis(channel.setpoint_ms),
+            latency_target: millis(channel.latency_target_ms),
             op_timeout: millis(channel.deadline_ms),
             value: 4.0 / f64::from(channel.priority + 1),
             // An answer after the latency target keeps a part of its value.
@@ -101,6 +101,7 @@
 }
 
 impl Routes {
+    /// The routes and services of a configuration.
     pub fn new(configuration: &Configuration) -> Self {
         let mut by_database: FxHashMap<String, Rc<Channel>> = FxHashMap::default();
         for channel in configuration.channels() {
@@ -133,6 +134,7 @@
 pub struct Groups(FxHashMap<String, GroupId>);
 
 impl Groups {
+    /// The number of a service, if it has one.
     pub fn get(&self, service: &str) -> Option<GroupId> {
         self.0.get(service).copied()
     }
