--- a/crates/arrowyard-daemon/tests/peers.rs
+++ b/crates/arrowyard-daemon/tests/peers.rs
@@ -204,13 +204,17 @@
     let plan = Plan::new("halves", 6, 0).act(0, 9_000, Fault::Part(vec![0, 1], vec![2, 3, 4, 5]));
     let asked: Vec<_> =
         [0, 2].iter().map(|&who| ops(rig.process(who).expect("it runs"), ms(9_000), 3)).collect();
-    rig.play(&plan, ms(0));
+    // The cut stands until the views have been read: once it heals, the halves find each other again.
+    let cut = [0, 1].into_iter().flat_map(|one| (2..6).flat_map(move |two| [(one, two), (two, one)]));
+    rig.relays.cut(99, cut.collect());
+    rig.play(&Plan { acts: vec![], ..plan.clone() }, ms(9_000));
     for (who, reach) in [(0, 2), (1, 2), (2, 4), (5, 4)] {
         let view = rig.view(who).expect("it shows its view");
         assert_eq!((&view["reach"], &view["whole"]), (&reach.into(), &6.into()), "n{who}: {}", plan.text());
         // The smaller part does not spend the others' shares, and the larger one not so soon.
         assert!(view["routers"].as_f64() >= Some(6.0), "{}", view["routers"]);
     }
+    rig.relays.heal(99);
     agreed(&rig, 8_000, &plan);
     let outcomes: Vec<Outcome> =
         asked.into_iter().map(|asked| asked.join().expect("it was played")).collect();
