--- a/crates/arrowyard-daemon/src/cells.rs
+++ b/crates/arrowyard-daemon/src/cells.rs
@@ -1,4 +1,5 @@
-//! `arrowyard cells …`: who belongs where, what an edit would move, and how a router's cells stand.
+//! `arrowyard cells`: assignments of tenants to cells, the effect of an edit, and the state of a running
+//! router's cells.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -10,7 +11,7 @@
 use clap::{Args, Subcommand};
 use serde_json::{Value, json};
 
-use crate::ask::{ask, rows, table, text};
+use crate::show::{query_show, rows, table, value_text};
 
 #[derive(Subcommand)]
 pub enum Command {
@@ -76,85 +77,86 @@
         .ok_or_else(|| format!("{}: it says nothing of cells", path.display()))
 }
 
-/// Carries the command out.
+/// Runs the command.
 ///
 /// # Errors
-/// Why it could not be done.
+/// Why it failed.
 pub fn run(command: Command) -> Result<ExitCode, String> {
     match command {
         Command::Show(show) => self::show(&show),
         Command::Place(Place { file, tenants, json }) => {
             let layout = load(&file)?;
-            let mut assign = CellAssignment::new(&layout);
+            let mut assignment = CellAssignment::new(&layout);
             let mut cells = |tenant: &str| -> Vec<String> {
-                let homes = assign.cells_for(Some(tenant), None, GroupId(0)).unwrap_or_default();
-                homes.iter().map(|&id| layout.cell(id).name.to_string()).collect()
+                let cells = assignment.cells_for(Some(tenant), None, GroupId(0)).unwrap_or_default();
+                cells.iter().map(|&id| layout.cell(id).name.to_string()).collect()
             };
             let rows: Vec<(&String, Vec<String>)> = tenants.iter().map(|name| (name, cells(name))).collect();
-            let homeless = rows.iter().any(|(_, cells)| cells.is_empty());
+            let any_unassigned = rows.iter().any(|(_, cells)| cells.is_empty());
             if json {
-                let told: serde_json::Map<String, Value> =
+                let cells_by_tenant: serde_json::Map<String, Value> =
                     rows.into_iter().map(|(name, cells)| (name.clone(), cells.into())).collect();
-                println!("{}", Value::Object(told));
+                println!("{}", Value::Object(cells_by_tenant));
             } else {
-                let told = |(name, cells): (&String, Vec<String>)| {
+                let row = |(name, cells): (&String, Vec<String>)| {
                     let cells =
                         if cells.is_empty() { "none: its ops are errors".into() } else { cells.join(", ") };
                     vec![name.clone(), cells]
                 };
-                println!("{}", table(&["tenant", "cells"], rows.into_iter().map(told)));
+                println!("{}", table(&["tenant", "cells"], rows.into_iter().map(row)));
             }
-            Ok(ExitCode::from(u8::from(homeless)))
+            Ok(ExitCode::from(u8::from(any_unassigned)))
         }
         Command::Diff(Diff { old, new, tenants, rows, json }) => {
             let (old, new) = (load(&old)?, load(&new)?);
-            let others = match &tenants {
+            let other_tenants = match &tenants {
                 Some(path) => {
                     std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?
                 }
                 None => String::new(),
             };
-            let others = others.lines().map(str::trim).filter(|name| !name.is_empty());
-            let known = old.tenants.len().max(new.tenants.len()) + others.clone().count();
-            let moved = reassigned_tenants(&old, &new, others);
-            let any = !moved.is_empty();
+            let other_tenants = other_tenants.lines().map(str::trim).filter(|name| !name.is_empty());
+            let tenant_count = old.tenants.len().max(new.tenants.len()) + other_tenants.clone().count();
+            let moved = reassigned_tenants(&old, &new, other_tenants);
+            let any_moved = !moved.is_empty();
             if json {
-                let told = moved.iter().map(|m| json!({"tenant": m.tenant, "from": m.from, "to": m.to}));
-                println!("{}", json!({"moved": told.collect::<Vec<_>>()}));
+                let moves = moved.iter().map(|m| json!({"tenant": m.tenant, "from": m.from, "to": m.to}));
+                println!("{}", json!({"moved": moves.collect::<Vec<_>>()}));
             } else {
-                let told = moved
+                let rows = moved
                     .iter()
                     .take(rows)
                     .map(|m| vec![m.tenant.to_string(), m.from.join(", "), m.to.join(", ")]);
                 println!(
-                    "{}\n{} of about {known} tenants move",
-                    table(&["tenant", "from", "to"], told),
+                    "{}\n{} of about {tenant_count} tenants move",
+                    table(&["tenant", "from", "to"], rows),
                     moved.len()
                 );
             }
-            Ok(ExitCode::from(u8::from(any)))
+            Ok(ExitCode::from(u8::from(any_moved)))
         }
         Command::Odds(Odds { file, pairs, json }) => {
             let layout = load(&file)?;
-            let each = layout
+            let cells_per_tenant = layout
                 .cells_per_hashed_tenant
                 .ok_or_else(|| format!("{}: it places no tenants", file.display()))?;
             let cells = layout.cells.iter().filter(|cell| cell.accepts_hashed_tenants).count();
-            let (told, seen) = (sharing_odds(cells, each), sampled_sharing_odds(&layout, pairs, 1));
+            let (exact, sampled) =
+                (sharing_odds(cells, cells_per_tenant), sampled_sharing_odds(&layout, pairs, 1));
             if json {
                 let pair = |odds: arrowyard_cells::assignment::Odds| json!({"all": odds.share_all, "any": odds.share_any});
                 println!(
                     "{}",
-                    json!({"cells": cells, "each": each, "worked_out": pair(told), "drawn": pair(seen)})
+                    json!({"cells": cells, "each": cells_per_tenant, "worked_out": pair(exact), "drawn": pair(sampled)})
                 );
             } else {
-                println!("{each} of {cells} cells each; two tenants share");
-                let row = |name: &str, told: f64, seen: f64| {
-                    vec![name.to_string(), format!("{told:.6}"), format!("{seen:.6}")]
+                println!("{cells_per_tenant} of {cells} cells each; two tenants share");
+                let row = |name: &str, exact: f64, sampled: f64| {
+                    vec![name.to_string(), format!("{exact:.6}"), format!("{sampled:.6}")]
                 };
                 let rows = [
-                    row("all of them", told.share_all, seen.share_all),
-                    row("any of them", told.share_any, seen.share_any),
+                    row("all of them", exact.share_all, sampled.share_all),
+                    row("any of them", exact.share_any, sampled.share_any),
                 ];
                 println!(
                     "{}",
@@ -167,16 +169,16 @@
 }
 
 fn show(show: &Show) -> Result<ExitCode, String> {
-    let told = ask(show.router, "cells").map_err(|error| format!("{}: {error}", show.router))?;
-    let told = told.map_err(|why| format!("{}: {why}", show.router))?;
+    let response = query_show(show.router, "cells").map_err(|error| format!("{}: {error}", show.router))?;
+    let report = response.map_err(|error| format!("{}: {error}", show.router))?;
     if show.json {
-        println!("{told}");
+        println!("{report}");
         return Ok(ExitCode::SUCCESS);
     }
-    let told: Value = serde_json::from_str(&told).map_err(|error| format!("{}: {error}", show.router))?;
-    let rows = |of: &str, fields: &[&str]| rows(&told[of], fields);
-    println!("epoch {}, held {}", text(&told["epoch"]), text(&told["held"]));
-    let heads = [
+    let report: Value = serde_json::from_str(&report).map_err(|error| format!("{}: {error}", show.router))?;
+    let rows = |list: &str, fields: &[&str]| rows(&report[list], fields);
+    println!("epoch {}, held {}", value_text(&report["epoch"]), value_text(&report["held"]));
+    let columns = [
         "cell",
         "ops",
         "share",
@@ -191,11 +193,11 @@
         "first_sends",
         "further_sends",
     ];
-    println!("{}", table(&heads, rows("cells", &heads).into_iter()));
-    let heads = ["tenant", "stage", "out", "tokens"];
-    let moves = rows("moves", &heads);
+    println!("{}", table(&columns, rows("cells", &columns).into_iter()));
+    let columns = ["tenant", "stage", "out", "tokens"];
+    let moves = rows("moves", &columns);
     if !moves.is_empty() {
-        println!("\n{}", table(&heads, moves.into_iter()));
+        println!("\n{}", table(&columns, moves.into_iter()));
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/arrowyard-daemon/src/leases.rs
+++ b/crates/arrowyard-daemon/src/leases.rs
@@ -1,4 +1,4 @@
-//! `arrowyard leases`: who holds what, as a running router sees it; and the first place for a voter's votes.
+//! `arrowyard leases`: the leases that a running router sees, and the creation of a voter's vote file.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -9,7 +9,7 @@
 use clap::{Args, Subcommand};
 use serde_json::Value;
 
-use crate::ask::{ask, rows, table, text};
+use crate::show::{query_show, rows, table, value_text};
 
 #[derive(Subcommand)]
 pub enum Command {
@@ -43,66 +43,68 @@
     floor: u64,
 }
 
+/// Runs the command.
+///
 /// # Errors
-/// What could not be done.
+/// Why it failed.
 pub fn run(command: &Command) -> Result<ExitCode, String> {
     match command {
-        Command::Show(asked) => show(asked),
-        Command::Init(told) => init(told),
+        Command::Show(args) => show(args),
+        Command::Init(args) => init(args),
     }
 }
 
-fn init(told: &Init) -> Result<ExitCode, String> {
-    let book = arrowyard_operator_config::load(&told.book)?;
-    let joins = arrowyard_operator_config::leases(&book).ok_or("the operator's file has no leases")?;
-    let names: Vec<String> = joins.voters.iter().map(|(name, _)| name.clone()).collect();
-    if !names.contains(&told.name) {
-        return Err(format!("{} is none of the voters", told.name));
+fn init(args: &Init) -> Result<ExitCode, String> {
+    let book = arrowyard_operator_config::load(&args.book)?;
+    let config = arrowyard_operator_config::leases(&book).ok_or("the operator's file has no leases")?;
+    let names: Vec<String> = config.voters.iter().map(|(name, _)| name.clone()).collect();
+    if !names.contains(&args.name) {
+        return Err(format!("{} is none of the voters", args.name));
     }
-    let folder = joins.store.ok_or("leases.store is not set")?;
-    let group = message::group(&joins.fleet, &names, joins.terms.term, joins.terms.drift_ppm);
+    let folder = config.store.ok_or("leases.store is not set")?;
+    let group = message::group(&config.fleet, &names, config.terms.term, config.terms.drift_ppm);
     std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     let path = folder.join("votes");
-    // Danger: votes that are good are thrown away, and their epochs are given once more.
-    let there =
-        System.read(&path, keep::LARGEST).ok().map(|(bytes, _)| keep::read(&bytes, group, &told.name));
-    if let Some(Ok(_)) = there {
+    // Replacing valid votes would allow their epochs to be granted again.
+    let existing =
+        System.read(&path, keep::LARGEST).ok().map(|(bytes, _)| keep::read(&bytes, group, &args.name));
+    if let Some(Ok(_)) = existing {
         return Err(format!("{}: there are votes, and they are good", path.display()));
     }
-    let image = Image { whole: true, floor: Epoch(told.floor), ..Image::default() };
-    let beside = folder.join("votes.next");
-    let made = System
-        .write(&beside, &keep::write(&image, group, &told.name))
-        .and_then(|()| System.replace(&beside, &path));
-    made.map_err(|error| format!("{}: {error}", path.display()))?;
+    let image = Image { whole: true, floor: Epoch(args.floor), ..Image::default() };
+    let temporary = folder.join("votes.next");
+    let written = System
+        .write(&temporary, &keep::write(&image, group, &args.name))
+        .and_then(|()| System.replace(&temporary, &path));
+    written.map_err(|error| format!("{}: {error}", path.display()))?;
     println!("{}: made", path.display());
     Ok(ExitCode::SUCCESS)
 }
 
-fn show(asked: &Show) -> Result<ExitCode, String> {
-    let told = ask(asked.router, "leases").map_err(|error| format!("{}: {error}", asked.router))?;
-    let told = told.map_err(|why| format!("{}: {why}", asked.router))?;
-    if asked.json {
-        println!("{told}");
+fn show(args: &Show) -> Result<ExitCode, String> {
+    let response = query_show(args.router, "leases").map_err(|error| format!("{}: {error}", args.router))?;
+    let report = response.map_err(|error| format!("{}: {error}", args.router))?;
+    if args.json {
+        println!("{report}");
         return Ok(ExitCode::SUCCESS);
     }
-    let told: Value = serde_json::from_str(&told).map_err(|error| format!("{}: {error}", asked.router))?;
-    let [name, candidate] = ["name", "candidate"].map(|field| text(&told[field]));
+    let report: Value = serde_json::from_str(&report).map_err(|error| format!("{}: {error}", args.router))?;
+    let [name, candidate] = ["name", "candidate"].map(|field| value_text(&report[field]));
     println!("{name} wants leases as {candidate}");
-    match told["voter"].as_str() {
+    match report["voter"].as_str() {
         Some(stage) => println!("it is a voter, and {stage}"),
         None => println!("it does not vote"),
     }
-    let drifts = told["drifts_ppm"].as_object().into_iter().flatten();
+    let drifts = report["drifts_ppm"].as_object().into_iter().flatten();
     drifts.for_each(|(voter, ppm)| {
         println!("the clock of {voter} runs apart from its own by {ppm} millionths")
     });
-    let heads = ["name", "held", "left_ms", "epoch", "acts", "failed"];
-    println!("{}", table(&heads, rows(&told["leases"], &heads).into_iter()));
-    let heads = ["name", "epoch", "holder", "left_ms"];
-    let votes = rows(&told["votes"], &heads);
+    let columns = ["name", "held", "left_ms", "epoch", "acts", "failed"];
+    println!("{}", table(&columns, rows(&report["leases"], &columns).into_iter()));
+    let columns = ["name", "epoch", "holder", "left_ms"];
+    let votes = rows(&report["votes"], &columns);
     if !votes.is_empty() {
-        println!("votes\n{}", table(&heads, votes.into_iter()));
+        println!("votes\n{}", table(&columns, votes.into_iter()));
     }
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/arrowyard-daemon/src/lib.rs
+++ b/crates/arrowyard-daemon/src/lib.rs
@@ -1,12 +1,12 @@
-//! The command line of arrowyard, and one router in service, for each program that serves: what they share is here,
-//! what fronts they have is their own.
+//! The command line and the router service that the router programs share. Each program adds its own
+//! frontends.
 
-mod ask;
 mod cells;
 mod leases;
 mod peers;
 pub mod router_service;
 pub mod serve;
+mod show;
 mod store;
 
 use std::path::{Path, PathBuf};
@@ -23,7 +23,7 @@
 /// router could not start or go on.
 #[derive(Parser)]
 #[command(name = "arrowyard", version, max_term_width = 110)]
-struct Line {
+struct CommandLine {
     #[command(subcommand)]
     command: Option<Command>,
     #[command(flatten)]
@@ -66,13 +66,13 @@
     json: bool,
 }
 
-const FAULTS: u8 = 1;
-const FAILED: u8 = 2;
+const EXIT_FAULTS: u8 = 1;
+const EXIT_FAILED: u8 = 2;
 
 fn check(file: &Path, as_json: bool) -> Result<ExitCode, String> {
     let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
-    let read = arrowyard_operator_config::read(&text);
-    let faults = read.as_ref().err().map(Vec::as_slice).unwrap_or_default();
+    let parsed = arrowyard_operator_config::read(&text);
+    let faults = parsed.as_ref().err().map(Vec::as_slice).unwrap_or_default();
     if as_json {
         let rows = faults.iter().map(|fault| {
             json!({"line": fault.place.line, "column": fault.place.column, "field": fault.field, "what": fault.what})
@@ -86,22 +86,23 @@
             count => println!("{}: {count} faults; a router would refuse it whole", file.display()),
         }
     }
-    Ok(if faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(FAULTS) })
+    Ok(if faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAULTS) })
 }
 
-/// Nothing is asked for where the platform starts it: without a word, and without a file of the operator's. The
-/// command line's parser stays out of memory then.
-fn command() -> Option<Command> {
+/// The parsed command line. `None` without arguments and without ARROWYARD_BOOK, as the platform starts the
+/// router: the parser is then never loaded into memory.
+fn parse_command() -> Option<Command> {
     if std::env::args_os().len() == 1 && std::env::var_os("ARROWYARD_BOOK").is_none() {
         return None;
     }
-    let Line { command, run } = Line::parse();
+    let CommandLine { command, run } = CommandLine::parse();
     Some(command.unwrap_or(Command::Run(run)))
 }
 
-/// Does what the command line says; `serve` is how this program serves, with the operator's file if there is one.
+/// Runs the command line's command. `serve` runs the router, given the path of the operator's file if there
+/// is one.
 pub fn run(serve: impl FnOnce(Option<PathBuf>) -> Result<(), String>) -> ExitCode {
-    let done = match command() {
+    let result = match parse_command() {
         None => serve(None).map(|()| ExitCode::SUCCESS),
         Some(Command::Run(run)) => serve(run.book).map(|()| ExitCode::SUCCESS),
         Some(Command::Check(Check { file, json })) => check(&file, json),
@@ -110,8 +111,8 @@
         Some(Command::Leases(command)) => leases::run(&command),
         Some(Command::Store(command)) => store::run(&command),
     };
-    done.unwrap_or_else(|why| {
-        eprintln!("arrowyard: {}", why.replace('\n', "\narrowyard: "));
-        ExitCode::from(FAILED)
+    result.unwrap_or_else(|error| {
+        eprintln!("arrowyard: {}", error.replace('\n', "\narrowyard: "));
+        ExitCode::from(EXIT_FAILED)
     })
 }
--- a/crates/arrowyard-daemon/src/main.rs
+++ b/crates/arrowyard-daemon/src/main.rs
@@ -1,4 +1,4 @@
-//! The router on PostgreSQL's protocol.
+//! The router for PostgreSQL clients and hosts.
 
 use std::process::ExitCode;
 
--- a/crates/arrowyard-daemon/src/peers.rs
+++ b/crates/arrowyard-daemon/src/peers.rs
@@ -1,4 +1,4 @@
-//! `arrowyard peers`: what a running router holds true of the other routers of its fleet.
+//! `arrowyard peers`: a running router's view of the other routers of its fleet.
 
 use std::net::SocketAddr;
 use std::process::ExitCode;
@@ -6,7 +6,7 @@
 use clap::Args;
 use serde_json::Value;
 
-use crate::ask::{ask, rows, table, text};
+use crate::show::{query_show, rows, table, value_text};
 
 #[derive(Args)]
 pub struct Peers {
@@ -17,33 +17,33 @@
     json: bool,
 }
 
-/// Prints the view.
+/// Prints the router's membership view.
 ///
 /// # Errors
-/// The router does not answer, or belongs to no fleet.
+/// The router does not respond, or belongs to no fleet.
 pub fn run(peers: &Peers) -> Result<ExitCode, String> {
-    let told = ask(peers.router, "peers").map_err(|error| format!("{}: {error}", peers.router))?;
-    let told = told.map_err(|why| format!("{}: {why}", peers.router))?;
+    let response = query_show(peers.router, "peers").map_err(|error| format!("{}: {error}", peers.router))?;
+    let view = response.map_err(|error| format!("{}: {error}", peers.router))?;
     if peers.json {
-        println!("{told}");
+        println!("{view}");
         return Ok(ExitCode::SUCCESS);
     }
-    let told: Value = serde_json::from_str(&told).map_err(|error| format!("{}: {error}", peers.router))?;
+    let view: Value = serde_json::from_str(&view).map_err(|error| format!("{}: {error}", peers.router))?;
     let [name, reach, whole, routers, health] =
-        ["name", "reach", "whole", "routers", "health"].map(|field| text(&told[field]));
+        ["name", "reach", "whole", "routers", "health"].map(|field| value_text(&view[field]));
     println!("{name} reaches {reach} of {whole}, itself among them; shares are reckoned by {routers}");
-    if told["doubts"] == true {
+    if view["doubts"] == true {
         println!("it doubts itself (it was away, or hears nobody), and declares nobody silent");
     }
-    if told["health"] != 0 {
+    if view["health"] != 0 {
         println!("its own health is at {health}: its questions go unanswered more than they should");
     }
-    if told["doubled"] == true {
+    if view["doubled"] == true {
         println!("another process has its name");
     }
-    let heads = ["name", "standing", "reach", "for_ms", "by", "accusers", "sure", "serves", "fell", "life"];
-    println!("{}", table(&heads, rows(&told["peers"], &heads).into_iter()));
-    let counts = [
+    let columns = ["name", "standing", "reach", "for_ms", "by", "accusers", "sure", "serves", "fell", "life"];
+    println!("{}", table(&columns, rows(&view["peers"], &columns).into_iter()));
+    let counters = [
         "sent",
         "taken",
         "flood",
@@ -56,7 +56,7 @@
         "unmet",
         "errors",
     ];
-    let row = counts.iter().map(|field| text(&told["datagrams"][field])).collect();
-    println!("datagrams\n{}", table(&counts, std::iter::once(row)));
+    let row = counters.iter().map(|field| value_text(&view["datagrams"][field])).collect();
+    println!("datagrams\n{}", table(&counters, std::iter::once(row)));
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/arrowyard-daemon/src/router_service.rs
+++ b/crates/arrowyard-daemon/src/router_service.rs
@@ -1,5 +1,5 @@
-//! What every router in service has, whatever fronts it has and whatever its hosts speak: the stages are started on one
-//! thread, and end when told to.
+//! The router service, independent of its frontends and of the hosts' protocol: starts all tasks on one
+//! thread and stops them on request.
 
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
@@ -31,26 +31,27 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// How the log is kept: as the operator's file says, else as without one.
-fn logbook(name: &str, lines: u32, book: Option<&Yardbook>) -> Logbook {
-    let plain = Logbook::plain(name, lines);
-    let Some(log) = book.and_then(|book| book.log.as_ref()) else { return plain };
+/// Log settings: those of the operator's file where it has them, else the defaults.
+fn log_settings(name: &str, lines_per_second: u32, book: Option<&Yardbook>) -> Logbook {
+    let defaults = Logbook::plain(name, lines_per_second);
+    let Some(log) = book.and_then(|book| book.log.as_ref()) else { return defaults };
     Logbook {
         form: if log.form() == schema::Form::Json { Form::Json } else { Form::Text },
-        level: log.level.as_ref().and_then(|level| level.parse().ok()).unwrap_or(plain.level),
-        lines: log.lines_a_second.unwrap_or(lines),
-        ..plain
+        level: log.level.as_ref().and_then(|level| level.parse().ok()).unwrap_or(defaults.level),
+        lines: log.lines_a_second.unwrap_or(lines_per_second),
+        ..defaults
     }
 }
 
-/// What the draws of the herd are told apart by from the module's, which have the same seed.
-const HERD: u64 = 0x6865_7264;
+/// Separates the random numbers that pace discovery calls from those of the decision module, which has the
+/// same seed.
+const PACING_SEED: u64 = 0x6865_7264;
 
-/// The stages of a router that is to serve: fronts hand their ops in here.
+/// The tasks of a running router, and the handles by which frontends submit ops.
 pub struct RouterService<B: Back> {
     pub gate: Rc<Gate>,
     pub mail: mpsc::Sender<Mail<B>>,
-    /// Connections of clients, of every front.
+    /// Number of client connections of all frontends.
     pub clients: Rc<Cell<usize>>,
     pub stage: watch::Receiver<Stage>,
     pub beat: Rc<Beat>,
@@ -63,19 +64,19 @@
 }
 
 impl<B: Back> RouterService<B> {
-    /// Starts them; `back` makes what carries sends to hosts.
+    /// Starts the tasks; `back` creates the backend that sends to hosts.
     ///
     /// # Errors
-    /// What it could not start with.
+    /// Why a task could not be started.
     pub async fn start(
         waybill: &Waybill,
         path: Option<PathBuf>,
         book: Option<&Yardbook>,
         back: impl FnOnce(&Rc<Limits>) -> Rc<B>,
     ) -> Result<Self, String> {
-        let mut told = manifest(&waybill.settings)?;
-        let limits = Rc::new(Limits::new(waybill, &told));
-        logger::start(logbook(&waybill.name, limits.log_lines, book));
+        let mut settings = manifest(&waybill.settings)?;
+        let limits = Rc::new(Limits::new(waybill, &settings));
+        logger::start(log_settings(&waybill.name, limits.log_lines, book));
         let signals = drain::signals().map_err(|e| format!("signals: {e}"))?;
         let hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
         let clock = Clock::start();
@@ -86,7 +87,8 @@
         let beat = Beat::new(clock, limits.beat);
         drop(spawn_local(beat.clone().run()));
         let back = back(&limits);
-        // A stored list is no base for changes: the watch begins with the whole list unless the platform told one.
+        // Changes cannot be applied to a stored list: the watch starts with the whole list unless the
+        // platform gave one.
         let version = Rc::new(Cell::new(waybill.known.as_ref().map(|list| list.version)));
         let (mut known, mut returning, mut manners) = (waybill.known.clone(), None, None);
         if let Some(comes) = book.and_then(comes) {
@@ -97,7 +99,7 @@
             let held = stored.max(version.get());
             manners = Some(Rc::new(RefCell::new(Manners {
                 credence: Credence::new(clock.now(), held, comes.doubt),
-                herd: Herd::new(comes.pace, told.number_or("routers", 1.0), seed ^ HERD),
+                herd: Herd::new(comes.pace, settings.number_or("routers", 1.0), seed ^ PACING_SEED),
                 listed: known.is_some(),
                 clock,
             })));
@@ -118,20 +120,21 @@
         });
         let reload = Reload { wishes: wishes.clone(), limits: limits.clone(), book: reread };
         drop(spawn_local(reload.run(hangup)));
-        if told.text("list") != "ask" {
-            // Where lists come unasked, the module does not ask.
+        if settings.text("list") != "ask" {
+            // Where lists are pushed, the decision module never requests one.
             wishes.send(Wish::Watch(true)).await.map_err(|e| e.to_string())?;
         }
 
-        let mut gate = Gate::new(&waybill.settings, &told, limits.clone(), cells.is_some());
+        let mut gate = Gate::new(&waybill.settings, &settings, limits.clone(), cells.is_some());
         if let Some(joins) = book.and_then(leases) {
             let (task, errands) = Leases::open(joins, &waybill.name, waybill.seed).await?;
             drop(spawn_local(task.run()));
-            // At the first word that it is to end: its ops are finished for a while longer, its tasks are not.
-            let (ends, mut till) = (errands.clone(), staged.clone());
+            // Released as soon as the drain begins: in-flight ops are still finished then, leased tasks are
+            // not.
+            let (leases, mut drain_stage) = (errands.clone(), staged.clone());
             drop(spawn_local(async move {
-                if till.wait_for(|stage| *stage != Stage::Serving).await.is_ok() {
-                    release(ends).await;
+                if drain_stage.wait_for(|stage| *stage != Stage::Serving).await.is_ok() {
+                    release_leases(leases).await;
                 }
             }));
             gate.leases = Some(errands);
@@ -140,11 +143,12 @@
         if let Some(belongs) = book.and_then(belongs) {
             gate.peers = true;
             if belongs.relay_app_messages {
-                told.insert("peers".to_string(), SettingValue::Flag(true));
+                settings.insert("peers".to_string(), SettingValue::Flag(true));
             }
-            let (settings, mail) = (told.number_or("routers", 1.0), mail.clone());
+            let (configured_routers, mail) = (settings.number_or("routers", 1.0), mail.clone());
             let (name, seed, holding) = (&waybill.name, waybill.seed, gate.leases.clone());
-            let (task, errands) = Peers::open(belongs, name, settings, seed, clock, mail, holding).await?;
+            let (task, errands) =
+                Peers::open(belongs, name, configured_routers, seed, clock, mail, holding).await?;
             drop(spawn_local(task.run()));
             peers = Some(errands);
         }
@@ -160,7 +164,7 @@
             returns: returning,
             peers: peers.clone(),
         };
-        let route = Route::start(yard, waybill.seed, told, known.as_ref(), cells);
+        let route = Route::start(yard, waybill.seed, settings, known.as_ref(), cells);
         let route = spawn_local(route.run(inbox));
         let clients = Rc::new(Cell::new(0));
         let drain = Drain { stage, clients: clients.clone(), limits: limits.clone() };
@@ -179,52 +183,53 @@
         })
     }
 
-    /// Serves till it is told to end, or a front does, which never should.
+    /// Runs until a signal stops the router, or `front` resolves because a frontend failed.
     ///
     /// # Errors
-    /// Why it ended untold.
+    /// Why a task ended unexpectedly.
     pub async fn run(self, front: impl Future<Output = String>) -> Result<(), String> {
         tokio::select! {
             biased;
             () = self.drain.run(self.signals) => {
-                leave(self.peers).await;
+                announce_leave(self.peers).await;
                 Ok(())
             }
-            // Danger: a router that takes ops and answers none. Better that it ends and is started anew.
+            // Without the route task the router would accept ops and never reply. It exits, to be restarted.
             ended = self.route => Err(format!("the route stage ended: {ended:?}")),
-            why = front => Err(why),
+            error = front => Err(error),
         }
     }
 }
 
-/// Gives all leases back, so that others need not wait for their end.
-async fn release(leases: mpsc::Sender<holding::Errand>) {
-    let (done, said) = oneshot::channel();
-    // Danger: the task is full of errands. The leases end by themselves then.
+/// Releases all leases, so that others need not wait for them to expire.
+async fn release_leases(leases: mpsc::Sender<holding::Errand>) {
+    let (done, acknowledged) = oneshot::channel();
+    // If the task's queue is full, the leases expire instead.
     if leases.try_send(holding::Errand::Leave(done)).is_ok() {
-        let _ = said.await;
+        let _ = acknowledged.await;
     }
 }
 
-/// Tells the fleet that this router ends: twice, since each datagram may be lost. What is lost all the same is a death to
-/// the others, found out by the system's refusals.
-async fn leave(peers: Option<mpsc::Sender<Errand>>) {
+/// Announces to the fleet that this router leaves. Sent twice, since a datagram may be lost; if both are,
+/// the other routers detect the exit as a failure, by refused datagrams.
+async fn announce_leave(peers: Option<mpsc::Sender<Errand>>) {
     let Some(peers) = peers else { return };
     for _ in 0..2 {
-        let (done, said) = oneshot::channel();
-        // Danger: the fleet's task hangs, and the router with it, which was told to end.
-        let within = std::time::Duration::from_millis(100);
-        if peers.try_send(Errand::Leave(done)).is_err() || timeout(within, said).await.is_err() {
+        let (done, acknowledged) = oneshot::channel();
+        // Bounded, so that a hanging membership task does not delay the exit.
+        let ack_timeout = std::time::Duration::from_millis(100);
+        if peers.try_send(Errand::Leave(done)).is_err() || timeout(ack_timeout, acknowledged).await.is_err() {
             return;
         }
         sleep(std::time::Duration::from_millis(20)).await;
     }
 }
 
-/// Runs a router on the one thread that it has. What the platform tells it is read once the operator's file was.
+/// Runs a router on a single-threaded runtime. Reads the operator's file first, then the platform's
+/// settings.
 ///
 /// # Errors
-/// What it could not start with, or why it ended.
+/// Why it could not start, or why it stopped.
 pub fn run_single_threaded<F: Future<Output = Result<(), String>>>(
     path: Option<PathBuf>,
     run: impl FnOnce(Waybill, Option<PathBuf>, Option<Yardbook>) -> F,
--- a/crates/arrowyard-daemon/src/serve.rs
+++ b/crates/arrowyard-daemon/src/serve.rs
@@ -14,26 +14,26 @@
 
 use crate::router_service::{RouterService, run_single_threaded};
 
-/// What carries sends to hosts of PostgreSQL's protocol.
+/// The backend for hosts that speak PostgreSQL's protocol.
 #[must_use]
 pub fn backend(limits: &Rc<Limits>) -> Rc<PgBackend> {
     Rc::new(PgBackend::new(limits.clone()))
 }
 
-/// Opens the front of PostgreSQL's protocol.
+/// Starts the frontend that accepts PostgreSQL clients.
 ///
 /// # Errors
-/// The address cannot be listened at.
+/// Listening on the address fails.
 pub async fn listen(
-    base: &RouterService<PgBackend>,
-    at: SocketAddr,
+    service: &RouterService<PgBackend>,
+    listen: SocketAddr,
     discovery: SocketAddr,
 ) -> Result<(), String> {
-    let listener = TcpListener::bind(at).await.map_err(|e| format!("{at}: {e}"))?;
+    let listener = TcpListener::bind(listen).await.map_err(|e| format!("{listen}: {e}"))?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
     tracing::info!("serving at {address}, discovery at {discovery}");
-    let RouterService { gate, mail, clients, stage, beat, limits, .. } = base;
-    let front = Frontend {
+    let RouterService { gate, mail, clients, stage, beat, limits, .. } = service;
+    let frontend = Frontend {
         gate: gate.clone(),
         mail: mail.clone(),
         clients: clients.clone(),
@@ -42,7 +42,7 @@
         beat: beat.clone(),
         limits: limits.clone(),
     };
-    drop(spawn_local(Rc::new(front).listen(listener)));
+    drop(spawn_local(Rc::new(frontend).listen(listener)));
     Ok(())
 }
 
@@ -50,15 +50,15 @@
     if book.as_ref().is_some_and(|book| book.flight.is_some()) {
         return Err("the operator's file has flight, which the program arrowyard-flight serves".to_string());
     }
-    let base = RouterService::start(&waybill, path, book.as_ref(), backend).await?;
-    listen(&base, waybill.listen, waybill.discovery).await?;
-    base.run(std::future::pending()).await
+    let service = RouterService::start(&waybill, path, book.as_ref(), backend).await?;
+    listen(&service, waybill.listen, waybill.discovery).await?;
+    service.run(std::future::pending()).await
 }
 
-/// Serves till it is told to end, with the operator's file if there is one.
+/// Runs the router until it is told to stop, with the operator's file if a path is given.
 ///
 /// # Errors
-/// What it could not start with, or why it ended.
+/// Why it could not start, or why it stopped.
 pub fn serve(path: Option<PathBuf>) -> Result<(), String> {
     run_single_threaded(path, run)
 }
--- /dev/null
+++ b/crates/arrowyard-daemon/src/show.rs
@@ -0,0 +1,72 @@
+//! `SHOW` queries to a running router and the tables that the commands print.
+
+use std::io::{Read, Write};
+use std::net::{SocketAddr, TcpStream};
+use std::time::Duration;
+
+use comfy_table::{Table, presets};
+use serde_json::Value;
+
+const MAX_MESSAGE_BYTES: usize = 16 * 1024 * 1024;
+
+/// A table without borders.
+pub fn table(header: &[&str], rows: impl Iterator<Item = Vec<String>>) -> Table {
+    let mut table = Table::new();
+    table.load_style(presets::NOTHING);
+    table.set_header(header.iter().copied());
+    rows.for_each(|row| {
+        table.add_row(row);
+    });
+    table
+}
+
+/// A JSON value as shown in a table.
+pub fn value_text(value: &Value) -> String {
+    match value {
+        Value::Null => "-".to_string(),
+        Value::String(text) => text.clone(),
+        other => other.to_string(),
+    }
+}
+
+/// Text of the given fields of each object in a JSON array; empty if `list` is not an array.
+pub fn rows(list: &Value, fields: &[&str]) -> Vec<Vec<String>> {
+    let objects = list.as_array().map(Vec::as_slice).unwrap_or_default();
+    objects.iter().map(|row| fields.iter().map(|field| value_text(&row[field])).collect()).collect()
+}
+
+/// Runs `SHOW <subject>` over the router's client protocol. The inner error is the router's answer.
+///
+/// # Errors
+/// The connection fails or times out.
+pub fn query_show(router: SocketAddr, subject: &str) -> std::io::Result<Result<String, String>> {
+    let timeout = Duration::from_secs(5);
+    let mut stream = TcpStream::connect_timeout(&router, timeout)?;
+    stream.set_read_timeout(Some(timeout))?;
+    let startup = b"\0\x03\0\0user\0operator\0database\0orders\0\0";
+    stream.write_all(&(startup.len() as u32 + 4).to_be_bytes())?;
+    stream.write_all(startup)?;
+    let query = format!("SHOW {subject}\0");
+    stream.write_all(b"Q")?;
+    stream.write_all(&(query.len() as u32 + 4).to_be_bytes())?;
+    stream.write_all(query.as_bytes())?;
+    let mut ready_count = 0;
+    loop {
+        let mut head = [0; 5];
+        stream.read_exact(&mut head)?;
+        let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
+        if !(4..=MAX_MESSAGE_BYTES).contains(&length) {
+            return Ok(Err("what it answers is no answer".to_string()));
+        }
+        let mut body = vec![0; length - 4];
+        stream.read_exact(&mut body)?;
+        match head[0] {
+            b'D' => return Ok(Ok(String::from_utf8_lossy(body.get(6..).unwrap_or_default()).into_owned())),
+            b'E' => return Ok(Err(format!("the router has no {subject}, or is no arrowyard"))),
+            // The first ReadyForQuery ends the startup.
+            b'Z' if ready_count > 0 => return Ok(Err("it said nothing".to_string())),
+            b'Z' => ready_count += 1,
+            _ => {}
+        }
+    }
+}
--- a/crates/arrowyard-daemon/src/store.rs
+++ b/crates/arrowyard-daemon/src/store.rs
@@ -1,4 +1,4 @@
-//! `arrowyard store`: what a router has kept for its next start, and whether it can be used.
+//! `arrowyard store`: the host list that a router stored for its next start, and whether it is usable.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
@@ -8,25 +8,25 @@
 use clap::{Args, Subcommand};
 use serde_json::json;
 
-use crate::ask::table;
+use crate::show::table;
 
 #[derive(Subcommand)]
 pub enum Command {
     /// Show the hosts of the newest whole generation.
-    Show(Where),
+    Show(Location),
     /// Say what each generation is. Exit code 1 if none is whole.
-    Check(Where),
+    Check(Location),
 }
 
 #[derive(Args)]
-pub struct Where {
+pub struct Location {
     /// The folder that the operator's file names.
     folder: PathBuf,
     #[arg(long)]
     json: bool,
 }
 
-fn told(found: &Found) -> String {
+fn describe(found: &Found) -> String {
     match found {
         Found::Whole(snapshot) => {
             format!("whole, number {}, {} hosts", snapshot.number, snapshot.hosts.len())
@@ -34,43 +34,47 @@
         Found::Missing => "missing".to_string(),
         Found::NoFile => "no file".to_string(),
         Found::NoRights => "no right to read it".to_string(),
-        Found::Unreadable(why) => format!("unreadable: {why}"),
+        Found::Unreadable(reason) => format!("unreadable: {reason}"),
         Found::Empty => "empty".to_string(),
         Found::Huge(bytes) => format!("{bytes} bytes, more than it may have"),
         Found::Truncated => "it ends too early".to_string(),
         Found::Garbled => "garbled".to_string(),
-        Found::Newer(form) => format!("of the later form {form}"),
-        Found::Older(form) => format!("of the former form {form}"),
+        Found::Newer(format) => format!("of the later form {format}"),
+        Found::Older(format) => format!("of the former form {format}"),
         Found::Foreign => "of another deployment".to_string(),
         Found::Future(ms) => format!("written {ms} ms in the future"),
     }
 }
 
-/// Carries the command out.
+/// Runs the command.
 ///
 /// # Errors
 /// There is no such folder.
 pub fn run(command: &Command) -> Result<ExitCode, String> {
-    let (Command::Show(Where { folder, json }) | Command::Check(Where { folder, json })) = command;
+    let (Command::Show(Location { folder, json }) | Command::Check(Location { folder, json })) = command;
     if !folder.is_dir() {
         return Err(format!("{}: no folder", folder.display()));
     }
     let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
     let store = Store { disk: System, folder: folder.clone(), deployment: None, skew_ms: 1000 };
     let loaded = store.load(now_ms);
-    let whole = loaded.newest();
+    let newest = loaded.newest();
     if let Command::Check(_) = command {
-        let rows = loaded.found.iter().map(|(kept, found)| (format!("{kept:?}"), told(found)));
+        let rows =
+            loaded.found.iter().map(|(generation, found)| (format!("{generation:?}"), describe(found)));
         if *json {
             let rows: Vec<_> =
-                rows.map(|(kept, found)| json!({"generation": kept, "found": found})).collect();
-            println!("{}", json!({"ok": whole.is_some(), "generations": rows}));
+                rows.map(|(generation, found)| json!({"generation": generation, "found": found})).collect();
+            println!("{}", json!({"ok": newest.is_some(), "generations": rows}));
         } else {
-            println!("{}", table(&["generation", "found"], rows.map(|(kept, found)| vec![kept, found])));
+            println!(
+                "{}",
+                table(&["generation", "found"], rows.map(|(generation, found)| vec![generation, found]))
+            );
         }
-        return Ok(ExitCode::from(u8::from(whole.is_none())));
+        return Ok(ExitCode::from(u8::from(newest.is_none())));
     }
-    let Some((_, snapshot)) = whole else { return Ok(ExitCode::from(1)) };
+    let Some((_, snapshot)) = newest else { return Ok(ExitCode::from(1)) };
     if *json {
         let hosts: Vec<_> = snapshot.hosts.iter().map(|host| {
             json!({"name": host.name, "dial": host.dial, "site": host.site, "group": host.group, "size": host.size,
@@ -88,14 +92,14 @@
             snapshot.number, snapshot.router, snapshot.version
         );
         let rows = snapshot.hosts.iter().map(|host| {
-            let was = if host.was_primary { "primary" } else { "replica" };
-            let drains = if host.draining { "draining" } else { "" };
+            let role = if host.was_primary { "primary" } else { "replica" };
+            let draining = if host.draining { "draining" } else { "" };
             vec![
                 host.name.clone(),
                 host.dial.clone(),
                 host.group.to_string(),
-                was.to_string(),
-                drains.to_string(),
+                role.to_string(),
+                draining.to_string(),
             ]
         });
         println!("{}", table(&["host", "dial", "group", "was", ""], rows));
--- a/crates/arrowyard-front-pg/src/back.rs
+++ b/crates/arrowyard-front-pg/src/back.rs
@@ -1,4 +1,4 @@
-//! Sends and probes over connections of PostgreSQL's protocol.
+//! Sends and probes over PostgreSQL connections.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -15,6 +15,7 @@
 use crate::link::{PgConnection, PgResponse};
 use crate::probe;
 
+/// Backend for hosts that speak PostgreSQL's protocol.
 pub struct PgBackend {
     pool: Rc<Pool<PgConnection>>,
     limits: Rc<Limits>,
@@ -43,29 +44,29 @@
         clock: Clock,
         progress: &Progress<PgResponse>,
     ) -> Told<PgResponse> {
-        let mut link = match self.pool.take(host, dial).await {
-            Ok(link) => link,
+        let mut connection = match self.pool.take(host, dial).await {
+            Ok(connection) => connection,
             Err(outcome) => return (outcome, HostStatus::default(), None),
         };
         let mut out = BytesMut::new();
-        // Whole milliseconds, and the host must not give up before the router does.
-        let wait = (until - clock.now()).micros().max(0) as u64;
-        statement.put_query(&mut out, wait.div_ceil(1000));
-        if let Err(broken) = link.write(&out).await {
-            tracing::debug!(%dial, "not written: {}", broken.0);
+        // Rounded up to whole milliseconds, so that the host does not time out before the router does.
+        let timeout_us = (until - clock.now()).micros().max(0) as u64;
+        statement.put_query(&mut out, timeout_us.div_ceil(1000));
+        if let Err(error) = connection.write(&out).await {
+            tracing::debug!(%dial, "writing the statement failed: {}", error.0);
             return (Outcome::ConnectFailed, HostStatus::default(), None);
         }
         progress.written();
-        match link.answer().await {
-            Ok(told) => {
-                if told.ready {
-                    self.pool.put_back(host, link);
+        match connection.read_result().await {
+            Ok(reply) => {
+                if reply.ready {
+                    self.pool.put_back(host, connection);
                 }
-                let outcome = told.outcome();
-                (outcome, told.status, told.response.filter(|_| outcome == Outcome::Acked))
+                let outcome = reply.outcome();
+                (outcome, reply.status, reply.response.filter(|_| outcome == Outcome::Acked))
             }
-            Err(broken) => {
-                tracing::debug!(%dial, "broken: {}", broken.0);
+            Err(error) => {
+                tracing::debug!(%dial, "reading the reply failed: {}", error.0);
                 (Outcome::Reset, HostStatus::default(), None)
             }
         }
--- a/crates/arrowyard-front-pg/src/lib.rs
+++ b/crates/arrowyard-front-pg/src/lib.rs
@@ -1,4 +1,5 @@
-//! PostgreSQL's protocol before the core: the front that clients connect to, and the back that sends to hosts.
+//! PostgreSQL's protocol on both sides of the core: the server that clients connect to, and the backend that
+//! sends ops to database hosts.
 
 pub mod back;
 pub mod link;
--- a/crates/arrowyard-front-pg/src/link.rs
+++ b/crates/arrowyard-front-pg/src/link.rs
@@ -1,4 +1,4 @@
-//! One connection to a database host: brought up once, then one command at a time.
+//! A connection to a database host, which carries one command at a time.
 
 use std::cell::Cell;
 use std::io;
@@ -20,37 +20,39 @@
 use tokio::net::TcpStream;
 use tokio::time::{Instant, timeout};
 
+/// An authenticated connection to a database host.
 pub struct PgConnection {
     dial: SocketAddr,
     idle_since: Instant,
     stream: TcpStream,
-    came: BytesMut,
-    /// The bytes that large answers take, of all links together, and those of the one under way here.
+    received: BytesMut,
+    /// Memory that large results take, of all connections together, in bytes.
     large: Rc<Cell<usize>>,
+    /// Share of `large` that the result being read takes.
     memory: Option<Count>,
     limits: Rc<Limits>,
     _count: Count,
 }
 
-/// An answer, with the room that it takes till it is written to its client.
+/// A result, with the memory reserved for it until it has been written to its client.
 #[derive(Debug, Default, PartialEq)]
 pub struct PgResponse {
     pub result: QueryResult,
     pub memory: Option<Count>,
 }
 
-/// What a host told about one command.
+/// A host's reply to one command.
 #[derive(Debug, Default, PartialEq)]
 pub struct HostReply {
     pub response: Option<PgResponse>,
-    /// The code of an error.
+    /// SQLSTATE code of an error response.
     pub error_code: Option<String>,
     pub status: HostStatus,
-    /// The host is ready for another command.
+    /// Whether the host sent ReadyForQuery.
     pub ready: bool,
 }
 
-/// The connection ended, or what came makes no sense.
+/// The connection was closed or failed, or the host violated the protocol.
 #[derive(Debug)]
 pub struct ConnectionError(pub String);
 
@@ -61,13 +63,13 @@
 }
 
 impl From<ProtocolError> for ConnectionError {
-    fn from(malformed: ProtocolError) -> Self {
-        ConnectionError(malformed.0.to_string())
+    fn from(error: ProtocolError) -> Self {
+        ConnectionError(error.0.to_string())
     }
 }
 
 impl HostReply {
-    /// What it means for a send, or for a probe, of which the whole command was written.
+    /// Outcome of a send or probe whose command was written in full.
     pub fn outcome(&self) -> Outcome {
         match (self.error_code.as_deref(), &self.response) {
             (None, Some(_)) => Outcome::Acked,
@@ -85,19 +87,19 @@
         large: Rc<Cell<usize>>,
         limits: Rc<Limits>,
     ) -> Result<Self, Outcome> {
-        let failed = |why: ConnectionError| {
-            tracing::debug!(%dial, "not connected: {}", why.0);
+        let failed = |error: ConnectionError| {
+            tracing::debug!(%dial, "connecting failed: {}", error.0);
             Outcome::ConnectFailed
         };
         let opened = timeout(limits.connect, async {
             let stream = TcpStream::connect(dial).await?;
             stream.set_nodelay(true)?;
-            let (came, idle_since) = (BytesMut::new(), Instant::now());
-            let mut link = PgConnection {
+            let (received, idle_since) = (BytesMut::new(), Instant::now());
+            let mut connection = PgConnection {
                 dial,
                 idle_since,
                 stream,
-                came,
+                received,
                 large,
                 memory: None,
                 limits: limits.clone(),
@@ -105,16 +107,16 @@
             };
             let mut out = BytesMut::new();
             put_startup_packet(&mut out, "web", "orders");
-            link.stream.write_all(&out).await?;
-            let told = link.hear().await?;
-            Ok((link, told))
+            connection.stream.write_all(&out).await?;
+            let reply = connection.read_reply().await?;
+            Ok((connection, reply))
         });
         match opened.await {
-            Ok(Ok((link, HostReply { ready: true, error_code: None, .. }))) => Ok(link),
-            Ok(Ok((_, told))) if told.outcome() == Outcome::Overloaded => Err(Outcome::Overloaded),
-            Ok(Ok((_, told))) => Err(failed(ConnectionError(format!("error {:?}", told.error_code)))),
-            Ok(Err(why)) => Err(failed(why)),
-            Err(_) => Err(failed(ConnectionError("no answer in time".to_string()))),
+            Ok(Ok((connection, HostReply { ready: true, error_code: None, .. }))) => Ok(connection),
+            Ok(Ok((_, reply))) if reply.outcome() == Outcome::Overloaded => Err(Outcome::Overloaded),
+            Ok(Ok((_, reply))) => Err(failed(ConnectionError(format!("error {:?}", reply.error_code)))),
+            Ok(Err(error)) => Err(failed(error)),
+            Err(_) => Err(failed(ConnectionError("connect timeout".to_string()))),
         }
     }
 
@@ -126,137 +128,147 @@
         self.idle_since
     }
 
-    /// Danger: a send on a dead connection. The socket itself is asked: the runtime only knows what it saw when it last waited.
+    /// Peeks at the socket itself, since the runtime's readiness is as old as its last poll: a send on a
+    /// connection that the host has closed would fail.
     fn is_good(&self) -> bool {
-        let untouched = || {
-            let looked = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
-            looked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+        let has_no_input = || {
+            let peeked = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
+            peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
         };
-        self.idle_since.elapsed() < self.limits.idle && self.came.is_empty() && untouched()
+        self.idle_since.elapsed() < self.limits.idle && self.received.is_empty() && has_no_input()
     }
 
     fn rest(&mut self) {
         (self.idle_since, self.memory) = (Instant::now(), None);
-        if self.came.is_empty() {
-            self.came = BytesMut::new();
+        if self.received.is_empty() {
+            self.received = BytesMut::new();
         }
     }
 }
 
 impl PgConnection {
+    /// Writes a command.
     pub async fn write(&mut self, command: &[u8]) -> Result<(), ConnectionError> {
         Ok(self.stream.write_all(command).await?)
     }
 
-    /// Reads all that the host tells, up to its being ready. An answer that is whole counts, whatever follows.
-    pub async fn hear(&mut self) -> Result<HostReply, ConnectionError> {
-        let (mut told, mut answer) = (HostReply::default(), QueryResult::default());
+    /// Reads messages up to ReadyForQuery. Once the result or an error is complete it is returned even if
+    /// what follows fails or is missing.
+    pub async fn read_reply(&mut self) -> Result<HostReply, ConnectionError> {
+        let (mut reply, mut result) = (HostReply::default(), QueryResult::default());
         loop {
-            let decided = told.response.is_some() || told.error_code.is_some();
-            let heard = match decided {
-                true => timeout(self.limits.ready, self.next())
+            let decided = reply.response.is_some() || reply.error_code.is_some();
+            let message = match decided {
+                true => timeout(self.limits.ready, self.next_message())
                     .await
                     .unwrap_or(Err(ConnectionError(String::new()))),
-                false => self.next().await,
+                false => self.next_message().await,
             };
-            match heard {
-                Ok(BackendMessage::RowDescription(columns)) if answer.row_description.is_empty() => {
-                    answer.row_description = columns
+            match message {
+                Ok(BackendMessage::RowDescription(columns)) if result.row_description.is_empty() => {
+                    result.row_description = columns
                 }
-                Ok(BackendMessage::DataRow(row)) if answer.data_row.is_empty() => answer.data_row = row,
-                // Danger: a second row, or an answer nobody asked for, passed on as the first.
+                Ok(BackendMessage::DataRow(row)) if result.data_row.is_empty() => result.data_row = row,
+                // A second row must not replace the first, and an unrequested result must not be forwarded.
                 Ok(BackendMessage::RowDescription(_) | BackendMessage::DataRow(_))
-                    if told.response.is_none() =>
+                    if reply.response.is_none() =>
                 {
-                    return Err(ConnectionError("the host told more than one row".to_string()));
+                    return Err(ConnectionError("the host sent more than one row".to_string()));
                 }
-                Ok(BackendMessage::RowDescription(_) | BackendMessage::DataRow(_)) => return Ok(told),
+                Ok(BackendMessage::RowDescription(_) | BackendMessage::DataRow(_)) => return Ok(reply),
                 Ok(BackendMessage::CommandComplete(command_complete))
-                    if !answer.row_description.is_empty() && !answer.data_row.is_empty() =>
+                    if !result.row_description.is_empty() && !result.data_row.is_empty() =>
                 {
-                    let result = QueryResult { command_complete, ..answer.clone() };
-                    told.response = Some(PgResponse { result, memory: self.memory.take() });
+                    let result = QueryResult { command_complete, ..result.clone() };
+                    reply.response = Some(PgResponse { result, memory: self.memory.take() });
                 }
                 Ok(BackendMessage::ParameterStatus(ParameterStatus::AccessMode(mode))) => {
                     let role = if mode == AccessMode::ReadWrite { Role::Primary } else { Role::Replica };
-                    told.status.role = Some(role);
+                    reply.status.role = Some(role);
                 }
                 Ok(BackendMessage::ParameterStatus(ParameterStatus::Position(millis))) => {
-                    told.status.position = Some(Timestamp::from_micros(millis.saturating_mul(1000)))
+                    reply.status.position = Some(Timestamp::from_micros(millis.saturating_mul(1000)))
                 }
                 Ok(BackendMessage::ParameterStatus(ParameterStatus::LoadReport(report))) => {
-                    apply_load_report(&mut told.status, &report)
+                    apply_load_report(&mut reply.status, &report)
                 }
-                // Danger: what follows a whole answer by mistake, taken for a word on it: what ran would run again.
-                Ok(BackendMessage::ErrorResponse(_)) if decided => return Ok(told),
-                Ok(BackendMessage::ErrorResponse(code)) => told.error_code = Some(code),
+                // An error after a complete result does not belong to it. Taken as its outcome, it would
+                // make the router run the op again.
+                Ok(BackendMessage::ErrorResponse(_)) if decided => return Ok(reply),
+                Ok(BackendMessage::ErrorResponse(code)) => reply.error_code = Some(code),
                 Ok(BackendMessage::ReadyForQuery) => {
-                    told.ready = true;
-                    return Ok(told);
+                    reply.ready = true;
+                    return Ok(reply);
                 }
                 Ok(_) => {}
-                Err(_) if decided => return Ok(told),
-                Err(broken) => return Err(broken),
+                Err(_) if decided => return Ok(reply),
+                Err(error) => return Err(error),
             }
         }
     }
 
-    /// What the host tells about a command. Danger: one that is ready but told nothing; its answer comes later,
-    /// and would be the next command's.
-    pub async fn answer(&mut self) -> Result<HostReply, ConnectionError> {
-        let told = self.hear().await?;
-        match told.response.is_some() || told.error_code.is_some() {
-            true => Ok(told),
-            false => Err(ConnectionError("the host is ready without an answer".to_string())),
+    /// Reads the reply to a command.
+    ///
+    /// # Errors
+    /// The connection failed, or the host is ready without a result or an error: a late result would be
+    /// taken as the reply to the next command.
+    pub async fn read_result(&mut self) -> Result<HostReply, ConnectionError> {
+        let reply = self.read_reply().await?;
+        match reply.response.is_some() || reply.error_code.is_some() {
+            true => Ok(reply),
+            false => Err(ConnectionError("the host is ready without a result".to_string())),
         }
     }
 
-    async fn next(&mut self) -> Result<BackendMessage, ConnectionError> {
+    async fn next_message(&mut self) -> Result<BackendMessage, ConnectionError> {
         loop {
-            if let Some(heard) =
-                BackendMessage::decode(&mut self.came, self.limits.answer, self.limits.aside)?
+            if let Some(message) =
+                BackendMessage::decode(&mut self.received, self.limits.answer, self.limits.aside)?
             {
-                return Ok(heard);
+                return Ok(message);
             }
-            let missing = self.make_room()?;
-            self.came.reserve(missing.max(self.limits.read));
-            if self.stream.read_buf(&mut self.came).await? == 0 {
-                return Err(ConnectionError("the host ended the connection".to_string()));
+            let missing_bytes = self.reserve_memory()?;
+            self.received.reserve(missing_bytes.max(self.limits.read));
+            if self.stream.read_buf(&mut self.received).await? == 0 {
+                return Err(ConnectionError("the host closed the connection".to_string()));
             }
         }
     }
 }
 
 impl PgConnection {
-    /// The bytes that are missing of a large message. Danger: many large answers at once, each within its limit,
-    /// are more than the router's memory holds; one that finds no room breaks off.
-    fn make_room(&mut self) -> Result<usize, ConnectionError> {
-        let length = declared_length(&self.came).unwrap_or_default() as usize;
+    /// Missing bytes of a large message, for which memory is reserved; 0 for any other message.
+    ///
+    /// # Errors
+    /// The large results of all connections would exceed `limits.large`, although each is within its own
+    /// limit.
+    fn reserve_memory(&mut self) -> Result<usize, ConnectionError> {
+        let length = declared_length(&self.received).unwrap_or_default() as usize;
         if length <= self.limits.message {
             return Ok(0);
         }
         if self.memory.is_none() {
-            // Once as it came, and once as it goes out.
+            // Held twice: as received, and as written to the client.
             let bytes = 2 * length;
             if self.large.get() + bytes > self.limits.large {
-                return Err(ConnectionError("no room for a large answer".to_string()));
+                return Err(ConnectionError("the memory for large results is exhausted".to_string()));
             }
             self.memory = Some(Count::many(&self.large, bytes));
         }
-        Ok(length.saturating_sub(self.came.len()))
+        Ok(length.saturating_sub(self.received.len()))
     }
 }
 
-/// Adds what a load report tells. Danger: its positions are Unix times in seconds, those of answers in
-/// milliseconds; one taken for the other lies decades back, and every replica seems behind.
-pub fn apply_load_report(word: &mut HostStatus, report: &[(String, f64)]) {
-    for (name, number) in report {
+/// Updates the status from a load report. Positions in a load report are Unix times in seconds, those in
+/// parameter statuses in milliseconds.
+pub fn apply_load_report(status: &mut HostStatus, report: &[(String, f64)]) {
+    for (name, value) in report {
         match name.as_str() {
-            "x0" => word.position = Some(Timestamp::from_micros((number * 1e6).floor() as i64)),
-            "x1" if *number == 0.0 => word.role = Some(Role::Replica),
-            "x1" if *number == 1.0 => word.role = Some(Role::Primary),
-            "util" | "busy" => word.cpu_utilization = Some(*number),
-            "queue" | "q" => word.queued_ops = Some(*number),
+            "x0" => status.position = Some(Timestamp::from_micros((value * 1e6).floor() as i64)),
+            "x1" if *value == 0.0 => status.role = Some(Role::Replica),
+            "x1" if *value == 1.0 => status.role = Some(Role::Primary),
+            "util" | "busy" => status.cpu_utilization = Some(*value),
+            "queue" | "q" => status.queued_ops = Some(*value),
             _ => {}
         }
     }
@@ -271,16 +283,16 @@
     use super::*;
 
     #[tokio::test]
-    async fn a_large_answer_needs_room_and_keeps_it_till_it_is_dropped() {
+    async fn a_large_result_reserves_memory_until_it_is_dropped() {
         let value = vec![b'x'; 300_000];
         let length = (value.len() as u32 + 10).to_be_bytes();
         let row = [&b"D"[..], &length, &[0, 1], &(value.len() as u32).to_be_bytes(), &value].concat();
         let columns = [&b"T\0\0\0\x1a\0\x01x\0"[..], &[0; 18]].concat();
         let bytes = [columns, row, b"C\0\0\0\x06S\0Z\0\0\0\x05I".to_vec()].concat();
         let limits = Limits { answer: 400_000, large: 700_000, ..Limits::told(serde_json::json!({})).2 };
-        for (taken, fits) in [(0, true), (200_000, false)] {
+        for (reserved, fits) in [(0, true), (200_000, false)] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
-            let dial = listener.local_addr().expect("it is bound");
+            let dial = listener.local_addr().expect("the listener is bound");
             let mut out = BytesMut::new();
             put_startup_response(&mut out);
             out.extend_from_slice(&bytes);
@@ -289,53 +301,53 @@
                 let _ = (stream.read(&mut [0; 64])?, stream.write_all(&out));
                 std::io::Result::Ok(stream)
             });
-            let large = Rc::new(Cell::new(taken));
+            let large = Rc::new(Cell::new(reserved));
             let opened =
                 PgConnection::open(dial, Count::one(&Rc::default()), large.clone(), Rc::new(limits)).await;
-            let told = opened.expect("it is let in").answer().await;
-            assert_eq!(told.is_ok(), fits, "{told:?}");
-            assert_eq!(large.get() - taken, if fits { 2 * (value.len() + 10) } else { 0 });
-            drop(told);
-            assert_eq!(large.get(), taken);
+            let reply = opened.expect("the host accepts the connection").read_result().await;
+            assert_eq!(reply.is_ok(), fits, "{reply:?}");
+            assert_eq!(large.get() - reserved, if fits { 2 * (value.len() + 10) } else { 0 });
+            drop(reply);
+            assert_eq!(large.get(), reserved);
             drop(host);
         }
     }
 
     #[tokio::test]
-    async fn a_connection_is_no_longer_good_once_anything_came_over_it_even_its_end() {
+    async fn an_idle_connection_with_input_or_closed_by_the_host_is_not_reused() {
         for last in [&b""[..], b"noise"] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
-            let dial = listener.local_addr().expect("it is bound");
-            let (go, gone) = std::sync::mpsc::channel();
+            let dial = listener.local_addr().expect("the listener is bound");
+            let (send, received) = std::sync::mpsc::channel();
             let host = std::thread::spawn(move || {
                 let (mut stream, _) = listener.accept()?;
                 let mut out = BytesMut::new();
                 put_startup_response(&mut out);
-                let _ = (stream.read(&mut [0; 64])?, stream.write_all(&out)?, gone.recv());
+                let _ = (stream.read(&mut [0; 64])?, stream.write_all(&out)?, received.recv());
                 stream.write_all(last)
             });
             let limits = Rc::new(Limits::told(serde_json::json!({})).2);
-            let link = PgConnection::open(dial, Count::one(&Rc::default()), Rc::default(), limits)
+            let connection = PgConnection::open(dial, Count::one(&Rc::default()), Rc::default(), limits)
                 .await
-                .expect("it is let in");
-            assert!(link.is_good());
-            // The runtime does not come round meanwhile.
-            go.send(()).expect("the host waits");
-            host.join().expect("the host ends").expect("it wrote");
-            assert!(!link.is_good(), "{last:?}");
+                .expect("the host accepts the connection");
+            assert!(connection.is_good());
+            // Blocks the runtime, so that its readiness does not change.
+            send.send(()).expect("the host waits");
+            host.join().expect("the host thread ends").expect("the host has written");
+            assert!(!connection.is_good(), "{last:?}");
         }
     }
 
     #[test]
-    fn a_report_tells_positions_in_seconds() {
-        let mut word = HostStatus::default();
+    fn load_report_positions_are_in_seconds() {
+        let mut status = HostStatus::default();
         apply_load_report(
-            &mut word,
-            &arrowyard_pg::parse_load_report("x0=1767225600.123,x1=0").expect("it can be read"),
+            &mut status,
+            &arrowyard_pg::parse_load_report("x0=1767225600.123,x1=0").expect("the report is well-formed"),
         );
-        let told = word.position.expect("the report holds a position");
-        let early = Timestamp::from_micros(1_767_225_600_123_000) - told;
-        assert!((0..=1).contains(&early.micros()), "{told:?}");
-        assert_eq!(word.role, Some(Role::Replica));
+        let position = status.position.expect("the report holds a position");
+        let early = Timestamp::from_micros(1_767_225_600_123_000) - position;
+        assert!((0..=1).contains(&early.micros()), "{position:?}");
+        assert_eq!(status.role, Some(Role::Replica));
     }
 }
--- a/crates/arrowyard-front-pg/src/probe.rs
+++ b/crates/arrowyard-front-pg/src/probe.rs
@@ -1,4 +1,4 @@
-//! One probe of a host: it is asked for its report.
+//! Probes a host by requesting its load report.
 
 use std::net::SocketAddr;
 
@@ -12,38 +12,39 @@
 
 use crate::link::{PgConnection, apply_load_report};
 
+/// Sends `SHOW stats` and returns the outcome with the status that the host reported.
 pub async fn run(
     host: HostId,
     dial: SocketAddr,
     pool: &Pool<PgConnection>,
     limits: &Limits,
 ) -> (Outcome, HostStatus) {
-    let none = HostStatus::default();
-    let asked = timeout(limits.connect, async {
-        let mut link = match pool.take(host, dial).await {
-            Ok(link) => link,
-            Err(outcome) => return (outcome, none),
+    let unknown = HostStatus::default();
+    let probed = timeout(limits.connect, async {
+        let mut connection = match pool.take(host, dial).await {
+            Ok(connection) => connection,
+            Err(outcome) => return (outcome, unknown),
         };
         let mut out = BytesMut::new();
         put_query(&mut out, "SHOW stats");
-        if link.write(&out).await.is_err() {
-            return (Outcome::ConnectFailed, none);
+        if connection.write(&out).await.is_err() {
+            return (Outcome::ConnectFailed, unknown);
         }
-        let Ok(told) = link.answer().await else { return (Outcome::Reset, none) };
-        if told.ready {
-            pool.put_back(host, link);
+        let Ok(reply) = connection.read_result().await else { return (Outcome::Reset, unknown) };
+        if reply.ready {
+            pool.put_back(host, connection);
         }
-        let (outcome, mut word) = (told.outcome(), told.status);
-        let row = told.response.as_ref().and_then(|response| single_value(&response.result.data_row));
+        let (outcome, mut status) = (reply.outcome(), reply.status);
+        let row = reply.response.as_ref().and_then(|response| single_value(&response.result.data_row));
         let text = row.as_deref().map(String::from_utf8_lossy);
-        tracing::trace!(%dial, ?outcome, "probe: {text:?} {word:?}");
-        let told = text.as_deref().and_then(parse_load_report);
-        if outcome == Outcome::Acked && told.is_none() {
-            // Danger: a report that cannot be read, taken for word that all is well.
-            return (Outcome::Errored, none);
+        tracing::trace!(%dial, ?outcome, "probe: {text:?} {status:?}");
+        let report = text.as_deref().and_then(parse_load_report);
+        if outcome == Outcome::Acked && report.is_none() {
+            // A malformed report must not count as a successful probe.
+            return (Outcome::Errored, unknown);
         }
-        apply_load_report(&mut word, &told.unwrap_or_default());
-        (outcome, word)
+        apply_load_report(&mut status, &report.unwrap_or_default());
+        (outcome, status)
     });
-    asked.await.unwrap_or((Outcome::TimedOut, none))
+    probed.await.unwrap_or((Outcome::TimedOut, unknown))
 }
--- a/crates/arrowyard-front-pg/src/relay.rs
+++ b/crates/arrowyard-front-pg/src/relay.rs
@@ -1,4 +1,4 @@
-//! The final answer of an op, on its way to the client: one whole answer, written in one piece.
+//! Writes the final reply of an op to its client, in one write.
 
 use arrowyard_pg::{code, put_busy_error, put_error, put_fatal_error, put_ready_for_query};
 use bytes::BytesMut;
@@ -9,25 +9,27 @@
 
 use crate::link::PgResponse;
 
-/// Writes the final answer, and that the router is ready for another command.
+/// Appends the messages of the final reply, followed by ReadyForQuery.
 pub fn put_reply(reply: &Reply<PgResponse>, out: &mut BytesMut) {
     match reply {
         Reply::Acked(response) => response.result.put(out),
-        Reply::Busy(after) => put_busy_error(out, after.map(|span| (span.micros().max(0) / 1000) as u64)),
+        Reply::Busy(retry_after) => {
+            put_busy_error(out, retry_after.map(|delta| (delta.micros().max(0) / 1000) as u64))
+        }
         Reply::Errored => put_error(out, code::INTERNAL, "not answered; it may have run"),
-        Reply::Refused(why) => put_error(out, code::PROTOCOL_VIOLATION, why),
+        Reply::Refused(reason) => put_error(out, code::PROTOCOL_VIOLATION, reason),
     }
     put_ready_for_query(out);
 }
 
-/// The client is told that the router is busy, and that the connection ends.
+/// Appends the fatal error for a client over the connection limit.
 pub fn put_too_many_clients(out: &mut BytesMut) {
     put_fatal_error(out, code::TOO_MANY_CONNECTIONS, "too many clients, nothing was done");
 }
 
-/// Writes all of it; false if the client is gone or does not take it.
+/// Writes and clears `out`. False if the client has disconnected or does not read it within `limits.relay`.
 pub async fn write(client: &mut (impl AsyncWrite + Unpin), out: &mut BytesMut, limits: &Limits) -> bool {
-    let whole = matches!(timeout(limits.relay, client.write_all(out)).await, Ok(Ok(())));
+    let written = matches!(timeout(limits.relay, client.write_all(out)).await, Ok(Ok(())));
     out.clear();
-    whole
+    written
 }
--- a/crates/arrowyard-front-pg/src/take_in.rs
+++ b/crates/arrowyard-front-pg/src/take_in.rs
@@ -1,4 +1,4 @@
-//! Clients: connections are accepted, messages decoded, and the time at which an op came is stamped.
+//! Client connections: accepts them, decodes their messages and stamps the arrival time of each op.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -28,7 +28,7 @@
 use crate::link::PgResponse;
 use crate::relay;
 
-/// What the statement's comment says of its op.
+/// The op that a statement's comment describes.
 pub fn op_call(statement: &Statement, address: Option<IpAddr>) -> Call<'_> {
     let Statement {
         id,
@@ -57,7 +57,7 @@
     }
 }
 
-/// What the connections of all clients share.
+/// State shared by all client connections.
 pub struct Frontend {
     pub gate: Rc<Gate>,
     pub mail: mpsc::Sender<Mail<PgBackend>>,
@@ -68,44 +68,45 @@
     pub limits: Rc<Limits>,
 }
 
-/// A connection's place among those of all clients; empty once it was told to make room.
+/// A connection's share of the client count; empty once the connection was told to close.
 type ConnectionSlot = Rc<RefCell<Option<Count>>>;
 
-/// Connections that wait for a message, the longest idle first. Those that are gone on are left in until there
-/// are too many.
+/// Connections that wait for input, the longest idle first. Entries of connections that are no longer
+/// waiting are removed once there are too many.
 #[derive(Default)]
 pub struct IdleConnections(RefCell<VecDeque<(oneshot::Sender<()>, ConnectionSlot)>>);
 
 impl IdleConnections {
-    /// Resolves when this connection is to make room; `most` is how many there can be.
-    fn wait(&self, place: &ConnectionSlot, most: usize) -> oneshot::Receiver<()> {
+    /// Resolves when this connection has to close; `max_connections` bounds the list.
+    fn wait(&self, slot: &ConnectionSlot, max_connections: usize) -> oneshot::Receiver<()> {
         let (close, closed) = oneshot::channel();
         let mut waiting = self.0.borrow_mut();
-        if waiting.len() >= most * 4 {
+        if waiting.len() >= max_connections * 4 {
             waiting.retain(|(close, _)| !close.is_closed());
         }
-        waiting.push_back((close, place.clone()));
+        waiting.push_back((close, slot.clone()));
         closed
     }
 
-    /// Whether there was one. Its place is free from now on, before its task has come round.
+    /// Closes the longest idle connection; false if there is none. Its slot is free at once, before its task
+    /// has run.
     fn close_oldest(&self) -> bool {
         let mut waiting = self.0.borrow_mut();
         let mut oldest = std::iter::from_fn(|| waiting.pop_front());
-        let closed = oldest.find_map(|(close, place)| close.send(()).is_ok().then_some(place));
-        closed.is_some_and(|place| place.take().is_some())
+        let closed = oldest.find_map(|(close, slot)| close.send(()).is_ok().then_some(slot));
+        closed.is_some_and(|slot| slot.take().is_some())
     }
 }
 
 impl Frontend {
-    /// Whether the clients fit; idle connections go first. Danger: a client that asks as it comes is turned away
-    /// while others hold places and say nothing.
-    fn make_room(&self) -> bool {
+    /// Closes idle connections while there are too many clients; whether the rest are within the limit. Idle
+    /// connections must not keep out a client that sends an op as soon as it connects.
+    fn evict_idle(&self) -> bool {
         while self.clients.get() > self.limits.clients && self.idle_connections.close_oldest() {}
         self.clients.get() <= self.limits.clients
     }
 
-    /// Accepts until the router closes.
+    /// Accepts connections until the router closes.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         let mut stage = self.stage.clone();
         loop {
@@ -120,16 +121,16 @@
             match accepted {
                 Ok((stream, _)) => {
                     let count = Count::one(&self.clients);
-                    let full = self.clients.get() > self.limits.clients;
-                    self.make_room();
+                    let over_limit = self.clients.get() > self.limits.clients;
+                    self.evict_idle();
                     drop(spawn_local(Client::new(self.clone(), stream, count).serve()));
-                    if full {
-                        // Those that were told to close give their descriptors back.
+                    if over_limit {
+                        // Lets the connections that were told to close release their file descriptors.
                         yield_now().await;
                     }
                 }
                 Err(error) => {
-                    tracing::warn!("a client could not be accepted: {error}");
+                    tracing::warn!("accepting a client connection failed: {error}");
                     sleep(self.limits.pause).await;
                 }
             }
@@ -140,40 +141,40 @@
 struct Client {
     front: Rc<Frontend>,
     stream: TcpStream,
-    came: BytesMut,
+    received: BytesMut,
     out: BytesMut,
     accepted: Instant,
-    /// Whether it ever sent a whole message after the first.
-    asked: bool,
+    /// Whether it has sent a complete message after the startup.
+    has_sent: bool,
     address: Option<IpAddr>,
-    place: ConnectionSlot,
+    slot: ConnectionSlot,
 }
 
-/// The connection ends: the client left, broke the protocol, or the router closes it.
+/// The connection has ended: the client closed it or violated the protocol, or the router closes it.
 struct Ended;
 
 impl Client {
     fn new(front: Rc<Frontend>, stream: TcpStream, count: Count) -> Self {
-        let (came, out) = (BytesMut::new(), BytesMut::new());
-        let place = Rc::new(RefCell::new(Some(count)));
+        let (received, out) = (BytesMut::new(), BytesMut::new());
+        let slot = Rc::new(RefCell::new(Some(count)));
         let address = stream.peer_addr().ok().map(|address| address.ip());
-        Client { front, stream, came, out, accepted: Instant::now(), asked: false, address, place }
+        Client { front, stream, received, out, accepted: Instant::now(), has_sent: false, address, slot }
     }
 
     async fn serve(mut self) {
         if self.stream.set_nodelay(true).is_ok() {
-            let _ = self.talk().await;
+            let _ = self.handle_messages().await;
         }
-        // Danger: the idle list still knows the place; a client that is gone would count on.
-        self.place.take();
+        // The idle list may still refer to the slot, which would keep the closed connection counted.
+        self.slot.take();
     }
 
-    async fn talk(&mut self) -> Result<(), Ended> {
-        let greeting = self.front.limits.greeting;
-        timeout(greeting, self.open()).await.map_err(|_| Ended)??;
+    async fn handle_messages(&mut self) -> Result<(), Ended> {
+        let startup_timeout = self.front.limits.greeting;
+        timeout(startup_timeout, self.start_up()).await.map_err(|_| Ended)??;
         loop {
-            let asked = self.next().await?;
-            match asked {
+            let message = self.next_message().await?;
+            match message {
                 FrontendMessage::Query(text) => self.query(text).await?,
                 FrontendMessage::Terminate => return Ok(()),
                 FrontendMessage::Other(_) => {
@@ -183,68 +184,67 @@
         }
     }
 
-    async fn open(&mut self) -> Result<(), Ended> {
+    async fn start_up(&mut self) -> Result<(), Ended> {
         loop {
-            match StartupPacket::decode(&mut self.came, self.front.limits.message) {
+            match StartupPacket::decode(&mut self.received, self.front.limits.message) {
                 Ok(Some(StartupPacket::Startup)) => {
                     put_startup_response(&mut self.out);
                     return self.write().await;
                 }
-                // Not here; the client may go on in the clear.
+                // Encryption is not supported; the client may continue without it.
                 Ok(Some(StartupPacket::EncryptionRequest)) => {
                     self.stream.write_all(b"N").await.map_err(|_| Ended)?
                 }
                 Ok(Some(StartupPacket::CancelRequest)) => return Err(Ended),
                 Ok(None) => self.fill(true, None).await?,
-                Err(malformed) => return self.malformed(malformed).await,
+                Err(error) => return self.protocol_error(error).await,
             }
         }
     }
 
-    /// The next message. Danger: clients that let themselves in and say nothing, or never come to the end of what
-    /// they say, a byte at a time; both have the time of a greeting.
-    async fn next(&mut self) -> Result<FrontendMessage, Ended> {
-        let greeting = self.front.limits.greeting;
-        let mut begun = None;
+    /// Reads the next message. The startup timeout limits the wait for the first message and the time from
+    /// the first byte of a message to its last, against clients that send nothing or one byte at a time.
+    async fn next_message(&mut self) -> Result<FrontendMessage, Ended> {
+        let message_timeout = self.front.limits.greeting;
+        let mut deadline = None;
         loop {
-            match FrontendMessage::decode(&mut self.came, self.front.limits.message) {
-                Ok(Some(asked)) => {
-                    self.asked = true;
-                    return Ok(asked);
+            match FrontendMessage::decode(&mut self.received, self.front.limits.message) {
+                Ok(Some(message)) => {
+                    self.has_sent = true;
+                    return Ok(message);
                 }
-                Ok(None) if self.came.is_empty() => {
-                    let until = (!self.asked).then(|| self.accepted + greeting);
+                Ok(None) if self.received.is_empty() => {
+                    let until = (!self.has_sent).then(|| self.accepted + message_timeout);
                     self.fill(true, until).await?
                 }
                 Ok(None) => {
-                    let until = *begun.get_or_insert_with(|| Instant::now() + greeting);
+                    let until = *deadline.get_or_insert_with(|| Instant::now() + message_timeout);
                     self.fill(false, Some(until)).await?
                 }
-                Err(malformed) => self.malformed(malformed).await?,
+                Err(error) => self.protocol_error(error).await?,
             }
         }
     }
 
-    /// Waits for more of a message. Danger: connections that say nothing, or never end what they say, leave no
-    /// room for others, and the longest idle one closes. For the planned end alone only those do that have not
-    /// begun to say something.
-    async fn fill(&mut self, may_close: bool, until: Option<Instant>) -> Result<(), Ended> {
+    /// Waits for input. Ends when the connection is closed as the longest idle one, at `until`, or, with
+    /// `close_on_shutdown`, when the router shuts down; a client within a message may finish it.
+    async fn fill(&mut self, close_on_shutdown: bool, until: Option<Instant>) -> Result<(), Ended> {
         let (front, mut stage) = (self.front.clone(), self.front.stage.clone());
-        if self.came.is_empty() {
-            // The room that a large op took is given back.
-            (self.came, self.out) = (BytesMut::new(), BytesMut::new());
+        if self.received.is_empty() {
+            // Releases the memory that a large op took.
+            (self.received, self.out) = (BytesMut::new(), BytesMut::new());
         }
-        let closed = front.idle_connections.wait(&self.place, front.limits.clients);
+        let closed = front.idle_connections.wait(&self.slot, front.limits.clients);
         let filled = tokio::select! {
             biased;
             read = self.read() => read,
-            _ = stage.wait_for(|&stage| stage == Stage::Closing), if may_close => Err(Ended),
+            _ = stage.wait_for(|&stage| stage == Stage::Closing), if close_on_shutdown => Err(Ended),
             _ = closed => Err(Ended),
             () = sleep_until(until.unwrap_or_else(Instant::now)), if until.is_some() => Err(Ended),
         };
         if filled.is_ok() {
-            // It may have spoken just as it was told to make room.
-            self.place.borrow_mut().get_or_insert_with(|| Count::one(&front.clients));
+            // Input may have arrived just as the connection was told to close.
+            self.slot.borrow_mut().get_or_insert_with(|| Count::one(&front.clients));
         }
         filled
     }
@@ -252,10 +252,10 @@
     async fn query(&mut self, text: String) -> Result<(), Ended> {
         let arrived = self.front.beat.came();
         let command = text.trim_matches(|c: char| c.is_whitespace() || c == ';');
-        let word = command.split_ascii_whitespace().next().unwrap_or_default().to_ascii_uppercase();
-        match word.as_str() {
+        let keyword = command.split_ascii_whitespace().next().unwrap_or_default().to_ascii_uppercase();
+        match keyword.as_str() {
             "" => put_empty_query_response(&mut self.out),
-            "SET" | "RESET" => put_command_complete(&mut self.out, &word),
+            "SET" | "RESET" => put_command_complete(&mut self.out, &keyword),
             "DISCARD" => put_command_complete(&mut self.out, "DISCARD ALL"),
             "SHOW" if self.front.gate.has_cells() && command.eq_ignore_ascii_case("show cells") => {
                 let (client, answer) = oneshot::channel();
@@ -275,14 +275,14 @@
                 }
                 put_single_value(&mut self.out, "leases", &answer.await.map_err(|_| Ended)?);
             }
-            _ if !self.front.make_room() => {
+            _ if !self.front.evict_idle() => {
                 relay::put_too_many_clients(&mut self.out);
-                return self.end().await;
+                return self.close().await;
             }
             _ => {
                 let reply = match Statement::parse(text) {
                     Ok(statement) => self.op(statement, arrived).await?,
-                    Err(ProtocolError(why)) => Reply::Refused(why),
+                    Err(ProtocolError(reason)) => Reply::Refused(reason),
                 };
                 relay::put_reply(&reply, &mut self.out);
                 return self.write().await;
@@ -292,9 +292,9 @@
         self.write().await
     }
 
-    /// One op, from its admission to its final answer.
+    /// Runs one op from admission to its final reply. Reads ahead meanwhile, to notice a disconnect.
     async fn op(&mut self, statement: Statement, arrived: Timestamp) -> Result<Reply<PgResponse>, Ended> {
-        let Admitted { ask, claim, place: _open } =
+        let Admitted { ask, claim, place: _place } =
             match self.front.gate.admit(op_call(&statement, self.address), arrived) {
                 Ok(admitted) => admitted,
                 Err(reply) => return Ok(reply),
@@ -304,11 +304,11 @@
         let op = ask.op;
         mail.send(Mail::Asked(ask, claim, Rc::new(statement), answer)).await.map_err(|_| Ended)?;
         loop {
-            let room = self.came.len() < self.front.limits.message;
+            let has_room = self.received.len() < self.front.limits.message;
             tokio::select! {
                 biased;
                 reply = &mut answered => return Ok(reply.unwrap_or(Reply::Errored)),
-                read = self.read(), if room => if read.is_err() {
+                read = self.read(), if has_room => if read.is_err() {
                     let _ = mail.send(Mail::HungUp(op)).await;
                     return Err(Ended);
                 },
@@ -317,8 +317,8 @@
     }
 
     async fn read(&mut self) -> Result<(), Ended> {
-        self.came.reserve(self.front.limits.read);
-        match self.stream.read_buf(&mut self.came).await {
+        self.received.reserve(self.front.limits.read);
+        match self.stream.read_buf(&mut self.received).await {
             Ok(0) | Err(_) => Err(Ended),
             Ok(_) => Ok(()),
         }
@@ -329,32 +329,32 @@
         if written { Ok(()) } else { Err(Ended) }
     }
 
-    /// Writes the last words. Danger: a connection closed while bytes of the client are unread is reset, and the
-    /// client never reads them. So what it still says is read for a while, and dropped.
-    async fn end<T>(&mut self) -> Result<T, Ended> {
+    /// Writes the last messages and closes. Input is read and discarded for up to `limits.linger`: closing
+    /// with unread input would reset the connection, and the client could not read the last messages.
+    async fn close<T>(&mut self) -> Result<T, Ended> {
         self.write().await?;
         let _ = self.stream.shutdown().await;
         let (front, linger) = (self.front.clone(), self.front.limits.linger);
-        let closed = front.idle_connections.wait(&self.place, front.limits.clients);
-        let rest = async {
+        let closed = front.idle_connections.wait(&self.slot, front.limits.clients);
+        let discard_input = async {
             while self.read().await.is_ok() {
-                self.came.clear();
+                self.received.clear();
             }
         };
         tokio::select! {
-            _ = timeout(linger, rest) => {}
+            _ = timeout(linger, discard_input) => {}
             _ = closed => {}
         }
         Err(Ended)
     }
 
-    async fn malformed<T>(&mut self, ProtocolError(why): ProtocolError) -> Result<T, Ended> {
-        tracing::warn!("a client broke the protocol: {why}");
-        self.fatal(code::PROTOCOL_VIOLATION, why).await
+    async fn protocol_error<T>(&mut self, ProtocolError(reason): ProtocolError) -> Result<T, Ended> {
+        tracing::warn!("a client violated the protocol: {reason}");
+        self.fatal(code::PROTOCOL_VIOLATION, reason).await
     }
 
-    async fn fatal<T>(&mut self, code: &str, why: &str) -> Result<T, Ended> {
-        put_fatal_error(&mut self.out, code, why);
-        self.end().await
+    async fn fatal<T>(&mut self, code: &str, message: &str) -> Result<T, Ended> {
+        put_fatal_error(&mut self.out, code, message);
+        self.close().await
     }
 }
--- a/crates/arrowyard-pg/src/client.rs
+++ b/crates/arrowyard-pg/src/client.rs
@@ -1,54 +1,67 @@
-//! What clients send, and what is sent to them.
+//! Messages of clients, and the router's replies to them.
 
 use bytes::{BufMut, BytesMut};
 
 use crate::code;
-use crate::frame::{ProtocolError, put, put_text, take, take_bare, take_text};
+use crate::frame::{ProtocolError, put_cstr, put_message, take_cstr, take_message, take_untyped_message};
 
-const VERSION_3: u32 = 196_608;
-const CANCEL: u32 = 80_877_102;
-const SSL: u32 = 80_877_103;
-const GSS: u32 = 80_877_104;
+const PROTOCOL_VERSION_3: u32 = 196_608;
+const CANCEL_REQUEST: u32 = 80_877_102;
+const SSL_REQUEST: u32 = 80_877_103;
+const GSSENC_REQUEST: u32 = 80_877_104;
 
-/// The first message on a client's connection.
+/// The first message on a client's connection. It has no type byte.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupPacket {
     Startup,
-    /// It asks for encryption; a single letter answers, and another first message follows.
+    /// SSLRequest or GSSENCRequest. The reply is a single byte, after which the client sends another first
+    /// message.
     EncryptionRequest,
     CancelRequest,
 }
 
 impl StartupPacket {
-    pub fn decode(came: &mut BytesMut, most: usize) -> Result<Option<StartupPacket>, ProtocolError> {
-        let Some(body) = take_bare(came, most)? else { return Ok(None) };
+    /// Removes the packet from `received`; `None` while it is incomplete.
+    ///
+    /// # Errors
+    /// Its length is out of range, or it asks for another protocol version.
+    pub fn decode(received: &mut BytesMut, max_bytes: usize) -> Result<Option<StartupPacket>, ProtocolError> {
+        let Some(body) = take_untyped_message(received, max_bytes)? else { return Ok(None) };
         let Some(&[a, b, c, d]) = body.get(..4) else {
             return Err(ProtocolError("the first message is too short"));
         };
         match u32::from_be_bytes([a, b, c, d]) {
-            version if version >> 16 == VERSION_3 >> 16 => Ok(Some(StartupPacket::Startup)),
-            SSL | GSS => Ok(Some(StartupPacket::EncryptionRequest)),
-            CANCEL => Ok(Some(StartupPacket::CancelRequest)),
+            version if version >> 16 == PROTOCOL_VERSION_3 >> 16 => Ok(Some(StartupPacket::Startup)),
+            SSL_REQUEST | GSSENC_REQUEST => Ok(Some(StartupPacket::EncryptionRequest)),
+            CANCEL_REQUEST => Ok(Some(StartupPacket::CancelRequest)),
             _ => Err(ProtocolError("the protocol's version is not 3")),
         }
     }
 }
 
-/// A later message of a client.
+/// A message of a client after the startup.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum FrontendMessage {
     Query(String),
     Terminate,
-    /// A message of the extended protocol or of a copy, which is not spoken here.
+    /// A message of another type, such as one of the extended query or copy protocols, which are not
+    /// supported.
     Other(u8),
 }
 
 impl FrontendMessage {
-    pub fn decode(came: &mut BytesMut, most: usize) -> Result<Option<FrontendMessage>, ProtocolError> {
-        let Some((letter, mut body)) = take(came, most)? else { return Ok(None) };
-        Ok(Some(match letter {
+    /// Removes the next complete message from `received`; `None` while it is incomplete.
+    ///
+    /// # Errors
+    /// Its length is out of range, or a query is not a zero-terminated UTF-8 string.
+    pub fn decode(
+        received: &mut BytesMut,
+        max_bytes: usize,
+    ) -> Result<Option<FrontendMessage>, ProtocolError> {
+        let Some((type_byte, mut body)) = take_message(received, max_bytes)? else { return Ok(None) };
+        Ok(Some(match type_byte {
             b'Q' => {
-                let text = Vec::from(take_text(&mut body)?);
+                let text = Vec::from(take_cstr(&mut body)?);
                 FrontendMessage::Query(
                     String::from_utf8(text).map_err(|_| ProtocolError("a statement is not UTF-8"))?,
                 )
@@ -59,37 +72,37 @@
     }
 }
 
-/// Lets a client in.
+/// Writes AuthenticationOk, the server's parameters and ReadyForQuery.
 pub fn put_startup_response(out: &mut BytesMut) {
-    put(out, Some(b'R'), |out| out.put_u32(0));
+    put_message(out, Some(b'R'), |out| out.put_u32(0));
     for (name, value) in
         [("server_version", "16.0"), ("server_encoding", "UTF8"), ("client_encoding", "UTF8")]
     {
-        put(out, Some(b'S'), |out| {
-            put_text(out, name);
-            put_text(out, value);
+        put_message(out, Some(b'S'), |out| {
+            put_cstr(out, name);
+            put_cstr(out, value);
         });
     }
     put_ready_for_query(out);
 }
 
 pub fn put_ready_for_query(out: &mut BytesMut) {
-    put(out, Some(b'Z'), |out| out.put_u8(b'I'));
+    put_message(out, Some(b'Z'), |out| out.put_u8(b'I'));
 }
 
 pub fn put_empty_query_response(out: &mut BytesMut) {
-    put(out, Some(b'I'), |_| ());
+    put_message(out, Some(b'I'), |_| ());
 }
 
-/// An answer of the router's own: one row of one column, as text.
+/// Writes a result of one row with one text column, for a `SHOW` that the router answers itself.
 pub fn put_single_value(out: &mut BytesMut, column: &str, value: &str) {
-    put(out, Some(b'T'), |out| {
+    put_message(out, Some(b'T'), |out| {
         out.put_u16(1);
-        put_text(out, column);
-        // No table, no column number; text (25), of any length, in text form.
+        put_cstr(out, column);
+        // Table OID 0, column number 0, type OID 25 (text), size -1, modifier -1, text format.
         out.put_slice(&[0, 0, 0, 0, 0, 0, 0, 0, 0, 25, 0xff, 0xff, 0xff, 0xff, 0xff, 0xff, 0, 0]);
     });
-    put(out, Some(b'D'), |out| {
+    put_message(out, Some(b'D'), |out| {
         out.put_u16(1);
         out.put_u32(value.len() as u32);
         out.put_slice(value.as_bytes());
@@ -97,45 +110,46 @@
     put_command_complete(out, "SHOW");
 }
 
-/// The end of a command without rows.
+/// Writes CommandComplete with the given command tag.
 pub fn put_command_complete(out: &mut BytesMut, command: &str) {
-    put(out, Some(b'C'), |out| put_text(out, command));
+    put_message(out, Some(b'C'), |out| put_cstr(out, command));
 }
 
-fn put_failure(out: &mut BytesMut, severity: &str, code: &str, text: &str, detail: Option<u64>) {
-    put(out, Some(b'E'), |out| {
-        let detail = detail.map(|number| number.to_string());
+fn put_error_response(out: &mut BytesMut, severity: &str, code: &str, text: &str, detail: Option<u64>) {
+    put_message(out, Some(b'E'), |out| {
+        let detail = detail.map(|detail| detail.to_string());
         let fields = [(b'S', severity), (b'V', severity), (b'C', code), (b'M', text)];
-        for (letter, value) in fields.into_iter().chain(detail.as_deref().map(|d| (b'D', d))) {
-            out.put_u8(letter);
-            put_text(out, value);
+        for (field, value) in fields.into_iter().chain(detail.as_deref().map(|d| (b'D', d))) {
+            out.put_u8(field);
+            put_cstr(out, value);
         }
         out.put_u8(0);
     });
 }
 
-/// A busy reply: trying again is harmless, after so many milliseconds if a number is given.
-pub fn put_busy_error(out: &mut BytesMut, retry_after: Option<u64>) {
-    put_failure(out, "ERROR", code::TOO_MANY_CONNECTIONS, "busy, nothing was done", retry_after);
+/// Reports that the op was rejected without any effect and may be retried, after `retry_after_ms` if it is
+/// given.
+pub fn put_busy_error(out: &mut BytesMut, retry_after_ms: Option<u64>) {
+    put_error_response(out, "ERROR", code::TOO_MANY_CONNECTIONS, "busy, nothing was done", retry_after_ms);
 }
 
-/// An error reply: nothing is declared_length.
+/// Reports an error; the op may or may not have run.
 pub fn put_error(out: &mut BytesMut, code: &str, text: &str) {
-    put_failure(out, "ERROR", code, text, None);
+    put_error_response(out, "ERROR", code, text, None);
 }
 
-/// An error after which the connection ends.
+/// Reports an error after which the router closes the connection.
 pub fn put_fatal_error(out: &mut BytesMut, code: &str, text: &str) {
-    put_failure(out, "FATAL", code, text, None);
+    put_error_response(out, "FATAL", code, text, None);
 }
 
 impl crate::QueryResult {
-    /// Writes the answer as the host gave it.
+    /// Writes the result's messages unchanged, without ReadyForQuery.
     pub fn put(&self, out: &mut BytesMut) {
-        for (letter, body) in
+        for (type_byte, body) in
             [(b'T', &self.row_description), (b'D', &self.data_row), (b'C', &self.command_complete)]
         {
-            put(out, Some(letter), |out| out.put_slice(body));
+            put_message(out, Some(type_byte), |out| out.put_slice(body));
         }
     }
 }
--- a/crates/arrowyard-pg/src/frame.rs
+++ b/crates/arrowyard-pg/src/frame.rs
@@ -1,45 +1,56 @@
-//! Messages as they stand in the stream: a letter, a length that counts itself, a body. The first message of a
-//! client has no letter.
+//! Message framing: a type byte, a 32-bit length that includes itself, and a body. The first message of a
+//! client has no type byte.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-/// The other side broke the protocol; what it did.
+/// A violation of the protocol by the other side, with a description.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProtocolError(pub &'static str);
 
-/// The length that the next message says it has, beside its letter.
-pub fn declared_length(came: &[u8]) -> Option<u32> {
-    came.get(1..5).and_then(|four| four.try_into().ok()).map(u32::from_be_bytes)
+/// Length that the next message declares, without its type byte. `None` until the length has arrived.
+pub fn declared_length(received: &[u8]) -> Option<u32> {
+    received.get(1..5).and_then(|bytes| bytes.try_into().ok()).map(u32::from_be_bytes)
 }
 
-/// Takes the next whole message off what came; nothing while its end is missing. Danger: a hostile length. It is
-/// checked against the most before room is made for anything.
-pub fn take(came: &mut BytesMut, most: usize) -> Result<Option<(u8, Bytes)>, ProtocolError> {
-    let Some(&letter) = came.first() else { return Ok(None) };
-    Ok(take_at(came, 1, most)?.map(|body| (letter, body)))
+/// Removes the next complete message from `received`; `None` while it is incomplete.
+///
+/// # Errors
+/// The declared length is below 4 or above `max_bytes`. It is checked before any memory is reserved for the
+/// body.
+pub fn take_message(received: &mut BytesMut, max_bytes: usize) -> Result<Option<(u8, Bytes)>, ProtocolError> {
+    let Some(&type_byte) = received.first() else { return Ok(None) };
+    Ok(take_body(received, 1, max_bytes)?.map(|body| (type_byte, body)))
 }
 
-pub fn take_bare(came: &mut BytesMut, most: usize) -> Result<Option<Bytes>, ProtocolError> {
-    take_at(came, 0, most)
+/// As [`take_message`], for a message without a type byte.
+pub fn take_untyped_message(
+    received: &mut BytesMut,
+    max_bytes: usize,
+) -> Result<Option<Bytes>, ProtocolError> {
+    take_body(received, 0, max_bytes)
 }
 
-fn take_at(came: &mut BytesMut, head: usize, most: usize) -> Result<Option<Bytes>, ProtocolError> {
-    let Some(&[a, b, c, d]) = came.get(head..head + 4) else { return Ok(None) };
+fn take_body(
+    received: &mut BytesMut,
+    length_at: usize,
+    max_bytes: usize,
+) -> Result<Option<Bytes>, ProtocolError> {
+    let Some(&[a, b, c, d]) = received.get(length_at..length_at + 4) else { return Ok(None) };
     let length = u32::from_be_bytes([a, b, c, d]) as usize;
-    if length < 4 || length > most {
+    if length < 4 || length > max_bytes {
         return Err(ProtocolError("a message's length is out of range"));
     }
-    if came.len() < head + length {
+    if received.len() < length_at + length {
         return Ok(None);
     }
-    let mut message = came.split_to(head + length).freeze();
-    message.advance(head + 4);
+    let mut message = received.split_to(length_at + length).freeze();
+    message.advance(length_at + 4);
     Ok(Some(message))
 }
 
-/// Writes one message; its length is filled in once the body is written.
-pub fn put(out: &mut BytesMut, letter: Option<u8>, body: impl FnOnce(&mut BytesMut)) {
-    out.extend(letter);
+/// Appends one message; the length is filled in after the body has been written.
+pub fn put_message(out: &mut BytesMut, type_byte: Option<u8>, body: impl FnOnce(&mut BytesMut)) {
+    out.extend(type_byte);
     let start = out.len();
     out.put_u32(0);
     body(out);
@@ -47,15 +58,19 @@
     out[start..start + 4].copy_from_slice(&length.to_be_bytes());
 }
 
-pub fn put_text(out: &mut BytesMut, text: &str) {
-    out.put_slice(text.as_bytes());
+/// Appends a zero-terminated string.
+pub fn put_cstr(out: &mut BytesMut, string: &str) {
+    out.put_slice(string.as_bytes());
     out.put_u8(0);
 }
 
-/// Takes a text that ends with a zero byte off the body.
-pub fn take_text(body: &mut Bytes) -> Result<Bytes, ProtocolError> {
+/// Removes a zero-terminated string from `body` and returns it without the terminator.
+///
+/// # Errors
+/// The terminator is missing.
+pub fn take_cstr(body: &mut Bytes) -> Result<Bytes, ProtocolError> {
     let end = body.iter().position(|&byte| byte == 0).ok_or(ProtocolError("a text has no end"))?;
-    let text = body.split_to(end);
+    let string = body.split_to(end);
     body.advance(1);
-    Ok(text)
+    Ok(string)
 }
--- a/crates/arrowyard-pg/src/host.rs
+++ b/crates/arrowyard-pg/src/host.rs
@@ -1,10 +1,10 @@
-//! What database hosts send, and what is sent to them.
+//! Messages of database hosts, and the router's messages to them.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 
-use crate::frame::{ProtocolError, declared_length, put, put_text, take, take_text};
+use crate::frame::{ProtocolError, declared_length, put_cstr, put_message, take_cstr, take_message};
 
-/// A whole answer, each part as the host wrote it.
+/// A complete result of one row; each field is the body of one message as the host sent it.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct QueryResult {
     pub row_description: Bytes,
@@ -18,119 +18,123 @@
     ReadOnly,
 }
 
-/// What a host says of itself beside its answers.
+/// A ParameterStatus message by which a host reports its state.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ParameterStatus {
     AccessMode(AccessMode),
-    /// A position or a commit, as Unix time in milliseconds.
+    /// Replication position or last commit, as Unix time in milliseconds.
     Position(i64),
-    /// A load report.
+    /// Names and values of a load report.
     LoadReport(Vec<(String, f64)>),
     Other,
 }
 
-/// One message of a host.
+/// A message of a host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendMessage {
-    /// It lets the router in.
     AuthenticationOk,
     ParameterStatus(ParameterStatus),
     RowDescription(Bytes),
-    /// The only row of an answer, of one column.
+    /// A row of one column.
     DataRow(Bytes),
     CommandComplete(Bytes),
     EmptyQueryResponse,
-    /// The code of an error.
+    /// The SQLSTATE code of an error.
     ErrorResponse(String),
     ReadyForQuery,
-    /// A notice, a key for cancelling, and the like.
+    /// A message that routers ignore, such as a notice or BackendKeyData.
     Other,
 }
 
 impl BackendMessage {
-    /// `row` is the most bytes of a row, `other` those of any other message.
+    /// Removes the next complete message from `received`; `None` while it is incomplete. `max_row_bytes`
+    /// limits a DataRow, `max_other_bytes` any other message.
+    ///
+    /// # Errors
+    /// The message is malformed, too long, or of a type or shape that routers do not accept.
     pub fn decode(
-        came: &mut BytesMut,
-        row: usize,
-        other: usize,
+        received: &mut BytesMut,
+        max_row_bytes: usize,
+        max_other_bytes: usize,
     ) -> Result<Option<BackendMessage>, ProtocolError> {
-        let most = if came.first() == Some(&b'D') { row } else { other };
-        check_head(came)?;
-        let Some((letter, mut body)) = take(came, most)? else { return Ok(None) };
-        Ok(Some(match letter {
+        let max_bytes = if received.first() == Some(&b'D') { max_row_bytes } else { max_other_bytes };
+        check_prefix(received)?;
+        let Some((type_byte, mut body)) = take_message(received, max_bytes)? else { return Ok(None) };
+        Ok(Some(match type_byte {
             b'R' if body[..] == [0, 0, 0, 0] => BackendMessage::AuthenticationOk,
-            b'R' => return Err(ProtocolError("the host asks for a password")),
-            b'S' => BackendMessage::ParameterStatus(status(&mut body)?),
+            b'R' => return Err(ProtocolError("the host requires authentication")),
+            b'S' => BackendMessage::ParameterStatus(parse_parameter_status(&mut body)?),
             b'T' => {
-                one_column(&body).ok_or(ProtocolError("an answer is not of one column"))?;
+                check_single_column(&body)
+                    .ok_or(ProtocolError("the result does not have exactly one column"))?;
                 BackendMessage::RowDescription(body)
             }
             b'D' => {
-                single_value(&body).ok_or(ProtocolError("a row is not of one column"))?;
+                single_value(&body).ok_or(ProtocolError("the row does not have exactly one column"))?;
                 BackendMessage::DataRow(body)
             }
             b'C' if body.iter().position(|&byte| byte == 0).map(|end| end + 1) != Some(body.len()) => {
-                return Err(ProtocolError("the end of an answer is no text"));
+                return Err(ProtocolError("the command tag is not a zero-terminated string"));
             }
             b'C' => BackendMessage::CommandComplete(body),
             b'I' => BackendMessage::EmptyQueryResponse,
             b'E' => BackendMessage::ErrorResponse(error_code(body)?),
             b'Z' => BackendMessage::ReadyForQuery,
             b'N' | b'K' | b'A' => BackendMessage::Other,
-            _ => return Err(ProtocolError("the host sent a message of another kind")),
+            _ => return Err(ProtocolError("the host sent a message of an unexpected type")),
         }))
     }
 }
 
-/// What the first bytes of a message already show. Danger: noise that promises more than ever comes would be
-/// waited for till the time is up. A row's one value fills it.
-fn check_head(came: &[u8]) -> Result<(), ProtocolError> {
-    let Some(&letter) = came.first() else { return Ok(()) };
-    if !b"RSTDCIEZNKA".contains(&letter) {
-        return Err(ProtocolError("the host sent a message of another kind"));
+/// Rejects an invalid message by its first bytes. Otherwise the router would wait for the rest of a garbled
+/// message until the timeout. A valid row is exactly as long as its single value requires.
+fn check_prefix(received: &[u8]) -> Result<(), ProtocolError> {
+    let Some(&type_byte) = received.first() else { return Ok(()) };
+    if !b"RSTDCIEZNKA".contains(&type_byte) {
+        return Err(ProtocolError("the host sent a message of an unexpected type"));
     }
-    let Some(length) = declared_length(came).filter(|_| letter == b'D') else { return Ok(()) };
-    let Some(&[a, b, c, d, e, f]) = came.get(5..11) else { return Ok(()) };
+    let Some(length) = declared_length(received).filter(|_| type_byte == b'D') else { return Ok(()) };
+    let Some(&[a, b, c, d, e, f]) = received.get(5..11) else { return Ok(()) };
     if [a, b] != [0, 1] || u32::from_be_bytes([c, d, e, f]).checked_add(10) != Some(length) {
-        return Err(ProtocolError("a row is not of one column"));
+        return Err(ProtocolError("the row does not have exactly one column"));
     }
     Ok(())
 }
 
-/// Nothing unless it describes one column, to its last byte.
-fn one_column(columns: &Bytes) -> Option<()> {
-    let name = columns.strip_prefix(&[0, 1])?;
+/// `None` unless the RowDescription body describes exactly one column.
+fn check_single_column(row_description: &Bytes) -> Option<()> {
+    let name = row_description.strip_prefix(&[0, 1])?;
     let end = name.iter().position(|&byte| byte == 0)?;
-    // After the name: table, number, type, size, modifier, format.
+    // After the name: table OID, column number, type OID, type size, type modifier, format code.
     (name.len() - end - 1 == 18).then_some(())
 }
 
-fn status(body: &mut Bytes) -> Result<ParameterStatus, ProtocolError> {
-    let (name, told) = (take_text(body)?, take_text(body)?);
-    let Ok(told) = std::str::from_utf8(&told) else { return Ok(ParameterStatus::Other) };
-    Ok(match (&name[..], told) {
+fn parse_parameter_status(body: &mut Bytes) -> Result<ParameterStatus, ProtocolError> {
+    let (name, value) = (take_cstr(body)?, take_cstr(body)?);
+    let Ok(value) = std::str::from_utf8(&value) else { return Ok(ParameterStatus::Other) };
+    Ok(match (&name[..], value) {
         (b"mode", "read-write") => ParameterStatus::AccessMode(AccessMode::ReadWrite),
         (b"mode", "read-only") => ParameterStatus::AccessMode(AccessMode::ReadOnly),
-        (b"wal_time", told) => told.parse().map_or(ParameterStatus::Other, ParameterStatus::Position),
-        (b"stats", told) => {
-            parse_load_report(told).map_or(ParameterStatus::Other, ParameterStatus::LoadReport)
+        (b"wal_time", value) => value.parse().map_or(ParameterStatus::Other, ParameterStatus::Position),
+        (b"stats", value) => {
+            parse_load_report(value).map_or(ParameterStatus::Other, ParameterStatus::LoadReport)
         }
         _ => ParameterStatus::Other,
     })
 }
 
-/// A load report, as in `inflight=7,util=0.61`; nothing if any of it cannot be read, since the rest is then
-/// spoilt as likely.
-pub fn parse_load_report(told: &str) -> Option<Vec<(String, f64)>> {
+/// Parses a load report such as `inflight=7,util=0.61`. `None` if any field is malformed: the others may
+/// then be corrupted as well.
+pub fn parse_load_report(text: &str) -> Option<Vec<(String, f64)>> {
     let field = |field: &str| {
         let (name, number) = field.trim().split_once('=')?;
         let number = number.parse().ok().filter(|number: &f64| number.is_finite())?;
         Some((name.to_string(), number))
     };
-    told.split(',').map(field).collect()
+    text.split(',').map(field).collect()
 }
 
-/// The value of a row of one column; nothing if it is none, or null.
+/// Value of a DataRow body with one column; `None` if it has another shape or the value is null.
 pub fn single_value(row: &Bytes) -> Option<Bytes> {
     let mut row = row.clone();
     if row.len() < 6 || row.get_u16() != 1 {
@@ -141,27 +145,28 @@
 }
 
 fn error_code(mut body: Bytes) -> Result<String, ProtocolError> {
-    while body.first().is_some_and(|&letter| letter != 0) {
-        let letter = body.get_u8();
-        let told = take_text(&mut body)?;
-        if letter == b'C' {
-            return Ok(String::from_utf8_lossy(&told).into_owned());
+    while body.first().is_some_and(|&field| field != 0) {
+        let field = body.get_u8();
+        let value = take_cstr(&mut body)?;
+        if field == b'C' {
+            return Ok(String::from_utf8_lossy(&value).into_owned());
         }
     }
-    Err(ProtocolError("an error has no code"))
+    Err(ProtocolError("an error response has no SQLSTATE code"))
 }
 
+/// Writes the startup packet of protocol version 3.0.
 pub fn put_startup_packet(out: &mut BytesMut, user: &str, database: &str) {
-    put(out, None, |out| {
+    put_message(out, None, |out| {
         out.put_u32(196_608);
         for text in ["user", user, "database", database] {
-            put_text(out, text);
+            put_cstr(out, text);
         }
         out.put_u8(0);
     });
 }
 
-/// A command that is not a client's.
-pub fn put_query(out: &mut BytesMut, command: &str) {
-    put(out, Some(b'Q'), |out| put_text(out, command));
+/// Writes a simple query.
+pub fn put_query(out: &mut BytesMut, text: &str) {
+    put_message(out, Some(b'Q'), |out| put_cstr(out, text));
 }
--- a/crates/arrowyard-pg/src/lib.rs
+++ b/crates/arrowyard-pg/src/lib.rs
@@ -1,6 +1,6 @@
-//! Version 3 of PostgreSQL's wire protocol, as far as routers speak it: messages to and from clients, messages
-//! to and from database hosts, and the comment that heads a client's statement. No I/O: callers hand over the
-//! bytes that came and get small typed values; each message is decoded once, and encoded once.
+//! The subset of PostgreSQL's wire protocol, version 3, that routers use: messages exchanged with clients
+//! and with database hosts, and the routing comment at the head of a client's statement. Performs no I/O:
+//! callers pass in the received bytes and get typed messages.
 
 mod client;
 mod frame;
@@ -18,7 +18,7 @@
 };
 pub use statement::Statement;
 
-/// Codes of errors, as PostgreSQL's public list names them.
+/// SQLSTATE codes from PostgreSQL's list of error codes.
 pub mod code {
     pub const TOO_MANY_CONNECTIONS: &str = "53300";
     pub const READ_ONLY: &str = "25006";
