--- a/crates/arrowyard-daemon/tests/helpers/mod.rs
+++ b/crates/arrowyard-daemon/tests/helpers/mod.rs
@@ -1,4 +1,4 @@
-//! What the tests of processes that come back share.
+//! Helpers shared by the tests of router restarts.
 
 use std::path::Path;
 use std::time::Duration;
@@ -12,16 +12,17 @@
 }
 
 pub fn rig(setting: Setting) -> Rig {
-    Rig::start(Path::new(env!("CARGO_BIN_EXE_arrowyard")), setting).expect("it starts")
+    Rig::start(Path::new(env!("CARGO_BIN_EXE_arrowyard")), setting).expect("the routers start")
 }
 
-pub fn alone(store: bool) -> Setting {
+/// One router without a fleet and without a list of hosts from the platform.
+pub fn single_router(store: bool) -> Setting {
     Setting { off: true, known: false, store, ..Setting::of(1) }
 }
 
-/// The same as `ops`, in a thread of its own.
-pub fn ops_in(rig: &Rig, who: usize, span: Duration, seed: u64) -> std::thread::JoinHandle<Outcome> {
-    let address = rig.process(who).expect("it runs").address;
+/// Sends ops to router `who` for `span` from another thread.
+pub fn spawn_ops(rig: &Rig, who: usize, span: Duration, seed: u64) -> std::thread::JoinHandle<Outcome> {
+    let address = rig.process(who).expect("the router runs").address;
     std::thread::spawn(move || {
         let mix = vec![(0, 3), (1, 3), (2, 2), (3, 2)];
         let stream =
@@ -30,14 +31,15 @@
     })
 }
 
-pub fn said(rig: &Rig, who: usize, what: &str, within: u64) -> bool {
-    rig.process(who).is_some_and(|process| process.said(what, ms(within)))
+/// Whether router `who` logs `text` within `within_ms`.
+pub fn logged(rig: &Rig, who: usize, text: &str, within_ms: u64) -> bool {
+    rig.process(who).is_some_and(|process| process.said(text, ms(within_ms)))
 }
 
-/// Nothing unanswered, nothing twice, nothing acked that is not there.
-pub fn kept_rules(rig: &Rig, outcome: &Outcome) {
+/// Asserts that every op was answered, no write was applied twice and every acknowledged write is stored.
+pub fn assert_invariants(rig: &Rig, outcome: &Outcome) {
     let ledger = rig.town.ledger();
     assert_eq!(outcome.of_tenant("t").unanswered, 0);
     assert!(ledger.applied.values().all(|times| times.len() == 1));
-    assert!(outcome.acked.iter().all(|turn| ledger.applied.contains_key(&format!("{turn:016x}"))));
+    assert!(outcome.acked.iter().all(|token| ledger.applied.contains_key(&format!("{token:016x}"))));
 }
--- a/crates/arrowyard-daemon/tests/long_lists.rs
+++ b/crates/arrowyard-daemon/tests/long_lists.rs
@@ -1,25 +1,25 @@
-//! A list of thousands before a real process. It stands by itself: its bound is in milliseconds of this machine, and tests
-//! of whole fleets beside it would take the cores that it is measured by.
+//! A host list with thousands of entries sent to a router process. A test program of its own, because its
+//! time limits would not hold while tests of whole fleets use the same cores.
 
 mod helpers;
 
-use helpers::{alone, kept_rules, ms, ops_in, rig, said};
+use helpers::{assert_invariants, logged, ms, rig, single_router, spawn_ops};
 
 #[test]
-fn while_a_list_of_thousands_comes_no_op_waits_for_it_and_what_it_closes_is_closed_at_once() {
-    let rig = rig(alone(false));
-    assert!(said(&rig, 0, "host is Ready", 5_000));
-    let asked = ops_in(&rig, 0, ms(4_000), 160);
+fn a_list_of_thousands_of_hosts_delays_neither_ops_nor_a_drain() {
+    let rig = rig(single_router(false));
+    assert!(logged(&rig, 0, "host is Ready", 5_000));
+    let load = spawn_ops(&rig, 0, ms(4_000), 160);
     std::thread::sleep(ms(500));
     rig.town.extras(3_000, 0, usize::MAX);
     std::thread::sleep(ms(20));
-    // While the first list is worked off, the next one says that a host drains.
+    // The next list drains a host while the first one is still being processed.
     rig.town.drain("r-1");
-    let outcome = asked.join().expect("it was played");
-    kept_rules(&rig, &outcome);
-    // Late is no matter here: the machine may be busy with other tests.
+    let outcome = load.join().expect("the load has been sent");
+    assert_invariants(&rig, &outcome);
+    // Late replies count as well, since the machine may be busy with other tests.
     let stats = outcome.of_tenant("t");
     let acked = (stats.good + stats.late) as f64 / stats.sent as f64;
     assert!(acked > 0.9, "{acked} of {}", stats.sent);
-    assert_eq!(rig.town.late("r-1"), 0, "commands after the grace");
+    assert_eq!(rig.town.late("r-1"), 0, "commands after the drain's grace period");
 }
--- a/crates/arrowyard-daemon/tests/sockets.rs
+++ b/crates/arrowyard-daemon/tests/sockets.rs
@@ -1,5 +1,5 @@
-//! The whole router as a process on loopback, before the stand-ins' hosts and discovery. Its clients write their bytes
-//! on their own, since much of what they say no library would.
+//! The router process on loopback with simulated hosts and discovery. Clients write raw bytes, since the
+//! tests need input that no client library sends.
 
 use std::io::{Read, Write};
 use std::net::TcpStream;
@@ -14,8 +14,8 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_arrowyard");
 
-fn message(letter: u8, body: &[u8]) -> Vec<u8> {
-    [&[letter][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
+fn message(type_byte: u8, body: &[u8]) -> Vec<u8> {
+    [&[type_byte][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
 fn read_message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
@@ -26,8 +26,8 @@
     Some((head[0], body))
 }
 
-/// The platform's file for a router before the town.
-fn told(town: &Town) -> Value {
+/// The platform's configuration file of a router for the simulated hosts.
+fn platform_config(town: &Town) -> Value {
     let row = |name, effect, read| OpType { name, target_ms: 1500, timeout_ms: 1500, effect, read };
     let op_types = [
         row("look", "read_like", "loose"),
@@ -35,18 +35,18 @@
         row("mark", "idempotency_key", "update"),
         row("view", "read_like", "recent"),
     ];
-    let mut told = waybill(town, &op_types, 256);
-    told["settings"]["parties"] = json!([{"name": "p", "share": 1.0}]);
-    told["settings"]["domain"]["list_role"] = json!("initial");
-    told["settings"]["caps"]["max_retry_after"] = json!(700.0);
-    told
+    let mut config = waybill(town, &op_types, 256);
+    config["settings"]["parties"] = json!([{"name": "p", "share": 1.0}]);
+    config["settings"]["domain"]["list_role"] = json!("initial");
+    config["settings"]["caps"]["max_retry_after"] = json!(700.0);
+    config
 }
 
 fn start(town: &Town) -> Process {
-    Process::start(Path::new(PROGRAM), &told(town), None).expect("it starts")
+    Process::start(Path::new(PROGRAM), &platform_config(town), None).expect("it starts")
 }
 
-/// A client that has said nothing yet.
+/// A connection without the startup packet.
 fn connect(router: &Process) -> TcpStream {
     let stream = TcpStream::connect(router.address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
@@ -66,7 +66,7 @@
 #[derive(Debug, PartialEq)]
 enum Reply {
     Value(String),
-    /// Code and detail.
+    /// SQLSTATE code and detail.
     Error(String, String),
     Empty,
     Done,
@@ -78,7 +78,7 @@
 
 impl Client {
     fn read(&mut self) -> (u8, Vec<u8>) {
-        read_message(&mut self.stream).expect("the router answers")
+        read_message(&mut self.stream).expect("the router replies")
     }
 
     fn write(&mut self, text: &str) {
@@ -88,18 +88,21 @@
     fn reply(&mut self) -> Reply {
         let mut reply = Reply::Done;
         loop {
-            let (letter, body) = self.read();
-            match letter {
+            let (type_byte, body) = self.read();
+            match type_byte {
                 b'D' => {
-                    // A read's value tells the newest turn behind the host's name.
+                    // The value of a read is the host's name followed by its newest record.
                     let text = String::from_utf8(body[6..].to_vec()).unwrap();
                     reply = Reply::Value(text.split(' ').next().unwrap_or_default().to_string());
                 }
                 b'I' => reply = Reply::Empty,
                 b'E' => {
                     let text = String::from_utf8(body).unwrap();
-                    let field = |letter| {
-                        text.split('\0').find_map(|f| f.strip_prefix(letter)).unwrap_or_default().to_string()
+                    let field = |field_type| {
+                        text.split('\0')
+                            .find_map(|f| f.strip_prefix(field_type))
+                            .unwrap_or_default()
+                            .to_string()
                     };
                     reply = Reply::Error(field('C'), field('D'));
                 }
@@ -109,30 +112,31 @@
         }
     }
 
-    fn ask(&mut self, op_type: &str, wait: u32) -> Reply {
-        self.write(&statement(op_type, wait));
+    fn ask(&mut self, op_type: &str, timeout_ms: u32) -> Reply {
+        self.write(&statement(op_type, timeout_ms));
         self.reply()
     }
 }
 
-fn statement(op_type: &str, wait: u32) -> String {
-    let head = format!("/* id=9b1f03aa5c7e2d41,c={op_type},t=p,d={wait},k=5c0f6e1a2b3d4c59,cluster=7 */");
+fn statement(op_type: &str, timeout_ms: u32) -> String {
+    let head =
+        format!("/* id=9b1f03aa5c7e2d41,c={op_type},t=p,d={timeout_ms},k=5c0f6e1a2b3d4c59,cluster=7 */");
     match op_type {
         "look" | "view" => format!("{head} SELECT payload FROM entries WHERE ref = '7f3a9c21e0b4d655'"),
         _ => format!("{head} INSERT INTO entries (ref, payload) VALUES ('7f3a9c21e0b4d655', '\\x9f03')"),
     }
 }
 
-fn eventually(what: &str, mut holds: impl FnMut() -> bool) {
+fn eventually(condition: &str, mut holds: impl FnMut() -> bool) {
     let until = Instant::now() + Duration::from_secs(10);
     while !holds() {
-        assert!(Instant::now() < until, "{what}");
+        assert!(Instant::now() < until, "{condition}");
         sleep(Duration::from_millis(5));
     }
 }
 
-fn value(of: &str) -> Reply {
-    Reply::Value(of.to_string())
+fn value(host: &str) -> Reply {
+    Reply::Value(host.to_string())
 }
 
 fn error(code: &str) -> Reply {
@@ -147,43 +151,43 @@
     Spec { lag: Duration::ZERO, ..Spec::new(name, 7, primary) }
 }
 
-/// A router before one host, the primary `one`.
-fn alone(act: Act) -> (Town, Process) {
+/// A router with one host, the primary `one`.
+fn with_primary(act: Act) -> (Town, Process) {
     let town = Town::start(&[host("one", true)]);
     town.act("one", act);
     let router = start(&town);
     (town, router)
 }
 
-/// A router before the primary `one` and the replica `two`.
-fn pair(act: Act) -> (Town, Process) {
+/// A router with the primary `one` and the replica `two`.
+fn with_replica(act: Act) -> (Town, Process) {
     let town = Town::start(&[host("one", true), host("two", false)]);
     ["one", "two"].into_iter().for_each(|name| town.act(name, act));
     let router = start(&town);
     (town, router)
 }
 
-/// The statements that the host read.
-fn heard(town: &Town, name: &str) -> usize {
+/// Number of statements that the host has read.
+fn received_count(town: &Town, name: &str) -> usize {
     town.heard(name).len()
 }
 
 #[test]
-fn reads_go_to_a_replica_and_writes_to_the_primary_as_the_client_wrote_them() {
-    let (town, router) = pair(Act::Serve);
+fn reads_go_to_a_replica_and_writes_to_the_primary_unchanged() {
+    let (town, router) = with_replica(Act::Serve);
     let mut client = client(&router);
     assert_eq!(client.ask("look", 1000), value("two"));
     assert_eq!(client.ask("put", 1000), value("one"));
-    let (_, heard) = town.heard("one")[0].clone();
-    let (head, rest) = heard.split_once(",d=").unwrap();
-    let (wait, rest) = rest.split_once(',').unwrap();
-    assert!((1..=1000).contains(&wait.parse::<u32>().unwrap()), "{wait}");
+    let (_, received) = town.heard("one")[0].clone();
+    let (head, rest) = received.split_once(",d=").unwrap();
+    let (timeout, rest) = rest.split_once(',').unwrap();
+    assert!((1..=1000).contains(&timeout.parse::<u32>().unwrap()), "{timeout}");
     assert_eq!(format!("{head},d=1000,{rest}"), statement("put", 1000));
 }
 
 #[test]
-fn commands_without_effect_are_answered_here_and_other_text_is_refused() {
-    let (town, router) = alone(Act::Serve);
+fn the_router_answers_session_commands_and_rejects_statements_without_a_comment() {
+    let (town, router) = with_primary(Act::Serve);
     let mut client = client(&router);
     client.write("");
     assert_eq!(client.reply(), Reply::Empty);
@@ -193,22 +197,22 @@
     assert_eq!(client.reply(), error("08P01"));
     assert_eq!(client.ask("unheard", 1000), error("08P01"));
     assert_eq!(client.ask("put", 1000), value("one"));
-    assert_eq!(heard(&town, "one"), 1);
+    assert_eq!(received_count(&town, "one"), 1);
 }
 
 #[test]
-fn queries_written_ahead_in_small_pieces_are_answered_in_order() {
-    let (_town, router) = alone(Act::Serve);
+fn pipelined_queries_in_small_pieces_are_answered_in_order() {
+    let (_town, router) = with_primary(Act::Serve);
     let mut stream = connect(&router);
     stream.write_all(&[0, 0, 0, 8, 4, 210, 22, 47]).unwrap();
     let mut letter = [0];
     stream.read_exact(&mut letter).unwrap();
-    assert_eq!(letter, *b"N", "no encryption here");
+    assert_eq!(letter, *b"N", "encryption is not supported");
     let query = |text: &str| message(b'Q', format!("{text}\0").as_bytes());
     let startup = b"\0\0\0\x08\0\x03\0\0".to_vec();
-    let unmarked = statement("mark", 1000).replace("k=", "x=");
-    let stranger = statement("put", 1000).replace("t=p", "t=stranger");
-    let queries = ["", &statement("put", 1000), &unmarked, &stranger, &statement("mark", 1000)];
+    let without_token = statement("mark", 1000).replace("k=", "x=");
+    let unknown_tenant = statement("put", 1000).replace("t=p", "t=stranger");
+    let queries = ["", &statement("put", 1000), &without_token, &unknown_tenant, &statement("mark", 1000)];
     let bytes = [startup, queries.map(query).concat()].concat();
     for piece in bytes.chunks(40) {
         stream.write_all(piece).unwrap();
@@ -221,28 +225,28 @@
 }
 
 #[test]
-fn a_second_row_is_not_passed_on() {
-    let (town, router) = alone(Act::ServeTwice);
+fn a_second_row_is_not_forwarded() {
+    let (town, router) = with_primary(Act::ServeTwice);
     assert_eq!(client(&router).ask("put", 1000), error("XX000"));
-    assert_eq!(heard(&town, "one"), 1);
+    assert_eq!(received_count(&town, "one"), 1);
 }
 
 #[test]
-fn a_value_larger_than_any_that_clients_may_send_is_passed_on_whole() {
-    let (town, router) = alone(Act::ServeLarge(400_000));
+fn a_value_above_the_client_message_limit_is_forwarded_whole() {
+    let (town, router) = with_primary(Act::ServeLarge(400_000));
     let mut client = client(&router);
     for _ in 0..3 {
         assert_eq!(client.ask("look", 1000), Reply::Value("x".repeat(400_000)));
     }
-    assert_eq!(heard(&town, "one"), 3, "each was sent once");
+    assert_eq!(received_count(&town, "one"), 3, "each was sent once");
 }
 
 #[test]
-fn what_belongs_to_no_command_is_neither_an_answer_nor_word_on_one() {
-    let (town, router) = alone(Act::ServeAndDeny);
+fn messages_outside_a_command_are_not_taken_as_its_reply() {
+    let (town, router) = with_primary(Act::ServeAndDeny);
     let mut client = client(&router);
     assert_eq!(client.ask("put", 1000), value("one"));
-    assert_eq!(heard(&town, "one"), 1, "it ran once");
+    assert_eq!(received_count(&town, "one"), 1, "it ran once");
     town.act("one", Act::ReadyEarly);
     assert_eq!(client.ask("put", 1000), error("XX000"));
     town.act("one", Act::Serve);
@@ -250,22 +254,22 @@
 }
 
 #[test]
-fn a_router_starts_again_at_its_address_and_says_what_it_was_not_told() {
+fn a_router_restarts_at_its_address_and_reports_a_missing_configuration() {
     let missing = Command::new(PROGRAM).env_remove("RELAY_CONFIG").output().unwrap();
     assert_eq!(missing.status.code(), Some(2));
     assert_eq!(String::from_utf8(missing.stderr).unwrap().lines().count(), 1);
-    let (town, first) = alone(Act::Serve);
-    let mut told = told(&town);
-    told["listen"] = json!(first.address.to_string());
+    let (town, first) = with_primary(Act::Serve);
+    let mut config = platform_config(&town);
+    config["listen"] = json!(first.address.to_string());
     assert_eq!(client(&first).ask("put", 1000), value("one"));
     drop(first);
-    let second = Process::start(Path::new(PROGRAM), &told, None).expect("it starts again");
+    let second = Process::start(Path::new(PROGRAM), &config, None).expect("it starts again");
     assert_eq!(client(&second).ask("put", 1000), value("one"));
 }
 
 #[test]
-fn a_client_that_breaks_the_protocol_is_let_go_and_others_are_served() {
-    let (_town, router) = alone(Act::Serve);
+fn a_client_that_violates_the_protocol_is_disconnected_and_others_are_served() {
+    let (_town, router) = with_primary(Act::Serve);
     let mut rude = client(&router);
     rude.stream.write_all(b"Q\xff\xff\xff\xffSELECT").unwrap();
     assert_eq!(rude.read().0, b'E');
@@ -274,11 +278,11 @@
 }
 
 #[test]
-fn connections_that_say_nothing_make_room_for_those_that_do() {
-    let (_town, router) = alone(Act::Serve);
+fn silent_connections_are_closed_for_active_ones() {
+    let (_town, router) = with_primary(Act::Serve);
     let mut early = client(&router);
     assert_eq!(early.ask("put", 1000), value("one"));
-    // More than the 256 descriptors of this router.
+    // More than the router's 256 file descriptors.
     let silent: Vec<_> = (0..400).map(|_| TcpStream::connect(router.address).unwrap()).collect();
     let (mut client, came) = (client(&router), Instant::now());
     assert_eq!(client.ask("put", 1000), value("one"));
@@ -287,13 +291,13 @@
 }
 
 #[test]
-fn who_never_comes_to_an_end_is_let_go_soon_and_who_asked_once_may_stay() {
-    let (_town, router) = alone(Act::Serve);
+fn incomplete_messages_time_out_and_a_client_that_sent_an_op_may_stay_idle() {
+    let (_town, router) = with_primary(Act::Serve);
     let (mut stays, mut silent, mut let_in, mut slow) =
         (client(&router), connect(&router), client(&router), client(&router));
     assert_eq!(stays.ask("put", 1000), value("one"));
     let came = Instant::now();
-    let dripping = slow.stream.try_clone().map(|mut stream| {
+    let slow_writer = slow.stream.try_clone().map(|mut stream| {
         spawn(move || {
             let bytes = message(b'Q', &[b'x'; 1000]);
             bytes.chunks(1).all(|byte| {
@@ -305,93 +309,93 @@
     let ended = |stream: &mut TcpStream| matches!(stream.read(&mut [0]), Ok(0) | Err(_));
     assert!(ended(&mut silent) && ended(&mut let_in.stream) && ended(&mut slow.stream));
     assert!(came.elapsed() < Duration::from_secs(3), "{:?}", came.elapsed());
-    assert!(!dripping.unwrap().join().unwrap(), "it was cut off");
+    assert!(!slow_writer.unwrap().join().unwrap(), "the slow client was disconnected");
     assert_eq!(stays.ask("put", 1000), value("one"));
 }
 
 #[test]
-fn a_client_that_asks_as_it_comes_is_served_though_idle_ones_hold_all_places() {
-    let (_town, router) = alone(Act::Serve);
-    // More than a router of 256 descriptors has places for.
+fn a_client_that_sends_at_once_is_served_when_idle_clients_fill_the_limit() {
+    let (_town, router) = with_primary(Act::Serve);
+    // More than the client limit of a router with 256 file descriptors.
     let idle = || {
         let mut client = client(&router);
         client.write("");
         assert_eq!(client.reply(), Reply::Empty);
         client
     };
-    let idlers: Vec<Client> = (0..120).map(|_| idle()).collect();
+    let idle_clients: Vec<Client> = (0..120).map(|_| idle()).collect();
     let query = message(b'Q', format!("{}\0", statement("put", 1000)).as_bytes());
     for _ in 0..20 {
         let mut client = Client { stream: connect(&router) };
         client.stream.write_all(&[&b"\0\0\0\x08\0\x03\0\0"[..], &query].concat()).unwrap();
         assert_eq!((client.reply(), client.reply()), (Reply::Done, value("one")));
     }
-    // Clients hold a third of the router's descriptors at most, and ask no more once all are idle.
+    // Clients hold less than a third of the router's file descriptors.
     let stays = |client: &&Client| {
         client.stream.set_nonblocking(true).unwrap();
         client.stream.peek(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
     };
-    let staying = idlers.iter().filter(stays).count();
+    let staying = idle_clients.iter().filter(stays).count();
     assert!((1..256 / 3).contains(&staying), "{staying}");
 }
 
 #[test]
-fn a_send_that_broke_after_it_was_written_may_have_run() {
-    let (town, router) = pair(Act::Break);
+fn a_write_whose_connection_breaks_is_not_retried() {
+    let (town, router) = with_replica(Act::Break);
     let mut client = client(&router);
     assert_eq!(client.ask("put", 1000), error("XX000"));
-    assert_eq!(heard(&town, "one"), 1);
-    // A read may run again.
-    let Reply::Error(code, _) = client.ask("look", 400) else { panic!("nobody serves") };
+    assert_eq!(received_count(&town, "one"), 1);
+    // A read is retried.
+    let Reply::Error(code, _) = client.ask("look", 400) else { panic!("no host serves") };
     assert_eq!(code, "53300");
-    assert!(heard(&town, "one") + heard(&town, "two") > 2);
+    assert!(received_count(&town, "one") + received_count(&town, "two") > 2);
 }
 
 #[test]
-fn a_send_that_provably_never_ran_or_whose_repeat_is_dropped_is_sent_again() {
+fn a_send_that_did_not_run_or_is_idempotent_is_retried() {
     let cases = [("put", Act::TurnAway), ("put", Act::Miss), ("mark", Act::Break)];
     for (op_type, act) in cases {
-        let (town, router) = alone(act);
+        let (town, router) = with_primary(act);
         let mut client = client(&router);
         client.write(&statement(op_type, 1000));
-        eventually("the write is sent again", || heard(&town, "one") > 1);
+        eventually("the write is sent again", || received_count(&town, "one") > 1);
         town.act("one", Act::Serve);
         assert_eq!(client.reply(), value("one"));
     }
 }
 
 #[test]
-fn a_busy_reply_says_when_to_come_again() {
-    let (_town, router) = alone(Act::TurnAway);
+fn a_busy_reply_has_a_retry_delay() {
+    let (_town, router) = with_primary(Act::TurnAway);
     assert_eq!(client(&router).ask("put", 200), busy("700"));
 }
 
 #[test]
-fn a_whole_answer_counts_though_its_connection_breaks() {
-    let (town, router) = alone(Act::ServeAndBreak);
+fn a_complete_result_counts_when_its_connection_breaks() {
+    let (town, router) = with_primary(Act::ServeAndBreak);
     let mut client = client(&router);
     assert_eq!(client.ask("put", 1000), value("one"));
     assert_eq!(client.ask("put", 1000), value("one"));
-    assert_eq!(heard(&town, "one"), 2);
+    assert_eq!(received_count(&town, "one"), 2);
 }
 
 #[test]
-fn a_client_that_leaves_calls_its_send_off() {
-    let (town, router) = alone(Act::Hang);
+fn a_disconnect_of_the_client_cancels_its_send() {
+    let (town, router) = with_primary(Act::Hang);
     let mut client = client(&router);
     client.write(&statement("put", 1500));
-    eventually("the write is sent", || heard(&town, "one") == 1);
+    eventually("the write is sent", || received_count(&town, "one") == 1);
     let (number, _) = town.heard("one")[0];
     assert!(!town.ended("one").contains(&number));
     drop(client);
     let left = Instant::now();
-    eventually("the send is called off", || town.ended("one").contains(&number));
-    assert!(left.elapsed() < Duration::from_millis(1000), "it ended only as its time was up");
+    eventually("the send is cancelled", || town.ended("one").contains(&number));
+    assert!(left.elapsed() < Duration::from_millis(1000), "the send ended only at its deadline");
 }
 
 #[test]
-fn idle_connections_to_a_host_that_fell_silent_are_closed() {
-    let (town, router) = alone(Act::Slow(Duration::from_millis(150)));
+fn idle_connections_to_an_unresponsive_host_are_closed() {
+    let (town, router) = with_primary(Act::Slow(Duration::from_millis(150)));
     let (mut first, mut second) = (client(&router), client(&router));
     first.write(&statement("put", 1500));
     second.write(&statement("put", 1500).replace("id=9", "id=8"));
@@ -401,27 +405,27 @@
     let used: Vec<usize> = town.heard("one").iter().map(|(number, _)| *number).collect();
     assert!(used[0] != used[1] && used[..2].contains(&used[2]), "{used:?}");
     let ended = || used[..2].iter().all(|number| town.ended("one").contains(number));
-    eventually("the connection that was idle meanwhile is closed, too", ended);
+    eventually("the idle connection is closed as well", ended);
 }
 
 #[test]
-fn nothing_new_goes_to_a_host_that_the_watch_calls_draining() {
-    let (town, router) = pair(Act::Serve);
+fn a_draining_host_gets_no_new_ops() {
+    let (town, router) = with_replica(Act::Serve);
     let mut client = client(&router);
     assert_eq!(client.ask("look", 1000), value("two"));
     eventually("the list is watched", || !town.calls(town.discovery).is_empty());
     let watch = format!("GET /catalog/members?watch=1&from={} HTTP/1.1", town.version());
     assert_eq!(town.calls(town.discovery), [watch]);
     town.drain("two");
-    eventually("reads leave the replica", || client.ask("look", 1000) == value("one"));
-    let before = heard(&town, "two");
+    eventually("reads no longer go to the replica", || client.ask("look", 1000) == value("one"));
+    let before = received_count(&town, "two");
     (0..20).for_each(|_| assert_eq!(client.ask("look", 1000), value("one")));
-    assert_eq!(heard(&town, "two"), before);
+    assert_eq!(received_count(&town, "two"), before);
 }
 
 #[test]
-fn a_position_in_the_future_does_not_make_a_copy_look_fresh() {
-    let (town, router) = pair(Act::Serve);
+fn a_position_in_the_future_does_not_count_as_fresh() {
+    let (town, router) = with_replica(Act::Serve);
     let mut client = client(&router);
     town.ahead("two", 3_600_000);
     assert_eq!(client.ask("look", 1000), value("two"));
@@ -433,18 +437,18 @@
 }
 
 #[test]
-fn a_watch_that_falls_silent_is_asked_for_anew() {
+fn a_silent_watch_is_reopened() {
     let town = Town::start(&[host("one", true)]);
     town.mute();
     let _router = start(&town);
     eventually("the list is watched", || town.calls(town.discovery).len() == 1);
-    eventually("the silent watch is given up", || town.calls(town.discovery).len() == 2);
+    eventually("the silent watch is reopened", || town.calls(town.discovery).len() == 2);
 }
 
 #[test]
-fn on_sighup_the_list_is_watched_where_the_new_file_says_and_a_broken_file_changes_nothing() {
-    let (town, router) = pair(Act::Serve);
-    let (old, new, file) = (town.discovery, town.discover(), told(&town).to_string());
+fn sighup_applies_a_new_discovery_address_and_ignores_a_broken_file() {
+    let (town, router) = with_replica(Act::Serve);
+    let (old, new, file) = (town.discovery, town.discover(), platform_config(&town).to_string());
     let mut client = client(&router);
     eventually("the list is watched", || town.calls(old).len() == 1);
     router.retell(&file[..file.len() / 2]);
@@ -454,16 +458,16 @@
     eventually("the list is watched at the new address", || !town.calls(new).is_empty());
     assert!(town.calls(new)[0].starts_with("GET /catalog/members?watch=1&from="));
     town.drain("two");
-    eventually("reads leave the replica", || client.ask("look", 1000) == value("one"));
+    eventually("reads no longer go to the replica", || client.ask("look", 1000) == value("one"));
     assert_eq!(town.calls(old).len(), 1);
 }
 
 #[test]
-fn clients_that_are_gone_hold_no_places() {
-    let (_town, router) = alone(Act::Serve);
+fn closed_client_connections_are_not_counted() {
+    let (_town, router) = with_primary(Act::Serve);
     let mut stays = client(&router);
     assert_eq!(stays.ask("put", 1000), value("one"));
-    // More than there are places, one after the other.
+    // More than the client limit, one after the other.
     for _ in 0..150 {
         let mut client = client(&router);
         client.write("");
@@ -473,11 +477,11 @@
 }
 
 #[test]
-fn a_planned_end_answers_what_was_taken() {
-    let (town, mut router) = alone(Act::Hang);
+fn a_shutdown_answers_admitted_ops() {
+    let (town, mut router) = with_primary(Act::Hang);
     let (mut idle, mut client) = (client(&router), client(&router));
     client.write(&statement("put", 1200));
-    eventually("the write is sent", || heard(&town, "one") == 1);
+    eventually("the write is sent", || received_count(&town, "one") == 1);
     let waiting = spawn(move || client.reply());
     assert!(router.terminate() == Some(0));
     assert_eq!(waiting.join().unwrap(), error("XX000"));
