--- a/crates/arrowyard-control/src/control/status.rs
+++ b/crates/arrowyard-control/src/control/status.rs
@@ -1,4 +1,4 @@
-//! What an operator may want to know of a control machine, as JSON.
+//! Status of a control machine, as JSON.
 
 use std::net::Ipv4Addr;
 
@@ -7,13 +7,13 @@
 use super::Control;
 
 impl Control {
-    /// What an operator may want to know, as JSON.
+    /// Builds the body of `GET /status`.
     pub(super) fn status(&self, now: Timestamp) -> String {
-        let applied = self.ledger.applied();
+        let applied = self.replicated_log.applied();
         let text = |text: &str| sonic_rs::to_string(text).unwrap_or_default();
         let ip = |ip: u32| text(&Ipv4Addr::from(ip).to_string());
         let list = |items: Vec<String>| format!("[{}]", items.join(","));
-        let hosts = self.cell.hosts().map(|host| {
+        let hosts = self.registry.hosts().map(|host| {
             format!(
                 "{{\"id\":{},\"service\":{},\"zone\":{},\"phase\":{},\"db-role\":{},\"silent\":{}}}",
                 text(&host.id),
@@ -21,10 +21,10 @@
                 text(&host.zone),
                 text(host.phase().as_str()),
                 text(host.role().as_str()),
-                self.silent.contains_key(&host.id)
+                self.silent_hosts.contains_key(&host.id)
             )
         });
-        let routers = self.routers_fed().map(|(_, router)| {
+        let routers = self.subscribed_routers().map(|(_, router)| {
             format!("{{\"node\":{},\"revision\":{}}}", text(&router.node), router.seen.revision)
         });
         let duties = applied.duties.values().map(|duty| {
@@ -38,16 +38,16 @@
         let stages = self.promotions.by_service.iter().map(|(service, promotion)| {
             format!("{{\"service\":{},\"stage\":{}}}", text(service), text(&promotion.stage.to_string()))
         });
-        let shares = self.shares.shown().into_iter().map(|(row, name)| {
+        let shares = self.shares.status().into_iter().map(|(row, name)| {
             format!(
                 "{{\"host\":{},\"service\":{},\"owed\":\"{:.2}\",\"runs\":\"{:.2}\",\"waits\":\"{:.2}\",\"held\":{},\"pressed-ms\":{}}}",
                 text(&row.host),
                 text(name),
-                row.owed,
-                row.runs,
-                row.waits,
-                row.held,
-                (now - row.since).micros().max(0) / 1000 * i64::from(row.since != Timestamp::default()),
+                row.fair_share,
+                row.in_flight,
+                row.queued,
+                row.limited,
+                (now - row.overloaded_since).micros().max(0) / 1000 * i64::from(row.overloaded_since != Timestamp::default()),
             )
         });
         format!(
@@ -58,8 +58,8 @@
             applied.slot,
             self.is_able_to_vote(now),
             self.disk.is_healthy(now),
-            list(self.ledger.voters().iter().map(|voter| ip(*voter)).collect()),
-            list(self.live_peers(now).map(|(peer, _)| ip(*peer)).collect()),
+            list(self.replicated_log.voters().iter().map(|voter| ip(*voter)).collect()),
+            list(self.reachable_peers(now).map(|(peer, _)| ip(*peer)).collect()),
             self.routers,
             list(routers.collect()),
             list(hosts.collect()),
--- a/crates/arrowyard-daemon/src/leases.rs
+++ b/crates/arrowyard-daemon/src/leases.rs
@@ -4,8 +4,8 @@
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-use arrowyard_leases::{Epoch, Image, keep, message};
-use arrowyard_store::{Disk, System};
+use arrowyard_leases::{Epoch, VoterSnapshot, message, storage};
+use arrowyard_store::{Disk, SystemDisk};
 use clap::{Args, Subcommand};
 use serde_json::Value;
 
@@ -56,26 +56,30 @@
 
 fn init(args: &Init) -> Result<ExitCode, String> {
     let book = arrowyard_operator_config::load(&args.book)?;
-    let config = arrowyard_operator_config::leases(&book).ok_or("the operator's file has no leases")?;
+    let config =
+        arrowyard_operator_config::lease_settings(&book).ok_or("the operator's file has no leases")?;
     let names: Vec<String> = config.voters.iter().map(|(name, _)| name.clone()).collect();
     if !names.contains(&args.name) {
         return Err(format!("{} is none of the voters", args.name));
     }
     let folder = config.store.ok_or("leases.store is not set")?;
-    let group = message::group(&config.fleet, &names, config.terms.term, config.terms.drift_ppm);
+    let group = message::group_id(&config.fleet, &names, config.config.term, config.config.drift_ppm);
     std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     let path = folder.join("votes");
     // Replacing valid votes would allow their epochs to be granted again.
-    let existing =
-        System.read(&path, keep::LARGEST).ok().map(|(bytes, _)| keep::read(&bytes, group, &args.name));
+    let existing = SystemDisk
+        .read(&path, storage::MAX_FILE_BYTES)
+        .ok()
+        .map(|(bytes, _)| storage::decode(&bytes, group, &args.name));
     if let Some(Ok(_)) = existing {
         return Err(format!("{}: there are votes, and they are good", path.display()));
     }
-    let image = Image { whole: true, floor: Epoch(args.floor), ..Image::default() };
+    let image =
+        VoterSnapshot { is_complete: true, epoch_floor: Epoch(args.floor), ..VoterSnapshot::default() };
     let temporary = folder.join("votes.next");
-    let written = System
-        .write(&temporary, &keep::write(&image, group, &args.name))
-        .and_then(|()| System.replace(&temporary, &path));
+    let written = SystemDisk
+        .write(&temporary, &storage::encode(&image, group, &args.name))
+        .and_then(|()| SystemDisk.replace(&temporary, &path));
     written.map_err(|error| format!("{}: {error}", path.display()))?;
     println!("{}: made", path.display());
     Ok(ExitCode::SUCCESS)
--- a/crates/arrowyard-daemon/src/lib.rs
+++ b/crates/arrowyard-daemon/src/lib.rs
@@ -71,11 +71,12 @@
 
 fn check(file: &Path, as_json: bool) -> Result<ExitCode, String> {
     let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
-    let parsed = arrowyard_operator_config::read(&text);
+    let parsed = arrowyard_operator_config::parse(&text);
     let faults = parsed.as_ref().err().map(Vec::as_slice).unwrap_or_default();
     if as_json {
         let rows = faults.iter().map(|fault| {
-            json!({"line": fault.place.line, "column": fault.place.column, "field": fault.field, "what": fault.what})
+            json!({"line": fault.position.line, "column": fault.position.column, "field": fault.field,
+                "what": fault.message})
         });
         let report = json!({"file": file, "ok": faults.is_empty(), "faults": rows.collect::<Vec<_>>()});
         println!("{report}");
--- a/crates/arrowyard-daemon/src/router_service.rs
+++ b/crates/arrowyard-daemon/src/router_service.rs
@@ -6,24 +6,26 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use arrowyard_core::Back;
-use arrowyard_core::admit::Gate;
-use arrowyard_core::clock::{Beat, Clock};
-use arrowyard_core::discovery::{Discovery, Manners};
+use arrowyard_core::HostTransport;
+use arrowyard_core::admission::AdmissionController;
+use arrowyard_core::clock::{Clock, StallDetector};
+use arrowyard_core::discovery::{Discovery, ReconnectPolicy};
 use arrowyard_core::drain::{self, Drain, Stage};
-use arrowyard_core::leases::{self as holding, Leases};
+use arrowyard_core::leases::{self as holding, LeasesTask};
 use arrowyard_core::limits::Limits;
-use arrowyard_core::logger::{self, Form, Logbook};
-use arrowyard_core::mail::{Mail, Wish};
-use arrowyard_core::peers::{Errand, Peers};
-use arrowyard_core::reload::{Reload, Reread};
-use arrowyard_core::returns::{self, Returning};
-use arrowyard_core::roster::Roster;
-use arrowyard_core::route::{Route, Yard};
-use arrowyard_core::waybill::Waybill;
-use arrowyard_operator_config::{Yardbook, belongs, layout, leases, returns as comes, schema};
-use arrowyard_platform_settings::manifest;
-use arrowyard_startup::{Credence, Herd};
+use arrowyard_core::logger::{self, LogConfig, LogFormat};
+use arrowyard_core::messages::{DiscoveryCommand, RouteMessage};
+use arrowyard_core::peers::{PeersCommand, PeersTask};
+use arrowyard_core::reload::{LoadLayout, ReloadTask};
+use arrowyard_core::returns::{self, RouterStartup};
+use arrowyard_core::roster::HostRegistry;
+use arrowyard_core::route::{RouteContext, RouteTask};
+use arrowyard_core::router_config::RouterConfig;
+use arrowyard_operator_config::{
+    Yardbook, cell_layout, lease_settings, peer_settings, schema, startup_settings,
+};
+use arrowyard_platform_settings::router_settings;
+use arrowyard_startup::{CallPacer, ListVersionTracker};
 use arrowyard_types::{RouterSettingsExt, SettingValue};
 use tokio::runtime::Builder;
 use tokio::signal::unix::{Signal, SignalKind, signal};
@@ -32,13 +34,13 @@
 use tokio::time::{sleep, timeout};
 
 /// Log settings: those of the operator's file where it has them, else the defaults.
-fn log_settings(name: &str, lines_per_second: u32, book: Option<&Yardbook>) -> Logbook {
-    let defaults = Logbook::plain(name, lines_per_second);
+fn log_settings(name: &str, lines_per_second: u32, book: Option<&Yardbook>) -> LogConfig {
+    let defaults = LogConfig::from_env(name, lines_per_second);
     let Some(log) = book.and_then(|book| book.log.as_ref()) else { return defaults };
-    Logbook {
-        form: if log.form() == schema::Form::Json { Form::Json } else { Form::Text },
+    LogConfig {
+        format: if log.form() == schema::Form::Json { LogFormat::Json } else { LogFormat::Text },
         level: log.level.as_ref().and_then(|level| level.parse().ok()).unwrap_or(defaults.level),
-        lines: log.lines_a_second.unwrap_or(lines_per_second),
+        max_lines_per_second: log.lines_a_second.unwrap_or(lines_per_second),
         ..defaults
     }
 }
@@ -48,86 +50,94 @@
 const PACING_SEED: u64 = 0x6865_7264;
 
 /// The tasks of a running router, and the handles by which frontends submit ops.
-pub struct RouterService<B: Back> {
-    pub gate: Rc<Gate>,
-    pub mail: mpsc::Sender<Mail<B>>,
+pub struct RouterService<B: HostTransport> {
+    pub gate: Rc<AdmissionController>,
+    pub mail: mpsc::Sender<RouteMessage<B>>,
     /// Number of client connections of all frontends.
     pub clients: Rc<Cell<usize>>,
     pub stage: watch::Receiver<Stage>,
-    pub beat: Rc<Beat>,
+    pub beat: Rc<StallDetector>,
     pub clock: Clock,
     pub limits: Rc<Limits>,
-    peers: Option<mpsc::Sender<Errand>>,
+    peers: Option<mpsc::Sender<PeersCommand>>,
     drain: Drain,
     signals: (Signal, Signal),
     route: JoinHandle<()>,
 }
 
-impl<B: Back> RouterService<B> {
+impl<B: HostTransport> RouterService<B> {
     /// Starts the tasks; `back` creates the backend that sends to hosts.
     ///
     /// # Errors
     /// Why a task could not be started.
     pub async fn start(
-        waybill: &Waybill,
+        router_config: &RouterConfig,
         path: Option<PathBuf>,
         book: Option<&Yardbook>,
         back: impl FnOnce(&Rc<Limits>) -> Rc<B>,
     ) -> Result<Self, String> {
-        let mut settings = manifest(&waybill.settings)?;
-        let limits = Rc::new(Limits::new(waybill, &settings));
-        logger::start(log_settings(&waybill.name, limits.log_lines, book));
-        let signals = drain::signals().map_err(|e| format!("signals: {e}"))?;
+        let mut settings = router_settings(&router_config.settings)?;
+        let limits = Rc::new(Limits::new(router_config, &settings));
+        logger::start(log_settings(&router_config.name, limits.log_lines_per_second, book));
+        let signals = drain::termination_signals().map_err(|e| format!("signals: {e}"))?;
         let hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
         let clock = Clock::start();
-        let (mail, inbox) = mpsc::channel(limits.inbox);
-        let (wishes, wished) = mpsc::channel(limits.inbox);
+        let (mail, inbox) = mpsc::channel(limits.queue_capacity);
+        let (discovery_commands, discovery_inbox) = mpsc::channel(limits.queue_capacity);
         let (stage, staged) = watch::channel(Stage::Serving);
 
-        let beat = Beat::new(clock, limits.beat);
+        let beat = StallDetector::new(clock, limits.stall_check_interval);
         drop(spawn_local(beat.clone().run()));
         let back = back(&limits);
         // Changes cannot be applied to a stored list: the watch starts with the whole list unless the
         // platform gave one.
-        let version = Rc::new(Cell::new(waybill.known.as_ref().map(|list| list.version)));
-        let (mut known, mut returning, mut manners) = (waybill.known.clone(), None, None);
-        if let Some(comes) = book.and_then(comes) {
-            let deployment = returns::deployment(&waybill.settings);
-            let (list, stored) = returns::read(&comes, deployment, known).await;
+        let version = Rc::new(Cell::new(router_config.host_list.as_ref().map(|list| list.version)));
+        let (mut known, mut startup, mut reconnect) = (router_config.host_list.clone(), None, None);
+        if let Some(startup_config) = book.and_then(startup_settings) {
+            let deployment = returns::deployment_fingerprint(&router_config.settings);
+            let (list, stored) = returns::load_stored_list(&startup_config, deployment, known).await;
             known = list;
-            let (name, seed) = (&waybill.name, waybill.seed);
+            let (name, seed) = (&router_config.name, router_config.seed);
             let held = stored.max(version.get());
-            manners = Some(Rc::new(RefCell::new(Manners {
-                credence: Credence::new(clock.now(), held, comes.doubt),
-                herd: Herd::new(comes.pace, settings.number_or("routers", 1.0), seed ^ PACING_SEED),
-                listed: known.is_some(),
+            reconnect = Some(Rc::new(RefCell::new(ReconnectPolicy {
+                credence: ListVersionTracker::new(clock.now(), held, startup_config.rollback_delay),
+                herd: CallPacer::new(
+                    startup_config.pacing,
+                    settings.number_or("routers", 1.0),
+                    seed ^ PACING_SEED,
+                ),
+                has_list: known.is_some(),
                 clock,
             })));
-            let start = Returning::new(clock.now(), comes, deployment, name, known.is_some(), seed);
-            returning = Some(Box::new(start));
+            let start =
+                RouterStartup::new(clock.now(), startup_config, deployment, name, known.is_some(), seed);
+            startup = Some(Box::new(start));
         }
         let discovery = Discovery {
-            dial: waybill.discovery,
+            address: router_config.discovery,
             version,
-            mail: mail.clone(),
+            messages: mail.clone(),
             limits: limits.clone(),
-            manners,
+            reconnect,
         };
-        drop(spawn_local(discovery.run(wished)));
-        let cells = book.and_then(layout);
-        let reread = path.map(|path| -> (Reread, _) {
-            (Arc::new(move || Ok(layout(&arrowyard_operator_config::load(&path)?))), mail.clone())
+        drop(spawn_local(discovery.run(discovery_inbox)));
+        let cells = book.and_then(cell_layout);
+        let layout_source = path.map(|path| -> (LoadLayout, _) {
+            (Arc::new(move || Ok(cell_layout(&arrowyard_operator_config::load(&path)?))), mail.clone())
         });
-        let reload = Reload { wishes: wishes.clone(), limits: limits.clone(), book: reread };
+        let reload =
+            ReloadTask { discovery: discovery_commands.clone(), limits: limits.clone(), layout_source };
         drop(spawn_local(reload.run(hangup)));
         if settings.text("list") != "ask" {
             // Where lists are pushed, the decision module never requests one.
-            wishes.send(Wish::Watch(true)).await.map_err(|e| e.to_string())?;
+            discovery_commands.send(DiscoveryCommand::Watch(true)).await.map_err(|e| e.to_string())?;
         }
 
-        let mut gate = Gate::new(&waybill.settings, &settings, limits.clone(), cells.is_some());
-        if let Some(joins) = book.and_then(leases) {
-            let (task, errands) = Leases::open(joins, &waybill.name, waybill.seed).await?;
+        let mut gate =
+            AdmissionController::new(&router_config.settings, &settings, limits.clone(), cells.is_some());
+        if let Some(lease_config) = book.and_then(lease_settings) {
+            let (task, errands) =
+                LeasesTask::open(lease_config, &router_config.name, router_config.seed).await?;
             drop(spawn_local(task.run()));
             // Released as soon as the drain begins: in-flight ops are still finished then, leased tasks are
             // not.
@@ -140,31 +150,31 @@
             gate.leases = Some(errands);
         }
         let mut peers = None;
-        if let Some(belongs) = book.and_then(belongs) {
-            gate.peers = true;
-            if belongs.relay_app_messages {
+        if let Some(peer_config) = book.and_then(peer_settings) {
+            gate.in_fleet = true;
+            if peer_config.relay_app_messages {
                 settings.insert("peers".to_string(), SettingValue::Flag(true));
             }
             let (configured_routers, mail) = (settings.number_or("routers", 1.0), mail.clone());
-            let (name, seed, holding) = (&waybill.name, waybill.seed, gate.leases.clone());
+            let (name, seed, holding) = (&router_config.name, router_config.seed, gate.leases.clone());
             let (task, errands) =
-                Peers::open(belongs, name, configured_routers, seed, clock, mail, holding).await?;
+                PeersTask::open(peer_config, name, configured_routers, seed, clock, mail, holding).await?;
             drop(spawn_local(task.run()));
             peers = Some(errands);
         }
         let gate = Rc::new(gate);
-        let roster = Roster::new(&waybill.settings, limits.clone());
-        let yard = Yard {
-            roster,
-            back,
+        let hosts = HostRegistry::new(&router_config.settings, limits.clone());
+        let context = RouteContext {
+            hosts,
+            transport: back,
             clock,
             limits: limits.clone(),
-            wishes,
-            mail: mail.clone(),
-            returns: returning,
+            discovery: discovery_commands,
+            messages: mail.clone(),
+            startup,
             peers: peers.clone(),
         };
-        let route = Route::start(yard, waybill.seed, settings, known.as_ref(), cells);
+        let route = RouteTask::start(context, router_config.seed, settings, known.as_ref(), cells);
         let route = spawn_local(route.run(inbox));
         let clients = Rc::new(Cell::new(0));
         let drain = Drain { stage, clients: clients.clone(), limits: limits.clone() };
@@ -202,23 +212,25 @@
 }
 
 /// Releases all leases, so that others need not wait for them to expire.
-async fn release_leases(leases: mpsc::Sender<holding::Errand>) {
+async fn release_leases(leases: mpsc::Sender<holding::LeasesCommand>) {
     let (done, acknowledged) = oneshot::channel();
     // If the task's queue is full, the leases expire instead.
-    if leases.try_send(holding::Errand::Leave(done)).is_ok() {
+    if leases.try_send(holding::LeasesCommand::Leave(done)).is_ok() {
         let _ = acknowledged.await;
     }
 }
 
 /// Announces to the fleet that this router leaves. Sent twice, since a datagram may be lost; if both are,
 /// the other routers detect the exit as a failure, by refused datagrams.
-async fn announce_leave(peers: Option<mpsc::Sender<Errand>>) {
+async fn announce_leave(peers: Option<mpsc::Sender<PeersCommand>>) {
     let Some(peers) = peers else { return };
     for _ in 0..2 {
         let (done, acknowledged) = oneshot::channel();
         // Bounded, so that a hanging membership task does not delay the exit.
         let ack_timeout = std::time::Duration::from_millis(100);
-        if peers.try_send(Errand::Leave(done)).is_err() || timeout(ack_timeout, acknowledged).await.is_err() {
+        if peers.try_send(PeersCommand::Leave(done)).is_err()
+            || timeout(ack_timeout, acknowledged).await.is_err()
+        {
             return;
         }
         sleep(std::time::Duration::from_millis(20)).await;
@@ -232,10 +244,10 @@
 /// Why it could not start, or why it stopped.
 pub fn run_single_threaded<F: Future<Output = Result<(), String>>>(
     path: Option<PathBuf>,
-    run: impl FnOnce(Waybill, Option<PathBuf>, Option<Yardbook>) -> F,
+    run: impl FnOnce(RouterConfig, Option<PathBuf>, Option<Yardbook>) -> F,
 ) -> Result<(), String> {
     let runtime = Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
     let book = path.as_deref().map(arrowyard_operator_config::load).transpose()?;
-    let waybill = Waybill::read()?;
-    LocalSet::new().block_on(&runtime, run(waybill, path, book))
+    let router_config = RouterConfig::load()?;
+    LocalSet::new().block_on(&runtime, run(router_config, path, book))
 }
--- a/crates/arrowyard-daemon/src/serve.rs
+++ b/crates/arrowyard-daemon/src/serve.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use arrowyard_core::limits::Limits;
-use arrowyard_core::waybill::Waybill;
+use arrowyard_core::router_config::RouterConfig;
 use arrowyard_front_pg::PgBackend;
 use arrowyard_front_pg::take_in::{Frontend, IdleConnections};
 use arrowyard_operator_config::Yardbook;
@@ -46,12 +46,16 @@
     Ok(())
 }
 
-async fn run(waybill: Waybill, path: Option<PathBuf>, book: Option<Yardbook>) -> Result<(), String> {
+async fn run(
+    router_config: RouterConfig,
+    path: Option<PathBuf>,
+    book: Option<Yardbook>,
+) -> Result<(), String> {
     if book.as_ref().is_some_and(|book| book.flight.is_some()) {
         return Err("the operator's file has flight, which the program arrowyard-flight serves".to_string());
     }
-    let service = RouterService::start(&waybill, path, book.as_ref(), backend).await?;
-    listen(&service, waybill.listen, waybill.discovery).await?;
+    let service = RouterService::start(&router_config, path, book.as_ref(), backend).await?;
+    listen(&service, router_config.listen, router_config.discovery).await?;
     service.run(std::future::pending()).await
 }
 
--- a/crates/arrowyard-daemon/tests/returns.rs
+++ b/crates/arrowyard-daemon/tests/returns.rs
@@ -135,13 +135,13 @@
     let _ = std::fs::remove_file(&b);
     std::fs::create_dir(&a).expect("the directory can be created");
     let foreign = arrowyard_store::Snapshot { deployment: 1, written_ms: 1, number: 9, ..Default::default() };
-    std::fs::write(&b, arrowyard_store::write(&foreign)).expect("the file can be written");
+    std::fs::write(&b, arrowyard_store::encode(&foreign)).expect("the file can be written");
     rig.begin(0).expect("the router starts");
     assert!(logged(&rig, 0, "NoFile", 1_000) && logged(&rig, 0, "Foreign", 1_000));
     rig.kill(0);
     // A list whose timestamp is in the future.
     let future = arrowyard_store::Snapshot { written_ms: 4_000_000_000_000, ..foreign };
-    std::fs::write(&b, arrowyard_store::write(&future)).expect("the file can be written");
+    std::fs::write(&b, arrowyard_store::encode(&future)).expect("the file can be written");
     let shown =
         Command::new(env!("CARGO_BIN_EXE_arrowyard")).args(["store", "check"]).arg(rig.store(0)).output();
     let shown = shown.expect("the router runs");
@@ -343,11 +343,11 @@
     for name in ["hosts.a", "hosts.b"] {
         let path = rig.store(who).join(name);
         let Ok(bytes) = std::fs::read(&path) else { continue };
-        if let arrowyard_store::Found::Whole(mut snapshot) =
-            arrowyard_store::judge(&bytes, None, u64::MAX / 2, 0)
+        if let arrowyard_store::GenerationState::Valid(mut snapshot) =
+            arrowyard_store::decode(&bytes, None, u64::MAX / 2, 0)
         {
             change(&mut snapshot);
-            std::fs::write(&path, arrowyard_store::write(&snapshot)).expect("the file can be written");
+            std::fs::write(&path, arrowyard_store::encode(&snapshot)).expect("the file can be written");
         }
     }
 }
--- a/crates/arrowyard-front-pg/src/back.rs
+++ b/crates/arrowyard-front-pg/src/back.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 
 use arrowyard_core::Limits;
-use arrowyard_core::back::{Back, Progress, Told};
 use arrowyard_core::clock::Clock;
-use arrowyard_core::pool::Pool;
+use arrowyard_core::pool::ConnectionPool;
+use arrowyard_core::transport::{ExchangeResult, HostTransport, Progress};
 use arrowyard_pg::Statement;
 use arrowyard_types::{HostId, HostStatus, Outcome, Timestamp};
 use bytes::BytesMut;
@@ -17,22 +17,22 @@
 
 /// Backend for hosts that speak PostgreSQL's protocol.
 pub struct PgBackend {
-    pool: Rc<Pool<PgConnection>>,
+    pool: Rc<ConnectionPool<PgConnection>>,
     limits: Rc<Limits>,
 }
 
 impl PgBackend {
     pub fn new(limits: Rc<Limits>) -> Self {
-        PgBackend { pool: Pool::new(limits.clone()), limits }
+        PgBackend { pool: ConnectionPool::new(limits.clone()), limits }
     }
 }
 
-impl Back for PgBackend {
+impl HostTransport for PgBackend {
     type Payload = Statement;
     type Answer = PgResponse;
 
-    fn sweep(&self) {
-        self.pool.sweep();
+    fn close_expired(&self) {
+        self.pool.close_expired();
     }
 
     async fn exchange(
@@ -43,8 +43,8 @@
         until: Timestamp,
         clock: Clock,
         progress: &Progress<PgResponse>,
-    ) -> Told<PgResponse> {
-        let mut connection = match self.pool.take(host, dial).await {
+    ) -> ExchangeResult<PgResponse> {
+        let mut connection = match self.pool.acquire(host, dial).await {
             Ok(connection) => connection,
             Err(outcome) => return (outcome, HostStatus::default(), None),
         };
@@ -56,11 +56,11 @@
             tracing::debug!(%dial, "writing the statement failed: {}", error.0);
             return (Outcome::ConnectFailed, HostStatus::default(), None);
         }
-        progress.written();
+        progress.mark_written();
         match connection.read_result().await {
             Ok(reply) => {
                 if reply.ready {
-                    self.pool.put_back(host, connection);
+                    self.pool.release(host, connection);
                 }
                 let outcome = reply.outcome();
                 (outcome, reply.status, reply.response.filter(|_| outcome == Outcome::Acked))
@@ -76,19 +76,19 @@
         probe::run(host, dial, &self.pool, &self.limits).await
     }
 
-    fn unanswered(&self, host: HostId, since: Instant) {
-        self.pool.unanswered(host, since);
+    fn send_timed_out(&self, host: HostId, since: Instant) {
+        self.pool.send_timed_out(host, since);
     }
 
     fn close_idle(&self, host: HostId) {
         self.pool.close_idle(host);
     }
 
-    fn open(&self) -> usize {
-        self.pool.open()
+    fn open_connections(&self) -> usize {
+        self.pool.open_connections()
     }
 
-    fn dialed(&self) -> u64 {
-        self.pool.dialed()
+    fn connections_started(&self) -> u64 {
+        self.pool.connections_started()
     }
 }
--- a/crates/arrowyard-front-pg/src/link.rs
+++ b/crates/arrowyard-front-pg/src/link.rs
@@ -7,8 +7,8 @@
 use std::rc::Rc;
 
 use arrowyard_core::Limits;
-use arrowyard_core::count::Count;
-use arrowyard_core::pool::Link;
+use arrowyard_core::count::UsageGuard;
+use arrowyard_core::pool::PooledConnection;
 use arrowyard_pg::{
     AccessMode, BackendMessage, ParameterStatus, ProtocolError, QueryResult, code, declared_length,
     put_startup_packet,
@@ -29,16 +29,16 @@
     /// Memory that large results take, of all connections together, in bytes.
     large: Rc<Cell<usize>>,
     /// Share of `large` that the result being read takes.
-    memory: Option<Count>,
+    memory: Option<UsageGuard>,
     limits: Rc<Limits>,
-    _count: Count,
+    _count: UsageGuard,
 }
 
 /// A result, with the memory reserved for it until it has been written to its client.
 #[derive(Debug, Default, PartialEq)]
 pub struct PgResponse {
     pub result: QueryResult,
-    pub memory: Option<Count>,
+    pub memory: Option<UsageGuard>,
 }
 
 /// A host's reply to one command.
@@ -80,10 +80,10 @@
     }
 }
 
-impl Link for PgConnection {
-    async fn open(
+impl PooledConnection for PgConnection {
+    async fn connect(
         dial: SocketAddr,
-        count: Count,
+        count: UsageGuard,
         large: Rc<Cell<usize>>,
         limits: Rc<Limits>,
     ) -> Result<Self, Outcome> {
@@ -91,7 +91,7 @@
             tracing::debug!(%dial, "connecting failed: {}", error.0);
             Outcome::ConnectFailed
         };
-        let opened = timeout(limits.connect, async {
+        let opened = timeout(limits.connect_timeout, async {
             let stream = TcpStream::connect(dial).await?;
             stream.set_nodelay(true)?;
             let (received, idle_since) = (BytesMut::new(), Instant::now());
@@ -120,7 +120,7 @@
         }
     }
 
-    fn dial(&self) -> SocketAddr {
+    fn address(&self) -> SocketAddr {
         self.dial
     }
 
@@ -130,15 +130,17 @@
 
     /// Peeks at the socket itself, since the runtime's readiness is as old as its last poll: a send on a
     /// connection that the host has closed would fail.
-    fn is_good(&self) -> bool {
+    fn is_reusable(&self) -> bool {
         let has_no_input = || {
             let peeked = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
             peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
         };
-        self.idle_since.elapsed() < self.limits.idle && self.received.is_empty() && has_no_input()
+        self.idle_since.elapsed() < self.limits.host_idle_timeout
+            && self.received.is_empty()
+            && has_no_input()
     }
 
-    fn rest(&mut self) {
+    fn mark_idle(&mut self) {
         (self.idle_since, self.memory) = (Instant::now(), None);
         if self.received.is_empty() {
             self.received = BytesMut::new();
@@ -159,7 +161,7 @@
         loop {
             let decided = reply.response.is_some() || reply.error_code.is_some();
             let message = match decided {
-                true => timeout(self.limits.ready, self.next_message())
+                true => timeout(self.limits.ready_timeout, self.next_message())
                     .await
                     .unwrap_or(Err(ConnectionError(String::new()))),
                 false => self.next_message().await,
@@ -222,13 +224,15 @@
 
     async fn next_message(&mut self) -> Result<BackendMessage, ConnectionError> {
         loop {
-            if let Some(message) =
-                BackendMessage::decode(&mut self.received, self.limits.answer, self.limits.aside)?
-            {
+            if let Some(message) = BackendMessage::decode(
+                &mut self.received,
+                self.limits.max_host_message_bytes,
+                self.limits.max_control_message_bytes,
+            )? {
                 return Ok(message);
             }
             let missing_bytes = self.reserve_memory()?;
-            self.received.reserve(missing_bytes.max(self.limits.read));
+            self.received.reserve(missing_bytes.max(self.limits.read_chunk_bytes));
             if self.stream.read_buf(&mut self.received).await? == 0 {
                 return Err(ConnectionError("the host closed the connection".to_string()));
             }
@@ -240,20 +244,20 @@
     /// Missing bytes of a large message, for which memory is reserved; 0 for any other message.
     ///
     /// # Errors
-    /// The large results of all connections would exceed `limits.large`, although each is within its own
+    /// The large results of all connections would exceed `limits.max_large_answer_bytes`, although each is within its own
     /// limit.
     fn reserve_memory(&mut self) -> Result<usize, ConnectionError> {
         let length = declared_length(&self.received).unwrap_or_default() as usize;
-        if length <= self.limits.message {
+        if length <= self.limits.max_client_message_bytes {
             return Ok(0);
         }
         if self.memory.is_none() {
             // Held twice: as received, and as written to the client.
             let bytes = 2 * length;
-            if self.large.get() + bytes > self.limits.large {
+            if self.large.get() + bytes > self.limits.max_large_answer_bytes {
                 return Err(ConnectionError("the memory for large results is exhausted".to_string()));
             }
-            self.memory = Some(Count::many(&self.large, bytes));
+            self.memory = Some(UsageGuard::add(&self.large, bytes));
         }
         Ok(length.saturating_sub(self.received.len()))
     }
@@ -289,7 +293,11 @@
         let row = [&b"D"[..], &length, &[0, 1], &(value.len() as u32).to_be_bytes(), &value].concat();
         let columns = [&b"T\0\0\0\x1a\0\x01x\0"[..], &[0; 18]].concat();
         let bytes = [columns, row, b"C\0\0\0\x06S\0Z\0\0\0\x05I".to_vec()].concat();
-        let limits = Limits { answer: 400_000, large: 700_000, ..Limits::told(serde_json::json!({})).2 };
+        let limits = Limits {
+            max_host_message_bytes: 400_000,
+            max_large_answer_bytes: 700_000,
+            ..Limits::for_test(serde_json::json!({})).2
+        };
         for (reserved, fits) in [(0, true), (200_000, false)] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
             let dial = listener.local_addr().expect("the listener is bound");
@@ -303,7 +311,8 @@
             });
             let large = Rc::new(Cell::new(reserved));
             let opened =
-                PgConnection::open(dial, Count::one(&Rc::default()), large.clone(), Rc::new(limits)).await;
+                PgConnection::connect(dial, UsageGuard::one(&Rc::default()), large.clone(), Rc::new(limits))
+                    .await;
             let reply = opened.expect("the host accepts the connection").read_result().await;
             assert_eq!(reply.is_ok(), fits, "{reply:?}");
             assert_eq!(large.get() - reserved, if fits { 2 * (value.len() + 10) } else { 0 });
@@ -326,15 +335,16 @@
                 let _ = (stream.read(&mut [0; 64])?, stream.write_all(&out)?, received.recv());
                 stream.write_all(last)
             });
-            let limits = Rc::new(Limits::told(serde_json::json!({})).2);
-            let connection = PgConnection::open(dial, Count::one(&Rc::default()), Rc::default(), limits)
-                .await
-                .expect("the host accepts the connection");
-            assert!(connection.is_good());
+            let limits = Rc::new(Limits::for_test(serde_json::json!({})).2);
+            let connection =
+                PgConnection::connect(dial, UsageGuard::one(&Rc::default()), Rc::default(), limits)
+                    .await
+                    .expect("the host accepts the connection");
+            assert!(connection.is_reusable());
             // Blocks the runtime, so that its readiness does not change.
             send.send(()).expect("the host waits");
             host.join().expect("the host thread ends").expect("the host has written");
-            assert!(!connection.is_good(), "{last:?}");
+            assert!(!connection.is_reusable(), "{last:?}");
         }
     }
 
--- a/crates/arrowyard-front-pg/src/probe.rs
+++ b/crates/arrowyard-front-pg/src/probe.rs
@@ -8,7 +8,7 @@
 use tokio::time::timeout;
 
 use arrowyard_core::Limits;
-use arrowyard_core::pool::Pool;
+use arrowyard_core::pool::ConnectionPool;
 
 use crate::link::{PgConnection, apply_load_report};
 
@@ -16,12 +16,12 @@
 pub async fn run(
     host: HostId,
     dial: SocketAddr,
-    pool: &Pool<PgConnection>,
+    pool: &ConnectionPool<PgConnection>,
     limits: &Limits,
 ) -> (Outcome, HostStatus) {
     let unknown = HostStatus::default();
-    let probed = timeout(limits.connect, async {
-        let mut connection = match pool.take(host, dial).await {
+    let probed = timeout(limits.connect_timeout, async {
+        let mut connection = match pool.acquire(host, dial).await {
             Ok(connection) => connection,
             Err(outcome) => return (outcome, unknown),
         };
@@ -32,7 +32,7 @@
         }
         let Ok(reply) = connection.read_result().await else { return (Outcome::Reset, unknown) };
         if reply.ready {
-            pool.put_back(host, connection);
+            pool.release(host, connection);
         }
         let (outcome, mut status) = (reply.outcome(), reply.status);
         let row = reply.response.as_ref().and_then(|response| single_value(&response.result.data_row));
--- a/crates/arrowyard-front-pg/src/take_in.rs
+++ b/crates/arrowyard-front-pg/src/take_in.rs
@@ -5,13 +5,13 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 
-use arrowyard_core::admit::{Admitted, Gate};
-use arrowyard_core::clock::Beat;
-use arrowyard_core::count::Count;
+use arrowyard_core::admission::{AdmissionController, AdmittedOp};
+use arrowyard_core::clock::StallDetector;
+use arrowyard_core::count::UsageGuard;
 use arrowyard_core::drain::Stage;
 use arrowyard_core::leases;
-use arrowyard_core::mail::Mail;
-use arrowyard_core::{Call, Limits, Reply};
+use arrowyard_core::messages::RouteMessage;
+use arrowyard_core::{ClientRequest, Limits, Reply};
 use arrowyard_pg::{
     FrontendMessage, ProtocolError, StartupPacket, Statement, code, put_command_complete,
     put_empty_query_response, put_fatal_error, put_ready_for_query, put_single_value, put_startup_response,
@@ -29,7 +29,7 @@
 use crate::relay;
 
 /// The op that a statement's comment describes.
-pub fn op_call(statement: &Statement, address: Option<IpAddr>) -> Call<'_> {
+pub fn op_call(statement: &Statement, address: Option<IpAddr>) -> ClientRequest<'_> {
     let Statement {
         id,
         timeout_ms,
@@ -42,14 +42,14 @@
         session_key,
         ..
     } = statement;
-    Call {
+    ClientRequest {
         id: *id,
         op_type,
         tenant: tenant.as_deref(),
         group: *group,
-        wait_ms: *timeout_ms,
-        after: *last_commit_ms,
-        again: *is_retry,
+        timeout_ms: *timeout_ms,
+        last_commit_ms: *last_commit_ms,
+        is_retry: *is_retry,
         token: *token,
         session: *session_key,
         address,
@@ -59,17 +59,17 @@
 
 /// State shared by all client connections.
 pub struct Frontend {
-    pub gate: Rc<Gate>,
-    pub mail: mpsc::Sender<Mail<PgBackend>>,
+    pub gate: Rc<AdmissionController>,
+    pub mail: mpsc::Sender<RouteMessage<PgBackend>>,
     pub clients: Rc<Cell<usize>>,
     pub idle_connections: IdleConnections,
     pub stage: watch::Receiver<Stage>,
-    pub beat: Rc<Beat>,
+    pub beat: Rc<StallDetector>,
     pub limits: Rc<Limits>,
 }
 
 /// A connection's share of the client count; empty once the connection was told to close.
-type ConnectionSlot = Rc<RefCell<Option<Count>>>;
+type ConnectionSlot = Rc<RefCell<Option<UsageGuard>>>;
 
 /// Connections that wait for input, the longest idle first. Entries of connections that are no longer
 /// waiting are removed once there are too many.
@@ -102,16 +102,20 @@
     /// Closes idle connections while there are too many clients; whether the rest are within the limit. Idle
     /// connections must not keep out a client that sends an op as soon as it connects.
     fn evict_idle(&self) -> bool {
-        while self.clients.get() > self.limits.clients && self.idle_connections.close_oldest() {}
-        self.clients.get() <= self.limits.clients
+        while self.clients.get() > self.limits.max_client_connections && self.idle_connections.close_oldest()
+        {
+        }
+        self.clients.get() <= self.limits.max_client_connections
     }
 
     /// Accepts connections until the router closes.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         let mut stage = self.stage.clone();
         loop {
-            while self.clients.get() >= self.limits.clients + self.limits.crowd {
-                sleep(self.limits.pause).await;
+            while self.clients.get()
+                >= self.limits.max_client_connections + self.limits.max_rejected_connections
+            {
+                sleep(self.limits.retry_pause).await;
             }
             let accepted = tokio::select! {
                 biased;
@@ -120,8 +124,8 @@
             };
             match accepted {
                 Ok((stream, _)) => {
-                    let count = Count::one(&self.clients);
-                    let over_limit = self.clients.get() > self.limits.clients;
+                    let count = UsageGuard::one(&self.clients);
+                    let over_limit = self.clients.get() > self.limits.max_client_connections;
                     self.evict_idle();
                     drop(spawn_local(Client::new(self.clone(), stream, count).serve()));
                     if over_limit {
@@ -131,7 +135,7 @@
                 }
                 Err(error) => {
                     tracing::warn!("accepting a client connection failed: {error}");
-                    sleep(self.limits.pause).await;
+                    sleep(self.limits.retry_pause).await;
                 }
             }
         }
@@ -154,7 +158,7 @@
 struct Ended;
 
 impl Client {
-    fn new(front: Rc<Frontend>, stream: TcpStream, count: Count) -> Self {
+    fn new(front: Rc<Frontend>, stream: TcpStream, count: UsageGuard) -> Self {
         let (received, out) = (BytesMut::new(), BytesMut::new());
         let slot = Rc::new(RefCell::new(Some(count)));
         let address = stream.peer_addr().ok().map(|address| address.ip());
@@ -170,7 +174,7 @@
     }
 
     async fn handle_messages(&mut self) -> Result<(), Ended> {
-        let startup_timeout = self.front.limits.greeting;
+        let startup_timeout = self.front.limits.client_message_timeout;
         timeout(startup_timeout, self.start_up()).await.map_err(|_| Ended)??;
         loop {
             let message = self.next_message().await?;
@@ -186,7 +190,7 @@
 
     async fn start_up(&mut self) -> Result<(), Ended> {
         loop {
-            match StartupPacket::decode(&mut self.received, self.front.limits.message) {
+            match StartupPacket::decode(&mut self.received, self.front.limits.max_client_message_bytes) {
                 Ok(Some(StartupPacket::Startup)) => {
                     put_startup_response(&mut self.out);
                     return self.write().await;
@@ -205,10 +209,10 @@
     /// Reads the next message. The startup timeout limits the wait for the first message and the time from
     /// the first byte of a message to its last, against clients that send nothing or one byte at a time.
     async fn next_message(&mut self) -> Result<FrontendMessage, Ended> {
-        let message_timeout = self.front.limits.greeting;
+        let message_timeout = self.front.limits.client_message_timeout;
         let mut deadline = None;
         loop {
-            match FrontendMessage::decode(&mut self.received, self.front.limits.message) {
+            match FrontendMessage::decode(&mut self.received, self.front.limits.max_client_message_bytes) {
                 Ok(Some(message)) => {
                     self.has_sent = true;
                     return Ok(message);
@@ -234,7 +238,7 @@
             // Releases the memory that a large op took.
             (self.received, self.out) = (BytesMut::new(), BytesMut::new());
         }
-        let closed = front.idle_connections.wait(&self.slot, front.limits.clients);
+        let closed = front.idle_connections.wait(&self.slot, front.limits.max_client_connections);
         let filled = tokio::select! {
             biased;
             read = self.read() => read,
@@ -244,13 +248,13 @@
         };
         if filled.is_ok() {
             // Input may have arrived just as the connection was told to close.
-            self.slot.borrow_mut().get_or_insert_with(|| Count::one(&front.clients));
+            self.slot.borrow_mut().get_or_insert_with(|| UsageGuard::one(&front.clients));
         }
         filled
     }
 
     async fn query(&mut self, text: String) -> Result<(), Ended> {
-        let arrived = self.front.beat.came();
+        let arrived = self.front.beat.earliest_arrival();
         let command = text.trim_matches(|c: char| c.is_whitespace() || c == ';');
         let keyword = command.split_ascii_whitespace().next().unwrap_or_default().to_ascii_uppercase();
         match keyword.as_str() {
@@ -259,18 +263,18 @@
             "DISCARD" => put_command_complete(&mut self.out, "DISCARD ALL"),
             "SHOW" if self.front.gate.has_cells() && command.eq_ignore_ascii_case("show cells") => {
                 let (client, answer) = oneshot::channel();
-                self.front.mail.send(Mail::Show(client)).await.map_err(|_| Ended)?;
+                self.front.mail.send(RouteMessage::ShowCells(client)).await.map_err(|_| Ended)?;
                 put_single_value(&mut self.out, "cells", &answer.await.map_err(|_| Ended)?);
             }
-            "SHOW" if self.front.gate.peers && command.eq_ignore_ascii_case("show peers") => {
+            "SHOW" if self.front.gate.in_fleet && command.eq_ignore_ascii_case("show peers") => {
                 let (client, answer) = oneshot::channel();
-                self.front.mail.send(Mail::ShowPeers(client)).await.map_err(|_| Ended)?;
+                self.front.mail.send(RouteMessage::ShowPeers(client)).await.map_err(|_| Ended)?;
                 put_single_value(&mut self.out, "peers", &answer.await.map_err(|_| Ended)?);
             }
             "SHOW" if self.front.gate.leases.is_some() && command.eq_ignore_ascii_case("show leases") => {
                 let (client, answer) = oneshot::channel();
                 if let Some(leases) = &self.front.gate.leases {
-                    let shown = leases.send(leases::Errand::Show(client));
+                    let shown = leases.send(leases::LeasesCommand::Show(client));
                     shown.await.map_err(|_| Ended)?;
                 }
                 put_single_value(&mut self.out, "leases", &answer.await.map_err(|_| Ended)?);
@@ -294,22 +298,24 @@
 
     /// Runs one op from admission to its final reply. Reads ahead meanwhile, to notice a disconnect.
     async fn op(&mut self, statement: Statement, arrived: Timestamp) -> Result<Reply<PgResponse>, Ended> {
-        let Admitted { ask, claim, place: _place } =
+        let AdmittedOp { request, origin, slot: _slot } =
             match self.front.gate.admit(op_call(&statement, self.address), arrived) {
                 Ok(admitted) => admitted,
                 Err(reply) => return Ok(reply),
             };
         let (answer, mut answered) = oneshot::channel();
         let mail = self.front.mail.clone();
-        let op = ask.op;
-        mail.send(Mail::Asked(ask, claim, Rc::new(statement), answer)).await.map_err(|_| Ended)?;
+        let op = request.op;
+        mail.send(RouteMessage::OpAdmitted(request, origin, Rc::new(statement), answer))
+            .await
+            .map_err(|_| Ended)?;
         loop {
-            let has_room = self.received.len() < self.front.limits.message;
+            let has_room = self.received.len() < self.front.limits.max_client_message_bytes;
             tokio::select! {
                 biased;
                 reply = &mut answered => return Ok(reply.unwrap_or(Reply::Errored)),
                 read = self.read(), if has_room => if read.is_err() {
-                    let _ = mail.send(Mail::HungUp(op)).await;
+                    let _ = mail.send(RouteMessage::ClientDisconnected(op)).await;
                     return Err(Ended);
                 },
             }
@@ -317,7 +323,7 @@
     }
 
     async fn read(&mut self) -> Result<(), Ended> {
-        self.received.reserve(self.front.limits.read);
+        self.received.reserve(self.front.limits.read_chunk_bytes);
         match self.stream.read_buf(&mut self.received).await {
             Ok(0) | Err(_) => Err(Ended),
             Ok(_) => Ok(()),
@@ -329,13 +335,13 @@
         if written { Ok(()) } else { Err(Ended) }
     }
 
-    /// Writes the last messages and closes. Input is read and discarded for up to `limits.linger`: closing
+    /// Writes the last messages and closes. Input is read and discarded for up to `limits.linger_timeout`: closing
     /// with unread input would reset the connection, and the client could not read the last messages.
     async fn close<T>(&mut self) -> Result<T, Ended> {
         self.write().await?;
         let _ = self.stream.shutdown().await;
-        let (front, linger) = (self.front.clone(), self.front.limits.linger);
-        let closed = front.idle_connections.wait(&self.slot, front.limits.clients);
+        let (front, linger) = (self.front.clone(), self.front.limits.linger_timeout);
+        let closed = front.idle_connections.wait(&self.slot, front.limits.max_client_connections);
         let discard_input = async {
             while self.read().await.is_ok() {
                 self.received.clear();
