--- a/crates/arrowyard-config/src/configuration.rs
+++ b/crates/arrowyard-config/src/configuration.rs
@@ -21,22 +21,23 @@
     Primary,
     /// Reads go to replicas whose staleness is bounded.
     BoundedStaleness,
-    /// Reads go to hosts that have the session's own commits.
+    /// Reads go to hosts that have the session's own commits (`own_region` in the configuration).
     ReadYourWrites,
 }
 
-/// A route from a database name to a service.
+/// A route from a database name to a service (an item of `channels` in the configuration).
 #[derive(Clone, Debug, PartialEq)]
-pub struct Channel {
+pub struct Route {
     pub name: String,
     /// Database name that clients open (`plant` in the configuration).
     pub database: String,
+    /// Path prefix. Of the routes of one database, sessions use the one with the shortest prefix.
     pub prefix: String,
     pub kind: RouteKind,
     pub deadline_ms: f64,
-    /// Latency target of an operation.
+    /// Latency target of a statement (`setpoint-ms` in the configuration).
     pub latency_target_ms: f64,
-    /// 0 is the highest.
+    /// Priority of its requests; 0 is the highest.
     pub priority: u32,
     pub service: String,
     /// Maximum number of attempts, including the first.
@@ -76,11 +77,11 @@
 /// Timeouts of every session.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Limits {
-    /// Time to the first message of a session.
+    /// Time to the first message of a session (`header-wait-ms`).
     pub first_message_timeout_ms: f64,
-    /// Idle time outside of a transaction.
+    /// Idle time outside of a transaction (`idle-bound-ms`).
     pub idle_timeout_ms: f64,
-    /// Idle time inside of a transaction.
+    /// Idle time inside of a transaction (`tx-idle-ms`).
     pub transaction_idle_timeout_ms: f64,
 }
 
@@ -116,7 +117,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
     pub revision: u64,
-    channels: Vec<Item<Channel>>,
+    routes: Vec<Item<Route>>,
     services: Vec<Item<Service>>,
     limits: Option<Item<Limits>>,
     shares: Vec<Item<Share>>,
@@ -148,7 +149,7 @@
     }
 }
 
-impl Channel {
+impl Route {
     fn parse(item: &Value, path: &str) -> Result<Self, ConfigError> {
         let kind = match item.pointer(["kind"]).and_then(|kind| kind.as_str()) {
             Some("primary") | None => RouteKind::Primary,
@@ -160,7 +161,7 @@
         if deadline_ms <= 0.0 {
             return Err(invalid(format!("{path}/deadline-ms"), "is 0"));
         }
-        Ok(Channel {
+        Ok(Route {
             name: required_string(item, "name", path)?,
             database: item
                 .pointer(["plant"])
@@ -184,9 +185,9 @@
                 Some(_) => required_string(item, SHARE_FIELD, path)?,
             },
         })
-        .map(|channel| match channel.share.as_str() {
-            "" => Channel { share: channel.default_share(), ..channel },
-            _ => channel,
+        .map(|route| match route.share.as_str() {
+            "" => Route { share: route.default_share(), ..route },
+            _ => route,
         })
     }
 
@@ -217,15 +218,15 @@
 
 impl Share {
     fn parse(item: &Value, path: &str) -> Result<Self, ConfigError> {
-        let part = |field: &str, default: f64| {
-            let part = non_negative_number(item, field, path, default)?;
-            if part > 1.0 { Err(invalid(format!("{path}/{field}"), "is above 1")) } else { Ok(part) }
+        let fraction = |field: &str, default: f64| {
+            let fraction = non_negative_number(item, field, path, default)?;
+            if fraction > 1.0 { Err(invalid(format!("{path}/{field}"), "is above 1")) } else { Ok(fraction) }
         };
         let share = Share {
             name: required_string(item, "name", path)?,
             weight: non_negative_number(item, "weight", path, 1.0)?,
-            min_fraction: part("least", 0.0)?,
-            max_fraction: part("most", 1.0)?,
+            min_fraction: fraction("least", 0.0)?,
+            max_fraction: fraction("most", 1.0)?,
             lends: bool_or_true(item, "lends", path)?,
             borrows: bool_or_true(item, "borrows", path)?,
         };
@@ -354,7 +355,7 @@
     pub fn difference(&self, next: &Configuration) -> Option<String> {
         let (mut remove, mut upsert) = (Vec::new(), Vec::new());
         let lists = [
-            ("channels", changed_items(&self.channels, &next.channels, |channel| &channel.name)),
+            ("channels", changed_items(&self.routes, &next.routes, |route| &route.name)),
             ("services", changed_items(&self.services, &next.services, |service| &service.name)),
             (SHARES_FIELD, changed_items(&self.shares, &next.shares, |share| &share.name)),
         ];
@@ -386,7 +387,7 @@
             sources.sort_unstable();
             sources
         }
-        sorted(&self.channels) == sorted(&other.channels)
+        sorted(&self.routes) == sorted(&other.routes)
             && sorted(&self.services) == sorted(&other.services)
             && sorted(&self.shares) == sorted(&other.shares)
             && (self.revision, &self.limits, self.division_disabled, &self.unknown_fields)
@@ -394,8 +395,8 @@
     }
 
     /// The routes.
-    pub fn channels(&self) -> impl Iterator<Item = &Channel> {
-        self.channels.iter().map(|item| &item.parsed)
+    pub fn routes(&self) -> impl Iterator<Item = &Route> {
+        self.routes.iter().map(|item| &item.parsed)
     }
 
     /// The services.
@@ -431,8 +432,7 @@
             match field {
                 "revision" => {}
                 "channels" => {
-                    new.channels =
-                        parse_items(Some(value), "/channels", Channel::parse, |channel| &channel.name)?;
+                    new.routes = parse_items(Some(value), "/channels", Route::parse, |route| &route.name)?;
                 }
                 "services" => {
                     new.services =
@@ -464,37 +464,37 @@
     pub fn adjust(&self, body: &[u8]) -> Result<Self, ConfigError> {
         let document = parse_document(body)?;
         let mut new = Configuration { revision: parse_revision(&document)?, ..self.clone() };
-        let at = |part: &str, list: &str| document.pointer([part, list]);
+        let field = |part: &str, name: &str| document.pointer([part, name]);
         for part in ["upsert", "remove"] {
             if document.pointer([part]).is_some_and(|value| value.get_type() != JsonType::Object) {
                 return Err(invalid(format!("/{part}"), "is no object"));
             }
         }
-        let removed = parse_names(at("remove", "channels"), "/remove/channels")?;
-        new.channels.retain(|item| !removed.contains(&item.parsed.name));
-        let removed = parse_names(at("remove", "services"), "/remove/services")?;
+        let removed = parse_names(field("remove", "channels"), "/remove/channels")?;
+        new.routes.retain(|item| !removed.contains(&item.parsed.name));
+        let removed = parse_names(field("remove", "services"), "/remove/services")?;
         new.services.retain(|item| !removed.contains(&item.parsed.name));
-        let added = parse_items(at("upsert", "channels"), "/upsert/channels", Channel::parse, |channel| {
-            &channel.name
-        })?;
-        upsert(&mut new.channels, added, |channel| &channel.name);
-        let added = parse_items(at("upsert", "services"), "/upsert/services", Service::parse, |service| {
-            &service.name
-        })?;
+        let added =
+            parse_items(field("upsert", "channels"), "/upsert/channels", Route::parse, |route| &route.name)?;
+        upsert(&mut new.routes, added, |route| &route.name);
+        let added =
+            parse_items(field("upsert", "services"), "/upsert/services", Service::parse, |service| {
+                &service.name
+            })?;
         upsert(&mut new.services, added, |service| &service.name);
-        let removed = parse_names(at("remove", SHARES_FIELD), "/remove/arrowyard-shares")?;
+        let removed = parse_names(field("remove", SHARES_FIELD), "/remove/arrowyard-shares")?;
         new.shares.retain(|item| !removed.contains(&item.parsed.name));
         let added =
-            parse_items(at("upsert", SHARES_FIELD), "/upsert/arrowyard-shares", Share::parse, |share| {
+            parse_items(field("upsert", SHARES_FIELD), "/upsert/arrowyard-shares", Share::parse, |share| {
                 &share.name
             })?;
         upsert(&mut new.shares, added, |share| &share.name);
-        if let Some(value) = at("upsert", DIVISION_FIELD) {
+        if let Some(value) = field("upsert", DIVISION_FIELD) {
             let divides = value.as_bool();
             new.division_disabled =
                 !divides.ok_or_else(|| invalid("/upsert/arrowyard-division", "is neither true nor false"))?;
         }
-        if let Some(limits) = at("upsert", "limits") {
+        if let Some(limits) = field("upsert", "limits") {
             new.limits =
                 Some(Item { source: to_json(limits), parsed: Limits::parse(limits, "/upsert/limits")? });
         }
@@ -508,18 +508,18 @@
         }
         let services: BTreeSet<&str> = self.services().map(|service| service.name.as_str()).collect();
         let shares: BTreeSet<&str> = self.shares().map(|share| share.name.as_str()).collect();
-        let mut routes = BTreeSet::new();
-        for (index, channel) in self.channels().enumerate() {
-            if !services.contains(channel.service.as_str()) {
+        let mut matched = BTreeSet::new();
+        for (index, route) in self.routes().enumerate() {
+            if !services.contains(route.service.as_str()) {
                 return Err(invalid(
                     format!("/channels/{index}/service"),
                     "names a service that is not there",
                 ));
             }
-            if !routes.insert((channel.database.as_str(), channel.prefix.as_str())) {
+            if !matched.insert((route.database.as_str(), route.prefix.as_str())) {
                 return Err(invalid(format!("/channels/{index}"), "has the host and prefix of another one"));
             }
-            if channel.share != channel.default_share() && !shares.contains(channel.share.as_str()) {
+            if route.share != route.default_share() && !shares.contains(route.share.as_str()) {
                 return Err(invalid(
                     format!("/channels/{index}/{SHARE_FIELD}"),
                     "names a share that is not there",
@@ -538,20 +538,20 @@
 
     /// The JSON of the full configuration.
     pub fn body(&self) -> String {
-        fn list<T>(items: &[Item<T>]) -> String {
+        fn joined<T>(items: &[Item<T>]) -> String {
             items.iter().map(|item| item.source.as_str()).collect::<Vec<_>>().join(",")
         }
         let mut fields = vec![
             format!("\"revision\":{}", self.revision),
-            format!("\"channels\":[{}]", list(&self.channels)),
-            format!("\"services\":[{}]", list(&self.services)),
+            format!("\"channels\":[{}]", joined(&self.routes)),
+            format!("\"services\":[{}]", joined(&self.services)),
         ];
         fields.extend(self.limits.iter().map(|limits| format!("\"limits\":{}", limits.source)));
         if self.division_disabled {
             fields.push(format!("\"{DIVISION_FIELD}\":false"));
         }
         if !self.shares.is_empty() {
-            fields.push(format!("\"{SHARES_FIELD}\":[{}]", list(&self.shares)));
+            fields.push(format!("\"{SHARES_FIELD}\":[{}]", joined(&self.shares)));
         }
         for (name, value) in &self.unknown_fields {
             fields.push(format!("{}:{value}", sonic_rs::to_string(name).unwrap_or_default()));
--- a/crates/arrowyard-config/src/lib.rs
+++ b/crates/arrowyard-config/src/lib.rs
@@ -5,7 +5,5 @@
 mod settings;
 
 pub use change::{Change, ChangeKind};
-pub use configuration::{
-    Channel, ConfigError, Configuration, Limits, RouteKind, SHARES_FIELD, Service, Share,
-};
+pub use configuration::{ConfigError, Configuration, Limits, Route, RouteKind, SHARES_FIELD, Service, Share};
 pub use settings::{Envelope, Settings, SettingsError, Tolerance};
--- a/crates/arrowyard-config/tests/configuration.rs
+++ b/crates/arrowyard-config/tests/configuration.rs
@@ -25,7 +25,7 @@
         assert!(body.contains(kept), "{kept} is not in {body}");
     }
     let read = first();
-    let kinds: Vec<RouteKind> = read.channels().map(|channel| channel.kind).collect();
+    let kinds: Vec<RouteKind> = read.routes().map(|route| route.kind).collect();
     assert_eq!(kinds, [RouteKind::Primary, RouteKind::BoundedStaleness]);
     assert_eq!(read.limits().transaction_idle_timeout_ms, 3000.0);
 }
@@ -34,15 +34,15 @@
 fn invalid_configuration_is_rejected_with_the_path() {
     assert!(rejection(&FIRST[..FIRST.len() - 9]).contains("cannot be read"));
     assert!(rejection("[]").contains("cannot be read"));
-    let channel = |fields: &str| {
+    let route = |fields: &str| {
         format!(
             r#"{{"revision":9,"channels":[{{"name":"a","service":"s1",{fields}}}],"services":[{{"name":"s1"}}]}}"#
         )
     };
-    assert!(rejection(&channel(r#""deadline-ms":0"#)).contains("/channels/0/deadline-ms"));
-    assert!(rejection(&channel(r#""deadline-ms":"soon""#)).contains("/channels/0/deadline-ms"));
-    assert!(rejection(&channel(r#""deadline-ms":-5"#)).contains("/channels/0/deadline-ms"));
-    assert!(rejection(&channel(r#""kind":"any""#)).contains("/channels/0/kind"));
+    assert!(rejection(&route(r#""deadline-ms":0"#)).contains("/channels/0/deadline-ms"));
+    assert!(rejection(&route(r#""deadline-ms":"soon""#)).contains("/channels/0/deadline-ms"));
+    assert!(rejection(&route(r#""deadline-ms":-5"#)).contains("/channels/0/deadline-ms"));
+    assert!(rejection(&route(r#""kind":"any""#)).contains("/channels/0/kind"));
     let unknown =
         FIRST.replace("7", "9").replace(r#""service":"s1","staleness"#, r#""service":"s9","staleness"#);
     assert!(rejection(&unknown).contains("/channels/1/service"));
@@ -96,7 +96,7 @@
     let change = Change { kind: ChangeKind::Adjust, base: 7, body: body.into() };
     let next = change.apply(&first()).expect("it is valid");
     let names: Vec<(&str, &str)> =
-        next.channels().map(|channel| (channel.name.as_str(), channel.database.as_str())).collect();
+        next.routes().map(|route| (route.name.as_str(), route.database.as_str())).collect();
     assert_eq!(names, [("b", "db3"), ("c", "db4")]);
     assert_eq!(next.revision, 9);
     let orphan = r#"{"revision":9,"remove":{"services":["s1"]}}"#;
--- a/crates/arrowyard-config/tests/shares.rs
+++ b/crates/arrowyard-config/tests/shares.rs
@@ -23,9 +23,9 @@
 #[test]
 fn routes_use_the_named_share_or_the_default() {
     let read = read(&body(3, r#","arrowyard-share":"postings""#, POSTINGS));
-    let shares: Vec<&str> = read.channels().map(|channel| channel.share.as_str()).collect();
+    let shares: Vec<&str> = read.routes().map(|route| route.share.as_str()).collect();
     assert_eq!(shares, ["postings", "bounded_staleness/2"]);
-    let weights: Vec<f64> = read.channels().map(|channel| channel.default_weight()).collect();
+    let weights: Vec<f64> = read.routes().map(|route| route.default_weight()).collect();
     assert!(weights[0] > weights[1], "the higher priority weighs more: {weights:?}");
     let postings = Share {
         name: "postings".into(),
--- a/crates/arrowyard-control/src/control.rs
+++ b/crates/arrowyard-control/src/control.rs
@@ -381,7 +381,7 @@
             Event::Stored { ticket, durable } => {
                 self.disk.write_completed(ticket);
                 self.with_log(now, commands, |log, out| log.record_stored(now, ticket, durable, out));
-                self.departure_stored(now, ticket, durable, commands);
+                self.handle_departure_record_result(now, ticket, durable, commands);
                 self.announce_vote(now, commands);
             }
             Event::DiskStatus { writable } => self.disk_changed(writable),
--- a/crates/arrowyard-control/src/control/departures.rs
+++ b/crates/arrowyard-control/src/control/departures.rs
@@ -26,10 +26,10 @@
     pub host: Host,
     /// Body of the response on success.
     pub reply: String,
-    /// Ticket of the record on this machine.
+    /// Ticket of the stored record on this machine.
     record: u64,
     stored_by: BTreeSet<u32>,
-    until: Timestamp,
+    deadline: Timestamp,
 }
 
 /// Departures to acknowledge here, and records stored on behalf of peers.
@@ -37,7 +37,7 @@
 pub struct Departures {
     last_number: u64,
     pending: BTreeMap<u64, Departure>,
-    /// By record ticket: the peer that asked for it, and that peer's number.
+    /// By record ticket: the peer that sent the notice, and its number for the notice.
     stored_for_peers: BTreeMap<u64, (u32, u64)>,
     acknowledged: BTreeMap<String, Phase>,
 }
@@ -58,19 +58,19 @@
             reply,
             record,
             stored_by: BTreeSet::new(),
-            until: now + ACKNOWLEDGE_TIMEOUT,
+            deadline: now + ACKNOWLEDGE_TIMEOUT,
         };
         self.pending.insert(self.last_number, departure);
         self.last_number
     }
 
-    /// Notes that a peer waits for this record.
+    /// Registers that a peer waits for this record to be stored.
     pub fn store_for_peer(&mut self, record: u64, ip: u32, number: u64) {
         self.stored_for_peers.insert(record, (ip, number));
     }
 
-    /// Reports whether a record was stored; returns the peer to notify and its number.
-    pub fn record_stored(&mut self, local_ip: u32, record: u64, stored: bool) -> Option<(u32, u64)> {
+    /// Handles the result of storing a record; returns the peer to notify if there is one, with its number.
+    pub fn handle_record_result(&mut self, local_ip: u32, record: u64, stored: bool) -> Option<(u32, u64)> {
         if let Some(departure) = self.pending.values_mut().find(|departure| departure.record == record)
             && stored
         {
@@ -79,8 +79,8 @@
         self.stored_for_peers.remove(&record).filter(|_| stored)
     }
 
-    /// Records that a machine has stored this departure.
-    pub fn stored_by_peer(&mut self, by: u32, number: u64) {
+    /// Adds a machine that has stored this departure.
+    pub fn add_stored_by(&mut self, by: u32, number: u64) {
         if let Some(departure) = self.pending.get_mut(&number) {
             departure.stored_by.insert(by);
         }
@@ -88,13 +88,13 @@
 
     /// Removes and returns the departures that a majority of these voters has stored.
     pub fn take_stored_by_majority(&mut self, voters: &[u32]) -> Vec<Departure> {
-        let is_kept = |departure: &Departure| {
+        let is_stored_by_majority = |departure: &Departure| {
             voters.iter().filter(|voter| departure.stored_by.contains(voter)).count() * 2 > voters.len()
         };
         let acknowledged: Vec<u64> = self
             .pending
             .iter()
-            .filter(|(_, departure)| is_kept(departure))
+            .filter(|(_, departure)| is_stored_by_majority(departure))
             .map(|(number, _)| *number)
             .collect();
         let acknowledged: Vec<Departure> =
@@ -108,7 +108,7 @@
     /// Removes and returns the departures whose deadline has passed.
     pub fn take_expired(&mut self, now: Timestamp) -> Vec<Departure> {
         self.pending
-            .extract_if(.., |_, departure| departure.until <= now)
+            .extract_if(.., |_, departure| departure.deadline <= now)
             .map(|(_, expired)| expired)
             .collect()
     }
@@ -125,7 +125,7 @@
 
     /// When the next departure expires.
     pub fn due(&self) -> Option<Timestamp> {
-        self.pending.values().map(|departure| departure.until).min()
+        self.pending.values().map(|departure| departure.deadline).min()
     }
 }
 
@@ -148,13 +148,13 @@
         let number = self.departures.begin(now, conn, host.clone(), reply, record);
         self.broadcast_to_peers(&Payload::DepartureNotice(DepartureNotice { number, host }), commands);
         if !self.has_disk {
-            self.departure_stored(now, record, true, commands);
+            self.handle_departure_record_result(now, record, true, commands);
         }
     }
 
     fn store_departure(&mut self, now: Timestamp, host: &Host, commands: &mut Commands) -> u64 {
-        let kind = RecordKind::Departing(host.clone());
-        self.with_log(now, commands, |log, out| log.store_record(kind, out))
+        let record = RecordKind::Departing(host.clone());
+        self.with_log(now, commands, |log, out| log.store_record(record, out))
     }
 
     /// Stores a drain or departure reported to another control machine.
@@ -162,10 +162,10 @@
         &mut self,
         now: Timestamp,
         ip: u32,
-        departing: DepartureNotice,
+        notice: DepartureNotice,
         commands: &mut Commands,
     ) {
-        let DepartureNotice { number, host } = departing;
+        let DepartureNotice { number, host } = notice;
         if self.registry.merge_report(now, host.clone()) {
             if host.phase() == Phase::Gone {
                 self.departed_hosts.push((now, host.clone()));
@@ -176,24 +176,25 @@
         let record = self.store_departure(now, &host, commands);
         self.departures.store_for_peer(record, ip, number);
         if !self.has_disk {
-            self.departure_stored(now, record, true, commands);
+            self.handle_departure_record_result(now, record, true, commands);
         }
     }
 
     /// Handles the result of storing a record that may belong to a departure.
-    pub(super) fn departure_stored(
+    pub(super) fn handle_departure_record_result(
         &mut self,
         now: Timestamp,
         record: u64,
         stored: bool,
         commands: &mut Commands,
     ) {
-        if let Some((ip, number)) = self.departures.record_stored(self.local_ip, record, stored) {
+        if let Some((ip, number)) = self.departures.handle_record_result(self.local_ip, record, stored) {
             self.send_to_peer(ip, &Payload::DepartureStored(DepartureStored { number }), commands);
         }
         self.acknowledge_departures(now, commands);
     }
 
+    /// Handles the confirmation of a peer that it has stored a departure reported here.
     pub(super) fn handle_departure_stored(
         &mut self,
         now: Timestamp,
@@ -201,7 +202,7 @@
         number: u64,
         commands: &mut Commands,
     ) {
-        self.departures.stored_by_peer(ip, number);
+        self.departures.add_stored_by(ip, number);
         self.acknowledge_departures(now, commands);
     }
 
--- a/crates/arrowyard-control/src/control/peers.rs
+++ b/crates/arrowyard-control/src/control/peers.rs
@@ -405,8 +405,10 @@
                     self.poll_promotions(now, commands);
                 }
             }
-            Payload::DepartureNotice(departing) => self.handle_departure_notice(now, ip, departing, commands),
-            Payload::DepartureStored(kept) => self.handle_departure_stored(now, ip, kept.number, commands),
+            Payload::DepartureNotice(notice) => self.handle_departure_notice(now, ip, notice, commands),
+            Payload::DepartureStored(stored) => {
+                self.handle_departure_stored(now, ip, stored.number, commands)
+            }
             Payload::Suspect(suspect) => self.handle_suspicion(now, suspect, commands),
             Payload::Demotion(yielded) => self.handle_yielded(now, false, yielded, commands),
             message @ Payload::Replacements(_) => self.forward_replacements(&message, commands),
--- a/crates/arrowyard-control/src/promotion/mod.rs
+++ b/crates/arrowyard-control/src/promotion/mod.rs
@@ -29,15 +29,15 @@
 /// change during which suspicions are ignored.
 const RECHECK_DELAY: TimeDelta = TimeDelta::from_millis(80);
 const COOLDOWN: TimeDelta = TimeDelta::from_millis(400);
-/// Interval at which unanswered requests are repeated, and at which paused replicas are told to
-/// continue.
+/// Interval at which unanswered requests are repeated, and at which replicas that stay paused without a
+/// change in progress are told to continue.
 const RETRY_INTERVAL: TimeDelta = TimeDelta::from_millis(150);
 const CONTINUE_INTERVAL: TimeDelta = TimeDelta::from_millis(1000);
 /// A pause request relayed by a router may arrive this long after it was sent.
 const MAX_PAUSE_DELAY: TimeDelta = TimeDelta::from_millis(1000);
 /// Interval at which a candidate that catches up is asked for its position.
 const CATCH_UP_INTERVAL: TimeDelta = TimeDelta::from_millis(15);
-/// Time for a live old primary to yield, and time after that for replicas that joined it earlier to
+/// Time for a live old primary to yield (to stop acknowledging commits), and time after that for replicas that joined it earlier to
 /// send a heartbeat.
 const YIELD_TIMEOUT: TimeDelta = TimeDelta::from_millis(40);
 const NEW_REPLICA_WAIT: TimeDelta = TimeDelta::from_millis(500);
@@ -57,10 +57,10 @@
     /// Hosts that were paused and have not confirmed since that they continue.
     paused_hosts: BTreeSet<String>,
     paused_at: Timestamp,
-    /// Position of the primary after a replica fell silent: a host that has received as much has everything
-    /// that the replica acknowledged.
+    /// By silent replica: a position of the primary observed since the replica fell silent. A host that has
+    /// received as much has everything that the replica acknowledged.
     floors: BTreeMap<String, Position>,
-    /// Replicas that were silent when the primary's position was requested.
+    /// Replicas that were silent when the primary's position was requested; its response gives their floors.
     floor_pending: BTreeSet<String>,
     floor_requested_at: Timestamp,
     /// Number of pause rounds so far.
@@ -203,8 +203,8 @@
         hosts: &HostsSnapshot<'_>,
         requests: &mut Vec<PromotionRequest>,
     ) {
-        let primary = hosts.registry.primary(&self.service).is_some_and(|primary| primary.id == host);
-        if self.stage == Stage::Idle && primary && now >= self.cooldown_until {
+        let is_primary = hosts.registry.primary(&self.service).is_some_and(|primary| primary.id == host);
+        if self.stage == Stage::Idle && is_primary && now >= self.cooldown_until {
             requests.push(PromotionRequest::Observe { host: host.to_string() });
             self.set_stage(Stage::Checking { host: host.to_string(), timeouts: 0 }, None);
         }
@@ -237,14 +237,14 @@
                     self.wake_at = Some(now + CONTINUE_INTERVAL);
                 }
                 let primary = hosts.registry.primary(&self.service);
-                let candidates = || {
+                let has_candidate = || {
                     self.members(hosts)
                         .into_iter()
                         .any(|host| host.role() == DbRole::Replica && host.phase() == Phase::InService)
                 };
                 if let Some(old) = primary.filter(|old| old.phase() == Phase::Draining)
                     && now >= self.cooldown_until
-                    && candidates()
+                    && has_candidate()
                 {
                     self.survey(now, Some(old.id.clone()), true, hosts, requests);
                 } else if self.primary_watch.needs_primary(now, hosts.registry) {
@@ -306,21 +306,21 @@
         requests: &mut Vec<PromotionRequest>,
     ) {
         let Some(primary) = hosts.registry.primary(&self.service).map(|host| host.id.clone()) else { return };
-        let lacks = |host: &&Host| {
+        let lacks_floor = |host: &&Host| {
             host.id != primary && hosts.silent.contains_key(&host.id) && !self.floors.contains_key(&host.id)
         };
-        let of: BTreeSet<String> =
-            self.members(hosts).into_iter().filter(lacks).map(|host| host.id.clone()).collect();
-        if !of.is_empty()
+        let replicas: BTreeSet<String> =
+            self.members(hosts).into_iter().filter(lacks_floor).map(|host| host.id.clone()).collect();
+        if !replicas.is_empty()
             && now - self.floor_requested_at >= RETRY_INTERVAL
             && !hosts.silent.contains_key(&primary)
         {
-            (self.floor_pending, self.floor_requested_at) = (of, now);
+            (self.floor_pending, self.floor_requested_at) = (replicas, now);
             requests.push(PromotionRequest::Observe { host: primary });
         }
     }
 
-    /// Handles a reply of a host, a router or the platform.
+    /// Handles a reply of a host, a router or the platform to a request.
     pub fn handle_reply(
         &mut self,
         now: Timestamp,
@@ -343,7 +343,9 @@
             _ => {}
         }
         match (self.stage.clone(), reply) {
-            (Stage::Checking { host, timeouts }, Reply::NoResponse { host: of }) if host == of => {
+            (Stage::Checking { host, timeouts }, Reply::NoResponse { host: observed })
+                if host == observed =>
+            {
                 if timeouts + 1 < FAILURE_THRESHOLD {
                     return self.set_stage(
                         Stage::Checking { host, timeouts: timeouts + 1 },
@@ -352,16 +354,17 @@
                 }
                 self.survey(now, Some(host), false, hosts, requests);
             }
-            (Stage::Checking { host, .. }, Reply::Row { host: of, .. } | Reply::Busy { host: of })
-                if host == of =>
-            {
+            (
+                Stage::Checking { host, .. },
+                Reply::Row { host: observed, .. } | Reply::Busy { host: observed },
+            ) if host == observed => {
                 self.cooldown_until = now + COOLDOWN;
                 self.set_stage(Stage::Idle, None);
             }
             // Another host is primary than the one assumed to be, or the one assumed to have failed.
             // Safety: a host that reports this itself may be stale, as after a change made by another duty
             // holder; the candidate need not have what it acknowledges.
-            (stage, Reply::Row { host, row, .. }) if row.primary && stage.ends_with(&host) => {
+            (stage, Reply::Row { host, row, .. }) if row.primary && stage.ends_if_primary(&host) => {
                 self.abort(now, requests);
             }
             (Stage::Surveying { old, planned, mut rows, mut unanswered }, Reply::Row { host, row, .. }) => {
@@ -429,11 +432,11 @@
                     // another one would become primary a term later, without the commits that this one took
                     // meanwhile.
                     _ if retries < 6 => {
-                        let pause = RETRY_INTERVAL * f64::from(1 << retries.min(3));
+                        let delay = RETRY_INTERVAL * f64::from(1 << retries.min(3));
                         let retries = retries + 1;
                         self.set_stage(
                             Stage::Promoting { old, candidate, planned, retries },
-                            Some(now + pause),
+                            Some(now + delay),
                         );
                     }
                     _ => self.survey(now, None, false, hosts, requests),
@@ -475,7 +478,7 @@
         }
     }
 
-    /// The old primary has yielded, or does not respond to routers either.
+    /// Promotes the candidate: the old primary has yielded, or does not respond to routers either.
     fn end_yielding(
         &mut self,
         now: Timestamp,
@@ -527,8 +530,8 @@
 fn most_advanced(rows: &BTreeMap<String, Observed>, hosts: &HostsSnapshot<'_>) -> Option<String> {
     let is_in_service =
         |host: &str| hosts.registry.get(host).is_some_and(|host| host.phase() == Phase::InService);
-    let most = rows.iter().max_by_key(|(host, row)| (row.received, is_in_service(host)));
-    most.map(|(host, _)| host.clone())
+    let best = rows.iter().max_by_key(|(host, row)| (row.received, is_in_service(host)));
+    best.map(|(host, _)| host.clone())
 }
 
 /// The promotions of all services.
--- a/crates/arrowyard-control/src/promotion/stage.rs
+++ b/crates/arrowyard-control/src/promotion/stage.rs
@@ -54,10 +54,10 @@
 }
 
 impl Stage {
-    /// Whether a change in progress ends if this host is primary; not if it is the one being replaced as
-    /// planned.
-    pub(super) fn ends_with(&self, leads: &str) -> bool {
-        let other = |old: &Option<String>| old.as_deref() != Some(leads);
+    /// Whether a change in progress ends if this host reports that it is primary; not if it is the host that
+    /// a planned change replaces.
+    pub(super) fn ends_if_primary(&self, primary: &str) -> bool {
+        let other = |old: &Option<String>| old.as_deref() != Some(primary);
         match self {
             Stage::Surveying { old, planned, .. } => !planned || other(old),
             Stage::Fencing { old, candidate, .. } => candidate.is_none() || other(old),
--- a/crates/arrowyard-control/src/replicated_log/proposer.rs
+++ b/crates/arrowyard-control/src/replicated_log/proposer.rs
@@ -45,7 +45,7 @@
         id
     }
 
-    /// Begins a round if an entry is pending and no round is in progress.
+    /// Begins a round if one is needed, none is in progress and the retry delay has passed.
     pub(super) fn begin_round(&mut self, now: Timestamp, out: &mut Vec<Output>) {
         if !self.needs_round()
             || self.round.is_some()
@@ -67,11 +67,11 @@
     /// Whether a round is needed to propose an entry or to resolve a read. An entry accepted by a single
     /// voter may already be chosen.
     pub(super) fn needs_round(&self) -> bool {
-        let wants_round = |pending: &PendingProposal| match &pending.proposal {
+        let requires_round = |pending: &PendingProposal| match &pending.proposal {
             Proposal::Append(_) => true,
             Proposal::Read { responded, slot } => self.is_majority(responded) && *slot > self.applied.slot,
         };
-        self.needs_rejoin() || self.pending.iter().any(wants_round)
+        self.needs_rejoin() || self.pending.iter().any(requires_round)
     }
 
     /// Whether this machine is a voter that lost its disk and has to be readmitted.
@@ -79,11 +79,12 @@
         !self.votes && self.applied.voters.contains(&self.local_ip)
     }
 
+    /// Gives the round up; the next one begins after a random, exponentially growing delay.
     pub(super) fn abandon_round(&mut self, now: Timestamp) {
         self.round = None;
         self.lost_rounds = (self.lost_rounds + 1).min(6);
-        let max_delay = RETRY_BASE_DELAY * f64::from(1 << self.lost_rounds);
-        self.retry_at = now + RETRY_BASE_DELAY + max_delay * self.rng.f64();
+        let backoff = RETRY_BASE_DELAY * f64::from(1 << self.lost_rounds);
+        self.retry_at = now + RETRY_BASE_DELAY + backoff * self.rng.f64();
     }
 
     pub(super) fn handle_promise(
@@ -112,7 +113,7 @@
             *highest = Some(accepted.clone());
         }
         let has_quorum = if needs_rejoin {
-            promised.iter().filter(|&&other| other != local_ip).count() >= rejoin_quorum
+            promised.iter().filter(|&&voter| voter != local_ip).count() >= rejoin_quorum
         } else {
             promised.len() >= majority
         };
@@ -185,7 +186,7 @@
         }
         let Phase::Accepting { entry, accepted } = &mut round.phase else { return };
         accepted.insert(from);
-        let other_votes = accepted.iter().filter(|&&other| other != local_ip).count();
+        let other_votes = accepted.iter().filter(|&&voter| voter != local_ip).count();
         if accepted.len() >= majority && (!needs_rejoin || other_votes >= rejoin_quorum) {
             let chosen = Chosen { slot: round.slot, entry: entry.clone() };
             self.lost_rounds = 0;
@@ -193,7 +194,7 @@
         }
     }
 
-    /// Resolves pending proposals whose precondition no longer holds: they will not be chosen from here on.
+    /// Resolves pending entries whose precondition no longer holds, so that they can no longer take effect.
     pub(super) fn resolve_superseded(&mut self, out: &mut Vec<Output>) {
         let applied = &self.applied;
         self.pending.retain(|pending| {
--- a/crates/arrowyard-fair-shares/src/share_config.rs
+++ b/crates/arrowyard-fair-shares/src/share_config.rs
@@ -92,8 +92,8 @@
         let reset =
             |service: &mut ServiceShare| *service = ServiceShare::with_weight(&service.name, DEFAULT_WEIGHT);
         self.services.iter_mut().for_each(reset);
-        for channel in configuration.channels() {
-            self.set_share(ServiceShare::with_weight(&channel.share, channel.default_weight()));
+        for route in configuration.routes() {
+            self.set_share(ServiceShare::with_weight(&route.share, route.default_weight()));
         }
         for share in configuration.shares().cloned() {
             let arrowyard_config::Share { name, weight, min_fraction, max_fraction, lends, borrows } = share;
--- a/crates/arrowyard-pooler/src/plane/clients.rs
+++ b/crates/arrowyard-pooler/src/plane/clients.rs
@@ -3,7 +3,7 @@
 
 use std::rc::Rc;
 
-use arrowyard_config::Channel;
+use arrowyard_config::Route;
 use arrowyard_protocol::{AccessMode, FaultCode, Request, Statement, TransactionState};
 use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{RouterEvent, TimeDelta, Timestamp};
@@ -289,20 +289,15 @@
                 if state == TransactionState::Idle =>
             {
                 let database = session.database.clone();
-                let Some(channel) = self.configured.routes.route(&database).cloned() else {
+                let Some(route) = self.configured.routes.route(&database).cloned() else {
                     // The route was removed from the configuration after the session opened.
                     commands.write_line(conn, &["FAULT NODB there is no such database any more"]);
                     self.write_idle(conn, commands);
                     return self.close_session(now, conn, commands);
                 };
                 if let Statement::Begin { read } = statement {
-                    let transaction = Transaction {
-                        channel,
-                        read_only: read,
-                        began_at: now,
-                        wrote: false,
-                        host_conn: None,
-                    };
+                    let transaction =
+                        Transaction { route, read_only: read, began_at: now, wrote: false, host_conn: None };
                     if let Some(session) = self.session(conn) {
                         session.transaction_state = TransactionState::InTransaction;
                         session.transaction = Some(transaction);
@@ -310,17 +305,17 @@
                     self.write_settled(conn, commands);
                     self.start_transaction_timeout(now, conn);
                 } else {
-                    self.submit_statement(now, conn, &channel, id, text, commands);
+                    self.submit_statement(now, conn, &route, id, text, commands);
                 }
             }
             Statement::Read | Statement::Write | Statement::Run { .. } | Statement::Commit
                 if state == TransactionState::InTransaction =>
             {
                 let transaction = session.transaction.as_ref();
-                let Some(channel) = transaction.map(|transaction| transaction.channel.clone()) else {
+                let Some(route) = transaction.map(|transaction| transaction.route.clone()) else {
                     return;
                 };
-                self.submit_statement(now, conn, &channel, id, text, commands);
+                self.submit_statement(now, conn, &route, id, text, commands);
             }
             Statement::Abort if state == TransactionState::InTransaction => {
                 session.transaction_state = TransactionState::Idle;
@@ -405,7 +400,7 @@
         &mut self,
         now: Timestamp,
         conn: Conn,
-        channel: &Rc<Channel>,
+        route: &Rc<Route>,
         id: &str,
         text: &str,
         commands: &mut Commands,
@@ -454,13 +449,7 @@
             Some((true, None)) => StatementKind::Read,
             Some((false, None)) => StatementKind::First,
         };
-        self.submit(
-            now,
-            conn,
-            channel,
-            Submission { id, text, kind, is_commit, is_write, prepare },
-            commands,
-        );
+        self.submit(now, conn, route, Submission { id, text, kind, is_commit, is_write, prepare }, commands);
     }
 
     /// The router-wide number of a prepared statement; sessions that prepare the same one share it.
--- a/crates/arrowyard-pooler/src/plane/ops.rs
+++ b/crates/arrowyard-pooler/src/plane/ops.rs
@@ -2,7 +2,7 @@
 
 use std::rc::Rc;
 
-use arrowyard_config::{Channel, RouteKind};
+use arrowyard_config::{Route, RouteKind};
 use arrowyard_protocol::{ExecutionStatus, FaultCode, TransactionState};
 use arrowyard_runtime::{Commands, Conn};
 use arrowyard_types::{
@@ -37,24 +37,24 @@
         &mut self,
         now: Timestamp,
         conn: Conn,
-        channel: &Rc<Channel>,
+        route: &Rc<Route>,
         submission: Submission<'_>,
         commands: &mut Commands,
     ) {
         self.check_demand_if_due(now, commands);
-        let service = self.service_of(channel);
-        let op_type = self.op_types.id(channel, submission.kind);
+        let service = self.service_of(route);
+        let op_type = self.op_types.id(route, submission.kind);
         if let Some(rows) = self.op_types.take_changed() {
             self.notify(now, RouterEvent::OpTypes(rows));
         }
         self.last_op += 1;
         let op = OpId(self.last_op);
-        let group = self.decision.list_service(now, &channel.service, &mut self.actions);
-        let timeout = TimeDelta::from_micros((channel.deadline_ms * 1000.0) as i64);
+        let group = self.decision.list_service(now, &route.service, &mut self.actions);
+        let timeout = TimeDelta::from_micros((route.deadline_ms * 1000.0) as i64);
         let Some(session) = self.session(conn) else { return };
         let host_conn = session.transaction.as_ref().and_then(|transaction| transaction.host_conn);
         let min_position =
-            session.last_commit.map(|(_, sent)| sent).filter(|_| channel.kind == RouteKind::ReadYourWrites);
+            session.last_commit.map(|(_, sent)| sent).filter(|_| route.kind == RouteKind::ReadYourWrites);
         let pinned_host =
             host_conn.and_then(|host_conn| self.host_connection(host_conn)).map(|connection| connection.host);
         let statement = PendingStatement {
@@ -62,7 +62,7 @@
             text: submission.text,
             op,
             op_type,
-            channel: channel.clone(),
+            route: route.clone(),
             service,
             queued_for: SmallVec::new(),
             kind: submission.kind,
@@ -75,7 +75,7 @@
             host_conn,
             verifies_primary: false,
             timer: None,
-            connection_wait: TimeDelta::from_micros((channel.latency_target_ms * 1000.0) as i64)
+            connection_wait: TimeDelta::from_micros((route.latency_target_ms * 1000.0) as i64)
                 * CONNECTION_WAIT_FRACTION,
             last_fault: None,
         };
@@ -85,7 +85,7 @@
         self.ops.insert(op, conn);
         let deadline = now + (timeout - REPLY_MARGIN).max(TimeDelta::from_millis(1));
         let session = Some(SessionId(conn.0));
-        self.count_queued(now, conn, channel);
+        self.count_queued(now, conn, route);
         let tenant = Some(TenantId(service.0));
         let request = OpRequest {
             op,
@@ -206,9 +206,8 @@
             .session(conn)
             .is_some_and(|session| session.transaction_state == TransactionState::InTransaction);
         let transaction = self.session(conn).and_then(|session| session.transaction.as_ref());
-        let relaxed_reads = transaction.is_some_and(|transaction| {
-            transaction.read_only && transaction.channel.kind != RouteKind::Primary
-        });
+        let relaxed_reads = transaction
+            .is_some_and(|transaction| transaction.read_only && transaction.route.kind != RouteKind::Primary);
         let wrote = transaction.is_some_and(|transaction| transaction.wrote);
         if reply.fault.is_none()
             && let Some(written_at) = sent.written_at
@@ -612,23 +611,23 @@
     pub(super) fn read_requirement(&self, conn: Conn) -> Option<ReadRequirement> {
         let Some(super::Endpoint::Client(session)) = self.endpoints.get(&conn) else { return None };
         let SessionStage::Running(statement) = &session.stage else { return None };
-        let channel = &statement.channel;
+        let route = &statement.route;
         let (reads, began_at) = match &session.transaction {
             Some(transaction) => (transaction.read_only, transaction.began_at),
             None => (!statement.is_write, statement.arrived_at),
         };
-        if !reads || channel.kind == RouteKind::Primary {
+        if !reads || route.kind == RouteKind::Primary {
             return Some(ReadRequirement::Primary);
         }
-        let bound = TimeDelta::from_micros((channel.staleness_bound_ms * 1000.0) as i64);
+        let bound = TimeDelta::from_micros((route.staleness_bound_ms * 1000.0) as i64);
         let known = self
             .timelines
-            .get(&channel.service)
+            .get(&route.service)
             .and_then(|timeline| timeline.position_covering(began_at - bound));
         let own = session
             .last_commit
             .map(|(position, _)| position)
-            .filter(|_| channel.kind == RouteKind::ReadYourWrites);
+            .filter(|_| route.kind == RouteKind::ReadYourWrites);
         Some(match known {
             Some(known) => ReadRequirement::Position(own.map_or(known, |own| known.max(own))),
             // No position is known for the staleness bound; the primary has every commit.
--- a/crates/arrowyard-pooler/src/plane/shares.rs
+++ b/crates/arrowyard-pooler/src/plane/shares.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use arrowyard_config::{Channel, RouteKind};
+use arrowyard_config::{Route, RouteKind};
 use arrowyard_fair_shares::{
     Allocation, AllocationLeases, DemandMeter, MilliPermits, ServiceDemand, ServiceId, ShareConfig,
     permits_for_slots,
@@ -63,19 +63,19 @@
 
 impl RouterPlane {
     /// The service that a route counts as in the fair shares.
-    pub(super) fn service_of(&mut self, channel: &Channel) -> ServiceId {
-        self.shares.config.service_id(&channel.share)
+    pub(super) fn service_of(&mut self, route: &Route) -> ServiceId {
+        self.shares.config.service_id(&route.share)
     }
 
     /// Counts a session's statement as queued at the hosts that may run it.
-    pub(super) fn count_queued(&mut self, now: Timestamp, conn: Conn, channel: &Channel) {
+    pub(super) fn count_queued(&mut self, now: Timestamp, conn: Conn, route: &Route) {
         let Some(statement) = self.session(conn).and_then(|session| session.pending()) else { return };
         let (kind, service) = (statement.kind, statement.service);
         if kind == StatementKind::Later {
             return;
         }
-        let reads = kind == StatementKind::Read && channel.kind != RouteKind::Primary;
-        let hosts = self.decision.eligible_hosts(&channel.service, reads);
+        let reads = kind == StatementKind::Read && route.kind != RouteKind::Primary;
+        let hosts = self.decision.eligible_hosts(&route.service, reads);
         self.shares.meter.add_queued(now, &hosts, service, 1.0);
         if let Some(statement) = self.session(conn).and_then(|session| session.pending()) {
             statement.queued_for = hosts;
@@ -286,9 +286,9 @@
     /// Counts a statement as queued again after a send of it ended without finishing it.
     pub(super) fn requeue(&mut self, now: Timestamp, conn: Conn) {
         let Some(Endpoint::Client(session)) = self.endpoints.get(&conn) else { return };
-        let in_transaction = session.transaction.as_ref().map(|transaction| transaction.channel.clone());
-        let channel = in_transaction.or_else(|| self.configured.routes.route(&session.database).cloned());
+        let in_transaction = session.transaction.as_ref().map(|transaction| transaction.route.clone());
+        let route = in_transaction.or_else(|| self.configured.routes.route(&session.database).cloned());
         self.uncount_queued(now, conn);
-        channel.into_iter().for_each(|channel| self.count_queued(now, conn, &channel));
+        route.into_iter().for_each(|route| self.count_queued(now, conn, &route));
     }
 }
--- a/crates/arrowyard-pooler/src/routes.rs
+++ b/crates/arrowyard-pooler/src/routes.rs
@@ -4,7 +4,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use arrowyard_config::{Channel, Configuration, Limits, RouteKind, Service};
+use arrowyard_config::{Configuration, Limits, Route, RouteKind, Service};
 use arrowyard_types::{Consistency, GroupId, OpType, OpTypeId, RetrySafety, TimeDelta};
 use rustc_hash::FxHashMap;
 
@@ -37,21 +37,21 @@
 
 impl OpTypes {
     /// The op type of a statement on a route, added if it is new.
-    pub fn id(&mut self, channel: &Channel, statement: StatementKind) -> OpTypeId {
+    pub fn id(&mut self, route: &Route, statement: StatementKind) -> OpTypeId {
         let key = (
-            channel.kind,
+            route.kind,
             statement,
-            channel.latency_target_ms as i64,
-            channel.deadline_ms as i64,
-            channel.priority,
-            channel.staleness_bound_ms as i64,
+            route.latency_target_ms as i64,
+            route.deadline_ms as i64,
+            route.priority,
+            route.staleness_bound_ms as i64,
         );
         if let Some(id) = self.ids.get(&key) {
             return *id;
         }
-        let consistency = match (statement, channel.kind) {
+        let consistency = match (statement, route.kind) {
             (StatementKind::Read, RouteKind::BoundedStaleness | RouteKind::ReadYourWrites) => {
-                Consistency::Bounded(millis(channel.staleness_bound_ms))
+                Consistency::Bounded(millis(route.staleness_bound_ms))
             }
             (StatementKind::Read, RouteKind::Primary) => Consistency::Fresh,
             (StatementKind::Write | StatementKind::First, _) => Consistency::Write,
@@ -63,9 +63,9 @@
         };
         let id = OpTypeId(self.rows.len() as u32);
         self.rows.push(OpType {
-            latency_target: millis(channel.latency_target_ms),
-            op_timeout: millis(channel.deadline_ms),
-            value: 4.0 / f64::from(channel.priority + 1),
+            latency_target: millis(route.latency_target_ms),
+            op_timeout: millis(route.deadline_ms),
+            value: 4.0 / f64::from(route.priority + 1),
             // An answer after the latency target keeps a part of its value.
             late_value: 0.3,
             retry_safety,
@@ -87,7 +87,7 @@
 #[derive(Default)]
 pub struct Routes {
     pub revision: u64,
-    by_database: FxHashMap<String, Rc<Channel>>,
+    by_database: FxHashMap<String, Rc<Route>>,
     services: FxHashMap<String, Service>,
     pub limits: Limits,
 }
@@ -102,14 +102,14 @@
 
 impl Routes {
     pub fn new(configuration: &Configuration) -> Self {
-        let mut by_database: FxHashMap<String, Rc<Channel>> = FxHashMap::default();
-        for channel in configuration.channels() {
+        let mut by_database: FxHashMap<String, Rc<Route>> = FxHashMap::default();
+        for route in configuration.routes() {
             // The route with the shortest path prefix represents the database.
             let known = by_database
-                .get(&channel.database)
-                .is_some_and(|known| known.prefix.len() <= channel.prefix.len());
+                .get(&route.database)
+                .is_some_and(|known| known.prefix.len() <= route.prefix.len());
             if !known {
-                by_database.insert(channel.database.clone(), Rc::new(channel.clone()));
+                by_database.insert(route.database.clone(), Rc::new(route.clone()));
             }
         }
         let services =
@@ -118,7 +118,7 @@
     }
 
     /// The route of a database.
-    pub fn route(&self, database: &str) -> Option<&Rc<Channel>> {
+    pub fn route(&self, database: &str) -> Option<&Rc<Route>> {
         self.by_database.get(database)
     }
 
--- a/crates/arrowyard-pooler/src/session.rs
+++ b/crates/arrowyard-pooler/src/session.rs
@@ -3,7 +3,7 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use arrowyard_config::Channel;
+use arrowyard_config::Route;
 use arrowyard_fair_shares::ServiceId;
 use arrowyard_protocol::{AccessMode, FaultCode, LineDecoder, Position, TransactionState};
 use arrowyard_runtime::Conn;
@@ -38,7 +38,7 @@
     /// The route that it was accepted under. Invariant: its consistency requirement is derived from this
     /// one until it ends; the configuration may drop or change the route while the statement waits for a
     /// connection.
-    pub channel: Rc<Channel>,
+    pub route: Rc<Route>,
     /// The service that it counts as in the fair shares, and the hosts that it is queued for.
     pub service: ServiceId,
     pub queued_for: SmallVec<[HostId; 4]>,
@@ -65,7 +65,7 @@
 /// A client's transaction.
 #[derive(Clone, Debug)]
 pub struct Transaction {
-    pub channel: Rc<Channel>,
+    pub route: Rc<Route>,
     pub read_only: bool,
     pub began_at: Timestamp,
     /// Whether a write in it was answered.
--- a/crates/arrowyard-runtime/src/run.rs
+++ b/crates/arrowyard-runtime/src/run.rs
@@ -1,4 +1,5 @@
-//! The event loop: polls sockets, signals and the disk thread, and executes the commands of a plane.
+//! The event loop: polls sockets, signals and the disk thread, delivers their events to a [`Plane`] and
+//! executes the commands that it returns.
 
 use std::io::{self, ErrorKind, Read};
 use std::net::{SocketAddr, SocketAddrV4};
@@ -23,7 +24,7 @@
 const FIRST_CONN_TOKEN: usize = 1 << 8;
 /// Size of the buffer for one read.
 const READ_BUFFER_BYTES: usize = 64 * 1024;
-/// Full reads from one socket before the loop serves other sockets.
+/// Reads that fill the buffer, from one socket, before the loop serves other sockets.
 const READS_BEFORE_YIELD: usize = 4;
 /// How long a closed socket waits for the peer to close its side.
 const LINGER_TIMEOUT: TimeDelta = TimeDelta::from_millis(1000);
@@ -45,6 +46,7 @@
     poll: Poll,
     listeners: Vec<TcpListener>,
     sockets: FxHashMap<Conn, Socket>,
+    /// Sockets closed by the plane, until the peer closes its side or `LINGER_TIMEOUT` has passed.
     lingering: Timers<Conn>,
     start: Instant,
     max_connections: usize,
@@ -75,7 +77,7 @@
     if let Some(store) = &config.store {
         store.set_waker(waker.clone());
     }
-    let mut this = Loop {
+    let mut event_loop = Loop {
         poll,
         listeners,
         sockets: FxHashMap::default(),
@@ -88,8 +90,8 @@
         unflushed: Vec::new(),
         closed: Vec::new(),
     };
-    this.deliver(plane, Event::Start);
-    this.run_until_stopped(plane, &signals)
+    event_loop.deliver(plane, Event::Start);
+    event_loop.run_until_stopped(plane, &signals)
 }
 
 /// Installs signal handlers. A handler only sets a flag and wakes the loop.
@@ -190,18 +192,18 @@
     fn execute_commands(&mut self) {
         let (list, bytes) =
             (std::mem::take(&mut self.commands.list), std::mem::take(&mut self.commands.bytes));
-        let mut at = 0;
+        let mut offset = 0;
         for command in &list {
             match command {
                 Command::Dial { conn, to } => self.dial(*conn, *to),
                 Command::Write { conn, len } => {
-                    let part = &bytes[at..at + len];
-                    at += len;
+                    let written = &bytes[offset..offset + len];
+                    offset += len;
                     if let Some(socket) = self.sockets.get_mut(conn) {
                         if socket.output.is_empty() {
                             self.unflushed.push(*conn);
                         }
-                        socket.output.extend_from_slice(part);
+                        socket.output.extend_from_slice(written);
                         if socket.output.len() > MAX_PENDING_OUTPUT_BYTES {
                             self.remove_socket(*conn);
                             self.closed.push((*conn, CloseReason::ConnectionLost));
@@ -215,15 +217,15 @@
                             _ => Stage::Flushing,
                         };
                         self.unflushed.push(*conn);
-                        let until =
+                        let deadline =
                             Timestamp::from_micros(self.start.elapsed().as_micros() as i64) + LINGER_TIMEOUT;
-                        self.lingering.set(until, *conn);
+                        self.lingering.set(deadline, *conn);
                     }
                 }
                 Command::Reset { conn } => self.reset(*conn),
                 Command::Store { ticket, record } => match &mut self.store {
                     Some(store) => store.put(*ticket, record.clone()),
-                    None => error!("disk: cannot store a record: no journal is configured"),
+                    None => error!("disk: cannot store a record: no store is configured"),
                 },
                 Command::Stop => self.stopping = true,
             }
--- a/src/health.rs
+++ b/src/health.rs
@@ -9,10 +9,10 @@
 /// Health test: the probability of a wrong verdict, and the share of failed sends that counts as healthy.
 const ERROR_PROBABILITY: f64 = 0.002;
 const TOLERATED_FAILURES: f64 = 0.1;
-/// Initial and least in-flight limit of a host, summed over all routers.
+/// Initial and minimum in-flight limit of a host, summed over all routers.
 const INITIAL_LIMIT: f64 = 64.0;
 const MIN_LIMIT: f64 = 8.0;
-/// An answer beyond this share of its latency target reduces the limit.
+/// An acknowledgement that took more than this share of its latency target reduces the limit.
 const SLOW_RATIO: f64 = 0.9;
 /// Share of the overload multiple (`fall_multiple`) that a cold host may be sent.
 const SAFE_SHARE_OF_MULTIPLE: f64 = 0.7;
@@ -106,8 +106,8 @@
 
     pub fn apply_entry(&mut self, now: Timestamp, entry: HostEntry, debt: f64, settings: &RouterSettings) {
         // The id now names another host, which must not inherit the old one's position, role and health.
-        let another = self.listed && self.view.address_hash != entry.address_hash;
-        *self = if another { Host::new(settings) } else { std::mem::take(self) };
+        let is_new_host = self.listed && self.view.address_hash != entry.address_hash;
+        *self = if is_new_host { Host::new(settings) } else { std::mem::take(self) };
         // Keeps the newest start: an entry without one must not make a cold host look warm.
         let started = entry.started_at.max(self.started_at);
         if self.listed && started != self.started_at {
@@ -122,12 +122,12 @@
         let view = &mut self.view;
         (view.zone, view.size, view.address_hash, view.listed_primary) =
             (entry.zone, entry.size.max(0.01), entry.address_hash, entry.is_primary);
-        let gone = entry.availability == Availability::Gone;
-        let binds = self.draining || !settings.flag("removal_not_binding");
-        self.draining = entry.availability == Availability::Draining || gone && binds;
+        let is_gone = entry.availability == Availability::Gone;
+        let removal_binds = self.draining || !settings.flag("removal_not_binding");
+        self.draining = entry.availability == Availability::Draining || is_gone && removal_binds;
         view.available = !self.draining;
         if started.is_some_and(|at| now - at < settings.time_delta("cold")) && view.warmth >= 1.0 {
-            // The random debt keeps many small routers from all sending at once.
+            // The random debt keeps many routers with few ops from all sending to the cold host at once.
             (view.warmth, view.warmup_credit) = (settings.number_or("cold_from", 1.0), -debt);
         }
     }
@@ -140,33 +140,33 @@
         headroom: f64,
         settings: &RouterSettings,
     ) {
-        let (view, fall, cold) = (&mut self.view, settings.time_delta("fall"), settings.time_delta("cold"));
+        let (view, window, cold) = (&mut self.view, settings.time_delta("fall"), settings.time_delta("cold"));
         let secs = elapsed.as_secs_f64();
-        view.ack_rate += (self.acked_weight / secs.max(1e-6) - view.ack_rate) * (elapsed / fall).min(1.0);
+        view.ack_rate += (self.acked_weight / secs.max(1e-6) - view.ack_rate) * (elapsed / window).min(1.0);
         self.acked_weight = 0.0;
         let age = self.started_at.map_or(cold, |started| now - started);
-        let from = settings.number_or("cold_from", 1.0);
-        view.warmth = if age < cold { from + (1.0 - from) * (age / cold).max(0.0) } else { 1.0 };
+        let initial = settings.number_or("cold_from", 1.0);
+        view.warmth = if age < cold { initial + (1.0 - initial) * (age / cold).max(0.0) } else { 1.0 };
         // Credit of a cold host: its share of a warm host's rate, times a safe part of `fall_multiple`.
-        let safe = (settings.number_or("fall_multiple", 1.0) * SAFE_SHARE_OF_MULTIPLE).max(1.0);
+        let safe_multiple = (settings.number_or("fall_multiple", 1.0) * SAFE_SHARE_OF_MULTIPLE).max(1.0);
         let headroom = if view.latency_ratio.is_none_or(|ratio| ratio < FAST_RATIO) { headroom } else { 1.0 };
-        let allowed = safe * headroom * view.warmth * warm_rate * view.size;
-        view.warmup_credit = (view.warmup_credit + allowed * secs).min(allowed * fall.as_secs_f64() * 0.1);
+        let allowed = safe_multiple * headroom * view.warmth * warm_rate * view.size;
+        view.warmup_credit = (view.warmup_credit + allowed * secs).min(allowed * window.as_secs_f64() * 0.1);
         self.unanswered_weight *=
             1.0 - (elapsed / (settings.time_delta("connect_timeout") * RECOVERY_TIMEOUTS)).min(1.0);
         view.half_open = view.ejected && now >= self.ejected_until;
     }
 
-    /// Wald's sequential test of the tolerated failure share against the middle between that and 1.
+    /// Sequential probability ratio test: the tolerated failure share against the middle between it and 1.
     pub fn update_health(&mut self, now: Timestamp, failed: bool, settings: &RouterSettings) {
         let (healthy, unhealthy) = (TOLERATED_FAILURES, (1.0 + TOLERATED_FAILURES) / 2.0);
-        let odds = if failed { unhealthy / healthy } else { (1.0 - unhealthy) / (1.0 - healthy) };
-        let bound = ((1.0 - ERROR_PROBABILITY) / ERROR_PROBABILITY).ln();
-        self.evidence = (self.evidence + odds.ln()).clamp(0.0, bound);
-        if failed && self.evidence >= bound {
+        let likelihood_ratio = if failed { unhealthy / healthy } else { (1.0 - unhealthy) / (1.0 - healthy) };
+        let threshold = ((1.0 - ERROR_PROBABILITY) / ERROR_PROBABILITY).ln();
+        self.evidence = (self.evidence + likelihood_ratio.ln()).clamp(0.0, threshold);
+        if failed && self.evidence >= threshold {
             (self.view.ejected, self.view.half_open) = (true, false);
             self.ejected_until = now + settings.time_delta("connect_timeout") * RECOVERY_TIMEOUTS;
-        } else if self.view.ejected && self.evidence <= bound * 0.5 {
+        } else if self.view.ejected && self.evidence <= threshold * 0.5 {
             (self.view.ejected, self.view.half_open) = (false, false);
         }
     }
@@ -180,8 +180,8 @@
         if now >= self.next_reduction_at {
             // A router with a limit below 1 sees few outcomes, so that each counts for more.
             let factor = if self.view.limit > 1.0 { factor } else { factor * factor * factor };
-            let least = (MIN_LIMIT / settings.number_or("routers", 1.0)).min(1.0);
-            self.view.limit = (self.view.limit * factor).max(least);
+            let min_limit = (MIN_LIMIT / settings.number_or("routers", 1.0)).min(1.0);
+            self.view.limit = (self.view.limit * factor).max(min_limit);
             self.next_reduction_at = now + settings.time_delta("connect_timeout") * PERIOD_TIMEOUTS;
         }
     }
@@ -217,7 +217,7 @@
         }
     }
 
-    /// The newest role counts, the later one of two with the same time.
+    /// Keeps the role with the newest time; of two with the same time, the one received later.
     pub fn set_status(&mut self, now: Timestamp, status: HostStatus, as_of: Timestamp) {
         if let Some(position) = status.position {
             self.view.position = self.view.position.max(position);
--- a/src/pressure.rs
+++ b/src/pressure.rs
@@ -15,33 +15,33 @@
 /// Headroom beyond the acknowledged rate while at least three in four hosts answer fast.
 const MAX_EXTRA_HEADROOM: f64 = 0.5;
 /// Maintenance runs between two probes of members that are unlikely to be the next primary.
-const OTHERS_PROBE_PERIODS: f64 = 10.0;
+const RARE_PROBE_PERIODS: f64 = 10.0;
 /// Change of the share of writes that is shed, per connect timeout, while most replicas lag.
 const WRITE_SHED_INCREASE: f64 = 0.25;
 pub const MAX_SHED_SHARE: f64 = 0.9;
 /// A tenant's quota at a host: ops in flight beyond it while there is credit, and the bounds of that credit.
 const QUOTA_BURST_OPS: f64 = 1.0;
-const QUOTA_SAVING_SECS: f64 = 0.05;
-const QUOTA_DEBT_OP_SECS: f64 = 1.0;
+const MAX_QUOTA_CREDIT_SECS: f64 = 0.05;
+const MAX_QUOTA_DEBT_OP_SECS: f64 = 1.0;
 
 impl TenantQuota {
-    pub fn accrue(&mut self, now: Timestamp, running: f64) {
+    pub fn accrue(&mut self, now: Timestamp, in_flight: f64) {
         let elapsed_secs = (now - self.as_of).as_secs_f64();
-        let credit = self.credit + (self.max_in_flight - running) * elapsed_secs;
-        self.credit = credit.clamp(-QUOTA_DEBT_OP_SECS, self.max_in_flight * QUOTA_SAVING_SECS);
+        let credit = self.credit + (self.max_in_flight - in_flight) * elapsed_secs;
+        self.credit = credit.clamp(-MAX_QUOTA_DEBT_OP_SECS, self.max_in_flight * MAX_QUOTA_CREDIT_SECS);
         self.as_of = now;
     }
 }
 
 impl Dispatcher {
-    /// Sheds more reads while most hosts are slow: they would work on sends whose clients have given up.
+    /// Sheds more reads while most hosts are slow, which would run sends whose clients have given up.
     pub fn adjust_read_shedding(&mut self, group: GroupId, outcome: Outcome, latency_ratio: f64) {
         let acked = outcome == Outcome::Acked;
         let is_sample = acked || matches!(outcome, Outcome::TimedOut | Outcome::Overloaded);
         let Some(group) = self.groups.get_mut(&group).filter(|_| is_sample) else { return };
         let slow = (FAST_RATIO + 1.0) * 0.5;
-        let own = group.members.iter().filter(|host| !group.primary_only.contains(host));
-        let views = own.map(|host| &self.host_views[host.0 as usize]);
+        let regular = group.members.iter().filter(|host| !group.primary_only.contains(host));
+        let views = regular.map(|host| &self.host_views[host.0 as usize]);
         let ratios = views.filter(|view| view.available).filter_map(|view| view.latency_ratio);
         let (all, above) = (ratios.clone().count(), ratios.filter(|&ratio| ratio > slow).count());
         if (latency_ratio > slow || !acked) && above * 2 > all {
@@ -66,8 +66,8 @@
         let scarcity = 1.0 - self.warm_rate * window_secs / self.mean_weight();
         let ratios = self.host_views.iter().filter(|v| v.available).filter_map(|view| view.latency_ratio);
         let (all, fast) = (ratios.clone().count(), ratios.filter(|&ratio| ratio < FAST_RATIO).count());
-        let spare = (2.0 * fast as f64 / all.max(1) as f64 - 1.0).clamp(0.0, MAX_EXTRA_HEADROOM);
-        let headroom = 1.0 + spare * scarcity.clamp(0.0, 1.0);
+        let extra = (2.0 * fast as f64 / all.max(1) as f64 - 1.0).clamp(0.0, MAX_EXTRA_HEADROOM);
+        let headroom = 1.0 + extra * scarcity.clamp(0.0, 1.0);
         let rate = self.warm_rate;
         self.host_ids().for_each(|id| queues.hosts.push(id, HostEvent::Maintain(elapsed, rate, headroom)));
         // Sheds writes while bounded reads have no host, but not where long reads cause the replicas' lag.
@@ -89,7 +89,7 @@
             // After one round only the most advanced member is probed often: it is the likely next primary.
             let usable = group.members.iter().copied().filter(|&host| self.view(host).is_usable());
             let most_advanced = usable.max_by_key(|&host| self.view(host).position);
-            let gap = |host: HostId| if Some(host) == most_advanced { 2.0 } else { OTHERS_PROBE_PERIODS };
+            let gap = |host: HostId| if Some(host) == most_advanced { 2.0 } else { RARE_PROBE_PERIODS };
             let due = |host: &HostId| {
                 let (at, waited) = (self.view(*host).probed_at, now - self.view(*host).probed_at);
                 waited >= period * gap(*host) || waited >= period * 2.0 && at <= group.primary_seen_at.get()
@@ -99,10 +99,10 @@
     }
 
     pub fn set_tenant_limit(&mut self, host: HostId, tenant: TenantId, max_in_flight: Option<f64>) {
-        let (running, now) = (self.in_flight_ops(host, tenant), self.now);
+        let (in_flight, now) = (self.in_flight_ops(host, tenant), self.now);
         match (max_in_flight, self.quotas.get_mut(&(host, tenant))) {
             (Some(max_in_flight), Some(quota)) => {
-                quota.accrue(now, running);
+                quota.accrue(now, in_flight);
                 quota.max_in_flight = max_in_flight;
             }
             (Some(max_in_flight), None) => {
@@ -119,19 +119,19 @@
     pub fn has_quota(&self, op: &Op, host: HostId) -> bool {
         let Some(tenant) = op.request.tenant.filter(|_| !self.quotas.is_empty()) else { return true };
         let Some(mut quota) = self.quotas.get(&(host, tenant)).copied() else { return true };
-        let running = self.in_flight_ops(host, tenant);
-        quota.accrue(self.now, running);
-        running + 1.0 <= quota.max_in_flight
-            || running < quota.max_in_flight + QUOTA_BURST_OPS && quota.credit >= 0.0
+        let in_flight = self.in_flight_ops(host, tenant);
+        quota.accrue(self.now, in_flight);
+        in_flight + 1.0 <= quota.max_in_flight
+            || in_flight < quota.max_in_flight + QUOTA_BURST_OPS && quota.credit >= 0.0
     }
 
     pub fn count_tenant_op(&mut self, tenant: Option<TenantId>, host: HostId, ended: bool) {
         let Some(tenant) = tenant.filter(|_| self.settings.flag("tenants_held")) else { return };
         let (before, now) = (self.in_flight_ops(host, tenant), self.now);
         self.quotas.get_mut(&(host, tenant)).into_iter().for_each(|quota| quota.accrue(now, before));
-        let running = self.tenant_in_flight.entry((host, tenant)).or_default();
-        *running = if ended { running.saturating_sub(1) } else { *running + 1 };
-        if *running == 0 {
+        let in_flight = self.tenant_in_flight.entry((host, tenant)).or_default();
+        *in_flight = if ended { in_flight.saturating_sub(1) } else { *in_flight + 1 };
+        if *in_flight == 0 {
             self.tenant_in_flight.remove(&(host, tenant));
         }
     }
--- a/src/sending.rs
+++ b/src/sending.rs
@@ -37,7 +37,7 @@
         queues.ops.push_back(slot);
     }
 
-    /// The time until which an answer has value and still reaches the client before its deadline.
+    /// The latest time at which an answer is still of value and reaches the client before its deadline.
     pub fn send_deadline(&self, op: &Op) -> Timestamp {
         let (op_type, tick) = (self.op_type(op), self.settings.time_delta("tick"));
         let target = op.arrived_at + op_type.latency_target - tick * 2.0;
@@ -111,11 +111,11 @@
         }
     }
 
-    /// Whether the op's wait for a host ends before the next tick, and nothing of it ever ran.
+    /// Whether the op's wait for a host ends before the next tick and no send of it can have run.
     pub fn max_wait_elapsed(&self, op: &Op) -> bool {
-        let wait = self.settings.number_or("held", 0.0);
-        let until = op.arrived_at + self.op_type(op).latency_target * wait;
-        wait > 0.0 && self.now + self.settings.time_delta("tick") > until && op.sends.may_have_run().is_none()
+        let ratio = self.settings.number_or("held", 0.0);
+        let end = op.arrived_at + self.op_type(op).latency_target * ratio;
+        ratio > 0.0 && self.now + self.settings.time_delta("tick") > end && op.sends.may_have_run().is_none()
     }
 
     /// Exponential backoff between sends of an op: hosts that fail at once would cause a storm of retries.
@@ -133,8 +133,8 @@
             *retries = retries.saturating_sub(1);
         }
         op.sends.begin(host, self.now);
-        for (row, (_, used)) in self.tenants.iter_mut().enumerate() {
-            let is_sender = op.request.tenant.is_some_and(|tenant| tenant.0 as usize == row);
+        for (index, (_, used)) in self.tenants.iter_mut().enumerate() {
+            let is_sender = op.request.tenant.is_some_and(|tenant| tenant.0 as usize == index);
             *used = *used * 0.99 + f64::from(is_sender);
         }
         let (tenant, op) = (op.request.tenant, op.request.op);
@@ -144,16 +144,16 @@
     }
 
     pub fn is_over_share(&self, request: &OpRequest) -> bool {
-        let row = request.tenant.and_then(|tenant| self.tenants.get(tenant.0 as usize));
-        let all: f64 = self.tenants.iter().map(|(_, used)| used).sum();
-        row.is_some_and(|(share, used)| *used > all * share * OVER_SHARE_FACTOR)
+        let usage = request.tenant.and_then(|tenant| self.tenants.get(tenant.0 as usize));
+        let total: f64 = self.tenants.iter().map(|(_, used)| used).sum();
+        usage.is_some_and(|(share, used)| *used > total * share * OVER_SHARE_FACTOR)
     }
 
     pub fn priority(&self, op: &Op) -> f64 {
         let op_type = self.op_type(op);
-        let over = self.is_over_share(&op.request);
+        let is_over_share = self.is_over_share(&op.request);
         let late = if self.now > op.arrived_at + op_type.latency_target { op_type.late_value } else { 1.0 };
-        let share_factor = if over { self.settings.number_or("over_share_value", 1.0) } else { 1.0 };
+        let share_factor = if is_over_share { self.settings.number_or("over_share_value", 1.0) } else { 1.0 };
         op_type.value / self.weight(op_type) * late * share_factor
     }
 
@@ -175,11 +175,11 @@
     pub fn finish(&mut self, slot: usize, queues: &mut Queues) {
         self.waiting.retain(|&waiting| waiting != slot);
         let op = &mut self.ops[slot];
-        let first = !std::mem::replace(&mut op.finished, true);
+        let newly_finished = !std::mem::replace(&mut op.finished, true);
         if !op.sends.is_pending() {
             let op = self.ops.remove(slot);
             self.op_slots.remove(&op.request.op);
-        } else if first && self.settings.flag("cancel") {
+        } else if newly_finished && self.settings.flag("cancel") {
             let cancels = op.sends.in_flight().map(|(send, _)| Action::Cancel { op: op.request.op, send });
             queues.actions.extend(cancels);
         }
