--- a/crates/arrowyard-core/src/admission.rs
+++ b/crates/arrowyard-core/src/admission.rs
@@ -97,7 +97,8 @@
     /// Admits a request that arrived at `arrived`.
     ///
     /// # Errors
-    /// `Reply::Refused` if the request is invalid, `Reply::Busy` if the ops or bytes in flight reach the limit.
+    /// `Reply::Refused` if the request is invalid, `Reply::Busy` if the ops or bytes in flight reach the
+    /// limit.
     pub fn admit<A>(
         &self,
         client_request: ClientRequest<'_>,
--- a/crates/arrowyard-core/src/cell_scheduler.rs
+++ b/crates/arrowyard-core/src/cell_scheduler.rs
@@ -1,5 +1,6 @@
-//! Cells in the route stage: assigns each op to its cell, schedules messages fairly over the cells, and keeps the ops
-//! that wait for a tenant move. The decisions are those of `arrowyard-cells` and the decision module.
+//! Cells in the route stage: assigns each op to its cell, schedules messages fairly over the cells, and
+//! keeps the ops that wait for a tenant move. The decisions are those of `arrowyard-cells` and the decision
+//! module.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -96,7 +97,8 @@
         self.cells.index()
     }
 
-    /// Assigns the op to its cell and asks for admission there; `payload` is returned now or, if queued, by `tick`.
+    /// Assigns the op to its cell and asks for admission there; `payload` is returned now or, if queued, by
+    /// `tick`.
     pub fn admit(
         &mut self,
         now: Timestamp,
--- a/crates/arrowyard-core/src/clock.rs
+++ b/crates/arrowyard-core/src/clock.rs
@@ -19,8 +19,8 @@
 pub struct Clock {
     started: Instant,
     unix: Timestamp,
-    /// The sum of the forward steps that were followed, in microseconds. Never freed, since copies of the clock live on
-    /// other threads.
+    /// The sum of the forward steps that were followed, in microseconds. Never freed, since copies of the
+    /// clock live on other threads.
     stepped_us: &'static AtomicI64,
 }
 
@@ -42,8 +42,9 @@
         TimeDelta::from_micros(self.stepped_us.load(Relaxed))
     }
 
-    /// Follows a small forward step of the system clock and returns its size. Hosts' clocks step as well; a router that
-    /// stays behind would reject their positions as in the future and send all reads to the primaries.
+    /// Follows a small forward step of the system clock and returns its size. Hosts' clocks step as well; a
+    /// router that stays behind would reject their positions as in the future and send all reads to the
+    /// primaries.
     pub fn apply_forward_step(&self, system_now: Timestamp) -> Option<TimeDelta> {
         let step = system_now - self.now();
         (MIN_FORWARD_STEP < step && step <= MAX_FORWARD_STEP).then(|| {
@@ -64,8 +65,8 @@
     Duration::from_micros(span.micros().clamp(0, 86_400_000_000) as u64)
 }
 
-/// Detects stalls of the core's thread. Requests that arrived during a stall are read only after it, and their deadlines
-/// must not start then.
+/// Detects stalls of the core's thread. Requests that arrived during a stall are read only after it, and
+/// their deadlines must not start then.
 pub struct StallDetector {
     clock: Clock,
     interval: Duration,
@@ -93,7 +94,8 @@
         self.before.set(self.last.replace(self.clock.now()));
     }
 
-    /// The earliest time at which data that is read now can have arrived: now, or the tick before a recent stall.
+    /// The earliest time at which data that is read now can have arrived: now, or the tick before a recent
+    /// stall.
     pub fn earliest_arrival(&self) -> Timestamp {
         let (now, last, before) = (self.clock.now(), self.last.get(), self.before.get());
         let stalled = |from: Timestamp, to: Timestamp| duration(to - from) > self.interval * 4;
--- a/crates/arrowyard-core/src/discovery.rs
+++ b/crates/arrowyard-core/src/discovery.rs
@@ -1,4 +1,5 @@
-//! The discovery client: a long-running watch of the host list, full lists on request, and a report of each failure.
+//! The discovery client: a long-running watch of the host list, full lists on request, and a report of each
+//! failure.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -77,8 +78,9 @@
                 DiscoveryCommand::Watch(true) => watch = Some(self.start_call(true, None)),
                 DiscoveryCommand::Watch(false) => drop(watch.take()),
                 DiscoveryCommand::SetAddress(address) if address == self.address => {}
-                // The old address may stop sending updates at any time. The watch moves at once and continues after the
-                // last version; with pacing, the old watch stays until the new call starts.
+                // The old address may stop sending updates at any time. The watch moves at once and
+                // continues after the last version; with pacing, the old watch stays until the new call
+                // starts.
                 DiscoveryCommand::SetAddress(address) => {
                     self.address = address;
                     self.reconnect.iter().for_each(|policy| policy.borrow_mut().credence.address_changed());
--- a/crates/arrowyard-core/src/drain.rs
+++ b/crates/arrowyard-core/src/drain.rs
@@ -1,4 +1,5 @@
-//! Graceful shutdown: the router accepts connections for a grace period, then closes idle ones and finishes its ops.
+//! Graceful shutdown: the router accepts connections for a grace period, then closes idle ones and finishes
+//! its ops.
 
 use std::cell::Cell;
 use std::io;
@@ -14,7 +15,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     Serving,
-    /// A termination signal came; connections are still accepted, since clients may not know of it yet. Leases are given back.
+    /// A termination signal came; connections are still accepted, since clients may not know of it yet.
+    /// Leases are given back.
     Draining,
     /// No new connections are accepted, and open ones are closed between ops.
     Closing,
--- a/crates/arrowyard-core/src/hints.rs
+++ b/crates/arrowyard-core/src/hints.rs
@@ -1,5 +1,5 @@
-//! Hints from other routers that a host is draining. They make a router whose watch of the host list is stale fetch
-//! the list, and, while the list is unavailable, close few of the hinted hosts. No I/O.
+//! Hints from other routers that a host is draining. They make a router whose watch of the host list is
+//! stale fetch the list, and, while the list is unavailable, close few of the hinted hosts. No I/O.
 
 use std::collections::BTreeMap;
 
@@ -34,8 +34,8 @@
 /// At most one ready host in this number is closed because of hints.
 const CLOSED_HOSTS_DIVISOR: usize = 4;
 
-/// How often a host that is no longer ready is announced. Each announcement goes to randomly chosen routers; several
-/// are needed so that a router without discovery receives `MIN_REPORTERS` reports.
+/// How often a host that is no longer ready is announced. Each announcement goes to randomly chosen routers;
+/// several are needed so that a router without discovery receives `MIN_REPORTERS` reports.
 const ANNOUNCEMENTS: u8 = 4;
 
 /// Reports of other routers on one host.
@@ -57,12 +57,14 @@
     fetched_at: Timestamp,
     /// Hosts closed because of hints since the last list.
     closed: usize,
-    /// Hosts that the own list no longer has as ready: the time of the next announcement and how many are left.
+    /// Hosts that the own list no longer has as ready: the time of the next announcement and how many are
+    /// left.
     announcements: BTreeMap<u32, (Timestamp, u8)>,
 }
 
 impl Hints {
-    /// `confirmation_timeout` is how long the own watch may take to confirm a hint, `fetch_interval` the minimum interval between two fetches.
+    /// `confirmation_timeout` is how long the own watch may take to confirm a hint, `fetch_interval` the
+    /// minimum interval between two fetches.
     #[must_use]
     pub fn new(confirmation_timeout: TimeDelta, fetch_interval: TimeDelta) -> Hints {
         Hints {
@@ -114,8 +116,8 @@
         self.closed = 0;
     }
 
-    /// Whether to fetch the list now: a hinted host is still ready in the own list after the confirmation timeout. It and the minimum
-    /// interval keep the routers from all fetching at once when a host drains.
+    /// Whether to fetch the list now: a hinted host is still ready in the own list after the confirmation
+    /// timeout. It and the minimum interval keep the routers from all fetching at once when a host drains.
     pub fn should_fetch(&mut self, now: Timestamp, holds_ready: impl Fn(u32) -> bool) -> bool {
         let mut unconfirmed = false;
         self.hosts.retain(|address_hash, hint| {
@@ -133,9 +135,9 @@
         fetch
     }
 
-    /// Hosts to close because of hints: the list was fetched because of them and did not arrive, and at least `MIN_REPORTERS`
-    /// routers reported them. At most a quarter of the ready hosts are closed until a list arrives, so that faulty routers
-    /// cannot close all hosts of another one.
+    /// Hosts to close because of hints: the list was fetched because of them and did not arrive, and at
+    /// least `MIN_REPORTERS` routers reported them. At most a quarter of the ready hosts are closed until a
+    /// list arrives, so that faulty routers cannot close all hosts of another one.
     pub fn hosts_to_close(
         &mut self,
         now: Timestamp,
--- a/crates/arrowyard-core/src/http.rs
+++ b/crates/arrowyard-core/src/http.rs
@@ -1,4 +1,5 @@
-//! A minimal HTTP/1.1 client for discovery: one GET per connection; bodies with a length, chunked or until the end.
+//! A minimal HTTP/1.1 client for discovery: one GET per connection; bodies with a length, chunked or until
+//! the end.
 
 use bytes::{Buf, BytesMut};
 
@@ -27,7 +28,8 @@
     format!("GET {path} HTTP/1.1\r\nHost: {authority}\r\nAccept: application/json\r\n\r\n")
 }
 
-/// Removes a line from the received bytes and returns it without its end; an error if it exceeds `max_bytes`.
+/// Removes a line from the received bytes and returns it without its end; an error if it exceeds
+/// `max_bytes`.
 pub fn line(received: &mut BytesMut, max_bytes: usize) -> Result<Option<BytesMut>, String> {
     match received.iter().position(|&byte| byte == b'\n') {
         Some(end) if end <= max_bytes => {
--- a/crates/arrowyard-core/src/leases.rs
+++ b/crates/arrowyard-core/src/leases.rs
@@ -1,5 +1,5 @@
-//! The lease task: connects the decisions of `arrowyard-leases` to a UDP socket, stores votes before they are sent, and
-//! performs the duties under a lease.
+//! The lease task: connects the decisions of `arrowyard-leases` to a UDP socket, stores votes before they
+//! are sent, and performs the duties under a lease.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -49,8 +49,8 @@
 /// The status by which a receiver rejects an act with an outdated epoch.
 const STALE_EPOCH_STATUS: u16 = 409;
 
-/// The clock for leases. It continues while the machine is suspended; otherwise a holder could believe that it holds a
-/// lease that the voters have granted to another one.
+/// The clock for leases. It continues while the machine is suspended; otherwise a holder could believe that
+/// it holds a lease that the voters have granted to another one.
 #[derive(Clone, Copy, Debug)]
 struct LeaseClock {
     /// An artificial drift for tests, in parts per million.
@@ -108,7 +108,8 @@
     writes: Rc<Cell<u64>>,
     stage: &'static str,
     drifts: HashMap<VoterId, i64>,
-    /// Whether no further act starts, whether the router is eligible, and who waits for the release of all leases.
+    /// Whether no further act starts, whether the router is eligible, and who waits for the release of all
+    /// leases.
     is_stopped: bool,
     fit: bool,
     release_waiter: Option<oneshot::Sender<()>>,
@@ -118,7 +119,8 @@
     folder.join("votes")
 }
 
-/// The voter's stored snapshot; `None` if there is none or it is unusable, in which case its grants are unknown.
+/// The voter's stored snapshot; `None` if there is none or it is unusable, in which case its grants are
+/// unknown.
 async fn load(folder: PathBuf, group: u64, name: String) -> Option<VoterSnapshot> {
     let reading = spawn_blocking(move || {
         let _ = std::fs::create_dir_all(&folder);
@@ -205,7 +207,8 @@
             let next = self.next();
             tokio::select! {
                 biased;
-                // Timers go first, so that datagrams queued during a halt of the process are not taken as current.
+                // Timers go first, so that datagrams queued during a halt of the process are not taken as
+                // current.
                 () = sleep_until(next) => self.tick(),
                 command = self.commands.recv() => match command {
                     Some(command) => self.command(command),
@@ -290,7 +293,8 @@
 
     /// Sends messages, stores votes and logs events.
     fn carry_out(&mut self) {
-        // Each round delivers messages of this router to itself: a candidate's request, the voter's response and so on.
+        // Each round delivers messages of this router to itself: a candidate's request, the voter's response
+        // and so on.
         for _ in 0..4 {
             let mut words = std::mem::take(&mut self.candidate.outbox);
             if let Some(voter) = &mut self.voter {
@@ -455,8 +459,9 @@
         }
     }
 
-    /// Releases leases once no act is in progress. A started act may continue at its receiver after its call is cancelled
-    /// here and would overlap with the next holder's act. An act's time limit is less than half of a term.
+    /// Releases leases once no act is in progress. A started act may continue at its receiver after its call
+    /// is cancelled here and would overlap with the next holder's act. An act's time limit is less than half
+    /// of a term.
     fn release_if_idle(&mut self) {
         if self.doing.iter().any(|one| one.acting) {
             return;
@@ -499,12 +504,13 @@
     }
 }
 
-/// One act: an HTTP call with the lease, its epoch and its remaining time. Returns the status of the response.
+/// One act: an HTTP call with the lease, its epoch and its remaining time. Returns the status of the
+/// response.
 async fn perform_act(duty: &Duty, permit: Permit, clock: LeaseClock) -> Result<u16, String> {
     let failed = |error: std::io::Error| error.to_string();
     let mut stream = TcpStream::connect(duty.address).await.map_err(failed)?;
-    // Checked after connecting, which may take long. From here on only the receiver's check of the epoch detects that the
-    // lease has ended.
+    // Checked after connecting, which may take long. From here on only the receiver's check of the epoch
+    // detects that the lease has ended.
     let now = clock.now();
     if !permit.allows(now, TimeDelta::ZERO) {
         return Err("the lease ended before the act began".to_string());
--- a/crates/arrowyard-core/src/lib.rs
+++ b/crates/arrowyard-core/src/lib.rs
@@ -1,7 +1,9 @@
-//! The protocol-independent pipeline of an op, on one thread, and the tasks beside it. A front end decodes client input
-//! into a [`ClientRequest`], has it admitted by the [`AdmissionController`](admission::AdmissionController) and sends it
-//! as a [`RouteMessage`](messages::RouteMessage) with an opaque payload and a channel for its one final [`Reply`]. The
-//! route task asks the decision module where the op goes, and a [`HostTransport`] carries out each send.
+//! The protocol-independent pipeline of an op, on one thread, and the tasks beside it. A front end decodes
+//! client input into a [`ClientRequest`], has it admitted by the
+//! [`AdmissionController`](admission::AdmissionController) and sends it as a
+//! [`RouteMessage`](messages::RouteMessage) with an opaque payload and a channel for its one final
+//! [`Reply`]. The route task asks the decision module where the op goes, and a [`HostTransport`] carries out
+//! each send.
 
 pub mod admission;
 pub mod cell_scheduler;
--- a/crates/arrowyard-core/src/limits.rs
+++ b/crates/arrowyard-core/src/limits.rs
@@ -49,7 +49,8 @@
     pub client_write_timeout: Duration,
     /// How long input is still read from a client whose connection is being closed.
     pub linger_timeout: Duration,
-    /// How long discovery may take for a full list, and how long a watch may stay silent; it sends a line every 2 s.
+    /// How long discovery may take for a full list, and how long a watch may stay silent; it sends a line
+    /// every 2 s.
     pub list_fetch_timeout: Duration,
     pub watch_idle_timeout: Duration,
     /// How long a draining router accepts connections, and how long its last ops may take.
@@ -96,8 +97,8 @@
         let longest = OpType::rows(settings).iter().map(|row| row.op_timeout).max().unwrap_or_default();
         let last = duration(longest.max(TimeDelta::from_millis(3000)));
         Limits {
-            // Clients hold connections up to a third of this router's descriptors. This limit is lower, so that idle
-            // connections don't use up all that they have.
+            // Clients hold connections up to a third of this router's descriptors. This limit is lower, so
+            // that idle connections don't use up all that they have.
             max_client_connections: (sockets * 9 / 32).max(1),
             max_rejected_connections: sockets / 16,
             max_host_connections: sockets * 13 / 32,
@@ -106,7 +107,8 @@
             max_statement_bytes: config.memory_mb * 1024 * 1024 / 4,
             queue_capacity: 1024,
             max_client_message_bytes: message,
-            // Hosts' values may exceed the size of a client's message; only this router's memory limits them.
+            // Hosts' values may exceed the size of a client's message; only this router's memory limits
+            // them.
             max_host_message_bytes: (config.memory_mb * 1024 * 1024 / 16).max(message),
             max_control_message_bytes: 16 * 1024,
             max_large_answer_bytes: config.memory_mb * 1024 * 1024 / 4,
@@ -118,7 +120,8 @@
             connect_timeout: time_or_default("connect_timeout"),
             host_idle_timeout: time_or_default("idle_close").mul_f64(0.8),
             ready_timeout: duration(settings.time_delta("tick").max(TimeDelta::from_millis(1))),
-            // A connection without an open op may be closed after 2 s, and an unused one must be closed within 3 s.
+            // A connection without an open op may be closed after 2 s, and an unused one must be closed
+            // within 3 s.
             client_message_timeout: Duration::from_millis(2300),
             client_write_timeout: Duration::from_secs(2),
             linger_timeout: Duration::from_millis(200),
@@ -141,7 +144,8 @@
         }
     }
 
-    /// The capacity that cells share. Each op in flight holds a client connection, which limits their number.
+    /// The capacity that cells share. Each op in flight holds a client connection, which limits their
+    /// number.
     pub fn cell_capacity(&self) -> Capacity {
         let ops = self.max_ops.min(self.max_client_connections * 7 / 8).max(1);
         // The host connections that ops in flight cannot use.
--- a/crates/arrowyard-core/src/logger.rs
+++ b/crates/arrowyard-core/src/logger.rs
@@ -1,5 +1,5 @@
-//! Structured logs: one line per event on standard error, as text or JSON, with a rate limit. Common field names are op,
-//! host, group, tenant, cell, send and outcome.
+//! Structured logs: one line per event on standard error, as text or JSON, with a rate limit. Common field
+//! names are op, host, group, tenant, cell, send and outcome.
 
 use std::fmt::Write as _;
 use std::io::Write as _;
--- a/crates/arrowyard-core/src/op_table.rs
+++ b/crates/arrowyard-core/src/op_table.rs
@@ -63,8 +63,8 @@
         self.ops.len()
     }
 
-    /// Starts a send: its index, the payload and its cancellation signal, which is already set if the op was answered.
-    /// `None` if the op is unknown.
+    /// Starts a send: its index, the payload and its cancellation signal, which is already set if the op was
+    /// answered. `None` if the op is unknown.
     pub fn start_send(&mut self, op: OpId) -> Option<(SendIndex, Rc<P>, oneshot::Receiver<()>)> {
         let op_entry = self.ops.get_mut(&op)?;
         let (cancel, cancelled) = oneshot::channel();
@@ -91,8 +91,9 @@
         self.ops.get_mut(&op)?.sends.get_mut(send.0 as usize)
     }
 
-    /// Records the end of a send and completes the op with the first acknowledged answer. Returns whether the op is
-    /// answered, or `None` if the end was recorded before: the decision module must see each end once.
+    /// Records the end of a send and completes the op with the first acknowledged answer. Returns whether
+    /// the op is answered, or `None` if the end was recorded before: the decision module must see each end
+    /// once.
     pub fn end_send(
         &mut self,
         op: OpId,
@@ -111,8 +112,8 @@
         Some(over)
     }
 
-    /// Completes the op with an answer that is still being received. If the op was already answered, the answer is
-    /// dropped, which ends its send.
+    /// Completes the op with an answer that is still being received. If the op was already answered, the
+    /// answer is dropped, which ends its send.
     pub fn begin_answer(&mut self, op: OpId, answer: A) {
         self.complete(op, Reply::Acked(answer));
     }
--- a/crates/arrowyard-core/src/peers.rs
+++ b/crates/arrowyard-core/src/peers.rs
@@ -1,5 +1,5 @@
-//! The fleet membership task: connects the decisions of `arrowyard-peers` to a UDP socket and to the other tasks. It is
-//! started only if the operator's file configures a fleet.
+//! The fleet membership task: connects the decisions of `arrowyard-peers` to a UDP socket and to the other
+//! tasks. It is started only if the operator's file configures a fleet.
 
 use std::collections::HashMap;
 use std::io;
@@ -45,7 +45,8 @@
 const MIN_UNSERVED_OPS: u64 = 8;
 const UNSERVED_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Microseconds of the machine's monotonic clock, which is the same for all processes, so that their logs can be merged.
+/// Microseconds of the machine's monotonic clock, which is the same for all processes, so that their logs
+/// can be merged.
 #[must_use]
 pub fn mono_us() -> i64 {
     let now = clock_gettime(ClockId::Monotonic);
@@ -60,7 +61,8 @@
 }
 
 impl ServiceMonitor {
-    /// Whether no op is served: many were taken since the last acknowledgement, or the route task does not answer.
+    /// Whether no op is served: many were taken since the last acknowledgement, or the route task does not
+    /// answer.
     fn idle(&mut self, told: Option<(u64, u64)>) -> bool {
         let Some((taken, acked)) = told else { return true };
         if acked > self.acked || taken < self.taken + MIN_UNSERVED_OPS {
@@ -146,7 +148,8 @@
             let next = self.clock.instant_at(self.fleet.next_deadline());
             tokio::select! {
                 biased;
-                // Timers go first, so that datagrams queued during a halt of the process are not taken as current.
+                // Timers go first, so that datagrams queued during a halt of the process are not taken as
+                // current.
                 () = sleep_until(next) => self.fleet.tick(self.clock.now()),
                 command = self.commands.recv() => match command {
                     Some(command) => self.command(command),
--- a/crates/arrowyard-core/src/pool.rs
+++ b/crates/arrowyard-core/src/pool.rs
@@ -16,7 +16,8 @@
     /// Connects and authenticates.
     ///
     /// # Errors
-    /// The outcome of a send that was not written. `large` counts the bytes of large answers on all connections.
+    /// The outcome of a send that was not written. `large` counts the bytes of large answers on all
+    /// connections.
     fn connect(
         address: SocketAddr,
         count: UsageGuard,
@@ -89,8 +90,9 @@
         self.idle.borrow_mut().remove(&host);
     }
 
-    /// A send that started at `since` was not answered. If the host completed no command since, its idle connections are
-    /// closed: those to an unreachable machine stay open, and each send over them would time out and might have run.
+    /// A send that started at `since` was not answered. If the host completed no command since, its idle
+    /// connections are closed: those to an unreachable machine stay open, and each send over them would time
+    /// out and might have run.
     pub fn send_timed_out(&self, host: HostId, since: Instant) {
         if self.last_completed.borrow().get(&host).is_none_or(|last_completed| *last_completed < since) {
             self.close_idle(host);
@@ -104,7 +106,8 @@
         oldest.map(|connections| connections.remove(0)).is_some()
     }
 
-    /// Closes connections that were idle for too long, before the host does: a send that meets its close may have run.
+    /// Closes connections that were idle for too long, before the host does: a send that meets its close may
+    /// have run.
     pub fn close_expired(&self) {
         self.idle.borrow_mut().values_mut().for_each(|connections| connections.retain(L::is_reusable));
     }
--- a/crates/arrowyard-core/src/reload.rs
+++ b/crates/arrowyard-core/src/reload.rs
@@ -26,7 +26,8 @@
 }
 
 impl<B: HostTransport> ReloadTask<B> {
-    /// Handles signals until the router ends. Of the configuration file only discovery's address is reloaded.
+    /// Handles signals until the router ends. Of the configuration file only discovery's address is
+    /// reloaded.
     pub async fn run(self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
             match self.read().await {
--- a/crates/arrowyard-core/src/returns.rs
+++ b/crates/arrowyard-core/src/returns.rs
@@ -1,5 +1,5 @@
-//! Restart: reads the stored host list before the start, writes it while in service and logs the stages of the start.
-//! Decisions are made by `arrowyard-startup`; `arrowyard-store` reads and writes the files.
+//! Restart: reads the stored host list before the start, writes it while in service and logs the stages of
+//! the start. Decisions are made by `arrowyard-startup`; `arrowyard-store` reads and writes the files.
 
 use std::collections::HashMap;
 use std::path::Path;
@@ -29,8 +29,8 @@
     SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
 }
 
-/// A fingerprint of the deployment that a store belongs to: sites, op types and the hosts' domain settings. Tunable
-/// numbers are left out, since a changed latency target does not make another deployment.
+/// A fingerprint of the deployment that a store belongs to: sites, op types and the hosts' domain settings.
+/// Tunable numbers are left out, since a changed latency target does not make another deployment.
 #[must_use]
 pub fn deployment_fingerprint(settings: &Map<String, Value>) -> u64 {
     let names = settings.get("grades").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
@@ -49,10 +49,11 @@
     }
 }
 
-/// The list to start with: the platform's list, extended by stored hosts that are discounted by age. Errors of the store
-/// are logged and ignored.
+/// The list to start with: the platform's list, extended by stored hosts that are discounted by age. Errors
+/// of the store are logged and ignored.
 ///
-/// Also returns the version of the stored list if it is used; lists of discovery with a lower version are older.
+/// Also returns the version of the stored list if it is used; lists of discovery with a lower version are
+/// older.
 pub async fn load_stored_list(
     comes: &StartupSettings,
     deployment: u64,
--- a/crates/arrowyard-core/src/roster.rs
+++ b/crates/arrowyard-core/src/roster.rs
@@ -30,7 +30,8 @@
     zones: HashMap<String, ZoneId>,
     /// By host: its name, its group in the lists, and its size before it is scaled by trust.
     list_values: Vec<(String, GroupId, f64)>,
-    /// The group ids that stand for a list's group within a cell. They count up from `i64::MIN`, which lists don't use.
+    /// The group ids that stand for a list's group within a cell. They count up from `i64::MIN`, which lists
+    /// don't use.
     cell_groups: HashMap<(GroupId, CellId), GroupId>,
     /// Address hashes of hosts that are no longer ready, since the last `take_not_ready`.
     not_ready: Vec<u32>,
@@ -68,7 +69,8 @@
         self.addresses.get(host.0 as usize).copied().flatten()
     }
 
-    /// Applies a list and returns the event for the decision module; a saved list is the last one before this start.
+    /// Applies a list and returns the event for the decision module; a saved list is the last one before
+    /// this start.
     pub fn apply_list(&mut self, list: &HostList, saved: bool) -> RouterEvent {
         let form = match (saved, list.is_full) {
             (true, _) => ListKind::Saved,
@@ -104,8 +106,8 @@
         present.map(|(entry, _)| line(entry)).collect()
     }
 
-    /// The id of the host that was removed first, for reuse, once none of its sends can be in flight. Reuse bounds the
-    /// memory of a router whose hosts are replaced again and again.
+    /// The id of the host that was removed first, for reuse, once none of its sends can be in flight. Reuse
+    /// bounds the memory of a router whose hosts are replaced again and again.
     fn reusable_id(&mut self) -> Option<HostId> {
         let (since, _) = self.removed.front()?;
         if since.elapsed() < self.limits.removed_host_retention {
@@ -121,8 +123,9 @@
         *self.cell_groups.entry((group, cell)).or_insert(next)
     }
 
-    /// Sets the memberships of the entries: full members in the host's own cells, primary only in the others. `trust`
-    /// gives the fraction of its size that a host of the cell with this start time is trusted with.
+    /// Sets the memberships of the entries: full members in the host's own cells, primary only in the
+    /// others. `trust` gives the fraction of its size that a host of the cell with this start time is
+    /// trusted with.
     pub fn assign_cells(
         &mut self,
         entries: &mut [HostEntry],
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -101,8 +101,8 @@
     /// By op type: whether it writes, and whether it reads its session's own writes.
     writes: Vec<bool>,
     reads_session: Vec<bool>,
-    /// After a restart: the minimum position for session reads. A session may have written through this router before it
-    /// ended; all writes acknowledged then were committed before the start.
+    /// After a restart: the minimum position for session reads. A session may have written through this
+    /// router before it ended; all writes acknowledged then were committed before the start.
     min_position: Option<Timestamp>,
     /// Requested groups, up to a limit; their entries of a long list are applied first.
     requested_groups: HashSet<i64>,
@@ -262,13 +262,14 @@
         }
     }
 
-    /// The next event if cells are configured: a message that concerns no cell, a timer that is due, or the message of the
-    /// next cell. `None` once the channel is closed.
+    /// The next event if cells are configured: a message that concerns no cell, a timer that is due, or the
+    /// message of the next cell. `None` once the channel is closed.
     async fn next_cell_event(
         &mut self,
         inbox: &mut mpsc::Receiver<RouteMessage<B>>,
     ) -> Option<Option<RouterEvent>> {
-        // Sorts all received messages into their cells' queues first, so that one cell does not delay the others.
+        // Sorts all received messages into their cells' queues first, so that one cell does not delay the
+        // others.
         loop {
             match inbox.try_recv() {
                 Ok(mail) => {
@@ -419,7 +420,8 @@
         }
     }
 
-    /// Applies a list and returns its event. `saved` is true for the last list before this start, `None` for a slice.
+    /// Applies a list and returns its event. `saved` is true for the last list before this start, `None` for
+    /// a slice.
     fn apply_list(&mut self, list: &HostList, saved: Option<bool>) -> RouterEvent {
         let event = self.context.hosts.apply_list(list, saved == Some(true));
         self.book.counters.list_entries += list.entries.len() as u32;
@@ -720,8 +722,8 @@
         }
     }
 
-    /// The host's status without a position in the future. Positions never decrease, so a corrupted one in the future
-    /// would make stale data look fresh permanently.
+    /// The host's status without a position in the future. Positions never decrease, so a corrupted one in
+    /// the future would make stale data look fresh permanently.
     fn without_future_position(&self, status: HostStatus) -> HostStatus {
         let latest = self.context.clock.now() + self.context.limits.max_position_lead;
         let position = status.position.filter(|&position| position <= latest);
@@ -786,7 +788,8 @@
                     let (outcome, status) = match (dial, rejected_delay) {
                         (Some(dial), None) => back.probe(host, dial).await,
                         (_, rejected_delay) => {
-                            // The decision module retries at once, so a rejected probe takes as long as a lost one.
+                            // The decision module retries at once, so a rejected probe takes as long as a
+                            // lost one.
                             sleep_until(Instant::now() + rejected_delay.unwrap_or_default()).await;
                             (Outcome::NotSent, HostStatus::default())
                         }
--- a/crates/arrowyard-core/src/send.rs
+++ b/crates/arrowyard-core/src/send.rs
@@ -44,8 +44,9 @@
     }
 }
 
-/// Carries out a send until it ends, is cancelled or reaches its deadline. A send whose payload was not written
-/// completely never ran; after that it may have. `begun` receives an answer that begins before the send ends.
+/// Carries out a send until it ends, is cancelled or reaches its deadline. A send whose payload was not
+/// written completely never ran; after that it may have. `begun` receives an answer that begins before the
+/// send ends.
 pub async fn run<B: HostTransport>(
     mut request: SendRequest<B::Payload>,
     transport: &B,
--- a/crates/arrowyard-core/src/submission.rs
+++ b/crates/arrowyard-core/src/submission.rs
@@ -51,7 +51,8 @@
     /// Submits an op and waits for its final reply; dropping the future cancels the op.
     ///
     /// # Errors
-    /// `Full` at once if the queue is full, so that clients are not held past their deadline; `Stopped` if the router ended.
+    /// `Full` at once if the queue is full, so that clients are not held past their deadline; `Stopped` if
+    /// the router ended.
     pub async fn submit(&self, payload: P) -> Result<Reply<R>, SubmitError> {
         let (client, answer) = oneshot::channel();
         let errand = Submission { payload, arrived: self.clock.now(), client };
@@ -82,8 +83,9 @@
 }
 
 impl<B: HostTransport, P: 'static, R: 'static> OpIntake<B, P, R> {
-    /// Admits submissions until every submitter is dropped. `call` describes the payload's request, `load` converts it to
-    /// the transport's payload, and `lift` splits a host's answer into a part that is `Send` and retained resources.
+    /// Admits submissions until every submitter is dropped. `call` describes the payload's request, `load`
+    /// converts it to the transport's payload, and `lift` splits a host's answer into a part that is `Send`
+    /// and retained resources.
     pub async fn run(
         mut self,
         call: impl Fn(&P) -> ClientRequest<'_> + 'static,
--- a/crates/arrowyard-core/src/transport.rs
+++ b/crates/arrowyard-core/src/transport.rs
@@ -30,7 +30,8 @@
 }
 
 impl<A> Progress<A> {
-    /// The payload is written completely: before this call the op cannot have run, after it the op may have run.
+    /// The payload is written completely: before this call the op cannot have run, after it the op may have
+    /// run.
     pub fn mark_written(&self) {
         self.written.set(true);
     }
@@ -39,8 +40,8 @@
         self.written.get()
     }
 
-    /// Passes a streamed answer to the client before it is complete; the rest follows over a channel in the answer. This
-    /// completes the op, and the send continues until the transport ends it.
+    /// Passes a streamed answer to the client before it is complete; the rest follows over a channel in the
+    /// answer. This completes the op, and the send continues until the transport ends it.
     pub fn begin_answer(&self, answer: A) {
         self.begun_answer.set(Some(answer));
     }
@@ -60,8 +61,8 @@
     }
 }
 
-/// Carries sends and probes to hosts over one protocol. It makes no routing decisions; the core enforces deadlines by
-/// dropping the returned future.
+/// Carries sends and probes to hosts over one protocol. It makes no routing decisions; the core enforces
+/// deadlines by dropping the returned future.
 pub trait HostTransport: 'static {
     /// The request and the answer of the front end; both are opaque to the core.
     type Payload: 'static;
--- a/crates/arrowyard-operator-config/src/layout.rs
+++ b/crates/arrowyard-operator-config/src/layout.rs
@@ -38,8 +38,8 @@
     }
 }
 
-/// The layout of cells in a validated configuration; `None` if it has no cells. References to unknown cells, which
-/// validation rejects, are left out.
+/// The layout of cells in a validated configuration; `None` if it has no cells. References to unknown cells,
+/// which validation rejects, are left out.
 pub fn cell_layout(config: &schema::Yardbook) -> Option<Layout> {
     let section = config.cells.as_ref()?;
     let ids: std::collections::HashMap<&str, CellId> =
--- a/crates/arrowyard-operator-config/src/lib.rs
+++ b/crates/arrowyard-operator-config/src/lib.rs
@@ -1,5 +1,6 @@
-//! The operator's configuration file, in protobuf text format with the schema `proto/yardbook.proto`. An invalid file is
-//! rejected as a whole with all errors found, each with line, column, field and the expected value.
+//! The operator's configuration file, in protobuf text format with the schema `proto/yardbook.proto`. An
+//! invalid file is rejected as a whole with all errors found, each with line, column, field and the expected
+//! value.
 
 mod layout;
 mod positions;
@@ -78,7 +79,8 @@
 /// Loads a file.
 ///
 /// # Errors
-/// A report, one line per error with the file's name: the file cannot be read, is too large, is not text or is invalid.
+/// A report, one line per error with the file's name: the file cannot be read, is too large, is not text or
+/// is invalid.
 pub fn load(path: &Path) -> Result<Yardbook, String> {
     let name = path.display();
     let size = std::fs::metadata(path).map_err(|error| format!("{name}: {error}"))?.len();
--- a/crates/arrowyard-operator-config/src/scan.rs
+++ b/crates/arrowyard-operator-config/src/scan.rs
@@ -1,5 +1,5 @@
-//! Scans the text along the schema: records the position of each field and finds unknown names, repeated fields and
-//! values of the wrong kind. The parser library stops at the first error and keeps no positions.
+//! Scans the text along the schema: records the position of each field and finds unknown names, repeated
+//! fields and values of the wrong kind. The parser library stops at the first error and keeps no positions.
 
 use std::collections::HashMap;
 
--- a/crates/arrowyard-operator-config/src/validate.rs
+++ b/crates/arrowyard-operator-config/src/validate.rs
@@ -1,4 +1,5 @@
-//! Validates a parsed file: ranges of values, references to names, and rows that contradict each other. Finds all errors.
+//! Validates a parsed file: ranges of values, references to names, and rows that contradict each other.
+//! Finds all errors.
 
 use std::collections::HashMap;
 use std::net::{IpAddr, SocketAddr};
@@ -380,8 +381,8 @@
         }
     }
 
-    /// One prefix in two rows. One within another is no fault, the longest counts; of two sets that overlap, or a
-    /// set and an equal prefix, none is the longer.
+    /// One prefix in two rows. One within another is no fault, the longest counts; of two sets that overlap,
+    /// or a set and an equal prefix, none is the longer.
     fn prefixes(&mut self, nets: &[Net]) {
         let mut seen: HashMap<IpNet, usize> = HashMap::new();
         for (row, net) in nets.iter().enumerate() {
--- a/crates/arrowyard-platform-settings/src/lib.rs
+++ b/crates/arrowyard-platform-settings/src/lib.rs
@@ -1,5 +1,5 @@
-//! Translates the platform's settings object to `RouterSettings`. The simulator's first message and the router's
-//! configuration file contain the same object.
+//! Translates the platform's settings object to `RouterSettings`. The simulator's first message and the
+//! router's configuration file contain the same object.
 
 use arrowyard_types::{RouterSettings, SettingValue, TimeDelta as Time, Timestamp};
 use serde_json::{Map, Value};
@@ -12,7 +12,8 @@
 }
 use SettingKind::*;
 
-/// The path of a setting in the platform's object (`*`: each row of a list), its name in `RouterSettings` and its kind.
+/// The path of a setting in the platform's object (`*`: each row of a list), its name in `RouterSettings`
+/// and its kind.
 const SETTINGS: &[(&str, &str, SettingKind)] = &[
     ("balancers", "routers", Number),
     ("caps.cancel", "cancel", Flag),
