--- a/crates/arrowyard-control/src/control/feed.rs
+++ b/crates/arrowyard-control/src/control/feed.rs
@@ -86,7 +86,7 @@
                     Some(Payload::FeedAck(seen)) => {
                         router.last_heard_at = now;
                         router.seen = seen;
-                        if seen.lost {
+                        if seen.needs_snapshot {
                             self.send_snapshot(conn, commands);
                         }
                     }
@@ -104,7 +104,10 @@
 
     /// Whether a router has been silent for longer than its timeout.
     pub(super) fn is_router_silent(&self, now: Timestamp, conn: Conn) -> bool {
-        matches!(self.connections.get(&conn), Some(Connection::Router(router)) if now - router.last_heard_at >= ROUTER_TIMEOUT)
+        matches!(
+            self.connections.get(&conn),
+            Some(Connection::Router(router)) if now - router.last_heard_at >= ROUTER_TIMEOUT
+        )
     }
 
     /// Sends an update to every subscribed router, with the next number of each.
