--- a/crates/arrowyard-cells/src/admission.rs
+++ b/crates/arrowyard-cells/src/admission.rs
@@ -248,9 +248,9 @@
         let layout = layout.clone().aligned(&self.layout, |_| false);
         for tenant_move in self.moves.values() {
             let tenant = &tenant_move.config.tenant;
-            match layout.moves.iter().find(|row| row.tenant == *tenant) {
-                Some(row) => tenant_move
-                    .check_config(row)
+            match layout.moves.iter().find(|move_config| move_config.tenant == *tenant) {
+                Some(move_config) => tenant_move
+                    .check_config(move_config)
                     .map_err(|reason| LayoutError::Move(tenant.clone(), reason))?,
                 None if tenant_move.stage() == Stage::Open || tenant_move.config.step == Step::Cancelled => {}
                 // If the data stays in its group, the tenant's assignment replaces the finished move.
@@ -258,18 +258,20 @@
                 None => return Err(LayoutError::MoveMissing(tenant.clone())),
             }
         }
-        for row in layout.moves.iter().filter(|row| row.groups.is_some()) {
-            let existing = self.layout.moves.iter().find(|old| old.tenant == row.tenant);
-            let announced = existing.is_some_and(|old| old.fence_at == row.fence_at);
+        for move_config in layout.moves.iter().filter(|move_config| move_config.groups.is_some()) {
+            let existing = self.layout.moves.iter().find(|old| old.tenant == move_config.tenant);
+            let announced = existing.is_some_and(|old| old.fence_at == move_config.fence_at);
             let Some(lease) = self.layout.lease else {
                 // Without a lease, routers that miss the new layout would keep writing to the source
                 // forever.
-                let new = row.fence_at.is_some() && !announced;
-                return if new { Err(LayoutError::NoLease(row.tenant.clone())) } else { Ok(()) };
+                let new = move_config.fence_at.is_some() && !announced;
+                return if new { Err(LayoutError::NoLease(move_config.tenant.clone())) } else { Ok(()) };
             };
             // A router that misses the new layout keeps writing to the source until its lease ends.
-            if !announced && row.fence_at.is_some_and(|at| at < lease.expires_at + lease.max_clock_skew) {
-                return Err(LayoutError::FenceTooEarly(row.tenant.clone()));
+            if !announced
+                && move_config.fence_at.is_some_and(|at| at < lease.expires_at + lease.max_clock_skew)
+            {
+                return Err(LayoutError::FenceTooEarly(move_config.tenant.clone()));
             }
         }
         Ok(())
@@ -303,9 +305,10 @@
     fn rebuild_state(&mut self, now: Timestamp, old: Option<&Layout>) {
         let retry_budget_config = self.layout.retry_budget;
         let mut cells = std::mem::take(&mut self.cells).into_iter();
-        let states = self.layout.cells.iter().enumerate().map(|(id, row)| {
+        let states = self.layout.cells.iter().enumerate().map(|(id, cell_config)| {
             // State is kept only if the id still belongs to the cell of the same name.
-            let same = old.is_some_and(|old| old.cells.get(id).is_some_and(|was| was.name == row.name));
+            let same =
+                old.is_some_and(|old| old.cells.get(id).is_some_and(|was| was.name == cell_config.name));
             let existing = cells.next().filter(|_| same);
             let (concurrency_limit, retry_budget, counters) = existing
                 .map_or_else(Default::default, |cell| {
@@ -323,25 +326,28 @@
                 retry_budget
             };
             CellState {
-                concurrency_limit: row.concurrency_limit.map(limit_for),
+                concurrency_limit: cell_config.concurrency_limit.map(limit_for),
                 retry_budget: retry_budget_config.map(budget_for),
                 counters,
             }
         });
         self.cells = states.collect();
         let mut moves = BTreeMap::new();
-        for row in &self.layout.moves {
-            let existing =
-                self.moves.iter().find(|(_, tenant_move)| tenant_move.is_same_move(row)).map(|(id, _)| *id);
+        for move_config in &self.layout.moves {
+            let existing = self
+                .moves
+                .iter()
+                .find(|(_, tenant_move)| tenant_move.is_same_move(move_config))
+                .map(|(id, _)| *id);
             let existing = existing.and_then(|id| Some((id, self.moves.remove(&id)?)));
             let (id, tenant_move) = match existing {
                 Some((id, mut tenant_move)) => {
-                    tenant_move.apply_config(now, row.clone());
+                    tenant_move.apply_config(now, move_config.clone());
                     (id, tenant_move)
                 }
                 None => {
                     self.next_move += 1;
-                    (MoveId(self.next_move), TenantMove::new(now, row.clone(), self.move_settings))
+                    (MoveId(self.next_move), TenantMove::new(now, move_config.clone(), self.move_settings))
                 }
             };
             moves.insert(id, tenant_move);
@@ -405,7 +411,7 @@
                         self.moves.entry(id).and_modify(TenantMove::add_held);
                         AdmissionDecision::Hold { permit: AdmissionPermit { held: true, ..permit }, until }
                     }
-                    refused => refused,
+                    rejected => rejected,
                 }
             }
             Placement::Busy(retry_after) => self.busy(from, Some(retry_after), RejectReason::MoveFenced),
@@ -433,7 +439,7 @@
         // A session stays in one of its tenant's cells while that has capacity.
         let start = op.session.map_or(0, |session| session as usize % candidates.len());
         candidates.rotate_left(start);
-        let mut last = None;
+        let mut first_rejection = None;
         for cell in candidates {
             match self.acquire(now, cell, op) {
                 Ok(()) => {
@@ -442,10 +448,10 @@
                         AdmissionPermit { cell, bytes: op.bytes, move_id, held: false, token: op.token };
                     return AdmissionDecision::Admit { permit, group, min_position };
                 }
-                Err(refusal) => last = last.or(Some((cell, refusal))),
+                Err(rejection) => first_rejection = first_rejection.or(Some((cell, rejection))),
             }
         }
-        let (cell, (reason, retry_after)) = last.expect("at least one cell refused the op");
+        let (cell, (reason, retry_after)) = first_rejection.expect("at least one cell rejected the op");
         self.busy(cell, retry_after, reason)
     }
 
@@ -501,14 +507,14 @@
         self.cells[cell.0 as usize].retry_budget.as_ref().map(|budget| budget.remaining(now))
     }
 
-    /// Records the end of a send. `latency` is in latency targets; `new` says whether the host restarted
-    /// during the cell's release trial.
+    /// Records the end of a send. `latency` is in latency targets; `restarted_in_trial` says whether the
+    /// host restarted during the cell's release trial.
     pub fn record_send_end(
         &mut self,
         permit: &AdmissionPermit,
         outcome: SendOutcome,
         latency: f64,
-        new: bool,
+        restarted_in_trial: bool,
     ) {
         let (cell, in_flight) = (&mut self.cells[permit.cell.0 as usize], self.ops.used(permit.cell));
         match (&mut cell.concurrency_limit, outcome) {
@@ -519,7 +525,8 @@
             _ => {}
         }
         if let Some(rollout) = self.rollout.as_mut().filter(|_| outcome != SendOutcome::NotExecuted) {
-            let change = rollout.record_outcome(new.then_some(permit.cell), outcome == SendOutcome::Failed);
+            let change = rollout
+                .record_outcome(restarted_in_trial.then_some(permit.cell), outcome == SendOutcome::Failed);
             self.events.extend(change.map(CellEvent::ReleaseVerdict));
         }
     }
@@ -560,7 +567,7 @@
         }
     }
 
-    /// Fraction of its size that a restarted host of the cell counts with.
+    /// Factor on the size of a restarted host of the cell, and thereby on its traffic.
     pub fn restarted_host_trust(&mut self, cell: CellId) -> f64 {
         match self.rollout.as_ref().map(|rollout| rollout.check_rollout(cell)) {
             Some(Err(blocked)) => {
@@ -609,7 +616,9 @@
             // The number of writes in flight changes constantly, so that only a new kind of blocker is
             // reported.
             let kind = |blocker: Option<MoveBlocker>| blocker.map(|blocker| std::mem::discriminant(&blocker));
-            if let Some(blocker) = blocker.filter(|_| kind(blocker) != before.and_then(|(_, s)| kind(s))) {
+            if let Some(blocker) =
+                blocker.filter(|_| kind(blocker) != before.and_then(|(_, blocker)| kind(blocker)))
+            {
                 self.events.push(CellEvent::MoveBlocked(tenant.clone(), blocker));
             }
         }
--- a/crates/arrowyard-cells/src/rollout.rs
+++ b/crates/arrowyard-cells/src/rollout.rs
@@ -7,8 +7,8 @@
 
 use crate::layout::RolloutConfig;
 
-/// Fraction of its size that a restarted host counts with while the release of an earlier cell is
-/// unverified.
+/// Factor on the size of a restarted host, and thereby on its traffic, while the release of an earlier cell
+/// is unverified.
 pub const UNVERIFIED_TRUST: f64 = 0.1;
 /// Lower bound of the baseline error rate. With a baseline of zero a single error would fail the release.
 const MIN_ERROR_RATE: f64 = 0.002;
@@ -82,8 +82,8 @@
         trial.last_restart = Some(at).max(trial.last_restart);
     }
 
-    /// Records the outcome of a send. `new` is the host's cell if the host restarted during that cell's
-    /// trial, and `None` for all other hosts.
+    /// Records the outcome of a send. `restarted_in` is the host's cell if the host restarted during that
+    /// cell's trial, and `None` for all other hosts.
     pub fn record_outcome(&mut self, restarted_in: Option<CellId>, failed: bool) -> Option<VerdictChange> {
         let Some(position) = restarted_in.and_then(|cell| self.position(cell)) else {
             self.baseline_error_rate +=
--- a/crates/arrowyard-cells/src/tenant_move.rs
+++ b/crates/arrowyard-cells/src/tenant_move.rs
@@ -189,7 +189,7 @@
         let (tokens, token_order, positions) = Default::default();
         let (stage, writes_in_flight, held_writes, last_acked) = (Stage::Open, 0, 0, None);
         let (target_primary, copy_confirmed_by) = (None, None);
-        let mut moving = TenantMove {
+        let mut tenant_move = TenantMove {
             config,
             settings,
             stage,
@@ -202,8 +202,8 @@
             target_primary,
             copy_confirmed_by,
         };
-        moving.tick(now);
-        moving
+        tenant_move.tick(now);
+        tenant_move
     }
 
     /// Progress on this router.
@@ -281,7 +281,7 @@
             self.stage = match self.stage {
                 _ if self.config.step == Step::Cancelled => return None,
                 Stage::Open => {
-                    // On the clock that runs furthest ahead.
+                    // Early by the clock skew: another router's clock may have reached the fence already.
                     let announced =
                         self.config.fence_at.is_some_and(|at| now >= at - self.settings.max_clock_skew);
                     let step_fenced = self.config.step >= Step::Fenced;
@@ -297,7 +297,7 @@
                 }
                 Stage::Fenced => Stage::Drained,
                 Stage::Drained => match self.switch_blocker(now) {
-                    Some(stuck) => return Some(stuck),
+                    Some(blocker) => return Some(blocker),
                     None => Stage::Switched,
                 },
                 Stage::Switched if self.config.step < Step::Done => {
@@ -312,8 +312,9 @@
         }
     }
 
-    /// No write sent to the source takes effect later than this.
-    fn settled_at(&self) -> Option<Timestamp> {
+    /// The time after which no write sent to the source takes effect. The copy has to reach at least that
+    /// far.
+    fn source_writes_end_at(&self) -> Option<Timestamp> {
         self.config.fence_at.map(|at| at + self.settings.max_op_timeout + self.settings.max_clock_skew)
     }
 
@@ -324,15 +325,15 @@
         // Without a change of group there is no copy to wait for.
         self.config.groups?;
         let announced_values = self
-            .settled_at()
+            .source_writes_end_at()
             .zip(self.config.switch_at)
             .zip(self.config.copied_through.zip(self.config.target_floor));
-        let Some(((settled, switch_at), (copied, floor))) = announced_values else {
+        let Some(((writes_end_at, switch_at), (copied, floor))) = announced_values else {
             return Some(MoveBlocker::ConfigNotAdvanced);
         };
         // The copy has to include every write that a client may hold an ack for, from this router or
         // another.
-        let needed = settled.max(self.last_acked.unwrap_or(settled));
+        let needed = writes_end_at.max(self.last_acked.unwrap_or(writes_end_at));
         if needed > copied {
             return Some(MoveBlocker::CopyIncomplete { needed, copied });
         }
@@ -417,14 +418,15 @@
         // another.
         let known = op.token.and_then(|token| self.tokens.get(&token).copied());
         let known = known.filter(|record| record.outcome != WriteOutcome::NotExecuted);
-        let remembered = |record: &TokenRecord| {
+        let is_retained = |record: &TokenRecord| {
             now + self.settings.max_clock_skew < record.first_at + self.config.token_retention
         };
         match self.stage {
             // Rejects writes whose deadline is beyond the longest op timeout, since they could take effect
             // after the copy.
             Stage::Open
-                if self.config.step != Step::Cancelled && !self.completes_before_copy_end(op.deadline) =>
+                if self.config.step != Step::Cancelled
+                    && !self.completes_before_source_writes_end(op.deadline) =>
             {
                 self.hold_or_busy(now, op.deadline)
             }
@@ -433,15 +435,20 @@
                 self.hold_or_busy(now, op.deadline)
             }
             Stage::Fenced | Stage::Drained => match known {
-                Some(record) if record.outcome == WriteOutcome::Acked && remembered(&record) => {
+                Some(record) if record.outcome == WriteOutcome::Acked && is_retained(&record) => {
                     Placement::Source
                 }
-                // Until the copy ends, a retry at the source settles an unknown outcome.
-                Some(record) if remembered(&record) && self.completes_before_copy_end(op.deadline) => {
+                // Until the end of writes at the source, a retry there settles an unknown outcome.
+                Some(record)
+                    if is_retained(&record) && self.completes_before_source_writes_end(op.deadline) =>
+                {
                     Placement::Source
                 }
                 Some(_) => Placement::OutcomeUnknown,
-                None if op.token.is_some() && op.is_retry && self.completes_before_copy_end(op.deadline) => {
+                None if op.token.is_some()
+                    && op.is_retry
+                    && self.completes_before_source_writes_end(op.deadline) =>
+                {
                     Placement::Source
                 }
                 None if op.token.is_some() && op.is_retry && self.source_retains_tokens(now) => {
@@ -452,7 +459,7 @@
             // The data stays in its group: the same hosts deduplicate the token from either cell.
             Stage::Switched | Stage::Done if self.config.groups.is_none() => Placement::Target(None),
             Stage::Switched | Stage::Done => match known {
-                Some(record) if record.outcome == WriteOutcome::Acked && remembered(&record) => {
+                Some(record) if record.outcome == WriteOutcome::Acked && is_retained(&record) => {
                     Placement::Source
                 }
                 // At the source a retry of a write that never ran there would take effect after the copy; at
@@ -473,20 +480,20 @@
         }
     }
 
-    /// Whether a write with this deadline takes effect before the copy ends.
-    fn completes_before_copy_end(&self, deadline: Timestamp) -> bool {
-        self.settled_at().is_none_or(|settled| deadline + self.settings.max_clock_skew <= settled)
+    /// Whether a write with this deadline takes effect before `source_writes_end_at` on every router's clock.
+    fn completes_before_source_writes_end(&self, deadline: Timestamp) -> bool {
+        self.source_writes_end_at().is_none_or(|end| deadline + self.settings.max_clock_skew <= end)
     }
 
     fn hold_or_busy(&self, now: Timestamp, deadline: Timestamp) -> Placement {
         // Holding writes that cannot be answered in time would only let them time out. Those are rejected at
         // once with a retry delay.
-        let half = now + (deadline - now) * 0.5;
-        let soon = (self.config.token_retention * 0.25).max(TimeDelta::from_millis(50));
+        let hold_until = now + (deadline - now) * 0.5;
+        let default_retry_after = (self.config.token_retention * 0.25).max(TimeDelta::from_millis(50));
         match self.config.switch_at {
-            Some(at) if now < at && at <= half => Placement::Hold(half),
+            Some(at) if now < at && at <= hold_until => Placement::Hold(hold_until),
             Some(at) if now < at => Placement::Busy(at - now),
-            _ => Placement::Busy(soon),
+            _ => Placement::Busy(default_retry_after),
         }
     }
 
--- a/crates/arrowyard-fair-shares/src/allocator.rs
+++ b/crates/arrowyard-fair-shares/src/allocator.rs
@@ -23,7 +23,7 @@
 
 /// A host becomes overloaded when the reported demand exceeds this part of its permits, and stops being so
 /// after the demand was below the lower part for `OVERLOAD_EXIT_DELAY`. Routers report unasked only from
-/// their even part of the permits on; while a host is overloaded all routers are polled at
+/// their equal part of the permits on; while a host is overloaded all routers are polled at
 /// `DEMAND_POLL_INTERVAL`.
 const OVERLOAD_ENTER_RATIO: f64 = 0.6;
 const OVERLOAD_EXIT_RATIO: f64 = 0.4;
@@ -33,8 +33,8 @@
 const LEASE_CLOCK_MARGIN: f64 = 1.1;
 /// Minimum time between two allocations of a host.
 const MIN_ALLOCATION_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
-/// A cap that changed by no more than this, in thousandths of a permit and as 1/n of itself, is not sent
-/// before the lease is due for renewal.
+/// A cap that changed by no more than the larger of `MIN_CAP_CHANGE` and the previous cap divided by
+/// `MIN_CAP_CHANGE_DIVISOR` is not sent before the lease is due for renewal.
 const MIN_CAP_CHANGE: MilliPermits = 20;
 const MIN_CAP_CHANGE_DIVISOR: u32 = 16;
 const LEASE_RENEWAL_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
@@ -97,13 +97,13 @@
 
     /// The highest cap that the router may be applying; `None` if this service was never limited there.
     fn max_sent_cap(&self, service: ServiceId) -> Option<MilliPermits> {
-        let sent = self.sent.iter().flat_map(|(_, caps)| caps).filter(|(of, _)| *of == service);
+        let sent = self.sent.iter().flat_map(|(_, caps)| caps).filter(|(other, _)| *other == service);
         sent.map(|(_, cap)| *cap).max()
     }
 
     fn last_sent_cap(&self, service: ServiceId) -> Option<MilliPermits> {
         let caps = self.sent.back().map(|(_, caps)| caps)?;
-        caps.iter().find(|(of, _)| *of == service).map(|(_, cap)| *cap)
+        caps.iter().find(|(other, _)| *other == service).map(|(_, cap)| *cap)
     }
 }
 
@@ -308,7 +308,7 @@
                 u64::from(demand.in_flight) + u64::from(demand.queued);
         }
         let demands: Vec<(ServiceId, f64)> =
-            demands.into_iter().map(|(of, demand)| (of, demand as f64 / 1000.0)).collect();
+            demands.into_iter().map(|(service, demand)| (service, demand as f64 / 1000.0)).collect();
         let permits = f64::from(self.permits) / 1000.0;
         let total: f64 = demands.iter().map(|(_, demand)| demand).sum();
         let reserved = config.reserved(permits, &demands);
@@ -331,7 +331,7 @@
         }
         let shares = weighted_max_min(available, &claims);
         self.fair_shares =
-            demands.iter().zip(shares).map(|((of, demand), share)| (*of, share, *demand)).collect();
+            demands.iter().zip(shares).map(|((service, demand), share)| (*service, share, *demand)).collect();
     }
 
     /// The caps to send to each router; routers whose caps changed little and whose lease is fresh are left
@@ -352,9 +352,9 @@
         // that is no longer limited still counts with its old caps at routers that have not acknowledged
         // the change.
         let mut services: std::collections::BTreeSet<ServiceId> =
-            self.fair_shares.iter().map(|(of, ..)| *of).collect();
+            self.fair_shares.iter().map(|(service, ..)| *service).collect();
         let sent = self.routers.values().flat_map(|router| &router.sent).flat_map(|(_, caps)| caps);
-        services.extend(sent.map(|(of, _)| *of));
+        services.extend(sent.map(|(service, _)| *service));
         let mut total_free = i64::from(self.permits);
         for service in services {
             let in_use: i64 = self.routers.values().map(|router| i64::from(router.max_in_use(service))).sum();
@@ -384,8 +384,8 @@
                 } else {
                     current + (target - current).min(room.max(0))
                 };
-                let more = if is_new { cap - current } else { (cap - current).max(0) };
-                (*free, total_free) = (*free - more, total_free - more);
+                let raised_by = if is_new { cap - current } else { (cap - current).max(0) };
+                (*free, total_free) = (*free - raised_by, total_free - raised_by);
                 caps.push((*service, cap.max(0) as MilliPermits));
             }
             if self.overloaded_since.is_none() {
--- a/crates/arrowyard-fair-shares/src/leases.rs
+++ b/crates/arrowyard-fair-shares/src/leases.rs
@@ -1,6 +1,6 @@
 //! The allocations that a router holds, and their leases. A lease runs from when the router sent the report
-//! that the allocation answers. Without renewal the caps shrink to the router's even part of the host and
-//! never grow.
+//! that the allocation answers. Without renewal the caps shrink to the router's equal part of the host's
+//! permits and never grow.
 
 use std::collections::BTreeMap;
 
@@ -99,7 +99,8 @@
         self.allocations.contains_key(host)
     }
 
-    /// Drops expired allocations after a reconnect to control, which sends again what is overloaded.
+    /// Drops expired allocations after a reconnect to control, which sends the allocations of overloaded
+    /// hosts again.
     pub fn drop_expired(&mut self, now: Timestamp) {
         self.allocations.retain(|_, held| now - held.lease_start < ALLOCATION_LEASE);
     }
@@ -128,18 +129,18 @@
         }
         let fallback = held.fallback_caps(demands, config);
         let remaining = (1.0 - (age - ALLOCATION_LEASE * 0.5) / (ALLOCATION_LEASE * 0.5)).clamp(0.0, 1.0);
-        let shrunk = |(of, cap): &(ServiceId, MilliPermits)| {
+        let shrunk = |(service, cap): &(ServiceId, MilliPermits)| {
             let fallback =
-                fallback.iter().find(|(other, _)| other == of).map_or(0, |(_, cap)| *cap).min(*cap);
+                fallback.iter().find(|(other, _)| other == service).map_or(0, |(_, cap)| *cap).min(*cap);
             let cap = f64::from(fallback) + f64::from(cap - fallback) * remaining;
-            (*of, cap as MilliPermits)
+            (*service, cap as MilliPermits)
         };
         held.allocation.caps.iter().map(shrunk).collect()
     }
 }
 
 impl LeasedAllocation {
-    /// This router's even part of the host, divided between its own services.
+    /// This router's equal part of the host's permits, divided between its own services.
     fn fallback_caps(
         &self,
         demands: &[ServiceDemand],
@@ -151,6 +152,10 @@
             .map(|demand| (demand.service, (f64::from(demand.in_flight) + f64::from(demand.queued)) / 1000.0))
             .collect();
         let shares = weighted_max_min(permits, &config.claims(permits, &demands));
-        demands.iter().zip(shares).map(|((of, _), share)| (*of, (share * 1000.0) as MilliPermits)).collect()
+        demands
+            .iter()
+            .zip(shares)
+            .map(|((service, _), share)| (*service, (share * 1000.0) as MilliPermits))
+            .collect()
     }
 }
--- a/crates/arrowyard-peers/src/gossip.rs
+++ b/crates/arrowyard-peers/src/gossip.rs
@@ -20,18 +20,19 @@
 const NAME_WITHDRAWAL_PERIODS: f64 = 60.0;
 
 impl Membership {
-    /// Processes the sender of a datagram. `answers` says that the datagram acks an open probe of this
-    /// router, which proves that the sender receives datagrams at its address.
+    /// Processes the sender of a datagram, which came from the address `from` and states `address` as its
+    /// own. `acks_open_probe` says that the datagram acks an open probe of this router, which proves that the
+    /// sender receives datagrams at its address.
     pub(crate) fn handle_sender(
         &mut self,
         now: Timestamp,
         datagram: &Datagram,
         address: SocketAddr,
         from: SocketAddr,
-        answers: bool,
+        acks_open_probe: bool,
     ) {
         let Some(slot) = self.table.slot(&datagram.from) else {
-            if answers {
+            if acks_open_probe {
                 self.add_member(now, datagram, address);
             } else if datagram.kind() != Kind::Gossip || datagram.leaving {
                 // An unknown sender is pinged back, since its address may be forged.
@@ -59,7 +60,7 @@
             now - self.table.get(slot).map_or(now, |member| member.last_heard.max(member.standing_since));
         let Some(member) = self.table.get_mut(slot) else { return };
         let Some(delay) = member.accept_datagram(datagram.sent_us, now, since) else {
-            self.counts.stale += u64::from(!answers);
+            self.counts.stale += u64::from(!acks_open_probe);
             return;
         };
         member.address = address;
@@ -324,11 +325,11 @@
         let Some(member) = self.table.get_mut(slot).filter(|member| !member.standing.is_inactive()) else {
             return;
         };
-        let mut new = false;
+        let mut any_new = false;
         for name in &accusers {
-            new |= *name != member.name && member.add_accuser(name);
+            any_new |= *name != member.name && member.add_accuser(name);
         }
-        if !new {
+        if !any_new {
             return;
         }
         let (agreed, refused) = (member.accusers.len() >= 2, rumor.refused);
@@ -363,9 +364,9 @@
         }
     }
 
-    /// Handles another process with this name whose incarnation is not lower. The record of an earlier
-    /// process is outbid once. A process that is still running bids again, and then the one that started
-    /// later withdraws.
+    /// Handles another process with this name whose incarnation is not lower. A higher incarnation
+    /// supersedes the record of an earlier process. A process that is still running raises its own in turn,
+    /// and after `MAX_NAME_CONFLICTS` conflicts the one with the higher nonce withdraws.
     pub(crate) fn handle_duplicate_name(&mut self, now: Timestamp, incarnation: u64, nonce: u64) {
         if incarnation < self.local.incarnation {
             return;
--- a/crates/arrowyard-peers/src/membership.rs
+++ b/crates/arrowyard-peers/src/membership.rs
@@ -157,7 +157,7 @@
 }
 
 impl Membership {
-    /// Creates the state of a router that joins. `settings` is the configured number of routers.
+    /// Creates the state of a router that joins. `configured_routers` is the configured number of routers.
     #[must_use]
     pub fn new(
         now: Timestamp,
@@ -319,8 +319,8 @@
         self.counts.received_bytes += bytes.len() as u64;
         let open_probe =
             |membership: &Membership| membership.probes.iter().position(|probe| probe.seq == datagram.seq);
-        let answers = datagram.kind() == Kind::Ack && open_probe(self).is_some();
-        self.handle_sender(now, &datagram, address, from, answers);
+        let acks_open_probe = datagram.kind() == Kind::Ack && open_probe(self).is_some();
+        self.handle_sender(now, &datagram, address, from, acks_open_probe);
         let reporter: Rc<str> = self
             .table
             .by_name(&datagram.from)
@@ -334,7 +334,7 @@
                 // A new incarnation of the sender may have removed the probe.
                 match open_probe(self) {
                     Some(probe) => self.handle_ack(now, probe, &datagram),
-                    None if answers => {}
+                    None if acks_open_probe => {}
                     None => self.forward_ack(now, &datagram),
                 }
             }
--- a/crates/arrowyard-peers/src/probe.rs
+++ b/crates/arrowyard-peers/src/probe.rs
@@ -64,9 +64,10 @@
 const MAX_CANDIDATE_ATTEMPTS: u8 = 3;
 
 impl Membership {
-    fn start_probe(&mut self, now: Timestamp, slot: Slot, reason: ProbeReason, after: f64) {
-        let open = |probe: &Probe| probe.slot == Some(slot) && probe.reason == reason;
-        if self.probes.len() >= MAX_PROBES || self.probes.iter().any(open) {
+    /// Starts a probe after `delay_factor` retry intervals, unless the same one is in progress.
+    fn start_probe(&mut self, now: Timestamp, slot: Slot, reason: ProbeReason, delay_factor: f64) {
+        let is_same = |probe: &Probe| probe.slot == Some(slot) && probe.reason == reason;
+        if self.probes.len() >= MAX_PROBES || self.probes.iter().any(is_same) {
             return;
         }
         let Some((to, incarnation)) =
@@ -74,7 +75,7 @@
         else {
             return;
         };
-        let (seq, next) = (self.rng.u64(1..), now + self.config.retry_interval * after);
+        let (seq, next) = (self.rng.u64(1..), now + self.config.retry_interval * delay_factor);
         let probe = Probe {
             slot: Some(slot),
             incarnation,
@@ -88,7 +89,7 @@
             refused: false,
         };
         self.probes.push(probe);
-        if after == 0.0 {
+        if delay_factor == 0.0 {
             let index = self.probes.len() - 1;
             self.advance_probe(now, index);
         }
@@ -140,8 +141,8 @@
         if let Some(rumor) = rumor {
             self.forward_rumor(now, slot, rumor);
         }
-        let after = self.rng.f64();
-        self.start_probe(now, slot, ProbeReason::Verify(claim, reporter.clone()), after);
+        let delay_factor = self.rng.f64();
+        self.start_probe(now, slot, ProbeReason::Verify(claim, reporter.clone()), delay_factor);
     }
 
     /// Advances the probes that are due.
@@ -329,7 +330,7 @@
         self.probes.iter_mut().filter(matches).for_each(|probe| probe.refused = true);
     }
 
-    /// Handles the ack of the probe at index `at`.
+    /// Handles the ack of the probe at `index`.
     pub(crate) fn handle_ack(&mut self, now: Timestamp, index: usize, datagram: &Datagram) {
         let probe = &self.probes[index];
         let (slot, reason, seq) = (probe.slot, probe.reason.clone(), probe.seq);
@@ -417,13 +418,13 @@
             return self.send(requester, &ack);
         }
         let seq = self.rng.u64(1..);
-        let until = now + self.config.retry_interval * 1.5;
+        let deadline = now + self.config.retry_interval * 1.5;
         self.relays.push(RelayedProbe {
             seq,
             requester,
             requester_seq: request.seq,
             subject: request.subject.clone(),
-            deadline: until,
+            deadline,
         });
         self.send_message(now, slot, Kind::Ping, seq, "", None);
     }
@@ -497,13 +498,13 @@
                 Member::new(self.local.name.clone(), self.local.address, 1, 0, Timestamp::DISTANT_PAST)
                     .ring_positions;
             let mut slots: Vec<Slot> = Vec::new();
-            for (ring, place) in own_positions.iter().enumerate().take(self.config.observed_members) {
+            for (ring, position) in own_positions.iter().enumerate().take(self.config.observed_members) {
                 let unobserved = |member: &Member| {
                     !slots
                         .iter()
                         .any(|&slot| self.table.get(slot).is_some_and(|other| other.name == member.name))
                 };
-                slots.extend(self.table.ring_successor(ring, *place, unobserved));
+                slots.extend(self.table.ring_successor(ring, *position, unobserved));
             }
             self.observed = (self.table.version, slots);
         }
@@ -527,18 +528,19 @@
         if self.table.count_by_standing(Standing::Silent) == 0 {
             return;
         }
-        let silent =
+        let is_silent =
             |slot: &Slot| self.table.get(*slot).is_some_and(|member| member.standing == Standing::Silent);
-        let mut silent: Vec<Slot> = self.table.live().iter().copied().filter(silent).collect();
+        let mut silent: Vec<Slot> = self.table.live().iter().copied().filter(is_silent).collect();
         self.rng.shuffle(&mut silent);
         // Without this, a member that only others accused and that has recovered since would not be probed
         // until its turn in the rotation.
         for slot in silent.iter().copied().take(SILENT_PROBES_PER_PERIOD) {
-            let own = self.table.get(slot).is_some_and(|member| member.accusers.contains(&local_name));
+            let accused_here =
+                self.table.get(slot).is_some_and(|member| member.accusers.contains(&local_name));
             self.start_probe(
                 now,
                 slot,
-                if own { ProbeReason::Scheduled } else { ProbeReason::CheckRecovery },
+                if accused_here { ProbeReason::Scheduled } else { ProbeReason::CheckRecovery },
                 0.0,
             );
         }
--- a/crates/arrowyard-pooler/src/plane.rs
+++ b/crates/arrowyard-pooler/src/plane.rs
@@ -57,7 +57,7 @@
     DecisionModule(TimerId),
     /// The deadline of a session's statement.
     Statement(Conn),
-    /// A session is silent before it opens a database, or inside a transaction.
+    /// A client has sent nothing for too long, before it opened a database or inside a transaction.
     SessionIdle(Conn),
     /// A statement waits for a connection.
     ConnectionWait(Conn, OpId),
@@ -71,7 +71,7 @@
     ReloadSettings,
     /// Idle connections to one host may have expired.
     IdleConnections(HostId),
-    /// The same for all hosts.
+    /// Idle connections to any host may have expired.
     AllIdleConnections,
     Drain,
 }
--- a/crates/arrowyard-pooler/src/plane/control_requests.rs
+++ b/crates/arrowyard-pooler/src/plane/control_requests.rs
@@ -59,8 +59,10 @@
     /// Sends the request that a connection was taken for, unless it has expired.
     pub(super) fn send_control_request(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
         let Some(connection) = self.host_connection(conn) else { return };
-        let is_expired =
-            matches!(&connection.control_request, Some(ControlRequest::Relayed(_, until)) if now > *until);
+        let is_expired = matches!(
+            &connection.control_request,
+            Some(ControlRequest::Relayed(_, deadline)) if now > *deadline
+        );
         let statement =
             connection.control_request.as_ref().filter(|_| !is_expired).and_then(ControlRequest::statement);
         let Some(statement) = statement else {
@@ -111,10 +113,10 @@
     fn send_relayed_response(
         &self,
         request: &RelayedRequest,
-        row: Option<HostStatus>,
+        status: Option<HostStatus>,
         commands: &mut Commands,
     ) {
-        let response = RelayedResponse { asked_by: request.asked_by, number: request.number, row };
+        let response = RelayedResponse { asked_by: request.asked_by, number: request.number, row: status };
         self.send_to_control(Payload::RelayedResponse(response), commands);
     }
 
@@ -133,7 +135,7 @@
 
 /// The host status in the reply to a relayed request.
 fn host_status(reply: &HostReply) -> Option<HostStatus> {
-    let row = reply.observed().filter(|_| reply.fault.is_none())?;
-    let Observed { primary, term, received } = row;
+    let observed = reply.observed().filter(|_| reply.fault.is_none())?;
+    let Observed { primary, term, received } = observed;
     Some(HostStatus { primary, term, received_term: received.term, received_number: received.number })
 }
--- a/crates/arrowyard-pooler/src/plane/feed.rs
+++ b/crates/arrowyard-pooler/src/plane/feed.rs
@@ -95,7 +95,7 @@
             return;
         }
         let own_zone = self.settings.zone.clone();
-        // The hash of the incarnation spreads routers over control machines of the same zone.
+        // The incarnation salts the order, which spreads routers over the control machines of the same zone.
         let salt = self.incarnation;
         let failed_ip = self.feed.failed_ip;
         all.sort_by_key(|(ip, zone)| {
@@ -150,12 +150,18 @@
         }
     }
 
-    /// Acknowledges the last update. With `lost`, control sends a new snapshot.
-    fn acknowledge_feed(&mut self, now: Timestamp, conn: Conn, lost: bool, commands: &mut Commands) {
+    /// Acknowledges the last update. With `needs_snapshot`, control sends a new snapshot.
+    fn acknowledge_feed(
+        &mut self,
+        now: Timestamp,
+        conn: Conn,
+        needs_snapshot: bool,
+        commands: &mut Commands,
+    ) {
         self.feed.acked_at = now;
         let ack = FeedAck {
             number: self.feed.number,
-            needs_snapshot: lost,
+            needs_snapshot,
             revision: self.configured.configuration.revision,
         };
         commands.write(conn, &[&encode_payload(Payload::FeedAck(ack))]);
