--- a/crates/arrowyard-daemon/src/router_service.rs
+++ b/crates/arrowyard-daemon/src/router_service.rs
@@ -1,5 +1,5 @@
-//! What every router in service has, whatever fronts it has and whatever its hosts speak: the stages are started on one
-//! thread, and end when told to.
+//! The router service, independent of its frontends and of the hosts' protocol: starts all tasks on one
+//! thread and stops them on request.
 
 use std::cell::{Cell, RefCell};
 use std::path::PathBuf;
@@ -33,26 +33,27 @@
 use tokio::task::{JoinHandle, LocalSet, spawn_local};
 use tokio::time::{sleep, timeout};
 
-/// How the log is kept: as the operator's file says, else as without one.
-fn logbook(name: &str, lines: u32, book: Option<&Yardbook>) -> LogConfig {
-    let plain = LogConfig::from_env(name, lines);
-    let Some(log) = book.and_then(|book| book.log.as_ref()) else { return plain };
+/// Log settings: those of the operator's file where it has them, else the defaults.
+fn log_settings(name: &str, lines_per_second: u32, book: Option<&Yardbook>) -> LogConfig {
+    let defaults = LogConfig::from_env(name, lines_per_second);
+    let Some(log) = book.and_then(|book| book.log.as_ref()) else { return defaults };
     LogConfig {
         format: if log.form() == schema::Form::Json { LogFormat::Json } else { LogFormat::Text },
-        level: log.level.as_ref().and_then(|level| level.parse().ok()).unwrap_or(plain.level),
-        max_lines_per_second: log.lines_a_second.unwrap_or(lines),
-        ..plain
+        level: log.level.as_ref().and_then(|level| level.parse().ok()).unwrap_or(defaults.level),
+        max_lines_per_second: log.lines_a_second.unwrap_or(lines_per_second),
+        ..defaults
     }
 }
 
-/// What the draws of the herd are told apart by from the module's, which have the same seed.
-const HERD: u64 = 0x6865_7264;
+/// Separates the random numbers that pace discovery calls from those of the decision module, which has the
+/// same seed.
+const PACING_SEED: u64 = 0x6865_7264;
 
-/// The stages of a router that is to serve: fronts hand their ops in here.
+/// The tasks of a running router, and the handles by which frontends submit ops.
 pub struct RouterService<B: HostTransport> {
     pub gate: Rc<AdmissionController>,
     pub mail: mpsc::Sender<RouteMessage<B>>,
-    /// Connections of clients, of every front.
+    /// Number of client connections of all frontends.
     pub clients: Rc<Cell<usize>>,
     pub stage: watch::Receiver<Stage>,
     pub beat: Rc<StallDetector>,
@@ -65,105 +66,115 @@
 }
 
 impl<B: HostTransport> RouterService<B> {
-    /// Starts them; `back` makes what carries sends to hosts.
+    /// Starts the tasks; `back` creates the backend that sends to hosts.
     ///
     /// # Errors
-    /// What it could not start with.
+    /// Why a task could not be started.
     pub async fn start(
-        waybill: &RouterConfig,
+        router_config: &RouterConfig,
         path: Option<PathBuf>,
         book: Option<&Yardbook>,
         back: impl FnOnce(&Rc<Limits>) -> Rc<B>,
     ) -> Result<Self, String> {
-        let mut told = router_settings(&waybill.settings)?;
-        let limits = Rc::new(Limits::new(waybill, &told));
-        logger::start(logbook(&waybill.name, limits.log_lines_per_second, book));
+        let mut settings = router_settings(&router_config.settings)?;
+        let limits = Rc::new(Limits::new(router_config, &settings));
+        logger::start(log_settings(&router_config.name, limits.log_lines_per_second, book));
         let signals = drain::termination_signals().map_err(|e| format!("signals: {e}"))?;
         let hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
         let clock = Clock::start();
         let (mail, inbox) = mpsc::channel(limits.queue_capacity);
-        let (wishes, wished) = mpsc::channel(limits.queue_capacity);
+        let (discovery_commands, discovery_inbox) = mpsc::channel(limits.queue_capacity);
         let (stage, staged) = watch::channel(Stage::Serving);
 
         let beat = StallDetector::new(clock, limits.stall_check_interval);
         drop(spawn_local(beat.clone().run()));
         let back = back(&limits);
-        // A stored list is no base for changes: the watch begins with the whole list unless the platform told one.
-        let version = Rc::new(Cell::new(waybill.host_list.as_ref().map(|list| list.version)));
-        let (mut known, mut returning, mut manners) = (waybill.host_list.clone(), None, None);
-        if let Some(comes) = book.and_then(startup_settings) {
-            let deployment = returns::deployment_fingerprint(&waybill.settings);
-            let (list, stored) = returns::load_stored_list(&comes, deployment, known).await;
+        // Changes cannot be applied to a stored list: the watch starts with the whole list unless the
+        // platform gave one.
+        let version = Rc::new(Cell::new(router_config.host_list.as_ref().map(|list| list.version)));
+        let (mut known, mut startup, mut reconnect) = (router_config.host_list.clone(), None, None);
+        if let Some(startup_config) = book.and_then(startup_settings) {
+            let deployment = returns::deployment_fingerprint(&router_config.settings);
+            let (list, stored) = returns::load_stored_list(&startup_config, deployment, known).await;
             known = list;
-            let (name, seed) = (&waybill.name, waybill.seed);
+            let (name, seed) = (&router_config.name, router_config.seed);
             let held = stored.max(version.get());
-            manners = Some(Rc::new(RefCell::new(ReconnectPolicy {
-                credence: ListVersionTracker::new(clock.now(), held, comes.rollback_delay),
-                herd: CallPacer::new(comes.pacing, told.number_or("routers", 1.0), seed ^ HERD),
+            reconnect = Some(Rc::new(RefCell::new(ReconnectPolicy {
+                credence: ListVersionTracker::new(clock.now(), held, startup_config.rollback_delay),
+                herd: CallPacer::new(
+                    startup_config.pacing,
+                    settings.number_or("routers", 1.0),
+                    seed ^ PACING_SEED,
+                ),
                 has_list: known.is_some(),
                 clock,
             })));
-            let start = RouterStartup::new(clock.now(), comes, deployment, name, known.is_some(), seed);
-            returning = Some(Box::new(start));
+            let start =
+                RouterStartup::new(clock.now(), startup_config, deployment, name, known.is_some(), seed);
+            startup = Some(Box::new(start));
         }
         let discovery = Discovery {
-            address: waybill.discovery,
+            address: router_config.discovery,
             version,
             messages: mail.clone(),
             limits: limits.clone(),
-            reconnect: manners,
+            reconnect,
         };
-        drop(spawn_local(discovery.run(wished)));
+        drop(spawn_local(discovery.run(discovery_inbox)));
         let cells = book.and_then(cell_layout);
-        let reread = path.map(|path| -> (LoadLayout, _) {
+        let layout_source = path.map(|path| -> (LoadLayout, _) {
             (Arc::new(move || Ok(cell_layout(&arrowyard_operator_config::load(&path)?))), mail.clone())
         });
-        let reload = ReloadTask { discovery: wishes.clone(), limits: limits.clone(), layout_source: reread };
+        let reload =
+            ReloadTask { discovery: discovery_commands.clone(), limits: limits.clone(), layout_source };
         drop(spawn_local(reload.run(hangup)));
-        if told.text("list") != "ask" {
-            // Where lists come unasked, the module does not ask.
-            wishes.send(DiscoveryCommand::Watch(true)).await.map_err(|e| e.to_string())?;
+        if settings.text("list") != "ask" {
+            // Where lists are pushed, the decision module never requests one.
+            discovery_commands.send(DiscoveryCommand::Watch(true)).await.map_err(|e| e.to_string())?;
         }
 
-        let mut gate = AdmissionController::new(&waybill.settings, &told, limits.clone(), cells.is_some());
-        if let Some(joins) = book.and_then(lease_settings) {
-            let (task, errands) = LeasesTask::open(joins, &waybill.name, waybill.seed).await?;
+        let mut gate =
+            AdmissionController::new(&router_config.settings, &settings, limits.clone(), cells.is_some());
+        if let Some(lease_config) = book.and_then(lease_settings) {
+            let (task, errands) =
+                LeasesTask::open(lease_config, &router_config.name, router_config.seed).await?;
             drop(spawn_local(task.run()));
-            // At the first word that it is to end: its ops are finished for a while longer, its tasks are not.
-            let (ends, mut till) = (errands.clone(), staged.clone());
+            // Released as soon as the drain begins: in-flight ops are still finished then, leased tasks are
+            // not.
+            let (leases, mut drain_stage) = (errands.clone(), staged.clone());
             drop(spawn_local(async move {
-                if till.wait_for(|stage| *stage != Stage::Serving).await.is_ok() {
-                    release(ends).await;
+                if drain_stage.wait_for(|stage| *stage != Stage::Serving).await.is_ok() {
+                    release_leases(leases).await;
                 }
             }));
             gate.leases = Some(errands);
         }
         let mut peers = None;
-        if let Some(belongs) = book.and_then(peer_settings) {
+        if let Some(peer_config) = book.and_then(peer_settings) {
             gate.in_fleet = true;
-            if belongs.relay_app_messages {
-                told.insert("peers".to_string(), SettingValue::Flag(true));
+            if peer_config.relay_app_messages {
+                settings.insert("peers".to_string(), SettingValue::Flag(true));
             }
-            let (settings, mail) = (told.number_or("routers", 1.0), mail.clone());
-            let (name, seed, holding) = (&waybill.name, waybill.seed, gate.leases.clone());
+            let (configured_routers, mail) = (settings.number_or("routers", 1.0), mail.clone());
+            let (name, seed, holding) = (&router_config.name, router_config.seed, gate.leases.clone());
             let (task, errands) =
-                PeersTask::open(belongs, name, settings, seed, clock, mail, holding).await?;
+                PeersTask::open(peer_config, name, configured_routers, seed, clock, mail, holding).await?;
             drop(spawn_local(task.run()));
             peers = Some(errands);
         }
         let gate = Rc::new(gate);
-        let roster = HostRegistry::new(&waybill.settings, limits.clone());
-        let yard = RouteContext {
-            hosts: roster,
+        let hosts = HostRegistry::new(&router_config.settings, limits.clone());
+        let context = RouteContext {
+            hosts,
             transport: back,
             clock,
             limits: limits.clone(),
-            discovery: wishes,
+            discovery: discovery_commands,
             messages: mail.clone(),
-            startup: returning,
+            startup,
             peers: peers.clone(),
         };
-        let route = RouteTask::start(yard, waybill.seed, told, known.as_ref(), cells);
+        let route = RouteTask::start(context, router_config.seed, settings, known.as_ref(), cells);
         let route = spawn_local(route.run(inbox));
         let clients = Rc::new(Cell::new(0));
         let drain = Drain { stage, clients: clients.clone(), limits: limits.clone() };
@@ -182,58 +193,61 @@
         })
     }
 
-    /// Serves till it is told to end, or a front does, which never should.
+    /// Runs until a signal stops the router, or `front` resolves because a frontend failed.
     ///
     /// # Errors
-    /// Why it ended untold.
+    /// Why a task ended unexpectedly.
     pub async fn run(self, front: impl Future<Output = String>) -> Result<(), String> {
         tokio::select! {
             biased;
             () = self.drain.run(self.signals) => {
-                leave(self.peers).await;
+                announce_leave(self.peers).await;
                 Ok(())
             }
-            // Danger: a router that takes ops and answers none. Better that it ends and is started anew.
+            // Without the route task the router would accept ops and never reply. It exits, to be restarted.
             ended = self.route => Err(format!("the route stage ended: {ended:?}")),
-            why = front => Err(why),
+            error = front => Err(error),
         }
     }
 }
 
-/// Gives all leases back, so that others need not wait for their end.
-async fn release(leases: mpsc::Sender<holding::LeasesCommand>) {
-    let (done, said) = oneshot::channel();
-    // Danger: the task is full of errands. The leases end by themselves then.
+/// Releases all leases, so that others need not wait for them to expire.
+async fn release_leases(leases: mpsc::Sender<holding::LeasesCommand>) {
+    let (done, acknowledged) = oneshot::channel();
+    // If the task's queue is full, the leases expire instead.
     if leases.try_send(holding::LeasesCommand::Leave(done)).is_ok() {
-        let _ = said.await;
+        let _ = acknowledged.await;
     }
 }
 
-/// Tells the fleet that this router ends: twice, since each datagram may be lost. What is lost all the same is a death to
-/// the others, found out by the system's refusals.
-async fn leave(peers: Option<mpsc::Sender<PeersCommand>>) {
+/// Announces to the fleet that this router leaves. Sent twice, since a datagram may be lost; if both are,
+/// the other routers detect the exit as a failure, by refused datagrams.
+async fn announce_leave(peers: Option<mpsc::Sender<PeersCommand>>) {
     let Some(peers) = peers else { return };
     for _ in 0..2 {
-        let (done, said) = oneshot::channel();
-        // Danger: the fleet's task hangs, and the router with it, which was told to end.
-        let within = std::time::Duration::from_millis(100);
-        if peers.try_send(PeersCommand::Leave(done)).is_err() || timeout(within, said).await.is_err() {
+        let (done, acknowledged) = oneshot::channel();
+        // Bounded, so that a hanging membership task does not delay the exit.
+        let ack_timeout = std::time::Duration::from_millis(100);
+        if peers.try_send(PeersCommand::Leave(done)).is_err()
+            || timeout(ack_timeout, acknowledged).await.is_err()
+        {
             return;
         }
         sleep(std::time::Duration::from_millis(20)).await;
     }
 }
 
-/// Runs a router on the one thread that it has. What the platform tells it is read once the operator's file was.
+/// Runs a router on a single-threaded runtime. Reads the operator's file first, then the platform's
+/// settings.
 ///
 /// # Errors
-/// What it could not start with, or why it ended.
+/// Why it could not start, or why it stopped.
 pub fn run_single_threaded<F: Future<Output = Result<(), String>>>(
     path: Option<PathBuf>,
     run: impl FnOnce(RouterConfig, Option<PathBuf>, Option<Yardbook>) -> F,
 ) -> Result<(), String> {
     let runtime = Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
     let book = path.as_deref().map(arrowyard_operator_config::load).transpose()?;
-    let waybill = RouterConfig::load()?;
-    LocalSet::new().block_on(&runtime, run(waybill, path, book))
+    let router_config = RouterConfig::load()?;
+    LocalSet::new().block_on(&runtime, run(router_config, path, book))
 }
