--- a/crates/arrowyard-core/src/admission.rs
+++ b/crates/arrowyard-core/src/admission.rs
@@ -24,7 +24,9 @@
     tenants: HashMap<String, TenantId>,
     next_op: Cell<u64>,
     open_ops: Rc<Cell<usize>>,
+    /// Bytes of open ops.
     bytes: Rc<Cell<usize>>,
+    /// The client-chosen ids of open ops.
     ids: Rc<RefCell<HashSet<u64>>>,
     limits: Rc<Limits>,
     /// Whether cells are configured; they need the origin of each op.
@@ -76,9 +78,9 @@
         AdmissionController {
             op_types: (0..)
                 .zip(rows)
-                .map(|(n, (name, row))| (name.to_string(), (OpTypeId(n), row)))
+                .map(|(index, (name, row))| (name.to_string(), (OpTypeId(index), row)))
                 .collect(),
-            tenants: tenants.map(|(n, name)| (name.to_string(), TenantId(n as u32))).collect(),
+            tenants: tenants.map(|(index, name)| (name.to_string(), TenantId(index as u32))).collect(),
             next_op: Cell::new(0),
             open_ops: Rc::default(),
             bytes: Rc::default(),
@@ -104,7 +106,7 @@
         client_request: ClientRequest<'_>,
         arrived: Timestamp,
     ) -> Result<AdmittedOp, Reply<A>> {
-        let Some((op_type, row)) = self.op_types.get(client_request.op_type) else {
+        let Some((op_type, op_type_config)) = self.op_types.get(client_request.op_type) else {
             return Err(Reply::Refused("its op type is not known"));
         };
         let tenant = match client_request.tenant {
@@ -114,11 +116,11 @@
             }
             _ => None,
         };
-        let is_deduplicated = matches!(row.retry_safety, RetrySafety::Deduplicated { .. });
+        let is_deduplicated = matches!(op_type_config.retry_safety, RetrySafety::Deduplicated { .. });
         if is_deduplicated && client_request.token.is_none() {
             return Err(Reply::Refused("an op of this type needs its mark, k"));
         }
-        let uses_session = matches!(row.consistency, Consistency::Session | Consistency::Write);
+        let uses_session = matches!(op_type_config.consistency, Consistency::Session | Consistency::Write);
         let bytes = client_request.bytes;
         if self.open_ops.get() >= self.limits.max_ops
             || self.bytes.get() + bytes > self.limits.max_statement_bytes
@@ -137,10 +139,10 @@
         };
         let op = OpId(self.next_op.get());
         self.next_op.set(op.0 + 1);
-        let commit = |millis: i64| Timestamp::from_micros(millis.saturating_mul(1000));
+        let commit_time = |millis: i64| Timestamp::from_micros(millis.saturating_mul(1000));
         let token_age = client_request.last_commit_ms.map(|last_commit_ms| match last_commit_ms {
             0 => TimeDelta::ZERO,
-            last_commit_ms => (arrived - commit(last_commit_ms)).max(TimeDelta::from_micros(1)),
+            last_commit_ms => (arrived - commit_time(last_commit_ms)).max(TimeDelta::from_micros(1)),
         });
         let request = OpRequest {
             op,
@@ -172,7 +174,7 @@
 mod tests {
     use super::*;
 
-    /// A controller with room for two ops of 100 bytes.
+    /// A controller that admits two ops of 100 bytes.
     fn controller() -> AdmissionController {
         let (config, router_settings, limits) = Limits::for_test(serde_json::json!({
             "grades": [{"name": "look", "objective": 5.0}], "parties": [{"name": "p"}, {"name": "q"}],
@@ -183,8 +185,8 @@
 
     fn client_request(id: u64, bytes: usize) -> ClientRequest<'static> {
         let (op_type, tenant, session) = ("look", Some("q"), Some(0xff));
-        let blank = (None, false, None);
-        let (last_commit_ms, again, token) = blank;
+        let defaults = (None, false, None);
+        let (last_commit_ms, is_retry, token) = defaults;
         ClientRequest {
             id,
             op_type,
@@ -192,7 +194,7 @@
             group: 4,
             timeout_ms: 80,
             last_commit_ms,
-            is_retry: again,
+            is_retry,
             token,
             session,
             address: None,
@@ -200,7 +202,7 @@
         }
     }
 
-    type Refusal = Reply<()>;
+    type Rejection = Reply<()>;
 
     #[test]
     fn resolves_names_and_times() {
@@ -208,8 +210,8 @@
         let client_request =
             ClientRequest { last_commit_ms: Some(4900), is_retry: true, ..client_request(1, 0) };
         let AdmittedOp { request, .. } =
-            controller().admit::<()>(client_request, arrived).expect("there is room");
-        let wanted = OpRequest {
+            controller().admit::<()>(client_request, arrived).expect("the limits are not reached");
+        let expected = OpRequest {
             op: OpId(0),
             op_type: OpTypeId(0),
             tenant: Some(TenantId(1)),
@@ -222,7 +224,7 @@
             pinned_host: None,
             deadline: Timestamp::from_micros(5_080_000),
         };
-        assert_eq!(request, wanted);
+        assert_eq!(request, expected);
     }
 
     #[test]
@@ -232,9 +234,9 @@
             |id, length| controller.admit(client_request(id, length), now).map(|admitted| admitted.slot);
         let (first, second) = (admit(1, 100), admit(2, 100));
         assert!(first.is_ok() && second.is_ok());
-        assert_eq!(admit(3, 100).err(), Some(Refusal::Busy(None)));
+        assert_eq!(admit(3, 100).err(), Some(Rejection::Busy(None)));
         drop(first);
-        assert_eq!(admit(3, 101).err(), Some(Refusal::Busy(None)));
+        assert_eq!(admit(3, 101).err(), Some(Rejection::Busy(None)));
         assert!(admit(3, 100).is_ok());
     }
 
@@ -244,7 +246,7 @@
         let admit = || controller.admit(client_request(1, 0), now).map(|admitted| admitted.slot);
         let first = admit();
         assert!(first.is_ok());
-        assert!(matches!(admit().err(), Some(Refusal::Refused(_))));
+        assert!(matches!(admit().err(), Some(Rejection::Refused(_))));
         drop(first);
         assert!(admit().is_ok());
     }
--- a/crates/arrowyard-core/src/cell_scheduler.rs
+++ b/crates/arrowyard-core/src/cell_scheduler.rs
@@ -1,4 +1,4 @@
-//! Cells in the route stage: assigns each op to its cell, schedules messages fairly over the cells, and
+//! Cells in the route task: assigns each op to its cell, schedules messages fairly over the cells, and
 //! keeps the ops that wait for a tenant move. The decisions are those of `arrowyard-cells` and the decision
 //! module.
 
@@ -17,7 +17,7 @@
 };
 use serde_json::{Value, json};
 
-/// What cells need to know of an op beyond its `OpRequest`.
+/// The properties of an op that cells need beyond its `OpRequest`.
 #[derive(Clone, Debug)]
 pub struct OpOrigin {
     pub tenant: Option<Box<str>>,
@@ -37,7 +37,7 @@
 
 /// The result of the admission of an op.
 pub enum Placement<T> {
-    /// To the decision module, when its cell is scheduled.
+    /// The op goes to the decision module when its cell is scheduled.
     Dispatch(OpRequest, T),
     /// The op waits, for example for a tenant move.
     Queued,
@@ -54,7 +54,7 @@
     payload: T,
 }
 
-/// `M` is a message queued per cell, `T` the payload of a queued op.
+/// Schedules ops over cells. `M` is a message queued per cell, `T` the payload of a queued op.
 pub struct CellScheduler<M, T> {
     cells: Cells,
     queue: FairQueue<M>,
@@ -72,17 +72,17 @@
     pub fn new(
         now: Timestamp,
         layout: Layout,
-        totals: Capacity,
+        capacity: Capacity,
         op_types: Vec<OpType>,
         clients_mark_retries: bool,
     ) -> Self {
-        let max_op_timeout = op_types.iter().map(|row| row.op_timeout).max().unwrap_or_default();
+        let max_op_timeout = op_types.iter().map(|op_type| op_type.op_timeout).max().unwrap_or_default();
         let max_clock_skew = layout.lease.map_or(TimeDelta::ZERO, |lease| lease.max_clock_skew);
         let queue = FairQueue::new(layout.cells.iter().map(|cell| cell.weight));
         let cells = Cells::new(
             now,
             layout,
-            totals,
+            capacity,
             MoveSettings { clients_mark_retries, max_op_timeout, max_clock_skew },
         );
         let (permitted, queued, reported_budgets) = Default::default();
@@ -106,13 +106,13 @@
         origin: Box<OpOrigin>,
         payload: T,
     ) -> Placement<T> {
-        let row = &self.op_types[request.op_type.0 as usize];
+        let op_type = &self.op_types[request.op_type.0 as usize];
         let context = OpContext {
             tenant: origin.tenant.as_deref(),
             address: origin.address,
             group: request.group,
             bytes: origin.bytes,
-            consistency: row.consistency,
+            consistency: op_type.consistency,
             session: request.session.map(|session| session.0),
             token: origin.token,
             is_retry: request.is_retry,
@@ -129,7 +129,7 @@
                 self.queued.push(QueuedOp { request, origin, permit, retry_at, payload });
                 Placement::Queued
             }
-            AdmissionDecision::Busy { retry_after: after, .. } => Placement::Busy(after, payload),
+            AdmissionDecision::Busy { retry_after, .. } => Placement::Busy(retry_after, payload),
             AdmissionDecision::Error { reason } => Placement::Error(reason, payload),
         }
     }
@@ -137,14 +137,15 @@
     /// Queues a message of an op in its cell; returns the message if the op is unknown.
     pub fn enqueue(&mut self, op: OpId, message: M) -> Option<M> {
         match self.permitted.get(&op) {
-            Some(op_state) => {
-                self.queue.push(op_state.permit.cell, message);
+            Some(permitted_op) => {
+                self.queue.push(permitted_op.permit.cell, message);
                 None
             }
             None => Some(message),
         }
     }
 
+    /// The next message, fairly over the cells.
     pub fn pop(&mut self) -> Option<M> {
         self.queue.pop()
     }
@@ -155,55 +156,64 @@
 
     /// The cell's remaining retries, if they differ from what was reported to the decision module.
     pub fn retry_budget_update(&mut self, now: Timestamp, cell: CellId) -> Option<RouterEvent> {
-        let sends = self.cells.remaining_retries(now, cell);
-        let reported = self.reported_budgets.insert(cell, sends).unwrap_or(None);
-        (reported != sends).then_some(RouterEvent::RetryBudget { cell, retries: sends })
+        let retries = self.cells.remaining_retries(now, cell);
+        let reported = self.reported_budgets.insert(cell, retries).unwrap_or(None);
+        (reported != retries).then_some(RouterEvent::RetryBudget { cell, retries })
     }
 
+    /// The cell of an admitted op.
     pub fn cell_of(&self, op: OpId) -> Option<CellId> {
-        self.permitted.get(&op).map(|op_state| op_state.permit.cell)
+        self.permitted.get(&op).map(|permitted_op| permitted_op.permit.cell)
     }
 
+    /// Records the start of a send.
     pub fn record_send(&mut self, now: Timestamp, op: OpId, send: SendIndex) {
-        let Some(op_state) = self.permitted.get(&op) else { return };
-        self.cells.record_send(now, &op_state.permit, send.0 == 0);
+        let Some(permitted_op) = self.permitted.get(&op) else { return };
+        self.cells.record_send(now, &permitted_op.permit, send.0 == 0);
         if let Some(Some(retries)) =
-            self.reported_budgets.get_mut(&op_state.permit.cell).filter(|_| send.0 > 0)
+            self.reported_budgets.get_mut(&permitted_op.permit.cell).filter(|_| send.0 > 0)
         {
             // The decision module counts down its own copy in the same way.
             *retries = retries.saturating_sub(1);
         }
     }
 
+    /// Records the end of a send. `is_recently_started` tells whether its host counts as part of a new
+    /// release.
     pub fn send_ended(
         &mut self,
         op: OpId,
         outcome: Outcome,
         elapsed: TimeDelta,
         status: &HostStatus,
-        new: bool,
+        is_recently_started: bool,
     ) {
-        let Some(op_state) = self.permitted.get_mut(&op) else { return };
-        let row = &self.op_types[op_state.op_type];
+        let Some(permitted_op) = self.permitted.get_mut(&op) else { return };
+        let op_type = &self.op_types[permitted_op.op_type];
         let (write_outcome, send_outcome) = match outcome {
             Outcome::Acked => (WriteOutcome::Acked, SendOutcome::Acked),
             outcome if outcome.never_ran() => (WriteOutcome::NotExecuted, SendOutcome::NotExecuted),
             Outcome::Cancelled => (WriteOutcome::Unknown, SendOutcome::NotExecuted),
             _ => (WriteOutcome::Unknown, SendOutcome::Failed),
         };
-        // A rejection by an overloaded host indicates load as a time-out does, though the op never ran.
+        // A rejection by an overloaded host indicates load as a timeout does, though the op never ran.
         let send_outcome = if outcome == Outcome::Overloaded { SendOutcome::Failed } else { send_outcome };
-        op_state.write_outcome = op_state.write_outcome.max(write_outcome);
-        if write_outcome == WriteOutcome::Acked && row.consistency == Consistency::Write {
-            op_state.position = status.position;
+        permitted_op.write_outcome = permitted_op.write_outcome.max(write_outcome);
+        if write_outcome == WriteOutcome::Acked && op_type.consistency == Consistency::Write {
+            permitted_op.position = status.position;
         }
-        self.cells.record_send_end(&op_state.permit, send_outcome, elapsed / row.latency_target, new);
+        self.cells.record_send_end(
+            &permitted_op.permit,
+            send_outcome,
+            elapsed / op_type.latency_target,
+            is_recently_started,
+        );
     }
 
     /// The op is answered and has no send in flight: releases its permit.
     pub fn op_closed(&mut self, now: Timestamp, op: OpId) {
-        if let Some(op_state) = self.permitted.remove(&op) {
-            self.cells.release(now, op_state.permit, op_state.write_outcome, op_state.position);
+        if let Some(permitted_op) = self.permitted.remove(&op) {
+            self.cells.release(now, permitted_op.permit, permitted_op.write_outcome, permitted_op.position);
         }
     }
 
@@ -218,15 +228,15 @@
     /// Retries the admission of queued ops that are due, or of all if the cells' state changed.
     pub fn tick(&mut self, now: Timestamp) -> Vec<Placement<T>> {
         let changed = self.cells.tick(now);
-        let (due, payload) =
+        let (due, remaining) =
             self.queued.drain(..).partition(|queued_op| changed || now >= queued_op.retry_at);
-        self.queued = payload;
+        self.queued = remaining;
         let due: Vec<QueuedOp<T>> = due;
-        let turn = |QueuedOp { request, origin, permit, payload, .. }: QueuedOp<T>| {
+        let readmit = |QueuedOp { request, origin, permit, payload, .. }: QueuedOp<T>| {
             self.cells.release(now, permit, WriteOutcome::NotExecuted, None);
             self.admit(now, request, origin, payload)
         };
-        due.into_iter().map(turn).collect()
+        due.into_iter().map(readmit).collect()
     }
 
     pub fn take_events(&mut self) -> Vec<CellEvent> {
@@ -261,6 +271,7 @@
         self.cells.set_group_hosts(group, hosts);
     }
 
+    /// Records the replication position in a host's status.
     pub fn record_position(&mut self, host: HostId, status: &HostStatus) {
         if let Some(position) = status.position {
             self.cells.record_position(host, position, status.role == Some(Role::Primary));
@@ -275,7 +286,7 @@
         self.cells.restarted_host_trust(cell)
     }
 
-    /// For `SHOW cells`.
+    /// The report for `SHOW cells`.
     pub fn report(&mut self) -> Value {
         let epoch = self.cells.layout().epoch;
         let cells: Vec<Value> = self
@@ -285,7 +296,7 @@
             .map(|state| {
                 json!({"cell": state.name, "ops": state.ops, "share": state.share, "guaranteed": state.guaranteed,
                     "borrowed": state.borrowed, "bytes": state.bytes, "probes": state.probes, "limit": state.concurrency_limit,
-                    "release": state.release_verdict.map(|judged| format!("{judged:?}").to_lowercase()),
+                    "release": state.release_verdict.map(|verdict| format!("{verdict:?}").to_lowercase()),
                     "taken": state.counters.admitted, "busy": state.counters.busy, "errors": state.counters.errors,
                     "first_sends": state.counters.first_sends, "further_sends": state.counters.further_sends})
             })
@@ -293,8 +304,8 @@
         let moves: Vec<Value> = self
             .cells
             .moves()
-            .map(|(tenant, stage, out, tokens)| {
-                json!({"tenant": tenant, "stage": stage_name(stage), "out": out, "tokens": tokens})
+            .map(|(tenant, stage, ops_in_flight, tokens)| {
+                json!({"tenant": tenant, "stage": stage_name(stage), "out": ops_in_flight, "tokens": tokens})
             })
             .collect();
         json!({"epoch": epoch, "held": self.queued.len(), "cells": cells, "moves": moves})
--- a/crates/arrowyard-core/src/clock.rs
+++ b/crates/arrowyard-core/src/clock.rs
@@ -14,10 +14,11 @@
 /// Smaller differences are not steps, since two readings of one clock may differ by this.
 const MIN_FORWARD_STEP: TimeDelta = TimeDelta::from_micros(500);
 
-/// The clock; copies show the same time.
+/// A clock whose copies show the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     started: Instant,
+    /// The Unix time at `started`.
     unix: Timestamp,
     /// The sum of the forward steps that were followed, in microseconds. Never freed, since copies of the
     /// clock live on other threads.
@@ -25,6 +26,7 @@
 }
 
 impl Clock {
+    /// Starts a clock at the current system time.
     pub fn start() -> Self {
         Clock { started: Instant::now(), unix: system_time(), stepped_us: Box::leak(Box::default()) }
     }
@@ -60,9 +62,10 @@
     Timestamp::from_micros(unix.as_micros() as i64)
 }
 
-pub fn duration(span: TimeDelta) -> Duration {
+/// Converts to a `Duration` for timers; negative values become zero.
+pub fn duration(delta: TimeDelta) -> Duration {
     // Timers are capped at one day.
-    Duration::from_micros(span.micros().clamp(0, 86_400_000_000) as u64)
+    Duration::from_micros(delta.micros().clamp(0, 86_400_000_000) as u64)
 }
 
 /// Detects stalls of the core's thread. Requests that arrived during a stall are read only after it, and
@@ -70,16 +73,18 @@
 pub struct StallDetector {
     clock: Clock,
     interval: Duration,
-    last: Cell<Timestamp>,
-    before: Cell<Timestamp>,
+    /// The times of the last two ticks.
+    last_tick: Cell<Timestamp>,
+    previous_tick: Cell<Timestamp>,
 }
 
 impl StallDetector {
-    pub fn new(clock: Clock, every: Duration) -> Rc<Self> {
+    pub fn new(clock: Clock, interval: Duration) -> Rc<Self> {
         let now = clock.now();
-        Rc::new(StallDetector { clock, interval: every, last: Cell::new(now), before: Cell::new(now) })
+        Rc::new(StallDetector { clock, interval, last_tick: Cell::new(now), previous_tick: Cell::new(now) })
     }
 
+    /// Records a tick per interval, forever.
     pub async fn run(self: Rc<Self>) {
         loop {
             sleep(self.interval).await;
@@ -91,18 +96,19 @@
         if let Some(step) = self.clock.apply_forward_step(system_time()) {
             tracing::info!(micros = step.micros(), "the system clock was set forward");
         }
-        self.before.set(self.last.replace(self.clock.now()));
+        self.previous_tick.set(self.last_tick.replace(self.clock.now()));
     }
 
     /// The earliest time at which data that is read now can have arrived: now, or the tick before a recent
     /// stall.
     pub fn earliest_arrival(&self) -> Timestamp {
-        let (now, last, before) = (self.clock.now(), self.last.get(), self.before.get());
-        let stalled = |from: Timestamp, to: Timestamp| duration(to - from) > self.interval * 4;
-        if stalled(last, now) {
-            last
-        } else if stalled(before, last) {
-            before
+        let (now, last_tick, previous_tick) =
+            (self.clock.now(), self.last_tick.get(), self.previous_tick.get());
+        let is_stall = |from: Timestamp, to: Timestamp| duration(to - from) > self.interval * 4;
+        if is_stall(last_tick, now) {
+            last_tick
+        } else if is_stall(previous_tick, last_tick) {
+            previous_tick
         } else {
             now
         }
@@ -115,10 +121,10 @@
 
     #[tokio::test(start_paused = true)]
     async fn data_read_after_a_stall_is_dated_to_its_start() {
-        let (every, stall) = (Duration::from_millis(5), Duration::from_millis(300));
+        let (interval, stall) = (Duration::from_millis(5), Duration::from_millis(300));
         let clock = Clock::start();
-        let detector = StallDetector::new(clock, every);
-        tokio::time::advance(every).await;
+        let detector = StallDetector::new(clock, interval);
+        tokio::time::advance(interval).await;
         detector.record_tick();
         assert_eq!(detector.earliest_arrival(), clock.now());
         let stalled_at = clock.now();
@@ -127,7 +133,7 @@
         // The tick may run before the bytes are read.
         detector.record_tick();
         assert_eq!(detector.earliest_arrival(), stalled_at);
-        tokio::time::advance(every).await;
+        tokio::time::advance(interval).await;
         detector.record_tick();
         assert_eq!(detector.earliest_arrival(), clock.now());
     }
--- a/crates/arrowyard-core/src/count.rs
+++ b/crates/arrowyard-core/src/count.rs
@@ -8,10 +8,12 @@
 pub struct UsageGuard(Rc<Cell<usize>>, usize);
 
 impl UsageGuard {
+    /// Counts one unit.
     pub fn one(counter: &Rc<Cell<usize>>) -> Self {
         UsageGuard::add(counter, 1)
     }
 
+    /// Counts `amount` units.
     pub fn add(counter: &Rc<Cell<usize>>, amount: usize) -> Self {
         counter.set(counter.get() + amount);
         UsageGuard(counter.clone(), amount)
--- a/crates/arrowyard-core/src/discovery.rs
+++ b/crates/arrowyard-core/src/discovery.rs
@@ -15,29 +15,31 @@
 use tokio::time::{Instant, sleep, timeout_at};
 
 use crate::clock::{Clock, duration};
+use crate::host_list::HostList;
 use crate::http;
 use crate::limits::Limits;
-use crate::list::HostList;
 use crate::messages::{DiscoveryCommand, DiscoveryEvent, RouteMessage};
 use crate::transport::HostTransport;
 
 /// Longer lists are parsed on a separate thread, so that ops are not delayed.
-const LONG_TEXT: usize = 256 * 1024;
+const MAX_INLINE_PARSE_BYTES: usize = 256 * 1024;
 
-/// Pacing of calls when many routers reconnect, and the check for outdated lists; if configured.
+/// Paces calls when many routers reconnect, and rejects outdated lists.
 pub struct ReconnectPolicy {
-    pub credence: ListVersionTracker,
-    pub herd: CallPacer,
-    /// Whether a list is in use.
+    /// Detects lists that are older than an accepted one.
+    pub list_versions: ListVersionTracker,
+    /// Spreads the calls of all routers over time.
+    pub call_pacer: CallPacer,
+    /// Whether a host list is in use.
     pub has_list: bool,
     pub clock: Clock,
 }
 
 impl ReconnectPolicy {
     /// The delay before the next call. A fetch while calls succeed is urgent, since a change is expected.
-    fn wait(&mut self, first: bool) -> TimeDelta {
-        let urgent = !first && !self.herd.is_failing();
-        if urgent { TimeDelta::ZERO } else { self.herd.next_wait(self.has_list) }
+    fn next_delay(&mut self, is_new_watch: bool) -> TimeDelta {
+        let urgent = !is_new_watch && !self.call_pacer.is_failing();
+        if urgent { TimeDelta::ZERO } else { self.call_pacer.next_wait(self.has_list) }
     }
 }
 
@@ -51,24 +53,26 @@
 }
 
 /// The task that calls discovery.
-pub struct Discovery<B: HostTransport> {
+pub struct Discovery<T: HostTransport> {
     pub address: SocketAddr,
-    /// The version of the last list.
+    /// The version of the last accepted list.
     pub version: Rc<Cell<Option<i64>>>,
-    pub messages: mpsc::Sender<RouteMessage<B>>,
+    pub messages: mpsc::Sender<RouteMessage<T>>,
     pub limits: Rc<Limits>,
+    /// If configured.
     pub reconnect: Option<Rc<RefCell<ReconnectPolicy>>>,
 }
 
-impl<B: HostTransport> Clone for Discovery<B> {
+impl<T: HostTransport> Clone for Discovery<T> {
     fn clone(&self) -> Self {
-        let Discovery { address, version, messages: mail, limits, reconnect: policy } = self;
-        let (version, mail, policy) = (version.clone(), mail.clone(), policy.clone());
-        Discovery { address: *address, version, messages: mail, limits: limits.clone(), reconnect: policy }
+        let Discovery { address, version, messages, limits, reconnect } = self;
+        let (version, messages, reconnect) = (version.clone(), messages.clone(), reconnect.clone());
+        Discovery { address: *address, version, messages, limits: limits.clone(), reconnect }
     }
 }
 
-impl<B: HostTransport> Discovery<B> {
+impl<T: HostTransport> Discovery<T> {
+    /// Handles commands until the channel is closed.
     pub async fn run(mut self, mut commands: mpsc::Receiver<DiscoveryCommand>) {
         let mut watch: Option<RunningCall> = None;
         while let Some(command) = commands.recv().await {
@@ -83,7 +87,9 @@
                 // starts.
                 DiscoveryCommand::SetAddress(address) => {
                     self.address = address;
-                    self.reconnect.iter().for_each(|policy| policy.borrow_mut().credence.address_changed());
+                    self.reconnect
+                        .iter()
+                        .for_each(|policy| policy.borrow_mut().list_versions.address_changed());
                     if let Some(old) = watch.take() {
                         watch = Some(self.start_call(true, Some(old)));
                     }
@@ -92,68 +98,72 @@
                 DiscoveryCommand::SetRouterCount(routers) => {
                     self.reconnect
                         .iter()
-                        .for_each(|policy| policy.borrow_mut().herd.set_router_count(routers));
+                        .for_each(|policy| policy.borrow_mut().call_pacer.set_router_count(routers));
                 }
             }
         }
     }
 
     /// Starts a watch that replaces the old one when its call begins.
-    fn start_call(&self, watch: bool, old: Option<RunningCall>) -> RunningCall {
-        let wait = self.reconnect.as_ref().map_or(TimeDelta::ZERO, |policy| policy.borrow_mut().wait(true));
-        let old = old.filter(|_| wait > TimeDelta::ZERO);
-        RunningCall(spawn_local(self.clone().call(watch, wait, old)))
+    fn start_call(&self, is_watch: bool, old_call: Option<RunningCall>) -> RunningCall {
+        let delay =
+            self.reconnect.as_ref().map_or(TimeDelta::ZERO, |policy| policy.borrow_mut().next_delay(true));
+        let old_call = old_call.filter(|_| delay > TimeDelta::ZERO);
+        RunningCall(spawn_local(self.clone().call(is_watch, delay, old_call)))
     }
 
-    async fn call(self, watch: bool, wait: TimeDelta, old: Option<RunningCall>) {
-        let wait = match &self.reconnect {
-            Some(policy) if !watch => policy.borrow_mut().wait(false),
-            _ => wait,
+    async fn call(self, is_watch: bool, delay: TimeDelta, old_call: Option<RunningCall>) {
+        let delay = match &self.reconnect {
+            Some(policy) if !is_watch => policy.borrow_mut().next_delay(false),
+            _ => delay,
         };
-        if wait > TimeDelta::ZERO {
-            sleep(duration(wait)).await;
+        if delay > TimeDelta::ZERO {
+            sleep(duration(delay)).await;
         }
-        drop(old);
-        if let Err(why) = self.read(watch).await {
-            self.reconnect.iter().for_each(|policy| policy.borrow_mut().herd.record_failure());
-            let call = if watch { "watch" } else { "fetch" };
-            tracing::warn!("{call} of the list failed: {why}");
+        drop(old_call);
+        if let Err(error) = self.fetch_list(is_watch).await {
+            self.reconnect.iter().for_each(|policy| policy.borrow_mut().call_pacer.record_failure());
+            let call_name = if is_watch { "watch" } else { "fetch" };
+            tracing::warn!("{call_name} of the host list failed: {error}");
             // The route task ends only with the router.
             let _ = self.messages.send(RouteMessage::Discovery(DiscoveryEvent::Failed)).await;
         }
     }
 
-    /// Performs one call. A watch returns only with an error.
-    async fn read(&self, watch: bool) -> Result<(), String> {
-        let path = match self.version.get().filter(|_| watch) {
+    /// Makes one call. A watch returns only with an error.
+    async fn fetch_list(&self, is_watch: bool) -> Result<(), String> {
+        let path = match self.version.get().filter(|_| is_watch) {
             Some(version) => format!("/catalog/members?watch=1&from={version}"),
-            None if watch => "/catalog/members?watch=1".to_string(),
+            None if is_watch => "/catalog/members?watch=1".to_string(),
             None => "/catalog/members".to_string(),
         };
-        let mut until = Instant::now() + self.limits.list_fetch_timeout;
-        let timed_out = |_| "no answer in time".to_string();
-        let failed = |e: std::io::Error| e.to_string();
-        let mut stream =
-            timeout_at(until, TcpStream::connect(self.address)).await.map_err(timed_out)?.map_err(failed)?;
-        stream.write_all(http::get(&path, &self.address.to_string()).as_bytes()).await.map_err(failed)?;
+        let mut deadline = Instant::now() + self.limits.list_fetch_timeout;
+        let timed_out = |_| "no response in time".to_string();
+        let to_text = |e: std::io::Error| e.to_string();
+        let mut stream = timeout_at(deadline, TcpStream::connect(self.address))
+            .await
+            .map_err(timed_out)?
+            .map_err(to_text)?;
+        stream.write_all(http::get(&path, &self.address.to_string()).as_bytes()).await.map_err(to_text)?;
         let (mut received, mut body_bytes, mut body) = (BytesMut::new(), BytesMut::new(), None);
         loop {
             received.reserve(self.limits.read_chunk_bytes);
-            let read = timeout_at(until, stream.read_buf(&mut received))
+            let read_bytes = timeout_at(deadline, stream.read_buf(&mut received))
                 .await
                 .map_err(timed_out)?
-                .map_err(failed)?;
-            if watch {
-                until = Instant::now() + self.limits.watch_idle_timeout;
+                .map_err(to_text)?;
+            if is_watch {
+                deadline = Instant::now() + self.limits.watch_idle_timeout;
             }
             if body.is_none() {
-                let head = http::head(&mut received, self.limits.max_http_head_bytes)?;
+                let head = http::take_head(&mut received, self.limits.max_http_head_bytes)?;
                 body = head.map(|head| if head.status == 200 { Ok(head.body) } else { Err(head.status) });
             }
             if let Some(body) = &mut body {
                 let body = body.as_mut().map_err(|status| format!("status {status}"))?;
                 body.take(&mut received, &mut body_bytes, self.limits.max_http_head_bytes)?;
-                while watch && let Some(line) = http::line(&mut body_bytes, self.limits.max_list_line_bytes)?
+                while is_watch
+                    && let Some(line) = http::take_line(&mut body_bytes, self.limits.max_list_line_bytes)?
                 {
                     if !line.trim_ascii().is_empty() {
                         self.handle_list(&line).await?;
@@ -162,23 +172,24 @@
                 if body_bytes.len() > self.limits.max_list_line_bytes {
                     return Err("the list is too long".to_string());
                 }
-                if *body == http::Body::Complete || read == 0 {
-                    return if watch {
+                if *body == http::Body::Complete || read_bytes == 0 {
+                    return if is_watch {
                         Err("the watch ended".to_string())
                     } else {
                         self.handle_list(&body_bytes).await
                     };
                 }
             }
-            if read == 0 {
-                return Err("the answer broke off".to_string());
+            if read_bytes == 0 {
+                return Err("the connection closed before the response was complete".to_string());
             }
         }
     }
 
+    /// Parses a list and passes it to the route task, unless it is outdated.
     async fn handle_list(&self, text: &[u8]) -> Result<(), String> {
         // Parsing thousands of hosts on the core's thread would delay every op.
-        let list = if text.len() > LONG_TEXT {
+        let list = if text.len() > MAX_INLINE_PARSE_BYTES {
             let text = text.to_vec();
             spawn_blocking(move || HostList::parse(&text)).await.map_err(|e| e.to_string())??
         } else {
@@ -196,19 +207,24 @@
         Ok(())
     }
 
+    /// Whether the list is to be applied, when pacing is configured.
     fn is_accepted(&self, policy: &mut ReconnectPolicy, list: &HostList) -> Result<bool, String> {
-        let held = policy.credence.accepted_version().unwrap_or_default();
-        match policy.credence.evaluate(policy.clock.now(), list.version, list.is_full) {
+        let accepted_version = policy.list_versions.accepted_version().unwrap_or_default();
+        match policy.list_versions.evaluate(policy.clock.now(), list.version, list.is_full) {
             ListDecision::Accept => {}
             ListDecision::Reset => {
-                tracing::warn!(held, told = list.version, "discovery counts its lists anew")
+                tracing::warn!(
+                    held = accepted_version,
+                    told = list.version,
+                    "discovery counts its lists anew"
+                )
             }
             // Treated as a failed call: another one may reach an up-to-date discovery server.
             ListDecision::Ignore => {
-                return Err(format!("list {} is older than {held}, it is passed over", list.version));
+                return Err(format!("list {} is older than {accepted_version}; ignored", list.version));
             }
         }
-        policy.herd.record_success();
+        policy.call_pacer.record_success();
         policy.has_list = true;
         Ok(true)
     }
--- a/crates/arrowyard-core/src/drain.rs
+++ b/crates/arrowyard-core/src/drain.rs
@@ -15,30 +15,34 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
     Serving,
-    /// A termination signal came; connections are still accepted, since clients may not know of it yet.
-    /// Leases are given back.
+    /// A termination signal was received; connections are still accepted, since clients may not know of it
+    /// yet. Leases are released.
     Draining,
     /// No new connections are accepted, and open ones are closed between ops.
     Closing,
 }
 
-/// Drains the router after a termination signal.
+/// The graceful shutdown of a router.
 pub struct Drain {
     pub stage: watch::Sender<Stage>,
     pub clients: Rc<Cell<usize>>,
     pub limits: Rc<Limits>,
 }
 
+/// Listens for SIGTERM and SIGINT.
+///
+/// # Errors
+/// A signal handler cannot be installed.
 pub fn termination_signals() -> io::Result<(Signal, Signal)> {
     Ok((signal(SignalKind::terminate())?, signal(SignalKind::interrupt())?))
 }
 
 impl Drain {
-    /// Returns once a signal came and either no client is left or `drain_timeout` is over.
+    /// Drains after a termination signal. Returns once either no client is left or `drain_timeout` is over.
     pub async fn run(&self, (mut terminate, mut interrupt): (Signal, Signal)) {
         tokio::select! {
-            _ = terminate.recv() => tracing::info!(clients = self.clients.get(), "SIGTERM: ending"),
-            _ = interrupt.recv() => tracing::info!(clients = self.clients.get(), "SIGINT: ending"),
+            _ = terminate.recv() => tracing::info!(clients = self.clients.get(), "SIGTERM: draining"),
+            _ = interrupt.recv() => tracing::info!(clients = self.clients.get(), "SIGINT: draining"),
         }
         self.stage.send_replace(Stage::Draining);
         sleep(self.limits.drain_accept_period).await;
@@ -47,6 +51,6 @@
         while self.clients.get() > 0 && Instant::now() < deadline {
             sleep(self.limits.retry_pause).await;
         }
-        tracing::info!(clients = self.clients.get(), "ended");
+        tracing::info!(clients = self.clients.get(), "drain completed");
     }
 }
--- a/crates/arrowyard-core/src/hints.rs
+++ b/crates/arrowyard-core/src/hints.rs
@@ -88,12 +88,12 @@
     pub fn take_announcements(&mut self, now: Timestamp) -> SmallVec<[u32; 4]> {
         let due = self.announcements.iter_mut().filter(|(_, (at, _))| *at <= now);
         let announced: SmallVec<[u32; 4]> = due
-            .map(|(&address_hash, (at, left))| {
-                (*at, *left) = (now + self.confirmation_timeout, *left - 1);
+            .map(|(&address_hash, (at, remaining))| {
+                (*at, *remaining) = (now + self.confirmation_timeout, *remaining - 1);
                 address_hash
             })
             .collect();
-        self.announcements.retain(|_, (_, left)| *left > 0);
+        self.announcements.retain(|_, (_, remaining)| *remaining > 0);
         announced
     }
 
@@ -103,8 +103,9 @@
         if self.hosts.len() >= MAX_HOSTS && !self.hosts.contains_key(&address_hash) {
             return;
         }
-        let new = Hint { due: now + self.confirmation_timeout, reporters: SmallVec::new(), fetched_at: None };
-        let hint = self.hosts.entry(address_hash).or_insert(new);
+        let new_hint =
+            Hint { due: now + self.confirmation_timeout, reporters: SmallVec::new(), fetched_at: None };
+        let hint = self.hosts.entry(address_hash).or_insert(new_hint);
         if hint.reporters.len() < MAX_REPORTERS && !hint.reporters.contains(&reporter) {
             hint.reporters.push(reporter);
         }
@@ -118,11 +119,11 @@
 
     /// Whether to fetch the list now: a hinted host is still ready in the own list after the confirmation
     /// timeout. It and the minimum interval keep the routers from all fetching at once when a host drains.
-    pub fn should_fetch(&mut self, now: Timestamp, holds_ready: impl Fn(u32) -> bool) -> bool {
+    pub fn should_fetch(&mut self, now: Timestamp, is_ready: impl Fn(u32) -> bool) -> bool {
         let mut unconfirmed = false;
         self.hosts.retain(|address_hash, hint| {
             let due = hint.due <= now && hint.fetched_at.is_none();
-            let ready = !due || holds_ready(*address_hash);
+            let ready = !due || is_ready(*address_hash);
             unconfirmed |= due && ready;
             ready
         });
@@ -142,25 +143,25 @@
         &mut self,
         now: Timestamp,
         ready: usize,
-        holds_ready: impl Fn(u32) -> bool,
+        is_ready: impl Fn(u32) -> bool,
     ) -> SmallVec<[u32; 4]> {
         let mut closed = SmallVec::new();
-        let Hints { hosts, closed: so_far, fetch_interval, .. } = self;
+        let Hints { hosts, closed: closed_count, fetch_interval, .. } = self;
         hosts.retain(|address_hash, hint| {
             let Some(fetched_at) =
                 hint.fetched_at.filter(|fetched_at| now - *fetched_at >= *fetch_interval * 0.5)
             else {
                 return true;
             };
-            if !holds_ready(*address_hash) || now - fetched_at >= *fetch_interval * 20.0 {
+            if !is_ready(*address_hash) || now - fetched_at >= *fetch_interval * 20.0 {
                 return false;
             }
             if hint.reporters.len() < MIN_REPORTERS
-                || (*so_far + 1) * CLOSED_HOSTS_DIVISOR > ready.max(CLOSED_HOSTS_DIVISOR)
+                || (*closed_count + 1) * CLOSED_HOSTS_DIVISOR > ready.max(CLOSED_HOSTS_DIVISOR)
             {
                 return true;
             }
-            *so_far += 1;
+            *closed_count += 1;
             closed.push(*address_hash);
             false
         });
@@ -179,40 +180,43 @@
     #[test]
     fn fetches_only_for_unconfirmed_hints_and_at_a_limited_rate() {
         let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
-        let by = PeerId(1);
-        hints.record_hint(at(0), 7, by);
+        let reporter = PeerId(1);
+        hints.record_hint(at(0), 7, reporter);
         assert!(!hints.should_fetch(at(399), |_| true), "the watch may still confirm it");
         assert!(!hints.should_fetch(at(400), |_| false), "the watch confirmed it");
         assert!(!hints.should_fetch(at(900), |_| true), "it was fetched already");
-        for tag in 0..1000 {
-            hints.record_hint(at(1000), tag, by);
+        for address_hash in 0..1000 {
+            hints.record_hint(at(1000), address_hash, reporter);
         }
         assert_eq!(hints.hosts.len(), MAX_HOSTS);
-        assert!(hints.should_fetch(at(1400), |tag| tag == 9));
+        assert!(hints.should_fetch(at(1400), |address_hash| address_hash == 9));
         hints.list_received();
-        hints.record_hint(at(1500), 9, by);
-        assert!(!hints.should_fetch(at(2000), |_| true), "too soon");
-        hints.record_hint(at(2500), 9, by);
+        hints.record_hint(at(1500), 9, reporter);
+        assert!(!hints.should_fetch(at(2000), |_| true), "the minimum interval has not passed");
+        hints.record_hint(at(2500), 9, reporter);
         assert!(hints.should_fetch(at(2900), |_| true));
     }
 
     #[test]
     fn two_reports_close_at_most_a_quarter_of_the_hosts_while_the_list_is_unavailable() {
         let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
-        for tag in 0..8 {
-            hints.record_hint(at(0), tag, PeerId(1));
-            hints.record_hint(at(0), tag, PeerId(1));
+        for address_hash in 0..8 {
+            hints.record_hint(at(0), address_hash, PeerId(1));
+            hints.record_hint(at(0), address_hash, PeerId(1));
         }
         assert!(hints.should_fetch(at(500), |_| true));
-        assert!(hints.hosts_to_close(at(1100), 8, |_| true).is_empty(), "the same router twice");
-        (0..8).for_each(|tag| hints.record_hint(at(1100), tag, PeerId(2)));
+        assert!(hints.hosts_to_close(at(1100), 8, |_| true).is_empty(), "one router reported twice");
+        (0..8).for_each(|address_hash| hints.record_hint(at(1100), address_hash, PeerId(2)));
         assert!(hints.hosts_to_close(at(900), 8, |_| true).is_empty(), "the list may still arrive");
         assert_eq!(
-            hints.hosts_to_close(at(1200), 8, |tag| tag != 0).to_vec(),
+            hints.hosts_to_close(at(1200), 8, |address_hash| address_hash != 0).to_vec(),
             [1, 2],
             "host 0 is not ready in the own list"
         );
-        assert!(hints.hosts_to_close(at(1300), 6, |_| true).is_empty(), "the quarter is used up");
+        assert!(
+            hints.hosts_to_close(at(1300), 6, |_| true).is_empty(),
+            "a quarter of the hosts is closed already"
+        );
         hints.list_received();
         assert!(hints.hosts_to_close(at(9000), 8, |_| true).is_empty(), "a list arrived");
         assert!(Hints::new(TimeDelta::ZERO, TimeDelta::ZERO).hosts_to_close(at(0), 0, |_| true).is_empty());
--- a/crates/arrowyard-core/src/list.rs
+++ b/crates/arrowyard-core/src/host_list.rs
@@ -34,15 +34,15 @@
     }
 
     pub fn from_json(json: &Value) -> Result<HostList, String> {
-        let entries = json.get("hosts").and_then(Value::as_array).ok_or("list: no hosts")?;
+        let entries = json.get("hosts").and_then(Value::as_array).ok_or("list: hosts is missing")?;
         Ok(HostList {
-            version: json.get("seq").and_then(Value::as_i64).ok_or("list: no seq")?,
+            version: json.get("seq").and_then(Value::as_i64).ok_or("list: seq is missing")?,
             is_full: json.get("whole").and_then(Value::as_bool).unwrap_or(false),
             // An invalid entry is skipped, so that it does not discard the other entries.
             entries: entries
                 .iter()
                 .filter_map(|entry| {
-                    HostListEntry::from_json(entry).map_err(|why| tracing::warn!("{why}")).ok()
+                    HostListEntry::from_json(entry).map_err(|error| tracing::warn!("{error}")).ok()
                 })
                 .collect(),
         })
@@ -53,18 +53,19 @@
     fn from_json(json: &Value) -> Result<HostListEntry, String> {
         let text = |field: &str| json.get(field).and_then(Value::as_str);
         let number = |field: &str| json.get(field).and_then(Value::as_f64);
-        let dial = text("dial").map(|dial| dial.parse().map_err(|e| format!("list: dial {dial}: {e}")));
+        let address = text("dial")
+            .map(|dial| dial.parse().map_err(|e| format!("list: invalid dial address {dial}: {e}")));
         Ok(HostListEntry {
-            host: text("host").ok_or("list: a line without host")?.to_string(),
+            host: text("host").ok_or("list: an entry has no host")?.to_string(),
             availability: match text("health") {
                 Some("SERVING") => Availability::Ready,
                 Some("DRAINING") => Availability::Draining,
                 Some("DELETED") => Availability::Gone,
-                other => return Err(format!("list: health {other:?}")),
+                other => return Err(format!("list: unknown health {other:?}")),
             },
-            address: dial.transpose()?,
+            address: address.transpose()?,
             site: text("site").map(str::to_string),
-            group: number("block").map(|block| block as i64),
+            group: number("block").map(|group| group as i64),
             size: number("share"),
             started_at_ms: number("born_ms"),
             is_primary: text("mode").map(|mode| mode == "read-write"),
--- a/crates/arrowyard-core/src/roster.rs
+++ b/crates/arrowyard-core/src/host_registry.rs
@@ -14,8 +14,8 @@
 use serde_json::{Map, Value};
 use tokio::time::Instant;
 
+use crate::host_list::{HostList, HostListEntry};
 use crate::limits::Limits;
-use crate::list::{HostList, HostListEntry};
 
 /// The membership of a host in a group without cells.
 fn group_membership(group: GroupId) -> GroupMemberships {
@@ -29,16 +29,16 @@
     entries: Vec<HostEntry>,
     zones: HashMap<String, ZoneId>,
     /// By host: its name, its group in the lists, and its size before it is scaled by trust.
-    list_values: Vec<(String, GroupId, f64)>,
+    listed_values: Vec<(String, GroupId, f64)>,
     /// The group ids that stand for a list's group within a cell. They count up from `i64::MIN`, which lists
-    /// don't use.
+    /// do not use.
     cell_groups: HashMap<(GroupId, CellId), GroupId>,
     /// Address hashes of hosts that are no longer ready, since the last `take_not_ready`.
     not_ready: Vec<u32>,
     /// Removed hosts with the time of removal, oldest first.
     removed: VecDeque<(Instant, String)>,
-    /// By host: the number of the last full list in slices that named it; and the number of the current one.
-    named_in: Vec<u64>,
+    /// By host: the number of the last sliced full list that contains it; and the number of the current one.
+    last_list_number: Vec<u64>,
     list_number: u64,
     limits: Rc<Limits>,
 }
@@ -47,24 +47,25 @@
     pub fn new(settings: &Map<String, Value>, limits: Rc<Limits>) -> Self {
         let sites = settings.get("dcs").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
         let sites = sites.iter().filter_map(Value::as_str).enumerate();
-        let zones = sites.map(|(n, site)| (site.to_string(), ZoneId(n as u32))).collect();
-        let (ids, addresses, entries, list_values, cell_groups, not_ready, removed) = Default::default();
-        let (named_in, list_number) = (Vec::new(), 0);
+        let zones = sites.map(|(index, site)| (site.to_string(), ZoneId(index as u32))).collect();
+        let (ids, addresses, entries, listed_values, cell_groups, not_ready, removed) = Default::default();
+        let (last_list_number, list_number) = (Vec::new(), 0);
         HostRegistry {
             ids,
             addresses,
             entries,
             zones,
-            list_values,
+            listed_values,
             cell_groups,
             not_ready,
             removed,
-            named_in,
+            last_list_number,
             list_number,
             limits,
         }
     }
 
+    /// The host's address, if it is known.
     pub fn address(&self, host: HostId) -> Option<SocketAddr> {
         self.addresses.get(host.0 as usize).copied().flatten()
     }
@@ -72,29 +73,30 @@
     /// Applies a list and returns the event for the decision module; a saved list is the last one before
     /// this start.
     pub fn apply_list(&mut self, list: &HostList, saved: bool) -> RouterEvent {
-        let form = match (saved, list.is_full) {
+        let kind = match (saved, list.is_full) {
             (true, _) => ListKind::Saved,
             (false, true) => ListKind::Full,
             (false, false) => ListKind::Incremental,
         };
         RouterEvent::HostList {
-            kind: form,
-            entries: list.entries.iter().map(|line| self.entry(line)).collect(),
+            kind,
+            entries: list.entries.iter().map(|list_entry| self.update_entry(list_entry)).collect(),
         }
     }
 
-    /// Entries applied from now on belong to the full list with this number.
+    /// Entries that are applied from now on belong to the full list with this number.
     pub fn set_list_number(&mut self, list_number: u64) {
         self.list_number = list_number;
     }
 
-    /// Removal entries for the hosts that the full list with this number did not name.
+    /// Removal entries for the hosts that the full list with this number does not contain.
     pub fn missing_hosts(&self, list_number: u64) -> Vec<HostListEntry> {
-        let present = self.entries.iter().zip(&self.named_in);
-        let present = present
-            .filter(|(entry, named_in)| entry.availability != Availability::Gone && **named_in < list_number);
-        let line = |entry: &HostEntry| HostListEntry {
-            host: self.list_values[entry.host.0 as usize].0.clone(),
+        let present = self.entries.iter().zip(&self.last_list_number);
+        let present = present.filter(|(entry, last_list_number)| {
+            entry.availability != Availability::Gone && **last_list_number < list_number
+        });
+        let removal_entry = |entry: &HostEntry| HostListEntry {
+            host: self.listed_values[entry.host.0 as usize].0.clone(),
             availability: Availability::Gone,
             address: None,
             site: None,
@@ -103,14 +105,14 @@
             started_at_ms: None,
             is_primary: None,
         };
-        present.map(|(entry, _)| line(entry)).collect()
+        present.map(|(entry, _)| removal_entry(entry)).collect()
     }
 
-    /// The id of the host that was removed first, for reuse, once none of its sends can be in flight. Reuse
-    /// bounds the memory of a router whose hosts are replaced again and again.
+    /// The id of the host that was removed longest ago, for reuse, once none of its sends can be in flight.
+    /// Reuse bounds the memory of a router whose hosts are replaced repeatedly.
     fn reusable_id(&mut self) -> Option<HostId> {
-        let (since, _) = self.removed.front()?;
-        if since.elapsed() < self.limits.removed_host_retention {
+        let (removed_at, _) = self.removed.front()?;
+        if removed_at.elapsed() < self.limits.removed_host_retention {
             return None;
         }
         let (_, name) = self.removed.pop_front()?;
@@ -133,18 +135,18 @@
         mut trust: impl FnMut(CellId, Timestamp) -> f64,
     ) {
         for entry in entries {
-            let (name, group, size) = self.list_values[entry.host.0 as usize].clone();
-            let mut part = 1.0_f64;
+            let (name, group, size) = self.listed_values[entry.host.0 as usize].clone();
+            let mut trusted_fraction = 1.0_f64;
             entry.memberships = index
                 .cells_for_host(group, &name)
-                .map(|(cell, guest)| {
-                    if let Some(started) = entry.started_at.filter(|_| !guest) {
-                        part = part.min(trust(cell, started));
+                .map(|(cell, is_guest)| {
+                    if let Some(started_at) = entry.started_at.filter(|_| !is_guest) {
+                        trusted_fraction = trusted_fraction.min(trust(cell, started_at));
                     }
-                    GroupMembership { group: self.cell_group(group, cell), primary_only: guest }
+                    GroupMembership { group: self.cell_group(group, cell), primary_only: is_guest }
                 })
                 .collect();
-            entry.size = size * part;
+            entry.size = size * trusted_fraction;
         }
     }
 
@@ -159,7 +161,7 @@
         let zone =
             |id: ZoneId| self.zones.iter().find(|(_, zone)| **zone == id).map(|(name, _)| name.clone());
         let host = |entry: &HostEntry| {
-            let (name, group, size) = &self.list_values[entry.host.0 as usize];
+            let (name, group, size) = &self.listed_values[entry.host.0 as usize];
             Host {
                 name: name.clone(),
                 dial: self.address(entry.host).map(|dial| dial.to_string()).unwrap_or_default(),
@@ -180,10 +182,10 @@
     }
 
     /// Whether the host with this address hash is ready.
-    pub fn is_ready(&self, tag: u32) -> bool {
+    pub fn is_ready(&self, address_hash: u32) -> bool {
         self.entries
             .iter()
-            .any(|entry| entry.address_hash == tag && entry.availability == Availability::Ready)
+            .any(|entry| entry.address_hash == address_hash && entry.availability == Availability::Ready)
     }
 
     /// The number of ready hosts.
@@ -192,9 +194,10 @@
     }
 
     /// Marks a ready host as draining because of hints; returns its entry.
-    pub fn mark_draining(&mut self, tag: u32) -> Option<HostEntry> {
-        let ready =
-            |entry: &&mut HostEntry| entry.address_hash == tag && entry.availability == Availability::Ready;
+    pub fn mark_draining(&mut self, address_hash: u32) -> Option<HostEntry> {
+        let ready = |entry: &&mut HostEntry| {
+            entry.address_hash == address_hash && entry.availability == Availability::Ready
+        };
         let entry = self.entries.iter_mut().find(ready)?;
         entry.availability = Availability::Draining;
         Some(entry.clone())
@@ -202,84 +205,91 @@
 
     /// The hosts of a group of the lists, with their names.
     pub fn group_hosts(&self, group: GroupId) -> Vec<(HostId, &str)> {
-        let of = |entry: &&HostEntry| self.list_values[entry.host.0 as usize].1 == group;
+        let is_in_group = |entry: &&HostEntry| self.listed_values[entry.host.0 as usize].1 == group;
         let present = self.entries.iter().filter(|entry| entry.availability != Availability::Gone);
-        present.filter(of).map(|entry| (entry.host, &*self.list_values[entry.host.0 as usize].0)).collect()
+        present
+            .filter(is_in_group)
+            .map(|entry| (entry.host, &*self.listed_values[entry.host.0 as usize].0))
+            .collect()
     }
 
     /// The cell that probes of the host count for: the first that it is a full member of, else the first.
     pub fn probe_cell(&self, host: HostId, index: &CellIndex) -> Option<CellId> {
-        let (name, group, _) = self.list_values.get(host.0 as usize)?;
-        let mut parts = index.cells_for_host(*group, name);
-        let first = parts.next()?;
-        let own = std::iter::once(first).chain(parts).find(|(_, guest)| !guest);
-        Some(own.unwrap_or(first).0)
+        let (name, group, _) = self.listed_values.get(host.0 as usize)?;
+        let mut cells = index.cells_for_host(*group, name);
+        let first = cells.next()?;
+        let own_cell = std::iter::once(first).chain(cells).find(|(_, is_guest)| !is_guest);
+        Some(own_cell.unwrap_or(first).0)
     }
 
     /// Whether the host started within this time.
-    pub fn started_within(&self, host: HostId, now: Timestamp, within: TimeDelta) -> bool {
-        let started = self.entries.get(host.0 as usize).and_then(|entry| entry.started_at);
-        started.is_some_and(|started| now - started < within)
+    pub fn started_within(&self, host: HostId, now: Timestamp, period: TimeDelta) -> bool {
+        let started_at = self.entries.get(host.0 as usize).and_then(|entry| entry.started_at);
+        started_at.is_some_and(|started_at| now - started_at < period)
     }
 
-    fn entry(&mut self, line: &HostListEntry) -> HostEntry {
-        let known = self.ids.get(&line.host).copied();
-        let host = known.or_else(|| self.reusable_id()).unwrap_or(HostId(self.addresses.len() as u32));
-        let place = host.0 as usize;
-        if known.is_none() {
-            self.ids.insert(line.host.clone(), host);
-            let (parts, zone, availability) = (group_membership(GroupId(0)), ZoneId(0), line.availability);
-            let tag = address_hash(&line.host);
-            let blank = HostEntry {
+    /// Updates the entry of a host from a list; an unknown host gets an id.
+    fn update_entry(&mut self, list_entry: &HostListEntry) -> HostEntry {
+        let known_id = self.ids.get(&list_entry.host).copied();
+        let host = known_id.or_else(|| self.reusable_id()).unwrap_or(HostId(self.addresses.len() as u32));
+        let index = host.0 as usize;
+        if known_id.is_none() {
+            self.ids.insert(list_entry.host.clone(), host);
+            let (memberships, zone, availability) =
+                (group_membership(GroupId(0)), ZoneId(0), list_entry.availability);
+            let address_hash = address_hash(&list_entry.host);
+            let new_entry = HostEntry {
                 host,
-                address_hash: tag,
+                address_hash,
                 availability,
-                memberships: parts,
+                memberships,
                 zone,
                 size: 1.0,
                 is_primary: false,
                 started_at: None,
             };
-            if place == self.addresses.len() {
+            if index == self.addresses.len() {
                 self.addresses.push(None);
-                self.named_in.push(0);
-                self.entries.push(blank);
-                self.list_values.push((line.host.clone(), GroupId(0), 1.0));
+                self.last_list_number.push(0);
+                self.entries.push(new_entry);
+                self.listed_values.push((list_entry.host.clone(), GroupId(0), 1.0));
             } else {
-                (self.addresses[place], self.entries[place]) = (None, blank);
-                self.list_values[place] = (line.host.clone(), GroupId(0), 1.0);
+                (self.addresses[index], self.entries[index]) = (None, new_entry);
+                self.listed_values[index] = (list_entry.host.clone(), GroupId(0), 1.0);
             }
         }
-        self.named_in[place] = self.list_number;
-        let left = line.availability == Availability::Gone
-            && (known.is_none() || self.entries[place].availability != Availability::Gone);
-        if left {
-            self.removed.push_back((Instant::now(), line.host.clone()));
-        } else if line.availability != Availability::Gone {
-            self.removed.retain(|(_, name)| *name != line.host);
+        self.last_list_number[index] = self.list_number;
+        let is_newly_removed = list_entry.availability == Availability::Gone
+            && (known_id.is_none() || self.entries[index].availability != Availability::Gone);
+        if is_newly_removed {
+            self.removed.push_back((Instant::now(), list_entry.host.clone()));
+        } else if list_entry.availability != Availability::Gone {
+            self.removed.retain(|(_, name)| *name != list_entry.host);
         }
-        self.addresses[place] = line.address.or(self.addresses[place]);
-        let entry = &mut self.entries[place];
+        self.addresses[index] = list_entry.address.or(self.addresses[index]);
+        let entry = &mut self.entries[index];
         if entry.availability == Availability::Ready
-            && line.availability != Availability::Ready
-            && known.is_some()
+            && list_entry.availability != Availability::Ready
+            && known_id.is_some()
         {
             self.not_ready.push(entry.address_hash);
         }
-        if entry.availability != line.availability || known.is_none() {
-            let dial = self.addresses[place];
-            tracing::info!(host = line.host, dial = ?dial, "host is {:?}", line.availability);
+        if entry.availability != list_entry.availability || known_id.is_none() {
+            let address = self.addresses[index];
+            tracing::info!(host = list_entry.host, dial = ?address, "host is {:?}", list_entry.availability);
         }
-        entry.availability = line.availability;
-        let list_values = &mut self.list_values[place];
-        list_values.1 = line.group.map_or(list_values.1, GroupId);
-        list_values.2 = line.size.unwrap_or(list_values.2);
-        (entry.memberships, entry.size) = (group_membership(list_values.1), list_values.2);
-        entry.zone = line.site.as_ref().and_then(|site| self.zones.get(site).copied()).unwrap_or(entry.zone);
-        entry.is_primary =
-            line.is_primary.unwrap_or(entry.is_primary && line.availability != Availability::Gone);
-        if let Some(born) = line.started_at_ms {
-            entry.started_at = (born > 0.0).then(|| timestamp_from_millis(born));
+        entry.availability = list_entry.availability;
+        let host_values = &mut self.listed_values[index];
+        host_values.1 = list_entry.group.map_or(host_values.1, GroupId);
+        host_values.2 = list_entry.size.unwrap_or(host_values.2);
+        (entry.memberships, entry.size) = (group_membership(host_values.1), host_values.2);
+        entry.zone =
+            list_entry.site.as_ref().and_then(|site| self.zones.get(site).copied()).unwrap_or(entry.zone);
+        entry.is_primary = list_entry
+            .is_primary
+            .unwrap_or(entry.is_primary && list_entry.availability != Availability::Gone);
+        if let Some(started_at_ms) = list_entry.started_at_ms {
+            entry.started_at = (started_at_ms > 0.0).then(|| timestamp_from_millis(started_at_ms));
         }
         entry.clone()
     }
@@ -292,23 +302,23 @@
     #[tokio::test(start_paused = true)]
     async fn the_id_of_a_removed_host_is_reused_once_its_sends_ended() {
         let limits = Limits::for_test(serde_json::json!({})).2;
-        let mut roster = HostRegistry::new(&Map::new(), Rc::new(limits));
-        let mut told = |host: &str, health: &str| {
-            let line = serde_json::json!({"host": host, "health": health, "dial": "127.0.0.1:9"});
-            let list =
-                HostList::from_json(&serde_json::json!({"seq": 1, "hosts": [line]})).expect("it is whole");
-            match roster.apply_list(&list, false) {
+        let mut registry = HostRegistry::new(&Map::new(), Rc::new(limits));
+        let mut update_host = |host: &str, health: &str| {
+            let list_entry = serde_json::json!({"host": host, "health": health, "dial": "127.0.0.1:9"});
+            let list = HostList::from_json(&serde_json::json!({"seq": 1, "hosts": [list_entry]}))
+                .expect("the list is valid");
+            match registry.apply_list(&list, false) {
                 RouterEvent::HostList { entries, .. } => (entries[0].host.0, entries[0].address_hash),
                 other => panic!("{other:?}"),
             }
         };
-        assert_eq!((told("a", "SERVING").0, told("b", "SERVING").0), (0, 1));
-        assert_eq!((told("a", "DELETED").0, told("b", "DELETED").0), (0, 1));
-        assert_eq!(told("b", "SERVING").0, 1);
-        assert_eq!(told("c", "SERVING").0, 2, "sends to a may be in flight");
+        assert_eq!((update_host("a", "SERVING").0, update_host("b", "SERVING").0), (0, 1));
+        assert_eq!((update_host("a", "DELETED").0, update_host("b", "DELETED").0), (0, 1));
+        assert_eq!(update_host("b", "SERVING").0, 1);
+        assert_eq!(update_host("c", "SERVING").0, 2, "sends to a may be in flight");
         tokio::time::advance(limits.removed_host_retention).await;
-        assert_eq!(told("d", "SERVING"), (0, address_hash("d")));
-        assert_eq!(told("e", "SERVING").0, 3, "b is back");
-        assert_eq!(told("a", "SERVING").0, 4, "a removed host gets a new id");
+        assert_eq!(update_host("d", "SERVING"), (0, address_hash("d")));
+        assert_eq!(update_host("e", "SERVING").0, 3, "b is back");
+        assert_eq!(update_host("a", "SERVING").0, 4, "a removed host gets a new id");
     }
 }
--- a/crates/arrowyard-core/src/http.rs
+++ b/crates/arrowyard-core/src/http.rs
@@ -24,13 +24,14 @@
     Complete,
 }
 
+/// A GET request.
 pub fn get(path: &str, authority: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nHost: {authority}\r\nAccept: application/json\r\n\r\n")
 }
 
 /// Removes a line from the received bytes and returns it without its end; an error if it exceeds
 /// `max_bytes`.
-pub fn line(received: &mut BytesMut, max_bytes: usize) -> Result<Option<BytesMut>, String> {
+pub fn take_line(received: &mut BytesMut, max_bytes: usize) -> Result<Option<BytesMut>, String> {
     match received.iter().position(|&byte| byte == b'\n') {
         Some(end) if end <= max_bytes => {
             let mut line = received.split_to(end + 1);
@@ -44,27 +45,27 @@
 }
 
 /// Removes the head of a response from the received bytes, once it is complete.
-pub fn head(received: &mut BytesMut, max_bytes: usize) -> Result<Option<Head>, String> {
-    let Some(end) = received.windows(4).position(|four| four == b"\r\n\r\n") else {
+pub fn take_head(received: &mut BytesMut, max_bytes: usize) -> Result<Option<Head>, String> {
+    let Some(end) = received.windows(4).position(|bytes| bytes == b"\r\n\r\n") else {
         return if received.len() <= max_bytes {
             Ok(None)
         } else {
-            Err("http: a head is too long".to_string())
+            Err("http: the response head is too long".to_string())
         };
     };
     let head = received.split_to(end + 4);
-    let text = std::str::from_utf8(&head[..end]).map_err(|_| "http: a head is not text")?;
+    let text = std::str::from_utf8(&head[..end]).map_err(|_| "http: the response head is not UTF-8")?;
     let mut lines = text.split("\r\n");
-    let first = lines.next().unwrap_or_default();
-    let status = first.strip_prefix("HTTP/1.").and_then(|rest| rest.split(' ').nth(1));
-    let status = status.and_then(|status| status.parse().ok()).ok_or("http: no status")?;
+    let status_line = lines.next().unwrap_or_default();
+    let status = status_line.strip_prefix("HTTP/1.").and_then(|rest| rest.split(' ').nth(1));
+    let status = status.and_then(|status| status.parse().ok()).ok_or("http: the response has no status")?;
     let mut body = Body::ToEnd;
     for (name, value) in lines.filter_map(|line| line.split_once(':')) {
         let value = value.trim();
         if name.eq_ignore_ascii_case("transfer-encoding") && value.eq_ignore_ascii_case("chunked") {
             body = Body::ChunkSize;
         } else if name.eq_ignore_ascii_case("content-length") && body == Body::ToEnd {
-            body = Body::Length(value.parse().map_err(|_| "http: a length is no number")?);
+            body = Body::Length(value.parse().map_err(|_| "http: Content-Length is not a number")?);
         }
     }
     Ok(Some(Head { status, body }))
@@ -92,27 +93,27 @@
                     if received.is_empty() {
                         return Ok(());
                     }
-                    let part = left.min(received.len());
-                    data.extend_from_slice(&received[..part]);
-                    received.advance(part);
+                    let available = left.min(received.len());
+                    data.extend_from_slice(&received[..available]);
+                    received.advance(available);
                     *self = match *self {
-                        Body::Length(_) => Body::Length(left - part),
-                        _ if left == part => Body::ChunkEnd,
-                        _ => Body::Chunk(left - part),
+                        Body::Length(_) => Body::Length(left - available),
+                        _ if left == available => Body::ChunkEnd,
+                        _ => Body::Chunk(left - available),
                     };
                 }
-                Body::ChunkEnd => match line(received, 1)? {
+                Body::ChunkEnd => match take_line(received, 1)? {
                     Some(_) => *self = Body::ChunkSize,
                     None => return Ok(()),
                 },
                 Body::ChunkSize => {
-                    let Some(line) = line(received, max_bytes)? else { return Ok(()) };
-                    let digits = std::str::from_utf8(&line).unwrap_or_default();
-                    let digits = digits.split(';').next().unwrap_or_default().trim();
-                    let size = usize::from_str_radix(digits, 16).map_err(|_| "http: no size of a chunk")?;
+                    let Some(line) = take_line(received, max_bytes)? else { return Ok(()) };
+                    let size_text = std::str::from_utf8(&line).unwrap_or_default();
+                    let digits = size_text.split(';').next().unwrap_or_default().trim();
+                    let size = usize::from_str_radix(digits, 16).map_err(|_| "http: invalid chunk size")?;
                     *self = if size == 0 { Body::Trailer } else { Body::Chunk(size) };
                 }
-                Body::Trailer => match line(received, max_bytes)? {
+                Body::Trailer => match take_line(received, max_bytes)? {
                     Some(line) if line.is_empty() => *self = Body::Complete,
                     Some(_) => {}
                     None => return Ok(()),
@@ -135,11 +136,11 @@
         for piece in [&bytes[..cut], &bytes[cut..]] {
             received.extend_from_slice(piece);
             if body.is_none() {
-                body = head(&mut received, 100)?.map(|head| head.body);
+                body = take_head(&mut received, 100)?.map(|head| head.body);
             }
             if let Some(body) = &mut body {
                 body.take(&mut received, &mut data, 100)?;
-                while let Some(line) = line(&mut data, 100)? {
+                while let Some(line) = take_line(&mut data, 100)? {
                     lines.push(String::from_utf8_lossy(&line).into_owned());
                 }
             }
@@ -150,26 +151,26 @@
     #[test]
     fn a_chunked_response_is_read_however_it_is_split() {
         for cut in 0..CHUNKED.len() {
-            let wanted = (vec![r#"{"a":1}"#.to_string(), String::new()], true);
-            assert_eq!(lines(CHUNKED, cut), Ok(wanted), "cut at {cut}");
+            let expected = (vec![r#"{"a":1}"#.to_string(), String::new()], true);
+            assert_eq!(lines(CHUNKED, cut), Ok(expected), "cut at {cut}");
         }
     }
 
     #[test]
     fn invalid_responses_are_rejected() {
-        let long = "x".repeat(101);
+        let long_line = "x".repeat(101);
         let chunked = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        let hostile = [
-            format!("HTTP/1.1 200 OK\r\n{long}"),
+        let invalid = [
+            format!("HTTP/1.1 200 OK\r\n{long_line}"),
             "HTTP/1.1 OK\r\n\r\n".to_string(),
             "SMTP 200\r\n\r\n".to_string(),
             "HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n".to_string(),
             format!("{chunked}fffffffffffffffff\r\n"),
             format!("{chunked}g\r\n"),
             format!("{chunked}1\r\nabc\r\n"),
-            format!("{chunked}{long}"),
+            format!("{chunked}{long_line}"),
         ];
-        for text in hostile {
+        for text in invalid {
             assert!(lines(text.as_bytes(), 0).is_err(), "{text}");
         }
     }
--- a/crates/arrowyard-core/src/leases.rs
+++ b/crates/arrowyard-core/src/leases.rs
@@ -1,5 +1,5 @@
 //! The lease task: connects the decisions of `arrowyard-leases` to a UDP socket, stores votes before they
-//! are sent, and performs the duties under a lease.
+//! are sent, and makes the calls of the duties under a lease.
 
 use std::cell::Cell;
 use std::collections::HashMap;
@@ -33,20 +33,21 @@
     /// Whether this router is eligible to hold leases, that is, serves ops.
     SetEligible(bool),
     /// Releases all leases before the router ends; answered once that is done.
-    Leave(oneshot::Sender<()>),
-    /// The snapshot with this number was written, or the write failed.
+    ReleaseAll(oneshot::Sender<()>),
+    /// Writing the snapshot with this number ended; true if it succeeded.
     VotesStored(u64, bool),
-    /// A call of the duty ended: the status, or the error.
-    ActEnded(usize, Result<u16, String>),
+    /// A call of the duty with this index ended: the response status, or the error.
+    CallEnded(usize, Result<u16, String>),
 }
 
+/// Capacity of the command channel.
 const COMMAND_QUEUE: usize = 256;
 /// Datagrams read before yielding, and candidates whose addresses a voter remembers.
 const MAX_DATAGRAMS_PER_TURN: usize = 32;
 const MAX_CANDIDATES: usize = 4096;
-/// How long the start waits for the disk.
+/// How long the startup waits for the disk.
 const DISK_TIMEOUT: Duration = Duration::from_millis(500);
-/// The status by which a receiver rejects an act with an outdated epoch.
+/// The status by which a receiver rejects a call with an outdated epoch.
 const STALE_EPOCH_STATUS: u16 = 409;
 
 /// The clock for leases. It continues while the machine is suspended; otherwise a holder could believe that
@@ -61,10 +62,10 @@
     fn start() -> LeaseClock {
         // For tests of clocks that drift too far; not in release builds.
         #[cfg(debug_assertions)]
-        let off = std::env::var("ARROWYARD_TEST_CLOCK_PPM").ok().and_then(|told| told.parse().ok());
+        let drift_ppm = std::env::var("ARROWYARD_TEST_CLOCK_PPM").ok().and_then(|ppm| ppm.parse().ok());
         #[cfg(not(debug_assertions))]
-        let off = None;
-        LeaseClock { drift_ppm: off.unwrap_or(0) }
+        let drift_ppm = None;
+        LeaseClock { drift_ppm: drift_ppm.unwrap_or(0) }
     }
 
     fn now(self) -> Timestamp {
@@ -80,165 +81,183 @@
 struct DutyState {
     duty: Duty,
     lease: LeaseId,
-    /// When the next act starts, and whether one is in progress.
-    next: Timestamp,
-    acting: bool,
-    acts: u64,
-    failed: u64,
+    /// When the next call starts, and whether one is in progress.
+    next_call_at: Timestamp,
+    call_in_progress: bool,
+    calls: u64,
+    failed_calls: u64,
 }
 
+/// The lease task.
 pub struct LeasesTask {
     candidate: Candidate,
     voter: Option<Voter>,
-    clocks: ClockMonitor,
+    clock_monitor: ClockMonitor,
     clock: LeaseClock,
     name: String,
+    /// Identifies the fleet, its voters and the lease parameters in messages.
     group: u64,
     voters: Vec<(String, SocketAddr)>,
-    me: Option<VoterId>,
+    /// This router's id if it is a voter.
+    own_voter_id: Option<VoterId>,
+    /// The directory of the stored votes.
     store: Option<PathBuf>,
     socket: UdpSocket,
     /// Addresses of candidates, and the last contact with each.
     candidates: HashMap<CandidateId, (SocketAddr, Timestamp)>,
-    doing: Vec<DutyState>,
+    duties: Vec<DutyState>,
     rng: Rng,
     commands: mpsc::Receiver<LeasesCommand>,
-    own: mpsc::Sender<LeasesCommand>,
+    /// Sends results of spawned tasks back to this task.
+    own_commands: mpsc::Sender<LeasesCommand>,
+    /// Datagrams that could not be decoded.
     dropped: u64,
+    /// Writes of votes that ended.
     writes: Rc<Cell<u64>>,
-    stage: &'static str,
+    /// The voter's stage that was logged last.
+    logged_stage: &'static str,
+    /// Voters whose clocks drift beyond the bound, in parts per million.
     drifts: HashMap<VoterId, i64>,
-    /// Whether no further act starts, whether the router is eligible, and who waits for the release of all
+    /// Whether no further call starts, whether the router is eligible, and who waits for the release of all
     /// leases.
-    is_stopped: bool,
-    fit: bool,
+    calls_stopped: bool,
+    is_eligible: bool,
     release_waiter: Option<oneshot::Sender<()>>,
 }
 
-fn path(folder: &Path) -> PathBuf {
+fn votes_path(folder: &Path) -> PathBuf {
     folder.join("votes")
 }
 
 /// The voter's stored snapshot; `None` if there is none or it is unusable, in which case its grants are
 /// unknown.
-async fn load(folder: PathBuf, group: u64, name: String) -> Option<VoterSnapshot> {
-    let reading = spawn_blocking(move || {
+async fn load_votes(folder: PathBuf, group: u64, name: String) -> Option<VoterSnapshot> {
+    let read_task = spawn_blocking(move || {
         let _ = std::fs::create_dir_all(&folder);
-        SystemDisk.read(&path(&folder), storage::MAX_FILE_BYTES)
+        SystemDisk.read(&votes_path(&folder), storage::MAX_FILE_BYTES)
     });
-    let read = match timeout(DISK_TIMEOUT, reading).await {
-        Ok(Ok(Ok((bytes, _)))) => storage::decode(&bytes, group, &name).map_err(|why| format!("{why:?}")),
+    let loaded = match timeout(DISK_TIMEOUT, read_task).await {
+        Ok(Ok(Ok((bytes, _)))) => storage::decode(&bytes, group, &name).map_err(|error| format!("{error:?}")),
         Ok(Ok(Err(error))) => Err(error.to_string()),
-        _ => Err("the disk did not answer in time".to_string()),
+        _ => Err("the disk did not respond in time".to_string()),
     };
-    read.map_err(|why| tracing::warn!("votes are lost ({why}): the other voters are asked for them")).ok()
+    loaded
+        .map_err(|error| {
+            tracing::warn!("stored votes are unavailable ({error}); recovering them from the other voters")
+        })
+        .ok()
 }
 
 impl LeasesTask {
-    /// Opens the socket; returns the task and its command channel.
+    /// Opens the socket and loads the stored votes; returns the task and its command channel.
     ///
     /// # Errors
     /// The address cannot be bound, or a voter has no folder for its votes.
     pub async fn open(
-        joins: LeaseSettings,
+        settings: LeaseSettings,
         name: &str,
         seed: u64,
     ) -> Result<(Self, mpsc::Sender<LeasesCommand>), String> {
-        let LeaseSettings { fleet, listen, voters, store, config: terms, duties } = joins;
+        let LeaseSettings { fleet, listen, voters, store, config, duties } = settings;
         let socket = UdpSocket::bind(listen).await.map_err(|e| format!("{listen}: {e}"))?;
         let local = socket.local_addr().map_err(|e| e.to_string())?;
         let names: Vec<String> = voters.iter().map(|(name, _)| name.clone()).collect();
-        let group = message::group_id(&fleet, &names, terms.term, terms.drift_ppm);
+        let group = message::group_id(&fleet, &names, config.term, config.drift_ppm);
         let clock = LeaseClock::start();
-        let me = names.iter().position(|one| one == name).map(|at| VoterId(at as u8));
+        let own_voter_id =
+            names.iter().position(|voter_name| voter_name == name).map(|index| VoterId(index as u8));
         let mut voter = None;
-        if let Some(me) = me {
-            let folder =
-                store.clone().ok_or("leases.store: this router is a voter and has no place for votes")?;
-            let image = load(folder, group, name.to_string()).await;
-            voter = Some(Voter::start(clock.now(), terms, me, image, fastrand::u64(..)));
+        if let Some(own_voter_id) = own_voter_id {
+            let folder = store.clone().ok_or("leases.store: it is required, since this router is a voter")?;
+            let snapshot = load_votes(folder, group, name.to_string()).await;
+            voter = Some(Voter::start(clock.now(), config, own_voter_id, snapshot, fastrand::u64(..)));
         }
         // Random for each process, so that two processes with one name are two candidates.
         let id = CandidateId(fastrand::u64(1..) ^ mono_us().unsigned_abs().rotate_left(20));
         let mut rng = Rng::with_seed(seed ^ id.0);
-        let mut candidate = Candidate::new(terms, id);
+        let mut candidate = Candidate::new(config, id);
         let now = clock.now();
-        // One draw for all duties, so that leases requested together stay together.
-        let draw = rng.f64();
-        let doing = |duty: Duty| {
+        // The same jitter for all duties, so that leases requested together stay together.
+        let jitter = rng.f64();
+        let start_duty = |duty: Duty| {
             let lease = lease_id(&duty.name);
-            candidate.request(now, lease, duty.rank, draw);
-            DutyState { lease, duty, next: now, acting: false, acts: 0, failed: 0 }
+            candidate.request(now, lease, duty.rank, jitter);
+            DutyState { lease, duty, next_call_at: now, call_in_progress: false, calls: 0, failed_calls: 0 }
         };
-        let doing = duties.into_iter().map(doing).collect();
-        let (own, commands) = mpsc::channel(COMMAND_QUEUE);
-        let votes = me.is_some();
-        tracing::info!(fleet, votes, candidate = format!("{:016x}", id.0), "leases at {local}");
-        let leases = LeasesTask {
-            clocks: ClockMonitor::new(terms.voter_count, terms.drift_ppm),
+        let duties = duties.into_iter().map(start_duty).collect();
+        let (own_commands, commands) = mpsc::channel(COMMAND_QUEUE);
+        let is_voter = own_voter_id.is_some();
+        tracing::info!(fleet, votes = is_voter, candidate = format!("{:016x}", id.0), "leases at {local}");
+        let task = LeasesTask {
+            clock_monitor: ClockMonitor::new(config.voter_count, config.drift_ppm),
             candidate,
             voter,
             clock,
             name: name.to_string(),
             group,
             voters,
-            me,
+            own_voter_id,
             store,
             socket,
             candidates: HashMap::new(),
-            doing,
+            duties,
             rng,
             commands,
-            own: own.clone(),
+            own_commands: own_commands.clone(),
             dropped: 0,
             writes: Rc::default(),
-            stage: "",
+            logged_stage: "",
             drifts: HashMap::new(),
-            is_stopped: false,
-            fit: true,
+            calls_stopped: false,
+            is_eligible: true,
             release_waiter: None,
         };
-        Ok((leases, own))
+        Ok((task, own_commands))
     }
 
+    /// Handles commands, datagrams and timers until the command channel is closed.
     pub async fn run(mut self) {
         let mut buffer = vec![0; 2 * MAX_DATAGRAM_BYTES];
         loop {
-            let next = self.next();
+            let wake_at = self.next_wake();
             tokio::select! {
                 biased;
                 // Timers go first, so that datagrams queued during a halt of the process are not taken as
                 // current.
-                () = sleep_until(next) => self.tick(),
+                () = sleep_until(wake_at) => self.tick(),
                 command = self.commands.recv() => match command {
-                    Some(command) => self.command(command),
+                    Some(command) => self.handle_command(command),
                     None => return,
                 },
-                got = self.socket.recv_from(&mut buffer) => {
+                received = self.socket.recv_from(&mut buffer) => {
                     self.tick();
-                    self.got(got, &buffer);
+                    self.handle_datagram(received, &buffer);
                     for _ in 1..MAX_DATAGRAMS_PER_TURN {
-                        let Ok(got) = self.socket.try_recv_from(&mut buffer) else { break };
-                        self.got(Ok(got), &buffer);
+                        let Ok(received) = self.socket.try_recv_from(&mut buffer) else { break };
+                        self.handle_datagram(Ok(received), &buffer);
                     }
                     // Lets ops run during a flood of datagrams.
                     yield_now().await;
                 }
             }
-            self.carry_out();
+            self.flush();
         }
     }
 
-    fn next(&self) -> Instant {
-        let acts = self.doing.iter().filter(|one| !one.acting && !self.is_stopped).filter_map(|one| {
-            let now = self.clock.now();
-            let permit = self.candidate.permit(now, one.lease)?;
-            // A lease that is too short for an act has to be renewed first.
-            permit.allows(now, one.duty.max_duration).then_some(one.next)
-        });
-        let voter = self.voter.as_ref().and_then(Voter::next_at);
-        let next = acts.chain(voter).chain(self.candidate.next_at()).min();
-        let wait = next.map_or(TimeDelta::from_millis(1000), |at| at - self.clock.now());
+    /// When the next call, or a timer of the candidate or the voter, is due.
+    fn next_wake(&self) -> Instant {
+        let calls_due =
+            self.duties.iter().filter(|state| !state.call_in_progress && !self.calls_stopped).filter_map(
+                |state| {
+                    let now = self.clock.now();
+                    let permit = self.candidate.permit(now, state.lease)?;
+                    // A lease that is too short for a call has to be renewed first.
+                    permit.allows(now, state.duty.max_duration).then_some(state.next_call_at)
+                },
+            );
+        let voter_due = self.voter.as_ref().and_then(Voter::next_at);
+        let next_at = calls_due.chain(voter_due).chain(self.candidate.next_at()).min();
+        let wait = next_at.map_or(TimeDelta::from_millis(1000), |at| at - self.clock.now());
         Instant::now() + duration(wait)
     }
 
@@ -246,18 +265,18 @@
         let (now, rng) = (self.clock.now(), &mut self.rng);
         self.candidate.tick(now, || rng.f64());
         self.voter.iter_mut().for_each(|voter| voter.tick(now));
-        self.act(now);
+        self.start_due_calls(now);
     }
 
-    fn got(&mut self, got: std::io::Result<(usize, SocketAddr)>, buffer: &[u8]) {
-        let Ok((length, from)) = got else { return };
-        let Ok(word) = message::decode(&buffer[..length], self.group) else {
+    fn handle_datagram(&mut self, received: std::io::Result<(usize, SocketAddr)>, buffer: &[u8]) {
+        let Ok((length, from)) = received else { return };
+        let Ok(message) = message::decode(&buffer[..length], self.group) else {
             self.dropped += 1;
             return;
         };
-        if let Message::Request { from: id, .. } | Message::Release { from: id, .. } = &word {
+        if let Message::Request { from: id, .. } | Message::Release { from: id, .. } = &message {
             if self.candidates.len() >= MAX_CANDIDATES && !self.candidates.contains_key(id) {
-                // Bounds memory against forged candidates: the one silent for longest is removed.
+                // Bounds memory against forged candidates by removing the one that was silent for longest.
                 let oldest = self.candidates.iter().min_by_key(|(_, (_, at))| *at).map(|(id, _)| *id);
                 if let Some(id) = oldest {
                     self.candidates.remove(&id);
@@ -265,15 +284,15 @@
             }
             self.candidates.insert(*id, (from, self.clock.now()));
         }
-        self.take(&word);
+        self.handle_message(&message);
     }
 
     /// Handles a message from the network or from this router itself.
-    fn take(&mut self, word: &Message) {
+    fn handle_message(&mut self, message: &Message) {
         let now = self.clock.now();
-        match word {
+        match message {
             Message::Response { .. } | Message::Available { .. } => {
-                if let Some((voter, ppm)) = self.clocks.observe(now, word) {
+                if let Some((voter, ppm)) = self.clock_monitor.observe(now, message) {
                     // Beyond the bound two routers may hold one lease. Logged once for each voter.
                     if self.drifts.insert(voter, ppm).is_none() {
                         let voter = &self.voters[usize::from(voter.0)].0;
@@ -285,93 +304,97 @@
                     }
                 }
                 let rng = &mut self.rng;
-                self.candidate.handle_message(now, word, || rng.f64());
+                self.candidate.handle_message(now, message, || rng.f64());
             }
-            word => self.voter.iter_mut().for_each(|voter| voter.handle_message(now, word)),
+            message => self.voter.iter_mut().for_each(|voter| voter.handle_message(now, message)),
         }
     }
 
     /// Sends messages, stores votes and logs events.
-    fn carry_out(&mut self) {
+    fn flush(&mut self) {
         // Each round delivers messages of this router to itself: a candidate's request, the voter's response
         // and so on.
         for _ in 0..4 {
-            let mut words = std::mem::take(&mut self.candidate.outbox);
+            let mut outgoing = std::mem::take(&mut self.candidate.outbox);
             if let Some(voter) = &mut self.voter {
-                if let Some((number, image)) = voter.start_write() {
-                    let bytes = storage::encode(&image, self.group, &self.name);
-                    self.keep(number, bytes);
+                if let Some((number, snapshot)) = voter.start_write() {
+                    let bytes = storage::encode(&snapshot, self.group, &self.name);
+                    self.store_votes(number, bytes);
                 }
-                words.extend(self.voter.iter_mut().flat_map(Voter::take_outgoing).collect::<Vec<_>>());
+                outgoing.extend(self.voter.iter_mut().flat_map(Voter::take_outgoing).collect::<Vec<_>>());
             }
-            if words.is_empty() {
+            if outgoing.is_empty() {
                 break;
             }
-            for (to, word) in words {
+            for (destination, message) in outgoing {
                 let now = self.clock.now();
-                if let Message::Request { .. } = &word {
-                    self.clocks.observe(now, &word);
+                if let Message::Request { .. } = &message {
+                    self.clock_monitor.observe(now, &message);
                 }
-                match to {
-                    Destination::Voter(voter) if Some(voter) == self.me => self.take(&word),
-                    Destination::Candidate(id) if id == self.candidate.id() => self.take(&word),
+                match destination {
+                    Destination::Voter(voter) if Some(voter) == self.own_voter_id => {
+                        self.handle_message(&message)
+                    }
+                    Destination::Candidate(id) if id == self.candidate.id() => self.handle_message(&message),
                     Destination::Voter(voter) => {
-                        if let Some((_, at)) = self.voters.get(usize::from(voter.0)) {
-                            self.send(*at, &word);
+                        if let Some((_, address)) = self.voters.get(usize::from(voter.0)) {
+                            self.send(*address, &message);
                         }
                     }
                     Destination::Candidate(id) => {
-                        if let Some((at, _)) = self.candidates.get(&id) {
-                            self.send(*at, &word);
+                        if let Some((address, _)) = self.candidates.get(&id) {
+                            self.send(*address, &message);
                         }
                     }
                 }
             }
         }
-        self.tell();
-        self.act(self.clock.now());
+        self.log_events();
+        self.start_due_calls(self.clock.now());
     }
 
-    /// A datagram that cannot be sent is lost, which the protocol tolerates.
-    fn send(&self, to: SocketAddr, word: &Message) {
-        let _ = self.socket.try_send_to(&message::encode(word, self.group), to);
+    /// Sends a message; a datagram that cannot be sent is lost, which the protocol tolerates.
+    fn send(&self, address: SocketAddr, message: &Message) {
+        let _ = self.socket.try_send_to(&message::encode(message, self.group), address);
     }
 
     /// Stores votes before they are sent, on a separate thread, so that no op waits for the disk.
-    fn keep(&self, number: u64, bytes: Vec<u8>) {
-        let (Some(folder), own, writes) = (self.store.clone(), self.own.clone(), self.writes.clone()) else {
+    fn store_votes(&self, number: u64, bytes: Vec<u8>) {
+        let (Some(folder), own_commands, writes) =
+            (self.store.clone(), self.own_commands.clone(), self.writes.clone())
+        else {
             return;
         };
         drop(spawn_local(async move {
             let written = spawn_blocking(move || {
-                let beside = folder.join("votes.next");
-                SystemDisk.write(&beside, &bytes)?;
-                SystemDisk.replace(&beside, &path(&folder))
+                let temporary_path = folder.join("votes.next");
+                SystemDisk.write(&temporary_path, &bytes)?;
+                SystemDisk.replace(&temporary_path, &votes_path(&folder))
             });
-            let written = written.await.map_err(std::io::Error::other).and_then(|done| done);
-            if let Err(why) = &written {
-                tracing::warn!("votes could not be kept, and are not told: {why}");
+            let written = written.await.map_err(std::io::Error::other).and_then(|result| result);
+            if let Err(error) = &written {
+                tracing::warn!("votes could not be stored and are not sent: {error}");
                 // Limits the rate of failing writes.
                 tokio::time::sleep(Duration::from_millis(200)).await;
             }
             writes.set(writes.get() + 1);
-            let _ = own.send(LeasesCommand::VotesStored(number, written.is_ok())).await;
+            let _ = own_commands.send(LeasesCommand::VotesStored(number, written.is_ok())).await;
         }));
     }
 
-    fn tell(&mut self) {
+    fn log_events(&mut self) {
         let mono_us = mono_us();
         for event in std::mem::take(&mut self.candidate.events) {
             let name = |lease: LeaseId| {
-                let duty = self.doing.iter().find(|one| one.lease == lease);
-                duty.map(|one| one.duty.name.clone()).unwrap_or_default()
+                let state = self.duties.iter().find(|state| state.lease == lease);
+                state.map(|state| state.duty.name.clone()).unwrap_or_default()
             };
             match event {
                 Event::Acquired { lease, epoch } => {
                     tracing::info!(mono_us, lease = name(lease), epoch = epoch.0, "lease is held");
                 }
                 Event::Expired { lease, epoch } => {
-                    tracing::warn!(mono_us, lease = name(lease), epoch = epoch.0, "lease is lost");
+                    tracing::warn!(mono_us, lease = name(lease), epoch = epoch.0, "lease expired");
                 }
                 Event::Released { lease, epoch } => {
                     tracing::info!(mono_us, lease = name(lease), epoch = epoch.0, "lease is given back");
@@ -384,74 +407,74 @@
                 Stage::Recovering(_) => "asks the other voters what it has lost",
                 Stage::Voting => "votes",
             };
-            if self.stage != stage {
-                self.stage = stage;
+            if self.logged_stage != stage {
+                self.logged_stage = stage;
                 tracing::info!(mono_us, life = voter.incarnation(), "voter {stage}");
             }
         }
     }
 
-    /// Starts the acts that are due and fit into their leases.
-    fn act(&mut self, now: Timestamp) {
-        if self.is_stopped {
+    /// Starts the calls that are due and fit into their leases.
+    fn start_due_calls(&mut self, now: Timestamp) {
+        if self.calls_stopped {
             return;
         }
-        for (at, one) in self.doing.iter_mut().enumerate() {
-            let permit = self.candidate.permit(now, one.lease);
-            let Some(permit) = permit.filter(|permit| permit.allows(now, one.duty.max_duration)) else {
+        for (index, state) in self.duties.iter_mut().enumerate() {
+            let permit = self.candidate.permit(now, state.lease);
+            let Some(permit) = permit.filter(|permit| permit.allows(now, state.duty.max_duration)) else {
                 continue;
             };
-            if one.acting || now < one.next {
+            if state.call_in_progress || now < state.next_call_at {
                 continue;
             }
-            one.next = now + one.duty.interval;
-            let (duty, clock, own) = (one.duty.clone(), self.clock, self.own.clone());
+            state.next_call_at = now + state.duty.interval;
+            let (duty, clock, own_commands) = (state.duty.clone(), self.clock, self.own_commands.clone());
             drop(spawn_local(async move {
                 let epoch = permit.epoch.0;
-                tracing::debug!(mono_us = mono_us(), lease = duty.name, epoch, "act begins");
-                let within = duration(duty.max_duration);
-                let result = timeout(within, perform_act(&duty, permit, clock)).await;
-                let result = result.unwrap_or_else(|_| Err("no answer in time".to_string()));
-                tracing::debug!(mono_us = mono_us(), lease = duty.name, epoch, "act ends: {result:?}");
-                let _ = own.send(LeasesCommand::ActEnded(at, result)).await;
+                tracing::debug!(mono_us = mono_us(), lease = duty.name, epoch, "duty call starts");
+                let call_timeout = duration(duty.max_duration);
+                let result = timeout(call_timeout, call_duty(&duty, permit, clock)).await;
+                let result = result.unwrap_or_else(|_| Err("no response in time".to_string()));
+                tracing::debug!(mono_us = mono_us(), lease = duty.name, epoch, "duty call ended: {result:?}");
+                let _ = own_commands.send(LeasesCommand::CallEnded(index, result)).await;
             }));
-            one.acting = true;
+            state.call_in_progress = true;
         }
     }
 
-    fn command(&mut self, command: LeasesCommand) {
+    fn handle_command(&mut self, command: LeasesCommand) {
         match command {
             LeasesCommand::Show(client) => drop(client.send(self.report())),
-            LeasesCommand::SetEligible(fit) => {
-                tracing::info!(mono_us = mono_us(), fit, "fit to hold leases");
+            LeasesCommand::SetEligible(eligible) => {
+                tracing::info!(mono_us = mono_us(), eligible, "eligibility for leases changed");
                 if self.release_waiter.is_none() {
-                    self.is_stopped = !fit;
+                    self.calls_stopped = !eligible;
                 }
-                self.fit = fit;
+                self.is_eligible = eligible;
                 self.release_if_idle();
             }
-            LeasesCommand::Leave(done) => {
-                (self.is_stopped, self.release_waiter) = (true, Some(done));
+            LeasesCommand::ReleaseAll(done) => {
+                (self.calls_stopped, self.release_waiter) = (true, Some(done));
                 self.release_if_idle();
             }
             LeasesCommand::VotesStored(number, done) => {
                 self.voter.iter_mut().for_each(|voter| voter.write_finished(number, done));
             }
-            LeasesCommand::ActEnded(at, result) => {
-                let Some(one) = self.doing.get_mut(at) else { return };
-                (one.acting, one.acts) = (false, one.acts + 1);
+            LeasesCommand::CallEnded(index, result) => {
+                let Some(state) = self.duties.get_mut(index) else { return };
+                (state.call_in_progress, state.calls) = (false, state.calls + 1);
                 match result {
                     Ok(200..=299) => {}
                     Ok(STALE_EPOCH_STATUS) => {
-                        one.failed += 1;
+                        state.failed_calls += 1;
                         tracing::warn!(
-                            lease = one.duty.name,
-                            "an act came too late: another has acted since"
+                            lease = state.duty.name,
+                            "a duty call was rejected: a newer epoch has been used"
                         );
                     }
-                    failed => {
-                        one.failed += 1;
-                        tracing::warn!(lease = one.duty.name, "an act failed: {failed:?}");
+                    failure => {
+                        state.failed_calls += 1;
+                        tracing::warn!(lease = state.duty.name, "a duty call failed: {failure:?}");
                     }
                 }
                 self.release_if_idle();
@@ -459,18 +482,18 @@
         }
     }
 
-    /// Releases leases once no act is in progress. A started act may continue at its receiver after its call
-    /// is cancelled here and would overlap with the next holder's act. An act's time limit is less than half
-    /// of a term.
+    /// Releases leases once no call is in progress. A started call may continue at its receiver after it is
+    /// cancelled here and would overlap with the next holder's call. A call's time limit is at most half of a
+    /// term.
     fn release_if_idle(&mut self) {
-        if self.doing.iter().any(|one| one.acting) {
+        if self.duties.iter().any(|state| state.call_in_progress) {
             return;
         }
         let (now, rng) = (self.clock.now(), &mut self.rng);
-        self.candidate.set_eligible(now, self.fit, || rng.f64());
+        self.candidate.set_eligible(now, self.is_eligible, || rng.f64());
         if let Some(done) = self.release_waiter.take() {
             self.candidate.release_all();
-            self.carry_out();
+            self.flush();
             // The requester may be gone.
             let _ = done.send(());
         }
@@ -480,22 +503,22 @@
     fn report(&self) -> String {
         let now = self.clock.now();
         let ms = |span: TimeDelta| span.micros() / 1000;
-        let rows = self.candidate.statuses(now).map(|seen| {
-            let one = self.doing.iter().find(|one| one.lease == seen.lease);
-            let (acts, failed) = one.map_or((0, 0), |one| (one.acts, one.failed));
-            json!({"name": one.map(|one| &one.duty.name), "held": seen.remaining.is_some(),
-                "left_ms": seen.remaining.map(ms), "epoch": seen.epoch.0, "acts": acts, "failed": failed})
+        let rows = self.candidate.statuses(now).map(|status| {
+            let state = self.duties.iter().find(|state| state.lease == status.lease);
+            let (calls, failed_calls) = state.map_or((0, 0), |state| (state.calls, state.failed_calls));
+            json!({"name": state.map(|state| &state.duty.name), "held": status.remaining.is_some(),
+                "left_ms": status.remaining.map(ms), "epoch": status.epoch.0, "acts": calls, "failed": failed_calls})
         });
         let votes = self.voter.iter().flat_map(Voter::votes).map(|(lease, vote)| {
-            let one = self.doing.iter().find(|one| one.lease == lease);
-            let name = one.map_or_else(|| format!("{:016x}", lease.0), |one| one.duty.name.clone());
+            let state = self.duties.iter().find(|state| state.lease == lease);
+            let name = state.map_or_else(|| format!("{:016x}", lease.0), |state| state.duty.name.clone());
             json!({"name": name, "epoch": vote.epoch.0, "holder": format!("{:016x}", vote.holder.0),
                 "left_ms": ms((vote.until - now).max(TimeDelta::ZERO))})
         });
         let drifts =
             self.drifts.iter().map(|(voter, ppm)| (self.voters[usize::from(voter.0)].0.clone(), *ppm));
         json!({"name": self.name, "candidate": format!("{:016x}", self.candidate.id().0), "mono_us": mono_us(),
-            "voter": self.voter.as_ref().map(|_| self.stage), "life": self.voter.as_ref().map(Voter::incarnation),
+            "voter": self.voter.as_ref().map(|_| self.logged_stage), "life": self.voter.as_ref().map(Voter::incarnation),
             "voters": self.voters.iter().map(|(name, _)| name).collect::<Vec<_>>(),
             "leases": rows.collect::<Vec<_>>(), "votes": votes.collect::<Vec<_>>(),
             "writes": self.writes.get(), "dropped": self.dropped,
@@ -504,32 +527,32 @@
     }
 }
 
-/// One act: an HTTP call with the lease, its epoch and its remaining time. Returns the status of the
-/// response.
-async fn perform_act(duty: &Duty, permit: Permit, clock: LeaseClock) -> Result<u16, String> {
-    let failed = |error: std::io::Error| error.to_string();
-    let mut stream = TcpStream::connect(duty.address).await.map_err(failed)?;
+/// One call of a duty: an HTTP request with the lease, its epoch and its remaining time. Returns the status
+/// of the response.
+async fn call_duty(duty: &Duty, permit: Permit, clock: LeaseClock) -> Result<u16, String> {
+    let to_text = |error: std::io::Error| error.to_string();
+    let mut stream = TcpStream::connect(duty.address).await.map_err(to_text)?;
     // Checked after connecting, which may take long. From here on only the receiver's check of the epoch
     // detects that the lease has ended.
     let now = clock.now();
     if !permit.allows(now, TimeDelta::ZERO) {
-        return Err("the lease ended before the act began".to_string());
+        return Err("the lease ended before the call began".to_string());
     }
     let left_ms = permit.remaining(now).micros() / 1000;
-    let (path, at, name) = (&duty.path, duty.address, &duty.name);
+    let (path, address, name) = (&duty.path, duty.address, &duty.name);
     let (epoch, holder) = (permit.epoch.0, permit.holder.0);
     let request = format!(
-        "POST {path} HTTP/1.1\r\nHost: {at}\r\nContent-Length: 0\r\nConnection: close\r\nLease: {name}\r\n\
+        "POST {path} HTTP/1.1\r\nHost: {address}\r\nContent-Length: 0\r\nConnection: close\r\nLease: {name}\r\n\
          Epoch: {epoch}\r\nHolder: {holder:016x}\r\nLeft-Ms: {left_ms}\r\n\r\n"
     );
-    stream.write_all(request.as_bytes()).await.map_err(failed)?;
+    stream.write_all(request.as_bytes()).await.map_err(to_text)?;
     let mut received = Vec::new();
     while received.len() < 1024 && !received.windows(2).any(|two| two == b"\r\n") {
-        if stream.read_buf(&mut received).await.map_err(failed)? == 0 {
-            return Err("the answer broke off".to_string());
+        if stream.read_buf(&mut received).await.map_err(to_text)? == 0 {
+            return Err("the connection closed before the response was complete".to_string());
         }
     }
     let text = String::from_utf8_lossy(&received);
     let status = text.strip_prefix("HTTP/1.").and_then(|rest| rest.split(' ').nth(1)?.get(..3)?.parse().ok());
-    status.ok_or_else(|| "no status".to_string())
+    status.ok_or_else(|| "the response has no status".to_string())
 }
--- a/crates/arrowyard-core/src/limits.rs
+++ b/crates/arrowyard-core/src/limits.rs
@@ -85,31 +85,33 @@
 const STATEMENT_OVERHEAD_BYTES: usize = 8 * 1024;
 
 impl Limits {
+    /// Derives the limits from the configuration and the decision module's settings.
     pub fn new(config: &RouterConfig, settings: &RouterSettings) -> Self {
-        let message = 2 * MAX_VALUE_BYTES + STATEMENT_OVERHEAD_BYTES;
+        let max_message_bytes = 2 * MAX_VALUE_BYTES + STATEMENT_OVERHEAD_BYTES;
         let sockets = config.sockets;
-        let told = settings.number_or("max_open", f64::MAX) as usize;
-        // A missing time-out is zero, which would close every connection; one second is used instead.
+        let configured_max_ops = settings.number_or("max_open", f64::MAX) as usize;
+        // A missing timeout is zero, which would close every connection; one second is used instead.
         let time_or_default = |name: &str| match duration(settings.time_delta(name)) {
             Duration::ZERO => Duration::from_secs(1),
-            told => told,
+            time => time,
         };
-        let longest = OpType::rows(settings).iter().map(|row| row.op_timeout).max().unwrap_or_default();
-        let last = duration(longest.max(TimeDelta::from_millis(3000)));
+        let max_op_timeout =
+            OpType::rows(settings).iter().map(|row| row.op_timeout).max().unwrap_or_default();
+        let drain_timeout = duration(max_op_timeout.max(TimeDelta::from_millis(3000)));
         Limits {
-            // Clients hold connections up to a third of this router's descriptors. This limit is lower, so
-            // that idle connections don't use up all that they have.
+            // Client connections may use up to a third of this router's descriptors. This limit is lower, so
+            // that idle connections do not exhaust them.
             max_client_connections: (sockets * 9 / 32).max(1),
             max_rejected_connections: sockets / 16,
             max_host_connections: sockets * 13 / 32,
-            max_ops: told.min(sockets),
+            max_ops: configured_max_ops.min(sockets),
             // The rest of the memory is for messages being received and for answers.
             max_statement_bytes: config.memory_mb * 1024 * 1024 / 4,
             queue_capacity: 1024,
-            max_client_message_bytes: message,
+            max_client_message_bytes: max_message_bytes,
             // Hosts' values may exceed the size of a client's message; only this router's memory limits
             // them.
-            max_host_message_bytes: (config.memory_mb * 1024 * 1024 / 16).max(message),
+            max_host_message_bytes: (config.memory_mb * 1024 * 1024 / 16).max(max_message_bytes),
             max_control_message_bytes: 16 * 1024,
             max_large_answer_bytes: config.memory_mb * 1024 * 1024 / 4,
             max_list_line_bytes: 4 * 1024 * 1024,
@@ -128,8 +130,8 @@
             list_fetch_timeout: Duration::from_secs(3),
             watch_idle_timeout: Duration::from_millis(2500),
             drain_accept_period: Duration::from_millis(450),
-            drain_timeout: last,
-            removed_host_retention: last * 4,
+            drain_timeout,
+            removed_host_retention: drain_timeout * 4,
             retry_pause: Duration::from_millis(5),
             // Commit positions are reported in whole milliseconds, rounded up.
             max_position_lead: TimeDelta::from_millis(5),
@@ -158,12 +160,12 @@
 impl Limits {
     /// The configuration and limits of a router with these settings and defaults otherwise.
     pub fn for_test(settings: serde_json::Value) -> (RouterConfig, RouterSettings, Limits) {
-        let told = serde_json::json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
+        let json = serde_json::json!({"name": "n", "listen": "127.0.0.1:0", "discovery": "127.0.0.1:1",
             "seed": "1f", "settings": settings});
-        let waybill = RouterConfig::from_json(&told, |_| None).expect("it is whole");
-        let manifest =
-            arrowyard_platform_settings::router_settings(&waybill.settings).expect("its types are right");
-        let limits = Limits::new(&waybill, &manifest);
-        (waybill, manifest, limits)
+        let config = RouterConfig::from_json(&json, |_| None).expect("the configuration is complete");
+        let router_settings =
+            arrowyard_platform_settings::router_settings(&config.settings).expect("the settings are valid");
+        let limits = Limits::new(&config, &router_settings);
+        (config, router_settings, limits)
     }
 }
--- a/crates/arrowyard-core/src/logger.rs
+++ b/crates/arrowyard-core/src/logger.rs
@@ -36,17 +36,17 @@
 
 impl LogConfig {
     /// For a router without an operator's file: the level is `ARROWYARD_LOG`, or `info`.
-    pub fn from_env(name: &str, lines: u32) -> Self {
+    pub fn from_env(name: &str, max_lines_per_second: u32) -> Self {
         let parsed = std::env::var("ARROWYARD_LOG").ok().and_then(|level| level.parse().ok());
         let level = parsed.unwrap_or(LevelFilter::INFO);
-        LogConfig { name: name.to_string(), format: LogFormat::Text, level, max_lines_per_second: lines }
+        LogConfig { name: name.to_string(), format: LogFormat::Text, level, max_lines_per_second }
     }
 }
 
 /// Starts logging. A second router in one process uses the first one's log.
 pub fn start(config: LogConfig) {
-    let (level, lines) = (config.level, LineLayer { config, rate_limit: LineRateLimit::default() });
-    let subscriber = tracing_subscriber::registry().with(lines.with_filter(level));
+    let (level, layer) = (config.level, LineLayer { config, rate_limit: LineRateLimit::default() });
+    let subscriber = tracing_subscriber::registry().with(layer.with_filter(level));
     // Fails only if a logger is set already.
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
@@ -61,11 +61,11 @@
 
 impl LineRateLimit {
     /// The number of lines dropped since the last written one; `None` if this line is dropped too.
-    fn admit(&self, second: u64, most: u32) -> Option<u32> {
+    fn admit(&self, second: u64, max_lines: u32) -> Option<u32> {
         if self.second.swap(second, Ordering::Relaxed) != second {
             self.lines.store(0, Ordering::Relaxed);
         }
-        if self.lines.fetch_add(1, Ordering::Relaxed) >= most {
+        if self.lines.fetch_add(1, Ordering::Relaxed) >= max_lines {
             self.dropped.fetch_add(1, Ordering::Relaxed);
             return None;
         }
@@ -73,6 +73,7 @@
     }
 }
 
+/// The layer that writes the lines.
 struct LineLayer {
     config: LogConfig,
     rate_limit: LineRateLimit,
@@ -86,7 +87,7 @@
 }
 
 impl EventRecord {
-    fn put(&mut self, field: &Field, value: Value) {
+    fn push_field(&mut self, field: &Field, value: Value) {
         self.fields.push((field.name(), value));
     }
 }
@@ -95,43 +96,51 @@
     fn record_debug(&mut self, field: &Field, value: &dyn std::fmt::Debug) {
         match field.name() {
             "message" => drop(write!(self.message, "{value:?}")),
-            _ => self.put(field, Value::String(format!("{value:?}"))),
+            _ => self.push_field(field, Value::String(format!("{value:?}"))),
         }
     }
 
     fn record_str(&mut self, field: &Field, value: &str) {
         match field.name() {
             "message" => self.message.push_str(value),
-            _ => self.put(field, Value::String(value.to_string())),
+            _ => self.push_field(field, Value::String(value.to_string())),
         }
     }
 
     fn record_f64(&mut self, field: &Field, value: f64) {
-        self.put(field, value.into());
+        self.push_field(field, value.into());
     }
 
     fn record_i64(&mut self, field: &Field, value: i64) {
-        self.put(field, value.into());
+        self.push_field(field, value.into());
     }
 
     fn record_u64(&mut self, field: &Field, value: u64) {
-        self.put(field, value.into());
+        self.push_field(field, value.into());
     }
 
     fn record_bool(&mut self, field: &Field, value: bool) {
-        self.put(field, value.into());
+        self.push_field(field, value.into());
     }
 }
 
 impl EventRecord {
-    fn line(self, config: &LogConfig, unix_ms: u128, level: &str, stage: &str, dropped: u32) -> String {
+    /// Formats the event as one line; `dropped` lines were dropped before it.
+    fn format_line(
+        self,
+        config: &LogConfig,
+        unix_ms: u128,
+        level: &str,
+        stage: &str,
+        dropped: u32,
+    ) -> String {
         let (seconds, millis) = (unix_ms / 1000, unix_ms % 1000);
         if config.format == LogFormat::Json {
             let mut object = Map::new();
             object.insert("unix_ms".to_string(), Value::from(unix_ms as u64));
-            let head = [("router", config.name.as_str()), ("level", level), ("stage", stage)];
-            let head = head.map(|(name, text)| (name.to_string(), Value::from(text)));
-            object.extend(head);
+            let common_fields = [("router", config.name.as_str()), ("level", level), ("stage", stage)];
+            let common_fields = common_fields.map(|(name, text)| (name.to_string(), Value::from(text)));
+            object.extend(common_fields);
             object.insert("message".to_string(), self.message.into());
             object.extend(self.fields.into_iter().map(|(name, value)| (name.to_string(), value)));
             if dropped > 0 {
@@ -161,14 +170,14 @@
     fn on_event(&self, event: &Event<'_>, _: Context<'_, S>) {
         let now = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         // A slow reader of the log must not block the router. Levels above `info` are not limited.
-        let most =
+        let max_lines =
             if self.config.level <= LevelFilter::INFO { self.config.max_lines_per_second } else { u32::MAX };
-        let Some(dropped) = self.rate_limit.admit(now.as_secs(), most) else { return };
+        let Some(dropped) = self.rate_limit.admit(now.as_secs(), max_lines) else { return };
         let mut record = EventRecord::default();
         event.record(&mut record);
         let (level, target) = (event.metadata().level().as_str(), event.metadata().target());
         let stage = target.rsplit("::").next().unwrap_or_default();
-        let line = record.line(&self.config, now.as_millis(), level, stage, dropped);
+        let line = record.format_line(&self.config, now.as_millis(), level, stage, dropped);
         // A failure to write the log is ignored.
         let _ = writeln!(std::io::stderr(), "{line}");
     }
@@ -190,23 +199,23 @@
 
     #[test]
     fn control_characters_are_replaced_and_json_is_valid() {
-        for (form, wanted) in
+        for (format, expected) in
             [(LogFormat::Text, "1.002 n0 WARN admit: no room cell=a tenant=x y z"), (LogFormat::Json, "")]
         {
             let config = LogConfig {
                 name: "n0".to_string(),
-                format: form,
+                format,
                 level: LevelFilter::INFO,
                 max_lines_per_second: 9,
             };
             let fields = vec![("cell", Value::from("a")), ("tenant", Value::from("x\ny\u{1b}z"))];
             let line = EventRecord { message: "no room".to_string(), fields }
-                .line(&config, 1002, "WARN", "admit", 0);
+                .format_line(&config, 1002, "WARN", "admit", 0);
             assert!(!line.contains(char::is_control), "{line}");
-            match form {
-                LogFormat::Text => assert_eq!(line, wanted),
+            match format {
+                LogFormat::Text => assert_eq!(line, expected),
                 LogFormat::Json => {
-                    let parsed: Value = serde_json::from_str(&line).expect("it is JSON");
+                    let parsed: Value = serde_json::from_str(&line).expect("the line is valid JSON");
                     assert_eq!(
                         (&parsed["tenant"], &parsed["unix_ms"]),
                         (&"x\ny\u{1b}z".into(), &1002.into())
--- a/crates/arrowyard-core/src/messages.rs
+++ b/crates/arrowyard-core/src/messages.rs
@@ -8,24 +8,24 @@
 use tokio::sync::oneshot;
 
 use crate::cell_scheduler::OpOrigin;
-use crate::list::HostList;
+use crate::host_list::HostList;
 use crate::reply::Reply;
 use crate::send::EndedSend;
 use crate::transport::HostTransport;
 
 /// Messages to the route task, which owns the decision module.
-pub enum RouteMessage<B: HostTransport> {
+pub enum RouteMessage<T: HostTransport> {
     /// An admitted op, with its origin if cells are configured, its payload and the channel for the reply.
-    OpAdmitted(OpRequest, Option<Box<OpOrigin>>, Rc<B::Payload>, oneshot::Sender<Reply<B::Answer>>),
+    OpAdmitted(OpRequest, Option<Box<OpOrigin>>, Rc<T::Payload>, oneshot::Sender<Reply<T::Answer>>),
     ClientDisconnected(OpId),
-    /// An answer begins; it goes to the client while the send continues.
-    AnswerBegun(OpId, B::Answer),
-    SendEnded(OpId, SendIndex, HostId, EndedSend<B::Answer>),
+    /// An answer began; it is passed to the client while the send continues.
+    AnswerBegun(OpId, T::Answer),
+    SendEnded(OpId, SendIndex, HostId, EndedSend<T::Answer>),
     /// A probe ended; with the cell that it counts for, if cells are configured.
     ProbeEnded(HostId, Option<CellId>, Outcome, HostStatus),
     /// The status of a host that was probed because a tenant moves to it.
     PositionProbed(HostId, HostStatus),
-    /// The operator's file was read again.
+    /// The operator's file was reloaded.
     LayoutReloaded(Box<Layout>),
     /// Requests the report on cells.
     ShowCells(oneshot::Sender<String>),
@@ -37,7 +37,7 @@
     PeerMessage(PeerId, Vec<u8>),
     /// Writing the list ended; true if it failed.
     ListSaved(bool),
-    /// Requests the numbers of ops taken and acknowledged since the start, as a liveness check.
+    /// Requests the numbers of ops received and acknowledged since the start, as a liveness check.
     CheckLiveness(oneshot::Sender<(u64, u64)>),
     /// An event from discovery.
     Discovery(DiscoveryEvent),
@@ -53,10 +53,12 @@
 /// Commands to discovery.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum DiscoveryCommand {
+    /// Starts or stops the watch of the host list.
     Watch(bool),
+    /// Fetches a full list.
     Fetch,
-    /// Discovery's address changed.
+    /// Sets the address of discovery.
     SetAddress(SocketAddr),
-    /// The number of routers that call discovery.
+    /// Sets the number of routers that call discovery.
     SetRouterCount(f64),
 }
--- a/crates/arrowyard-core/src/op_table.rs
+++ b/crates/arrowyard-core/src/op_table.rs
@@ -8,6 +8,7 @@
 
 use crate::reply::Reply;
 
+/// An open op.
 struct OpEntry<P, A> {
     payload: Rc<P>,
     /// Present until the final answer is sent.
@@ -55,6 +56,7 @@
 }
 
 impl<P, A> OpTable<P, A> {
+    /// Adds an op; `client` receives its final reply.
     pub fn insert(&mut self, op: OpId, payload: Rc<P>, client: oneshot::Sender<Reply<A>>) {
         self.ops.insert(op, OpEntry { payload, client: Some(client), sends: Vec::new() });
     }
@@ -63,8 +65,8 @@
         self.ops.len()
     }
 
-    /// Starts a send: its index, the payload and its cancellation signal, which is already set if the op was
-    /// answered. `None` if the op is unknown.
+    /// Starts a send; returns its index, the payload and its cancellation signal, which is already set if the
+    /// op was answered. `None` if the op is unknown.
     pub fn start_send(&mut self, op: OpId) -> Option<(SendIndex, Rc<P>, oneshot::Receiver<()>)> {
         let op_entry = self.ops.get_mut(&op)?;
         let (cancel, cancelled) = oneshot::channel();
@@ -78,6 +80,7 @@
         Some((SendIndex(op_entry.sends.len() as u32 - 1), op_entry.payload.clone(), cancelled))
     }
 
+    /// Cancels a send in flight.
     pub fn cancel_send(&mut self, op: OpId, send: SendIndex) {
         let Some(state) = self.send_state(op, send) else { return };
         match std::mem::replace(state, SendState::Cancelled) {
@@ -107,9 +110,9 @@
         if let Some(answer) = answer.filter(|_| outcome == Outcome::Acked) {
             self.complete(op, Reply::Acked(answer));
         }
-        let over = self.ops.get(&op).is_none_or(|op_entry| op_entry.client.is_none());
+        let is_answered = self.ops.get(&op).is_none_or(|op_entry| op_entry.client.is_none());
         self.remove_if_done(op);
-        Some(over)
+        Some(is_answered)
     }
 
     /// Completes the op with an answer that is still being received. If the op was already answered, the
@@ -161,22 +164,22 @@
 
     const OP: OpId = OpId(7);
 
-    fn open() -> (OpTable<(), ()>, oneshot::Receiver<Reply<()>>) {
-        let (client, answered) = oneshot::channel();
+    fn table_with_one_op() -> (OpTable<(), ()>, oneshot::Receiver<Reply<()>>) {
+        let (client, reply) = oneshot::channel();
         let mut table = OpTable::default();
         table.insert(OP, Rc::new(()), client);
-        (table, answered)
+        (table, reply)
     }
 
     #[test]
     fn a_send_ends_once_and_only_the_first_answer_counts() {
-        let (mut table, mut answered) = open();
+        let (mut table, mut reply) = table_with_one_op();
         let sends: Vec<_> = (0..2).filter_map(|_| table.start_send(OP)).collect();
         assert_eq!(table.end_send(OP, SendIndex(0), Outcome::Reset, None), Some(false));
         assert_eq!(table.end_send(OP, SendIndex(0), Outcome::Acked, Some(())), None);
         assert_eq!(table.end_send(OP, SendIndex(1), Outcome::Acked, Some(())), Some(true));
         table.complete(OP, Reply::Errored);
-        assert_eq!(answered.try_recv(), Ok(Reply::Acked(())));
+        assert_eq!(reply.try_recv(), Ok(Reply::Acked(())));
         assert_eq!((table.open_ops(), table.end_send(OP, SendIndex(1), Outcome::Acked, None)), (0, None));
         assert!(table.start_send(OP).is_none());
         drop(sends);
@@ -184,18 +187,18 @@
 
     #[test]
     fn an_answered_op_stays_until_its_sends_end_and_starts_none() {
-        let (mut table, mut answered) = open();
-        let (number, _, mut cancelled) = table.start_send(OP).expect("the op is open");
+        let (mut table, mut reply) = table_with_one_op();
+        let (send, _, mut cancelled) = table.start_send(OP).expect("the op is open");
         table.complete(OP, Reply::Busy(None));
-        assert_eq!(answered.try_recv(), Ok(Reply::Busy(None)));
+        assert_eq!(reply.try_recv(), Ok(Reply::Busy(None)));
         assert!(!table.client_disconnected(OP));
-        let (late, _, mut too_late) = table.start_send(OP).expect("the op has a send in flight");
-        assert_eq!(too_late.try_recv(), Err(TryRecvError::Closed));
-        assert_eq!(table.end_send(OP, late, Outcome::NotSent, None), Some(true));
-        table.cancel_send(OP, number);
-        table.cancel_send(OP, number);
+        let (late_send, _, mut late_cancelled) = table.start_send(OP).expect("the op has a send in flight");
+        assert_eq!(late_cancelled.try_recv(), Err(TryRecvError::Closed));
+        assert_eq!(table.end_send(OP, late_send, Outcome::NotSent, None), Some(true));
+        table.cancel_send(OP, send);
+        table.cancel_send(OP, send);
         assert_eq!(cancelled.try_recv(), Ok(()));
-        assert_eq!(table.end_send(OP, number, Outcome::Cancelled, None), Some(true));
+        assert_eq!(table.end_send(OP, send, Outcome::Cancelled, None), Some(true));
         assert_eq!(table.open_ops(), 0);
     }
 
@@ -205,17 +208,17 @@
         fn each_send_and_each_op_ends_once_in_any_order(
             steps in prop::collection::vec((0_u8..6, 0_u32..4), 0..40),
         ) {
-            let (mut table, mut answered) = open();
-            let (mut out, mut ended, mut first) = (Vec::new(), Vec::new(), None);
-            for (step, number) in steps {
-                let known = out.contains(&number) && !ended.contains(&number);
+            let (mut table, mut reply) = table_with_one_op();
+            let (mut started, mut ended, mut first_reply) = (Vec::new(), Vec::new(), None);
+            for (step, send) in steps {
+                let known = started.contains(&send) && !ended.contains(&send);
                 match step {
                     0 => match table.start_send(OP) {
-                        Some((SendIndex(number), ..)) => {
-                            prop_assert_eq!(number, out.len() as u32);
-                            out.push(number);
+                        Some((SendIndex(send), ..)) => {
+                            prop_assert_eq!(send, started.len() as u32);
+                            started.push(send);
                         }
-                        None => prop_assert!(first.is_some() && out.len() == ended.len()),
+                        None => prop_assert!(first_reply.is_some() && started.len() == ended.len()),
                     },
                     1 | 2 => {
                         let (outcome, answer) = match step {
@@ -223,26 +226,26 @@
                             _ => (Outcome::TimedOut, None),
                         };
                         if known && step == 1 {
-                            first.get_or_insert(Some(Reply::Acked(())));
+                            first_reply.get_or_insert(Some(Reply::Acked(())));
                         }
-                        let answered_now = table.end_send(OP, SendIndex(number), outcome, answer);
-                        prop_assert_eq!(answered_now, known.then_some(first.is_some()));
-                        ended.extend(known.then_some(number));
+                        let is_answered = table.end_send(OP, SendIndex(send), outcome, answer);
+                        prop_assert_eq!(is_answered, known.then_some(first_reply.is_some()));
+                        ended.extend(known.then_some(send));
                     }
                     3 => {
                         table.complete(OP, Reply::Errored);
-                        first.get_or_insert(Some(Reply::Errored));
+                        first_reply.get_or_insert(Some(Reply::Errored));
                     }
                     4 => {
-                        prop_assert_eq!(table.client_disconnected(OP), first.is_none());
-                        first.get_or_insert(None);
+                        prop_assert_eq!(table.client_disconnected(OP), first_reply.is_none());
+                        first_reply.get_or_insert(None);
                     }
-                    _ => table.cancel_send(OP, SendIndex(number)),
+                    _ => table.cancel_send(OP, SendIndex(send)),
                 }
-                let gone = first.is_some() && out.len() == ended.len();
-                prop_assert_eq!(table.open_ops(), usize::from(!gone));
+                let is_closed = first_reply.is_some() && started.len() == ended.len();
+                prop_assert_eq!(table.open_ops(), usize::from(!is_closed));
             }
-            prop_assert_eq!(answered.try_recv().ok(), first.flatten());
+            prop_assert_eq!(reply.try_recv().ok(), first_reply.flatten());
         }
     }
 }
--- a/crates/arrowyard-core/src/peers.rs
+++ b/crates/arrowyard-core/src/peers.rs
@@ -28,9 +28,9 @@
     Show(oneshot::Sender<String>),
     /// Announces that the router leaves; answered once that was sent.
     Leave(oneshot::Sender<()>),
-    /// The machine refused a datagram to this incarnation of a member.
+    /// The machine of this member refused a datagram to this incarnation of it.
     PortRefused(Rc<str>, u64),
-    /// Ops taken and acknowledged since the start; `None` if the route task did not answer in time.
+    /// Ops received and acknowledged since the start; `None` if the route task did not answer in time.
     ServiceReport(Option<(u64, u64)>),
 }
 
@@ -38,10 +38,10 @@
 const COMMAND_QUEUE: usize = 256;
 const MAX_DATAGRAMS_PER_TURN: usize = 16;
 const MAX_PORT_CHECKS: usize = 32;
-/// Time-outs of a port check and of a liveness check of the route task.
+/// Timeouts of a port check and of a liveness check of the route task.
 const PORT_CHECK_TIMEOUT: Duration = Duration::from_millis(150);
 const LIVENESS_TIMEOUT: Duration = Duration::from_secs(2);
-/// A router is idle if it took this many ops since it last acknowledged one, for this long.
+/// A router is idle if it received this many ops since it last acknowledged one, for this long.
 const MIN_UNSERVED_OPS: u64 = 8;
 const UNSERVED_TIMEOUT: Duration = Duration::from_secs(2);
 
@@ -55,19 +55,21 @@
 
 /// Detects a router that acknowledges no ops.
 struct ServiceMonitor {
+    /// Ops acknowledged and received at the last acknowledgement.
     acked: u64,
-    taken: u64,
+    received: u64,
+    /// When the last acknowledgement was seen.
     since: Instant,
 }
 
 impl ServiceMonitor {
-    /// Whether no op is served: many were taken since the last acknowledgement, or the route task does not
-    /// answer.
-    fn idle(&mut self, told: Option<(u64, u64)>) -> bool {
-        let Some((taken, acked)) = told else { return true };
-        if acked > self.acked || taken < self.taken + MIN_UNSERVED_OPS {
+    /// Whether no op is served: many were received since the last acknowledgement, or the route task does not
+    /// respond.
+    fn update(&mut self, report: Option<(u64, u64)>) -> bool {
+        let Some((received, acked)) = report else { return true };
+        if acked > self.acked || received < self.received + MIN_UNSERVED_OPS {
             if acked > self.acked {
-                (self.acked, self.taken) = (acked, taken);
+                (self.acked, self.received) = (acked, received);
             }
             self.since = Instant::now();
             return false;
@@ -76,124 +78,136 @@
     }
 }
 
-pub struct PeersTask<B: HostTransport> {
-    fleet: Membership,
+/// The fleet membership task.
+pub struct PeersTask<T: HostTransport> {
+    membership: Membership,
     socket: UdpSocket,
     clock: Clock,
     commands: mpsc::Receiver<PeersCommand>,
-    own: mpsc::Sender<PeersCommand>,
-    mail: mpsc::Sender<RouteMessage<B>>,
-    shares: bool,
-    news: bool,
-    routers: f64,
+    /// Sends results of spawned tasks back to this task.
+    own_commands: mpsc::Sender<PeersCommand>,
+    messages: mpsc::Sender<RouteMessage<T>>,
+    /// Whether the number of members replaces the configured number of routers.
+    counts_members: bool,
+    /// Whether messages of the decision module are exchanged with other members.
+    relays_app_messages: bool,
+    /// The number of routers last reported to the route task.
+    router_count: f64,
+    /// Port checks in progress.
     port_checks: Rc<std::cell::Cell<usize>>,
     last_liveness_check: Instant,
-    serving: ServiceMonitor,
+    service_monitor: ServiceMonitor,
     /// Commands to the lease task, and the idle state last reported to it.
     leases: Option<mpsc::Sender<leases::LeasesCommand>>,
     idle: bool,
-    errors: u64,
+    /// Failed sends and receives on the socket.
+    socket_errors: u64,
 }
 
-impl<B: HostTransport> PeersTask<B> {
+impl<T: HostTransport> PeersTask<T> {
     /// Opens the socket; returns the task and its command channel.
     ///
     /// # Errors
     /// The address cannot be bound.
     pub async fn open(
-        belongs: PeerSettings,
+        settings: PeerSettings,
         name: &str,
-        settings: f64,
+        configured_routers: f64,
         seed: u64,
         clock: Clock,
-        mail: mpsc::Sender<RouteMessage<B>>,
+        messages: mpsc::Sender<RouteMessage<T>>,
         leases: Option<mpsc::Sender<leases::LeasesCommand>>,
     ) -> Result<(Self, mpsc::Sender<PeersCommand>), String> {
-        let socket = UdpSocket::bind(belongs.listen).await.map_err(|e| format!("{}: {e}", belongs.listen))?;
+        let socket =
+            UdpSocket::bind(settings.listen).await.map_err(|e| format!("{}: {e}", settings.listen))?;
         let local = socket.local_addr().map_err(|e| e.to_string())?;
-        let at = belongs.advertise.unwrap_or(local);
-        let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-        let life = unix.as_millis() as u64;
+        let address = settings.advertise.unwrap_or(local);
+        let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+        let incarnation = since_epoch.as_millis() as u64;
         // Ordered by start time; random bits distinguish two starts in one millisecond.
-        let nonce = life << 20 | fastrand::u64(..1 << 20);
-        let me = LocalMember { name: name.into(), address: at, incarnation: life, nonce };
-        let fleet = belongs.config.fleet.clone();
-        let (own, commands) = mpsc::channel(COMMAND_QUEUE);
-        let membership = Membership::new(clock.now(), belongs.config, me, settings, seed ^ nonce);
-        tracing::info!(fleet, at = %at, life, "member of a fleet, datagrams at {local}");
-        let moment = Instant::now();
-        let peers = PeersTask {
-            fleet: membership,
+        let nonce = incarnation << 20 | fastrand::u64(..1 << 20);
+        let local_member = LocalMember { name: name.into(), address, incarnation, nonce };
+        let fleet = settings.config.fleet.clone();
+        let (own_commands, commands) = mpsc::channel(COMMAND_QUEUE);
+        let membership =
+            Membership::new(clock.now(), settings.config, local_member, configured_routers, seed ^ nonce);
+        tracing::info!(fleet, at = %address, life = incarnation, "member of a fleet, datagrams at {local}");
+        let started_at = Instant::now();
+        let task = PeersTask {
+            membership,
             socket,
             clock,
             commands,
-            own: own.clone(),
-            mail,
-            shares: belongs.count_members,
-            news: belongs.relay_app_messages,
-            routers: settings,
+            own_commands: own_commands.clone(),
+            messages,
+            counts_members: settings.count_members,
+            relays_app_messages: settings.relay_app_messages,
+            router_count: configured_routers,
             port_checks: Rc::default(),
-            last_liveness_check: moment,
-            serving: ServiceMonitor { acked: 0, taken: 0, since: moment },
+            last_liveness_check: started_at,
+            service_monitor: ServiceMonitor { acked: 0, received: 0, since: started_at },
             leases,
             idle: false,
-            errors: 0,
+            socket_errors: 0,
         };
-        Ok((peers, own))
+        Ok((task, own_commands))
     }
 
+    /// Handles commands, datagrams and timers until the command channel is closed.
     pub async fn run(mut self) {
         let mut buffer = vec![0; 2048];
         loop {
-            let next = self.clock.instant_at(self.fleet.next_deadline());
+            let wake_at = self.clock.instant_at(self.membership.next_deadline());
             tokio::select! {
                 biased;
                 // Timers go first, so that datagrams queued during a halt of the process are not taken as
                 // current.
-                () = sleep_until(next) => self.fleet.tick(self.clock.now()),
+                () = sleep_until(wake_at) => self.membership.tick(self.clock.now()),
                 command = self.commands.recv() => match command {
-                    Some(command) => self.command(command),
+                    Some(command) => self.handle_command(command),
                     None => return,
                 },
-                got = self.socket.recv_from(&mut buffer) => {
-                    self.got(got, &buffer);
+                received = self.socket.recv_from(&mut buffer) => {
+                    self.handle_datagram(received, &buffer);
                     for _ in 1..MAX_DATAGRAMS_PER_TURN {
-                        let Ok(got) = self.socket.try_recv_from(&mut buffer) else { break };
-                        self.got(Ok(got), &buffer);
+                        let Ok(received) = self.socket.try_recv_from(&mut buffer) else { break };
+                        self.handle_datagram(Ok(received), &buffer);
                     }
-                    self.carry_out().await;
+                    self.execute_actions().await;
                     // Lets ops run during a flood of datagrams.
                     yield_now().await;
                 }
             }
-            self.carry_out().await;
+            self.execute_actions().await;
             self.check_route_task();
         }
     }
 
-    fn got(&mut self, got: io::Result<(usize, SocketAddr)>, buffer: &[u8]) {
-        match got {
-            Ok((length, from)) => self.fleet.receive(self.clock.now(), from, &buffer[..length]),
+    fn handle_datagram(&mut self, received: io::Result<(usize, SocketAddr)>, buffer: &[u8]) {
+        match received {
+            Ok((length, from)) => self.membership.receive(self.clock.now(), from, &buffer[..length]),
             // An error for an earlier datagram; the system does not say which one.
-            Err(_) => self.errors += 1,
+            Err(_) => self.socket_errors += 1,
         }
     }
 
-    fn command(&mut self, command: PeersCommand) {
+    fn handle_command(&mut self, command: PeersCommand) {
         let now = self.clock.now();
         match command {
-            PeersCommand::Broadcast(bytes) if self.news => self.fleet.broadcast(now, &bytes),
+            PeersCommand::Broadcast(bytes) if self.relays_app_messages => {
+                self.membership.broadcast(now, &bytes)
+            }
             PeersCommand::Broadcast(_) => {}
             PeersCommand::Show(client) => drop(client.send(self.report().to_string())),
             PeersCommand::Leave(done) => {
-                self.fleet.leave(now);
+                self.membership.leave(now);
                 // The requester may be gone.
                 let _ = done.send(());
             }
-            PeersCommand::PortRefused(name, life) => self.fleet.port_refused(&name, life),
-            PeersCommand::ServiceReport(told) => {
-                let idle = self.serving.idle(told);
-                self.fleet.set_idle(now, idle);
+            PeersCommand::PortRefused(name, incarnation) => self.membership.port_refused(&name, incarnation),
+            PeersCommand::ServiceReport(report) => {
+                let idle = self.service_monitor.update(report);
+                self.membership.set_idle(now, idle);
                 // If the lease task's channel is full, the state is sent with the next report.
                 if let Some(leases) = self.leases.as_ref().filter(|_| self.idle != idle)
                     && leases.try_send(leases::LeasesCommand::SetEligible(!idle)).is_ok()
@@ -210,81 +224,99 @@
             return;
         }
         self.last_liveness_check = Instant::now();
-        let (mail, own) = (self.mail.clone(), self.own.clone());
+        let (messages, own_commands) = (self.messages.clone(), self.own_commands.clone());
         drop(spawn_local(async move {
-            let (client, answer) = oneshot::channel();
-            let told = timeout(LIVENESS_TIMEOUT, async {
-                mail.send(RouteMessage::CheckLiveness(client)).await.ok()?;
-                answer.await.ok()
+            let (client, response) = oneshot::channel();
+            let report = timeout(LIVENESS_TIMEOUT, async {
+                messages.send(RouteMessage::CheckLiveness(client)).await.ok()?;
+                response.await.ok()
             });
-            let told = told.await.ok().flatten();
+            let report = report.await.ok().flatten();
             // If the channel is full, the result is dropped.
-            let _ = own.try_send(PeersCommand::ServiceReport(told));
+            let _ = own_commands.try_send(PeersCommand::ServiceReport(report));
         }));
     }
 
-    async fn carry_out(&mut self) {
-        for action in std::mem::take(&mut self.fleet.actions) {
+    async fn execute_actions(&mut self) {
+        for action in std::mem::take(&mut self.membership.actions) {
             match action {
                 // A datagram that cannot be sent is lost, which the membership protocol tolerates.
                 Action::Send { to, bytes } => {
-                    self.errors += u64::from(self.socket.try_send_to(&bytes, to).is_err());
+                    self.socket_errors += u64::from(self.socket.try_send_to(&bytes, to).is_err());
                 }
-                Action::CheckPort { to, name, incarnation: life, bytes } => {
-                    self.check_port(to, name, life, bytes)
+                Action::CheckPort { to, name, incarnation, bytes } => {
+                    self.check_port(to, name, incarnation, bytes)
                 }
             }
         }
-        for event in std::mem::take(&mut self.fleet.events) {
+        for event in std::mem::take(&mut self.membership.events) {
             let mono_us = mono_us();
             match event {
-                Event::StandingChanged { name, incarnation: life, standing, reported_by: by } => {
-                    tracing::info!(mono_us, peer = &*name, life, by = &*by, "peer is {standing:?}");
+                Event::StandingChanged { name, incarnation, standing, reported_by } => {
+                    tracing::info!(
+                        mono_us,
+                        peer = &*name,
+                        life = incarnation,
+                        by = &*reported_by,
+                        "peer is {standing:?}"
+                    );
+                }
+                Event::Stalled(stall) => {
+                    tracing::warn!(
+                        mono_us,
+                        ms = stall.micros() / 1000,
+                        "was away: the membership view may be outdated"
+                    );
                 }
-                Event::Stalled(span) => {
-                    tracing::warn!(mono_us, ms = span.micros() / 1000, "was away: the view is in doubt");
+                Event::IncarnationRaised(incarnation) => {
+                    tracing::info!(mono_us, life = incarnation, "raised the incarnation of this router")
                 }
-                Event::IncarnationRaised(life) => tracing::info!(mono_us, life, "own life is raised"),
-                Event::DuplicateName { yields: gives_way } => {
-                    tracing::error!(mono_us, gives_way, "another process has this router's name");
+                Event::DuplicateName { yields } => {
+                    tracing::error!(mono_us, yields, "another process uses this router's name");
                 }
-                Event::Partition { reachable: reach, total: whole } => {
-                    tracing::warn!(mono_us, reach, whole, "a part of the fleet is out of reach");
+                Event::Partition { reachable, total } => {
+                    tracing::warn!(
+                        mono_us,
+                        reach = reachable,
+                        whole = total,
+                        "a part of the fleet is unreachable"
+                    );
                 }
             }
         }
-        for (from, bytes) in std::mem::take(&mut self.fleet.app_messages) {
-            if self.news {
+        for (from, bytes) in std::mem::take(&mut self.membership.app_messages) {
+            if self.relays_app_messages {
                 self.forward_message(from, bytes).await;
             }
         }
-        if self.shares && self.routers != self.fleet.router_count() {
-            self.routers = self.fleet.router_count();
+        if self.counts_members && self.router_count != self.membership.router_count() {
+            self.router_count = self.membership.router_count();
             tracing::info!(
                 mono_us = mono_us(),
-                routers = self.routers,
-                "shares are reckoned by another number of routers"
+                routers = self.router_count,
+                "the number of routers that share the load changed"
             );
-            let _ = self.mail.send(RouteMessage::RouterCountChanged(self.routers)).await;
+            let _ = self.messages.send(RouteMessage::RouterCountChanged(self.router_count)).await;
         }
     }
 
     /// Passes a message to the route task. It is dropped if the channel is full, since ops have priority.
     async fn forward_message(&self, from: PeerId, bytes: Vec<u8>) {
-        let _ = self.mail.try_send(RouteMessage::PeerMessage(from, bytes));
+        let _ = self.messages.try_send(RouteMessage::PeerMessage(from, bytes));
     }
 
     /// Checks whether the machine refuses datagrams to the port.
-    fn check_port(&self, to: SocketAddr, name: Rc<str>, life: u64, bytes: Vec<u8>) {
+    fn check_port(&self, to: SocketAddr, name: Rc<str>, incarnation: u64, bytes: Vec<u8>) {
         if self.port_checks.get() >= MAX_PORT_CHECKS {
             return;
         }
         self.port_checks.set(self.port_checks.get() + 1);
-        let (port_checks, own) = (self.port_checks.clone(), self.own.clone());
-        let any: SocketAddr = if to.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0_u16; 8], 0).into() };
+        let (port_checks, own_commands) = (self.port_checks.clone(), self.own_commands.clone());
+        let unspecified: SocketAddr =
+            if to.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0_u16; 8], 0).into() };
         drop(spawn_local(async move {
             let refused = async {
-                let socket = UdpSocket::bind(any).await.ok()?;
+                let socket = UdpSocket::bind(unspecified).await.ok()?;
                 socket.connect(to).await.ok()?;
                 socket.send(&bytes).await.ok()?;
                 match timeout(PORT_CHECK_TIMEOUT, socket.recv(&mut [0; 64])).await.ok()? {
@@ -293,25 +325,25 @@
                 }
             };
             if refused.await.is_some() {
-                let _ = own.try_send(PeersCommand::PortRefused(name, life));
+                let _ = own_commands.try_send(PeersCommand::PortRefused(name, incarnation));
             }
             port_checks.set(port_checks.get() - 1);
         }));
     }
 
-    /// For `SHOW peers`.
+    /// The report for `SHOW peers`.
     fn report(&self) -> Value {
         let View {
             name,
-            incarnation: life,
+            incarnation,
             rows,
-            reachable: reach,
-            total: whole,
-            suspects_itself: doubts,
-            health_score: health,
-            duplicate_name: doubled,
-            router_count: routers,
-        } = self.fleet.view(self.clock.now());
+            reachable,
+            total,
+            suspects_itself,
+            health_score,
+            duplicate_name,
+            router_count,
+        } = self.membership.view(self.clock.now());
         let rows = rows.iter().map(|row| {
             let standing = match row.standing {
                 Standing::Alive => "alive",
@@ -331,7 +363,7 @@
                 "for_ms": row.standing_for.micros() / 1000, "by": &*row.reported_by, "accusers": row.accuser_count,
                 "sure": row.confirmed_locally, "serves": !row.idle, "fell": row.suspicion_count})
         });
-        let counts = self.fleet.counts;
+        let counts = self.membership.counts;
         let counts: HashMap<&str, u64> = HashMap::from([
             ("sent", counts.sent),
             ("sent_bytes", counts.sent_bytes),
@@ -345,11 +377,11 @@
             ("outside", counts.disallowed_address),
             ("stale", counts.stale),
             ("unmet", counts.unanswered_candidates),
-            ("errors", self.errors),
+            ("errors", self.socket_errors),
         ]);
-        json!({"name": &*name, "life": life, "mono_us": mono_us(), "reach": reach, "whole": whole,
-            "doubts": doubts, "health": health, "doubled": doubled, "routers": routers,
-            "held": self.fleet.tracked_entries(), "peers": rows.collect::<Vec<_>>(), "datagrams": counts})
+        json!({"name": &*name, "life": incarnation, "mono_us": mono_us(), "reach": reachable, "whole": total,
+            "doubts": suspects_itself, "health": health_score, "doubled": duplicate_name, "routers": router_count,
+            "held": self.membership.tracked_entries(), "peers": rows.collect::<Vec<_>>(), "datagrams": counts})
     }
 }
 
@@ -359,14 +391,14 @@
 
     #[tokio::test(start_paused = true)]
     async fn a_router_that_acknowledges_none_of_many_ops_is_idle() {
-        let mut serving = ServiceMonitor { acked: 0, taken: 0, since: Instant::now() };
-        assert!(!serving.idle(Some((5, 0))), "too few ops to decide");
+        let mut service_monitor = ServiceMonitor { acked: 0, received: 0, since: Instant::now() };
+        assert!(!service_monitor.update(Some((5, 0))), "too few ops to decide");
         tokio::time::advance(UNSERVED_TIMEOUT).await;
-        assert!(!serving.idle(Some((MIN_UNSERVED_OPS - 1, 0))));
-        assert!(!serving.idle(Some((50, 0))), "not for long enough");
+        assert!(!service_monitor.update(Some((MIN_UNSERVED_OPS - 1, 0))));
+        assert!(!service_monitor.update(Some((50, 0))), "not for long enough");
         tokio::time::advance(UNSERVED_TIMEOUT).await;
-        assert!(serving.idle(Some((60, 0))));
-        assert!(!serving.idle(Some((60, 1))), "one was served");
-        assert!(serving.idle(None), "the route task hangs");
+        assert!(service_monitor.update(Some((60, 0))));
+        assert!(!service_monitor.update(Some((60, 1))), "one op was served");
+        assert!(service_monitor.update(None), "the route task hangs");
     }
 }
--- a/crates/arrowyard-core/src/reload.rs
+++ b/crates/arrowyard-core/src/reload.rs
@@ -18,25 +18,27 @@
 pub type LoadLayout = Arc<dyn Fn() -> Result<Option<Layout>, String> + Send + Sync>;
 
 /// The task that handles SIGHUP.
-pub struct ReloadTask<B: HostTransport> {
+pub struct ReloadTask<T: HostTransport> {
     pub discovery: mpsc::Sender<DiscoveryCommand>,
     pub limits: Rc<Limits>,
     /// How the operator's file is read, if there is one, and the channel to the route task.
-    pub layout_source: Option<(LoadLayout, mpsc::Sender<RouteMessage<B>>)>,
+    pub layout_source: Option<(LoadLayout, mpsc::Sender<RouteMessage<T>>)>,
 }
 
-impl<B: HostTransport> ReloadTask<B> {
+impl<T: HostTransport> ReloadTask<T> {
     /// Handles signals until the router ends. Of the configuration file only discovery's address is
     /// reloaded.
     pub async fn run(self, mut hangup: Signal) {
         while hangup.recv().await.is_some() {
-            match self.read().await {
-                Ok(waybill) => {
-                    tracing::info!(discovery = %waybill.discovery, "SIGHUP: the file was read again");
+            match self.read_config().await {
+                Ok(config) => {
+                    tracing::info!(discovery = %config.discovery, "SIGHUP: the configuration file was reloaded");
                     // Discovery's task ends only with the router.
-                    let _ = self.discovery.send(DiscoveryCommand::SetAddress(waybill.discovery)).await;
+                    let _ = self.discovery.send(DiscoveryCommand::SetAddress(config.discovery)).await;
                 }
-                Err(why) => tracing::error!("SIGHUP: nothing changes: {why}"),
+                Err(error) => tracing::error!(
+                    "SIGHUP: the configuration file is invalid; the configuration is unchanged: {error}"
+                ),
             }
             self.reload_layout().await;
         }
@@ -44,19 +46,21 @@
 
     /// Applies a new operator's file completely; an invalid one is rejected and nothing changes.
     async fn reload_layout(&self) {
-        let Some((read, mail)) = &self.layout_source else { return };
+        let Some((load_layout, messages)) = &self.layout_source else { return };
         // Reading and checking a large file on the core's thread would delay every op.
-        let read = read.clone();
-        let loaded = spawn_blocking(move || read()).await;
+        let load_layout = load_layout.clone();
+        let loaded = spawn_blocking(move || load_layout()).await;
         match loaded.unwrap_or_else(|error| Err(error.to_string())) {
-            Ok(Some(layout)) => drop(mail.send(RouteMessage::LayoutReloaded(Box::new(layout))).await),
-            Ok(None) => tracing::error!("SIGHUP: the operator's file has no cells; they stay as they are"),
-            Err(why) => why.lines().for_each(|line| tracing::error!("SIGHUP: nothing changes: {line}")),
+            Ok(Some(layout)) => drop(messages.send(RouteMessage::LayoutReloaded(Box::new(layout))).await),
+            Ok(None) => tracing::error!("SIGHUP: the operator's file has no cells; the cells are unchanged"),
+            Err(error) => error.lines().for_each(|line| {
+                tracing::error!("SIGHUP: the operator's file is invalid; the cells are unchanged: {line}")
+            }),
         }
     }
 
     /// Reads the file several times if it is invalid, since it may be read while it is being replaced.
-    async fn read(&self) -> Result<RouterConfig, String> {
+    async fn read_config(&self) -> Result<RouterConfig, String> {
         let mut config = RouterConfig::load();
         for _ in 1..self.limits.max_file_reads {
             if config.is_ok() {
