--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -1,4 +1,5 @@
-//! The task that owns the decision module: turns messages into events and carries out the actions in order.
+//! The route task, which owns the decision module: converts messages to events of the decision module and
+//! executes its actions in order.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
@@ -6,7 +7,7 @@
 
 use arrowyard::Router;
 use arrowyard_background_tasks::{
-    Budget, ListSlice, ListSlicer, Priority, Scheduler, TaskConfig, TurnOutcome as Ending,
+    Budget, ListSlice, ListSlicer, Priority, Scheduler, TaskConfig, TurnOutcome,
 };
 use arrowyard_cells::Layout;
 use arrowyard_cells::admission::{CellEvent, RejectReason};
@@ -19,33 +20,33 @@
 use crate::cell_scheduler::{CellScheduler, Placement, RELEASE_WINDOW_FACTOR, stage_name};
 use crate::clock::Clock;
 use crate::hints::{Hints, decode_hint, encode_hint};
+use crate::host_list::{HostList, HostListEntry};
+use crate::host_registry::HostRegistry;
 use crate::limits::Limits;
-use crate::list::{HostList, HostListEntry};
 use crate::messages::{self, DiscoveryCommand, RouteMessage};
 use crate::op_table::OpTable;
 use crate::peers::PeersCommand;
 use crate::reply::Reply;
-use crate::returns::{OptionalStartup, RouterStartup};
-use crate::roster::HostRegistry;
 use crate::send::{self, EndedSend, SendRequest};
+use crate::startup::{OptionalStartup, RouterStartup};
 use crate::transport::HostTransport;
 
-/// What the route task uses of the rest of the router.
-pub struct RouteContext<B: HostTransport> {
+/// The parts of the router that the route task depends on.
+pub struct RouteContext<T: HostTransport> {
     pub hosts: HostRegistry,
-    pub transport: Rc<B>,
+    pub transport: Rc<T>,
     pub clock: Clock,
     pub limits: Rc<Limits>,
     pub discovery: mpsc::Sender<DiscoveryCommand>,
-    /// The sender for tasks that the route task starts.
-    pub messages: mpsc::Sender<RouteMessage<B>>,
+    /// Sends results of spawned tasks back to the route task.
+    pub messages: mpsc::Sender<RouteMessage<T>>,
     /// The startup tracking, if configured.
     pub startup: Option<Box<RouterStartup>>,
     /// Commands to the fleet membership task, if configured.
     pub peers: Option<mpsc::Sender<PeersCommand>>,
 }
 
-/// Hosts of a move's target are probed once in this fraction of the connect time-out.
+/// The interval of probes to the target hosts of a tenant move, as a fraction of the connect timeout.
 const POSITION_PROBE_FRACTION: f64 = 0.4;
 
 /// Combined with the seed, so that random draws of the background tasks differ from the decision module's.
@@ -54,40 +55,40 @@
 /// Background tasks.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Task {
-    /// Applies a slice of a long list.
-    List,
-    Tally,
-    /// Closes idle connections.
-    Sweep,
+    /// Applies a slice of a long host list.
+    ApplyListSlice,
+    LogCounters,
+    CloseExpiredConnections,
     /// Acts on hints of other routers.
-    Hints,
-    /// Advances the stages of the start.
-    Start,
-    /// Stores the list.
-    Save,
+    ProcessHints,
+    /// Advances the startup stage.
+    AdvanceStartup,
+    /// Stores the host list.
+    SaveList,
 }
 
-fn time_delta(time: std::time::Duration) -> TimeDelta {
-    TimeDelta::from_micros(time.as_micros() as i64)
+fn time_delta(duration: std::time::Duration) -> TimeDelta {
+    TimeDelta::from_micros(duration.as_micros() as i64)
 }
 
 /// The payload and reply channel of an op that waits for its cell.
-type QueuedPayload<B> =
-    (Rc<<B as HostTransport>::Payload>, oneshot::Sender<Reply<<B as HostTransport>::Answer>>);
-
-/// The route task.
-pub struct RouteTask<B: HostTransport> {
-    context: RouteContext<B>,
-    cells: Option<CellScheduler<RouteMessage<B>, QueuedPayload<B>>>,
-    ticked: Instant,
+type QueuedPayload<T> =
+    (Rc<<T as HostTransport>::Payload>, oneshot::Sender<Reply<<T as HostTransport>::Answer>>);
+
+/// The route task; it owns the decision module, the open ops and the host registry.
+pub struct RouteTask<T: HostTransport> {
+    context: RouteContext<T>,
+    cells: Option<CellScheduler<RouteMessage<T>, QueuedPayload<T>>>,
+    last_cell_tick: Instant,
     /// Hosts being probed for their position because a tenant moves to them.
     position_probes: HashSet<HostId>,
     last_position_probes: Instant,
     /// The maximum retry delay sent to clients; `None` if none may be sent.
     max_retry_after: Option<TimeDelta>,
-    cold: TimeDelta,
+    /// A started host is cold for this long.
+    cold_period: TimeDelta,
     router: Router,
-    book: OpTable<B::Payload, B::Answer>,
+    op_table: OpTable<T::Payload, T::Answer>,
     timers: BinaryHeap<Reverse<(Timestamp, u64, TimerId)>>,
     timer_sequence: u64,
     tasks: Scheduler<Task>,
@@ -97,140 +98,143 @@
     logged_connections: u64,
     /// Hosts that other routers report as draining.
     hints: Hints,
-    returns: OptionalStartup,
+    startup: OptionalStartup,
     /// By op type: whether it writes, and whether it reads its session's own writes.
-    writes: Vec<bool>,
-    reads_session: Vec<bool>,
+    is_write: Vec<bool>,
+    reads_own_writes: Vec<bool>,
     /// After a restart: the minimum position for session reads. A session may have written through this
     /// router before it ended; all writes acknowledged then were committed before the start.
     min_position: Option<Timestamp>,
-    /// Requested groups, up to a limit; their entries of a long list are applied first.
+    /// Groups that ops requested, up to a limit; their entries of a long list are applied first.
     requested_groups: HashSet<i64>,
-    /// Ops taken, and ops acknowledged up to the last logging of counters, since the start.
-    taken: u64,
-    acked: u64,
+    /// Ops received since the start, and ops acknowledged until the counters were last logged.
+    received_ops: u64,
+    acked_ops: u64,
 }
 
-impl<B: HostTransport> RouteTask<B> {
+impl<T: HostTransport> RouteTask<T> {
+    /// Creates the task and starts the decision module, with the saved host list if there is one.
     pub fn start(
-        mut context: RouteContext<B>,
+        mut context: RouteContext<T>,
         seed: u64,
-        manifest: RouterSettings,
-        known: Option<&HostList>,
+        settings: RouterSettings,
+        saved_list: Option<&HostList>,
         cells: Option<Layout>,
     ) -> Self {
         let mut actions = Vec::new();
         let now = context.clock.now();
-        let max_retry_after = manifest.flag("retry_after").then(|| manifest.time_delta("max_retry_after"));
-        let cold = manifest.time_delta("cold");
-        // The watch should report a drain within the grace period; half a second if none is configured.
-        let grace = manifest.time_delta("drain_grace").max(TimeDelta::from_millis(500));
+        let max_retry_after = settings.flag("retry_after").then(|| settings.time_delta("max_retry_after"));
+        let cold_period = settings.time_delta("cold");
+        // The watch of the host list should report a drain within the grace period.
+        let drain_grace = settings.time_delta("drain_grace").max(TimeDelta::from_millis(500));
         let cells = cells.map(|layout| {
-            let (rows, marks) = (OpType::rows(&manifest), manifest.flag("marks_retry"));
-            CellScheduler::new(now, layout, context.limits.cell_capacity(), rows, marks)
+            let (op_types, clients_mark_retries) = (OpType::rows(&settings), settings.flag("marks_retry"));
+            CellScheduler::new(now, layout, context.limits.cell_capacity(), op_types, clients_mark_retries)
         });
-        let returns = context.startup.take();
-        let rows = OpType::rows(&manifest);
-        let writes = rows.iter().map(|row| row.consistency == Consistency::Write).collect();
-        let reads_session = rows.iter().map(|row| row.consistency == Consistency::Session).collect();
+        let startup = context.startup.take();
+        let op_types = OpType::rows(&settings);
+        let is_write = op_types.iter().map(|op_type| op_type.consistency == Consistency::Write).collect();
+        let reads_own_writes =
+            op_types.iter().map(|op_type| op_type.consistency == Consistency::Session).collect();
         // Acknowledged positions were at most this far ahead of this router's clock.
-        let min_position = returns.is_some().then_some(now + context.limits.max_position_lead);
-        let router = Router::start(now, seed, manifest, &mut actions);
-        let mut book = OpTable::default();
-        book.closed_ops = cells.is_some().then(Vec::new);
-        let (timers, moment) = (BinaryHeap::new(), Instant::now());
-        let (ticked, timer_sequence) = (moment, 0);
+        let min_position = startup.is_some().then_some(now + context.limits.max_position_lead);
+        let router = Router::start(now, seed, settings, &mut actions);
+        let mut op_table = OpTable::default();
+        op_table.closed_ops = cells.is_some().then(Vec::new);
+        let (timers, started_at) = (BinaryHeap::new(), Instant::now());
+        let (last_cell_tick, timer_sequence) = (started_at, 0);
         let mut tasks = Scheduler::new(now, Budget::default(), seed ^ TASK_SEED);
         let limits = context.limits.clone();
-        let mut add = |task, terms| tasks.add(now, task, terms);
-        add(
-            Task::List,
+        let mut add_task = |task, config| tasks.add(now, task, config);
+        add_task(
+            Task::ApplyListSlice,
             TaskConfig::on_demand("lists", Priority::Urgent, time_delta(limits.list_slice_deadline)),
         );
-        add(
-            Task::Tally,
-            TaskConfig::periodic("tally", Priority::Normal, time_delta(limits.counters_interval)),
+        add_task(
+            Task::LogCounters,
+            TaskConfig::periodic("counters", Priority::Normal, time_delta(limits.counters_interval)),
         );
-        let often = time_delta(limits.host_idle_timeout) * 0.125;
-        add(
-            Task::Sweep,
+        let sweep_interval = time_delta(limits.host_idle_timeout) * 0.125;
+        add_task(
+            Task::CloseExpiredConnections,
             TaskConfig {
-                max_delay: often,
-                ..TaskConfig::periodic("idle connections", Priority::Idle, often)
+                max_delay: sweep_interval,
+                ..TaskConfig::periodic("idle connections", Priority::Idle, sweep_interval)
             },
         );
         if context.peers.is_some() {
-            add(
-                Task::Hints,
+            add_task(
+                Task::ProcessHints,
                 TaskConfig::periodic("hints", Priority::Normal, time_delta(limits.startup_check_interval)),
             );
         }
-        if returns.is_some() {
-            add(
-                Task::Start,
-                TaskConfig::periodic("start", Priority::Normal, time_delta(limits.startup_check_interval)),
+        if startup.is_some() {
+            add_task(
+                Task::AdvanceStartup,
+                TaskConfig::periodic("startup", Priority::Normal, time_delta(limits.startup_check_interval)),
             );
-            add(
-                Task::Save,
+            add_task(
+                Task::SaveList,
                 TaskConfig::on_demand("store", Priority::Idle, time_delta(limits.list_store_deadline)),
             );
         }
         let slices = ListSlicer::new(limits.list_slice_len);
-        let mut route = RouteTask {
+        let mut route_task = RouteTask {
             context,
             cells,
-            ticked,
+            last_cell_tick,
             position_probes: HashSet::new(),
-            last_position_probes: moment,
+            last_position_probes: started_at,
             max_retry_after,
-            cold,
+            cold_period,
             router,
-            book,
+            op_table,
             timers,
             timer_sequence,
             tasks,
             slices,
             logged_connections: 0,
-            hints: Hints::new(grace, grace * 2.0),
-            returns,
-            writes,
-            reads_session,
+            hints: Hints::new(drain_grace, drain_grace * 2.0),
+            startup,
+            is_write,
+            reads_own_writes,
             min_position,
             requested_groups: HashSet::new(),
-            taken: 0,
-            acked: 0,
+            received_ops: 0,
+            acked_ops: 0,
         };
-        if let Some(list) = known {
-            let event = route.apply_list(list, Some(true));
-            route.router.handle(now, event, &mut actions);
+        if let Some(list) = saved_list {
+            let event = route_task.apply_list(list, Some(true));
+            route_task.router.handle(now, event, &mut actions);
         }
-        actions.into_iter().for_each(|action| route.carry_out(now, action));
-        route
+        actions.into_iter().for_each(|action| route_task.execute(now, action));
+        route_task
     }
 
-    pub async fn run(mut self, mut inbox: mpsc::Receiver<RouteMessage<B>>) {
+    /// Handles messages, timers and background tasks until the message channel is closed.
+    pub async fn run(mut self, mut inbox: mpsc::Receiver<RouteMessage<T>>) {
         let mut actions = Vec::new();
-        let mut handled = 0_u32;
+        let mut handled_count = 0_u32;
         loop {
             if self.cells.is_some() {
                 let Some(event) = self.next_cell_event(&mut inbox).await else { return };
                 if let Some(event) = event {
                     self.handle_event(event, &mut actions);
                 }
-                handled = handled.wrapping_add(1);
-                if handled.is_multiple_of(32) {
-                    // Lets sockets be served while the queue never empties.
+                handled_count = handled_count.wrapping_add(1);
+                if handled_count.is_multiple_of(32) {
+                    // Yields, so that sockets are served even if the queue never empties.
                     yield_now().await;
                 }
                 continue;
             }
-            let next = self.next_deadline();
+            let wake_at = self.next_deadline();
             let event = tokio::select! {
-                mail = inbox.recv() => match mail {
-                    Some(mail) => self.event_for(mail),
+                message = inbox.recv() => match message {
+                    Some(message) => self.event_for(message),
                     None => return,
                 },
-                () = sleep_until(next) => None,
+                () = sleep_until(wake_at) => None,
             };
             let event = event.or_else(|| self.due_event(!inbox.is_empty()));
             let Some(event) = event else { continue };
@@ -244,7 +248,7 @@
         if let Some(cells) = &mut self.cells {
             let cell = match &event {
                 RouterEvent::OpRequested(request) => Some(request.cell),
-                RouterEvent::SendEnded(end) => cells.cell_of(end.op),
+                RouterEvent::SendEnded(send_result) => cells.cell_of(send_result.op),
                 _ => None,
             };
             if let Some(update) = cell.and_then(|cell| cells.retry_budget_update(now, cell)) {
@@ -252,12 +256,12 @@
             }
         }
         self.router.handle(now, event, actions);
-        actions.drain(..).for_each(|action| self.carry_out(now, action));
+        actions.drain(..).for_each(|action| self.execute(now, action));
         if let Some(cells) = &mut self.cells {
-            self.book
+            self.op_table
                 .closed_ops
                 .iter_mut()
-                .flat_map(|closed| closed.drain(..))
+                .flat_map(|closed_ops| closed_ops.drain(..))
                 .for_each(|op| cells.op_closed(now, op));
         }
     }
@@ -266,14 +270,14 @@
     /// message of the next cell. `None` once the channel is closed.
     async fn next_cell_event(
         &mut self,
-        inbox: &mut mpsc::Receiver<RouteMessage<B>>,
+        inbox: &mut mpsc::Receiver<RouteMessage<T>>,
     ) -> Option<Option<RouterEvent>> {
         // Sorts all received messages into their cells' queues first, so that one cell does not delay the
         // others.
         loop {
             match inbox.try_recv() {
-                Ok(mail) => {
-                    if let Some(event) = self.enqueue_message(mail) {
+                Ok(message) => {
+                    if let Some(event) = self.enqueue_message(message) {
                         return Some(Some(event));
                     }
                 }
@@ -282,111 +286,115 @@
             }
         }
         self.tick();
-        let waits = self.cells.as_ref().is_some_and(|cells| cells.queue_len() > 0);
-        if let Some(event) = self.due_event(waits) {
+        let has_queued_messages = self.cells.as_ref().is_some_and(|cells| cells.queue_len() > 0);
+        if let Some(event) = self.due_event(has_queued_messages) {
             return Some(Some(event));
         }
-        if let Some(mail) = self.cells.as_mut().and_then(CellScheduler::pop) {
-            return Some(self.event_for(mail));
+        if let Some(message) = self.cells.as_mut().and_then(CellScheduler::pop) {
+            return Some(self.event_for(message));
         }
-        let next = self.next_deadline().min(self.ticked + self.context.limits.cell_tick_interval);
+        let wake_at = self.next_deadline().min(self.last_cell_tick + self.context.limits.cell_tick_interval);
         tokio::select! {
-            mail = inbox.recv() => mail.map(|mail| self.enqueue_message(mail)),
-            () = sleep_until(next) => Some(None),
+            message = inbox.recv() => message.map(|message| self.enqueue_message(message)),
+            () = sleep_until(wake_at) => Some(None),
         }
     }
 
     /// Queues the message of an op in its cell; other messages are handled at once.
-    fn enqueue_message(&mut self, mail: RouteMessage<B>) -> Option<RouterEvent> {
+    fn enqueue_message(&mut self, message: RouteMessage<T>) -> Option<RouterEvent> {
         let now = self.context.clock.now();
         let cells = self.cells.as_mut()?;
-        let waits = match mail {
+        let immediate_message = match message {
             RouteMessage::OpAdmitted(request, Some(origin), payload, client) => {
-                let turn = cells.admit(now, request, origin, (payload, client));
-                self.apply_placement(turn);
+                let placement = cells.admit(now, request, origin, (payload, client));
+                self.apply_placement(placement);
                 return None;
             }
             RouteMessage::SendEnded(op, ..)
             | RouteMessage::ClientDisconnected(op)
             | RouteMessage::AnswerBegun(op, _) => {
-                if matches!(mail, RouteMessage::ClientDisconnected(_)) {
+                if matches!(message, RouteMessage::ClientDisconnected(_)) {
                     cells.client_disconnected(now, op);
                 }
-                cells.enqueue(op, mail)
+                cells.enqueue(op, message)
             }
-            mail => Some(mail),
+            message => Some(message),
         };
-        waits.and_then(|mail| self.event_for(mail))
+        immediate_message.and_then(|message| self.event_for(message))
     }
 
-    fn apply_placement(&mut self, turn: Placement<QueuedPayload<B>>) {
+    fn apply_placement(&mut self, placement: Placement<QueuedPayload<T>>) {
         let Some(cells) = &mut self.cells else { return };
-        match turn {
+        match placement {
             Placement::Dispatch(request, (payload, client)) => {
                 let group = self.context.hosts.cell_group(request.group, request.cell);
-                let asked = RouteMessage::OpAdmitted(OpRequest { group, ..request }, None, payload, client);
+                let message = RouteMessage::OpAdmitted(OpRequest { group, ..request }, None, payload, client);
                 // The op was admitted above, so it is known.
-                let _ = cells.enqueue(request.op, asked);
+                let _ = cells.enqueue(request.op, message);
             }
             Placement::Queued => {}
             // Busy replies carry a retry delay if the settings allow it.
-            Placement::Busy(after, (_, client)) => {
-                self.book.counters.busy += 1;
+            Placement::Busy(retry_after, (_, client)) => {
+                self.op_table.counters.busy += 1;
                 // The end of a fence or lease may exceed the maximum retry delay that clients accept.
-                let after = self.max_retry_after.map(|most| after.map_or(most, |after| after.min(most)));
-                let _ = client.send(Reply::Busy(after));
+                let retry_after = self
+                    .max_retry_after
+                    .map(|limit| retry_after.map_or(limit, |retry_after| retry_after.min(limit)));
+                let _ = client.send(Reply::Busy(retry_after));
             }
             Placement::Error(RejectReason::OutcomeUnknown, (_, client)) => {
-                self.book.counters.errored += 1;
+                self.op_table.counters.errored += 1;
                 let _ = client.send(Reply::Errored);
             }
-            Placement::Error(why, (_, client)) => {
-                self.book.counters.errored += 1;
-                let _ = client.send(Reply::Refused(why.text()));
+            Placement::Error(reason, (_, client)) => {
+                self.op_table.counters.errored += 1;
+                let _ = client.send(Reply::Refused(reason.text()));
             }
         }
     }
 
-    /// Updates the cells.
+    /// Updates the cells once per interval.
     fn tick(&mut self) {
-        if self.ticked.elapsed() < self.context.limits.cell_tick_interval {
+        if self.last_cell_tick.elapsed() < self.context.limits.cell_tick_interval {
             return;
         }
-        self.ticked = Instant::now();
+        self.last_cell_tick = Instant::now();
         let now = self.context.clock.now();
         let Some(cells) = &mut self.cells else { return };
-        let handled = cells.tick(now);
-        handled.into_iter().for_each(|turn| self.apply_placement(turn));
+        let placements = cells.tick(now);
+        placements.into_iter().for_each(|placement| self.apply_placement(placement));
         self.log_cell_events();
         self.probe_target_hosts();
     }
 
-    /// Logs the events of cells.
+    /// Logs the events of the cells; after a release verdict, hosts are sent to the decision module again.
     fn log_cell_events(&mut self) {
         let Some(cells) = &mut self.cells else { return };
-        let events = cells.take_events();
+        let cell_events = cells.take_events();
         let name = |cell: CellId| cells.layout().cell(cell).name.to_string();
         let mut verdict_changed = false;
-        for events in events {
-            match events {
+        for event in cell_events {
+            match event {
                 CellEvent::ReleaseVerdict(verdict) => {
                     verdict_changed = true;
                     tracing::warn!(cell = name(verdict.cell), "the release is judged {:?}", verdict.verdict);
                 }
-                CellEvent::RolloutBlocked(cell, held) => {
-                    let (by, why) =
-                        (name(held.blocked_by), if held.failed { "bad" } else { "not judged yet" });
+                CellEvent::RolloutBlocked(cell, block) => {
+                    let (blocked_by, reason) = (
+                        name(block.blocked_by),
+                        if block.failed { "has failed" } else { "has no verdict yet" },
+                    );
                     tracing::warn!(
                         cell = name(cell),
-                        by,
-                        "new hosts are trusted little: the release there is {why}"
+                        by = blocked_by,
+                        "new hosts get little traffic: the release in the preceding cell {reason}"
                     );
                 }
                 CellEvent::MoveStageChanged(tenant, stage) => {
-                    tracing::info!(tenant = &*tenant, stage = stage_name(stage), "the move goes on");
+                    tracing::info!(tenant = &*tenant, stage = stage_name(stage), "tenant move advanced");
                 }
-                CellEvent::MoveBlocked(tenant, stuck) => {
-                    tracing::warn!(tenant = &*tenant, "the move waits: {stuck:?}")
+                CellEvent::MoveBlocked(tenant, reason) => {
+                    tracing::warn!(tenant = &*tenant, "tenant move is blocked: {reason:?}")
                 }
             }
         }
@@ -397,7 +405,7 @@
 
     /// Probes the hosts to which a tenant moves for their positions.
     fn probe_target_hosts(&mut self) {
-        // Limits the load of these probes.
+        // Limits the rate of these probes.
         let is_due = self.last_position_probes.elapsed()
             >= self.context.limits.connect_timeout.mul_f64(POSITION_PROBE_FRACTION);
         let Some(cells) = self.cells.as_mut().filter(|_| is_due) else { return };
@@ -406,15 +414,15 @@
             let hosts = self.context.hosts.group_hosts(group);
             cells.set_group_hosts(group, &hosts);
             for (host, _) in hosts {
-                let (back, mail) = (self.context.transport.clone(), self.context.messages.clone());
-                let Some(dial) = self.context.hosts.address(host) else { continue };
+                let (transport, messages) = (self.context.transport.clone(), self.context.messages.clone());
+                let Some(address) = self.context.hosts.address(host) else { continue };
                 if !self.position_probes.insert(host) {
                     continue;
                 }
                 drop(spawn_local(async move {
-                    let (outcome, status) = back.probe(host, dial).await;
+                    let (outcome, status) = transport.probe(host, address).await;
                     let status = if outcome == Outcome::Acked { status } else { HostStatus::default() };
-                    let _ = mail.send(RouteMessage::PositionProbed(host, status)).await;
+                    let _ = messages.send(RouteMessage::PositionProbed(host, status)).await;
                 }));
             }
         }
@@ -424,17 +432,17 @@
     /// a slice.
     fn apply_list(&mut self, list: &HostList, saved: Option<bool>) -> RouterEvent {
         let event = self.context.hosts.apply_list(list, saved == Some(true));
-        self.book.counters.list_entries += list.entries.len() as u32;
+        self.op_table.counters.list_entries += list.entries.len() as u32;
         let not_ready = self.context.hosts.take_not_ready();
         if saved != Some(true) {
             self.hints.list_received();
         }
-        if let Some(returns) = self.returns.as_mut().filter(|_| saved == Some(false)) {
-            returns.list_received(self.context.clock.now(), list.version);
+        if let Some(startup) = self.startup.as_mut().filter(|_| saved == Some(false)) {
+            startup.list_received(self.context.clock.now(), list.version);
         }
         if saved != Some(true) {
             let now = self.context.clock.now();
-            not_ready.into_iter().for_each(|tag| self.hints.host_not_ready(now, tag));
+            not_ready.into_iter().for_each(|address_hash| self.hints.host_not_ready(now, address_hash));
             self.announce_not_ready(now);
         }
         match event {
@@ -447,13 +455,13 @@
 
     fn assign_cells(&mut self, mut entries: Vec<HostEntry>) -> Vec<HostEntry> {
         let Some(cells) = &mut self.cells else { return entries };
-        let (now, within) = (self.context.clock.now(), self.cold * RELEASE_WINDOW_FACTOR);
+        let (now, release_window) = (self.context.clock.now(), self.cold_period * RELEASE_WINDOW_FACTOR);
         let index = cells.index().clone();
-        self.context.hosts.assign_cells(&mut entries, &index, |cell, started| {
-            if now - started >= within {
+        self.context.hosts.assign_cells(&mut entries, &index, |cell, started_at| {
+            if now - started_at >= release_window {
                 return 1.0;
             }
-            cells.host_restarted(cell, started, within);
+            cells.host_restarted(cell, started_at, release_window);
             cells.restarted_host_trust(cell)
         });
         entries
@@ -464,13 +472,13 @@
         let entries = self.assign_cells(self.context.hosts.current_entries());
         let (now, mut actions) = (self.context.clock.now(), Vec::new());
         self.router.handle(now, RouterEvent::HostList { kind: ListKind::Incremental, entries }, &mut actions);
-        actions.into_iter().for_each(|action| self.carry_out(now, action));
+        actions.into_iter().for_each(|action| self.execute(now, action));
     }
 
     fn replace_layout(&mut self, layout: Layout) {
         let (now, epoch) = (self.context.clock.now(), layout.epoch);
         let Some(cells) = &mut self.cells else {
-            tracing::error!("cells begin with a restart; nothing changes");
+            tracing::error!("cells can only be enabled by a restart; the configuration is unchanged");
             return;
         };
         match cells.replace_layout(now, layout) {
@@ -478,81 +486,87 @@
                 tracing::info!(epoch, "the operator's file holds");
                 self.resend_hosts();
             }
-            Err(why) => tracing::error!(epoch, "the operator's file is refused whole: {why:?}"),
+            Err(error) => tracing::error!(epoch, "the operator's file is refused whole: {error:?}"),
         }
     }
 
     /// When the next timer or background task is due.
     fn next_deadline(&self) -> Instant {
-        let timer = self.timers.peek().map(|Reverse((at, ..))| *at);
-        let next = [timer, self.tasks.next_at()].into_iter().flatten().min();
-        next.map_or_else(
+        let timer_at = self.timers.peek().map(|Reverse((at, ..))| *at);
+        let next_at = [timer_at, self.tasks.next_at()].into_iter().flatten().min();
+        next_at.map_or_else(
             || Instant::now() + self.context.limits.counters_interval,
             |at| self.context.clock.instant_at(at),
         )
     }
 
-    /// Runs one turn of a background task, if one may run; `ops` tells whether ops are waiting.
-    fn run_task(&mut self, now: Timestamp, ops: bool) {
-        let Some(task) = self.tasks.begin_next(now, ops) else { return };
-        let end = match task {
-            Task::List => self.apply_slice(),
-            Task::Tally => {
+    /// Runs one turn of a background task, if one may run; `has_waiting_ops` tells whether ops are waiting.
+    fn run_task(&mut self, now: Timestamp, has_waiting_ops: bool) {
+        let Some(task) = self.tasks.begin_next(now, has_waiting_ops) else { return };
+        let outcome = match task {
+            Task::ApplyListSlice => self.apply_slice(),
+            Task::LogCounters => {
                 self.log_counters();
-                Ending::Done
+                TurnOutcome::Done
             }
-            Task::Sweep => {
+            Task::CloseExpiredConnections => {
                 self.context.transport.close_expired();
-                Ending::Done
+                TurnOutcome::Done
             }
-            Task::Hints => {
-                if self.hints.should_fetch(now, |tag| self.context.hosts.is_ready(tag)) {
-                    tracing::info!("other routers say that a host is leaving: the list is asked for");
+            Task::ProcessHints => {
+                if self.hints.should_fetch(now, |address_hash| self.context.hosts.is_ready(address_hash)) {
+                    tracing::info!("other routers report a draining host; fetching the host list");
                     send_command(&self.context.discovery, DiscoveryCommand::Fetch);
                 }
                 self.close_hinted_hosts(now);
                 self.announce_not_ready(now);
-                Ending::Done
+                TurnOutcome::Done
             }
-            Task::Start => {
-                if let Some(returns) = &mut self.returns {
-                    returns.tick(now);
-                    if returns.should_save(now) {
-                        self.tasks.request(now, Task::Save);
+            Task::AdvanceStartup => {
+                if let Some(startup) = &mut self.startup {
+                    startup.tick(now);
+                    if startup.should_save(now) {
+                        self.tasks.request(now, Task::SaveList);
                     }
                 }
-                Ending::Done
+                TurnOutcome::Done
             }
-            Task::Save => {
-                if let Some(returns) = &mut self.returns {
-                    returns.save(self.context.hosts.stored_hosts(), self.context.messages.clone());
+            Task::SaveList => {
+                if let Some(startup) = &mut self.startup {
+                    startup.save(self.context.hosts.stored_hosts(), self.context.messages.clone());
                 }
-                Ending::Done
+                TurnOutcome::Done
             }
         };
-        let ended = self.context.clock.now();
-        self.tasks.finish(ended, task, ended - now, end);
+        let finished_at = self.context.clock.now();
+        self.tasks.finish(finished_at, task, finished_at - now, outcome);
     }
 
     /// Announces hosts that are no longer ready to other routers.
     fn announce_not_ready(&mut self, now: Timestamp) {
-        let told = self.hints.take_announcements(now);
+        let announced = self.hints.take_announcements(now);
         let Some(peers) = &self.context.peers else { return };
-        told.into_iter().for_each(|tag| drop(peers.try_send(PeersCommand::Broadcast(encode_hint(tag)))));
+        announced.into_iter().for_each(|address_hash| {
+            drop(peers.try_send(PeersCommand::Broadcast(encode_hint(address_hash))))
+        });
     }
 
     /// Closes hosts that other routers report as draining, while the list is unavailable.
     fn close_hinted_hosts(&mut self, now: Timestamp) {
-        let RouteContext { hosts: roster, .. } = &self.context;
-        let tags = self.hints.hosts_to_close(now, roster.ready_count(), |tag| roster.is_ready(tag));
-        let entries: Vec<HostEntry> =
-            tags.into_iter().filter_map(|tag| self.context.hosts.mark_draining(tag)).collect();
+        let RouteContext { hosts: host_registry, .. } = &self.context;
+        let address_hashes = self.hints.hosts_to_close(now, host_registry.ready_count(), |address_hash| {
+            host_registry.is_ready(address_hash)
+        });
+        let entries: Vec<HostEntry> = address_hashes
+            .into_iter()
+            .filter_map(|address_hash| self.context.hosts.mark_draining(address_hash))
+            .collect();
         if entries.is_empty() {
             return;
         }
         tracing::warn!(
             hosts = entries.len(),
-            "hosts are closed by other routers' word: the list cannot be had"
+            "closing hosts that other routers report as draining, since the host list is unavailable"
         );
         let entries = if self.cells.is_some() { self.assign_cells(entries) } else { entries };
         let (event, mut actions) =
@@ -561,36 +575,39 @@
     }
 
     /// Applies one slice of the queued lists.
-    fn apply_slice(&mut self) -> Ending {
-        let lines = match self.slices.next_slice() {
-            Some(ListSlice::Entries(lines)) => lines,
-            Some(ListSlice::RemoveUnlisted(turn)) => {
-                let lines = self.context.hosts.missing_hosts(turn);
+    fn apply_slice(&mut self) -> TurnOutcome {
+        let entries = match self.slices.next_slice() {
+            Some(ListSlice::Entries(entries)) => entries,
+            Some(ListSlice::RemoveUnlisted(generation)) => {
+                let entries = self.context.hosts.missing_hosts(generation);
                 // All removed hosts are closed at once, so that no op is sent to them.
-                tracing::info!(gone = lines.len(), "a whole list leaves out hosts");
-                lines
-            }
-            Some(ListSlice::Complete(number)) => {
-                if let Some(returns) = &mut self.returns {
-                    returns.list_received(self.context.clock.now(), number);
+                tracing::info!(
+                    gone = entries.len(),
+                    "removing hosts that the full host list does not contain"
+                );
+                entries
+            }
+            Some(ListSlice::Complete(version)) => {
+                if let Some(startup) = &mut self.startup {
+                    startup.list_received(self.context.clock.now(), version);
                 }
-                return if self.slices.is_empty() { Ending::Done } else { Ending::More };
+                return if self.slices.is_empty() { TurnOutcome::Done } else { TurnOutcome::More };
             }
-            None => return Ending::Done,
+            None => return TurnOutcome::Done,
         };
         self.context.hosts.set_list_number(self.slices.generation());
-        let part = HostList { version: 0, is_full: false, entries: lines };
-        let event = self.apply_list(&part, None);
+        let slice = HostList { version: 0, is_full: false, entries };
+        let event = self.apply_list(&slice, None);
         let mut actions = Vec::new();
         self.handle_event(event, &mut actions);
-        Ending::More
+        TurnOutcome::More
     }
 
     /// The next timer that is due, after a turn of a background task that is due.
-    fn due_event(&mut self, ops: bool) -> Option<RouterEvent> {
+    fn due_event(&mut self, has_waiting_ops: bool) -> Option<RouterEvent> {
         let now = self.context.clock.now();
         if self.tasks.next_at().is_some_and(|at| at <= now) {
-            self.run_task(now, ops);
+            self.run_task(now, has_waiting_ops);
         }
         let due = self.timers.peek().is_some_and(|Reverse((at, ..))| *at <= now);
         let timer = due.then(|| self.timers.pop()).flatten();
@@ -598,44 +615,44 @@
     }
 
     /// The event for the decision module that follows from a message, if any.
-    fn event_for(&mut self, mail: RouteMessage<B>) -> Option<RouterEvent> {
-        match mail {
+    fn event_for(&mut self, message: RouteMessage<T>) -> Option<RouterEvent> {
+        match message {
             RouteMessage::OpAdmitted(mut request, _, payload, client) => {
-                self.taken += 1;
-                if self.reads_session.get(request.op_type.0 as usize) == Some(&true) {
+                self.received_ops += 1;
+                if self.reads_own_writes.get(request.op_type.0 as usize) == Some(&true) {
                     request.min_position = request.min_position.max(self.min_position);
                 }
                 if self.requested_groups.len() < self.context.limits.max_requested_groups {
                     self.requested_groups.insert(request.group.0);
                 }
-                if let Some(returns) = &mut self.returns {
-                    let write = self.writes.get(request.op_type.0 as usize).copied().unwrap_or_default();
-                    returns.op_started(request.op, request.group, write);
+                if let Some(startup) = &mut self.startup {
+                    let is_write = self.is_write.get(request.op_type.0 as usize).copied().unwrap_or_default();
+                    startup.op_started(request.op, request.group, is_write);
                 }
-                self.book.insert(request.op, payload, client);
+                self.op_table.insert(request.op, payload, client);
                 Some(RouterEvent::OpRequested(request))
             }
             // The decision module is informed when the send ends; until then it loads its host.
             RouteMessage::AnswerBegun(op, answer) => {
-                self.book.begin_answer(op, answer);
+                self.op_table.begin_answer(op, answer);
                 None
             }
             RouteMessage::ClientDisconnected(op) => {
-                self.book.client_disconnected(op).then_some(RouterEvent::ClientCancelled { op })
+                self.op_table.client_disconnected(op).then_some(RouterEvent::ClientCancelled { op })
             }
-            RouteMessage::SendEnded(op, send, host, EndedSend { outcome, elapsed: took, status, answer }) => {
-                let finished = self.book.end_send(op, send, outcome, answer)?;
-                if let Some(returns) = self.returns.as_mut().filter(|_| finished) {
-                    returns.op_finished(self.context.clock.now(), op, outcome == Outcome::Acked);
+            RouteMessage::SendEnded(op, send, host, EndedSend { outcome, elapsed, status, answer }) => {
+                let finished = self.op_table.end_send(op, send, outcome, answer)?;
+                if let Some(startup) = self.startup.as_mut().filter(|_| finished) {
+                    startup.op_finished(self.context.clock.now(), op, outcome == Outcome::Acked);
                 }
                 let status = self.without_future_position(status);
                 if let Some(cells) = &mut self.cells {
-                    let new = self.context.hosts.started_within(
+                    let is_recently_started = self.context.hosts.started_within(
                         host,
                         self.context.clock.now(),
-                        self.cold * RELEASE_WINDOW_FACTOR,
+                        self.cold_period * RELEASE_WINDOW_FACTOR,
                     );
-                    cells.send_ended(op, outcome, took, &status, new);
+                    cells.send_ended(op, outcome, elapsed, &status, is_recently_started);
                     cells.record_position(host, &status);
                 }
                 Some(RouterEvent::SendEnded(SendResult {
@@ -643,7 +660,7 @@
                     send,
                     host,
                     outcome,
-                    elapsed: took,
+                    elapsed,
                     op_finished: finished,
                     status,
                 }))
@@ -673,7 +690,9 @@
                 match self.context.peers.as_ref().map(|peers| peers.try_send(PeersCommand::Show(client))) {
                     Some(Ok(())) => {}
                     // Dropping the sender tells the client that there is no report.
-                    _ => tracing::warn!("the task of the fleet takes no errands"),
+                    _ => {
+                        tracing::warn!("the command queue of the membership task is full; dropped a command")
+                    }
                 }
                 None
             }
@@ -682,8 +701,8 @@
                 Some(RouterEvent::RouterCount { routers })
             }
             RouteMessage::PeerMessage(from, mut bytes) => {
-                if let Some(tag) = decode_hint(&bytes) {
-                    self.hints.record_hint(self.context.clock.now(), tag, from);
+                if let Some(address_hash) = decode_hint(&bytes) {
+                    self.hints.record_hint(self.context.clock.now(), address_hash, from);
                     return None;
                 }
                 // Another router's report must not make a host primary, or writes could go to a replica.
@@ -691,28 +710,29 @@
                 Some(RouterEvent::PeerMessage { from, bytes })
             }
             RouteMessage::ListSaved(failed) => {
-                self.returns.iter_mut().for_each(|returns| returns.save_finished(failed));
+                self.startup.iter_mut().for_each(|startup| startup.save_finished(failed));
                 None
             }
             RouteMessage::CheckLiveness(client) => {
-                let _ = client.send((self.taken, self.acked + u64::from(self.book.counters.acked)));
+                let _ = client
+                    .send((self.received_ops, self.acked_ops + u64::from(self.op_table.counters.acked)));
                 None
             }
             RouteMessage::Discovery(messages::DiscoveryEvent::List(list))
                 if self.slices.needs_slicing(list.entries.len()) =>
             {
-                let requested_groups = |line: &HostListEntry| {
-                    line.group.is_some_and(|group| self.requested_groups.contains(&group))
+                let is_requested = |entry: &HostListEntry| {
+                    entry.group.is_some_and(|group| self.requested_groups.contains(&group))
                 };
-                let rank = |line: &HostListEntry| match line.availability {
-                    Availability::Ready if requested_groups(line) => 1,
-                    Availability::Ready if line.is_primary == Some(true) => 2,
+                let rank = |entry: &HostListEntry| match entry.availability {
+                    Availability::Ready if is_requested(entry) => 1,
+                    Availability::Ready if entry.is_primary == Some(true) => 2,
                     Availability::Ready => 3,
                     _ => 0,
                 };
-                let host = |line: &HostListEntry| line.host.clone();
-                self.slices.push(list.version, list.is_full, list.entries, rank, host);
-                self.tasks.request(self.context.clock.now(), Task::List);
+                let host_name = |entry: &HostListEntry| entry.host.clone();
+                self.slices.push(list.version, list.is_full, list.entries, rank, host_name);
+                self.tasks.request(self.context.clock.now(), Task::ApplyListSlice);
                 None
             }
             RouteMessage::Discovery(messages::DiscoveryEvent::List(list)) => {
@@ -728,65 +748,69 @@
         let latest = self.context.clock.now() + self.context.limits.max_position_lead;
         let position = status.position.filter(|&position| position <= latest);
         if position != status.position {
-            tracing::warn!(?status, "a position in the future is ignored");
+            tracing::warn!(?status, "ignored a replica position in the future");
         }
         HostStatus { position, ..status }
     }
 
-    fn carry_out(&mut self, now: Timestamp, action: Action) {
-        let RouteContext { hosts: roster, transport: back, clock, discovery: wishes, messages: mail, .. } =
-            &self.context;
+    fn execute(&mut self, now: Timestamp, action: Action) {
+        let RouteContext { hosts: host_registry, transport, clock, discovery, messages, .. } = &self.context;
         tracing::trace!(at = now.micros(), "{action:?}");
         match action {
-            Action::Send { op, host, deadline: until } => {
-                let Some((send, payload, cancelled)) = self.book.start_send(op) else { return };
-                self.book.counters.cold_sends += u32::from(roster.started_within(host, now, self.cold));
+            Action::Send { op, host, deadline } => {
+                let Some((send, payload, cancelled)) = self.op_table.start_send(op) else { return };
+                self.op_table.counters.cold_sends +=
+                    u32::from(host_registry.started_within(host, now, self.cold_period));
                 self.cells.iter_mut().for_each(|cells| cells.record_send(now, op, send));
-                let (back, clock, mail, dial) = (back.clone(), *clock, mail.clone(), roster.address(host));
+                let (transport, clock, messages, address) =
+                    (transport.clone(), *clock, messages.clone(), host_registry.address(host));
                 drop(spawn_local(async move {
-                    let end = match dial {
-                        Some(dial) => {
-                            let order =
-                                SendRequest { host, address: dial, payload, deadline: until, cancelled };
-                            let begun =
-                                async |answer| drop(mail.send(RouteMessage::AnswerBegun(op, answer)).await);
-                            send::run(order, &*back, clock, begun).await
+                    let ended_send = match address {
+                        Some(address) => {
+                            let request = SendRequest { host, address, payload, deadline, cancelled };
+                            let on_answer_begun = async |answer| {
+                                drop(messages.send(RouteMessage::AnswerBegun(op, answer)).await)
+                            };
+                            send::run(request, &*transport, clock, on_answer_begun).await
                         }
                         None => EndedSend::unsent(),
                     };
                     // The route task ends only with the router.
-                    let _ = mail.send(RouteMessage::SendEnded(op, send, host, end)).await;
+                    let _ = messages.send(RouteMessage::SendEnded(op, send, host, ended_send)).await;
                 }));
             }
-            Action::Cancel { op, send } => self.book.cancel_send(op, send),
+            Action::Cancel { op, send } => self.op_table.cancel_send(op, send),
             Action::BusyReply { op, retry_after } => {
-                let after = match &mut self.returns {
-                    Some(returns) => {
-                        returns.op_finished(now, op, false);
-                        returns.retry_after(retry_after, self.max_retry_after)
+                let retry_after = match &mut self.startup {
+                    Some(startup) => {
+                        startup.op_finished(now, op, false);
+                        startup.retry_after(retry_after, self.max_retry_after)
                     }
                     None => retry_after,
                 };
-                self.book.complete(op, Reply::Busy(after));
+                self.op_table.complete(op, Reply::Busy(retry_after));
             }
             Action::ErrorReply { op } => {
-                self.returns.iter_mut().for_each(|returns| returns.op_finished(now, op, false));
-                self.book.complete(op, Reply::Errored);
+                self.startup.iter_mut().for_each(|startup| startup.op_finished(now, op, false));
+                self.op_table.complete(op, Reply::Errored);
             }
             Action::Probe { host } => {
-                self.book.counters.probes += 1;
-                let (back, mail, dial) = (back.clone(), mail.clone(), roster.address(host));
+                self.op_table.counters.probes += 1;
+                let (transport, messages, address) =
+                    (transport.clone(), messages.clone(), host_registry.address(host));
                 let (mut cell, mut rejected_delay) = (None, None);
                 if let Some(cells) = &mut self.cells
-                    && let Some(of) = roster.probe_cell(host, cells.index())
+                    && let Some(probed_cell) = host_registry.probe_cell(host, cells.index())
                 {
-                    let may = cells.try_start_probe(now, of);
-                    (cell, rejected_delay) =
-                        (may.then_some(of), (!may).then_some(self.context.limits.connect_timeout));
+                    let allowed = cells.try_start_probe(now, probed_cell);
+                    (cell, rejected_delay) = (
+                        allowed.then_some(probed_cell),
+                        (!allowed).then_some(self.context.limits.connect_timeout),
+                    );
                 }
                 drop(spawn_local(async move {
-                    let (outcome, status) = match (dial, rejected_delay) {
-                        (Some(dial), None) => back.probe(host, dial).await,
+                    let (outcome, status) = match (address, rejected_delay) {
+                        (Some(address), None) => transport.probe(host, address).await,
                         (_, rejected_delay) => {
                             // The decision module retries at once, so a rejected probe takes as long as a
                             // lost one.
@@ -794,16 +818,16 @@
                             (Outcome::NotSent, HostStatus::default())
                         }
                     };
-                    let _ = mail.send(RouteMessage::ProbeEnded(host, cell, outcome, status)).await;
+                    let _ = messages.send(RouteMessage::ProbeEnded(host, cell, outcome, status)).await;
                 }));
             }
             Action::SetTimer { after, timer: timer_id } => {
                 self.timer_sequence += 1;
                 self.timers.push(Reverse((now + after, self.timer_sequence, timer_id)));
             }
-            Action::SubscribeHostList { on } => send_command(wishes, DiscoveryCommand::Watch(on)),
-            Action::FetchHostList => send_command(wishes, DiscoveryCommand::Fetch),
-            Action::CloseIdleConnections { host } => back.close_idle(host),
+            Action::SubscribeHostList { on } => send_command(discovery, DiscoveryCommand::Watch(on)),
+            Action::FetchHostList => send_command(discovery, DiscoveryCommand::Fetch),
+            Action::CloseIdleConnections { host } => transport.close_idle(host),
             Action::SendPeerMessage { bytes, .. } => {
                 if let Some(peers) = &self.context.peers {
                     // Never waits for the membership task; the message is dropped if its channel is full.
@@ -815,31 +839,32 @@
     }
 
     fn log_counters(&mut self) {
-        let log_counters = std::mem::take(&mut self.book.counters);
-        self.acked += u64::from(log_counters.acked);
-        let logged_connections = self.context.transport.connections_started();
+        let counters = std::mem::take(&mut self.op_table.counters);
+        self.acked_ops += u64::from(counters.acked);
+        let connections_started = self.context.transport.connections_started();
         tracing::info!(
-            acked = log_counters.acked,
-            busy = log_counters.busy,
-            errored = log_counters.errored,
-            gone = log_counters.disconnected,
-            sends = log_counters.sends,
-            lost = log_counters.lost_sends,
-            repeats = log_counters.retries,
-            cold = log_counters.cold_sends,
-            probes = log_counters.probes,
-            dials = logged_connections - std::mem::replace(&mut self.logged_connections, logged_connections),
-            listed = log_counters.list_entries,
-            open_ops = self.book.open_ops(),
-            links = self.context.transport.open_connections(),
-            "tally"
+            acked = counters.acked,
+            busy = counters.busy,
+            errored = counters.errored,
+            gone = counters.disconnected,
+            sends = counters.sends,
+            lost = counters.lost_sends,
+            repeats = counters.retries,
+            cold = counters.cold_sends,
+            probes = counters.probes,
+            connections_started =
+                connections_started - std::mem::replace(&mut self.logged_connections, connections_started),
+            list_entries = counters.list_entries,
+            open_ops = self.op_table.open_ops(),
+            open_connections = self.context.transport.open_connections(),
+            "counters"
         );
     }
 }
 
-fn send_command(wishes: &mpsc::Sender<DiscoveryCommand>, send_command: DiscoveryCommand) {
+fn send_command(discovery: &mpsc::Sender<DiscoveryCommand>, command: DiscoveryCommand) {
     // Never waits for discovery; the command is dropped if its channel is full.
-    if wishes.try_send(send_command).is_err() {
-        tracing::warn!(?send_command, "discovery takes no more wishes, one is dropped");
+    if discovery.try_send(command).is_err() {
+        tracing::warn!(?command, "the command queue of discovery is full; dropped a command");
     }
 }
--- a/crates/arrowyard-core/src/router_config.rs
+++ b/crates/arrowyard-core/src/router_config.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Map, Value};
 
-use crate::list::HostList;
+use crate::host_list::HostList;
 
 /// The startup configuration.
 pub struct RouterConfig {
@@ -21,6 +21,7 @@
 }
 
 impl RouterConfig {
+    /// Loads the file that `RELAY_CONFIG` names.
     pub fn load() -> Result<RouterConfig, String> {
         let path = env::var("RELAY_CONFIG").map_err(|e| format!("RELAY_CONFIG: {e}"))?;
         let text = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
@@ -28,23 +29,25 @@
         RouterConfig::from_json(&json, |name| env::var(name).ok())
     }
 
+    /// Parses the file; `read_variable` reads an environment variable.
     pub fn from_json(
         json: &Value,
-        variable: impl Fn(&str) -> Option<String>,
+        read_variable: impl Fn(&str) -> Option<String>,
     ) -> Result<RouterConfig, String> {
         let text = |field: &str, name: &str| {
             let value = json.get(field).and_then(Value::as_str).map(str::to_string);
-            value.or_else(|| variable(name)).ok_or_else(|| format!("neither {field} nor {name} is told"))
+            value.or_else(|| read_variable(name)).ok_or_else(|| format!("neither {field} nor {name} is set"))
         };
         let address = |field: &str, name: &str| {
-            text(field, name)?.parse().map_err(|e| format!("{field} is not an address: {e}"))
+            text(field, name)?.parse().map_err(|e| format!("{field} is not a socket address: {e}"))
         };
         let limit = |name: &str, default: u64| {
-            let json = json.get("limits").and_then(|limits| limits.get(name)).and_then(Value::as_f64);
-            json.map_or(default, |number| number as u64) as usize
+            let value = json.get("limits").and_then(|limits| limits.get(name)).and_then(Value::as_f64);
+            value.map_or(default, |number| number as u64) as usize
         };
         let seed = json.get("seed").and_then(Value::as_str).unwrap_or_default();
-        let settings = json.get("settings").and_then(Value::as_object).ok_or("no settings are told")?;
+        let settings =
+            json.get("settings").and_then(Value::as_object).ok_or("settings is missing or not an object")?;
         Ok(RouterConfig {
             name: text("name", "RELAY_NAME")?,
             listen: address("listen", "RELAY_LISTEN")?,
@@ -53,7 +56,7 @@
             memory_mb: limit("memory_mb", 128),
             sockets: limit("sockets", 512),
             // An invalid saved list is ignored, since discovery has a current one.
-            host_list: json.get("known").and_then(|known| HostList::from_json(known).ok()),
+            host_list: json.get("known").and_then(|list| HostList::from_json(list).ok()),
             settings: settings.clone(),
         })
     }
--- a/crates/arrowyard-core/src/send.rs
+++ b/crates/arrowyard-core/src/send.rs
@@ -45,14 +45,14 @@
 }
 
 /// Carries out a send until it ends, is cancelled or reaches its deadline. A send whose payload was not
-/// written completely never ran; after that it may have. `begun` receives an answer that begins before the
-/// send ends.
-pub async fn run<B: HostTransport>(
-    mut request: SendRequest<B::Payload>,
-    transport: &B,
+/// written completely never ran; after that it may have. `on_answer_begun` receives an answer that begins
+/// before the send ends.
+pub async fn run<T: HostTransport>(
+    mut request: SendRequest<T::Payload>,
+    transport: &T,
     clock: Clock,
-    begun: impl AsyncFn(B::Answer),
-) -> EndedSend<B::Answer> {
+    on_answer_begun: impl AsyncFn(T::Answer),
+) -> EndedSend<T::Answer> {
     let (started, progress) = (clock.now(), Progress::default());
     if started >= request.deadline || request.cancelled.try_recv() != Err(TryRecvError::Empty) {
         return EndedSend::unsent();
@@ -64,13 +64,13 @@
             biased;
             result = &mut exchange => break result,
             // An answer begins only while the exchange is polled just before this, so no waker is needed.
-            answer = poll_fn(|_| progress.take_begun_answer().map_or(Poll::Pending, Poll::Ready)) => begun(answer).await,
+            answer = poll_fn(|_| progress.take_begun_answer().map_or(Poll::Pending, Poll::Ready)) => on_answer_begun(answer).await,
             _ = &mut cancelled => break (Outcome::Cancelled, HostStatus::default(), None),
             () = sleep_until(clock.instant_at(deadline)) => break (Outcome::TimedOut, HostStatus::default(), None),
         }
     };
     if let Some(answer) = progress.take_begun_answer() {
-        begun(answer).await;
+        on_answer_begun(answer).await;
     }
     let written = progress.is_written();
     let outcome = match outcome {
@@ -98,6 +98,7 @@
     /// How a scripted host treats a send that was written completely.
     #[derive(Clone, Copy)]
     enum Script {
+        /// The host does not respond.
         Hang,
         /// The send waits for its client.
         ClientBlocked,
@@ -158,13 +159,14 @@
 
     /// The outcome of the send and the answers that began.
     async fn run_script(script: Script) -> (Outcome, Vec<u8>) {
-        let (clock, begun) = (Clock::start(), RefCell::new(Vec::new()));
+        let (clock, begun_answers) = (Clock::start(), RefCell::new(Vec::new()));
         let (_cancel, cancelled) = oneshot::channel();
         let deadline = clock.now() + TimeDelta::from_millis(50);
         let address = SocketAddr::from(([127, 0, 0, 1], 9));
         let request = SendRequest { host: HostId(0), address, payload: Rc::new(()), deadline, cancelled };
-        let end = run(request, &script, clock, async |answer| begun.borrow_mut().push(answer)).await;
-        (end.outcome, begun.into_inner())
+        let ended_send =
+            run(request, &script, clock, async |answer| begun_answers.borrow_mut().push(answer)).await;
+        (ended_send.outcome, begun_answers.into_inner())
     }
 
     #[tokio::test(start_paused = true)]
--- a/crates/arrowyard-core/src/submission.rs
+++ b/crates/arrowyard-core/src/submission.rs
@@ -54,58 +54,59 @@
     /// `Full` at once if the queue is full, so that clients are not held past their deadline; `Stopped` if
     /// the router ended.
     pub async fn submit(&self, payload: P) -> Result<Reply<R>, SubmitError> {
-        let (client, answer) = oneshot::channel();
-        let errand = Submission { payload, arrived: self.clock.now(), client };
-        self.submissions.try_send(errand).map_err(|refused| match refused {
+        let (client, reply) = oneshot::channel();
+        let submission = Submission { payload, arrived: self.clock.now(), client };
+        self.submissions.try_send(submission).map_err(|error| match error {
             mpsc::error::TrySendError::Full(_) => SubmitError::Full,
             mpsc::error::TrySendError::Closed(_) => SubmitError::Stopped,
         })?;
-        answer.await.map_err(|_| SubmitError::Stopped)
+        reply.await.map_err(|_| SubmitError::Stopped)
     }
 }
 
 /// The core's side of the channel.
-pub struct OpIntake<B: HostTransport, P, R> {
+pub struct OpIntake<T: HostTransport, P, R> {
     submissions: mpsc::Receiver<Submission<P, R>>,
     controller: Rc<AdmissionController>,
-    messages: mpsc::Sender<RouteMessage<B>>,
+    messages: mpsc::Sender<RouteMessage<T>>,
 }
 
 /// Creates a channel for `capacity` ops that were not admitted yet.
-pub fn channel<B: HostTransport, P, R>(
+pub fn channel<T: HostTransport, P, R>(
     capacity: usize,
     clock: Clock,
     controller: Rc<AdmissionController>,
-    messages: mpsc::Sender<RouteMessage<B>>,
-) -> (OpSubmitter<P, R>, OpIntake<B, P, R>) {
-    let (submissions, taken) = mpsc::channel(capacity);
-    (OpSubmitter { submissions, clock }, OpIntake { submissions: taken, controller, messages })
+    messages: mpsc::Sender<RouteMessage<T>>,
+) -> (OpSubmitter<P, R>, OpIntake<T, P, R>) {
+    let (submissions, submission_receiver) = mpsc::channel(capacity);
+    (OpSubmitter { submissions, clock }, OpIntake { submissions: submission_receiver, controller, messages })
 }
 
-impl<B: HostTransport, P: 'static, R: 'static> OpIntake<B, P, R> {
-    /// Admits submissions until every submitter is dropped. `call` describes the payload's request, `load`
-    /// converts it to the transport's payload, and `lift` splits a host's answer into a part that is `Send`
-    /// and retained resources.
+impl<T: HostTransport, P: 'static, R: 'static> OpIntake<T, P, R> {
+    /// Admits submissions until every submitter is dropped. `to_request` describes the payload's request,
+    /// `to_payload` converts it to the transport's payload, and `split_answer` splits a host's answer into a
+    /// part that is `Send` and retained resources.
     pub async fn run(
         mut self,
-        call: impl Fn(&P) -> ClientRequest<'_> + 'static,
-        load: impl Fn(P) -> B::Payload + 'static,
-        lift: impl Fn(B::Answer) -> (R, Option<RetainedResources>) + 'static,
+        to_request: impl Fn(&P) -> ClientRequest<'_> + 'static,
+        to_payload: impl Fn(P) -> T::Payload + 'static,
+        split_answer: impl Fn(T::Answer) -> (R, Option<RetainedResources>) + 'static,
     ) {
-        let lift = Rc::new(lift);
+        let split_answer = Rc::new(split_answer);
         while let Some(Submission { payload, arrived, mut client }) = self.submissions.recv().await {
-            let AdmittedOp { request, origin, slot } = match self.controller.admit(call(&payload), arrived) {
-                Ok(admitted) => admitted,
-                Err(reply) => {
-                    // The front end may have dropped the op.
-                    let _ = client.send(reply);
-                    continue;
-                }
-            };
-            let (answer, answered) = oneshot::channel();
-            let (op, messages, lift) = (request.op, self.messages.clone(), lift.clone());
+            let AdmittedOp { request, origin, slot } =
+                match self.controller.admit(to_request(&payload), arrived) {
+                    Ok(admitted) => admitted,
+                    Err(reply) => {
+                        // The front end may have dropped the op.
+                        let _ = client.send(reply);
+                        continue;
+                    }
+                };
+            let (reply_sender, reply_receiver) = oneshot::channel();
+            let (op, messages, split_answer) = (request.op, self.messages.clone(), split_answer.clone());
             if messages
-                .send(RouteMessage::OpAdmitted(request, origin, Rc::new(load(payload)), answer))
+                .send(RouteMessage::OpAdmitted(request, origin, Rc::new(to_payload(payload)), reply_sender))
                 .await
                 .is_err()
             {
@@ -114,30 +115,30 @@
             drop(spawn_local(async move {
                 let reply = tokio::select! {
                     biased;
-                    reply = answered => reply.unwrap_or(Reply::Errored),
-                    // The client disconnected: cancels the op, so that hosts do not work for it any longer.
+                    reply = reply_receiver => reply.unwrap_or(Reply::Errored),
+                    // The client disconnected: cancels the op, so that hosts stop working on it.
                     () = client.closed() => {
                         let _ = messages.send(RouteMessage::ClientDisconnected(op)).await;
                         return;
                     }
                 };
-                let mut tail = None;
+                let mut retained_resources = None;
                 let reply = match reply {
                     Reply::Acked(answer) => {
-                        let (lifted, rest) = lift(answer);
-                        tail = rest;
-                        Reply::Acked(lifted)
+                        let (sendable_answer, retained) = split_answer(answer);
+                        retained_resources = retained;
+                        Reply::Acked(sendable_answer)
                     }
-                    Reply::Busy(after) => Reply::Busy(after),
+                    Reply::Busy(retry_after) => Reply::Busy(retry_after),
                     Reply::Errored => Reply::Errored,
-                    Reply::Refused(why) => Reply::Refused(why),
+                    Reply::Refused(reason) => Reply::Refused(reason),
                 };
                 if client.send(reply).is_ok()
-                    && let Some(RetainedResources { done, resources: keep }) = tail
+                    && let Some(RetainedResources { done, resources }) = retained_resources
                 {
-                    // Keeps the op's slot until a slow client has read its answer.
+                    // Keeps the op's slot until a slow client has read the answer.
                     let _ = done.await;
-                    drop(keep);
+                    drop(resources);
                 }
                 drop(slot);
             }));
@@ -158,7 +159,7 @@
     use crate::limits::Limits;
     use crate::transport::{ExchangeResult, Progress};
 
-    /// Unused transport: the test answers in place of the route stage.
+    /// An unused transport; the test replies in place of the route task.
     struct UnusedTransport;
 
     impl HostTransport for UnusedTransport {
@@ -194,15 +195,15 @@
         }
     }
 
-    fn call(id: &u64) -> ClientRequest<'_> {
-        let (op_type, tenant, after, token, session) = ("look", None, None, None, None);
+    fn client_request(id: &u64) -> ClientRequest<'_> {
+        let (op_type, tenant, last_commit_ms, token, session) = ("look", None, None, None, None);
         ClientRequest {
             id: *id,
             op_type,
             tenant,
             group: 1,
             timeout_ms: 80,
-            last_commit_ms: after,
+            last_commit_ms,
             is_retry: false,
             token,
             session,
@@ -213,50 +214,51 @@
 
     #[test]
     fn ops_of_many_threads_get_their_answers_and_a_dropped_one_is_cancelled() {
-        let (config, manifest, limits) =
+        let (config, router_settings, limits) =
             Limits::for_test(serde_json::json!({"grades": [{"name": "look", "objective": 5.0}]}));
-        let front = Builder::new_multi_thread().worker_threads(4).build().expect("threads can be had");
-        let core = Builder::new_current_thread().enable_all().build().expect("a runtime can be had");
-        let threads = front.handle().clone();
-        let disconnected = LocalSet::new().block_on(&core, async move {
+        let front_runtime =
+            Builder::new_multi_thread().worker_threads(4).build().expect("the runtime starts");
+        let core_runtime = Builder::new_current_thread().enable_all().build().expect("the runtime starts");
+        let front_threads = front_runtime.handle().clone();
+        let disconnected = LocalSet::new().block_on(&core_runtime, async move {
             let controller =
-                Rc::new(AdmissionController::new(&config.settings, &manifest, Rc::new(limits), false));
+                Rc::new(AdmissionController::new(&config.settings, &router_settings, Rc::new(limits), false));
             let (messages, mut inbox) = mpsc::channel(64);
             let (submitter, intake) =
                 channel::<UnusedTransport, u64, u64>(64, Clock::start(), controller, messages);
-            drop(spawn_local(intake.run(call, |payload| payload, |answer| (*answer, None))));
+            drop(spawn_local(intake.run(client_request, |payload| payload, |answer| (*answer, None))));
             let pending: Vec<_> = (0..32)
                 .map(|id| {
                     let submitter = submitter.clone();
-                    threads.spawn(async move { (id, submitter.submit(id).await) })
+                    front_threads.spawn(async move { (id, submitter.submit(id).await) })
                 })
                 .collect();
-            let dropped = threads.spawn({
+            let dropped = front_threads.spawn({
                 let submitter = submitter.clone();
                 async move { submitter.submit(1000).await }
             });
-            let (mut dropped_op, mut kept) = (None, Vec::new());
+            let (mut dropped_op, mut kept_senders) = (None, Vec::new());
             let disconnected = loop {
-                match inbox.recv().await.expect("the desk holds the other end") {
+                match inbox.recv().await.expect("the intake is running") {
                     RouteMessage::OpAdmitted(request, _, payload, client) if *payload == 1000 => {
                         dropped_op = Some(request.op);
-                        kept.push(client);
+                        kept_senders.push(client);
                         dropped.abort();
                     }
                     RouteMessage::OpAdmitted(_, _, payload, client) => {
-                        client.send(Reply::Acked(Rc::new(*payload * 2))).expect("its front waits");
+                        client.send(Reply::Acked(Rc::new(*payload * 2))).expect("the submitter waits");
                     }
                     RouteMessage::ClientDisconnected(op) => break Some(op) == dropped_op,
-                    _ => panic!("nobody sends and nobody probes"),
+                    _ => panic!("unexpected message"),
                 }
             };
             for pending in pending {
-                let (id, reply) = pending.await.expect("its thread runs");
+                let (id, reply) = pending.await.expect("the task completes");
                 assert_eq!(reply, Ok(Reply::Acked(id * 2)));
             }
             disconnected
         });
-        assert!(disconnected, "the one that left");
-        drop(front);
+        assert!(disconnected, "the dropped op is cancelled");
+        drop(front_runtime);
     }
 }
--- a/crates/arrowyard-core/tests/hints.rs
+++ b/crates/arrowyard-core/tests/hints.rs
@@ -11,15 +11,15 @@
 fn a_host_that_is_not_ready_is_announced_four_times_at_intervals() {
     let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
     hints.host_not_ready(at(0), 7);
-    let told = |hints: &mut Hints, ms: i64| hints.take_announcements(at(ms)).to_vec();
-    assert_eq!(told(&mut hints, 0), [7], "at once");
-    assert!(told(&mut hints, 399).is_empty());
+    let announced = |hints: &mut Hints, ms: i64| hints.take_announcements(at(ms)).to_vec();
+    assert_eq!(announced(&mut hints, 0), [7], "immediately");
+    assert!(announced(&mut hints, 399).is_empty());
     hints.host_not_ready(at(399), 9);
-    assert_eq!(told(&mut hints, 400), [7, 9]);
-    assert_eq!(told(&mut hints, 800), [7, 9]);
-    assert_eq!(told(&mut hints, 1_200), [7, 9]);
-    assert_eq!(told(&mut hints, 1_600), [9], "four times each");
-    assert!(told(&mut hints, 9_000).is_empty());
-    (0..1000).for_each(|tag| hints.host_not_ready(at(9_000), tag));
-    assert!(told(&mut hints, 9_000).len() <= 64, "the number of announced hosts is limited");
+    assert_eq!(announced(&mut hints, 400), [7, 9]);
+    assert_eq!(announced(&mut hints, 800), [7, 9]);
+    assert_eq!(announced(&mut hints, 1_200), [7, 9]);
+    assert_eq!(announced(&mut hints, 1_600), [9], "four times each");
+    assert!(announced(&mut hints, 9_000).is_empty());
+    (0..1000).for_each(|address_hash| hints.host_not_ready(at(9_000), address_hash));
+    assert!(announced(&mut hints, 9_000).len() <= 64, "the number of announced hosts is limited");
 }
--- a/crates/arrowyard-daemon/src/router_service.rs
+++ b/crates/arrowyard-daemon/src/router_service.rs
@@ -11,16 +11,16 @@
 use arrowyard_core::clock::{Clock, StallDetector};
 use arrowyard_core::discovery::{Discovery, ReconnectPolicy};
 use arrowyard_core::drain::{self, Drain, Stage};
+use arrowyard_core::host_registry::HostRegistry;
 use arrowyard_core::leases::{self as holding, LeasesTask};
 use arrowyard_core::limits::Limits;
 use arrowyard_core::logger::{self, LogConfig, LogFormat};
 use arrowyard_core::messages::{DiscoveryCommand, RouteMessage};
 use arrowyard_core::peers::{PeersCommand, PeersTask};
 use arrowyard_core::reload::{LoadLayout, ReloadTask};
-use arrowyard_core::returns::{self, RouterStartup};
-use arrowyard_core::roster::HostRegistry;
 use arrowyard_core::route::{RouteContext, RouteTask};
 use arrowyard_core::router_config::RouterConfig;
+use arrowyard_core::startup::{self, RouterStartup};
 use arrowyard_operator_config::{
     Yardbook, cell_layout, lease_settings, peer_settings, schema, startup_settings,
 };
@@ -94,14 +94,14 @@
         let version = Rc::new(Cell::new(router_config.host_list.as_ref().map(|list| list.version)));
         let (mut known, mut startup, mut reconnect) = (router_config.host_list.clone(), None, None);
         if let Some(startup_config) = book.and_then(startup_settings) {
-            let deployment = returns::deployment_fingerprint(&router_config.settings);
-            let (list, stored) = returns::load_stored_list(&startup_config, deployment, known).await;
+            let deployment = startup::deployment_fingerprint(&router_config.settings);
+            let (list, stored) = startup::load_stored_list(&startup_config, deployment, known).await;
             known = list;
             let (name, seed) = (&router_config.name, router_config.seed);
             let held = stored.max(version.get());
             reconnect = Some(Rc::new(RefCell::new(ReconnectPolicy {
-                credence: ListVersionTracker::new(clock.now(), held, startup_config.rollback_delay),
-                herd: CallPacer::new(
+                list_versions: ListVersionTracker::new(clock.now(), held, startup_config.rollback_delay),
+                call_pacer: CallPacer::new(
                     startup_config.pacing,
                     settings.number_or("routers", 1.0),
                     seed ^ PACING_SEED,
@@ -215,7 +215,7 @@
 async fn release_leases(leases: mpsc::Sender<holding::LeasesCommand>) {
     let (done, acknowledged) = oneshot::channel();
     // If the task's queue is full, the leases expire instead.
-    if leases.try_send(holding::LeasesCommand::Leave(done)).is_ok() {
+    if leases.try_send(holding::LeasesCommand::ReleaseAll(done)).is_ok() {
         let _ = acknowledged.await;
     }
 }
