--- a/crates/arrowyard-operator-config/build.rs
+++ b/crates/arrowyard-operator-config/build.rs
@@ -1,4 +1,4 @@
-//! Compiles the schema of the operator's file without a program from outside.
+//! Compiles the schema of the operator's file; needs no protoc.
 
 use std::error::Error;
 use std::path::PathBuf;
--- a/crates/arrowyard-operator-config/examples/size.rs
+++ b/crates/arrowyard-operator-config/examples/size.rs
@@ -1,5 +1,5 @@
-//! How cells cost at size: `cargo run --release -p arrowyard-operator-config --example size`. A file of so many tenants and
-//! cells is checked and taken in, hosts are divided, and cells of ops are found; each at a tenth of the size, too.
+//! Benchmark of cells by the number of tenants: parsing and applying a file, assigning hosts, and looking up
+//! the cells of ops. Run it with `cargo run --release -p arrowyard-operator-config --example size`.
 
 use std::fmt::Write;
 use std::hint::black_box;
@@ -13,7 +13,7 @@
 use arrowyard_operator_config::{cell_layout, parse};
 use arrowyard_types::{GroupId, TimeDelta, Timestamp};
 
-fn text(tenants: usize, cells: usize, groups: usize) -> String {
+fn config_text(tenants: usize, cells: usize, groups: usize) -> String {
     let mut text = String::from("epoch: 1\ncells {\n");
     for cell in 0..cells {
         let _ = write!(text, "  cell {{ name: \"cell-{cell}\"");
@@ -30,72 +30,78 @@
     text
 }
 
-/// The process's own memory, in bytes.
-fn memory() -> usize {
+/// The anonymous memory of this process, in bytes.
+fn process_memory() -> usize {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("RssAnon:"));
     line.and_then(|line| line.split_whitespace().next()?.parse::<usize>().ok()).unwrap_or_default() * 1024
 }
 
-fn timed<T>(what: impl FnOnce() -> T) -> (T, f64) {
-    let begun = Instant::now();
-    let done = what();
-    (done, begun.elapsed().as_secs_f64())
+/// The result of `run` and the seconds that it took.
+fn timed<T>(run: impl FnOnce() -> T) -> (T, f64) {
+    let started_at = Instant::now();
+    let result = run();
+    (result, started_at.elapsed().as_secs_f64())
 }
 
-/// Nanoseconds for one of `count`.
-fn each(count: usize, mut one: impl FnMut(usize)) -> f64 {
-    let ((), seconds) = timed(|| (0..count).for_each(&mut one));
+/// Nanoseconds per call of `run`, over `count` calls.
+fn nanos_per_call(count: usize, mut run: impl FnMut(usize)) -> f64 {
+    let ((), seconds) = timed(|| (0..count).for_each(&mut run));
     seconds * 1e9 / count as f64
 }
 
-fn run(tenants: usize, cells: usize, hosts: usize) {
+fn run_benchmark(tenants: usize, cells: usize, hosts: usize) {
     let groups = hosts / 3;
-    let text = text(tenants, cells, groups);
-    let (book, checked) = timed(|| parse(&text).expect("nothing is wrong with it"));
-    let (taken, took) = timed(|| cell_layout(&book).expect("it has cells"));
-    let (mut assign, prepared) = timed(|| CellAssignment::new(&taken));
-    // Copies, so that what was freed before is not counted as room.
-    let before = memory();
-    let copies: Vec<(Layout, CellAssignment)> = (0..8).map(|_| (taken.clone(), assign.clone())).collect();
-    let held = memory().saturating_sub(before) / copies.len();
+    let text = config_text(tenants, cells, groups);
+    let (config, parse_seconds) = timed(|| parse(&text).expect("the file is valid"));
+    let (layout, convert_seconds) = timed(|| cell_layout(&config).expect("the file has cells"));
+    let (mut assignment, assignment_seconds) = timed(|| CellAssignment::new(&layout));
+    // Measured on copies, since memory that was freed before may be reused.
+    let before = process_memory();
+    let copies: Vec<(Layout, CellAssignment)> =
+        (0..8).map(|_| (layout.clone(), assignment.clone())).collect();
+    let copy_bytes = process_memory().saturating_sub(before) / copies.len();
     drop(copies);
-    let (index, indexed) = timed(|| CellIndex::new(&taken));
+    let (index, index_seconds) = timed(|| CellIndex::new(&layout));
     let names: Vec<String> = (0..tenants).map(|n| format!("tenant-{}", n * 31 % tenants)).collect();
-    let others: Vec<String> = (0..10_000).map(|n| format!("other-{n}")).collect();
-    let mut find = |names: &[String]| {
-        each(names.len(), |n| drop(black_box(assign.cells_for(Some(&names[n]), None, GroupId(0)))))
+    let unlisted_names: Vec<String> = (0..10_000).map(|n| format!("other-{n}")).collect();
+    let mut lookup_nanos = |names: &[String]| {
+        nanos_per_call(names.len(), |n| {
+            drop(black_box(assignment.cells_for(Some(&names[n]), None, GroupId(0))))
+        })
     };
-    let (row, first, kept) = (find(&names), find(&others), find(&others));
-    let host = each(hosts, |n| {
+    let (listed_nanos, first_hash_nanos, cached_hash_nanos) =
+        (lookup_nanos(&names), lookup_nanos(&unlisted_names), lookup_nanos(&unlisted_names));
+    let host_nanos = nanos_per_call(hosts, |n| {
         black_box(index.cells_for_host(GroupId((n % groups) as i64), "host-12345").count());
     });
-    let terms = MoveSettings {
+    let move_settings = MoveSettings {
         clients_mark_retries: true,
         max_op_timeout: TimeDelta::ZERO,
         max_clock_skew: TimeDelta::ZERO,
     };
-    let mut desk = Cells::new(
+    let mut admission = Cells::new(
         Timestamp::DISTANT_PAST,
-        taken.clone(),
+        layout.clone(),
         Capacity { ops: 1000, bytes: 1 << 20, probes: 8 },
-        terms,
+        move_settings,
     );
-    let mut next = Layout { epoch: 2, ..taken.clone() };
-    next.cells[0].weight = 2.0;
-    let (held_up, again) = timed(|| desk.replace_layout(Timestamp::DISTANT_PAST, next));
-    assert_eq!(held_up, Ok(()));
+    let mut next_layout = Layout { epoch: 2, ..layout.clone() };
+    next_layout.cells[0].weight = 2.0;
+    let (result, replace_seconds) = timed(|| admission.replace_layout(Timestamp::DISTANT_PAST, next_layout));
+    assert_eq!(result, Ok(()));
     println!(
-        "{tenants:>7} tenants {cells:>5} cells {hosts:>6} hosts: check {:.3} s, take in {:.3} s, taken anew on the \
-         router's thread {again:.3} s, memory a tenant {} bytes; ns: cell by row {row:.0}, hashed first {first:.0}, hashed again {kept:.0}, parts of a host {host:.0}",
-        checked,
-        took + prepared + indexed,
-        held / tenants.max(1),
+        "{tenants:>7} tenants {cells:>5} cells {hosts:>6} hosts: parse {:.3} s, apply {:.3} s, replace on the \
+         router's thread {replace_seconds:.3} s, {} bytes per tenant; ns per lookup: listed tenant {listed_nanos:.0}, \
+         hashed tenant {first_hash_nanos:.0}, cached {cached_hash_nanos:.0}, cells of a host {host_nanos:.0}",
+        parse_seconds,
+        convert_seconds + assignment_seconds + index_seconds,
+        copy_bytes / tenants.max(1),
     );
 }
 
 fn main() {
-    for part in [10, 1] {
-        run(100_000 / part, 1000 / part, 10_000 / part);
+    for divisor in [10, 1] {
+        run_benchmark(100_000 / divisor, 1000 / divisor, 10_000 / divisor);
     }
 }
--- a/crates/arrowyard-operator-config/src/layout.rs
+++ b/crates/arrowyard-operator-config/src/layout.rs
@@ -6,13 +6,13 @@
 use arrowyard_cells::tenant_move::{MoveConfig, Step};
 use arrowyard_leases::{Duty, LeaseSettings};
 use arrowyard_peers::{MembershipConfig, PeerSettings};
-use arrowyard_startup::{PacingConfig as Calls, StartupSettings, Trust};
+use arrowyard_startup::{PacingConfig, StartupSettings, Trust};
 use arrowyard_types::{CellId, GroupId, TimeDelta, Timestamp};
 use ipnet::IpNet;
 
 use crate::schema;
 
-fn millis(millis: u64) -> Timestamp {
+fn timestamp(millis: u64) -> Timestamp {
     Timestamp::from_micros(millis as i64 * 1000)
 }
 
@@ -21,7 +21,7 @@
 }
 
 fn cell(section: &schema::Cell) -> Cell {
-    let pace = section.pace.map(|pace| ConcurrencyLimitConfig {
+    let concurrency_limit = section.pace.map(|pace| ConcurrencyLimitConfig {
         initial: pace.first.unwrap_or(32).into(),
         min: pace.least.unwrap_or(4).into(),
         max: pace.most.unwrap_or(512).into(),
@@ -33,7 +33,7 @@
         hosts: section.host.iter().map(|host| host.as_str().into()).collect(),
         guaranteed_fraction: section.guaranteed.unwrap_or(0.5),
         accepts_hashed_tenants: section.placed.unwrap_or(true),
-        concurrency_limit: pace,
+        concurrency_limit,
         removed: false,
     }
 }
@@ -45,14 +45,14 @@
     let ids: std::collections::HashMap<&str, CellId> =
         section.cell.iter().map(schema::Cell::name).zip((0..).map(CellId)).collect();
     let id = |name: &str| ids.get(name).copied();
-    let net = |row: &schema::Net| {
-        let all =
+    let network_rule = |row: &schema::Net| {
+        let parse_all =
             |texts: &[String]| texts.iter().filter_map(|text| text.parse().ok()).collect::<Vec<IpNet>>();
         let prefix = row.prefix.as_ref().and_then(|prefix| prefix.parse().ok());
-        let within = prefix.map_or_else(|| all(&row.within), |prefix| vec![prefix]);
-        Some(NetworkRule { included: within, excluded: all(&row.without), cell: id(row.cell())? })
+        let included = prefix.map_or_else(|| parse_all(&row.within), |prefix| vec![prefix]);
+        Some(NetworkRule { included, excluded: parse_all(&row.without), cell: id(row.cell())? })
     };
-    let moving = |row: &schema::Move| {
+    let move_config = |row: &schema::Move| {
         let step = match row.step() {
             schema::Step::Unknown => return None,
             schema::Step::Planned => Step::Planned,
@@ -69,16 +69,16 @@
             groups: row.from_group.zip(row.to_group).map(|(from, to)| (GroupId(from), GroupId(to))),
             client_group: row.named_group.or(row.from_group).map(GroupId),
             step,
-            fence_at: row.fence_at_ms.map(millis),
-            switch_at: row.switch_at_ms.map(millis),
-            copied_through: row.copied_through_ms.map(millis),
-            target_floor: row.target_floor_ms.map(millis),
+            fence_at: row.fence_at_ms.map(timestamp),
+            switch_at: row.switch_at_ms.map(timestamp),
+            copied_through: row.copied_through_ms.map(timestamp),
+            target_floor: row.target_floor_ms.map(timestamp),
             target_host: row.target_host.as_deref().map(Box::from),
             token_retention: time_delta_or(row.memory_ms, 0),
         })
     };
     let tenants = section.tenant.iter().filter_map(|row| Some((row.name().into(), id(row.cell())?)));
-    let release = section.release.as_ref().map(|release| RolloutConfig {
+    let rollout = section.release.as_ref().map(|release| RolloutConfig {
         order: release.order.iter().filter_map(|name| id(name)).collect(),
         error_rate_ratio: release.worse.unwrap_or(3.0),
         error_probability: release.wrong.unwrap_or(0.001),
@@ -87,7 +87,7 @@
         epoch: config.epoch(),
         cells: section.cell.iter().map(cell).collect(),
         tenants: tenants.collect(),
-        networks: section.net.iter().filter_map(net).collect(),
+        networks: section.net.iter().filter_map(network_rule).collect(),
         cells_per_hashed_tenant: section.rest.map(|rest| rest.each.unwrap_or(1) as usize),
         reclaim_period: time_delta_or(section.call_back_ms, 100),
         retry_budget: section.repeats.map(|repeats| RetryBudgetConfig {
@@ -95,14 +95,14 @@
             min_retries: repeats.least.unwrap_or(8),
             window: time_delta_or(repeats.window_ms, 10_000),
         }),
-        rollout: release,
+        rollout,
         lease: section.lease.and_then(|lease| {
             Some(Lease {
-                expires_at: millis(lease.until_ms?),
+                expires_at: timestamp(lease.until_ms?),
                 max_clock_skew: time_delta_or(lease.skew_ms, 50),
             })
         }),
-        moves: section.r#move.iter().filter_map(moving).collect(),
+        moves: section.r#move.iter().filter_map(move_config).collect(),
     })
 }
 
@@ -110,20 +110,21 @@
 pub fn peer_settings(config: &schema::Yardbook) -> Option<PeerSettings> {
     let section = config.peers.as_ref()?;
     let defaults = MembershipConfig::with_probe_interval(time_delta_or(section.period_ms, 500));
-    let via = section.via.iter().filter_map(|via| Some((via.name().to_string(), via.at().parse().ok()?)));
-    let terms = MembershipConfig {
+    let address_overrides =
+        section.via.iter().filter_map(|via| Some((via.name().to_string(), via.at().parse().ok()?)));
+    let membership_config = MembershipConfig {
         fleet: section.fleet().to_string(),
         seeds: section.seed.iter().filter_map(|at| at.parse().ok()).collect(),
         allowed_networks: section.allow.iter().filter_map(|net| net.parse().ok()).collect(),
-        address_overrides: via.collect(),
+        address_overrides: address_overrides.collect(),
         lost_after: time_delta_or(section.lost_after_ms, (defaults.lost_after.micros() / 1000) as u32),
-        max_members: section.members.map_or(defaults.max_members, |most| most as usize),
+        max_members: section.members.map_or(defaults.max_members, |members| members as usize),
         ..defaults
     };
     Some(PeerSettings {
         listen: section.listen().parse().ok()?,
         advertise: section.advertise.as_ref().and_then(|at| at.parse().ok()),
-        config: terms,
+        config: membership_config,
         count_members: section.shares.unwrap_or(false),
         relay_app_messages: section.news.unwrap_or(false),
     })
@@ -133,15 +134,15 @@
 pub fn startup_settings(config: &schema::Yardbook) -> Option<StartupSettings> {
     let section = config.returns.as_ref()?;
     let defaults = Trust::default();
-    let life =
-        section.host_life_ms.map_or(defaults.host_lifetime, |life| TimeDelta::from_millis(life as i64));
+    let host_lifetime =
+        section.host_life_ms.map_or(defaults.host_lifetime, |millis| TimeDelta::from_millis(millis as i64));
     Some(StartupSettings {
         store: section.store.as_ref().map(std::path::PathBuf::from),
-        trust: Trust { host_lifetime: life, ..defaults },
+        trust: Trust { host_lifetime, ..defaults },
         save_interval: time_delta_or(section.save_ms, 5000),
-        pacing: Calls {
-            max_calls_per_s: section.discovery_calls.unwrap_or(Calls::default().max_calls_per_s),
-            ..Calls::default()
+        pacing: PacingConfig {
+            max_calls_per_s: section.discovery_calls.unwrap_or(PacingConfig::default().max_calls_per_s),
+            ..PacingConfig::default()
         },
         rollback_delay: time_delta_or(section.doubt_ms, 2000),
     })
@@ -154,9 +155,9 @@
     let mut voters: Vec<_> = section
         .voter
         .iter()
-        .filter_map(|one| Some((one.name().to_string(), one.at().parse().ok()?)))
+        .filter_map(|voter| Some((voter.name().to_string(), voter.at().parse().ok()?)))
         .collect();
-    // Sorted, so that all routers number the voters alike whatever the order in their files.
+    // Sorted, so that all routers assign the same ids to voters whatever the order in their files.
     voters.sort();
     let duty = |duty: &schema::Duty| {
         Some(Duty {
--- a/crates/arrowyard-operator-config/src/lib.rs
+++ b/crates/arrowyard-operator-config/src/lib.rs
@@ -50,8 +50,8 @@
 
 fn root_descriptor() -> MessageDescriptor {
     let pool = DescriptorPool::decode(&include_bytes!(concat!(env!("OUT_DIR"), "/yardbook.bin"))[..]);
-    let pool = pool.expect("the schema was compiled with this program");
-    pool.get_message_by_name("arrowyard.yardbook.Yardbook").expect("the schema has its root")
+    let pool = pool.expect("the embedded schema is valid");
+    pool.get_message_by_name("arrowyard.yardbook.Yardbook").expect("the schema contains the root message")
 }
 
 /// Parses and validates the text of a file.
@@ -60,20 +60,20 @@
 /// All errors found, sorted by position.
 pub fn parse(text: &str) -> Result<Yardbook, Vec<ConfigError>> {
     let root_descriptor = root_descriptor();
-    let (places, mut faults) = scan::scan(text, &root_descriptor);
-    if !faults.is_empty() {
-        faults.sort();
-        return Err(faults);
+    let (positions, mut errors) = scan::scan(text, &root_descriptor);
+    if !errors.is_empty() {
+        errors.sort();
+        return Err(errors);
     }
     let message = DynamicMessage::parse_text_format(root_descriptor, text);
     let message = message.map_err(|error| vec![positions::parse_error(text, &error)])?;
-    let config = message.transcode_to::<Yardbook>().expect("both were made of one schema");
-    let mut faults = validate(&config, &places);
-    if faults.is_empty() {
+    let config = message.transcode_to::<Yardbook>().expect("both types are generated from one schema");
+    let mut errors = validate(&config, &positions);
+    if errors.is_empty() {
         return Ok(config);
     }
-    faults.sort();
-    Err(faults)
+    errors.sort();
+    Err(errors)
 }
 
 /// Loads a file.
@@ -85,12 +85,12 @@
     let name = path.display();
     let size = std::fs::metadata(path).map_err(|error| format!("{name}: {error}"))?.len();
     if size > MAX_FILE_BYTES {
-        return Err(format!("{name}: {size} bytes, and at most {MAX_FILE_BYTES} are read"));
+        return Err(format!("{name}: {size} bytes; at most {MAX_FILE_BYTES} are allowed"));
     }
     let bytes = std::fs::read(path).map_err(|error| format!("{name}: {error}"))?;
     let text = String::from_utf8(bytes).map_err(|error| format!("{name}: not UTF-8 text: {error}"))?;
-    parse(&text).map_err(|faults| {
-        let lines: Vec<String> = faults.iter().map(|fault| format!("{name}:{fault}")).collect();
+    parse(&text).map_err(|errors| {
+        let lines: Vec<String> = errors.iter().map(|error| format!("{name}:{error}")).collect();
         lines.join("\n")
     })
 }
--- a/crates/arrowyard-operator-config/src/scan.rs
+++ b/crates/arrowyard-operator-config/src/scan.rs
@@ -15,100 +15,110 @@
 enum Token<'a> {
     Word(&'a str),
     Number(&'a str),
-    Text,
-    Mark(char),
+    String,
+    Symbol(char),
 }
 
 struct Scanner<'a> {
     text: &'a str,
-    at: usize,
+    /// The byte offset of the next character.
+    offset: usize,
     line: usize,
     line_start: usize,
-    places: FieldPositions,
-    faults: Vec<ConfigError>,
+    positions: FieldPositions,
+    errors: Vec<ConfigError>,
 }
 
-/// The rest of the text cannot be scanned.
+/// The rest of the text cannot be scanned; the error is recorded.
 struct Unscannable;
 
+/// Scans a text; returns the positions of its fields and the errors found.
 pub fn scan(text: &str, root: &MessageDescriptor) -> (FieldPositions, Vec<ConfigError>) {
     let mut scanner = Scanner {
         text,
-        at: 0,
+        offset: 0,
         line: 1,
         line_start: 0,
-        places: FieldPositions::default(),
-        faults: Vec::new(),
+        positions: FieldPositions::default(),
+        errors: Vec::new(),
     };
-    let _ = scanner.message(root, "", None, 0);
-    (scanner.places, scanner.faults)
+    let _ = scanner.scan_message(root, "", None, 0);
+    (scanner.positions, scanner.errors)
 }
 
 impl<'a> Scanner<'a> {
-    fn place(&self) -> Position {
-        Position { line: self.line, column: self.text[self.line_start..self.at].chars().count() + 1 }
+    fn position(&self) -> Position {
+        Position { line: self.line, column: self.text[self.line_start..self.offset].chars().count() + 1 }
     }
 
-    fn fault(&mut self, place: Position, field: &str, what: String) {
-        self.faults.push(ConfigError { position: place, field: field.to_string(), message: what });
+    fn push_error(&mut self, position: Position, field: &str, message: String) {
+        self.errors.push(ConfigError { position, field: field.to_string(), message });
     }
 
-    fn lost<T>(&mut self, field: &str, what: String) -> Result<T, Unscannable> {
-        let place = self.place();
-        self.fault(place, field, what);
+    /// Records an error after which the rest of the text cannot be scanned.
+    fn fail<T>(&mut self, field: &str, message: String) -> Result<T, Unscannable> {
+        let position = self.position();
+        self.push_error(position, field, message);
         Err(Unscannable)
     }
 
-    fn skip(&mut self) {
-        while let Some(next) = self.text[self.at..].chars().next() {
+    /// Skips white space and comments.
+    fn skip_space(&mut self) {
+        while let Some(next) = self.text[self.offset..].chars().next() {
             match next {
                 '\n' => {
-                    self.at += 1;
-                    (self.line, self.line_start) = (self.line + 1, self.at);
+                    self.offset += 1;
+                    (self.line, self.line_start) = (self.line + 1, self.offset);
                 }
-                '#' => self.at += self.text[self.at..].find('\n').unwrap_or(self.text.len() - self.at),
-                next if next.is_whitespace() => self.at += next.len_utf8(),
+                '#' => {
+                    self.offset +=
+                        self.text[self.offset..].find('\n').unwrap_or(self.text.len() - self.offset)
+                }
+                next if next.is_whitespace() => self.offset += next.len_utf8(),
                 _ => return,
             }
         }
     }
 
+    /// The next character after white space.
     fn peek(&mut self) -> Option<char> {
-        self.skip();
-        self.text[self.at..].chars().next()
+        self.skip_space();
+        self.text[self.offset..].chars().next()
     }
 
-    fn eat(&mut self, wanted: char) -> bool {
-        let found = self.peek() == Some(wanted);
-        self.at += if found { wanted.len_utf8() } else { 0 };
+    /// Consumes the character if it is the next one.
+    fn accept(&mut self, expected: char) -> bool {
+        let found = self.peek() == Some(expected);
+        self.offset += if found { expected.len_utf8() } else { 0 };
         found
     }
 
-    fn token(&mut self) -> Result<Option<Token<'a>>, Unscannable> {
+    /// The next token; `None` at the end of the text.
+    fn next_token(&mut self) -> Result<Option<Token<'a>>, Unscannable> {
         let Some(first) = self.peek() else { return Ok(None) };
-        let rest = &self.text[self.at..];
-        let run = |also: &str| {
-            let part = |c: char| c.is_ascii_alphanumeric() || also.contains(c);
-            rest.find(|c| !part(c)).unwrap_or(rest.len())
+        let rest = &self.text[self.offset..];
+        let run_len = |extra: &str| {
+            let is_in_run = |c: char| c.is_ascii_alphanumeric() || extra.contains(c);
+            rest.find(|c| !is_in_run(c)).unwrap_or(rest.len())
         };
         let token = match first {
             '"' | '\'' => {
                 let mut escaped = false;
                 let end = rest[1..].find(|c| {
-                    let end = c == '\n' || c == first && !escaped;
+                    let is_end = c == '\n' || c == first && !escaped;
                     escaped = c == '\\' && !escaped;
-                    end
+                    is_end
                 });
                 match end.filter(|&end| !rest[1 + end..].starts_with('\n')) {
-                    Some(end) => self.at += end + 2,
-                    None => return self.lost("", "a text has no end on its line".to_string()),
+                    Some(end) => self.offset += end + 2,
+                    None => return self.fail("", "the string is not terminated on its line".to_string()),
                 }
-                return Ok(Some(Token::Text));
+                return Ok(Some(Token::String));
             }
-            c if c.is_ascii_alphabetic() || c == '_' => Token::Word(&rest[..run("_")]),
+            c if c.is_ascii_alphabetic() || c == '_' => Token::Word(&rest[..run_len("_")]),
             c if c.is_ascii_digit() || c == '.' => {
-                // An exponent may hold a sign.
-                let mut end = run("_.");
+                // An exponent may have a sign.
+                let mut end = run_len("_.");
                 if rest[..end].ends_with(['e', 'E']) && rest[end..].starts_with(['+', '-']) {
                     end += 1 + rest[end + 1..]
                         .find(|c: char| !c.is_ascii_digit())
@@ -117,18 +127,18 @@
                 Token::Number(&rest[..end])
             }
             c => {
-                self.at += c.len_utf8();
-                return Ok(Some(Token::Mark(c)));
+                self.offset += c.len_utf8();
+                return Ok(Some(Token::Symbol(c)));
             }
         };
         if let Token::Word(word) | Token::Number(word) = token {
-            self.at += word.len();
+            self.offset += word.len();
         }
         Ok(Some(token))
     }
 
-    /// The fields up to the end of the message: its closing mark, or the end of the text.
-    fn message(
+    /// Scans the fields up to the end of the message: its closing bracket, or the end of the text.
+    fn scan_message(
         &mut self,
         kind: &MessageDescriptor,
         path: &str,
@@ -136,109 +146,111 @@
         depth: usize,
     ) -> Result<(), Unscannable> {
         if depth > MAX_DEPTH {
-            return self.lost(path, format!("messages nest deeper than {MAX_DEPTH}"));
+            return self.fail(path, format!("messages nest deeper than {MAX_DEPTH}"));
         }
         let mut seen: HashMap<String, usize> = HashMap::new();
         loop {
             match (self.peek(), close) {
                 (None, None) => return Ok(()),
-                (None, Some(close)) => return self.lost(path, format!("the file ends before '{close}'")),
+                (None, Some(close)) => return self.fail(path, format!("the file ends before '{close}'")),
                 (Some(next), Some(close)) if next == close => {
-                    self.at += 1;
+                    self.offset += 1;
                     return Ok(());
                 }
                 _ => {}
             }
-            let place = self.place();
-            let name = match self.token()? {
+            let position = self.position();
+            let name = match self.next_token()? {
                 Some(Token::Word(name)) => name,
                 _ => {
-                    self.fault(place, path, "the name of a field is expected here".to_string());
+                    self.push_error(position, path, "expected a field name".to_string());
                     return Err(Unscannable);
                 }
             };
-            let inside = if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
+            let field_path = if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
             let Some(field) = kind.get_field_by_name(name) else {
-                self.fault(
-                    place,
-                    &inside,
-                    unknown("field", name, kind.fields().map(|f| f.name().to_string())),
+                self.push_error(
+                    position,
+                    &field_path,
+                    unknown_name("field", name, kind.fields().map(|f| f.name().to_string())),
                 );
                 self.skip_value(depth)?;
                 continue;
             };
-            let colon = self.eat(':');
-            let rows = seen.entry(name.to_string()).or_default();
-            if self.eat('[') {
+            let colon = self.accept(':');
+            let count = seen.entry(name.to_string()).or_default();
+            if self.accept('[') {
                 if !field.is_list() {
-                    let what = "it is given once, without [ ]".to_string();
-                    self.fault(place, &inside, what);
+                    let message = "the field is not repeated; remove [ ]".to_string();
+                    self.push_error(position, &field_path, message);
                 }
-                if !self.eat(']') {
+                if !self.accept(']') {
                     loop {
-                        let place = self.place();
-                        let row = format!("{inside}[{rows}]");
-                        self.places.0.insert(row.clone(), place);
-                        *rows += 1;
-                        self.value(&field, &row, colon, depth)?;
-                        if self.eat(']') {
+                        let position = self.position();
+                        let element_path = format!("{field_path}[{count}]");
+                        self.positions.0.insert(element_path.clone(), position);
+                        *count += 1;
+                        self.scan_value(&field, &element_path, colon, depth)?;
+                        if self.accept(']') {
                             break;
                         }
-                        if !self.eat(',') {
-                            return self.lost(&inside, "',' or ']' is expected here".to_string());
+                        if !self.accept(',') {
+                            return self.fail(&field_path, "expected ',' or ']'".to_string());
                         }
                     }
                 }
             } else {
-                let row = if field.is_list() { format!("{inside}[{rows}]") } else { inside.clone() };
-                *rows += 1;
-                if *rows > 1 && !field.is_list() {
-                    let first = self.places.nearest(&row);
-                    let what = format!("it stands twice, first in line {}; leave one", first.line);
-                    self.fault(place, &inside, what);
+                let element_path =
+                    if field.is_list() { format!("{field_path}[{count}]") } else { field_path.clone() };
+                *count += 1;
+                if *count > 1 && !field.is_list() {
+                    let first = self.positions.nearest(&element_path);
+                    let message = format!("the field is set twice, first in line {}; remove one", first.line);
+                    self.push_error(position, &field_path, message);
                 } else {
-                    self.places.0.insert(row.clone(), place);
+                    self.positions.0.insert(element_path.clone(), position);
                 }
-                self.value(&field, &row, colon, depth)?;
+                self.scan_value(&field, &element_path, colon, depth)?;
             }
-            let _ = self.eat(',') || self.eat(';');
+            let _ = self.accept(',') || self.accept(';');
         }
     }
 
-    fn value(
+    /// Scans the value of a field and checks its kind.
+    fn scan_value(
         &mut self,
         field: &FieldDescriptor,
         path: &str,
         colon: bool,
         depth: usize,
     ) -> Result<(), Unscannable> {
-        self.skip();
-        let place = self.place();
+        self.skip_space();
+        let position = self.position();
         if let Kind::Message(kind) = field.kind() {
             let close = match self.peek() {
                 Some('{') => '}',
                 Some('<') => '>',
-                _ => return self.lost(path, "'{' is expected here".to_string()),
+                _ => return self.fail(path, "expected '{'".to_string()),
             };
-            self.at += 1;
-            return self.message(&kind, path, Some(close), depth + 1);
+            self.offset += 1;
+            return self.scan_message(&kind, path, Some(close), depth + 1);
         }
         if !colon {
-            return self.lost(path, "':' is expected after the name".to_string());
+            return self.fail(path, "expected ':' after the field name".to_string());
         }
-        let minus = self.eat('-');
-        let Some(token) = self.token()? else {
-            return self.lost(path, "the file ends before the value".to_string());
+        let minus = self.accept('-');
+        let Some(token) = self.next_token()? else {
+            return self.fail(path, "the file ends before the value".to_string());
         };
-        let wanted = match (field.kind(), token) {
-            (Kind::String, Token::Text) if !minus => {
-                // Texts that follow each other are one.
+        let expected = match (field.kind(), token) {
+            (Kind::String, Token::String) if !minus => {
+                // Adjacent strings are concatenated.
                 while matches!(self.peek(), Some('"' | '\'')) {
-                    self.token()?;
+                    self.next_token()?;
                 }
                 return Ok(());
             }
-            (Kind::String, _) => "a text in quotes".to_string(),
+            (Kind::String, _) => "a quoted string".to_string(),
             (Kind::Bool, Token::Word("true" | "false" | "True" | "False" | "t" | "f")) if !minus => {
                 return Ok(());
             }
@@ -259,8 +271,9 @@
                 if !minus && kind.get_value_by_name(word).is_some() {
                     return Ok(());
                 }
-                let what = unknown("word", word, kind.values().map(|value| value.name().to_string()));
-                self.fault(place, path, what);
+                let message =
+                    unknown_name("value", word, kind.values().map(|value| value.name().to_string()));
+                self.push_error(position, path, message);
                 return Ok(());
             }
             (Kind::Enum(kind), _) => {
@@ -269,63 +282,63 @@
             }
             _ => return Ok(()),
         };
-        self.fault(place, path, format!("{wanted} is expected here"));
+        self.push_error(position, path, format!("expected {expected}"));
         match token {
-            Token::Mark(_) => Err(Unscannable),
+            Token::Symbol(_) => Err(Unscannable),
             _ => Ok(()),
         }
     }
 
-    /// The value of a field that is not known.
+    /// Skips the value of an unknown field.
     fn skip_value(&mut self, depth: usize) -> Result<(), Unscannable> {
-        let _ = self.eat(':');
-        let mut open = Vec::new();
+        let _ = self.accept(':');
+        let mut open_brackets = Vec::new();
         loop {
-            let Some(token) = self.token()? else {
-                return if open.is_empty() {
+            let Some(token) = self.next_token()? else {
+                return if open_brackets.is_empty() {
                     Ok(())
                 } else {
-                    self.lost("", "the file ends too soon".to_string())
+                    self.fail("", "unexpected end of file".to_string())
                 };
             };
             match token {
-                Token::Mark('-') => continue,
-                Token::Mark(mark @ ('{' | '<' | '[')) => open.push(mark),
-                Token::Mark('}' | '>' | ']') => {
-                    open.pop();
+                Token::Symbol('-') => continue,
+                Token::Symbol(symbol @ ('{' | '<' | '[')) => open_brackets.push(symbol),
+                Token::Symbol('}' | '>' | ']') => {
+                    open_brackets.pop();
                 }
                 _ => {}
             }
-            if open.len() > MAX_DEPTH - depth.min(MAX_DEPTH) {
-                return self.lost("", format!("messages nest deeper than {MAX_DEPTH}"));
+            if open_brackets.len() > MAX_DEPTH - depth.min(MAX_DEPTH) {
+                return self.fail("", format!("messages nest deeper than {MAX_DEPTH}"));
             }
-            if open.is_empty() {
-                let _ = self.eat(',') || self.eat(';');
+            if open_brackets.is_empty() {
+                let _ = self.accept(',') || self.accept(';');
                 return Ok(());
             }
         }
     }
 }
 
-/// That a name is not known, and the known one that is nearest, or all of them if there are few.
-fn unknown(what: &str, name: &str, known: impl Iterator<Item = String>) -> String {
+/// The message for an unknown name: suggests the nearest known one, else lists all of them.
+fn unknown_name(kind: &str, name: &str, known: impl Iterator<Item = String>) -> String {
     let known: Vec<String> = known.collect();
-    let nearest = known.iter().map(|other| (distance(name, other), other)).min();
-    match nearest.filter(|(far, _)| *far <= 2.max(name.len() / 3)) {
-        Some((_, other)) => format!("no {what} has this name; {other} is meant?"),
-        None => format!("no {what} has this name; there are {}", known.join(", ")),
+    let nearest = known.iter().map(|other| (edit_distance(name, other), other)).min();
+    match nearest.filter(|(distance, _)| *distance <= 2.max(name.len() / 3)) {
+        Some((_, other)) => format!("unknown {kind}; did you mean {other}?"),
+        None => format!("unknown {kind}; known: {}", known.join(", ")),
     }
 }
 
-/// How many letters are to be changed, added or left out to make one word of the other.
-fn distance(one: &str, other: &str) -> usize {
-    let mut row: Vec<usize> = (0..=other.len()).collect();
-    for (i, a) in one.bytes().enumerate() {
+/// The Levenshtein distance of two words, in bytes.
+fn edit_distance(first: &str, second: &str) -> usize {
+    let mut row: Vec<usize> = (0..=second.len()).collect();
+    for (i, a) in first.bytes().enumerate() {
         let mut diagonal = std::mem::replace(&mut row[0], i + 1);
-        for (j, b) in other.bytes().enumerate() {
-            let least = (diagonal + usize::from(a != b)).min(row[j] + 1).min(row[j + 1] + 1);
-            diagonal = std::mem::replace(&mut row[j + 1], least);
+        for (j, b) in second.bytes().enumerate() {
+            let cost = (diagonal + usize::from(a != b)).min(row[j] + 1).min(row[j + 1] + 1);
+            diagonal = std::mem::replace(&mut row[j + 1], cost);
         }
     }
-    row[other.len()]
+    row[second.len()]
 }
