--- a/crates/arrowyard-flight-daemon/examples/standings.rs
+++ b/crates/arrowyard-flight-daemon/examples/standings.rs
@@ -1,8 +1,9 @@
-//! A program that reads standings over Arrow Flight SQL, with the library's ready-made client as it is:
+//! Reads standings over Arrow Flight SQL with the client of the `arrow-flight` library:
 //!
 //!     cargo run -p arrowyard-flight-daemon --example standings -- 127.0.0.1:32010
 //!
-//! A router is at that address, as `docs/flight.md` starts one. A busy reply says when to come back; this comes back once.
+//! The address is that of a router, which `docs/flight.md` shows how to start. A busy reply is retried
+//! once, after the delay that it names.
 
 use std::time::Duration;
 
@@ -13,10 +14,10 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic_types::StatusExt;
 
-async fn standings(client: &mut FlightSqlServiceClient<Channel>) -> Result<usize, FlightError> {
+async fn count_standings(client: &mut FlightSqlServiceClient<Channel>) -> Result<usize, FlightError> {
     let info = client.execute("SELECT payload FROM entries WHERE ref = 'ward-7'".to_string(), None).await?;
     let ticket = info.endpoint.into_iter().next().and_then(|endpoint| endpoint.ticket);
-    let ticket = ticket.ok_or_else(|| FlightError::protocol("a plan without a ticket"))?;
+    let ticket = ticket.ok_or_else(|| FlightError::protocol("the flight info has no ticket"))?;
     let mut rows = 0;
     let mut batches = client.do_get(ticket).await?;
     while let Some(batch) = batches.try_next().await? {
@@ -27,22 +28,22 @@
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let router = std::env::args().nth(1).ok_or("the router's address has to be given")?;
+    let router = std::env::args().nth(1).ok_or("usage: standings ROUTER_ADDRESS")?;
     let channel = Endpoint::from_shared(format!("http://{router}"))?.connect().await?;
     let mut client = FlightSqlServiceClient::new(channel);
-    // What every call says of its op; a statement's own comment could say it as well.
+    // The fields of each call's op; a comment in the statement could set them too.
     for (name, value) in [("op-type", "standings"), ("group", "7"), ("timeout-ms", "600")] {
         client.set_header(format!("arrowyard-{name}"), value);
     }
-    let mut told = standings(&mut client).await;
-    if let Err(FlightError::Tonic(status)) = &told
+    let mut result = count_standings(&mut client).await;
+    if let Err(FlightError::Tonic(status)) = &result
         && status.code() == Code::Unavailable
     {
-        // Nothing of it ran.
-        let after = status.get_details_retry_info().and_then(|info| info.retry_delay);
-        tokio::time::sleep(after.unwrap_or(Duration::from_millis(100))).await;
-        told = standings(&mut client).await;
+        // The op did not run.
+        let retry_after = status.get_details_retry_info().and_then(|info| info.retry_delay);
+        tokio::time::sleep(retry_after.unwrap_or(Duration::from_millis(100))).await;
+        result = count_standings(&mut client).await;
     }
-    println!("{} rows", told?);
+    println!("{} rows", result?);
     Ok(())
 }
--- a/crates/arrowyard-flight-daemon/src/main.rs
+++ b/crates/arrowyard-flight-daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! The router with Arrow Flight SQL. It has the command line of `arrowyard`; what it listens at, and what its hosts
-//! speak, stands in the operator's file.
+//! The router with Arrow Flight SQL. Its command line is that of `arrowyard`; the operator's file sets the
+//! listen address of Flight SQL and the protocol of the hosts.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
@@ -14,13 +14,13 @@
 use arrowyard_core::{HostTransport, Limits};
 use arrowyard_daemon::router_service::{RouterService, run_single_threaded};
 use arrowyard_daemon::serve;
-use arrowyard_flight::ticket::Key;
-use arrowyard_front_flight::answer::{lift, lift_parcel};
-use arrowyard_front_flight::clerk::{self, Clerk};
-use arrowyard_front_flight::limits::Asked;
-use arrowyard_front_flight::listen::{Door, serve as speak};
-use arrowyard_front_flight::service::Known;
-use arrowyard_front_flight::{Errand, FlightBack, FlightFront, FlightLimits, Served};
+use arrowyard_flight::ticket::MacKey;
+use arrowyard_front_flight::front_end_state::{self, FrontEndState};
+use arrowyard_front_flight::limits::FlightSettings;
+use arrowyard_front_flight::listen::{Acceptor, serve as serve_flight};
+use arrowyard_front_flight::response::{split_flight_response, split_pg_response};
+use arrowyard_front_flight::service::ServerInfo;
+use arrowyard_front_flight::{ClientResponse, FlightBackend, FlightFrontEnd, FlightLimits, OpPayload};
 use arrowyard_front_pg::take_in::op_call;
 use arrowyard_operator_config::Yardbook;
 use arrowyard_operator_config::schema::{Flight, Speaks};
@@ -28,79 +28,100 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-fn limits(limits: &Limits, told: &Flight) -> FlightLimits {
-    let size = |told: Option<u32>| told.map(|told| told as usize);
-    let asked = Asked {
-        connections: size(told.connections),
-        calls: size(told.calls),
-        held_each: size(told.held_bytes),
-        message: size(told.message_bytes),
-        ticket: told.ticket_ms.map(|millis| Duration::from_millis(millis.into())),
-        handles: size(told.handles),
+/// The limits that the operator's file sets; the others are derived from the router's limits.
+fn flight_limits(limits: &Limits, config: &Flight) -> FlightLimits {
+    let to_usize = |value: Option<u32>| value.map(|value| value as usize);
+    let settings = FlightSettings {
+        max_connections: to_usize(config.connections),
+        max_calls: to_usize(config.calls),
+        max_buffered_result_bytes: to_usize(config.held_bytes),
+        max_host_message_bytes: to_usize(config.message_bytes),
+        ticket_lifetime: config.ticket_ms.map(|millis| Duration::from_millis(millis.into())),
+        max_prepared_statements: to_usize(config.handles),
     };
-    FlightLimits::new(limits, asked)
+    FlightLimits::new(limits, settings)
 }
 
-/// A key that nobody knows, and that no other start has. The standard library draws it of the system's randomness.
-fn key() -> Key {
-    let draw = || RandomState::new().build_hasher().finish();
-    Key(draw(), draw())
+/// A random key for this process. The standard library seeds its hashers from the system's random numbers.
+fn random_key() -> MacKey {
+    let random_u64 = || RandomState::new().build_hasher().finish();
+    MacKey(random_u64(), random_u64())
 }
 
-/// Opens the front of Flight SQL; what is returned resolves if its server ends untold.
+/// Starts the Flight SQL front end. The returned future resolves if its server fails.
 async fn listen<B, L, T>(
-    base: &RouterService<B>,
-    at: SocketAddr,
+    router: &RouterService<B>,
+    listen_address: SocketAddr,
     limits: FlightLimits,
     load: L,
-    lift: T,
+    split: T,
 ) -> Result<(SocketAddr, impl Future<Output = String> + use<B, L, T>), String>
 where
     B: HostTransport,
-    L: Fn(Errand) -> B::Payload + 'static,
-    T: Fn(B::Answer) -> (Served, Option<RetainedResources>) + 'static,
+    L: Fn(OpPayload) -> B::Payload + 'static,
+    T: Fn(B::Answer) -> (ClientResponse, Option<RetainedResources>) + 'static,
 {
-    let listener = TcpListener::bind(at).await.map_err(|e| format!("{at}: {e}"))?;
+    let listener = TcpListener::bind(listen_address).await.map_err(|e| format!("{listen_address}: {e}"))?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
-    let (hatch, desk) = submission::channel(limits.inbox, base.clock, base.gate.clone(), base.mail.clone());
-    drop(spawn_local(desk.run(|errand| op_call(&errand.statement, errand.address), load, lift)));
-    let (counter, own, chores) = clerk::open(limits.inbox);
-    let (arrivals, arrived) = mpsc::channel(16);
-    drop(spawn_local(Clerk::new(base.clock, key(), limits).run(own, chores, arrived)));
-    let (taken, came) = mpsc::channel(16);
-    let (clients, stage) = (base.clients.clone(), base.stage.clone());
-    let door = Door { clients, arrivals, stage: stage.clone(), limits: base.limits.clone() };
-    drop(spawn_local(door.run(listener, taken)));
-    let front = FlightFront { hatch, counter, clock: base.clock, limits, known: Known::default().into() };
+    let (submitter, intake) =
+        submission::channel(limits.queue_capacity, router.clock, router.gate.clone(), router.mail.clone());
+    drop(spawn_local(intake.run(|payload| op_call(&payload.statement, payload.client_address), load, split)));
+    let (state, own_requests, requests) = front_end_state::channel(limits.queue_capacity);
+    let (new_connections, new_connection_receiver) = mpsc::channel(16);
+    drop(spawn_local(FrontEndState::new(router.clock, random_key(), limits).run(
+        own_requests,
+        requests,
+        new_connection_receiver,
+    )));
+    let (socket_sender, accepted_sockets) = mpsc::channel(16);
+    let (clients, stage) = (router.clients.clone(), router.stage.clone());
+    let acceptor = Acceptor { clients, new_connections, stage: stage.clone(), limits: router.limits.clone() };
+    drop(spawn_local(acceptor.run(listener, socket_sender)));
+    let front_end = FlightFrontEnd {
+        submitter,
+        state,
+        clock: router.clock,
+        limits,
+        server_info: ServerInfo::default().into(),
+    };
     tracing::info!("Flight SQL at {address}");
-    let served = spawn_local(speak(front, limits, stage.clone(), came));
-    let ended = async move {
-        match served.await {
-            // Its server ends with the router; the drain says when that is over.
+    let server = spawn_local(serve_flight(front_end, limits, stage.clone(), accepted_sockets));
+    let server_failed = async move {
+        match server.await {
+            // The server stops when the router drains, which ends the process by itself.
             Ok(Ok(())) => std::future::pending().await,
-            ended => format!("the server of Flight SQL ended: {ended:?}"),
+            result => format!("the Flight SQL server failed: {result:?}"),
         }
     };
-    Ok((address, ended))
+    Ok((address, server_failed))
 }
 
-async fn run(waybill: RouterConfig, path: Option<PathBuf>, book: Option<Yardbook>) -> Result<(), String> {
-    let told = book.as_ref().and_then(|book| book.flight.clone());
-    let told = told.ok_or("arrowyard-flight needs an operator's file that has flight")?;
-    let at = told.listen().parse().map_err(|e| format!("flight.listen: {e}"))?;
-    if told.hosts() == Speaks::FlightSql {
-        let back = |of: &Rc<Limits>| Rc::new(FlightBack::new(of.clone(), limits(of, &told)));
-        let base = RouterService::start(&waybill, path, book.as_ref(), back).await?;
-        let of = limits(&base.limits, &told);
-        let (address, ended) = listen(&base, at, of, |errand| errand, lift).await?;
-        tracing::info!("serving at {address}, discovery at {}", waybill.discovery);
-        return base.run(ended).await;
+async fn run(
+    router_config: RouterConfig,
+    config_path: Option<PathBuf>,
+    operator_config: Option<Yardbook>,
+) -> Result<(), String> {
+    let flight = operator_config.as_ref().and_then(|config| config.flight.clone());
+    let flight = flight.ok_or("arrowyard-flight needs an operator's file with a flight section")?;
+    let listen_address = flight.listen().parse().map_err(|e| format!("flight.listen: {e}"))?;
+    if flight.hosts() == Speaks::FlightSql {
+        let backend =
+            |limits: &Rc<Limits>| Rc::new(FlightBackend::new(limits.clone(), flight_limits(limits, &flight)));
+        let router =
+            RouterService::start(&router_config, config_path, operator_config.as_ref(), backend).await?;
+        let limits = flight_limits(&router.limits, &flight);
+        let (address, server_failed) =
+            listen(&router, listen_address, limits, |payload| payload, split_flight_response).await?;
+        tracing::info!("serving at {address}, discovery at {}", router_config.discovery);
+        return router.run(server_failed).await;
     }
-    let base = RouterService::start(&waybill, path, book.as_ref(), serve::backend).await?;
-    let of = limits(&base.limits, &told);
-    let (_, ended) = listen(&base, at, of, |errand| errand.statement, lift_parcel).await?;
-    serve::listen(&base, waybill.listen, waybill.discovery).await?;
-    base.run(ended).await
+    let router =
+        RouterService::start(&router_config, config_path, operator_config.as_ref(), serve::backend).await?;
+    let limits = flight_limits(&router.limits, &flight);
+    let (_, server_failed) =
+        listen(&router, listen_address, limits, |payload| payload.statement, split_pg_response).await?;
+    serve::listen(&router, router_config.listen, router_config.discovery).await?;
+    router.run(server_failed).await
 }
 
 fn main() -> ExitCode {
--- a/crates/arrowyard-flight-daemon/tests/abuse.rs
+++ b/crates/arrowyard-flight-daemon/tests/abuse.rs
@@ -1,4 +1,5 @@
-//! Bytes that no library sends: noise, floods and windows of nothing, at both sides. Others are served meanwhile.
+//! Random bytes, floods and zero flow-control windows from clients and hosts. Other clients must be served
+//! meanwhile.
 
 mod helpers;
 
@@ -9,7 +10,7 @@
 use arrowyard_testbed::flight::FlightClient;
 use arrowyard_testbed::{Process, Reply, Spec, Town};
 use fastrand::Rng;
-use helpers::{STANDINGS, ask, runtime, specs, start, start_small};
+use helpers::{STANDINGS, ask, runtime, specs, start, start_with_sockets};
 
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
@@ -19,17 +20,17 @@
 }
 
 fn connect(router: &Process) -> TcpStream {
-    let stream = TcpStream::connect(router.address).expect("it listens");
-    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a time that is none is not given");
+    let stream = TcpStream::connect(router.address).expect("the router listens");
+    stream.set_read_timeout(Some(Duration::from_secs(10))).expect("a nonzero timeout");
     stream
 }
 
-/// Whether the router ends the connection within so long, whatever it says before.
-fn ends(stream: &mut TcpStream, within: Duration) -> bool {
-    let until = Instant::now() + within;
+/// Whether the router closes the connection in time, whatever it sends before.
+fn closes_within(stream: &mut TcpStream, max_time: Duration) -> bool {
+    let deadline = Instant::now() + max_time;
     let mut bytes = [0; 4096];
-    stream.set_read_timeout(Some(Duration::from_millis(50))).expect("a time that is none is not given");
-    while Instant::now() < until {
+    stream.set_read_timeout(Some(Duration::from_millis(50))).expect("a nonzero timeout");
+    while Instant::now() < deadline {
         match stream.read(&mut bytes) {
             Ok(0) => return true,
             Ok(_) => {}
@@ -41,121 +42,122 @@
     false
 }
 
-fn served(router: &Process, id: u64) {
+fn assert_served(router: &Process, id: u64) {
     runtime().block_on(async {
-        let mut client = FlightClient::connect(router.address).await.expect("it lets clients in");
+        let mut client = FlightClient::connect(router.address).await.expect("the router accepts clients");
         let reply = client.ask(&ask(STANDINGS, id, 5)).await;
         assert!(matches!(reply, Reply::Value(_)), "{reply:?}");
     });
 }
 
 #[test]
-fn clients_that_send_noise_or_floods_are_let_go_and_others_are_served() {
+fn clients_that_send_random_bytes_or_floods_are_disconnected_and_others_served() {
     let town = Town::start(&specs(1, true));
     let router = start(&town, true, "");
-    served(&router, 1);
-    let (_, before) = router.cost();
+    assert_served(&router, 1);
+    let (_, memory_before) = router.cost();
     let mut rng = Rng::with_seed(7);
     for round in 0..20 {
-        let mut noise = connect(&router);
+        let mut connection = connect(&router);
         let bytes: Vec<u8> = (0..rng.usize(1..4000)).map(|_| rng.u8(..)).collect();
-        let begun = if round % 2 == 0 { &[PREFACE, &frame(4, 0, 0, &[])].concat()[..] } else { &[] };
-        // It may be ended before all is said.
-        let _ = noise.write_all(begun).and_then(|()| noise.write_all(&bytes));
-        let _ = noise.shutdown(std::net::Shutdown::Write);
-        assert!(ends(&mut noise, Duration::from_secs(5)), "round {round}");
+        let prefix = if round % 2 == 0 { &[PREFACE, &frame(4, 0, 0, &[])].concat()[..] } else { &[] };
+        // The router may close the connection before everything is written.
+        let _ = connection.write_all(prefix).and_then(|()| connection.write_all(&bytes));
+        let _ = connection.shutdown(std::net::Shutdown::Write);
+        assert!(closes_within(&mut connection, Duration::from_secs(5)), "round {round}");
     }
-    // Heads that go on without end.
+    // A header block without an end.
     let mut endless = connect(&router);
-    let begun = [PREFACE, &frame(4, 0, 0, &[]), &frame(1, 0, 1, &[0x82, 0x86])].concat();
-    endless.write_all(&begun).expect("it is read");
-    let more = frame(9, 0, 1, &[&[0, 1, b'a', 127, 0xff, 0x7f][..], &[b'x'; 8000]].concat());
-    let mut sent = 0;
-    while sent < 4000 && endless.write_all(&more).is_ok() {
-        sent += 1;
+    let start_of_headers = [PREFACE, &frame(4, 0, 0, &[]), &frame(1, 0, 1, &[0x82, 0x86])].concat();
+    endless.write_all(&start_of_headers).expect("the router reads it");
+    let continuation = frame(9, 0, 1, &[&[0, 1, b'a', 127, 0xff, 0x7f][..], &[b'x'; 8000]].concat());
+    let mut frames_sent = 0;
+    while frames_sent < 4000 && endless.write_all(&continuation).is_ok() {
+        frames_sent += 1;
     }
-    assert!(sent < 4000 || ends(&mut endless, Duration::from_secs(5)));
-    // Streams that are opened and reset at once.
+    assert!(frames_sent < 4000 || closes_within(&mut endless, Duration::from_secs(5)));
+    // Streams that are reset right after they open.
     let mut resets = connect(&router);
     let _ = resets.write_all(&[PREFACE, &frame(4, 0, 0, &[])].concat());
-    let head = [&[0x83, 0x86][..], &[0x04, 2], b"/x", &[0x41, 1], b"a"].concat();
+    let headers = [&[0x83, 0x86][..], &[0x04, 2], b"/x", &[0x41, 1], b"a"].concat();
     for number in 0..20_000_u32 {
         let stream = number * 2 + 1;
-        let bytes = [frame(1, 4, stream, &head), frame(3, 0, stream, &8_u32.to_be_bytes())].concat();
+        let bytes = [frame(1, 4, stream, &headers), frame(3, 0, stream, &8_u32.to_be_bytes())].concat();
         if resets.write_all(&bytes).is_err() {
             break;
         }
     }
-    assert!(ends(&mut resets, Duration::from_secs(5)));
-    served(&router, 2);
-    let (_, after) = router.cost();
-    assert!(after < before + 8 * 1024, "{before} to {after} KB");
+    assert!(closes_within(&mut resets, Duration::from_secs(5)));
+    assert_served(&router, 2);
+    let (_, memory_after) = router.cost();
+    assert!(memory_after < memory_before + 8 * 1024, "{memory_before} to {memory_after} KB");
 }
 
 #[test]
-fn clients_that_give_no_window_hold_their_ops_no_longer_than_their_time() {
-    const ALL: usize = 64;
-    let wide = specs(1, true).into_iter().map(|spec| Spec { batches: 20, batch_bytes: 10_000, ..spec });
-    let town = Town::start(&wide.collect::<Vec<_>>());
-    let router = start_small(&town, "held_bytes: 0", ALL as u32);
+fn clients_with_a_zero_window_hold_their_ops_only_until_the_deadline() {
+    const CALLS: usize = 64;
+    let host_specs = specs(1, true).into_iter().map(|spec| Spec { batches: 20, batch_bytes: 10_000, ..spec });
+    let town = Town::start(&host_specs.collect::<Vec<_>>());
+    let router = start_with_sockets(&town, "held_bytes: 0", CALLS as u32);
     let tickets: Vec<Vec<u8>> = runtime().block_on(async {
-        let mut client = FlightClient::connect(router.address).await.expect("it lets clients in");
+        let mut client = FlightClient::connect(router.address).await.expect("the router accepts clients");
         let mut tickets = Vec::new();
-        for id in 0..ALL as u64 {
+        for id in 0..CALLS as u64 {
             let info = client
                 .inner
                 .execute(ask(STANDINGS, 100 + id, 5).statement(), None)
                 .await
-                .expect("it is planned");
-            tickets.push(info.endpoint[0].ticket.clone().expect("a plan has its ticket").ticket.to_vec());
+                .expect("planning succeeds");
+            tickets.push(info.endpoint[0].ticket.clone().expect("the plan has a ticket").ticket.to_vec());
         }
         tickets
     });
-    // A window of nothing for every stream, and as many calls as the router has room for ops.
-    let mut shut = connect(&router);
+    // A zero window for every stream, and as many calls as the router's limit on ops.
+    let mut blocked = connect(&router);
     let no_window = [&4_u16.to_be_bytes()[..], &0_u32.to_be_bytes()].concat();
-    shut.write_all(&[PREFACE, &frame(4, 0, 0, &no_window)].concat()).expect("it is read");
-    let text = |name: &str, value: &str| {
+    blocked.write_all(&[PREFACE, &frame(4, 0, 0, &no_window)].concat()).expect("the router reads it");
+    let header = |name: &str, value: &str| {
         [&[0, name.len() as u8][..], name.as_bytes(), &[value.len() as u8], value.as_bytes()].concat()
     };
     let path = "/arrow.flight.protocol.FlightService/DoGet";
-    let named = [
-        text(":path", path),
-        text(":authority", "a"),
-        text("content-type", "application/grpc"),
-        text("te", "trailers"),
+    let named_headers = [
+        header(":path", path),
+        header(":authority", "a"),
+        header("content-type", "application/grpc"),
+        header("te", "trailers"),
     ];
-    let head = [&[0x83, 0x86][..], &named.concat()].concat();
+    let headers = [&[0x83, 0x86][..], &named_headers.concat()].concat();
     for (ticket, stream) in tickets.iter().zip((1..).step_by(2)) {
-        // A message of one field, its length in two bytes of seven bits.
+        // A protobuf message with one field, whose length is a varint of two bytes.
         let length = [ticket.len() as u8 | 0x80, (ticket.len() >> 7) as u8];
         let message = [&[0x0a], &length[..], ticket].concat();
         let framed = [&[0][..], &(message.len() as u32).to_be_bytes(), &message].concat();
-        shut.write_all(&[frame(1, 4, stream, &head), frame(0, 1, stream, &framed)].concat())
-            .expect("it is read");
+        blocked
+            .write_all(&[frame(1, 4, stream, &headers), frame(0, 1, stream, &framed)].concat())
+            .expect("the router reads it");
     }
-    let began = Instant::now();
+    let started = Instant::now();
     runtime().block_on(async {
-        // The hosts take as many as the module gives them at once; the rest waits for these.
+        // The decision module limits how many ops run on the hosts at once; the other ops wait for these.
         while town.ledger().commands.values().sum::<u64>() < 8 {
-            assert!(began.elapsed() < Duration::from_secs(5), "they are asked");
+            assert!(started.elapsed() < Duration::from_secs(5), "the hosts get the ops");
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        let mut client = FlightClient::connect(router.address).await.expect("it lets clients in");
+        let mut client = FlightClient::connect(router.address).await.expect("the router accepts clients");
         let mut id = 1000;
         let mut refused = 0;
         while !matches!(client.ask(&ask(STANDINGS, id, 5)).await, Reply::Value(_)) {
             (id, refused) = (id + 1, refused + 1);
-            assert!(began.elapsed() < Duration::from_secs(8), "their time is 900 ms");
+            assert!(started.elapsed() < Duration::from_secs(8), "the deadline of the blocked ops is 900 ms");
         }
-        assert!(refused > 0, "for a while there is no room for any other");
+        assert!(refused > 0, "no other op is admitted before that deadline");
     });
 }
 
-/// A host that says what it likes once it is called.
-fn noisy(bytes: Vec<u8>) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
-    let address = listener.local_addr().expect("it is bound");
+/// Starts a host that writes these bytes on every connection.
+fn start_noisy_host(bytes: Vec<u8>) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").expect("a free port");
+    let address = listener.local_addr().expect("a bound socket");
     std::thread::spawn(move || {
         for stream in listener.incoming() {
             let (Ok(mut stream), bytes) = (stream, bytes.clone()) else { continue };
@@ -170,16 +172,16 @@
 }
 
 #[test]
-fn hosts_that_send_noise_are_left_for_those_that_answer() {
+fn ops_are_served_despite_a_host_that_sends_random_bytes() {
     let mut rng = Rng::with_seed(9);
     for round in 0..4 {
         let town = Town::start(&specs(2, true));
         let noise: Vec<u8> = (0..rng.usize(1..3000)).map(|_| rng.u8(..)).collect();
         let settings = if round % 2 == 0 { frame(4, 0, 0, &[]) } else { Vec::new() };
-        town.stand_in("r-0", noisy([settings, noise].concat()));
+        town.stand_in("r-0", start_noisy_host([settings, noise].concat()));
         let router = start(&town, true, "");
         for id in 0..6 {
-            served(&router, round * 100 + id + 1);
+            assert_served(&router, round * 100 + id + 1);
         }
     }
 }
--- a/crates/arrowyard-flight-daemon/tests/helpers/mod.rs
+++ b/crates/arrowyard-flight-daemon/tests/helpers/mod.rs
@@ -1,6 +1,6 @@
-//! A router with Flight SQL before a town, for the tests of this folder.
+//! Starts a router with Flight SQL in front of simulated hosts.
 
-#![allow(dead_code, reason = "each test uses a part of this")]
+#![allow(dead_code, reason = "each test binary uses a part of this module")]
 
 use std::path::Path;
 
@@ -30,39 +30,43 @@
 pub const BUY: usize = 4;
 
 pub fn runtime() -> Runtime {
-    Runtime::new().expect("threads can be had")
+    Runtime::new().expect("the runtime starts")
 }
 
-/// A group of a primary `p-0` and so many replicas `r-0`, `r-1`.
+/// A group of a primary `p-0` and the given number of replicas `r-0`, `r-1`.
 pub fn specs(replicas: usize, flight: bool) -> Vec<Spec> {
     let names = ["p-0".to_string()].into_iter().chain((0..replicas).map(|number| format!("r-{number}")));
     names.map(|name| Spec { flight, ..Spec::new(&name, 7, name == "p-0") }).collect()
 }
 
-/// Starts the router; `more` stands in the operator's file among what is said of Flight SQL.
-pub fn start(town: &Town, flight_hosts: bool, more: &str) -> Process {
-    start_with(town, flight_hosts, more, "")
+/// Starts the router with further fields in the `flight` section of the operator's file.
+pub fn start(town: &Town, flight_hosts: bool, flight_fields: &str) -> Process {
+    start_with(town, flight_hosts, flight_fields, "")
 }
 
-/// With so many descriptors, and room for as many ops.
-pub fn start_small(town: &Town, more: &str, sockets: u32) -> Process {
-    let book = format!("epoch: 1\nflight {{ listen: \"127.0.0.1:0\" hosts: FLIGHT_SQL {more} }}\n");
+/// Starts the router with a limit on sockets, which is also its limit on ops.
+pub fn start_with_sockets(town: &Town, flight_fields: &str, sockets: u32) -> Process {
+    let config =
+        format!("epoch: 1\nflight {{ listen: \"127.0.0.1:0\" hosts: FLIGHT_SQL {flight_fields} }}\n");
     let program = Path::new(env!("CARGO_BIN_EXE_arrowyard-flight"));
-    Process::start(program, &waybill(town, &OP_TYPES, sockets), Some(&book)).expect("it starts")
+    Process::start(program, &waybill(town, &OP_TYPES, sockets), Some(&config)).expect("the router starts")
 }
 
-/// `rest` stands in the operator's file beside it.
-pub fn start_with(town: &Town, flight_hosts: bool, more: &str, rest: &str) -> Process {
+/// Starts the router with further fields of the `flight` section and further sections of the operator's file.
+pub fn start_with(town: &Town, flight_hosts: bool, flight_fields: &str, sections: &str) -> Process {
     let hosts = if flight_hosts { "FLIGHT_SQL" } else { "POSTGRESQL" };
-    let book = format!("epoch: 1\nflight {{ listen: \"127.0.0.1:0\" hosts: {hosts} {more} }}\n{rest}\n");
+    let config = format!(
+        "epoch: 1\nflight {{ listen: \"127.0.0.1:0\" hosts: {hosts} {flight_fields} }}\n{sections}\n"
+    );
     let program = Path::new(env!("CARGO_BIN_EXE_arrowyard-flight"));
-    Process::start(program, &waybill(town, &OP_TYPES, 512), Some(&book)).expect("it starts")
+    Process::start(program, &waybill(town, &OP_TYPES, 512), Some(&config)).expect("the router starts")
 }
 
-pub fn ask(kind: usize, id: u64, session: u64) -> Ask<'static> {
-    let row = OP_TYPES[kind];
+/// A request of the given op type for group 7.
+pub fn ask(op_type: usize, id: u64, session: u64) -> Ask<'static> {
+    let row = OP_TYPES[op_type];
     let (wait_ms, writes) = (row.timeout_ms, row.read == "update");
-    let token = (kind == SUBMIT).then_some(id);
+    let token = (op_type == SUBMIT).then_some(id);
     let (op_type, tenant, group, again) = (row.name, None, 7, false);
     Ask { id, op_type, tenant, group, wait_ms, token, again, session, writes }
 }
--- a/crates/arrowyard-flight-daemon/tests/safety.rs
+++ b/crates/arrowyard-flight-daemon/tests/safety.rs
@@ -1,5 +1,5 @@
-//! One safety suite over every pair of protocols: seeded faults of the hosts, clients with sessions, and the five rules
-//! checked from what clients were told and what the hosts' ledger holds.
+//! A safety suite for every pair of client and host protocol: injects seeded host faults under clients with
+//! sessions, and checks the clients' replies against the hosts' ledger.
 
 mod helpers;
 
@@ -15,100 +15,102 @@
 use helpers::{BUY, OP_TYPES, OWN, STANDINGS, SUBMIT, VIEW, ask, runtime, specs, start};
 use tokio::time::{sleep, timeout};
 
-/// What one client was told.
+/// The replies to one client.
 #[derive(Default)]
-struct Told {
+struct Replies {
     answered: u64,
     acked: Vec<u64>,
-    /// Writes that were given back: nothing of them may have run.
+    /// Writes with a busy reply, which must not have run.
     busy: Vec<u64>,
-    broken: Vec<String>,
+    violations: Vec<String>,
 }
 
-/// One client of one session, op by op, till the time is over.
-async fn play<C: Speaks>(
-    at: SocketAddr,
+/// Sends the ops of one session one after the other until the deadline.
+async fn run_client<C: Speaks>(
+    router: SocketAddr,
     session: u64,
     ids: Arc<AtomicU64>,
     seed: u64,
-    until: Instant,
-) -> Told {
-    let (mut rng, mut told) = (Rng::with_seed(seed ^ session << 17), Told::default());
+    deadline: Instant,
+) -> Replies {
+    let (mut rng, mut replies) = (Rng::with_seed(seed ^ session << 17), Replies::default());
     let mut client: Option<C> = None;
-    // What an own read has to show, and what it may show: the last acked write, and those since that may have run.
-    // What may have run may still do so for a while, behind a later one that was acked.
-    let (mut last, mut maybe): (Option<u64>, Vec<(Instant, u64)>) = (None, Vec::new());
-    let running = Duration::from_millis(1200);
-    let mut again: Option<u64> = None;
+    // A read of own writes must show the last acked write, or one that was sent since and may have run. A
+    // write that may have run may also take effect after a later write was acked, up to `max_run_time`
+    // after it was sent.
+    let (mut last_acked, mut may_have_run): (Option<u64>, Vec<(Instant, u64)>) = (None, Vec::new());
+    let max_run_time = Duration::from_millis(1200);
+    let mut retry_token: Option<u64> = None;
     let mut acked_at = Instant::now();
-    while Instant::now() < until {
-        let kind = match again {
+    while Instant::now() < deadline {
+        let op_type = match retry_token {
             Some(_) => SUBMIT,
             None => [VIEW, OWN, OWN, SUBMIT, SUBMIT, BUY, STANDINGS][rng.usize(0..7)],
         };
         let id = ids.fetch_add(1, Ordering::Relaxed);
-        let token = again.take();
-        let mut asked = ask(kind, id, session);
-        asked.again = token.is_some();
-        asked.token = token.or(asked.token);
-        let turn = asked.token.unwrap_or(id);
-        let began = Instant::now();
-        let most = Duration::from_millis(u64::from(OP_TYPES[kind].timeout_ms) + 200);
-        let answer = timeout(most, async {
+        let token = retry_token.take();
+        let mut request = ask(op_type, id, session);
+        request.again = token.is_some();
+        request.token = token.or(request.token);
+        let turn = request.token.unwrap_or(id);
+        let sent_at = Instant::now();
+        let reply_timeout = Duration::from_millis(u64::from(OP_TYPES[op_type].timeout_ms) + 200);
+        let pending_reply = timeout(reply_timeout, async {
             if client.is_none() {
-                client = Some(C::connect(at).await?);
+                client = Some(C::connect(router).await?);
             }
-            client.as_mut().expect("it is connected").ask(&asked).await
+            client.as_mut().expect("connected above").ask(&request).await
         });
-        let reply = match answer.await {
+        let reply = match pending_reply.await {
             Ok(Ok(reply)) => reply,
-            other => {
-                told.broken.push(format!(
-                    "{} had no answer in {:?}: {:?}",
-                    asked.op_type,
-                    began.elapsed(),
-                    other.err()
+            failure => {
+                replies.violations.push(format!(
+                    "{} got no reply within {:?}: {:?}",
+                    request.op_type,
+                    sent_at.elapsed(),
+                    failure.err()
                 ));
                 client = None;
-                maybe.push((began, turn));
+                may_have_run.push((sent_at, turn));
                 continue;
             }
         };
-        told.answered += 1;
-        match (kind, reply) {
+        replies.answered += 1;
+        match (op_type, reply) {
             (SUBMIT | BUY, Reply::Value(_)) => {
-                told.acked.push(turn);
-                last = Some(turn);
+                replies.acked.push(turn);
+                last_acked = Some(turn);
                 acked_at = Instant::now();
-                maybe.retain(|(since, other)| since.elapsed() < running && *other != turn);
+                may_have_run.retain(|(since, other)| since.elapsed() < max_run_time && *other != turn);
             }
-            // A first one that was given back never ran; of a repeat the one before may have.
-            (SUBMIT | BUY, Reply::Busy(_)) if token.is_none() => told.busy.push(turn),
+            // A busy reply to a retry says nothing about the first attempt, which may have run.
+            (SUBMIT | BUY, Reply::Busy(_)) if token.is_none() => replies.busy.push(turn),
             (SUBMIT | BUY, _) => {
-                maybe.push((began, turn));
-                again = (kind == SUBMIT && token.is_none() && rng.bool()).then_some(turn);
+                may_have_run.push((sent_at, turn));
+                retry_token = (op_type == SUBMIT && token.is_none() && rng.bool()).then_some(turn);
             }
             (OWN, Reply::Value(value)) => {
                 let shown = value.split(' ').nth(1).unwrap_or_default();
-                let fits = |turn: &u64| shown == format!("{turn:016x}");
-                let known = last.iter().chain(maybe.iter().map(|(_, turn)| turn)).any(fits);
-                if !(known || last.is_none() && shown == "-") {
-                    told.broken
-                        .push(format!("an own read shows {value}, {:?} after the ack, and {last:016x?} was acked, {maybe:x?}", acked_at.elapsed()));
+                let is_shown = |turn: &u64| shown == format!("{turn:016x}");
+                let is_allowed =
+                    last_acked.iter().chain(may_have_run.iter().map(|(_, turn)| turn)).any(is_shown);
+                if !(is_allowed || last_acked.is_none() && shown == "-") {
+                    replies.violations
+                        .push(format!("a read of own writes shows {value} {:?} after the last ack; acked: {last_acked:016x?}, may have run: {may_have_run:x?}", acked_at.elapsed()));
                 }
             }
             _ => {}
         }
         sleep(Duration::from_millis(rng.u64(0..10))).await;
     }
-    told
+    replies
 }
 
-/// Hosts fall ill, die, drain and take over, as the seed says.
-fn trouble(town: &Town, seed: u64, until: Instant) {
+/// Injects host faults, crashes, a drain and failovers as the seed determines.
+fn inject_faults(town: &Town, seed: u64, deadline: Instant) {
     let mut rng = Rng::with_seed(seed);
     let names = ["p-0", "r-0", "r-1", "r-2"];
-    let acts = [
+    let faults = [
         Act::Slow(Duration::from_millis(80)),
         Act::Hang,
         Act::TurnAway,
@@ -123,7 +125,7 @@
         Act::Mixed,
     ];
     let mut drained = false;
-    while Instant::now() < until {
+    while Instant::now() < deadline {
         let name = names[rng.usize(0..4)];
         match rng.usize(0..8) {
             0 if !drained && !town.is_primary(name) => {
@@ -136,18 +138,19 @@
                 town.revive(name);
             }
             2 => {
-                // The primary dies, and one that had applied all takes over a little later.
-                let primary = names.into_iter().find(|name| town.is_primary(name)).expect("there is one");
-                let next = names[(names.iter().position(|name| *name == primary).unwrap_or(0) + 1) % 3];
+                // The primary crashes, and a host that has applied everything is promoted later.
+                let primary = names.into_iter().find(|name| town.is_primary(name)).expect("a primary");
+                let next_primary =
+                    names[(names.iter().position(|name| *name == primary).unwrap_or(0) + 1) % 3];
                 town.kill(primary);
                 std::thread::sleep(Duration::from_millis(150));
-                town.act(next, Act::Serve);
-                town.hand_over(next);
+                town.act(next_primary, Act::Serve);
+                town.hand_over(next_primary);
                 std::thread::sleep(Duration::from_millis(100));
                 town.revive(primary);
             }
             _ => {
-                town.act(name, acts[rng.usize(0..acts.len())]);
+                town.act(name, faults[rng.usize(0..faults.len())]);
                 std::thread::sleep(Duration::from_millis(150));
                 town.act(name, Act::Serve);
             }
@@ -156,52 +159,54 @@
     }
 }
 
-fn suite<C: Speaks>(flight_hosts: bool, flight_clients: bool, seed: u64) {
+fn run_suite<C: Speaks>(flight_hosts: bool, flight_clients: bool, seed: u64) {
     let town = Town::start(&specs(3, flight_hosts));
     let router = start(&town, flight_hosts, "");
-    let at = if flight_clients { router.flight.expect("it serves Flight SQL") } else { router.address };
+    let router_address =
+        if flight_clients { router.flight.expect("a Flight SQL address") } else { router.address };
     let ids = Arc::new(AtomicU64::new(1));
-    let until = Instant::now() + Duration::from_millis(3500);
+    let deadline = Instant::now() + Duration::from_millis(3500);
     let runtime = runtime();
-    let clients: Vec<_> =
-        (1..=8).map(|session| runtime.spawn(play::<C>(at, session, ids.clone(), seed, until))).collect();
-    trouble(&town, seed, until - Duration::from_millis(500));
-    let all: Vec<Told> = runtime.block_on(async {
+    let clients: Vec<_> = (1..=8)
+        .map(|session| runtime.spawn(run_client::<C>(router_address, session, ids.clone(), seed, deadline)))
+        .collect();
+    inject_faults(&town, seed, deadline - Duration::from_millis(500));
+    let replies: Vec<Replies> = runtime.block_on(async {
         futures::future::join_all(clients).await.into_iter().map(Result::unwrap).collect()
     });
-    let broken: Vec<&String> = all.iter().flat_map(|told| &told.broken).collect();
-    assert!(broken.is_empty(), "seed {seed}: {broken:#?}");
-    let answered: u64 = all.iter().map(|told| told.answered).sum();
-    let acked: Vec<u64> = all.iter().flat_map(|told| told.acked.clone()).collect();
+    let violations: Vec<&String> = replies.iter().flat_map(|replies| &replies.violations).collect();
+    assert!(violations.is_empty(), "seed {seed}: {violations:#?}");
+    let answered: u64 = replies.iter().map(|replies| replies.answered).sum();
+    let acked: Vec<u64> = replies.iter().flat_map(|replies| replies.acked.clone()).collect();
     assert!(answered > 300 && acked.len() > 50, "{answered} answered, {} writes acked", acked.len());
     let ledger = town.ledger();
-    let held: HashSet<String> = town.log(7).into_iter().map(|record| record.turn).collect();
+    let logged: HashSet<String> = town.log(7).into_iter().map(|record| record.turn).collect();
     for turn in &acked {
-        assert!(held.contains(&format!("{turn:016x}")), "seed {seed}: an acked write is not there");
+        assert!(logged.contains(&format!("{turn:016x}")), "seed {seed}: an acked write is lost");
     }
     for (turn, places) in &ledger.applied {
         assert_eq!(places.len(), 1, "seed {seed}: {turn} ran {places:?}");
     }
-    for turn in all.iter().flat_map(|told| &told.busy) {
+    for turn in replies.iter().flat_map(|replies| &replies.busy) {
         let applied = ledger.applied.contains_key(&format!("{turn:016x}"));
-        assert!(!applied, "seed {seed}: {turn:016x} was given back as never run, and ran");
+        assert!(!applied, "seed {seed}: {turn:016x} got a busy reply, but ran");
     }
     for name in ["p-0", "r-0", "r-1", "r-2"] {
-        assert_eq!(town.late(name), 0, "seed {seed}: {name} had new work long after it was told to drain");
+        assert_eq!(town.late(name), 0, "seed {seed}: {name} got new ops long after its drain started");
     }
 }
 
 #[test]
-fn postgresql_clients_before_postgresql_hosts() {
-    [1, 2].into_iter().for_each(|seed| suite::<Client>(false, false, seed));
+fn postgresql_clients_with_postgresql_hosts() {
+    [1, 2].into_iter().for_each(|seed| run_suite::<Client>(false, false, seed));
 }
 
 #[test]
-fn flight_sql_clients_before_flight_sql_hosts() {
-    [1, 2, 3].into_iter().for_each(|seed| suite::<FlightClient>(true, true, seed));
+fn flight_sql_clients_with_flight_sql_hosts() {
+    [1, 2, 3].into_iter().for_each(|seed| run_suite::<FlightClient>(true, true, seed));
 }
 
 #[test]
-fn flight_sql_clients_before_postgresql_hosts() {
-    [1, 2].into_iter().for_each(|seed| suite::<FlightClient>(false, true, seed));
+fn flight_sql_clients_with_postgresql_hosts() {
+    [1, 2].into_iter().for_each(|seed| run_suite::<FlightClient>(false, true, seed));
 }
--- a/crates/arrowyard-flight-daemon/tests/streams.rs
+++ b/crates/arrowyard-flight-daemon/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Results in batches, tickets, handles and statuses over sockets, with the cases that each bound is there for.
+//! Results, tickets, prepared statements, statuses and limits of Flight SQL, tested over sockets.
 
 mod helpers;
 
@@ -22,8 +22,8 @@
 use helpers::{BUY, OWN, STANDINGS, SUBMIT, VIEW, ask, runtime, specs, start, start_with};
 use tonic::Code;
 
-/// Hosts that answer with so many batches of so many bytes.
-fn wide(batches: usize, batch_bytes: usize) -> Town {
+/// Starts hosts that answer with this number of batches of this size.
+fn start_hosts(batches: usize, batch_bytes: usize) -> Town {
     let specs: Vec<Spec> =
         specs(1, true).into_iter().map(|spec| Spec { batches, batch_bytes, ..spec }).collect();
     Town::start(&specs)
@@ -32,36 +32,36 @@
 fn code(error: &FlightError) -> Code {
     match error {
         FlightError::Tonic(status) => status.code(),
-        other => panic!("no status: {other}"),
+        other => panic!("not a gRPC status: {other}"),
     }
 }
 
 async fn connect(router: &Process) -> FlightClient {
-    FlightClient::connect(flight_of_any(router)).await.expect("it lets clients in")
+    FlightClient::connect(flight_address(router)).await.expect("the router accepts clients")
 }
 
-/// Where hosts speak Flight SQL, that is the only address.
-fn flight_of_any(router: &Process) -> std::net::SocketAddr {
+/// The router's Flight SQL address, which is its only one if the hosts speak Flight SQL.
+fn flight_address(router: &Process) -> std::net::SocketAddr {
     router.flight.unwrap_or(router.address)
 }
 
-async fn plan(client: &mut FlightClient, ask: &Ask<'_>) -> Ticket {
-    let info = client.inner.execute(ask.statement(), None).await.expect("it is planned");
-    info.endpoint[0].ticket.clone().expect("a plan has its ticket")
+async fn plan(client: &mut FlightClient, request: &Ask<'_>) -> Ticket {
+    let info = client.inner.execute(request.statement(), None).await.expect("planning succeeds");
+    info.endpoint[0].ticket.clone().expect("the plan has a ticket")
 }
 
 #[test]
-fn a_result_is_passed_on_whole_whether_it_is_held_or_not() {
-    for (held, batches, bytes) in
+fn buffered_and_streamed_results_are_complete() {
+    for (settings, batches, bytes) in
         [("held_bytes: 1000000", 5, 1000), ("held_bytes: 2000", 40, 5000), ("held_bytes: 0", 3, 10)]
     {
-        let town = wide(batches, bytes);
-        let router = start(&town, true, held);
+        let town = start_hosts(batches, bytes);
+        let router = start(&town, true, settings);
         runtime().block_on(async {
             let mut client = connect(&router).await;
-            let all = client.query(&ask(STANDINGS, 1, 5).statement()).await.expect("it is served");
-            assert_eq!(all.iter().map(RecordBatch::num_rows).sum::<usize>(), batches);
-            let last = all.last().expect("there are some").column(0).as_binary::<i32>().value(0).to_vec();
+            let result = client.query(&ask(STANDINGS, 1, 5).statement()).await.expect("the call succeeds");
+            assert_eq!(result.iter().map(RecordBatch::num_rows).sum::<usize>(), batches);
+            let last = result.last().expect("a batch").column(0).as_binary::<i32>().value(0).to_vec();
             assert_eq!(last, vec![(batches - 1) as u8; bytes]);
             assert_eq!(town.ledger().commands.values().sum::<u64>(), 1);
         });
@@ -69,26 +69,27 @@
 }
 
 #[test]
-fn a_cut_of_a_held_result_is_repaired_and_one_of_a_passed_result_is_told() {
-    // After the first, a middle and the last batch, before its trailers.
-    for cut in [1, 3, 6] {
-        for held in [true, false] {
-            let town = wide(6, 1000);
-            let router = start(&town, true, if held { "held_bytes: 1000000" } else { "held_bytes: 0" });
+fn an_interrupted_result_is_retried_if_buffered_and_reported_if_streamed() {
+    // After the first, a middle and the last batch, before the trailers.
+    for sent_batches in [1, 3, 6] {
+        for is_buffered in [true, false] {
+            let town = start_hosts(6, 1000);
+            let router =
+                start(&town, true, if is_buffered { "held_bytes: 1000000" } else { "held_bytes: 0" });
             runtime().block_on(async {
                 let mut client = connect(&router).await;
-                town.act("r-0", Act::CutAfter(cut));
-                let told = client.query(&ask(STANDINGS, 1, 5).statement()).await;
-                if held {
-                    let all = told.expect("another host serves it");
-                    assert_eq!(all.len(), 6);
-                    assert!(first(&all).starts_with("p-0"), "{}", first(&all));
+                town.act("r-0", Act::CutAfter(sent_batches));
+                let result = client.query(&ask(STANDINGS, 1, 5).statement()).await;
+                if is_buffered {
+                    let batches = result.expect("another host serves the query");
+                    assert_eq!(batches.len(), 6);
+                    assert!(first(&batches).starts_with("p-0"), "{}", first(&batches));
                 } else {
-                    assert_eq!(code(&told.expect_err("a part is no result")), Code::Aborted);
+                    assert_eq!(code(&result.expect_err("the result is incomplete")), Code::Aborted);
                     assert_eq!(
                         town.ledger().commands.get("p-0"),
                         None,
-                        "what the client saw a part of is not sent again"
+                        "a partly streamed query is not retried"
                     );
                 }
             });
@@ -97,16 +98,16 @@
 }
 
 #[test]
-fn a_stream_is_cut_while_its_primary_dies_and_a_write_runs_once() {
+fn writes_run_once_and_own_reads_are_consistent_when_the_primary_fails() {
     let town = Town::start(&specs(2, true));
     let router = start(&town, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
         assert!(matches!(client.ask(&ask(SUBMIT, 1, 5)).await, Reply::Value(_)));
-        // An update whose answer is lost after it ran: with a token it is sent again, without one it is not.
+        // An update whose response is lost after it ran is retried with a token, and not without one.
         town.act("p-0", Act::LoseAnswer);
-        let buying = client.ask(&ask(BUY, 2, 5)).await;
-        assert!(matches!(&buying, Reply::Error(why) if why.contains("may have run")), "{buying:?}");
+        let bought = client.ask(&ask(BUY, 2, 5)).await;
+        assert!(matches!(&bought, Reply::Error(reason) if reason.contains("may have run")), "{bought:?}");
         let submitting = tokio::spawn({
             let mut client = connect(&router).await;
             async move { client.ask(&ask(SUBMIT, 3, 5)).await }
@@ -115,12 +116,12 @@
             tokio::task::yield_now().await;
         }
         town.act("p-0", Act::Serve);
-        let submitted = submitting.await.expect("it ends");
+        let submitted = submitting.await.expect("the task ends");
         assert!(matches!(submitted, Reply::Value(_)), "{submitted:?}");
         for turn in ["0000000000000001", "0000000000000002", "0000000000000003"] {
             assert_eq!(town.ledger().applied[turn].len(), 1, "{turn}");
         }
-        // Its primary dies as it reads its own; the new one has all.
+        // The primary crashes during a read of own writes; the new one has all writes.
         town.act("p-0", Act::CutAfter(0));
         let reading = tokio::spawn({
             let mut client = connect(&router).await;
@@ -128,25 +129,25 @@
         });
         town.kill("p-0");
         town.hand_over("r-0");
-        let read = reading.await.expect("it ends");
+        let read = reading.await.expect("the task ends");
         assert!(!matches!(&read, Reply::Value(value) if !value.ends_with("0000000000000003")), "{read:?}");
-        let until = Instant::now() + Duration::from_secs(10);
-        let mut number = 10;
+        let deadline = Instant::now() + Duration::from_secs(10);
+        let mut id = 10;
         loop {
-            number += 1;
-            match client.ask(&ask(OWN, number, 5)).await {
+            id += 1;
+            match client.ask(&ask(OWN, id, 5)).await {
                 Reply::Value(value) => {
                     assert!(value.ends_with("0000000000000003"), "{value}");
                     break;
                 }
-                _ => assert!(Instant::now() < until, "the new primary serves"),
+                _ => assert!(Instant::now() < deadline, "the new primary does not serve"),
             }
         }
     });
 }
 
 #[test]
-fn spoilt_and_mixed_up_results_are_nobodys_answer() {
+fn malformed_and_swapped_results_are_rejected() {
     for act in [Act::Spoil, Act::ServeTwice, Act::Mixed] {
         let town = Town::start(&specs(0, true));
         let router = start(&town, true, "");
@@ -161,7 +162,7 @@
                 assert_eq!(
                     town.ledger().applied["0000000000000002"].len(),
                     1,
-                    "it may have run, and is not sent again"
+                    "an update that may have run is not retried"
                 );
             }
             town.act("p-0", Act::Serve);
@@ -171,39 +172,47 @@
 }
 
 #[test]
-fn one_token_by_both_protocols_at_once_has_one_effect_and_a_session_sees_its_write_by_the_other() {
+fn tokens_and_sessions_apply_across_both_protocols() {
     let town = Town::start(&specs(2, false));
     let router = start(&town, false, "");
     runtime().block_on(async {
-        let (mut flight, mut pg) =
-            (connect(&router).await, Client::connect(router.address).await.expect("it lets clients in"));
+        let (mut flight, mut pg) = (
+            connect(&router).await,
+            Client::connect(router.address).await.expect("the router accepts clients"),
+        );
         for turn in 1..40_u64 {
-            let (one, mut other) = (ask(SUBMIT, turn * 2, turn), ask(SUBMIT, turn * 2 + 1, turn));
-            other.token = one.token;
-            let statement = other.statement();
-            let (by_flight, by_pg) = tokio::join!(flight.ask(&one), pg.ask(&statement));
-            assert!(matches!(by_flight, Reply::Value(_)), "{by_flight:?}");
-            assert!(matches!(by_pg, Ok(Reply::Value(_))), "{by_pg:?}");
-            let wanted = format!("{:016x}", turn * 2);
-            assert_eq!(town.ledger().applied[&wanted].len(), 1);
-            let own = ask(OWN, turn * 2 + 1000, turn);
-            let Ok(Reply::Value(by_pg)) = pg.ask(&own.statement()).await else { panic!("it is served") };
-            let Reply::Value(by_flight) = flight.ask(&own).await else { panic!("it is served") };
-            assert!(by_pg.ends_with(&wanted) && by_flight.ends_with(&wanted), "{by_pg}, {by_flight}");
+            let (flight_request, mut pg_request) =
+                (ask(SUBMIT, turn * 2, turn), ask(SUBMIT, turn * 2 + 1, turn));
+            pg_request.token = flight_request.token;
+            let statement = pg_request.statement();
+            let (flight_reply, pg_reply) = tokio::join!(flight.ask(&flight_request), pg.ask(&statement));
+            assert!(matches!(flight_reply, Reply::Value(_)), "{flight_reply:?}");
+            assert!(matches!(pg_reply, Ok(Reply::Value(_))), "{pg_reply:?}");
+            let expected = format!("{:016x}", turn * 2);
+            assert_eq!(town.ledger().applied[&expected].len(), 1);
+            let own_read = ask(OWN, turn * 2 + 1000, turn);
+            let Ok(Reply::Value(pg_reply)) = pg.ask(&own_read.statement()).await else {
+                panic!("the call failed")
+            };
+            let Reply::Value(flight_reply) = flight.ask(&own_read).await else { panic!("the call failed") };
+            assert!(
+                pg_reply.ends_with(&expected) && flight_reply.ends_with(&expected),
+                "{pg_reply}, {flight_reply}"
+            );
         }
     });
 }
 
 #[test]
-fn the_bound_on_age_is_kept_while_all_replicas_lag_and_counts_from_the_redemption() {
-    let mut all = specs(2, true);
-    all.iter_mut().filter(|spec| !spec.primary).for_each(|spec| spec.lag = Duration::from_millis(350));
-    let town = Town::start(&all);
+fn the_staleness_bound_holds_with_lagging_replicas_and_counts_from_the_redemption() {
+    let mut host_specs = specs(2, true);
+    host_specs.iter_mut().filter(|spec| !spec.primary).for_each(|spec| spec.lag = Duration::from_millis(350));
+    let town = Town::start(&host_specs);
     let router = start(&town, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
         assert!(matches!(client.ask(&ask(SUBMIT, 1, 5)).await, Reply::Value(_)));
-        // Planned now, redeemed 400 ms later: what was young then is too old now.
+        // The ticket is redeemed 400 ms later, when a copy that was fresh at the planning is too old.
         let ticket = plan(&mut client, &ask(VIEW, 2, 5)).await;
         assert!(matches!(client.ask(&ask(SUBMIT, 3, 5)).await, Reply::Value(_)));
         tokio::time::sleep(Duration::from_millis(400)).await;
@@ -211,83 +220,86 @@
             .inner
             .do_get(ticket)
             .await
-            .expect("it is served")
+            .expect("the call succeeds")
             .try_collect()
             .await
-            .expect("it is whole");
+            .expect("a complete result");
         assert!(first(&batches).ends_with("0000000000000003"), "{}", first(&batches));
-        for number in 4..20 {
-            assert!(matches!(client.ask(&ask(SUBMIT, 100 + number, 6)).await, Reply::Value(_)));
-            let Reply::Value(value) = client.ask(&ask(VIEW, number, 6)).await else { panic!("it is served") };
+        for id in 4..20 {
+            assert!(matches!(client.ask(&ask(SUBMIT, 100 + id, 6)).await, Reply::Value(_)));
+            let Reply::Value(value) = client.ask(&ask(VIEW, id, 6)).await else { panic!("the call failed") };
             assert!(
                 value.starts_with("p-0"),
-                "a replica 350 ms behind was read with a bound of 300: {value}"
+                "a read with a staleness bound of 300 ms used a replica 350 ms behind: {value}"
             );
         }
     });
 }
 
 #[test]
-fn tickets_are_good_once_and_in_their_time() {
+fn tickets_are_valid_once_and_until_they_expire() {
     let town = Town::start(&specs(0, true));
     let router = start(&town, true, "ticket_ms: 300");
     runtime().block_on(async {
         let mut client = connect(&router).await;
         let ticket = plan(&mut client, &ask(STANDINGS, 1, 5)).await;
-        let get =
+        let redeem =
             async |client: &mut FlightClient, ticket: Ticket| -> Result<Vec<RecordBatch>, FlightError> {
                 client.inner.do_get(ticket).await?.try_collect().await
             };
-        assert!(get(&mut client, ticket.clone()).await.is_ok());
+        assert!(redeem(&mut client, ticket.clone()).await.is_ok());
         assert_eq!(
-            code(&get(&mut client, ticket.clone()).await.expect_err("twice")),
+            code(&redeem(&mut client, ticket.clone()).await.expect_err("already redeemed")),
             Code::FailedPrecondition
         );
-        let late = plan(&mut client, &ask(STANDINGS, 2, 5)).await;
+        let expired = plan(&mut client, &ask(STANDINGS, 2, 5)).await;
         tokio::time::sleep(Duration::from_millis(310)).await;
-        assert_eq!(code(&get(&mut client, late).await.expect_err("late")), Code::FailedPrecondition);
-        let mut spoilt = ticket.ticket.to_vec();
-        let last = spoilt.len() - 1;
-        spoilt[last] ^= 1;
+        assert_eq!(code(&redeem(&mut client, expired).await.expect_err("expired")), Code::FailedPrecondition);
+        let mut changed = ticket.ticket.to_vec();
+        let last = changed.len() - 1;
+        changed[last] ^= 1;
         assert_eq!(
-            code(&get(&mut client, Ticket { ticket: spoilt.into() }).await.expect_err("spoilt")),
+            code(&redeem(&mut client, Ticket { ticket: changed.into() }).await.expect_err("changed")),
             Code::InvalidArgument
         );
-        assert_eq!(town.ledger().commands.values().sum::<u64>(), 1, "one of four reached a host");
+        assert_eq!(town.ledger().commands.values().sum::<u64>(), 1, "one of four redemptions reaches a host");
     });
 }
 
 #[test]
-fn what_was_given_back_as_busy_comes_again_with_the_same_ticket() {
+fn a_ticket_is_valid_again_after_a_busy_reply() {
     let town = Town::start(&specs(0, true));
     let router = start(&town, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
         town.act("p-0", Act::TurnAway);
         let ticket = plan(&mut client, &ask(VIEW, 3, 5)).await;
-        let refused = match client.inner.do_get(ticket.clone()).await {
-            Ok(flow) => flow.try_collect::<Vec<_>>().await.expect_err("nobody serves it"),
-            Err(refused) => refused,
+        let error = match client.inner.do_get(ticket.clone()).await {
+            Ok(batches) => batches.try_collect::<Vec<_>>().await.expect_err("no host serves the query"),
+            Err(error) => error,
         };
-        assert!(matches!(reply(&refused), Reply::Busy(Some(_))), "{refused}");
+        assert!(matches!(reply(&error), Reply::Busy(Some(_))), "{error}");
         town.act("p-0", Act::Serve);
-        let until = Instant::now() + Duration::from_secs(10);
+        let deadline = Instant::now() + Duration::from_secs(10);
         loop {
-            // It may be given back once more while the host is found well again; it is never spent by that.
-            let told = match client.inner.do_get(ticket.clone()).await {
-                Ok(flow) => flow.try_collect::<Vec<RecordBatch>>().await,
-                Err(refused) => Err(refused),
+            // Further busy replies may come until the host counts as healthy again; they leave the ticket
+            // valid too.
+            let result = match client.inner.do_get(ticket.clone()).await {
+                Ok(batches) => batches.try_collect::<Vec<RecordBatch>>().await,
+                Err(error) => Err(error),
             };
-            match told {
+            match result {
                 Ok(batches) => break assert!(first(&batches).starts_with("p-0")),
-                Err(why) => assert!(matches!(reply(&why), Reply::Busy(_)) && Instant::now() < until, "{why}"),
+                Err(error) => {
+                    assert!(matches!(reply(&error), Reply::Busy(_)) && Instant::now() < deadline, "{error}")
+                }
             }
         }
     });
 }
 
 #[test]
-fn prepared_statements_are_made_bound_run_and_closed() {
+fn prepared_statements_are_created_bound_executed_and_closed() {
     let town = Town::start(&specs(0, false));
     let router = start(&town, false, "handles: 2");
     runtime().block_on(async {
@@ -298,121 +310,142 @@
             client.set_header(name, value);
         }
         let text = "SELECT payload FROM entries WHERE ref = $1".to_string();
-        let mut prepared = client.prepare(text.clone(), None).await.expect("it is prepared");
-        assert_eq!(prepared.parameter_schema().expect("it has one").fields().len(), 1);
+        let mut prepared = client.prepare(text.clone(), None).await.expect("preparing succeeds");
+        assert_eq!(prepared.parameter_schema().expect("a parameter schema").fields().len(), 1);
         let key: ArrayRef = std::sync::Arc::new(StringArray::from(vec!["it's"]));
         prepared
             .set_parameters(RecordBatch::try_from_iter([("$1", key)]).expect("one column"))
-            .expect("they are taken");
-        let info = prepared.execute().await.expect("it is planned");
-        let ticket = info.endpoint[0].ticket.clone().expect("a plan has its ticket");
-        let batches: Vec<RecordBatch> =
-            client.do_get(ticket).await.expect("it is served").try_collect().await.expect("it is whole");
+            .expect("valid parameters");
+        let info = prepared.execute().await.expect("planning succeeds");
+        let ticket = info.endpoint[0].ticket.clone().expect("the plan has a ticket");
+        let batches: Vec<RecordBatch> = client
+            .do_get(ticket)
+            .await
+            .expect("the call succeeds")
+            .try_collect()
+            .await
+            .expect("a complete result");
         assert_eq!(first(&batches), "p-0 -");
         assert!(town.heard("p-0")[0].1.ends_with("WHERE ref = 'it''s'"), "{:?}", town.heard("p-0"));
-        let second = client.prepare(text.clone(), None).await.expect("there is room for two");
-        let Err(full) = client.prepare(text.clone(), None).await else {
-            panic!("there is no room for three")
+        let second = client.prepare(text.clone(), None).await.expect("below the limit of 2");
+        let Err(error) = client.prepare(text.clone(), None).await else {
+            panic!("the limit of 2 is exceeded")
         };
-        assert!(full.to_string().contains("more than are kept"), "{full}");
-        second.close().await.expect("it is closed");
+        assert!(error.to_string().contains("more than are kept"), "{error}");
+        second.close().await.expect("closing succeeds");
         assert!(client.prepare(text, None).await.is_ok());
     });
 }
 
 #[test]
-fn what_is_not_offered_says_so_and_questions_about_the_server_are_answered() {
+fn unsupported_calls_are_rejected_and_server_metadata_is_returned() {
     let town = Town::start(&specs(0, true));
     let router = start(&town, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await.inner;
-        let not_here = client.begin_transaction().await.expect_err("there are none");
-        assert!(not_here.to_string().contains("no transactions are offered"), "{not_here}");
-        let within = client.execute(ask(VIEW, 1, 5).statement(), Some(vec![1].into())).await;
-        assert_eq!(code(&within.expect_err("no transactions")), Code::Unimplemented);
-        async fn all(
+        let error = client.begin_transaction().await.expect_err("unsupported");
+        assert!(error.to_string().contains("no transactions are offered"), "{error}");
+        let result = client.execute(ask(VIEW, 1, 5).statement(), Some(vec![1].into())).await;
+        assert_eq!(code(&result.expect_err("no transactions")), Code::Unimplemented);
+        async fn fetch_all(
             client: &mut FlightSqlServiceClient<tonic::transport::Channel>,
             info: arrow_flight::FlightInfo,
         ) -> Vec<RecordBatch> {
-            let ticket = info.endpoint[0].ticket.clone().expect("a plan has its ticket");
-            client.do_get(ticket).await.expect("it is answered").try_collect().await.expect("it is whole")
+            let ticket = info.endpoint[0].ticket.clone().expect("the plan has a ticket");
+            client
+                .do_get(ticket)
+                .await
+                .expect("the call succeeds")
+                .try_collect()
+                .await
+                .expect("a complete result")
         }
         let info = client
             .get_sql_info(vec![SqlInfo::FlightSqlServerName, SqlInfo::FlightSqlServerTransaction])
             .await;
-        let rows: usize =
-            all(&mut client, info.expect("it is planned")).await.iter().map(RecordBatch::num_rows).sum();
+        let rows: usize = fetch_all(&mut client, info.expect("planning succeeds"))
+            .await
+            .iter()
+            .map(RecordBatch::num_rows)
+            .sum();
         assert_eq!(rows, 2);
         let tables = CommandGetTables { include_schema: true, ..CommandGetTables::default() };
-        let info = client.get_tables(tables).await.expect("it is planned");
-        assert_eq!(all(&mut client, info).await.iter().map(RecordBatch::num_rows).sum::<usize>(), 0);
-        let info = client.get_catalogs().await.expect("it is planned");
-        all(&mut client, info).await;
+        let info = client.get_tables(tables).await.expect("planning succeeds");
+        assert_eq!(fetch_all(&mut client, info).await.iter().map(RecordBatch::num_rows).sum::<usize>(), 0);
+        let info = client.get_catalogs().await.expect("planning succeeds");
+        fetch_all(&mut client, info).await;
         for info in [
             client.get_primary_keys(CommandGetPrimaryKeys::default()).await,
             client.get_exported_keys(CommandGetExportedKeys::default()).await,
             client.get_imported_keys(CommandGetImportedKeys::default()).await,
             client.get_cross_reference(CommandGetCrossReference::default()).await,
         ] {
-            let told = all(&mut client, info.expect("it is planned")).await;
-            assert_eq!(told.iter().map(RecordBatch::num_rows).sum::<usize>(), 0);
+            let batches = fetch_all(&mut client, info.expect("planning succeeds")).await;
+            assert_eq!(batches.iter().map(RecordBatch::num_rows).sum::<usize>(), 0);
         }
-        assert_eq!(town.ledger().commands.len(), 0, "no host was asked");
-        // What is no op says why.
-        for (statement, why) in [
+        assert_eq!(town.ledger().commands.len(), 0, "no host got a statement");
+        // Statements that are no valid op are rejected with the reason.
+        for (statement, reason) in [
             ("SELECT 1", "neither d"),
             ("/* id=1,c=unheard,d=400,cluster=7 */ SELECT 1", "op type"),
             ("/* id=1,c=turn-submit,d=400,cluster=7 */ INSERT", "mark"),
         ] {
             let mut client = FlightClient { inner: client.clone() };
-            let told = client.query(statement).await.expect_err("it is no op");
-            assert!(code(&told) == Code::InvalidArgument && told.to_string().contains(why), "{told}");
+            let error = client.query(statement).await.expect_err("an invalid op");
+            assert!(code(&error) == Code::InvalidArgument && error.to_string().contains(reason), "{error}");
         }
     });
 }
 
 #[test]
-fn a_slow_reader_holds_bounded_memory_and_its_host_is_not_blamed() {
+fn a_slow_reader_uses_bounded_memory_and_is_interrupted_at_the_deadline() {
     // 400 batches of 64 KiB, read one at a time, while the host drains.
-    let town = wide(400, 64 * 1024);
+    let town = start_hosts(400, 64 * 1024);
     let router = start(&town, true, "held_bytes: 0");
     runtime().block_on(async {
-        let slow = FlightClient::connect_with(flight_of_any(&router), 128 * 1024).await;
-        let mut slow = slow.expect("it lets clients in");
+        let slow = FlightClient::connect_with(flight_address(&router), 128 * 1024).await;
+        let mut slow = slow.expect("the router accepts clients");
         let ticket = plan(&mut slow, &ask(STANDINGS, 1, 5)).await;
-        let mut flow = slow.inner.do_get(ticket).await.expect("it begins");
-        assert!(flow.next().await.expect("a batch").is_ok());
+        let mut stream = slow.inner.do_get(ticket).await.expect("the stream starts");
+        assert!(stream.next().await.expect("a batch").is_ok());
         town.drain("r-0");
-        let (_, before) = router.cost();
-        let began = Instant::now();
-        let mut read = 1;
+        let (_, memory_before) = router.cost();
+        let started = Instant::now();
+        let mut batches = 1;
         let end = loop {
             tokio::time::sleep(Duration::from_millis(50)).await;
-            match flow.next().await {
-                Some(Ok(_)) => read += 1,
+            match stream.next().await {
+                Some(Ok(_)) => batches += 1,
                 end => break end,
             }
         };
-        // Its op's time is 900 ms: what is still to come then is cut, and the client is told so.
-        let cut = end.expect("it is no end").expect_err("a part is no result");
-        assert_eq!(code(&cut), Code::Aborted);
-        assert!(read < 400 && began.elapsed() < Duration::from_millis(2500), "{read}, {:?}", began.elapsed());
-        let (_, after) = router.cost();
-        assert!(after < before + 8 * 1024, "{before} to {after} KB for a result of 25 MB");
-        // Others are served, by the host that is left, and nothing new went to the draining one.
+        // The op's deadline is 900 ms: the result is interrupted then, and the client gets an error.
+        let error = end.expect("the stream ends with an error").expect_err("the result is incomplete");
+        assert_eq!(code(&error), Code::Aborted);
+        assert!(
+            batches < 400 && started.elapsed() < Duration::from_millis(2500),
+            "{batches}, {:?}",
+            started.elapsed()
+        );
+        let (_, memory_after) = router.cost();
+        assert!(
+            memory_after < memory_before + 8 * 1024,
+            "{memory_before} to {memory_after} KB for a result of 25 MB"
+        );
+        // Other clients are served by the other host; the draining one gets nothing new.
         let mut other = connect(&router).await;
         assert!(matches!(other.ask(&ask(VIEW, 2, 5)).await, Reply::Value(value) if value.starts_with("p-0")));
     });
 }
 
 #[test]
-fn many_calls_on_one_connection_one_of_them_stuck_and_what_is_beyond_is_refused() {
+fn a_hanging_call_does_not_block_other_calls_on_its_connection() {
     let town = Town::start(&specs(1, true));
     let router = start(&town, true, "calls: 600");
     runtime().block_on(async {
         let client = connect(&router).await;
         town.act("r-0", Act::Hang);
-        let stuck = tokio::spawn({
+        let hanging = tokio::spawn({
             let mut client = FlightClient { inner: client.inner.clone() };
             async move { client.ask(&ask(STANDINGS, 1, 5)).await }
         });
@@ -420,46 +453,47 @@
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         town.act("r-0", Act::Serve);
-        let asked: Vec<_> = (10..510_u64)
+        let calls: Vec<_> = (10..510_u64)
             .map(|id| {
                 let mut client = FlightClient { inner: client.inner.clone() };
                 tokio::spawn(async move { client.ask(&ask(STANDINGS, id, id)).await })
             })
             .collect();
-        // How many are served at once is the module's to say; each is answered, and none is lost for the stuck one.
+        // The decision module limits how many ops run at once, but each call gets a reply.
         let mut served = 0;
-        for asked in asked {
-            match asked.await.expect("it ends") {
+        for call in calls {
+            match call.await.expect("the task ends") {
                 Reply::Value(_) => served += 1,
-                Reply::Busy(after) => assert!(after.is_some()),
-                Reply::Error(why) => panic!("{why}"),
+                Reply::Busy(retry_after) => assert!(retry_after.is_some()),
+                Reply::Error(reason) => panic!("{reason}"),
             }
         }
         assert!(served > 50, "{served} of 500");
-        // A burst dials once for every hundred streams, not once for each.
+        // A burst opens a connection per hundred streams, not per stream.
         for name in ["p-0", "r-0"] {
-            let lines: std::collections::HashSet<usize> =
-                town.heard(name).into_iter().map(|(line, _)| line).collect();
-            assert!(lines.len() <= 6, "{name}: {} connections", lines.len());
+            let connections: std::collections::HashSet<usize> =
+                town.heard(name).into_iter().map(|(connection, _)| connection).collect();
+            assert!(connections.len() <= 6, "{name}: {} connections", connections.len());
         }
-        let began = Instant::now();
-        let stuck = stuck.await.expect("it ends");
-        assert!(began.elapsed() < Duration::from_millis(1200), "{stuck:?} after {:?}", began.elapsed());
+        let started = Instant::now();
+        let reply = hanging.await.expect("the task ends");
+        assert!(started.elapsed() < Duration::from_millis(1200), "{reply:?} after {:?}", started.elapsed());
     });
 }
 
 #[test]
-fn a_client_that_leaves_calls_its_send_off_and_one_that_always_does_is_let_go() {
+fn a_connection_that_cancels_too_many_calls_is_closed_and_others_are_served() {
     let town = Town::start(&specs(0, true));
     let router = start(&town, true, "");
     runtime().block_on(async {
         let client = connect(&router).await;
-        let mut good = connect(&router).await;
+        let mut other = connect(&router).await;
         town.act("p-0", Act::Hang);
-        // How long a call takes to come differs from machine to machine: rounds of several lengths, till it is said.
-        let (until, mut id) = (Instant::now() + Duration::from_secs(10), 10_000);
-        while !router.said("takes back more calls than it may", Duration::ZERO) && Instant::now() < until {
-            let asked: Vec<_> = (0..24)
+        // The time that a call takes to reach the host depends on the machine, so that the rounds differ in
+        // length.
+        let (deadline, mut id) = (Instant::now() + Duration::from_secs(10), 10_000);
+        while !router.said("cancels too many calls", Duration::ZERO) && Instant::now() < deadline {
+            let calls: Vec<_> = (0..24)
                 .map(|_| {
                     id += 1;
                     let mut client = FlightClient { inner: client.inner.clone() };
@@ -467,65 +501,65 @@
                 })
                 .collect();
             tokio::time::sleep(Duration::from_millis(1 << (id % 5))).await;
-            asked.into_iter().for_each(|asked| asked.abort());
+            calls.into_iter().for_each(|call| call.abort());
         }
         town.act("p-0", Act::Serve);
-        let until = Instant::now() + Duration::from_secs(10);
+        let deadline = Instant::now() + Duration::from_secs(10);
         let mut id = 1_000_000;
-        while !matches!(good.ask(&ask(STANDINGS, id, 5)).await, Reply::Value(_)) {
+        while !matches!(other.ask(&ask(STANDINGS, id, 5)).await, Reply::Value(_)) {
             id += 1;
-            assert!(Instant::now() < until, "others are served");
+            assert!(Instant::now() < deadline, "the other client is not served");
         }
-        assert!(router.said("takes back more calls than it may", Duration::from_secs(5)));
+        assert!(router.said("cancels too many calls", Duration::from_secs(5)));
     });
 }
 
 #[test]
-fn calls_that_are_refused_were_not_taken_back() {
+fn rejected_calls_do_not_count_as_cancelled() {
     let town = Town::start(&specs(0, true));
     let router = start(&town, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
-        // More in a second than a client may take back.
+        // More calls per second than a client may cancel.
         for _ in 0..400 {
-            let within = client.inner.execute(ask(VIEW, 1, 5).statement(), Some(vec![1].into())).await;
-            assert_eq!(code(&within.expect_err("no transactions")), Code::Unimplemented);
+            let result = client.inner.execute(ask(VIEW, 1, 5).statement(), Some(vec![1].into())).await;
+            assert_eq!(code(&result.expect_err("no transactions")), Code::Unimplemented);
         }
         assert!(matches!(client.ask(&ask(STANDINGS, 2, 5)).await, Reply::Value(_)));
     });
 }
 
 #[test]
-fn a_planned_end_answers_what_was_taken_and_a_new_discovery_leaves_streams_alone() {
-    let town = wide(30, 10_000);
+fn streams_survive_a_new_discovery_address_and_complete_during_shutdown() {
+    let town = start_hosts(30, 10_000);
     let mut router = start(&town, true, "held_bytes: 0");
     let (old, new) = (town.discovery, town.discover());
     let file = waybill(&town, &helpers::OP_TYPES, 512).to_string();
     runtime().block_on(async {
         let mut client = connect(&router).await;
         let ticket = plan(&mut client, &ask(STANDINGS, 1, 5)).await;
-        let mut flow = client.inner.do_get(ticket).await.expect("it begins");
-        assert!(flow.next().await.expect("a batch").is_ok());
-        // Discovery is somewhere else from now on.
+        let mut stream = client.inner.do_get(ticket).await.expect("the stream starts");
+        assert!(stream.next().await.expect("a batch").is_ok());
+        // Discovery moves to another address.
         router.retell(&file.replace(&old.to_string(), &new.to_string()));
         while town.calls(new).is_empty() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        assert!(flow.next().await.expect("a batch").is_ok());
-        let ending = std::thread::spawn(move || router.terminate());
+        assert!(stream.next().await.expect("a batch").is_ok());
+        let shutdown = std::thread::spawn(move || router.terminate());
         tokio::time::sleep(Duration::from_millis(100)).await;
-        let mut read = 2;
-        while let Some(batch) = flow.next().await {
-            batch.expect("it goes on to its end");
-            read += 1;
+        let mut batches = 2;
+        while let Some(batch) = stream.next().await {
+            batch.expect("the stream completes");
+            batches += 1;
         }
-        assert_eq!(read, 30);
-        assert_eq!(ending.join().expect("it ends"), Some(0));
+        assert_eq!(batches, 30);
+        assert_eq!(shutdown.join().expect("the task ends"), Some(0));
     });
 }
 
 #[test]
-fn an_update_that_is_cut_in_its_body_never_runs() {
+fn an_update_with_an_incomplete_request_does_not_run() {
     use arrow_flight::sql::{CommandStatementUpdate, ProstMessageExt};
     use arrow_flight::{FlightData, FlightDescriptor};
     use prost::Message;
@@ -536,45 +570,50 @@
         let command = CommandStatementUpdate { query: ask(BUY, 1, 5).statement(), transaction_id: None };
         let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
         let data = FlightData { flight_descriptor: Some(descriptor), ..FlightData::default() };
-        // The command came whole, and the stream never ends: then its client is gone.
-        let flow = futures::stream::iter([data]).chain(futures::stream::pending());
-        let asked = tokio::spawn({
+        // The command is sent completely, but the stream does not end before the client disconnects.
+        let request_stream = futures::stream::iter([data]).chain(futures::stream::pending());
+        let call = tokio::spawn({
             let mut client = client.inner.clone();
-            async move { client.do_put(tonic::Request::new(flow)).await.map(drop) }
+            async move { client.do_put(tonic::Request::new(request_stream)).await.map(drop) }
         });
         tokio::time::sleep(Duration::from_millis(100)).await;
-        asked.abort();
+        call.abort();
         assert!(matches!(client.ask(&ask(BUY, 2, 5)).await, Reply::Value(_)));
         assert_eq!(town.ledger().applied.keys().collect::<Vec<_>>(), ["0000000000000002"]);
     });
 }
 
 #[test]
-fn cells_hold_for_flight_sql_as_for_the_other_protocol() {
-    let mut all = specs(0, true);
-    all.extend(["a-0", "b-0"].map(|name| Spec { flight: true, ..Spec::new(name, 7, false) }));
-    let town = Town::start(&all);
+fn cells_apply_to_flight_sql() {
+    let mut host_specs = specs(0, true);
+    host_specs.extend(["a-0", "b-0"].map(|name| Spec { flight: true, ..Spec::new(name, 7, false) }));
+    let town = Town::start(&host_specs);
     let cells = r#"cells { cell { name: "a" host: "a-*" } cell { name: "b" host: "b-*" }
         tenant { name: "ann" cell: "a" } tenant { name: "bob" cell: "b" } repeats { share: 0.0 least: 3 window_ms: 60000 } }"#;
     let router = start_with(&town, true, "held_bytes: 0", cells);
     runtime().block_on(async {
         let mut client = connect(&router).await;
-        let of = |tenant, id, again| Ask { tenant, again, ..ask(STANDINGS, id, 5) };
+        let request_of = |tenant, id, again| Ask { tenant, again, ..ask(STANDINGS, id, 5) };
         for id in 0..20 {
-            for (tenant, own) in [("ann", "a-0"), ("bob", "b-0")] {
-                let reply = client.ask(&of(Some(tenant), id * 10 + u64::from(own == "a-0"), false)).await;
+            for (tenant, cell_host) in [("ann", "a-0"), ("bob", "b-0")] {
+                let reply = client
+                    .ask(&request_of(Some(tenant), id * 10 + u64::from(cell_host == "a-0"), false))
+                    .await;
                 let Reply::Value(value) = reply else { panic!("{reply:?}") };
-                assert!(value.starts_with(own) || value.starts_with("p-0"), "{tenant}: {value}");
+                assert!(value.starts_with(cell_host) || value.starts_with("p-0"), "{tenant}: {value}");
             }
         }
-        let stranger = client.ask(&of(Some("eve"), 500, false)).await;
-        assert!(matches!(&stranger, Reply::Error(why) if why.contains("no cell")), "{stranger:?}");
-        // Repeats spend the cell's own budget, and no other's.
+        let unknown = client.ask(&request_of(Some("eve"), 500, false)).await;
+        assert!(matches!(&unknown, Reply::Error(reason) if reason.contains("no cell")), "{unknown:?}");
+        // Retries use the budget of their own cell only.
         let mut busy = 0;
         for id in 600..606 {
-            busy += usize::from(matches!(client.ask(&of(Some("ann"), id, true)).await, Reply::Busy(Some(_))));
+            busy += usize::from(matches!(
+                client.ask(&request_of(Some("ann"), id, true)).await,
+                Reply::Busy(Some(_))
+            ));
         }
         assert_eq!(busy, 3);
-        assert!(matches!(client.ask(&of(Some("bob"), 700, true)).await, Reply::Value(_)));
+        assert!(matches!(client.ask(&request_of(Some("bob"), 700, true)).await, Reply::Value(_)));
     });
 }
--- a/crates/arrowyard-flight/src/bind.rs
+++ b/crates/arrowyard-flight/src/bind.rs
@@ -1,5 +1,5 @@
-//! Parameters of prepared statements: found in the text, and put there as literals. Hosts of PostgreSQL's simple
-//! protocol have no other place for them.
+//! Parameters of prepared statements: finds them in the text and substitutes literals, since PostgreSQL's
+//! simple query protocol cannot transfer them separately.
 
 use arrow_array::cast::AsArray;
 use arrow_array::types::{
@@ -10,17 +10,17 @@
 use arrow_schema::DataType;
 use bytes::{Buf, BufMut, BytesMut};
 
-use crate::status::Fault;
+use crate::status::CallError;
 
-/// Parameters of a statement at most.
-const MOST: usize = 256;
+/// The maximum number of parameters of a statement.
+const MAX_PARAMETERS: usize = 256;
 
-/// One value that stands for a parameter.
+/// The value of a parameter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Literal {
     Null,
     Bool(bool),
-    /// Of every width, signed or not.
+    /// An integer of any width, signed or unsigned.
     Int(i128),
     Float(f64),
     Text(String),
@@ -28,14 +28,14 @@
 }
 
 impl Literal {
-    /// As SQL text. A quote within text is doubled; a backslash is one character of it, as
-    /// `standard_conforming_strings` says.
-    fn put(&self, out: &mut String) -> Result<(), Fault> {
+    /// Appends the SQL text. Quotes in strings are doubled; a backslash is an ordinary character, as
+    /// `standard_conforming_strings` defines.
+    fn write_sql(&self, out: &mut String) -> Result<(), CallError> {
         match self {
             Literal::Null => out.push_str("NULL"),
             Literal::Bool(true) => out.push_str("TRUE"),
             Literal::Bool(false) => out.push_str("FALSE"),
-            // Danger: `1-$1` with -2 in its place is a comment.
+            // Without parentheses, `1-$1` with -2 would become a comment.
             Literal::Int(number) if *number < 0 => out.push_str(&format!("({number})")),
             Literal::Int(number) => out.push_str(&number.to_string()),
             Literal::Float(number) if !number.is_finite() => {
@@ -51,9 +51,9 @@
                 ));
             }
             Literal::Float(number) => out.push_str(&format!("({number:?})")),
-            // Danger: the text that a host reads ends at its first NUL.
+            // A host would end the text at the first NUL.
             Literal::Text(text) if text.contains('\0') => {
-                return Err(Fault::NoOp("a parameter's text holds a NUL".to_string()));
+                return Err(CallError::InvalidOp("a parameter's text holds a NUL".to_string()));
             }
             Literal::Text(text) => {
                 out.push('\'');
@@ -74,37 +74,39 @@
         Ok(())
     }
 
-    pub(crate) fn pack(&self, out: &mut BytesMut) {
-        let mut bytes = |kind: u8, bytes: &[u8]| {
-            out.put_u8(kind);
+    /// Appends the encoding of the value in a handle.
+    pub(crate) fn encode(&self, out: &mut BytesMut) {
+        let mut put = |tag: u8, bytes: &[u8]| {
+            out.put_u8(tag);
             out.put_u32(bytes.len() as u32);
             out.put_slice(bytes);
         };
         match self {
-            Literal::Null => bytes(0, &[]),
-            Literal::Bool(told) => bytes(1, &[u8::from(*told)]),
-            Literal::Int(number) => bytes(2, &number.to_be_bytes()),
-            Literal::Float(number) => bytes(3, &number.to_be_bytes()),
-            Literal::Text(text) => bytes(4, text.as_bytes()),
-            Literal::Binary(binary) => bytes(5, binary),
+            Literal::Null => put(0, &[]),
+            Literal::Bool(flag) => put(1, &[u8::from(*flag)]),
+            Literal::Int(number) => put(2, &number.to_be_bytes()),
+            Literal::Float(number) => put(3, &number.to_be_bytes()),
+            Literal::Text(text) => put(4, text.as_bytes()),
+            Literal::Binary(binary) => put(5, binary),
         }
     }
 
-    pub(crate) fn unpack_all(mut packed: &[u8]) -> Option<Vec<Literal>> {
-        let mut all = Vec::new();
-        while !packed.is_empty() {
-            if packed.len() < 5 || all.len() >= MOST {
+    /// Decodes the values of a handle.
+    pub(crate) fn decode_all(mut encoded: &[u8]) -> Option<Vec<Literal>> {
+        let mut values = Vec::new();
+        while !encoded.is_empty() {
+            if encoded.len() < 5 || values.len() >= MAX_PARAMETERS {
                 return None;
             }
-            let (kind, length) = (packed.get_u8(), packed.get_u32() as usize);
-            if packed.len() < length {
+            let (tag, length) = (encoded.get_u8(), encoded.get_u32() as usize);
+            if encoded.len() < length {
                 return None;
             }
-            let (value, rest) = packed.split_at(length);
-            packed = rest;
-            all.push(match (kind, value) {
+            let (value, rest) = encoded.split_at(length);
+            encoded = rest;
+            values.push(match (tag, value) {
                 (0, []) => Literal::Null,
-                (1, [told]) => Literal::Bool(*told != 0),
+                (1, [flag]) => Literal::Bool(*flag != 0),
                 (2, number) => Literal::Int(i128::from_be_bytes(number.try_into().ok()?)),
                 (3, number) => Literal::Float(f64::from_be_bytes(number.try_into().ok()?)),
                 (4, text) => Literal::Text(String::from_utf8(text.to_vec()).ok()?),
@@ -112,134 +114,143 @@
                 _ => return None,
             });
         }
-        Some(all)
+        Some(values)
     }
 }
 
-/// Walks the text outside of quotes and comments; `found` is told each `$n`, where it begins and where it ends.
-fn walk(text: &str, mut found: impl FnMut(usize, usize, usize) -> Result<(), Fault>) -> Result<(), Fault> {
+/// Calls `on_parameter` with the number, start and end of each `$n` outside of quotes and comments.
+fn for_each_parameter(
+    text: &str,
+    mut on_parameter: impl FnMut(usize, usize, usize) -> Result<(), CallError>,
+) -> Result<(), CallError> {
     let bytes = text.as_bytes();
-    let mut at = 0;
+    let mut offset = 0;
     let after =
-        |from: usize, end: &str| text[from..].find(end).map_or(bytes.len(), |place| from + place + end.len());
-    while at < bytes.len() {
-        let two = bytes.get(at..at + 2).unwrap_or_default();
-        match bytes[at] {
-            // In an escape string a backslash keeps a quote within.
+        |from: usize, end: &str| text[from..].find(end).map_or(bytes.len(), |index| from + index + end.len());
+    while offset < bytes.len() {
+        let pair = bytes.get(offset..offset + 2).unwrap_or_default();
+        match bytes[offset] {
+            // In an escape string, a backslash escapes a quote.
             b'\''
-                if at > 0 && matches!(bytes[at - 1], b'e' | b'E') && !(at > 1 && is_name(bytes[at - 2])) =>
+                if offset > 0
+                    && matches!(bytes[offset - 1], b'e' | b'E')
+                    && !(offset > 1 && is_name_byte(bytes[offset - 2])) =>
             {
-                at += 1;
-                while at < bytes.len() && bytes[at] != b'\'' {
-                    at += if bytes[at] == b'\\' { 2 } else { 1 };
+                offset += 1;
+                while offset < bytes.len() && bytes[offset] != b'\'' {
+                    offset += if bytes[offset] == b'\\' { 2 } else { 1 };
                 }
-                at += 1;
+                offset += 1;
             }
             quote @ (b'\'' | b'"') => {
-                // A doubled quote ends one text and begins the next, which comes to the same.
+                // A doubled quote ends one string and starts the next, with the same result.
                 let end = if quote == b'\'' { "'" } else { "\"" };
-                at = after(at + 1, end);
+                offset = after(offset + 1, end);
             }
-            _ if two == b"--" => at = after(at, "\n"),
-            _ if two == b"/*" => {
-                // Comments nest.
-                let (mut depth, mut place) = (1, at + 2);
-                while depth > 0 && place < bytes.len() {
-                    match bytes.get(place..place + 2) {
-                        Some(b"/*") => (depth, place) = (depth + 1, place + 2),
-                        Some(b"*/") => (depth, place) = (depth - 1, place + 2),
-                        _ => place += 1,
+            _ if pair == b"--" => offset = after(offset, "\n"),
+            _ if pair == b"/*" => {
+                // Comments can be nested.
+                let (mut depth, mut end) = (1, offset + 2);
+                while depth > 0 && end < bytes.len() {
+                    match bytes.get(end..end + 2) {
+                        Some(b"/*") => (depth, end) = (depth + 1, end + 2),
+                        Some(b"*/") => (depth, end) = (depth - 1, end + 2),
+                        _ => end += 1,
                     }
                 }
-                at = place;
+                offset = end;
             }
             b'$' => {
-                let digits = bytes[at + 1..].iter().take_while(|byte| byte.is_ascii_digit()).count();
-                let end = at + 1 + digits;
-                // A `$` within a name is a part of it.
-                let within = at > 0 && is_name(bytes[at - 1]);
-                if digits > 0 && !within {
-                    let number = text[at + 1..end].parse().ok().filter(|number| (1..=MOST).contains(number));
-                    let number =
-                        number.ok_or_else(|| Fault::NoOp(format!("a parameter is none of $1 to ${MOST}")))?;
-                    found(number, at, end)?;
-                    at = end;
-                } else if !within && let Some(tag) = dollar_tag(&text[at..]) {
-                    at = after(at + tag.len(), tag);
+                let digits = bytes[offset + 1..].iter().take_while(|byte| byte.is_ascii_digit()).count();
+                let end = offset + 1 + digits;
+                // A `$` inside a name is a part of the name.
+                let in_name = offset > 0 && is_name_byte(bytes[offset - 1]);
+                if digits > 0 && !in_name {
+                    let number = text[offset + 1..end]
+                        .parse()
+                        .ok()
+                        .filter(|number| (1..=MAX_PARAMETERS).contains(number));
+                    let number = number.ok_or_else(|| {
+                        CallError::InvalidOp(format!("a parameter is none of $1 to ${MAX_PARAMETERS}"))
+                    })?;
+                    on_parameter(number, offset, end)?;
+                    offset = end;
+                } else if !in_name && let Some(tag) = dollar_tag(&text[offset..]) {
+                    offset = after(offset + tag.len(), tag);
                 } else {
-                    at = end;
+                    offset = end;
                 }
             }
-            _ => at += 1,
+            _ => offset += 1,
         }
     }
     Ok(())
 }
 
-fn is_name(byte: u8) -> bool {
+fn is_name_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || byte == b'_' || byte >= 0x80
 }
 
-/// The `$tag$` with which a quoted text begins.
+/// The `$tag$` that starts a dollar-quoted string.
 fn dollar_tag(text: &str) -> Option<&str> {
     let end = text[1..].find('$')? + 2;
     let name = &text[1..end - 1];
-    name.bytes().all(is_name).then_some(&text[..end])
+    name.bytes().all(is_name_byte).then_some(&text[..end])
 }
 
-/// How many parameters the statement has: the highest `$n`.
+/// The number of parameters of the statement, which is the highest `$n`.
 ///
 /// # Errors
-/// A number that is none.
-pub fn count(text: &str) -> Result<usize, Fault> {
-    let mut most = 0;
-    walk(text, |number, _, _| {
-        most = most.max(number);
+/// A parameter number is out of range.
+pub fn parameter_count(text: &str) -> Result<usize, CallError> {
+    let mut highest = 0;
+    for_each_parameter(text, |number, _, _| {
+        highest = highest.max(number);
         Ok(())
     })?;
-    Ok(most)
+    Ok(highest)
 }
 
-/// The statement with the values in the places of its parameters.
+/// Replaces the parameters of the statement by the values.
 ///
 /// # Errors
-/// There are more or fewer values than parameters, or one has no SQL text.
-pub fn put(text: &str, values: &[Literal]) -> Result<String, Fault> {
-    let parameters = count(text)?;
+/// The number of values is not the number of parameters, or a value cannot be written as SQL.
+pub fn substitute(text: &str, values: &[Literal]) -> Result<String, CallError> {
+    let parameters = parameter_count(text)?;
     if parameters != values.len() {
-        return Err(Fault::NoOp(format!(
+        return Err(CallError::InvalidOp(format!(
             "the statement has {parameters} parameters, and {} are bound",
             values.len()
         )));
     }
-    let (mut whole, mut done) = (String::with_capacity(text.len()), 0);
-    walk(text, |number, from, to| {
-        whole.push_str(&text[done..from]);
-        done = to;
-        values[number - 1].put(&mut whole)
+    let (mut sql, mut copied_to) = (String::with_capacity(text.len()), 0);
+    for_each_parameter(text, |number, start, end| {
+        sql.push_str(&text[copied_to..start]);
+        copied_to = end;
+        values[number - 1].write_sql(&mut sql)
     })?;
-    whole.push_str(&text[done..]);
-    Ok(whole)
+    sql.push_str(&text[copied_to..]);
+    Ok(sql)
 }
 
-/// The values of a batch of parameters: one row, a column each.
+/// The parameter values of a batch: one row with a column per parameter.
 ///
 /// # Errors
-/// It has another number of rows, or a column of a type that has no SQL text here.
-pub fn literals(batch: &RecordBatch) -> Result<Vec<Literal>, Fault> {
-    if batch.num_rows() != 1 || batch.num_columns() > MOST {
-        return Err(Fault::NoOp(format!("parameters come as one row, not {}", batch.num_rows())));
+/// The batch does not have exactly one row, has too many columns, or has a column of an unsupported type.
+pub fn batch_literals(batch: &RecordBatch) -> Result<Vec<Literal>, CallError> {
+    if batch.num_rows() != 1 || batch.num_columns() > MAX_PARAMETERS {
+        return Err(CallError::InvalidOp(format!("parameters come as one row, not {}", batch.num_rows())));
     }
-    batch.columns().iter().map(|column| literal(column)).collect()
+    batch.columns().iter().map(|column| column_literal(column)).collect()
 }
 
-fn literal(column: &dyn Array) -> Result<Literal, Fault> {
+fn column_literal(column: &dyn Array) -> Result<Literal, CallError> {
     if column.is_null(0) {
         return Ok(Literal::Null);
     }
     macro_rules! number {
-        ($kind:ty) => {
-            column.as_primitive::<$kind>().value(0).into()
+        ($primitive:ty) => {
+            column.as_primitive::<$primitive>().value(0).into()
         };
     }
     Ok(match column.data_type() {
@@ -260,6 +271,6 @@
         DataType::Utf8View => Literal::Text(column.as_string_view().value(0).to_string()),
         DataType::Binary => Literal::Binary(column.as_binary::<i32>().value(0).to_vec()),
         DataType::LargeBinary => Literal::Binary(column.as_binary::<i64>().value(0).to_vec()),
-        other => return Err(Fault::NoOp(format!("a parameter of type {other} is not taken"))),
+        other => return Err(CallError::InvalidOp(format!("a parameter of type {other} is not taken"))),
     })
 }
--- a/crates/arrowyard-flight/src/frames.rs
+++ b/crates/arrowyard-flight/src/frames.rs
@@ -1,14 +1,15 @@
-//! What the frames of an HTTP/2 connection to a host (RFC 9113) tell of a send, beside what a library makes of them:
-//! whether the last byte of a request has left, and whether the host says that it never began on it. The bytes that
-//! passed are shown here as the socket took or gave them; only heads of frames and a few bytes of two kinds are kept.
+//! What the frames of an HTTP/2 connection to a host (RFC 9113) prove about a send, beyond what the HTTP/2
+//! library reports: whether the last byte of a request was written, and whether the host declared that it
+//! did not process it. Observes the bytes that the socket wrote or read, and stores only frame headers and
+//! a few bytes of payload.
 
 use std::collections::BTreeMap;
 
-/// The opening words of a client's connection.
-const PREFACE: usize = 24;
-const HEAD: usize = 9;
+/// Length of the client's connection preface.
+const PREFACE_BYTES: usize = 24;
+const HEADER_BYTES: usize = 9;
 
-mod kind {
+mod frame_type {
     pub const DATA: u8 = 0;
     pub const HEADERS: u8 = 1;
     pub const RST_STREAM: u8 = 3;
@@ -19,160 +20,175 @@
 const END_STREAM: u8 = 1;
 const REFUSED_STREAM: u32 = 7;
 
-/// The frame that passes just now.
+/// The frame being read.
 #[derive(Clone, Copy, Debug, Default)]
-struct Head {
-    kind: u8,
+struct FrameHeader {
+    frame_type: u8,
     flags: u8,
     stream: u32,
-    /// The bytes of it that are still to come.
-    left: usize,
+    /// Bytes of the payload that are still to come.
+    remaining: usize,
 }
 
-/// One direction of a connection, cut into frames.
+/// Splits one direction of a connection into frames.
 #[derive(Clone, Debug, Default)]
-struct Cutter {
-    /// Bytes that are skipped before the next frame.
+struct FrameDecoder {
+    /// Bytes to skip before the next frame.
     skip: usize,
-    head: [u8; HEAD],
-    have: usize,
-    frame: Option<Head>,
-    /// The first bytes of its payload.
-    start: [u8; 8],
-    started: usize,
+    header: [u8; HEADER_BYTES],
+    header_len: usize,
+    frame: Option<FrameHeader>,
+    /// The first bytes of the payload.
+    prefix: [u8; 8],
+    prefix_len: usize,
 }
 
-impl Cutter {
-    /// Takes bytes as they pass; `end` is called with each frame that is whole.
-    fn pass(&mut self, mut bytes: &[u8], mut end: impl FnMut(Head, &[u8])) {
+impl FrameDecoder {
+    /// Reads bytes and calls `on_frame` for each frame that is complete.
+    fn decode(&mut self, mut bytes: &[u8], mut on_frame: impl FnMut(FrameHeader, &[u8])) {
         let skipped = self.skip.min(bytes.len());
         self.skip -= skipped;
         bytes = &bytes[skipped..];
         loop {
             if let Some(frame) = &mut self.frame {
-                let now = frame.left.min(bytes.len());
-                let kept = now.min(self.start.len() - self.started);
-                self.start[self.started..self.started + kept].copy_from_slice(&bytes[..kept]);
-                self.started += kept;
-                frame.left -= now;
-                bytes = &bytes[now..];
-                if frame.left > 0 {
+                let consumed = frame.remaining.min(bytes.len());
+                let stored = consumed.min(self.prefix.len() - self.prefix_len);
+                self.prefix[self.prefix_len..self.prefix_len + stored].copy_from_slice(&bytes[..stored]);
+                self.prefix_len += stored;
+                frame.remaining -= consumed;
+                bytes = &bytes[consumed..];
+                if frame.remaining > 0 {
                     return;
                 }
-                end(*frame, &self.start[..self.started]);
-                (self.frame, self.have, self.started) = (None, 0, 0);
+                on_frame(*frame, &self.prefix[..self.prefix_len]);
+                (self.frame, self.header_len, self.prefix_len) = (None, 0, 0);
             }
             if bytes.is_empty() {
                 return;
             }
-            let now = (HEAD - self.have).min(bytes.len());
-            self.head[self.have..self.have + now].copy_from_slice(&bytes[..now]);
-            self.have += now;
-            bytes = &bytes[now..];
-            if self.have < HEAD {
+            let consumed = (HEADER_BYTES - self.header_len).min(bytes.len());
+            self.header[self.header_len..self.header_len + consumed].copy_from_slice(&bytes[..consumed]);
+            self.header_len += consumed;
+            bytes = &bytes[consumed..];
+            if self.header_len < HEADER_BYTES {
                 return;
             }
-            let [a, b, c, kind, flags, s0, s1, s2, s3] = self.head;
-            let left = u32::from_be_bytes([0, a, b, c]) as usize;
+            let [a, b, c, frame_type, flags, s0, s1, s2, s3] = self.header;
+            let remaining = u32::from_be_bytes([0, a, b, c]) as usize;
             let stream = u32::from_be_bytes([s0, s1, s2, s3]) & 0x7fff_ffff;
-            self.frame = Some(Head { kind, flags, stream, left });
+            self.frame = Some(FrameHeader { frame_type, flags, stream, remaining });
         }
     }
 }
 
-/// How far a request is.
+/// The progress of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Sent {
-    /// Its last byte has not left: on a connection that has ended it never will, and it never ran.
-    InPart,
-    /// It may have run.
-    Wholly,
-    /// The host says that it never began on it, and never will.
+pub enum RequestProgress {
+    /// The last byte is not written yet. If the connection has ended it never will be, and the request did
+    /// not run.
+    Incomplete,
+    /// The request is written completely and may have run.
+    Written,
+    /// The host declared that it did not process the request and never will.
     Refused,
 }
 
-/// What is known of the streams of one connection that this router opened and watches.
+/// Tracks the streams that this router opened on one connection.
 #[derive(Clone, Debug)]
-pub struct Frames {
-    out: Cutter,
-    back: Cutter,
-    streams: BTreeMap<u32, Sent>,
-    /// The host has told its settings: it is there, and speaks HTTP/2.
-    settled: bool,
-    /// The last stream that the host has begun on or will, once it is going away.
-    last: Option<u32>,
+pub struct FrameTracker {
+    sent: FrameDecoder,
+    received: FrameDecoder,
+    streams: BTreeMap<u32, RequestProgress>,
+    /// Whether the host's SETTINGS came, which shows that it is reachable and speaks HTTP/2.
+    settings_received: bool,
+    /// The last stream that the host processes, from its GOAWAY.
+    last_stream: Option<u32>,
 }
 
-impl Default for Frames {
+impl Default for FrameTracker {
     fn default() -> Self {
-        let out = Cutter { skip: PREFACE, ..Cutter::default() };
-        Frames { out, back: Cutter::default(), streams: BTreeMap::new(), settled: false, last: None }
+        let sent = FrameDecoder { skip: PREFACE_BYTES, ..FrameDecoder::default() };
+        FrameTracker {
+            sent,
+            received: FrameDecoder::default(),
+            streams: BTreeMap::new(),
+            settings_received: false,
+            last_stream: None,
+        }
     }
 }
 
-impl Frames {
-    /// A stream that was opened just now, none of whose bytes has passed.
-    pub fn watch(&mut self, stream: u32) {
-        // Danger: a stream opened as the host went away was not begun on, and there is no frame to come that says so.
-        let late = self.last.is_some_and(|last| stream > last);
-        self.streams.insert(stream, if late { Sent::Refused } else { Sent::InPart });
+impl FrameTracker {
+    /// Starts tracking a stream of which no byte is written yet.
+    pub fn track(&mut self, stream: u32) {
+        // A stream opened after the host's GOAWAY is not processed, and no later frame says so.
+        let is_refused = self.last_stream.is_some_and(|last| stream > last);
+        self.streams
+            .insert(stream, if is_refused { RequestProgress::Refused } else { RequestProgress::Incomplete });
     }
 
-    /// How far it is, as the last word.
-    pub fn forget(&mut self, stream: u32) -> Sent {
-        self.streams.remove(&stream).unwrap_or(Sent::Wholly)
+    /// Stops tracking the stream and returns its final progress.
+    pub fn untrack(&mut self, stream: u32) -> RequestProgress {
+        self.streams.remove(&stream).unwrap_or(RequestProgress::Written)
     }
 
-    pub fn sent(&self, stream: u32) -> Sent {
-        self.streams.get(&stream).copied().unwrap_or(Sent::Wholly)
+    /// The progress of a tracked stream; `Written` for any other, which may have run.
+    pub fn progress(&self, stream: u32) -> RequestProgress {
+        self.streams.get(&stream).copied().unwrap_or(RequestProgress::Written)
     }
 
-    pub fn settled(&self) -> bool {
-        self.settled
+    pub fn settings_received(&self) -> bool {
+        self.settings_received
     }
 
-    /// Whether the host is going away: it begins on no new stream.
-    pub fn going(&self) -> bool {
-        self.last.is_some()
+    /// Whether the host sent GOAWAY, so that it accepts no new stream.
+    pub fn is_going_away(&self) -> bool {
+        self.last_stream.is_some()
     }
 
-    pub fn watched(&self) -> usize {
+    /// The number of tracked streams.
+    pub fn tracked_streams(&self) -> usize {
         self.streams.len()
     }
 
-    /// Bytes that the socket took.
-    pub fn out(&mut self, bytes: &[u8]) {
-        let Frames { out, streams, .. } = self;
-        out.pass(bytes, |frame, _| {
-            let ends = matches!(frame.kind, kind::DATA | kind::HEADERS) && frame.flags & END_STREAM != 0;
-            if ends && let Some(sent @ Sent::InPart) = streams.get_mut(&frame.stream) {
-                *sent = Sent::Wholly;
+    /// Observes bytes that were written to the socket.
+    pub fn on_sent(&mut self, bytes: &[u8]) {
+        let FrameTracker { sent, streams, .. } = self;
+        sent.decode(bytes, |frame, _| {
+            let ends_stream = matches!(frame.frame_type, frame_type::DATA | frame_type::HEADERS)
+                && frame.flags & END_STREAM != 0;
+            if ends_stream
+                && let Some(progress @ RequestProgress::Incomplete) = streams.get_mut(&frame.stream)
+            {
+                *progress = RequestProgress::Written;
             }
         });
     }
 
-    /// Bytes that came.
-    pub fn back(&mut self, bytes: &[u8]) {
-        let Frames { back, streams, settled, last, .. } = self;
-        back.pass(bytes, |frame, start| {
-            let word = |at: usize| {
-                let bytes = start.get(at..at + 4).and_then(|bytes| bytes.try_into().ok());
+    /// Observes bytes that were read from the socket.
+    pub fn on_received(&mut self, bytes: &[u8]) {
+        let FrameTracker { received, streams, settings_received, last_stream, .. } = self;
+        received.decode(bytes, |frame, prefix| {
+            let read_u32 = |offset: usize| {
+                let bytes = prefix.get(offset..offset + 4).and_then(|bytes| bytes.try_into().ok());
                 bytes.map(u32::from_be_bytes)
             };
-            match frame.kind {
-                kind::SETTINGS => *settled = true,
-                kind::RST_STREAM if word(0) == Some(REFUSED_STREAM) => {
-                    if let Some(sent) = streams.get_mut(&frame.stream) {
-                        *sent = Sent::Refused;
+            match frame.frame_type {
+                frame_type::SETTINGS => *settings_received = true,
+                frame_type::RST_STREAM if read_u32(0) == Some(REFUSED_STREAM) => {
+                    if let Some(progress) = streams.get_mut(&frame.stream) {
+                        *progress = RequestProgress::Refused;
                     }
                 }
-                kind::GOAWAY => {
-                    let Some(named) = word(0).map(|named| named & 0x7fff_ffff) else { return };
-                    // Danger: a second word may only name fewer. One that names more would take back that streams in
-                    // between never ran, and they were sent elsewhere since.
-                    let named = last.map_or(named, |last| named.min(last));
-                    *last = Some(named);
-                    streams.range_mut(named.saturating_add(1)..).for_each(|(_, sent)| *sent = Sent::Refused);
+                frame_type::GOAWAY => {
+                    let Some(last) = read_u32(0).map(|last| last & 0x7fff_ffff) else { return };
+                    // A later GOAWAY may only lower the last stream. Raising it would claim that streams
+                    // may have run that were already resent to another host.
+                    let last = last_stream.map_or(last, |previous| last.min(previous));
+                    *last_stream = Some(last);
+                    streams
+                        .range_mut(last.saturating_add(1)..)
+                        .for_each(|(_, progress)| *progress = RequestProgress::Refused);
                 }
                 _ => {}
             }
--- a/crates/arrowyard-flight/src/lib.rs
+++ b/crates/arrowyard-flight/src/lib.rs
@@ -1,16 +1,16 @@
-//! What is decided and read of Arrow Flight SQL, without I/O: what a call says of its op, tickets, prepared
-//! statements, what a result may be made of, how much of it is held, what a connection's frames prove of a send, how a
-//! client's connection behaves, and what clients are told. Which host, whether again and what is turned away is the
-//! decision module's, as for every front.
+//! Arrow Flight SQL without I/O: the call metadata that describes an op, tickets, prepared statements,
+//! validation and buffering of results, what the HTTP/2 frames prove about a send, limits per client
+//! connection, and gRPC statuses. Routing, retries and rejections are decided by the decision module, as
+//! for every front end.
 
-pub mod batches;
 pub mod bind;
-pub mod brief;
-pub mod conduct;
+pub mod call_metadata;
+pub mod client_connections;
 pub mod frames;
-pub mod handles;
-pub mod hold;
+pub mod ipc_validation;
+pub mod prepared_statements;
+pub mod result_buffer;
 pub mod status;
 pub mod ticket;
 
-pub use status::{Code, Fault};
+pub use status::{CallError, Code};
--- a/crates/arrowyard-flight/src/status.rs
+++ b/crates/arrowyard-flight/src/status.rs
@@ -1,9 +1,8 @@
-//! What a client is told, as gRPC's statuses, and what a host's status means for a send. One table each; the pages for
-//! operators show the same.
+//! gRPC statuses: those that clients get, and what a host's status means for a send.
 
 use arrowyard_types::{Outcome, TimeDelta};
 
-/// The codes of gRPC that are used here.
+/// The gRPC status codes that the router sends.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Code {
     InvalidArgument,
@@ -19,7 +18,7 @@
 }
 
 impl Code {
-    /// Its number on the wire.
+    /// The code's number on the wire.
     pub const fn number(self) -> i32 {
         match self {
             Code::InvalidArgument => 3,
@@ -38,80 +37,82 @@
 
 /// Why a client gets no result, or no more of one.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fault {
-    /// Nothing of it ran; come back after this span, if one is named.
+pub enum CallError {
+    /// The op did not run; the client may retry after this delay, if there is one.
     Busy(Option<TimeDelta>),
-    /// It may have run.
+    /// The op may have run.
     Errored,
-    /// The client's time is up; it may have run.
-    OutOfTime,
-    /// What was asked cannot be an op.
-    NoOp(String),
-    /// More bytes than are taken.
+    /// The op's deadline passed; it may have run.
+    DeadlineExceeded,
+    /// The call does not describe a valid op.
+    InvalidOp(String),
     TooLarge(&'static str),
-    /// More handles, streams or tickets than are kept at once; those of others make room with time.
+    /// The limit on handles, streams or tickets is reached.
     TooMany(&'static str),
-    /// Not one of this router's tickets.
-    Ticket(&'static str),
-    /// A ticket that was one: plan again.
-    Spent(&'static str),
-    /// No such prepared statement (any more).
-    Handle,
-    /// The result broke off: what came before is no whole result.
-    Cut,
-    /// The host's result makes no sense; it may have run.
-    Spoilt,
-    /// Not offered.
-    NotHere(&'static str),
+    /// The ticket was not issued by this router.
+    InvalidTicket(&'static str),
+    /// The ticket is expired or was redeemed; the client must plan again.
+    SpentTicket(&'static str),
+    /// The prepared statement does not exist or was closed.
+    UnknownHandle,
+    /// The result was interrupted; the client has only a part of it.
+    Interrupted,
+    /// The host's result is malformed; the op may have run.
+    InvalidResult,
+    Unimplemented(&'static str),
 }
 
-impl Fault {
-    /// Danger: libraries send anew by themselves on `UNAVAILABLE`, and on nothing else that stands here. So it is said
-    /// only of what provably never ran.
+impl CallError {
+    /// The status code. Client libraries retry by themselves on `UNAVAILABLE`, so that this code is only
+    /// used for ops that certainly did not run.
     pub const fn code(&self) -> Code {
         match self {
-            Fault::Busy(_) => Code::Unavailable,
-            Fault::Errored => Code::Internal,
-            Fault::OutOfTime => Code::DeadlineExceeded,
-            Fault::NoOp(_) | Fault::Ticket(_) => Code::InvalidArgument,
-            Fault::TooLarge(_) | Fault::TooMany(_) => Code::ResourceExhausted,
-            Fault::Spent(_) => Code::FailedPrecondition,
-            Fault::Handle => Code::NotFound,
-            Fault::Cut => Code::Aborted,
-            Fault::Spoilt => Code::DataLoss,
-            Fault::NotHere(_) => Code::Unimplemented,
+            CallError::Busy(_) => Code::Unavailable,
+            CallError::Errored => Code::Internal,
+            CallError::DeadlineExceeded => Code::DeadlineExceeded,
+            CallError::InvalidOp(_) | CallError::InvalidTicket(_) => Code::InvalidArgument,
+            CallError::TooLarge(_) | CallError::TooMany(_) => Code::ResourceExhausted,
+            CallError::SpentTicket(_) => Code::FailedPrecondition,
+            CallError::UnknownHandle => Code::NotFound,
+            CallError::Interrupted => Code::Aborted,
+            CallError::InvalidResult => Code::DataLoss,
+            CallError::Unimplemented(_) => Code::Unimplemented,
         }
     }
 
-    pub fn text(&self) -> String {
+    /// The message of the status.
+    pub fn message(&self) -> String {
         match self {
-            Fault::Busy(_) => "busy; nothing of it ran".to_string(),
-            Fault::Errored => "not answered; it may have run".to_string(),
-            Fault::OutOfTime => "its time is up; it may have run".to_string(),
-            Fault::NoOp(why) => why.clone(),
-            Fault::TooLarge(what) => format!("{what}: more bytes than are taken"),
-            Fault::TooMany(what) => format!("{what}: more than are kept at once"),
-            Fault::Ticket(why) | Fault::Spent(why) | Fault::NotHere(why) => (*why).to_string(),
-            Fault::Handle => "no such prepared statement, or it was closed".to_string(),
-            Fault::Cut => "the result broke off; what came is not whole".to_string(),
-            Fault::Spoilt => "the host's result makes no sense; it may have run".to_string(),
+            CallError::Busy(_) => "busy; nothing of it ran".to_string(),
+            CallError::Errored => "not answered; it may have run".to_string(),
+            CallError::DeadlineExceeded => "its time is up; it may have run".to_string(),
+            CallError::InvalidOp(reason) => reason.clone(),
+            CallError::TooLarge(object) => format!("{object}: more bytes than are taken"),
+            CallError::TooMany(objects) => format!("{objects}: more than are kept at once"),
+            CallError::InvalidTicket(reason)
+            | CallError::SpentTicket(reason)
+            | CallError::Unimplemented(reason) => (*reason).to_string(),
+            CallError::UnknownHandle => "no such prepared statement, or it was closed".to_string(),
+            CallError::Interrupted => "the result broke off; what came is not whole".to_string(),
+            CallError::InvalidResult => "the host's result makes no sense; it may have run".to_string(),
         }
     }
 
-    /// When to come back, if that is told.
-    pub const fn after(&self) -> Option<TimeDelta> {
-        if let Fault::Busy(after) = self { *after } else { None }
+    /// The retry delay to send to the client, if there is one.
+    pub const fn retry_after(&self) -> Option<TimeDelta> {
+        if let CallError::Busy(retry_after) = self { *retry_after } else { None }
     }
 }
 
-/// The metadata by which a host of ours says that it never began on what was sent: `full` where it has no room,
-/// `miss` where it is not primary or its copy is too old. Without it a status is that of something that may have run.
-pub const NEVER: &str = "arrowyard-never";
+/// The metadata key by which a host declares that it did not begin to run the op: `full` if it is
+/// overloaded, `miss` if it is not the primary or its copy is too old. Without it the op may have run,
+/// whatever the status is.
+pub const NEVER_RAN_KEY: &str = "arrowyard-never";
 
-/// What a host's status means for a send that was wholly written. Danger: a status alone proves nothing: servers say
-/// `UNAVAILABLE` of what they began on, too.
-pub fn outcome(code: i32, never: Option<&str>) -> Outcome {
-    match (code, never) {
+/// The outcome of a completely written send, from the host's status code and its `NEVER_RAN_KEY` value. A
+/// status code alone proves nothing: servers also send `UNAVAILABLE` for ops that they began to run.
+pub fn send_outcome(code: i32, never_ran: Option<&str>) -> Outcome {
+    match (code, never_ran) {
         (0, _) => Outcome::Acked,
         (_, Some("full")) => Outcome::Overloaded,
         (_, Some("miss")) => Outcome::Misrouted,
--- a/crates/arrowyard-flight/src/ticket.rs
+++ b/crates/arrowyard-flight/src/ticket.rs
@@ -1,5 +1,5 @@
-//! Tickets: all that a plan has to say, sealed, so that the router keeps nothing for plans that nobody comes back to.
-//! What is kept is which tickets were redeemed, till they would have expired anyway.
+//! Tickets: each holds the planned statement under a message authentication code, so that the router stores
+//! nothing for plans that are never redeemed. It stores redeemed tickets until they expire.
 
 use std::collections::BTreeSet;
 use std::hash::Hasher;
@@ -8,21 +8,21 @@
 use bytes::{BufMut, Bytes, BytesMut};
 use siphasher::sip128::{Hasher128, SipHasher24};
 
-use crate::status::Fault;
+use crate::status::CallError;
 
-/// The form of a ticket, its first byte.
-const FORM: u8 = 1;
-/// Form, expiry, number.
-const HEAD: usize = 1 + 8 + 8;
-const SEAL: usize = 16;
+/// The format version of a ticket, its first byte.
+const FORMAT: u8 = 1;
+/// Format version, expiry and number.
+const HEADER_BYTES: usize = 1 + 8 + 8;
+const MAC_BYTES: usize = 16;
 
-/// What checks a seal: known to this router alone, and new with each start.
+/// The key of message authentication codes, drawn at startup and known to this router only.
 #[derive(Clone, Copy, Debug)]
-pub struct Key(pub u64, pub u64);
+pub struct MacKey(pub u64, pub u64);
 
-impl Key {
-    /// A check value of the bytes for one purpose.
-    pub(crate) fn seal(self, purpose: u8, bytes: &[u8]) -> [u8; SEAL] {
+impl MacKey {
+    /// The message authentication code of the bytes for one purpose.
+    pub(crate) fn mac(self, purpose: u8, bytes: &[u8]) -> [u8; MAC_BYTES] {
         let mut hasher = SipHasher24::new_with_keys(self.0, self.1);
         hasher.write_u8(purpose);
         hasher.write(bytes);
@@ -30,98 +30,112 @@
     }
 }
 
-/// Whether two seals are one, in a time that tells nothing of where they differ.
-pub(crate) fn same(one: &[u8], other: &[u8]) -> bool {
-    one.len() == other.len() && one.iter().zip(other).fold(0, |sum, (a, b)| sum | (a ^ b)) == 0
+/// Compares two codes in a time that does not depend on where they differ.
+pub(crate) fn constant_time_eq(left: &[u8], right: &[u8]) -> bool {
+    left.len() == right.len() && left.iter().zip(right).fold(0, |diff, (a, b)| diff | (a ^ b)) == 0
 }
 
-/// A ticket that was redeemed, so that it may be given back.
+/// A redeemed ticket, which can be restored.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Stub {
+pub struct RedeemedTicket {
     expires: Timestamp,
     number: u64,
 }
 
-/// What is sealed and what was redeemed.
+/// Issues and redeems tickets.
 #[derive(Debug)]
 pub struct Tickets {
-    key: Key,
-    next: u64,
-    /// How long a ticket holds.
-    span: TimeDelta,
-    /// Redeemed ones that are remembered at most, and bytes of a statement at most.
-    most: usize,
-    longest: usize,
-    redeemed: BTreeSet<Stub>,
+    key: MacKey,
+    next_number: u64,
+    lifetime: TimeDelta,
+    max_redeemed: usize,
+    max_statement_bytes: usize,
+    redeemed: BTreeSet<RedeemedTicket>,
 }
 
 impl Tickets {
-    pub fn new(key: Key, span: TimeDelta, most: usize, longest: usize) -> Self {
-        Tickets { key, next: 0, span, most, longest, redeemed: BTreeSet::new() }
+    pub fn new(key: MacKey, lifetime: TimeDelta, max_redeemed: usize, max_statement_bytes: usize) -> Self {
+        Tickets {
+            key,
+            next_number: 0,
+            lifetime,
+            max_redeemed,
+            max_statement_bytes,
+            redeemed: BTreeSet::new(),
+        }
     }
 
-    /// A ticket for the statement.
+    /// Issues a ticket for the statement.
     ///
     /// # Errors
-    /// The statement is longer than any that is taken.
-    pub fn plan(&mut self, now: Timestamp, text: &str) -> Result<(Bytes, Timestamp), Fault> {
-        if text.len() > self.longest {
-            return Err(Fault::TooLarge("the statement"));
+    /// The statement is too long.
+    pub fn issue(&mut self, now: Timestamp, text: &str) -> Result<(Bytes, Timestamp), CallError> {
+        if text.len() > self.max_statement_bytes {
+            return Err(CallError::TooLarge("the statement"));
         }
-        let (number, expires) = (self.next, now + self.span);
-        self.next += 1;
-        let mut ticket = BytesMut::with_capacity(HEAD + text.len() + SEAL);
-        ticket.put_u8(FORM);
+        let (number, expires) = (self.next_number, now + self.lifetime);
+        self.next_number += 1;
+        let mut ticket = BytesMut::with_capacity(HEADER_BYTES + text.len() + MAC_BYTES);
+        ticket.put_u8(FORMAT);
         ticket.put_i64(expires.micros());
         ticket.put_u64(number);
         ticket.put_slice(text.as_bytes());
-        let seal = self.key.seal(FORM, &ticket);
-        ticket.put_slice(&seal);
+        let mac = self.key.mac(FORMAT, &ticket);
+        ticket.put_slice(&mac);
         Ok((ticket.freeze(), expires))
     }
 
-    /// The statement of a ticket, which is redeemed by that.
+    /// Redeems a ticket and returns its statement.
     ///
     /// # Errors
-    /// It is none of this router's, is too old, or was redeemed; or more are remembered than there is room for.
-    pub fn redeem<'a>(&mut self, now: Timestamp, ticket: &'a [u8]) -> Result<(&'a str, Stub), Fault> {
-        let foreign = Fault::Ticket("not a ticket of this router, or spoilt on its way");
-        if ticket.len() < HEAD + SEAL || ticket.len() > HEAD + self.longest + SEAL {
-            return Err(foreign);
+    /// The ticket was not issued by this router, is expired or was redeemed, or the limit on redeemed
+    /// tickets is reached.
+    pub fn redeem<'a>(
+        &mut self,
+        now: Timestamp,
+        ticket: &'a [u8],
+    ) -> Result<(&'a str, RedeemedTicket), CallError> {
+        let invalid = CallError::InvalidTicket("not a ticket of this router, or spoilt on its way");
+        if ticket.len() < HEADER_BYTES + MAC_BYTES
+            || ticket.len() > HEADER_BYTES + self.max_statement_bytes + MAC_BYTES
+        {
+            return Err(invalid);
         }
-        let (sealed, seal) = ticket.split_at(ticket.len() - SEAL);
-        // Danger: whoever makes up a ticket has a statement run past what planning checks. The seal is made for the
-        // form and over it, so that a ticket of another form, or another thing that was sealed, is none.
-        if !same(&self.key.seal(FORM, sealed), seal) {
-            return Err(foreign);
+        let (signed, mac) = ticket.split_at(ticket.len() - MAC_BYTES);
+        // A forged ticket would run a statement that skipped the checks of planning. The code covers the
+        // format version and uses it as its purpose, so that no other signed data is accepted as a ticket.
+        if !constant_time_eq(&self.key.mac(FORMAT, signed), mac) {
+            return Err(invalid);
         }
-        let word = |at: usize| sealed[at..at + 8].try_into().map(u64::from_be_bytes).unwrap_or_default();
-        let expires = Timestamp::from_micros(word(1) as i64);
-        let Ok(text) = std::str::from_utf8(&sealed[HEAD..]) else { return Err(foreign) };
+        let read_u64 =
+            |offset: usize| signed[offset..offset + 8].try_into().map(u64::from_be_bytes).unwrap_or_default();
+        let expires = Timestamp::from_micros(read_u64(1) as i64);
+        let Ok(text) = std::str::from_utf8(&signed[HEADER_BYTES..]) else { return Err(invalid) };
         if now >= expires {
-            return Err(Fault::Spent("the ticket has expired; plan again"));
+            return Err(CallError::SpentTicket("the ticket has expired; plan again"));
         }
-        // What has expired is told by its time.
-        self.redeemed = self.redeemed.split_off(&Stub { expires: now, number: 0 });
-        let stub = Stub { expires, number: word(9) };
-        if self.redeemed.contains(&stub) {
-            return Err(Fault::Spent("the ticket was redeemed before; plan again"));
+        // Expired tickets are rejected by the check above.
+        self.redeemed = self.redeemed.split_off(&RedeemedTicket { expires: now, number: 0 });
+        let redeemed = RedeemedTicket { expires, number: read_u64(9) };
+        if self.redeemed.contains(&redeemed) {
+            return Err(CallError::SpentTicket("the ticket was redeemed before; plan again"));
         }
-        // Danger: without the memory of it, a ticket runs as often as it comes. None is forgotten early; while there
-        // is no room, none is redeemed.
-        if self.redeemed.len() >= self.most {
-            return Err(Fault::TooMany("tickets"));
+        // Evicting an entry before its ticket expires would let that ticket run again, so that at the limit
+        // no further ticket is redeemed.
+        if self.redeemed.len() >= self.max_redeemed {
+            return Err(CallError::TooMany("tickets"));
         }
-        self.redeemed.insert(stub);
-        Ok((text, stub))
+        self.redeemed.insert(redeemed);
+        Ok((text, redeemed))
     }
 
-    /// Nothing ran of what the ticket was redeemed for: it may come again.
-    pub fn give_back(&mut self, stub: Stub) {
-        self.redeemed.remove(&stub);
+    /// Makes a redeemed ticket valid again, for an op that did not run.
+    pub fn restore(&mut self, ticket: RedeemedTicket) {
+        self.redeemed.remove(&ticket);
     }
 
-    pub fn remembered(&self) -> usize {
+    /// The number of redeemed tickets that are remembered.
+    pub fn redeemed_count(&self) -> usize {
         self.redeemed.len()
     }
 }
--- a/crates/arrowyard-flight/tests/frames.rs
+++ b/crates/arrowyard-flight/tests/frames.rs
@@ -1,6 +1,6 @@
-//! What frames prove of a send, against a plain model that has the frames as a list and knows which bytes have passed.
+//! What frames prove about a send, checked against a model that has the frames as a list.
 
-use arrowyard_flight::frames::{Frames, Sent};
+use arrowyard_flight::frames::{FrameTracker, RequestProgress};
 use proptest::prelude::*;
 
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
@@ -15,70 +15,84 @@
 }
 
 #[test]
-fn a_request_is_written_with_the_last_byte_of_its_last_frame_and_not_before() {
-    let mut frames = Frames::default();
-    frames.out(PREFACE);
-    frames.watch(1);
-    frames.out(&frame(1, 4, 1, b"heads"));
-    assert_eq!(frames.sent(1), Sent::InPart);
+fn a_request_is_written_with_the_last_byte_of_its_last_frame() {
+    let mut tracker = FrameTracker::default();
+    tracker.on_sent(PREFACE);
+    tracker.track(1);
+    tracker.on_sent(&frame(1, 4, 1, b"heads"));
+    assert_eq!(tracker.progress(1), RequestProgress::Incomplete);
     let data = frame(0, 1, 1, &[9; 300]);
     for byte in &data[..data.len() - 1] {
-        frames.out(&[*byte]);
-        assert_eq!(frames.sent(1), Sent::InPart);
+        tracker.on_sent(&[*byte]);
+        assert_eq!(tracker.progress(1), RequestProgress::Incomplete);
     }
-    frames.out(&data[data.len() - 1..]);
-    assert_eq!(frames.sent(1), Sent::Wholly);
-    assert_eq!((frames.forget(1), frames.watched()), (Sent::Wholly, 0));
+    tracker.on_sent(&data[data.len() - 1..]);
+    assert_eq!(tracker.progress(1), RequestProgress::Written);
+    assert_eq!((tracker.untrack(1), tracker.tracked_streams()), (RequestProgress::Written, 0));
 }
 
 #[test]
-fn what_the_host_refused_or_left_behind_as_it_went_away_never_ran() {
-    let mut frames = Frames::default();
-    frames.out(PREFACE);
-    assert!(!frames.settled());
-    frames.back(&frame(4, 0, 0, &[]));
-    assert!(frames.settled() && !frames.going());
-    [1, 3, 5, 7].into_iter().for_each(|stream| frames.watch(stream));
-    [1, 3, 5, 7].into_iter().for_each(|stream| frames.out(&frame(0, 1, stream, b"x")));
-    // A reset for another reason proves nothing.
-    frames.back(&frame(3, 0, 1, &8_u32.to_be_bytes()));
-    frames.back(&frame(3, 0, 3, &7_u32.to_be_bytes()));
-    assert_eq!([1, 3].map(|stream| frames.sent(stream)), [Sent::Wholly, Sent::Refused]);
-    // First that it is going away at all, then up to where it came; the last word never takes back another.
-    frames.back(&goaway(0x7fff_ffff));
-    assert!(frames.going());
-    assert_eq!([5, 7].map(|stream| frames.sent(stream)), [Sent::Wholly, Sent::Wholly]);
-    frames.back(&goaway(5));
-    frames.back(&goaway(9));
-    assert_eq!([5, 7].map(|stream| frames.sent(stream)), [Sent::Wholly, Sent::Refused]);
-    frames.watch(9);
-    assert_eq!(frames.sent(9), Sent::Refused, "it was opened too late, and no frame will say so");
+fn streams_refused_or_beyond_goaway_did_not_run() {
+    let mut tracker = FrameTracker::default();
+    tracker.on_sent(PREFACE);
+    assert!(!tracker.settings_received());
+    tracker.on_received(&frame(4, 0, 0, &[]));
+    assert!(tracker.settings_received() && !tracker.is_going_away());
+    [1, 3, 5, 7].into_iter().for_each(|stream| tracker.track(stream));
+    [1, 3, 5, 7].into_iter().for_each(|stream| tracker.on_sent(&frame(0, 1, stream, b"x")));
+    // A reset with another error code proves nothing.
+    tracker.on_received(&frame(3, 0, 1, &8_u32.to_be_bytes()));
+    tracker.on_received(&frame(3, 0, 3, &7_u32.to_be_bytes()));
+    assert_eq!(
+        [1, 3].map(|stream| tracker.progress(stream)),
+        [RequestProgress::Written, RequestProgress::Refused]
+    );
+    // A first GOAWAY may name the highest stream id, and a later one the last stream; it must not be raised
+    // again.
+    tracker.on_received(&goaway(0x7fff_ffff));
+    assert!(tracker.is_going_away());
+    assert_eq!(
+        [5, 7].map(|stream| tracker.progress(stream)),
+        [RequestProgress::Written, RequestProgress::Written]
+    );
+    tracker.on_received(&goaway(5));
+    tracker.on_received(&goaway(9));
+    assert_eq!(
+        [5, 7].map(|stream| tracker.progress(stream)),
+        [RequestProgress::Written, RequestProgress::Refused]
+    );
+    tracker.track(9);
+    assert_eq!(
+        tracker.progress(9),
+        RequestProgress::Refused,
+        "opened after GOAWAY, and no further frame says so"
+    );
 }
 
 #[derive(Clone, Debug)]
 enum Step {
-    Part(u32, usize),
-    Last(u32, usize),
-    Refuse(u32),
-    Reset(u32),
-    Away(u32),
+    Data(u32, usize),
+    LastData(u32, usize),
+    RefusedStream(u32),
+    OtherReset(u32),
+    GoAway(u32),
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
     let stream = || (0_u32..6).prop_map(|n| n * 2 + 1);
     prop::collection::vec(
         prop_oneof![
-            (stream(), 0_usize..40).prop_map(|(s, n)| Step::Part(s, n)),
-            (stream(), 0_usize..40).prop_map(|(s, n)| Step::Last(s, n)),
-            stream().prop_map(Step::Refuse),
-            stream().prop_map(Step::Reset),
-            (0_u32..14).prop_map(Step::Away),
+            (stream(), 0_usize..40).prop_map(|(s, n)| Step::Data(s, n)),
+            (stream(), 0_usize..40).prop_map(|(s, n)| Step::LastData(s, n)),
+            stream().prop_map(Step::RefusedStream),
+            stream().prop_map(Step::OtherReset),
+            (0_u32..14).prop_map(Step::GoAway),
         ],
         0..30,
     )
 }
 
-/// The same cases each time.
+/// A fixed seed, so that every run tests the same cases.
 fn config() -> ProptestConfig {
     let rng_seed = proptest::test_runner::RngSeed::Fixed(20_261_204);
     ProptestConfig { rng_seed, failure_persistence: None, ..ProptestConfig::default() }
@@ -87,60 +101,60 @@
 proptest! {
     #![proptest_config(config())]
 
-    /// However the bytes are cut up, the word on each stream is what its whole frames say, read one after the other.
+    /// The progress of each stream depends on its frames, not on how their bytes are split.
     #[test]
-    fn the_word_on_a_stream_does_not_hang_on_how_the_bytes_were_cut(
-        steps in steps(), cuts in prop::collection::vec(1_usize..50, 1..60),
+    fn progress_does_not_depend_on_how_the_bytes_are_split(
+        steps in steps(), sizes in prop::collection::vec(1_usize..50, 1..60),
     ) {
-        let mut frames = Frames::default();
-        let mut pieces = cuts.iter().cycle();
-        let feed = |frames: &mut Frames, bytes: &[u8], out: bool, pieces: &mut dyn Iterator<Item = &usize>| {
-            let mut rest = bytes;
-            while !rest.is_empty() {
-                let now = (*pieces.next().expect("they come round")).min(rest.len());
-                if out { frames.out(&rest[..now]) } else { frames.back(&rest[..now]) }
-                rest = &rest[now..];
+        let mut tracker = FrameTracker::default();
+        let mut chunk_sizes = sizes.iter().cycle();
+        let feed = |tracker: &mut FrameTracker, bytes: &[u8], is_sent: bool, chunk_sizes: &mut dyn Iterator<Item = &usize>| {
+            let mut remaining = bytes;
+            while !remaining.is_empty() {
+                let size = (*chunk_sizes.next().expect("an endless cycle")).min(remaining.len());
+                if is_sent { tracker.on_sent(&remaining[..size]) } else { tracker.on_received(&remaining[..size]) }
+                remaining = &remaining[size..];
             }
         };
-        feed(&mut frames, PREFACE, true, &mut pieces);
-        (0..6).for_each(|n| frames.watch(n * 2 + 1));
-        let (mut ended, mut refused, mut last) = (Vec::new(), Vec::new(), u32::MAX);
+        feed(&mut tracker, PREFACE, true, &mut chunk_sizes);
+        (0..6).for_each(|n| tracker.track(n * 2 + 1));
+        let (mut finished, mut refused, mut last_stream) = (Vec::new(), Vec::new(), u32::MAX);
         for step in &steps {
             match *step {
-                Step::Part(stream, size) => feed(&mut frames, &frame(0, 0, stream, &vec![1; size]), true, &mut pieces),
-                Step::Last(stream, size) => {
-                    feed(&mut frames, &frame(0, 1, stream, &vec![1; size]), true, &mut pieces);
-                    ended.push(stream);
+                Step::Data(stream, size) => feed(&mut tracker, &frame(0, 0, stream, &vec![1; size]), true, &mut chunk_sizes),
+                Step::LastData(stream, size) => {
+                    feed(&mut tracker, &frame(0, 1, stream, &vec![1; size]), true, &mut chunk_sizes);
+                    finished.push(stream);
                 }
-                Step::Refuse(stream) => {
-                    feed(&mut frames, &frame(3, 0, stream, &7_u32.to_be_bytes()), false, &mut pieces);
+                Step::RefusedStream(stream) => {
+                    feed(&mut tracker, &frame(3, 0, stream, &7_u32.to_be_bytes()), false, &mut chunk_sizes);
                     refused.push(stream);
                 }
-                Step::Reset(stream) => feed(&mut frames, &frame(3, 0, stream, &2_u32.to_be_bytes()), false, &mut pieces),
-                Step::Away(named) => {
-                    feed(&mut frames, &goaway(named), false, &mut pieces);
-                    last = last.min(named);
+                Step::OtherReset(stream) => feed(&mut tracker, &frame(3, 0, stream, &2_u32.to_be_bytes()), false, &mut chunk_sizes),
+                Step::GoAway(last) => {
+                    feed(&mut tracker, &goaway(last), false, &mut chunk_sizes);
+                    last_stream = last_stream.min(last);
                 }
             }
         }
         for stream in (0..6).map(|n| n * 2 + 1) {
-            let wanted = if refused.contains(&stream) || stream > last {
-                Sent::Refused
-            } else if ended.contains(&stream) {
-                Sent::Wholly
+            let expected = if refused.contains(&stream) || stream > last_stream {
+                RequestProgress::Refused
+            } else if finished.contains(&stream) {
+                RequestProgress::Written
             } else {
-                Sent::InPart
+                RequestProgress::Incomplete
             };
-            prop_assert_eq!(frames.sent(stream), wanted, "stream {}", stream);
+            prop_assert_eq!(tracker.progress(stream), expected, "stream {}", stream);
         }
     }
 
     #[test]
-    fn no_bytes_whatsoever_upset_it(out in prop::collection::vec(any::<u8>(), 0..400), back in prop::collection::vec(any::<u8>(), 0..400)) {
-        let mut frames = Frames::default();
-        frames.watch(1);
-        frames.out(&out);
-        frames.back(&back);
-        prop_assert!(frames.watched() == 1);
+    fn arbitrary_bytes_do_not_panic(sent in prop::collection::vec(any::<u8>(), 0..400), received in prop::collection::vec(any::<u8>(), 0..400)) {
+        let mut tracker = FrameTracker::default();
+        tracker.track(1);
+        tracker.on_sent(&sent);
+        tracker.on_received(&received);
+        prop_assert!(tracker.tracked_streams() == 1);
     }
 }
--- a/crates/arrowyard-front-flight/src/lib.rs
+++ b/crates/arrowyard-front-flight/src/lib.rs
@@ -1,15 +1,16 @@
-//! Arrow Flight SQL before the core: the front that clients call, and the back that sends to hosts. What is decided of
-//! the protocol stands in `arrowyard-flight`, and which host, whether again and what is turned away in the module.
+//! Arrow Flight SQL: the front end that clients call, and the transport that sends ops to hosts. Protocol
+//! logic without I/O is in `arrowyard-flight`; routing, retries and rejections are decided by the decision
+//! module.
 
-pub mod answer;
-pub mod back;
-pub mod clerk;
+pub mod backend;
+pub mod front_end_state;
+pub mod host_connection;
 pub mod limits;
-pub mod link;
 pub mod listen;
+pub mod response;
 pub mod service;
 
-pub use answer::{Errand, Served};
-pub use back::FlightBack;
+pub use backend::FlightBackend;
 pub use limits::FlightLimits;
-pub use service::FlightFront;
+pub use response::{ClientResponse, OpPayload};
+pub use service::FlightFrontEnd;
--- a/crates/arrowyard-front-flight/src/listen.rs
+++ b/crates/arrowyard-front-flight/src/listen.rs
@@ -1,4 +1,4 @@
-//! Clients' connections: accepted and counted here, spoken with by the library's server.
+//! Accepts and counts client connections; the gRPC library's server serves them.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -12,7 +12,7 @@
 use arrowyard_core::Limits;
 use arrowyard_core::count::UsageGuard;
 use arrowyard_core::drain::Stage;
-use arrowyard_flight::conduct::LineId;
+use arrowyard_flight::client_connections::ConnectionId;
 use futures::stream;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
@@ -21,50 +21,50 @@
 use tonic::transport::Server;
 use tonic::transport::server::Connected;
 
-use crate::clerk::Arrival;
+use crate::front_end_state::NewConnection;
 use crate::limits::FlightLimits;
-use crate::service::FlightFront;
+use crate::service::FlightFrontEnd;
 
-/// Who calls.
+/// The client of a call.
 #[derive(Clone, Copy, Debug)]
 pub struct Peer {
-    pub line: LineId,
+    pub connection: ConnectionId,
     pub address: SocketAddr,
 }
 
-/// A client's connection, which ends when it is kicked.
-pub struct Guarded {
+/// A client connection, whose reads fail once it has to be closed.
+pub struct ClientSocket {
     stream: TcpStream,
     peer: Peer,
-    kicked: oneshot::Receiver<()>,
-    is_kicked: bool,
-    /// Tells by its drop that the connection has ended.
-    _gone: oneshot::Sender<()>,
+    close_request: oneshot::Receiver<()>,
+    must_close: bool,
+    /// Dropping this reports the end of the connection.
+    _closed: oneshot::Sender<()>,
 }
 
-impl Guarded {
-    fn is_kicked(&mut self, cx: &mut Context<'_>) -> bool {
-        if !self.is_kicked {
-            self.is_kicked = Pin::new(&mut self.kicked).poll(cx).is_ready();
+impl ClientSocket {
+    fn must_close(&mut self, cx: &mut Context<'_>) -> bool {
+        if !self.must_close {
+            self.must_close = Pin::new(&mut self.close_request).poll(cx).is_ready();
         }
-        self.is_kicked
+        self.must_close
     }
 }
 
-impl AsyncRead for Guarded {
+impl AsyncRead for ClientSocket {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        if self.is_kicked(cx) {
+        if self.must_close(cx) {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Guarded {
+impl AsyncWrite for ClientSocket {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.stream).poll_write(cx, buf)
     }
@@ -90,7 +90,7 @@
     }
 }
 
-impl Connected for Guarded {
+impl Connected for ClientSocket {
     type ConnectInfo = Peer;
 
     fn connect_info(&self) -> Peer {
@@ -98,17 +98,17 @@
     }
 }
 
-/// What accepts.
-pub struct Door {
+/// Accepts client connections.
+pub struct Acceptor {
     pub clients: Rc<Cell<usize>>,
-    pub arrivals: mpsc::Sender<Arrival>,
+    pub new_connections: mpsc::Sender<NewConnection>,
     pub stage: watch::Receiver<Stage>,
     pub limits: Rc<Limits>,
 }
 
-impl Door {
-    /// Accepts until the router closes, and hands on what has a place.
-    pub async fn run(self, listener: TcpListener, taken: mpsc::Sender<Guarded>) {
+impl Acceptor {
+    /// Accepts connections until the router stops serving, and passes on those within the limit.
+    pub async fn run(self, listener: TcpListener, accepted_sockets: mpsc::Sender<ClientSocket>) {
         let mut stage = self.stage.clone();
         loop {
             let accepted = tokio::select! {
@@ -119,59 +119,65 @@
             let (stream, address) = match accepted {
                 Ok(accepted) => accepted,
                 Err(error) => {
-                    tracing::warn!("a client could not be accepted: {error}");
+                    tracing::warn!("accepting a client connection failed: {error}");
                     sleep(self.limits.retry_pause).await;
                     continue;
                 }
             };
-            let (kept, (gone, told)) = (UsageGuard::one(&self.clients), oneshot::channel());
-            let ((kick, kicked), (id, line)) = (oneshot::channel(), oneshot::channel());
-            if self.arrivals.send(Arrival { kept, gone: told, kick, id }).await.is_err() {
+            let (usage, (closed, closed_receiver)) = (UsageGuard::one(&self.clients), oneshot::channel());
+            let ((close, close_request), (id, connection)) = (oneshot::channel(), oneshot::channel());
+            if self
+                .new_connections
+                .send(NewConnection { usage, closed: closed_receiver, close, id })
+                .await
+                .is_err()
+            {
                 return;
             }
-            // Without a place it is closed: nothing was asked yet, so that nothing is lost.
-            let Ok(Some(line)) = line.await else { continue };
-            let peer = Peer { line, address };
+            // At the limit the connection is closed before its client sent a call.
+            let Ok(Some(connection)) = connection.await else { continue };
+            let peer = Peer { connection, address };
             let _ = stream.set_nodelay(true);
-            let guarded = Guarded { stream, peer, kicked, is_kicked: false, _gone: gone };
-            if taken.send(guarded).await.is_err() {
+            let socket = ClientSocket { stream, peer, close_request, must_close: false, _closed: closed };
+            if accepted_sockets.send(socket).await.is_err() {
                 return;
             }
         }
     }
 }
 
-/// Speaks with the connections that come, till the router closes; streams that are open then go on to their end.
+/// Serves the accepted connections until the router stops serving; streams that are open then continue to
+/// their end.
 ///
 /// # Errors
-/// The library's server ended.
+/// The library's server failed.
 pub async fn serve(
-    front: FlightFront,
+    front_end: FlightFrontEnd,
     limits: FlightLimits,
     mut stage: watch::Receiver<Stage>,
-    taken: mpsc::Receiver<Guarded>,
+    accepted_sockets: mpsc::Receiver<ClientSocket>,
 ) -> Result<(), String> {
-    let service = FlightServiceServer::new(front)
-        .max_decoding_message_size(limits.asked + 4096)
-        .max_encoding_message_size(limits.message + 4096);
-    let incoming = stream::unfold(taken, |mut taken| async {
-        let guarded = taken.recv().await?;
-        Some((Ok::<_, io::Error>(guarded), taken))
+    let service = FlightServiceServer::new(front_end)
+        .max_decoding_message_size(limits.max_client_message_bytes + 4096)
+        .max_encoding_message_size(limits.max_host_message_bytes + 4096);
+    let incoming = stream::unfold(accepted_sockets, |mut accepted_sockets| async {
+        let socket = accepted_sockets.recv().await?;
+        Some((Ok::<_, io::Error>(socket), accepted_sockets))
     });
     let closing = async move { drop(stage.wait_for(|&stage| stage == Stage::Closing).await) };
     Server::builder()
-        .max_concurrent_streams(limits.calls as u32)
-        .initial_stream_window_size(limits.window)
-        .initial_connection_window_size(limits.window.saturating_mul(2))
-        .http2_max_header_list_size(limits.metadata)
-        // Danger: streams opened and reset at once cost work that no limit on open ones counts.
+        .max_concurrent_streams(limits.max_calls as u32)
+        .initial_stream_window_size(limits.window_bytes)
+        .initial_connection_window_size(limits.window_bytes.saturating_mul(2))
+        .http2_max_header_list_size(limits.max_metadata_bytes)
+        // Streams that are reset right after they open cost work, and the limit on open streams misses them.
         .http2_max_pending_accept_reset_streams(Some(32))
         .http2_max_local_error_reset_streams(Some(256))
-        .http2_keepalive_interval(Some(limits.idle / 4))
-        .http2_keepalive_timeout(Some(limits.first))
-        .max_connection_age(limits.age)
-        // Danger: a client that opens a call and never sends it, or never comes to its end.
-        .timeout(limits.first)
+        .http2_keepalive_interval(Some(limits.idle_timeout / 4))
+        .http2_keepalive_timeout(Some(limits.call_timeout))
+        .max_connection_age(limits.max_connection_age)
+        // Otherwise a client could keep a call open for ever by not sending its request.
+        .timeout(limits.call_timeout)
         .add_service(service)
         .serve_with_incoming_shutdown(incoming, closing)
         .await
