--- a/crates/arrowyard-front-flight/src/service.rs
+++ b/crates/arrowyard-front-flight/src/service.rs
@@ -1,4 +1,4 @@
-//! The calls of Flight SQL: each op goes through the hatch to the core, all else is answered here.
+//! The calls of Flight SQL: ops are submitted to the core, all other calls are answered here.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -31,11 +31,11 @@
 use arrowyard_core::Reply;
 use arrowyard_core::clock::Clock;
 use arrowyard_core::submission::{OpSubmitter, SubmitError};
-use arrowyard_flight::Fault;
+use arrowyard_flight::CallError;
 use arrowyard_flight::bind::{self, Literal};
-use arrowyard_flight::brief::{self, Notes};
-use arrowyard_flight::conduct::LineId;
-use arrowyard_flight::ticket::Stub;
+use arrowyard_flight::call_metadata::{self, CallMetadata};
+use arrowyard_flight::client_connections::ConnectionId;
+use arrowyard_flight::ticket::RedeemedTicket;
 use arrowyard_types::{TimeDelta, Timestamp};
 use bytes::Bytes;
 use futures::{Stream, StreamExt, TryStreamExt, stream};
@@ -45,149 +45,166 @@
 use tonic::{Request, Response, Status};
 use tonic_types::{ErrorDetails, StatusExt};
 
-use crate::answer::{Errand, Piece, Served, Taken};
-use crate::clerk::{Chore, Counter, Open};
+use crate::front_end_state::{OpenCall, StateClient, StateRequest};
 use crate::limits::FlightLimits;
 use crate::listen::Peer;
+use crate::response::{ClientResponse, LargeMessagePermit, OpPayload, StreamItem};
 
-type Flow<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
+type ResponseStream<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
-/// The one column of a result that a host on PostgreSQL's protocol gave.
-pub const COLUMN: &str = "payload";
+/// The name of the single column of a result from a host that speaks PostgreSQL's protocol.
+pub const VALUE_COLUMN: &str = "payload";
 
-/// What serves the calls of all connections; cloned for each.
+/// Serves the calls of all connections.
 #[derive(Clone)]
-pub struct FlightFront {
-    pub hatch: OpSubmitter<Errand, Served>,
-    pub counter: Counter,
+pub struct FlightFrontEnd {
+    pub submitter: OpSubmitter<OpPayload, ClientResponse>,
+    pub state: StateClient,
     pub clock: Clock,
     pub limits: FlightLimits,
-    pub known: Arc<Known>,
+    pub server_info: Arc<ServerInfo>,
 }
 
-/// What is answered to questions about the server itself.
-pub struct Known {
-    sql: SqlInfoData,
-    types: XdbcTypeInfoData,
+/// Metadata of the server itself.
+pub struct ServerInfo {
+    sql_info: SqlInfoData,
+    type_info: XdbcTypeInfoData,
 }
 
-impl Default for Known {
+impl Default for ServerInfo {
     fn default() -> Self {
-        let mut sql = SqlInfoDataBuilder::new();
-        sql.append(SqlInfo::FlightSqlServerName, env!("CARGO_PKG_NAME"));
-        sql.append(SqlInfo::FlightSqlServerVersion, env!("CARGO_PKG_VERSION"));
-        sql.append(SqlInfo::FlightSqlServerArrowVersion, "1.3");
-        sql.append(SqlInfo::FlightSqlServerReadOnly, false);
-        sql.append(SqlInfo::FlightSqlServerSql, true);
-        sql.append(SqlInfo::FlightSqlServerSubstrait, false);
-        sql.append(SqlInfo::FlightSqlServerTransaction, SqlSupportedTransaction::None as i32);
-        sql.append(SqlInfo::FlightSqlServerCancel, false);
-        sql.append(SqlInfo::FlightSqlServerStatementTimeout, 0_i32);
-        sql.append(SqlInfo::FlightSqlServerTransactionTimeout, 0_i32);
-        let types = XdbcTypeInfoDataBuilder::new().build().expect("it is empty");
-        Known { sql: sql.build().expect("each is named once"), types }
+        let mut sql_info = SqlInfoDataBuilder::new();
+        sql_info.append(SqlInfo::FlightSqlServerName, env!("CARGO_PKG_NAME"));
+        sql_info.append(SqlInfo::FlightSqlServerVersion, env!("CARGO_PKG_VERSION"));
+        sql_info.append(SqlInfo::FlightSqlServerArrowVersion, "1.3");
+        sql_info.append(SqlInfo::FlightSqlServerReadOnly, false);
+        sql_info.append(SqlInfo::FlightSqlServerSql, true);
+        sql_info.append(SqlInfo::FlightSqlServerSubstrait, false);
+        sql_info.append(SqlInfo::FlightSqlServerTransaction, SqlSupportedTransaction::None as i32);
+        sql_info.append(SqlInfo::FlightSqlServerCancel, false);
+        sql_info.append(SqlInfo::FlightSqlServerStatementTimeout, 0_i32);
+        sql_info.append(SqlInfo::FlightSqlServerTransactionTimeout, 0_i32);
+        let type_info = XdbcTypeInfoDataBuilder::new().build().expect("an empty list");
+        ServerInfo { sql_info: sql_info.build().expect("each key occurs once"), type_info }
     }
 }
 
-/// A fault as gRPC says it.
-pub fn status(fault: &Fault) -> Status {
-    let code = tonic::Code::from_i32(fault.code().number());
-    match fault.after() {
-        Some(after) => {
-            let after = Duration::from_micros(after.micros().max(0) as u64);
-            Status::with_error_details(code, fault.text(), ErrorDetails::with_retry_info(Some(after)))
+/// Converts an error to a gRPC status.
+pub fn to_status(error: &CallError) -> Status {
+    let code = tonic::Code::from_i32(error.code().number());
+    match error.retry_after() {
+        Some(retry_after) => {
+            let retry_after = Duration::from_micros(retry_after.micros().max(0) as u64);
+            Status::with_error_details(
+                code,
+                error.message(),
+                ErrorDetails::with_retry_info(Some(retry_after)),
+            )
         }
-        None => Status::new(code, fault.text()),
+        None => Status::new(code, error.message()),
     }
 }
 
-fn notes(metadata: &MetadataMap) -> Result<Notes, Fault> {
-    let mut notes = Notes::default();
-    for entry in metadata.iter() {
-        let KeyAndValueRef::Ascii(name, value) = entry else { continue };
+fn parse_metadata(entries: &MetadataMap) -> Result<CallMetadata, CallError> {
+    let mut metadata = CallMetadata::default();
+    for entry in entries.iter() {
+        let KeyAndValueRef::Ascii(key, value) = entry else { continue };
         let Ok(value) = value.to_str() else { continue };
-        notes.take(name.as_str(), value)?;
+        metadata.insert(key.as_str(), value)?;
     }
-    Ok(notes)
+    Ok(metadata)
 }
 
-/// What of a call is not its message.
-struct Asked {
-    notes: Notes,
+/// What a call carries besides its message.
+struct CallContext {
+    metadata: CallMetadata,
     peer: Peer,
 }
 
-fn asked<T>(request: &Request<T>) -> Result<Asked, Status> {
-    let notes = notes(request.metadata()).map_err(|fault| status(&fault))?;
+fn call_context<T>(request: &Request<T>) -> Result<CallContext, Status> {
+    let metadata = parse_metadata(request.metadata()).map_err(|error| to_status(&error))?;
     let peer = request.extensions().get::<Peer>().copied();
-    Ok(Asked { notes, peer: peer.ok_or_else(|| status(&Fault::Errored))? })
+    Ok(CallContext { metadata, peer: peer.ok_or_else(|| to_status(&CallError::Errored))? })
 }
 
-fn no_transaction(id: Option<&Bytes>) -> Result<(), Fault> {
-    id.is_none_or(Bytes::is_empty).then_some(()).ok_or(Fault::NotHere("no transactions are offered"))
+fn no_transaction(id: Option<&Bytes>) -> Result<(), CallError> {
+    id.is_none_or(Bytes::is_empty)
+        .then_some(())
+        .ok_or(CallError::Unimplemented("no transactions are offered"))
 }
 
-impl FlightFront {
-    /// Does a call's work while it counts as open on its connection. Whatever comes of it the call was answered; only one
-    /// whose client leaves before was taken back.
-    async fn within<T>(
-        &self,
-        line: LineId,
-        work: impl Future<Output = Result<T, Status>>,
-    ) -> Result<(T, Open), Status> {
-        let mut open = self.counter.call(line).await.map_err(|fault| status(&fault))?;
-        let done = work.await;
-        open.answered = true;
-        Ok((done?, open))
-    }
-
-    /// One op, from its admission to its final answer.
-    async fn op(&self, text: &str, asked: &Asked, update: bool) -> Result<Served, Fault> {
-        let came = self.clock.now();
-        let statement = brief::op(text, &asked.notes, || fastrand::u64(1..))?;
-        let due = came + TimeDelta::from_millis(statement.timeout_ms.into());
-        let errand = Errand { statement, update, address: Some(asked.peer.address.ip()) };
-        match self.hatch.submit(errand).await {
-            Ok(Reply::Acked(served)) => Ok(served),
-            Ok(Reply::Busy(after)) => Err(Fault::Busy(after)),
-            Ok(Reply::Errored) if self.is_over(due) => Err(Fault::OutOfTime),
-            Ok(Reply::Errored) => Err(Fault::Errored),
-            Ok(Reply::Refused(why)) => Err(Fault::NoOp(why.to_string())),
-            Err(SubmitError::Full) => Err(Fault::Busy(None)),
-            Err(SubmitError::Stopped) => Err(Fault::Errored),
+impl FlightFrontEnd {
+    /// Runs a call while it counts as open on its connection. The call counts as answered whatever its
+    /// result is, and as cancelled only if its client disconnects before.
+    async fn run_call<T>(
+        &self,
+        connection: ConnectionId,
+        call: impl Future<Output = Result<T, Status>>,
+    ) -> Result<(T, OpenCall), Status> {
+        let mut open_call = self.state.begin_call(connection).await.map_err(|error| to_status(&error))?;
+        let result = call.await;
+        open_call.answered = true;
+        Ok((result?, open_call))
+    }
+
+    /// Submits an op and waits for its final reply.
+    async fn submit_op(
+        &self,
+        text: &str,
+        context: &CallContext,
+        is_update: bool,
+    ) -> Result<ClientResponse, CallError> {
+        let arrived = self.clock.now();
+        let statement = call_metadata::parse_op(text, &context.metadata, || fastrand::u64(1..))?;
+        let deadline = arrived + TimeDelta::from_millis(statement.timeout_ms.into());
+        let payload = OpPayload { statement, is_update, client_address: Some(context.peer.address.ip()) };
+        match self.submitter.submit(payload).await {
+            Ok(Reply::Acked(response)) => Ok(response),
+            Ok(Reply::Busy(retry_after)) => Err(CallError::Busy(retry_after)),
+            Ok(Reply::Errored) if self.has_passed(deadline) => Err(CallError::DeadlineExceeded),
+            Ok(Reply::Errored) => Err(CallError::Errored),
+            Ok(Reply::Refused(reason)) => Err(CallError::InvalidOp(reason.to_string())),
+            Err(SubmitError::Full) => Err(CallError::Busy(None)),
+            Err(SubmitError::Stopped) => Err(CallError::Errored),
         }
     }
 
-    /// Whether the op's time is up, but for the tick by which an answer is early.
-    fn is_over(&self, due: Timestamp) -> bool {
-        due - self.clock.now() <= TimeDelta::from_millis(50)
+    /// Whether the deadline has passed, with a margin because the core replies up to a tick before it.
+    fn has_passed(&self, deadline: Timestamp) -> bool {
+        deadline - self.clock.now() <= TimeDelta::from_millis(50)
     }
 
-    async fn update(&self, text: &str, asked: &Asked) -> Result<i64, Fault> {
-        match self.op(text, asked, true).await? {
-            Served::Count(count) | Served::Value { count, .. } => Ok(count),
-            Served::Flow { .. } => Err(Fault::Spoilt),
+    async fn execute_update(&self, text: &str, context: &CallContext) -> Result<i64, CallError> {
+        match self.submit_op(text, context, true).await? {
+            ClientResponse::UpdateCount(count) | ClientResponse::Value { count, .. } => Ok(count),
+            ClientResponse::Stream { .. } => Err(CallError::InvalidResult),
         }
     }
 
-    /// The op of a ticket that was redeemed; it may come again if nothing of it ran.
-    async fn query(&self, text: &str, asked: &Asked, stub: Option<Stub>) -> Result<Served, Fault> {
-        let served = self.op(text, asked, false).await;
-        // Danger: a client that comes back when it was told to holds a ticket that is spent.
-        if let (Err(Fault::Busy(_) | Fault::NoOp(_)), Some(stub)) = (&served, stub) {
-            self.counter.tell(Chore::GiveBack(stub));
+    /// Runs a query and restores its ticket if nothing ran: a client that retries after a busy reply would
+    /// otherwise present a ticket that was already redeemed.
+    async fn execute_query(
+        &self,
+        text: &str,
+        context: &CallContext,
+        ticket: Option<RedeemedTicket>,
+    ) -> Result<ClientResponse, CallError> {
+        let response = self.submit_op(text, context, false).await;
+        if let (Err(CallError::Busy(_) | CallError::InvalidOp(_)), Some(ticket)) = (&response, ticket) {
+            self.state.notify(StateRequest::RestoreTicket(ticket));
         }
-        served
+        response
     }
 
+    /// The flight info of a planned statement, with its ticket.
     fn plan_info(&self, descriptor: FlightDescriptor, ticket: Bytes, expires: Timestamp) -> FlightInfo {
-        let any = TicketStatementQuery { statement_handle: ticket }.as_any();
+        let command = TicketStatementQuery { statement_handle: ticket }.as_any();
         let expires = prost_types::Timestamp {
             seconds: expires.micros().div_euclid(1_000_000),
             nanos: (expires.micros().rem_euclid(1_000_000) * 1000) as i32,
         };
         let endpoint = FlightEndpoint {
-            ticket: Some(Ticket { ticket: any.encode_to_vec().into() }),
+            ticket: Some(Ticket { ticket: command.encode_to_vec().into() }),
             expiration_time: Some(expires),
             ..FlightEndpoint::default()
         };
@@ -195,38 +212,42 @@
     }
 
     async fn plan(&self, text: String, descriptor: FlightDescriptor) -> Result<Response<FlightInfo>, Status> {
-        let planned = self.counter.ask(|asker| Chore::Plan(text, asker)).await;
-        let (ticket, expires) = planned.and_then(|planned| planned).map_err(|fault| status(&fault))?;
+        let issued = self.state.request(|reply| StateRequest::IssueTicket(text, reply)).await;
+        let (ticket, expires) = issued.and_then(|issued| issued).map_err(|error| to_status(&error))?;
         Ok(Response::new(self.plan_info(descriptor, ticket, expires)))
     }
 
-    async fn statement_of(&self, handle: Bytes) -> Result<String, Fault> {
-        self.counter.ask(|asker| Chore::Statement(handle, asker)).await?
+    async fn bound_statement(&self, handle: Bytes) -> Result<String, CallError> {
+        self.state.request(|reply| StateRequest::BoundStatement(handle, reply)).await?
     }
 
-    /// The messages of an answer as they go out. `open` and what the core keeps for it are held till the last is
-    /// taken, or the client is gone.
-    fn flow(&self, served: Served, mut open: Open) -> Result<Flow<FlightData>, Status> {
-        match served {
-            Served::Count(_) => Err(status(&Fault::Spoilt)),
-            Served::Value { value, done, .. } => {
-                let batch = one_value(&value).map_err(|_| status(&Fault::Spoilt))?;
+    /// Streams the messages of a response. Keeps `open_call` and the resources retained by the core until
+    /// the client has taken the last message or disconnected.
+    fn stream_response(
+        &self,
+        response: ClientResponse,
+        mut open_call: OpenCall,
+    ) -> Result<ResponseStream<FlightData>, Status> {
+        match response {
+            ClientResponse::UpdateCount(_) => Err(to_status(&CallError::InvalidResult)),
+            ClientResponse::Value { value, done, .. } => {
+                let batch = single_value_batch(&value).map_err(|_| to_status(&CallError::InvalidResult))?;
                 let schema = batch.schema();
-                let flow = FlightDataEncoderBuilder::new()
+                let messages = FlightDataEncoderBuilder::new()
                     .with_schema(schema)
                     .build(stream::iter([Ok::<_, FlightError>(batch)]))
-                    .map_err(|_| status(&Fault::Spoilt));
-                open.answered = true;
-                Ok(Box::pin(flow.chain(held_till_here((done, open)))))
+                    .map_err(|_| to_status(&CallError::InvalidResult));
+                open_call.answered = true;
+                Ok(Box::pin(messages.chain(drop_at_end((done, open_call)))))
             }
-            Served::Flow { held, rest, done } => {
-                open.answered = rest.is_none();
-                let held = stream::iter(held.into_iter().map(|(data, _)| Ok(data)));
+            ClientResponse::Stream { buffered, rest, done } => {
+                open_call.answered = rest.is_none();
+                let buffered = stream::iter(buffered.into_iter().map(|(data, _)| Ok(data)));
                 Ok(match rest {
-                    None => Box::pin(held.chain(held_till_here((done, open)))),
+                    None => Box::pin(buffered.chain(drop_at_end((done, open_call)))),
                     Some(rest) => {
-                        let going = Going { rest, open, last: None, _done: done };
-                        Box::pin(held.chain(stream::unfold(Some(going), go_on)))
+                        let streaming = StreamingResult { rest, open_call, permit: None, _done: done };
+                        Box::pin(buffered.chain(stream::unfold(Some(streaming), next_message)))
                     }
                 })
             }
@@ -234,110 +255,119 @@
     }
 }
 
-/// A result that goes on.
-struct Going {
-    rest: mpsc::Receiver<Piece>,
-    open: Open,
-    /// The room of the message that went out last, till the next is asked for.
-    last: Option<Taken>,
+/// The rest of a result that is streamed to a client.
+struct StreamingResult {
+    rest: mpsc::Receiver<StreamItem>,
+    open_call: OpenCall,
+    /// The memory of the last message, until the client polls for the next one.
+    permit: Option<LargeMessagePermit>,
     _done: oneshot::Sender<()>,
 }
 
-/// The next message of a result that goes on; the end only if the host said so.
-async fn go_on(state: Option<Going>) -> Option<(Result<FlightData, Status>, Option<Going>)> {
-    let mut going = state?;
-    going.last = None;
-    match going.rest.recv().await {
-        Some(Piece::Data((data, room))) => {
-            going.last = room;
-            Some((Ok(data), Some(going)))
+/// The next message of a streamed result. The stream ends without an error only if the host completed the
+/// result.
+async fn next_message(
+    streaming: Option<StreamingResult>,
+) -> Option<(Result<FlightData, Status>, Option<StreamingResult>)> {
+    let mut streaming = streaming?;
+    streaming.permit = None;
+    match streaming.rest.recv().await {
+        Some(StreamItem::Message((data, permit))) => {
+            streaming.permit = permit;
+            Some((Ok(data), Some(streaming)))
         }
-        Some(Piece::End) => {
-            going.open.answered = true;
+        Some(StreamItem::End) => {
+            streaming.open_call.answered = true;
             None
         }
-        // Danger: a result that broke off, taken for a shorter one.
+        // Without an error the client would take the interrupted result for a complete one.
         None => {
-            going.open.answered = true;
-            Some((Err(status(&Fault::Cut)), None))
+            streaming.open_call.answered = true;
+            Some((Err(to_status(&CallError::Interrupted)), None))
         }
     }
 }
 
-/// Yields nothing, and keeps what it is given till it is asked.
-fn held_till_here<K: Send + 'static>(kept: K) -> impl Stream<Item = Result<FlightData, Status>> + Send {
-    stream::once(async move { drop(kept) }).filter_map(|()| async { None })
+/// An empty stream that drops the resources once it is polled.
+fn drop_at_end<T: Send + 'static>(resources: T) -> impl Stream<Item = Result<FlightData, Status>> + Send {
+    stream::once(async move { drop(resources) }).filter_map(|()| async { None })
 }
 
 fn value_schema() -> SchemaRef {
-    Arc::new(Schema::new(vec![Field::new(COLUMN, DataType::Binary, false)]))
+    Arc::new(Schema::new(vec![Field::new(VALUE_COLUMN, DataType::Binary, false)]))
 }
 
-fn one_value(value: &[u8]) -> Result<RecordBatch, arrow_schema::ArrowError> {
+fn single_value_batch(value: &[u8]) -> Result<RecordBatch, arrow_schema::ArrowError> {
     let column: ArrayRef = Arc::new(BinaryArray::from_iter_values([value]));
     RecordBatch::try_new(value_schema(), vec![column])
 }
 
 fn schema_bytes(schema: &Schema) -> Result<Bytes, Status> {
     let message: Result<IpcMessage, _> = SchemaAsIpc::new(schema, &IpcWriteOptions::default()).try_into();
-    message.map(|message| message.0).map_err(|_| status(&Fault::Errored))
+    message.map(|message| message.0).map_err(|_| to_status(&CallError::Errored))
 }
 
-/// A plan for what is answered here: its ticket is the command itself.
-fn info_of(
+/// The flight info of a call that is answered here: its ticket is the command itself.
+fn local_flight_info(
     command: &impl ProstMessageExt,
     descriptor: FlightDescriptor,
     schema: &Schema,
 ) -> Result<Response<FlightInfo>, Status> {
     let ticket = Ticket { ticket: command.as_any().encode_to_vec().into() };
-    let info = FlightInfo::new().try_with_schema(schema).map_err(|_| status(&Fault::Errored))?;
+    let info = FlightInfo::new().try_with_schema(schema).map_err(|_| to_status(&CallError::Errored))?;
     Ok(Response::new(
         info.with_descriptor(descriptor).with_endpoint(FlightEndpoint::new().with_ticket(ticket)),
     ))
 }
 
-fn answer_here<E>(batch: Result<RecordBatch, E>) -> Result<Response<Flow<FlightData>>, Status> {
-    let batch = batch.map_err(|_| status(&Fault::Errored))?;
-    let flow = FlightDataEncoderBuilder::new()
+fn batch_response<E>(batch: Result<RecordBatch, E>) -> Result<Response<ResponseStream<FlightData>>, Status> {
+    let batch = batch.map_err(|_| to_status(&CallError::Errored))?;
+    let messages = FlightDataEncoderBuilder::new()
         .with_schema(batch.schema())
         .build(stream::iter([Ok::<_, FlightError>(batch)]))
-        .map_err(|_| status(&Fault::Errored));
-    Ok(Response::new(Box::pin(flow)))
+        .map_err(|_| to_status(&CallError::Errored));
+    Ok(Response::new(Box::pin(messages)))
 }
 
-/// Reads a client's stream to its end. Danger: an update whose client breaks off half way would run, and nobody would
-/// hear of it.
-async fn no_data(request: Request<PeekableFlightDataStream>, most: usize) -> Result<(), Status> {
+/// Reads a client's stream to its end and rejects data in it. An update must not run before that, since its
+/// client may still disconnect.
+async fn read_empty_stream(
+    request: Request<PeekableFlightDataStream>,
+    max_bytes: usize,
+) -> Result<(), Status> {
     let mut stream = request.into_inner().into_peekable();
     let mut bytes = 0;
     while let Some(data) = stream.try_next().await? {
-        bytes += data.app_metadata.len() + data.flight_descriptor.map_or(0, |told| told.cmd.len()) + 64;
-        if bytes > most * 2 {
-            return Err(status(&Fault::TooLarge("the client's stream")));
+        bytes += data.app_metadata.len()
+            + data.flight_descriptor.map_or(0, |descriptor| descriptor.cmd.len())
+            + 64;
+        if bytes > max_bytes * 2 {
+            return Err(to_status(&CallError::TooLarge("the client's stream")));
         }
         if !data.data_header.is_empty() || !data.data_body.is_empty() {
-            return Err(status(&Fault::NoOp("an update by a statement has no data".to_string())));
+            return Err(to_status(&CallError::InvalidOp("an update by a statement has no data".to_string())));
         }
     }
     Ok(())
 }
 
 #[tonic::async_trait]
-impl FlightSqlService for FlightFront {
-    type FlightService = FlightFront;
+impl FlightSqlService for FlightFrontEnd {
+    type FlightService = FlightFrontEnd;
 
     async fn get_flight_info_statement(
         &self,
         query: CommandStatementQuery,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        let asked = asked(&request)?;
-        let work = async {
-            no_transaction(query.transaction_id.as_ref()).map_err(|fault| status(&fault))?;
-            let text = brief::merge(&query.query, &asked.notes).map_err(|fault| status(&fault))?;
+        let context = call_context(&request)?;
+        let call = async {
+            no_transaction(query.transaction_id.as_ref()).map_err(|error| to_status(&error))?;
+            let text = call_metadata::merge_comment(&query.query, &context.metadata)
+                .map_err(|error| to_status(&error))?;
             self.plan(text, request.into_inner()).await
         };
-        self.within(asked.peer.line, work).await.map(|(told, _)| told)
+        self.run_call(context.peer.connection, call).await.map(|(response, _)| response)
     }
 
     async fn get_flight_info_prepared_statement(
@@ -345,49 +375,51 @@
         query: CommandPreparedStatementQuery,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        let asked = asked(&request)?;
-        let work = async {
-            let text = self.statement_of(query.prepared_statement_handle).await;
-            let text =
-                text.and_then(|text| brief::merge(&text, &asked.notes)).map_err(|fault| status(&fault))?;
+        let context = call_context(&request)?;
+        let call = async {
+            let text = self.bound_statement(query.prepared_statement_handle).await;
+            let text = text
+                .and_then(|text| call_metadata::merge_comment(&text, &context.metadata))
+                .map_err(|error| to_status(&error))?;
             self.plan(text, request.into_inner()).await
         };
-        self.within(asked.peer.line, work).await.map(|(told, _)| told)
+        self.run_call(context.peer.connection, call).await.map(|(response, _)| response)
     }
 
     async fn do_get_statement(
         &self,
         ticket: TicketStatementQuery,
         request: Request<Ticket>,
-    ) -> Result<Response<Flow<FlightData>>, Status> {
-        let asked = asked(&request)?;
-        let work = async {
-            let redeemed = self.counter.ask(|asker| Chore::Redeem(ticket.statement_handle, asker)).await;
-            let served = match redeemed.and_then(|redeemed| redeemed) {
-                Ok((text, stub)) => self.query(&text, &asked, Some(stub)).await,
-                Err(fault) => Err(fault),
+    ) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        let context = call_context(&request)?;
+        let call = async {
+            let redeemed =
+                self.state.request(|reply| StateRequest::RedeemTicket(ticket.statement_handle, reply)).await;
+            let response = match redeemed.and_then(|redeemed| redeemed) {
+                Ok((text, ticket)) => self.execute_query(&text, &context, Some(ticket)).await,
+                Err(error) => Err(error),
             };
-            served.map_err(|fault| status(&fault))
+            response.map_err(|error| to_status(&error))
         };
-        let (served, open) = self.within(asked.peer.line, work).await?;
-        self.flow(served, open).map(Response::new)
+        let (response, open_call) = self.run_call(context.peer.connection, call).await?;
+        self.stream_response(response, open_call).map(Response::new)
     }
 
     async fn do_get_prepared_statement(
         &self,
         query: CommandPreparedStatementQuery,
         request: Request<Ticket>,
-    ) -> Result<Response<Flow<FlightData>>, Status> {
-        let asked = asked(&request)?;
-        let work = async {
-            let served = match self.statement_of(query.prepared_statement_handle).await {
-                Ok(text) => self.query(&text, &asked, None).await,
-                Err(fault) => Err(fault),
+    ) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        let context = call_context(&request)?;
+        let call = async {
+            let response = match self.bound_statement(query.prepared_statement_handle).await {
+                Ok(text) => self.execute_query(&text, &context, None).await,
+                Err(error) => Err(error),
             };
-            served.map_err(|fault| status(&fault))
+            response.map_err(|error| to_status(&error))
         };
-        let (served, open) = self.within(asked.peer.line, work).await?;
-        self.flow(served, open).map(Response::new)
+        let (response, open_call) = self.run_call(context.peer.connection, call).await?;
+        self.stream_response(response, open_call).map(Response::new)
     }
 
     async fn do_put_statement_update(
@@ -395,14 +427,14 @@
         command: CommandStatementUpdate,
         request: Request<PeekableFlightDataStream>,
     ) -> Result<i64, Status> {
-        let asked = asked(&request)?;
-        let work = async {
-            no_transaction(command.transaction_id.as_ref()).map_err(|fault| status(&fault))?;
-            no_data(request, self.limits.asked).await?;
-            let count = self.update(&command.query, &asked).await;
-            count.map_err(|fault| status(&fault))
+        let context = call_context(&request)?;
+        let call = async {
+            no_transaction(command.transaction_id.as_ref()).map_err(|error| to_status(&error))?;
+            read_empty_stream(request, self.limits.max_client_message_bytes).await?;
+            let count = self.execute_update(&command.query, &context).await;
+            count.map_err(|error| to_status(&error))
         };
-        self.within(asked.peer.line, work).await.map(|(told, _)| told)
+        self.run_call(context.peer.connection, call).await.map(|(response, _)| response)
     }
 
     async fn do_put_prepared_statement_update(
@@ -410,16 +442,16 @@
         command: CommandPreparedStatementUpdate,
         request: Request<PeekableFlightDataStream>,
     ) -> Result<i64, Status> {
-        let asked = asked(&request)?;
-        let work = async {
-            no_data(request, self.limits.asked).await?;
-            let count = match self.statement_of(command.prepared_statement_handle).await {
-                Ok(text) => self.update(&text, &asked).await,
-                Err(fault) => Err(fault),
+        let context = call_context(&request)?;
+        let call = async {
+            read_empty_stream(request, self.limits.max_client_message_bytes).await?;
+            let count = match self.bound_statement(command.prepared_statement_handle).await {
+                Ok(text) => self.execute_update(&text, &context).await,
+                Err(error) => Err(error),
             };
-            count.map_err(|fault| status(&fault))
+            count.map_err(|error| to_status(&error))
         };
-        self.within(asked.peer.line, work).await.map(|(told, _)| told)
+        self.run_call(context.peer.connection, call).await.map(|(response, _)| response)
     }
 
     async fn do_put_prepared_statement_query(
@@ -427,28 +459,31 @@
         query: CommandPreparedStatementQuery,
         request: Request<PeekableFlightDataStream>,
     ) -> Result<DoPutPreparedStatementResult, Status> {
-        let asked = asked(&request)?;
-        let work = async {
+        let context = call_context(&request)?;
+        let call = async {
             let mut stream = request.into_inner().into_peekable();
-            let (mut all, mut bytes) = (Vec::new(), 0);
+            let (mut messages, mut bytes) = (Vec::new(), 0);
             while let Some(data) = stream.try_next().await? {
                 bytes += data.data_header.len() + data.data_body.len() + 64;
-                if bytes > self.limits.asked {
-                    return Err(status(&Fault::TooLarge("the parameters")));
+                if bytes > self.limits.max_client_message_bytes {
+                    return Err(to_status(&CallError::TooLarge("the parameters")));
                 }
-                all.push(data);
+                messages.push(data);
             }
-            let bound = match parameters(&all) {
+            let bound = match decode_parameters(&messages) {
                 Ok(values) => {
                     let handle = query.prepared_statement_handle;
-                    self.counter.ask(|asker| Chore::Bind(handle, values, asker)).await.and_then(|bound| bound)
+                    self.state
+                        .request(|reply| StateRequest::Bind(handle, values, reply))
+                        .await
+                        .and_then(|bound| bound)
                 }
-                Err(fault) => Err(fault),
+                Err(error) => Err(error),
             };
-            let handle = bound.map_err(|fault| status(&fault))?;
+            let handle = bound.map_err(|error| to_status(&error))?;
             Ok(DoPutPreparedStatementResult { prepared_statement_handle: Some(handle) })
         };
-        self.within(asked.peer.line, work).await.map(|(told, _)| told)
+        self.run_call(context.peer.connection, call).await.map(|(response, _)| response)
     }
 
     async fn do_action_create_prepared_statement(
@@ -456,13 +491,13 @@
         query: ActionCreatePreparedStatementRequest,
         request: Request<Action>,
     ) -> Result<ActionCreatePreparedStatementResult, Status> {
-        let asked = asked(&request)?;
-        let work = async {
-            no_transaction(query.transaction_id.as_ref()).map_err(|fault| status(&fault))?;
-            let prepared = self.counter.ask(|asker| Chore::Prepare(query.query, asker)).await;
+        let context = call_context(&request)?;
+        let call = async {
+            no_transaction(query.transaction_id.as_ref()).map_err(|error| to_status(&error))?;
+            let prepared = self.state.request(|reply| StateRequest::Prepare(query.query, reply)).await;
             let (handle, parameters) =
-                prepared.and_then(|prepared| prepared).map_err(|fault| status(&fault))?;
-            // The types of parameters are the host's to know; each is named, and none is typed.
+                prepared.and_then(|prepared| prepared).map_err(|error| to_status(&error))?;
+            // Only the host knows the types of the parameters, so that the schema has names without types.
             let fields: Vec<Field> = (1..=parameters)
                 .map(|number| Field::new(format!("${number}"), DataType::Null, true))
                 .collect();
@@ -475,7 +510,7 @@
                 parameter_schema,
             })
         };
-        self.within(asked.peer.line, work).await.map(|(told, _)| told)
+        self.run_call(context.peer.connection, call).await.map(|(response, _)| response)
     }
 
     async fn do_action_close_prepared_statement(
@@ -483,14 +518,17 @@
         query: ActionClosePreparedStatementRequest,
         request: Request<Action>,
     ) -> Result<(), Status> {
-        let asked = asked(&request)?;
-        let work = async {
+        let context = call_context(&request)?;
+        let call = async {
             let handle = query.prepared_statement_handle;
-            let closed =
-                self.counter.ask(|asker| Chore::Close(handle, asker)).await.and_then(|closed| closed);
-            closed.map_err(|fault| status(&fault))
+            let closed = self
+                .state
+                .request(|reply| StateRequest::ClosePrepared(handle, reply))
+                .await
+                .and_then(|closed| closed);
+            closed.map_err(|error| to_status(&error))
         };
-        self.within(asked.peer.line, work).await.map(|(told, _)| told)
+        self.run_call(context.peer.connection, call).await.map(|(response, _)| response)
     }
 
     async fn get_flight_info_sql_info(
@@ -498,16 +536,16 @@
         query: CommandGetSqlInfo,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        let schema = query.clone().into_builder(&self.known.sql).schema();
-        info_of(&query, request.into_inner(), &schema)
+        let schema = query.clone().into_builder(&self.server_info.sql_info).schema();
+        local_flight_info(&query, request.into_inner(), &schema)
     }
 
     async fn do_get_sql_info(
         &self,
         query: CommandGetSqlInfo,
         _request: Request<Ticket>,
-    ) -> Result<Response<Flow<FlightData>>, Status> {
-        answer_here(query.into_builder(&self.known.sql).build())
+    ) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        batch_response(query.into_builder(&self.server_info.sql_info).build())
     }
 
     async fn get_flight_info_xdbc_type_info(
@@ -515,34 +553,34 @@
         query: CommandGetXdbcTypeInfo,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        let schema = query.into_builder(&self.known.types).schema();
-        info_of(&query, request.into_inner(), &schema)
+        let schema = query.into_builder(&self.server_info.type_info).schema();
+        local_flight_info(&query, request.into_inner(), &schema)
     }
 
     async fn do_get_xdbc_type_info(
         &self,
         query: CommandGetXdbcTypeInfo,
         _request: Request<Ticket>,
-    ) -> Result<Response<Flow<FlightData>>, Status> {
-        answer_here(query.into_builder(&self.known.types).build())
+    ) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        batch_response(query.into_builder(&self.server_info.type_info).build())
     }
 
-    // Routers know no tables: what hosts hold is asked of them by statements. So these lists are empty.
+    // Routers know no tables, so that the following lists are empty. Clients query the catalog by statements.
 
     async fn get_flight_info_catalogs(
         &self,
         query: CommandGetCatalogs,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        info_of(&query, request.into_inner(), &query.into_builder().schema())
+        local_flight_info(&query, request.into_inner(), &query.into_builder().schema())
     }
 
     async fn do_get_catalogs(
         &self,
         query: CommandGetCatalogs,
         _request: Request<Ticket>,
-    ) -> Result<Response<Flow<FlightData>>, Status> {
-        answer_here(query.into_builder().build())
+    ) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        batch_response(query.into_builder().build())
     }
 
     async fn get_flight_info_schemas(
@@ -550,15 +588,15 @@
         query: CommandGetDbSchemas,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        info_of(&query, request.into_inner(), &query.clone().into_builder().schema())
+        local_flight_info(&query, request.into_inner(), &query.clone().into_builder().schema())
     }
 
     async fn do_get_schemas(
         &self,
         query: CommandGetDbSchemas,
         _request: Request<Ticket>,
-    ) -> Result<Response<Flow<FlightData>>, Status> {
-        answer_here(query.into_builder().build())
+    ) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        batch_response(query.into_builder().build())
     }
 
     async fn get_flight_info_tables(
@@ -566,15 +604,15 @@
         query: CommandGetTables,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        info_of(&query, request.into_inner(), &query.clone().into_builder().schema())
+        local_flight_info(&query, request.into_inner(), &query.clone().into_builder().schema())
     }
 
     async fn do_get_tables(
         &self,
         query: CommandGetTables,
         _request: Request<Ticket>,
-    ) -> Result<Response<Flow<FlightData>>, Status> {
-        answer_here(query.into_builder().build())
+    ) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        batch_response(query.into_builder().build())
     }
 
     async fn get_flight_info_table_types(
@@ -582,15 +620,15 @@
         query: CommandGetTableTypes,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        info_of(&query, request.into_inner(), &query.into_builder().schema())
+        local_flight_info(&query, request.into_inner(), &query.into_builder().schema())
     }
 
     async fn do_get_table_types(
         &self,
         query: CommandGetTableTypes,
         _request: Request<Ticket>,
-    ) -> Result<Response<Flow<FlightData>>, Status> {
-        answer_here(query.into_builder().build())
+    ) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        batch_response(query.into_builder().build())
     }
 
     async fn get_flight_info_primary_keys(
@@ -598,15 +636,15 @@
         query: CommandGetPrimaryKeys,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        info_of(&query, request.into_inner(), &primary_keys())
+        local_flight_info(&query, request.into_inner(), &primary_keys_schema())
     }
 
     async fn do_get_primary_keys(
         &self,
         _query: CommandGetPrimaryKeys,
         _request: Request<Ticket>,
-    ) -> Result<Response<Flow<FlightData>>, Status> {
-        none_of(primary_keys())
+    ) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        empty_response(primary_keys_schema())
     }
 
     async fn get_flight_info_exported_keys(
@@ -614,15 +652,15 @@
         query: CommandGetExportedKeys,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        info_of(&query, request.into_inner(), &foreign_keys())
+        local_flight_info(&query, request.into_inner(), &foreign_keys_schema())
     }
 
     async fn do_get_exported_keys(
         &self,
         _query: CommandGetExportedKeys,
         _request: Request<Ticket>,
-    ) -> Result<Response<Flow<FlightData>>, Status> {
-        none_of(foreign_keys())
+    ) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        empty_response(foreign_keys_schema())
     }
 
     async fn get_flight_info_imported_keys(
@@ -630,15 +668,15 @@
         query: CommandGetImportedKeys,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        info_of(&query, request.into_inner(), &foreign_keys())
+        local_flight_info(&query, request.into_inner(), &foreign_keys_schema())
     }
 
     async fn do_get_imported_keys(
         &self,
         _query: CommandGetImportedKeys,
         _request: Request<Ticket>,
-    ) -> Result<Response<Flow<FlightData>>, Status> {
-        none_of(foreign_keys())
+    ) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        empty_response(foreign_keys_schema())
     }
 
     async fn get_flight_info_cross_reference(
@@ -646,15 +684,15 @@
         query: CommandGetCrossReference,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        info_of(&query, request.into_inner(), &foreign_keys())
+        local_flight_info(&query, request.into_inner(), &foreign_keys_schema())
     }
 
     async fn do_get_cross_reference(
         &self,
         _query: CommandGetCrossReference,
         _request: Request<Ticket>,
-    ) -> Result<Response<Flow<FlightData>>, Status> {
-        none_of(foreign_keys())
+    ) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        empty_response(foreign_keys_schema())
     }
 
     async fn do_action_begin_transaction(
@@ -662,7 +700,7 @@
         _query: ActionBeginTransactionRequest,
         _request: Request<Action>,
     ) -> Result<ActionBeginTransactionResult, Status> {
-        not_here("no transactions are offered")
+        unimplemented("no transactions are offered")
     }
 
     async fn do_action_end_transaction(
@@ -670,7 +708,7 @@
         _query: ActionEndTransactionRequest,
         _request: Request<Action>,
     ) -> Result<(), Status> {
-        not_here("no transactions are offered")
+        unimplemented("no transactions are offered")
     }
 
     async fn do_action_begin_savepoint(
@@ -678,7 +716,7 @@
         _query: ActionBeginSavepointRequest,
         _request: Request<Action>,
     ) -> Result<ActionBeginSavepointResult, Status> {
-        not_here("no savepoints are offered")
+        unimplemented("no savepoints are offered")
     }
 
     async fn do_action_end_savepoint(
@@ -686,7 +724,7 @@
         _query: ActionEndSavepointRequest,
         _request: Request<Action>,
     ) -> Result<(), Status> {
-        not_here("no savepoints are offered")
+        unimplemented("no savepoints are offered")
     }
 
     async fn do_action_cancel_query(
@@ -694,7 +732,7 @@
         _query: ActionCancelQueryRequest,
         _request: Request<Action>,
     ) -> Result<ActionCancelQueryResult, Status> {
-        not_here("a query is called off by cancelling its call")
+        unimplemented("a query is called off by cancelling its call")
     }
 
     async fn do_put_statement_ingest(
@@ -702,65 +740,66 @@
         _command: CommandStatementIngest,
         _request: Request<PeekableFlightDataStream>,
     ) -> Result<i64, Status> {
-        not_here("no bulk ingestion is offered")
+        unimplemented("no bulk ingestion is offered")
     }
 
     async fn register_sql_info(&self, _id: i32, _info: &SqlInfo) {}
 }
 
-fn not_here<T>(why: &'static str) -> Result<T, Status> {
-    Err(status(&Fault::NotHere(why)))
+fn unimplemented<T>(reason: &'static str) -> Result<T, Status> {
+    Err(to_status(&CallError::Unimplemented(reason)))
 }
 
-fn text(name: &str, nullable: bool) -> Field {
+fn text_field(name: &str, nullable: bool) -> Field {
     Field::new(name, DataType::Utf8, nullable)
 }
 
-/// As the protocol lays out a list of primary keys.
-fn primary_keys() -> Schema {
+/// The schema that Flight SQL defines for a list of primary keys.
+fn primary_keys_schema() -> Schema {
     Schema::new(vec![
-        text("catalog_name", true),
-        text("db_schema_name", true),
-        text("table_name", false),
-        text("column_name", false),
-        text("key_name", true),
+        text_field("catalog_name", true),
+        text_field("db_schema_name", true),
+        text_field("table_name", false),
+        text_field("column_name", false),
+        text_field("key_name", true),
         Field::new("key_sequence", DataType::Int32, false),
     ])
 }
 
-/// As the protocol lays out lists of keys of two tables.
-fn foreign_keys() -> Schema {
-    let of = |side: &str| {
+/// The schema that Flight SQL defines for a list of foreign keys.
+fn foreign_keys_schema() -> Schema {
+    let table_columns = |side: &str| {
         [("catalog_name", true), ("db_schema_name", true), ("table_name", false), ("column_name", false)]
-            .map(|(name, nullable)| text(&format!("{side}_{name}"), nullable))
+            .map(|(name, nullable)| text_field(&format!("{side}_{name}"), nullable))
     };
-    let mut fields: Vec<Field> = of("pk").into_iter().chain(of("fk")).collect();
+    let mut fields: Vec<Field> = table_columns("pk").into_iter().chain(table_columns("fk")).collect();
     fields.push(Field::new("key_sequence", DataType::Int32, false));
-    fields.extend([text("fk_key_name", true), text("pk_key_name", true)]);
+    fields.extend([text_field("fk_key_name", true), text_field("pk_key_name", true)]);
     fields.extend(["update_rule", "delete_rule"].map(|name| Field::new(name, DataType::UInt8, false)));
     Schema::new(fields)
 }
 
-fn none_of(schema: Schema) -> Result<Response<Flow<FlightData>>, Status> {
-    answer_here(Ok::<_, FlightError>(RecordBatch::new_empty(Arc::new(schema))))
+fn empty_response(schema: Schema) -> Result<Response<ResponseStream<FlightData>>, Status> {
+    batch_response(Ok::<_, FlightError>(RecordBatch::new_empty(Arc::new(schema))))
 }
 
-/// The values that a client's stream binds.
-fn parameters(all: &[FlightData]) -> Result<Vec<Literal>, Fault> {
-    let mut checker = arrowyard_flight::batches::Checker::new(arrowyard_flight::batches::Bounds {
-        fields: 256,
-        unpacked: 1 << 20,
-    });
-    // Danger: what the decoder trusts is the client's word. It sees only what fits together.
-    for data in all {
-        checker
-            .take(&data.data_header, &data.data_body)
-            .map_err(|spoilt| Fault::NoOp(format!("the parameters: {}", spoilt.0)))?;
-    }
-    let batches =
-        flight_data_to_batches(all).map_err(|_| Fault::NoOp("the parameters cannot be read".to_string()))?;
+/// Decodes the parameter values in a client's stream.
+fn decode_parameters(messages: &[FlightData]) -> Result<Vec<Literal>, CallError> {
+    let mut validator =
+        arrowyard_flight::ipc_validation::IpcValidator::new(arrowyard_flight::ipc_validation::IpcLimits {
+            max_fields: 256,
+            max_decompressed_bytes: 1 << 20,
+        });
+    // The decoder trusts its input, so that it must only get validated messages.
+    for data in messages {
+        validator
+            .check(&data.data_header, &data.data_body)
+            .map_err(|invalid| CallError::InvalidOp(format!("the parameters: {}", invalid.0)))?;
+    }
+    let batches = flight_data_to_batches(messages)
+        .map_err(|_| CallError::InvalidOp("the parameters cannot be read".to_string()))?;
     match batches.as_slice() {
-        [batch] => bind::literals(batch),
-        _ => Err(Fault::NoOp("parameters come as one batch".to_string())),
+        [batch] => bind::batch_literals(batch),
+        _ => Err(CallError::InvalidOp("parameters come as one batch".to_string())),
     }
 }
