--- a/crates/arrowyard-daemon/tests/long_lists.rs
+++ b/crates/arrowyard-daemon/tests/long_lists.rs
@@ -11,15 +11,15 @@
     assert!(logged(&rig, 0, "host is Ready", 5_000));
     let load = spawn_ops(&rig, 0, ms(4_000), 160);
     std::thread::sleep(ms(500));
-    rig.town.extras(3_000, 0, usize::MAX);
+    rig.cluster.list_extra_hosts(3_000, 0, usize::MAX);
     std::thread::sleep(ms(20));
     // The next list drains a host while the first one is still being processed.
-    rig.town.drain("r-1");
-    let outcome = load.join().expect("the load has been sent");
-    assert_invariants(&rig, &outcome);
+    rig.cluster.drain("r-1");
+    let result = load.join().expect("the load has been sent");
+    assert_invariants(&rig, &result);
     // Late replies count as well, since the machine may be busy with other tests.
-    let stats = outcome.of_tenant("t");
-    let acked = (stats.good + stats.late) as f64 / stats.sent as f64;
+    let stats = result.tenant_stats("t");
+    let acked = (stats.in_target + stats.late) as f64 / stats.sent as f64;
     assert!(acked > 0.9, "{acked} of {}", stats.sent);
-    assert_eq!(rig.town.late("r-1"), 0, "commands after the drain's grace period");
+    assert_eq!(rig.cluster.late_commands("r-1"), 0, "commands after the drain's grace period");
 }
--- a/crates/arrowyard-daemon/tests/peers.rs
+++ b/crates/arrowyard-daemon/tests/peers.rs
@@ -7,269 +7,317 @@
 use std::time::{Duration, Instant};
 
 use arrowyard_peers::message::{Claim, Datagram, FORMAT_VERSION, Kind, Rumor, encode, hash_name};
-use arrowyard_testbed::load::{Outcome, Stream, play};
+use arrowyard_testbed::load::{LoadResult, TenantLoad, run_load};
 use arrowyard_testbed::plan::{Fault, Plan};
-use arrowyard_testbed::rig::{Rig, Setting};
+use arrowyard_testbed::rig::{Rig, RigConfig};
 use arrowyard_testbed::router::OP_TYPES;
-use arrowyard_testbed::wire::Cut;
-use arrowyard_testbed::{Act, Process};
+use arrowyard_testbed::tcp_relay::Cut;
+use arrowyard_testbed::{HostBehavior, Process};
 use serde_json::Value;
 
 fn ms(millis: u64) -> Duration {
     Duration::from_millis(millis)
 }
 
-fn rig(setting: Setting) -> Rig {
-    let rig = Rig::start(Path::new(env!("CARGO_BIN_EXE_arrowyard")), setting).expect("the routers start");
-    if !rig.is_off() {
-        assert!(rig.agree(ms(20_000)).is_some(), "the routers agree on the fleet");
+fn rig(config: RigConfig) -> Rig {
+    let rig = Rig::start(Path::new(env!("CARGO_BIN_EXE_arrowyard")), config).expect("the routers start");
+    if !rig.is_without_membership() {
+        assert!(rig.wait_for_agreement(ms(20_000)).is_some(), "the routers agree on the fleet");
     }
     rig
 }
 
-/// Sends ops to the process for `span` from another thread.
-fn spawn_ops(process: &Process, span: Duration, seed: u64) -> std::thread::JoinHandle<Outcome> {
+/// Sends ops to the process for `duration` from another thread.
+fn spawn_ops(process: &Process, duration: Duration, seed: u64) -> std::thread::JoinHandle<LoadResult> {
     let address = process.address;
     std::thread::spawn(move || {
         let mix = vec![(0, 3), (1, 3), (2, 2), (3, 2)];
-        let stream =
-            Stream { tenant: "t", group: 7, rate: 40.0, mix, from: Duration::ZERO, till: span, sessions: 20 };
-        play(address, &OP_TYPES, &[stream], seed, |_| {})
+        let load = TenantLoad {
+            tenant: "t",
+            group: 7,
+            rate: 40.0,
+            mix,
+            start: Duration::ZERO,
+            end: duration,
+            sessions: 20,
+        };
+        run_load(address, &OP_TYPES, &[load], seed, |_| {})
     })
 }
 
 /// Asserts that every op was answered, no write was applied twice and every acknowledged write is stored.
-fn audit(rig: &Rig, outcomes: &[Outcome], plan: &Plan) {
-    let ledger = rig.town.ledger();
-    let twice = ledger.applied.iter().find(|(_, times)| times.len() > 1);
-    assert_eq!(twice, None, "applied twice: {}", plan.text());
-    for outcome in outcomes {
-        let stats = outcome.of_tenant("t");
+fn audit(rig: &Rig, results: &[LoadResult], plan: &Plan) {
+    let ledger = rig.cluster.ledger();
+    let applied_twice = ledger.applied.iter().find(|(_, times)| times.len() > 1);
+    assert_eq!(applied_twice, None, "applied twice: {}", plan.to_json());
+    for result in results {
+        let stats = result.tenant_stats("t");
         assert!(stats.sent > 20, "ops were sent: {}", stats.sent);
-        assert_eq!(stats.unanswered, 0, "{}", plan.text());
-        let lost = outcome.acked.iter().find(|token| !ledger.applied.contains_key(&format!("{token:016x}")));
-        assert_eq!(lost, None, "acknowledged but not stored: {}", plan.text());
-        assert!(stats.share() > 0.9, "{} of ops were good: {}", stats.share(), plan.text());
+        assert_eq!(stats.unanswered, 0, "{}", plan.to_json());
+        let lost_write =
+            result.acked_writes.iter().find(|id| !ledger.applied.contains_key(&format!("{id:016x}")));
+        assert_eq!(lost_write, None, "acknowledged but not stored: {}", plan.to_json());
+        assert!(
+            stats.in_target_share() > 0.9,
+            "{} of ops were in target: {}",
+            stats.in_target_share(),
+            plan.to_json()
+        );
     }
 }
 
 /// Runs a fault plan while ops are sent to the routers that it does not affect.
-fn play_with_load(rig: &mut Rig, plan: &Plan, unaffected: &[usize], after: Duration) -> (i64, Vec<Outcome>) {
-    let first = plan.acts.iter().map(|act| act.at_ms).min().unwrap_or_default();
-    let last = plan.acts.iter().map(|act| act.at_ms + act.for_ms).max().unwrap_or_default();
-    let span = ms(last - first) + after;
+fn run_plan_with_load(
+    rig: &mut Rig,
+    plan: &Plan,
+    unaffected: &[usize],
+    after: Duration,
+) -> (i64, Vec<LoadResult>) {
+    let first_ms = plan.faults.iter().map(|planned| planned.at_ms).min().unwrap_or_default();
+    let last_ms =
+        plan.faults.iter().map(|planned| planned.at_ms + planned.duration_ms).max().unwrap_or_default();
+    let duration = ms(last_ms - first_ms) + after;
     let loads: Vec<_> = unaffected
         .iter()
-        .map(|&who| spawn_ops(rig.process(who).expect("the router runs"), span, who as u64 + 100 * plan.seed))
+        .map(|&index| {
+            spawn_ops(rig.process(index).expect("the router runs"), duration, index as u64 + 100 * plan.seed)
+        })
         .collect();
-    let zero = rig.play(plan, after);
-    let outcomes: Vec<Outcome> =
+    let start_us = rig.run_plan(plan, after);
+    let results: Vec<LoadResult> =
         loads.into_iter().map(|load| load.join().expect("the load has been sent")).collect();
-    audit(rig, &outcomes, plan);
-    (zero, outcomes)
+    audit(rig, &results, plan);
+    (start_us, results)
 }
 
 /// Asserts that no running router was considered lost or dead.
-fn assert_no_false_deaths(rig: &Rig, zero: i64, plan: &Plan) {
-    let false_deaths = rig.wrong(zero, |_, _| true);
-    assert!(false_deaths.is_empty(), "{:?} of {}: {}", false_deaths.first(), false_deaths.len(), plan.text());
+fn assert_no_false_deaths(rig: &Rig, start_us: i64, plan: &Plan) {
+    let false_deaths = rig.false_deaths(start_us, |_, _| true);
+    assert!(
+        false_deaths.is_empty(),
+        "{:?} of {}: {}",
+        false_deaths.first(),
+        false_deaths.len(),
+        plan.to_json()
+    );
 }
 
-/// Asserts that all routers agree on the fleet within `within_ms`.
-fn assert_agreement(rig: &Rig, within_ms: u64, plan: &Plan) {
-    let took = rig.agree(ms(within_ms));
-    assert!(took.is_some(), "no agreement within {within_ms} ms: {}", plan.text());
+/// Asserts that all routers agree on the fleet within `timeout_ms`.
+fn assert_agreement(rig: &Rig, timeout_ms: u64, plan: &Plan) {
+    let took = rig.wait_for_agreement(ms(timeout_ms));
+    assert!(took.is_some(), "no agreement within {timeout_ms} ms: {}", plan.to_json());
 }
 
-/// The row of router `of` in the view of router `by`.
-fn row(rig: &Rig, by: usize, of: usize) -> Value {
-    let view = rig.view(by).expect("the router shows its view");
-    let name = format!("n{of}");
+/// The row of router `member` in the view of router `observer`.
+fn row(rig: &Rig, observer: usize, member: usize) -> Value {
+    let view = rig.view(observer).expect("the router shows its view");
+    let name = format!("n{member}");
     let rows = view["peers"].as_array().cloned().unwrap_or_default();
     rows.into_iter().find(|row| row["name"] == name.as_str()).unwrap_or_default()
 }
 
 /// Waits until the condition holds.
-fn until(within_ms: u64, condition: &str, mut holds: impl FnMut() -> bool) {
+fn wait_until(timeout_ms: u64, condition: &str, mut holds: impl FnMut() -> bool) {
     let began = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < ms(within_ms), "not within {within_ms} ms: {condition}");
+        assert!(began.elapsed() < ms(timeout_ms), "not within {timeout_ms} ms: {condition}");
         std::thread::sleep(ms(20));
     }
 }
 
 #[test]
 fn a_crash_is_detected_by_all_and_distinguished_from_a_shutdown() {
-    let mut rig = rig(Setting::of(5));
-    let plan = Plan::new("crash", 5, 0).act(0, 4_000, Fault::Kill(vec![4]));
-    let (zero, _) = play_with_load(&mut rig, &plan, &[0, 1], ms(0));
-    for by in 0..4 {
-        let history = rig.history();
-        let known = history
-            .iter()
-            .find(|held| held.by == by && held.of == 4 && held.mono_us > zero && held.is_over());
-        let took = known.map(|held| (held.mono_us - zero) / 1000).expect("the crash was detected");
-        assert!(took < 3_500, "n{by} took {took} ms: {}", plan.text());
-        assert_eq!(known.map(|held| &*held.standing), Some("Dead"), "refused datagrams confirm the crash");
+    let mut rig = rig(RigConfig::new(5));
+    let plan = Plan::new("crash", 5, 0).with_fault(0, 4_000, Fault::Kill(vec![4]));
+    let (start_us, _) = run_plan_with_load(&mut rig, &plan, &[0, 1], ms(0));
+    for observer in 0..4 {
+        let changes = rig.standing_changes();
+        let detection = changes.iter().find(|change| {
+            change.observer == observer
+                && change.member == 4
+                && change.mono_us > start_us
+                && change.is_lost_or_dead()
+        });
+        let took =
+            detection.map(|change| (change.mono_us - start_us) / 1000).expect("the crash was detected");
+        assert!(took < 3_500, "n{observer} took {took} ms: {}", plan.to_json());
+        assert_eq!(
+            detection.map(|change| &*change.standing),
+            Some("Dead"),
+            "refused datagrams confirm the crash"
+        );
     }
     assert_agreement(&rig, 10_000, &plan);
     // A shutdown, after which the router restarts with the same name.
-    assert_eq!(rig.end(3), Some(0));
-    until(5_000, "a shutdown", || (0..3).all(|by| row(&rig, by, 3)["standing"] == "left"));
-    rig.begin(3).expect("the router restarts");
+    assert_eq!(rig.shut_down(3), Some(0));
+    wait_until(5_000, "a shutdown", || (0..3).all(|observer| row(&rig, observer, 3)["standing"] == "left"));
+    rig.start_process(3).expect("the router restarts");
     assert_agreement(&rig, 10_000, &plan);
-    let dead = rig.history().into_iter().find(|held| held.of == 3 && held.is_over());
-    assert_eq!(dead, None, "a shutdown is not a death");
+    let death =
+        rig.standing_changes().into_iter().find(|change| change.member == 3 && change.is_lost_or_dead());
+    assert_eq!(death, None, "a shutdown is not a death");
 }
 
 #[test]
 fn pauses_cause_no_false_deaths_and_resumed_routers_doubt_themselves_first() {
-    let mut rig = rig(Setting::of(6));
+    let mut rig = rig(RigConfig::new(6));
     let plan = Plan::new("halts", 6, 0)
-        .act(0, 3_000, Fault::Halt(vec![1, 4]))
-        .act(4_500, 500, Fault::Halt(vec![2]))
-        .act(6_000, 1_500, Fault::Halt((0..6).collect()));
-    let zero = rig.play(&plan, ms(500));
-    assert_no_false_deaths(&rig, zero, &plan);
+        .with_fault(0, 3_000, Fault::Pause(vec![1, 4]))
+        .with_fault(4_500, 500, Fault::Pause(vec![2]))
+        .with_fault(6_000, 1_500, Fault::Pause((0..6).collect()));
+    let start_us = rig.run_plan(&plan, ms(500));
+    assert_no_false_deaths(&rig, start_us, &plan);
     assert_agreement(&rig, 10_000, &plan);
     assert!(
-        rig.process(1).is_some_and(|process| process.said("was away", ms(100))),
+        rig.process(1).is_some_and(|process| process.wait_for_log("was away", ms(100))),
         "the router notices its own pause"
     );
     // A resumed router reports no other router within the next second.
-    let resumed = zero + 3_000_000;
-    let reports = |held: &&arrowyard_testbed::rig::Held| {
-        (held.by == 1 || held.by == 4)
-            && held.mono_us > resumed
-            && held.mono_us < resumed + 1_000_000
-            && held.standing != "Alive"
+    let resumed_us = start_us + 3_000_000;
+    let is_report = |change: &&arrowyard_testbed::rig::StandingChange| {
+        (change.observer == 1 || change.observer == 4)
+            && change.mono_us > resumed_us
+            && change.mono_us < resumed_us + 1_000_000
+            && change.standing != "Alive"
     };
-    let reported = rig.history().iter().find(reports).cloned();
-    assert_eq!(reported, None);
+    let report = rig.standing_changes().iter().find(is_report).cloned();
+    assert_eq!(report, None);
 }
 
 #[test]
 fn a_cpu_starved_router_is_not_declared_dead() {
-    let mut rig = rig(Setting::of(5));
-    let plan = (0..16)
-        .fold(Plan::new("starved", 5, 0), |plan, turn| plan.act(turn * 500, 350, Fault::Halt(vec![2])));
-    let zero = rig.play(&plan, ms(500));
-    assert_no_false_deaths(&rig, zero, &plan);
+    let mut rig = rig(RigConfig::new(5));
+    let plan = (0..16).fold(Plan::new("starved", 5, 0), |plan, round| {
+        plan.with_fault(round * 500, 350, Fault::Pause(vec![2]))
+    });
+    let start_us = rig.run_plan(&plan, ms(500));
+    assert_no_false_deaths(&rig, start_us, &plan);
     assert_agreement(&rig, 10_000, &plan);
 }
 
 #[test]
 fn lost_duplicated_delayed_and_corrupted_datagrams_cause_no_false_deaths() {
-    let mut rig = rig(Setting::of(6));
+    let mut rig = rig(RigConfig::new(6));
     let plan = Plan::new("rough", 6, 0)
-        .act(0, 8_000, Fault::Lose(0.3))
-        .act(0, 8_000, Fault::Double(0.2))
-        .act(0, 8_000, Fault::Garble(0.05))
-        .act(0, 8_000, Fault::Delay { ms: 20 });
-    let (zero, _) = play_with_load(&mut rig, &plan, &[0], ms(500));
-    assert_no_false_deaths(&rig, zero, &plan);
+        .with_fault(0, 8_000, Fault::PacketLoss(0.3))
+        .with_fault(0, 8_000, Fault::Duplication(0.2))
+        .with_fault(0, 8_000, Fault::Corruption(0.05))
+        .with_fault(0, 8_000, Fault::Delay { ms: 20 });
+    let (start_us, _) = run_plan_with_load(&mut rig, &plan, &[0], ms(500));
+    assert_no_false_deaths(&rig, start_us, &plan);
     assert_agreement(&rig, 10_000, &plan);
-    let garbled = rig.view(0).expect("the router shows its view")["datagrams"]["garbled"].as_u64();
-    assert!(garbled > Some(0), "corrupted datagrams were counted: {garbled:?}");
+    let corrupted = rig.view(0).expect("the router shows its view")["datagrams"]["garbled"].as_u64();
+    assert!(corrupted > Some(0), "corrupted datagrams were counted: {corrupted:?}");
 }
 
 #[test]
 fn one_way_partitions_with_an_indirect_path_cause_no_false_deaths_and_are_shown() {
-    let mut rig = rig(Setting::of(6));
-    let ring = (0..6).fold(Plan::new("ring", 6, 0), |plan, one| {
-        plan.act(0, 9_000, Fault::Cut(vec![one], vec![(one + 1) % 6]))
+    let mut rig = rig(RigConfig::new(6));
+    let ring = (0..6).fold(Plan::new("ring", 6, 0), |plan, sender| {
+        plan.with_fault(0, 9_000, Fault::OneWayPartition(vec![sender], vec![(sender + 1) % 6]))
     });
-    let (zero, _) = play_with_load(&mut rig, &ring, &[0], ms(0));
-    assert_no_false_deaths(&rig, zero, &ring);
+    let (start_us, _) = run_plan_with_load(&mut rig, &ring, &[0], ms(0));
+    assert_no_false_deaths(&rig, start_us, &ring);
     // A router that receives nothing, while all others receive its datagrams.
-    let deaf = Plan::new("all-to-one", 6, 0).act(0, 9_000, Fault::Cut(vec![0, 2, 3, 4, 5], vec![1]));
-    let zero = rig.play(&deaf, ms(0));
-    assert_no_false_deaths(&rig, zero, &deaf);
-    assert_agreement(&rig, 10_000, &deaf);
+    let deaf_router = Plan::new("all-to-one", 6, 0).with_fault(
+        0,
+        9_000,
+        Fault::OneWayPartition(vec![0, 2, 3, 4, 5], vec![1]),
+    );
+    let start_us = rig.run_plan(&deaf_router, ms(0));
+    assert_no_false_deaths(&rig, start_us, &deaf_router);
+    assert_agreement(&rig, 10_000, &deaf_router);
     // While the partition lasts, the view shows which router does not receive this one's datagrams.
-    let one = Plan::new("one-side", 6, 0).act(0, 30_000, Fault::Cut(vec![0], vec![1]));
-    rig.play(&Plan { acts: vec![], ..one.clone() }, ms(0));
-    rig.relays.cut(99, [(0, 1)].into());
-    until(12_000, "the one-way partition is shown", || {
+    let one_way = Plan::new("one-side", 6, 0).with_fault(0, 30_000, Fault::OneWayPartition(vec![0], vec![1]));
+    rig.run_plan(&Plan { faults: vec![], ..one_way.clone() }, ms(0));
+    rig.peer_relays.cut(99, [(0, 1)].into());
+    wait_until(12_000, "the one-way partition is shown", || {
         let reach = row(&rig, 0, 1)["reach"].clone();
         reach == "heard, does not hear this router" || reach == "by others only"
     });
-    rig.relays.heal(99);
-    assert_agreement(&rig, 10_000, &one);
+    rig.peer_relays.heal(99);
+    assert_agreement(&rig, 10_000, &one_way);
 }
 
 #[test]
 fn a_cut_in_halves_is_known_on_both_sides_and_heals_to_one_view() {
-    let mut rig = rig(Setting { more: "shares: true".to_string(), ..Setting::of(6) });
-    let plan = Plan::new("halves", 6, 0).act(0, 9_000, Fault::Part(vec![0, 1], vec![2, 3, 4, 5]));
+    let mut rig = rig(RigConfig { peers_fields: "shares: true".to_string(), ..RigConfig::new(6) });
+    let plan = Plan::new("halves", 6, 0).with_fault(0, 9_000, Fault::Partition(vec![0, 1], vec![2, 3, 4, 5]));
     let loads: Vec<_> = [0, 2]
         .iter()
-        .map(|&who| spawn_ops(rig.process(who).expect("the router runs"), ms(9_000), 3))
+        .map(|&index| spawn_ops(rig.process(index).expect("the router runs"), ms(9_000), 3))
         .collect();
     // The cut stands until the views have been read: once it heals, the halves find each other again.
-    let cut = [0, 1].into_iter().flat_map(|one| (2..6).flat_map(move |two| [(one, two), (two, one)]));
-    rig.relays.cut(99, cut.collect());
-    rig.play(&Plan { acts: vec![], ..plan.clone() }, ms(9_000));
-    for (who, reach) in [(0, 2), (1, 2), (2, 4), (5, 4)] {
-        let view = rig.view(who).expect("the router shows its view");
-        assert_eq!((&view["reach"], &view["whole"]), (&reach.into(), &6.into()), "n{who}: {}", plan.text());
+    let cut_pairs = [0, 1]
+        .into_iter()
+        .flat_map(|first| (2..6).flat_map(move |second| [(first, second), (second, first)]));
+    rig.peer_relays.cut(99, cut_pairs.collect());
+    rig.run_plan(&Plan { faults: vec![], ..plan.clone() }, ms(9_000));
+    for (index, reach) in [(0, 2), (1, 2), (2, 4), (5, 4)] {
+        let view = rig.view(index).expect("the router shows its view");
+        assert_eq!(
+            (&view["reach"], &view["whole"]),
+            (&reach.into(), &6.into()),
+            "n{index}: {}",
+            plan.to_json()
+        );
         // The minority does not use the others' shares, nor does the majority this soon.
         assert!(view["routers"].as_f64() >= Some(6.0), "{}", view["routers"]);
     }
-    rig.relays.heal(99);
+    rig.peer_relays.heal(99);
     assert_agreement(&rig, 8_000, &plan);
-    let outcomes: Vec<Outcome> =
+    let results: Vec<LoadResult> =
         loads.into_iter().map(|load| load.join().expect("the load has been sent")).collect();
-    audit(&rig, &outcomes, &plan);
+    audit(&rig, &results, &plan);
 }
 
 #[test]
 fn a_flapping_partition_causes_no_false_deaths() {
-    let mut rig = rig(Setting::of(5));
-    let plan = (0..4).fold(Plan::new("flapping", 5, 0), |plan, turn| {
-        plan.act(turn * 4_000, 2_000, Fault::Part(vec![0, 1], vec![2, 3, 4]))
+    let mut rig = rig(RigConfig::new(5));
+    let plan = (0..4).fold(Plan::new("flapping", 5, 0), |plan, round| {
+        plan.with_fault(round * 4_000, 2_000, Fault::Partition(vec![0, 1], vec![2, 3, 4]))
     });
-    let zero = rig.play(&plan, ms(0));
-    assert_no_false_deaths(&rig, zero, &plan);
+    let start_us = rig.run_plan(&plan, ms(0));
+    assert_no_false_deaths(&rig, start_us, &plan);
     assert_agreement(&rig, 8_000, &plan);
 }
 
 #[test]
 fn routers_agree_after_a_rolling_restart_and_after_most_are_killed() {
-    let mut rig = rig(Setting::of(6));
-    let plan = (0..4).fold(Plan::new("roll", 6, 0), |plan, turn| {
-        plan.act(turn * 1_500, 300, Fault::End(vec![turn as usize + 2]))
+    let mut rig = rig(RigConfig::new(6));
+    let plan = (0..4).fold(Plan::new("roll", 6, 0), |plan, round| {
+        plan.with_fault(round * 1_500, 300, Fault::Shutdown(vec![round as usize + 2]))
     });
-    let (_, _) = play_with_load(&mut rig, &plan, &[0, 1], ms(0));
+    let (_, _) = run_plan_with_load(&mut rig, &plan, &[0, 1], ms(0));
     assert_agreement(&rig, 10_000, &plan);
-    let herd = Plan::new("herd", 6, 0).act(0, 1_500, Fault::Kill(vec![2, 3, 4, 5]));
+    let mass_kill = Plan::new("herd", 6, 0).with_fault(0, 1_500, Fault::Kill(vec![2, 3, 4, 5]));
     // Another seed, so that the tokens differ from those the hosts remember.
-    let herd = Plan { seed: 2, ..herd };
-    let (_, _) = play_with_load(&mut rig, &herd, &[0, 1], ms(0));
-    assert_agreement(&rig, 10_000, &herd);
+    let mass_kill = Plan { seed: 2, ..mass_kill };
+    let (_, _) = run_plan_with_load(&mut rig, &mass_kill, &[0, 1], ms(0));
+    assert_agreement(&rig, 10_000, &mass_kill);
 }
 
 #[test]
-fn a_fault_plan_round_trips_through_its_text() {
+fn a_fault_plan_round_trips_through_json() {
     for name in Plan::NAMES {
         let plan = Plan::named(name, 9).expect("the plan has a name");
-        assert_eq!(Plan::read(&plan.text()).as_ref(), Ok(&plan));
+        assert_eq!(Plan::from_json(&plan.to_json()).as_ref(), Ok(&plan));
     }
-    assert!(Plan::read("{\"name\": 3}").is_err());
+    assert!(Plan::from_json("{\"name\": 3}").is_err());
 }
 
 #[test]
 fn foreign_flooding_and_replayed_datagrams_do_not_affect_membership_or_ops() {
-    let rig = rig(Setting::of(3));
+    let rig = rig(RigConfig::new(3));
     let view = rig.view(0).expect("the router shows its view");
     let incarnation = view["life"].as_u64().expect("the view has an incarnation");
     let log = rig.process(0).expect("the router runs").log.lock().expect("the log is not poisoned").clone();
-    let at =
+    let address =
         log.iter().find_map(|line| line.split_once("datagrams at ")?.1.split('"').next().map(str::to_string));
-    let at = at.expect("the router logs its address");
+    let address = address.expect("the router logs its address");
     let load = spawn_ops(rig.process(0).expect("the router runs"), ms(3_000), 9);
     let socket = UdpSocket::bind("127.0.0.1:0").expect("loopback has free ports");
-    let own = socket.local_addr().expect("the socket is bound").to_string();
+    let own_address = socket.local_addr().expect("the socket is bound").to_string();
     let valid = |number: u64| Datagram {
         version: FORMAT_VERSION,
         min_version: 1,
@@ -277,7 +325,7 @@
         from: format!("x{number}"),
         incarnation: 1,
         nonce: number,
-        address: own.clone(),
+        address: own_address.clone(),
         kind: Kind::Ping as i32,
         sent_us: number,
         ..Datagram::default()
@@ -286,14 +334,14 @@
         name: "n1".to_string(),
         incarnation: incarnation + number * 1_000_000,
         claim: Claim::Dead as i32,
-        address: own.clone(),
+        address: own_address.clone(),
         nonce: 5,
         reporters: vec!["n2".to_string(), "n0".to_string()],
         refused: true,
         ..Rumor::default()
     };
     let began = Instant::now();
-    let kept = rig.relays.kept();
+    let recorded = rig.peer_relays.recorded();
     let mut sent = 0_u64;
     // Thousands of datagrams per second, bounded in number and time.
     while began.elapsed() < ms(2_500) && sent < 20_000 {
@@ -301,17 +349,17 @@
             0 => encode(&valid(sent)),
             1 => encode(&Datagram { fleet_hash: hash_name("other"), ..valid(sent) }),
             2 => encode(&Datagram { rumors: vec![false_rumor(sent)], from: "n2".to_string(), ..valid(sent) }),
-            3 => kept[sent as usize % kept.len()].2.clone(),
+            3 => recorded[sent as usize % recorded.len()].2.clone(),
             _ => vec![sent as u8; 300],
         };
-        let _ = socket.send_to(&bytes, &at);
+        let _ = socket.send_to(&bytes, &address);
         sent += 1;
         if sent.is_multiple_of(16) {
             std::thread::sleep(ms(2));
         }
     }
-    let outcome = load.join().expect("the load has been sent");
-    audit(&rig, &[outcome], &Plan::new("flood", 3, 0));
+    let result = load.join().expect("the load has been sent");
+    audit(&rig, &[result], &Plan::new("flood", 3, 0));
     let view = rig.view(0).expect("the router shows its view");
     assert!(view["datagrams"]["flood"].as_u64() > Some(0), "{}", view["datagrams"]);
     assert!(
@@ -325,110 +373,124 @@
 
 #[test]
 fn a_live_router_that_serves_no_ops_is_shown_as_such() {
-    let rig = rig(Setting::of(3));
+    let rig = rig(RigConfig::new(3));
     for name in ["p-0", "r-0", "r-1"] {
-        rig.town.act(name, Act::Hang);
+        rig.cluster.set_behavior(name, HostBehavior::Hang);
     }
     let load = spawn_ops(rig.process(0).expect("the router runs"), ms(7_000), 9);
-    until(10_000, "the router serves no ops", || (1..3).all(|by| row(&rig, by, 0)["serves"] == false));
+    wait_until(10_000, "the router serves no ops", || {
+        (1..3).all(|observer| row(&rig, observer, 0)["serves"] == false)
+    });
     assert_eq!(row(&rig, 1, 0)["standing"], "alive");
     assert_eq!(row(&rig, 0, 1)["serves"], true, "the other routers get no ops");
     for name in ["p-0", "r-0", "r-1"] {
-        rig.town.act(name, Act::Serve);
+        rig.cluster.set_behavior(name, HostBehavior::Serve);
     }
     let _ = load.join();
     let load = spawn_ops(rig.process(0).expect("the router runs"), ms(2_000), 10);
-    until(10_000, "the router serves ops again", || (1..3).all(|by| row(&rig, by, 0)["serves"] == true));
+    wait_until(10_000, "the router serves ops again", || {
+        (1..3).all(|observer| row(&rig, observer, 0)["serves"] == true)
+    });
     let _ = load.join();
 }
 
 #[test]
 fn the_number_of_reachable_routers_replaces_the_configured_one_once_stable() {
-    let rig = rig(Setting { told_routers: 30, more: "shares: true".to_string(), ..Setting::of(3) });
-    let before = rig.view(0).expect("the router shows its view")["routers"].as_f64();
-    assert_eq!(before, Some(30.0), "the configured number counts until the view is stable");
-    until(40_000, "three routers", || {
-        (0..3).all(|who| rig.view(who).is_some_and(|view| view["routers"].as_f64() == Some(3.0)))
+    let rig = rig(RigConfig {
+        configured_routers: 30,
+        peers_fields: "shares: true".to_string(),
+        ..RigConfig::new(3)
+    });
+    let initial_count = rig.view(0).expect("the router shows its view")["routers"].as_f64();
+    assert_eq!(initial_count, Some(30.0), "the configured number counts until the view is stable");
+    wait_until(40_000, "three routers", || {
+        (0..3).all(|index| rig.view(index).is_some_and(|view| view["routers"].as_f64() == Some(3.0)))
     });
 }
 
 #[test]
 fn the_peers_command_shows_the_view_of_a_running_router() {
-    let rig = rig(Setting::of(3));
+    let rig = rig(RigConfig::new(3));
     let address = rig.process(1).expect("the router runs").address.to_string();
-    let shown = Command::new(env!("CARGO_BIN_EXE_arrowyard"))
+    let output = Command::new(env!("CARGO_BIN_EXE_arrowyard"))
         .args(["peers", &address])
         .output()
         .expect("the router runs");
-    let text = String::from_utf8_lossy(&shown.stdout);
-    assert!(shown.status.success(), "{text}");
+    let text = String::from_utf8_lossy(&output.stdout);
+    assert!(output.status.success(), "{text}");
     assert!(text.contains("n1 reaches 3 of 3") && text.contains("n0") && text.contains("alive"), "{text}");
-    let off = self::rig(Setting { off: true, ..Setting::of(1) });
-    let address = off.process(0).expect("the router runs").address.to_string();
-    let shown = Command::new(env!("CARGO_BIN_EXE_arrowyard"))
+    let without_membership = self::rig(RigConfig { without_membership: true, ..RigConfig::new(1) });
+    let address = without_membership.process(0).expect("the router runs").address.to_string();
+    let output = Command::new(env!("CARGO_BIN_EXE_arrowyard"))
         .args(["peers", &address])
         .output()
         .expect("the router runs");
-    assert_eq!(shown.status.code(), Some(2));
+    assert_eq!(output.status.code(), Some(2));
 }
 
 #[test]
 fn a_drain_missed_by_the_own_watch_is_learned_from_other_routers() {
     // With news from other routers, and without: then the third router keeps sending to the host.
-    for (news, expected) in [("news: true", true), ("", false)] {
-        let mut rig = rig(Setting { more: news.to_string(), ..Setting::of(3) });
+    for (peers_fields, expected) in [("news: true", true), ("", false)] {
+        let mut rig = rig(RigConfig { peers_fields: peers_fields.to_string(), ..RigConfig::new(3) });
         rig.kill(2);
         // Watches opened from now on stay silent; those of the other two routers continue.
-        rig.town.mute();
-        rig.begin(2).expect("the routers start");
+        rig.cluster.silence_new_watches();
+        rig.start_process(2).expect("the routers start");
         assert_agreement(&rig, 15_000, &Plan::new("mute", 3, 0));
-        rig.town.drain("r-1");
-        let heard = rig.process(2).is_some_and(|process| process.said("host is Draining", ms(4_000)));
-        assert_eq!(heard, expected, "{news}");
-        assert!(rig.process(0).is_some_and(|process| process.said("host is Draining", ms(1_000))));
+        rig.cluster.drain("r-1");
+        let learned =
+            rig.process(2).is_some_and(|process| process.wait_for_log("host is Draining", ms(4_000)));
+        assert_eq!(learned, expected, "{peers_fields}");
+        assert!(rig.process(0).is_some_and(|process| process.wait_for_log("host is Draining", ms(1_000))));
         if expected {
             // After the grace period the host gets no more sends.
             std::thread::sleep(ms(700));
-            let before = rig.town.ledger().commands.get("r-1").copied().unwrap_or_default();
-            let outcome = spawn_ops(rig.process(2).expect("the router runs"), ms(1_500), 4)
+            let commands_before = rig.cluster.ledger().commands.get("r-1").copied().unwrap_or_default();
+            let result = spawn_ops(rig.process(2).expect("the router runs"), ms(1_500), 4)
                 .join()
                 .expect("the load has been sent");
-            audit(&rig, &[outcome], &Plan::new("mute", 3, 0));
-            assert_eq!(rig.town.ledger().commands.get("r-1").copied().unwrap_or_default(), before);
+            audit(&rig, &[result], &Plan::new("mute", 3, 0));
+            assert_eq!(
+                rig.cluster.ledger().commands.get("r-1").copied().unwrap_or_default(),
+                commands_before
+            );
         }
     }
 }
 
 #[test]
 fn a_router_without_reachable_hosts_reports_it_and_still_replies() {
-    for cut in [Cut { to: true, from: true }, Cut { to: false, from: true }] {
-        let rig = rig(Setting { wires: true, ..Setting::of(3) });
-        until(5_000, "the router serves ops", || {
-            let outcome = spawn_ops(rig.process(2).expect("the router runs"), ms(300), 1)
+    for cut in [Cut { to_hosts: true, from_hosts: true }, Cut { to_hosts: false, from_hosts: true }] {
+        let rig = rig(RigConfig { use_tcp_relays: true, ..RigConfig::new(3) });
+        wait_until(5_000, "the router serves ops", || {
+            let result = spawn_ops(rig.process(2).expect("the router runs"), ms(300), 1)
                 .join()
                 .expect("the load has been sent");
-            outcome.of_tenant("t").good > 3
+            result.tenant_stats("t").in_target > 3
         });
         let loads: Vec<_> = (0..3)
-            .map(|who| spawn_ops(rig.process(who).expect("the router runs"), ms(6_000), 700 + who as u64))
+            .map(|index| {
+                spawn_ops(rig.process(index).expect("the router runs"), ms(6_000), 700 + index as u64)
+            })
             .collect();
         std::thread::sleep(ms(500));
-        rig.wires.cut(2, cut);
-        until(6_000, "the router is shown as serving no ops", || row(&rig, 0, 2)["serves"] == false);
+        rig.tcp_relays.set_cut(2, cut);
+        wait_until(6_000, "the router is shown as serving no ops", || row(&rig, 0, 2)["serves"] == false);
         assert_eq!(row(&rig, 0, 2)["standing"], "alive", "the router is alive");
-        rig.wires.cut(2, Cut::default());
-        let outcomes: Vec<Outcome> =
+        rig.tcp_relays.set_cut(2, Cut::default());
+        let results: Vec<LoadResult> =
             loads.into_iter().map(|load| load.join().expect("the load has been sent")).collect();
-        let ledger = rig.town.ledger();
+        let ledger = rig.cluster.ledger();
         assert!(ledger.applied.values().all(|times| times.len() == 1), "{cut:?}");
-        for (who, outcome) in outcomes.iter().enumerate() {
-            let stats = outcome.of_tenant("t");
-            assert_eq!(stats.unanswered, 0, "n{who} {cut:?}");
-            assert!(who == 2 || stats.share() > 0.9, "n{who} {cut:?}: {stats:?}");
-            let there = |token: &u64| ledger.applied.contains_key(&format!("{token:016x}"));
-            assert!(outcome.acked.iter().all(there), "n{who} {cut:?}");
+        for (index, result) in results.iter().enumerate() {
+            let stats = result.tenant_stats("t");
+            assert_eq!(stats.unanswered, 0, "n{index} {cut:?}");
+            assert!(index == 2 || stats.in_target_share() > 0.9, "n{index} {cut:?}: {stats:?}");
+            let is_stored = |id: &u64| ledger.applied.contains_key(&format!("{id:016x}"));
+            assert!(result.acked_writes.iter().all(is_stored), "n{index} {cut:?}");
         }
-        until(8_000, "the router serves ops again and is shown so", || {
+        wait_until(8_000, "the router serves ops again and is shown so", || {
             let _ = spawn_ops(rig.process(2).expect("the router runs"), ms(300), 3).join();
             row(&rig, 0, 2)["serves"] == true
         });
@@ -438,27 +500,34 @@
 #[test]
 fn a_router_cut_off_from_discovery_stops_using_a_host_that_others_report_as_draining() {
     for news in [true, false] {
-        let more = if news { "news: true" } else { "" };
-        let rig = rig(Setting { wires: true, more: more.to_string(), ..Setting::of(6) });
-        let listed = |who: usize| rig.process(who).expect("the router runs").said("host is Ready", ms(5_000));
-        assert!((0..6).all(listed));
-        rig.town.cut_discovery(rig.asks[5], true);
+        let peers_fields = if news { "news: true" } else { "" };
+        let rig = rig(RigConfig {
+            use_tcp_relays: true,
+            peers_fields: peers_fields.to_string(),
+            ..RigConfig::new(6)
+        });
+        let received_list = |index: usize| {
+            rig.process(index).expect("the router runs").wait_for_log("host is Ready", ms(5_000))
+        };
+        assert!((0..6).all(received_list));
+        rig.cluster.set_discovery_cut(rig.discovery_addresses[5], true);
         std::thread::sleep(ms(100));
         let load = spawn_ops(rig.process(5).expect("the router runs"), ms(6_000), 800);
         std::thread::sleep(ms(300));
-        rig.town.drain("r-1");
+        rig.cluster.drain("r-1");
         std::thread::sleep(ms(4_000));
-        let before = rig.town.ledger().commands.get("r-1").copied().unwrap_or_default();
-        let outcome = load.join().expect("the load has been sent");
-        let after = rig.town.ledger().commands.get("r-1").copied().unwrap_or_default();
-        assert_eq!(outcome.of_tenant("t").unanswered, 0);
-        let closed = rig.process(5).expect("the router runs").said("closed by other routers", ms(100));
-        assert_eq!(closed, news);
+        let commands_before = rig.cluster.ledger().commands.get("r-1").copied().unwrap_or_default();
+        let result = load.join().expect("the load has been sent");
+        let commands_after = rig.cluster.ledger().commands.get("r-1").copied().unwrap_or_default();
+        assert_eq!(result.tenant_stats("t").unanswered, 0);
+        let closed_by_others =
+            rig.process(5).expect("the router runs").wait_for_log("closed by other routers", ms(100));
+        assert_eq!(closed_by_others, news);
         if news {
-            assert_eq!(after, before, "no more sends to the host");
-            assert!(outcome.of_tenant("t").share() > 0.9, "{:?}", outcome.of_tenant("t"));
+            assert_eq!(commands_after, commands_before, "no more sends to the host");
+            assert!(result.tenant_stats("t").in_target_share() > 0.9, "{:?}", result.tenant_stats("t"));
         } else {
-            assert!(after > before, "without news the router keeps sending");
+            assert!(commands_after > commands_before, "without news the router keeps sending");
         }
     }
 }
--- a/crates/arrowyard-daemon/tests/sockets.rs
+++ b/crates/arrowyard-daemon/tests/sockets.rs
@@ -8,8 +8,8 @@
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-use arrowyard_testbed::router::{OpType, Process, waybill};
-use arrowyard_testbed::{Act, Spec, Town};
+use arrowyard_testbed::router::{OpType, Process, platform_config};
+use arrowyard_testbed::{Cluster, HostBehavior, HostSpec};
 use serde_json::{Value, json};
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_arrowyard");
@@ -27,23 +27,24 @@
 }
 
 /// The platform's configuration file of a router for the simulated hosts.
-fn platform_config(town: &Town) -> Value {
-    let row = |name, effect, read| OpType { name, target_ms: 1500, timeout_ms: 1500, effect, read };
+fn test_config(cluster: &Cluster) -> Value {
+    let op_type =
+        |name, effect, read_level| OpType { name, target_ms: 1500, timeout_ms: 1500, effect, read_level };
     let op_types = [
-        row("look", "read_like", "loose"),
-        row("put", "non_idempotent", "update"),
-        row("mark", "idempotency_key", "update"),
-        row("view", "read_like", "recent"),
+        op_type("look", "read_like", "loose"),
+        op_type("put", "non_idempotent", "update"),
+        op_type("mark", "idempotency_key", "update"),
+        op_type("view", "read_like", "recent"),
     ];
-    let mut config = waybill(town, &op_types, 256);
+    let mut config = platform_config(cluster, &op_types, 256);
     config["settings"]["parties"] = json!([{"name": "p", "share": 1.0}]);
     config["settings"]["domain"]["list_role"] = json!("initial");
     config["settings"]["caps"]["max_retry_after"] = json!(700.0);
     config
 }
 
-fn start(town: &Town) -> Process {
-    Process::start(Path::new(PROGRAM), &platform_config(town), None).expect("it starts")
+fn start_router(cluster: &Cluster) -> Process {
+    Process::start(Path::new(PROGRAM), &test_config(cluster), None).expect("the router starts")
 }
 
 /// A connection without the startup packet.
@@ -112,25 +113,25 @@
         }
     }
 
-    fn ask(&mut self, op_type: &str, timeout_ms: u32) -> Reply {
+    fn execute(&mut self, op_type: &str, timeout_ms: u32) -> Reply {
         self.write(&statement(op_type, timeout_ms));
         self.reply()
     }
 }
 
 fn statement(op_type: &str, timeout_ms: u32) -> String {
-    let head =
+    let comment =
         format!("/* id=9b1f03aa5c7e2d41,c={op_type},t=p,d={timeout_ms},k=5c0f6e1a2b3d4c59,cluster=7 */");
     match op_type {
-        "look" | "view" => format!("{head} SELECT payload FROM entries WHERE ref = '7f3a9c21e0b4d655'"),
-        _ => format!("{head} INSERT INTO entries (ref, payload) VALUES ('7f3a9c21e0b4d655', '\\x9f03')"),
+        "look" | "view" => format!("{comment} SELECT payload FROM entries WHERE ref = '7f3a9c21e0b4d655'"),
+        _ => format!("{comment} INSERT INTO entries (ref, payload) VALUES ('7f3a9c21e0b4d655', '\\x9f03')"),
     }
 }
 
-fn eventually(condition: &str, mut holds: impl FnMut() -> bool) {
-    let until = Instant::now() + Duration::from_secs(10);
+fn wait_until(condition: &str, mut holds: impl FnMut() -> bool) {
+    let deadline = Instant::now() + Duration::from_secs(10);
     while !holds() {
-        assert!(Instant::now() < until, "{condition}");
+        assert!(Instant::now() < deadline, "{condition}");
         sleep(Duration::from_millis(5));
     }
 }
@@ -143,42 +144,42 @@
     Reply::Error(code.to_string(), String::new())
 }
 
-fn busy(after: &str) -> Reply {
-    Reply::Error("53300".to_string(), after.to_string())
+fn busy(retry_after: &str) -> Reply {
+    Reply::Error("53300".to_string(), retry_after.to_string())
 }
 
-fn host(name: &str, primary: bool) -> Spec {
-    Spec { lag: Duration::ZERO, ..Spec::new(name, 7, primary) }
+fn host(name: &str, primary: bool) -> HostSpec {
+    HostSpec { lag: Duration::ZERO, ..HostSpec::new(name, 7, primary) }
 }
 
 /// A router with one host, the primary `one`.
-fn with_primary(act: Act) -> (Town, Process) {
-    let town = Town::start(&[host("one", true)]);
-    town.act("one", act);
-    let router = start(&town);
-    (town, router)
+fn with_primary(behavior: HostBehavior) -> (Cluster, Process) {
+    let cluster = Cluster::start(&[host("one", true)]);
+    cluster.set_behavior("one", behavior);
+    let router = start_router(&cluster);
+    (cluster, router)
 }
 
 /// A router with the primary `one` and the replica `two`.
-fn with_replica(act: Act) -> (Town, Process) {
-    let town = Town::start(&[host("one", true), host("two", false)]);
-    ["one", "two"].into_iter().for_each(|name| town.act(name, act));
-    let router = start(&town);
-    (town, router)
+fn with_replica(behavior: HostBehavior) -> (Cluster, Process) {
+    let cluster = Cluster::start(&[host("one", true), host("two", false)]);
+    ["one", "two"].into_iter().for_each(|name| cluster.set_behavior(name, behavior));
+    let router = start_router(&cluster);
+    (cluster, router)
 }
 
 /// Number of statements that the host has read.
-fn received_count(town: &Town, name: &str) -> usize {
-    town.heard(name).len()
+fn received_count(cluster: &Cluster, name: &str) -> usize {
+    cluster.received_statements(name).len()
 }
 
 #[test]
 fn reads_go_to_a_replica_and_writes_to_the_primary_unchanged() {
-    let (town, router) = with_replica(Act::Serve);
+    let (cluster, router) = with_replica(HostBehavior::Serve);
     let mut client = client(&router);
-    assert_eq!(client.ask("look", 1000), value("two"));
-    assert_eq!(client.ask("put", 1000), value("one"));
-    let (_, received) = town.heard("one")[0].clone();
+    assert_eq!(client.execute("look", 1000), value("two"));
+    assert_eq!(client.execute("put", 1000), value("one"));
+    let (_, received) = cluster.received_statements("one")[0].clone();
     let (head, rest) = received.split_once(",d=").unwrap();
     let (timeout, rest) = rest.split_once(',').unwrap();
     assert!((1..=1000).contains(&timeout.parse::<u32>().unwrap()), "{timeout}");
@@ -187,7 +188,7 @@
 
 #[test]
 fn the_router_answers_session_commands_and_rejects_statements_without_a_comment() {
-    let (town, router) = with_primary(Act::Serve);
+    let (cluster, router) = with_primary(HostBehavior::Serve);
     let mut client = client(&router);
     client.write("");
     assert_eq!(client.reply(), Reply::Empty);
@@ -195,19 +196,19 @@
     assert_eq!(client.reply(), Reply::Done);
     client.write("SELECT now()");
     assert_eq!(client.reply(), error("08P01"));
-    assert_eq!(client.ask("unheard", 1000), error("08P01"));
-    assert_eq!(client.ask("put", 1000), value("one"));
-    assert_eq!(received_count(&town, "one"), 1);
+    assert_eq!(client.execute("unheard", 1000), error("08P01"));
+    assert_eq!(client.execute("put", 1000), value("one"));
+    assert_eq!(received_count(&cluster, "one"), 1);
 }
 
 #[test]
 fn pipelined_queries_in_small_pieces_are_answered_in_order() {
-    let (_town, router) = with_primary(Act::Serve);
+    let (_cluster, router) = with_primary(HostBehavior::Serve);
     let mut stream = connect(&router);
     stream.write_all(&[0, 0, 0, 8, 4, 210, 22, 47]).unwrap();
-    let mut letter = [0];
-    stream.read_exact(&mut letter).unwrap();
-    assert_eq!(letter, *b"N", "encryption is not supported");
+    let mut response = [0];
+    stream.read_exact(&mut response).unwrap();
+    assert_eq!(response, *b"N", "encryption is not supported");
     let query = |text: &str| message(b'Q', format!("{text}\0").as_bytes());
     let startup = b"\0\0\0\x08\0\x03\0\0".to_vec();
     let without_token = statement("mark", 1000).replace("k=", "x=");
@@ -226,31 +227,31 @@
 
 #[test]
 fn a_second_row_is_not_forwarded() {
-    let (town, router) = with_primary(Act::ServeTwice);
-    assert_eq!(client(&router).ask("put", 1000), error("XX000"));
-    assert_eq!(received_count(&town, "one"), 1);
+    let (cluster, router) = with_primary(HostBehavior::ReplyTwice);
+    assert_eq!(client(&router).execute("put", 1000), error("XX000"));
+    assert_eq!(received_count(&cluster, "one"), 1);
 }
 
 #[test]
 fn a_value_above_the_client_message_limit_is_forwarded_whole() {
-    let (town, router) = with_primary(Act::ServeLarge(400_000));
+    let (cluster, router) = with_primary(HostBehavior::ReplyLarge(400_000));
     let mut client = client(&router);
     for _ in 0..3 {
-        assert_eq!(client.ask("look", 1000), Reply::Value("x".repeat(400_000)));
+        assert_eq!(client.execute("look", 1000), Reply::Value("x".repeat(400_000)));
     }
-    assert_eq!(received_count(&town, "one"), 3, "each was sent once");
+    assert_eq!(received_count(&cluster, "one"), 3, "each was sent once");
 }
 
 #[test]
 fn messages_outside_a_command_are_not_taken_as_its_reply() {
-    let (town, router) = with_primary(Act::ServeAndDeny);
+    let (cluster, router) = with_primary(HostBehavior::ReplyAndReject);
     let mut client = client(&router);
-    assert_eq!(client.ask("put", 1000), value("one"));
-    assert_eq!(received_count(&town, "one"), 1, "it ran once");
-    town.act("one", Act::ReadyEarly);
-    assert_eq!(client.ask("put", 1000), error("XX000"));
-    town.act("one", Act::Serve);
-    assert_eq!(client.ask("put", 1000), value("one"));
+    assert_eq!(client.execute("put", 1000), value("one"));
+    assert_eq!(received_count(&cluster, "one"), 1, "the write ran once");
+    cluster.set_behavior("one", HostBehavior::ReadyBeforeReply);
+    assert_eq!(client.execute("put", 1000), error("XX000"));
+    cluster.set_behavior("one", HostBehavior::Serve);
+    assert_eq!(client.execute("put", 1000), value("one"));
 }
 
 #[test]
@@ -258,45 +259,45 @@
     let missing = Command::new(PROGRAM).env_remove("RELAY_CONFIG").output().unwrap();
     assert_eq!(missing.status.code(), Some(2));
     assert_eq!(String::from_utf8(missing.stderr).unwrap().lines().count(), 1);
-    let (town, first) = with_primary(Act::Serve);
-    let mut config = platform_config(&town);
+    let (cluster, first) = with_primary(HostBehavior::Serve);
+    let mut config = test_config(&cluster);
     config["listen"] = json!(first.address.to_string());
-    assert_eq!(client(&first).ask("put", 1000), value("one"));
+    assert_eq!(client(&first).execute("put", 1000), value("one"));
     drop(first);
-    let second = Process::start(Path::new(PROGRAM), &config, None).expect("it starts again");
-    assert_eq!(client(&second).ask("put", 1000), value("one"));
+    let second = Process::start(Path::new(PROGRAM), &config, None).expect("the router restarts");
+    assert_eq!(client(&second).execute("put", 1000), value("one"));
 }
 
 #[test]
 fn a_client_that_violates_the_protocol_is_disconnected_and_others_are_served() {
-    let (_town, router) = with_primary(Act::Serve);
-    let mut rude = client(&router);
-    rude.stream.write_all(b"Q\xff\xff\xff\xffSELECT").unwrap();
-    assert_eq!(rude.read().0, b'E');
-    assert!(read_message(&mut rude.stream).is_none());
-    assert_eq!(client(&router).ask("put", 1000), value("one"));
+    let (_cluster, router) = with_primary(HostBehavior::Serve);
+    let mut violating = client(&router);
+    violating.stream.write_all(b"Q\xff\xff\xff\xffSELECT").unwrap();
+    assert_eq!(violating.read().0, b'E');
+    assert!(read_message(&mut violating.stream).is_none());
+    assert_eq!(client(&router).execute("put", 1000), value("one"));
 }
 
 #[test]
 fn silent_connections_are_closed_for_active_ones() {
-    let (_town, router) = with_primary(Act::Serve);
-    let mut early = client(&router);
-    assert_eq!(early.ask("put", 1000), value("one"));
+    let (_cluster, router) = with_primary(HostBehavior::Serve);
+    let mut first = client(&router);
+    assert_eq!(first.execute("put", 1000), value("one"));
     // More than the router's 256 file descriptors.
     let silent: Vec<_> = (0..400).map(|_| TcpStream::connect(router.address).unwrap()).collect();
-    let (mut client, came) = (client(&router), Instant::now());
-    assert_eq!(client.ask("put", 1000), value("one"));
-    assert!(came.elapsed() < Duration::from_secs(2), "{:?}", came.elapsed());
+    let (mut client, connected) = (client(&router), Instant::now());
+    assert_eq!(client.execute("put", 1000), value("one"));
+    assert!(connected.elapsed() < Duration::from_secs(2), "{:?}", connected.elapsed());
     drop(silent);
 }
 
 #[test]
 fn incomplete_messages_time_out_and_a_client_that_sent_an_op_may_stay_idle() {
-    let (_town, router) = with_primary(Act::Serve);
-    let (mut stays, mut silent, mut let_in, mut slow) =
+    let (_cluster, router) = with_primary(HostBehavior::Serve);
+    let (mut idle, mut silent, mut connected, mut slow) =
         (client(&router), connect(&router), client(&router), client(&router));
-    assert_eq!(stays.ask("put", 1000), value("one"));
-    let came = Instant::now();
+    assert_eq!(idle.execute("put", 1000), value("one"));
+    let started = Instant::now();
     let slow_writer = slow.stream.try_clone().map(|mut stream| {
         spawn(move || {
             let bytes = message(b'Q', &[b'x'; 1000]);
@@ -306,24 +307,24 @@
             })
         })
     });
-    let ended = |stream: &mut TcpStream| matches!(stream.read(&mut [0]), Ok(0) | Err(_));
-    assert!(ended(&mut silent) && ended(&mut let_in.stream) && ended(&mut slow.stream));
-    assert!(came.elapsed() < Duration::from_secs(3), "{:?}", came.elapsed());
+    let is_closed = |stream: &mut TcpStream| matches!(stream.read(&mut [0]), Ok(0) | Err(_));
+    assert!(is_closed(&mut silent) && is_closed(&mut connected.stream) && is_closed(&mut slow.stream));
+    assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
     assert!(!slow_writer.unwrap().join().unwrap(), "the slow client was disconnected");
-    assert_eq!(stays.ask("put", 1000), value("one"));
+    assert_eq!(idle.execute("put", 1000), value("one"));
 }
 
 #[test]
 fn a_client_that_sends_at_once_is_served_when_idle_clients_fill_the_limit() {
-    let (_town, router) = with_primary(Act::Serve);
+    let (_cluster, router) = with_primary(HostBehavior::Serve);
     // More than the client limit of a router with 256 file descriptors.
-    let idle = || {
+    let connect_idle = || {
         let mut client = client(&router);
         client.write("");
         assert_eq!(client.reply(), Reply::Empty);
         client
     };
-    let idle_clients: Vec<Client> = (0..120).map(|_| idle()).collect();
+    let idle_clients: Vec<Client> = (0..120).map(|_| connect_idle()).collect();
     let query = message(b'Q', format!("{}\0", statement("put", 1000)).as_bytes());
     for _ in 0..20 {
         let mut client = Client { stream: connect(&router) };
@@ -331,160 +332,173 @@
         assert_eq!((client.reply(), client.reply()), (Reply::Done, value("one")));
     }
     // Clients hold less than a third of the router's file descriptors.
-    let stays = |client: &&Client| {
+    let is_open = |client: &&Client| {
         client.stream.set_nonblocking(true).unwrap();
         client.stream.peek(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
     };
-    let staying = idle_clients.iter().filter(stays).count();
-    assert!((1..256 / 3).contains(&staying), "{staying}");
+    let open_count = idle_clients.iter().filter(is_open).count();
+    assert!((1..256 / 3).contains(&open_count), "{open_count}");
 }
 
 #[test]
 fn a_write_whose_connection_breaks_is_not_retried() {
-    let (town, router) = with_replica(Act::Break);
+    let (cluster, router) = with_replica(HostBehavior::DisconnectBeforeRun);
     let mut client = client(&router);
-    assert_eq!(client.ask("put", 1000), error("XX000"));
-    assert_eq!(received_count(&town, "one"), 1);
+    assert_eq!(client.execute("put", 1000), error("XX000"));
+    assert_eq!(received_count(&cluster, "one"), 1);
     // A read is retried.
-    let Reply::Error(code, _) = client.ask("look", 400) else { panic!("no host serves") };
+    let Reply::Error(code, _) = client.execute("look", 400) else { panic!("no host serves") };
     assert_eq!(code, "53300");
-    assert!(received_count(&town, "one") + received_count(&town, "two") > 2);
+    assert!(received_count(&cluster, "one") + received_count(&cluster, "two") > 2);
 }
 
 #[test]
 fn a_send_that_did_not_run_or_is_idempotent_is_retried() {
-    let cases = [("put", Act::TurnAway), ("put", Act::Miss), ("mark", Act::Break)];
-    for (op_type, act) in cases {
-        let (town, router) = with_primary(act);
+    let cases = [
+        ("put", HostBehavior::RejectOverloaded),
+        ("put", HostBehavior::RejectReadOnly),
+        ("mark", HostBehavior::DisconnectBeforeRun),
+    ];
+    for (op_type, behavior) in cases {
+        let (cluster, router) = with_primary(behavior);
         let mut client = client(&router);
         client.write(&statement(op_type, 1000));
-        eventually("the write is sent again", || received_count(&town, "one") > 1);
-        town.act("one", Act::Serve);
+        wait_until("the write is sent again", || received_count(&cluster, "one") > 1);
+        cluster.set_behavior("one", HostBehavior::Serve);
         assert_eq!(client.reply(), value("one"));
     }
 }
 
 #[test]
 fn a_busy_reply_has_a_retry_delay() {
-    let (_town, router) = with_primary(Act::TurnAway);
-    assert_eq!(client(&router).ask("put", 200), busy("700"));
+    let (_cluster, router) = with_primary(HostBehavior::RejectOverloaded);
+    assert_eq!(client(&router).execute("put", 200), busy("700"));
 }
 
 #[test]
 fn a_complete_result_counts_when_its_connection_breaks() {
-    let (town, router) = with_primary(Act::ServeAndBreak);
+    let (cluster, router) = with_primary(HostBehavior::ReplyAndDisconnect);
     let mut client = client(&router);
-    assert_eq!(client.ask("put", 1000), value("one"));
-    assert_eq!(client.ask("put", 1000), value("one"));
-    assert_eq!(received_count(&town, "one"), 2);
+    assert_eq!(client.execute("put", 1000), value("one"));
+    assert_eq!(client.execute("put", 1000), value("one"));
+    assert_eq!(received_count(&cluster, "one"), 2);
 }
 
 #[test]
 fn a_disconnect_of_the_client_cancels_its_send() {
-    let (town, router) = with_primary(Act::Hang);
+    let (cluster, router) = with_primary(HostBehavior::Hang);
     let mut client = client(&router);
     client.write(&statement("put", 1500));
-    eventually("the write is sent", || received_count(&town, "one") == 1);
-    let (number, _) = town.heard("one")[0];
-    assert!(!town.ended("one").contains(&number));
+    wait_until("the write is sent", || received_count(&cluster, "one") == 1);
+    let (number, _) = cluster.received_statements("one")[0];
+    assert!(!cluster.closed_connections("one").contains(&number));
     drop(client);
-    let left = Instant::now();
-    eventually("the send is cancelled", || town.ended("one").contains(&number));
-    assert!(left.elapsed() < Duration::from_millis(1000), "the send ended only at its deadline");
+    let disconnected = Instant::now();
+    wait_until("the send is cancelled", || cluster.closed_connections("one").contains(&number));
+    assert!(disconnected.elapsed() < Duration::from_millis(1000), "the send ended only at its deadline");
 }
 
 #[test]
 fn idle_connections_to_an_unresponsive_host_are_closed() {
-    let (town, router) = with_primary(Act::Slow(Duration::from_millis(150)));
+    let (cluster, router) = with_primary(HostBehavior::Slow(Duration::from_millis(150)));
     let (mut first, mut second) = (client(&router), client(&router));
     first.write(&statement("put", 1500));
     second.write(&statement("put", 1500).replace("id=9", "id=8"));
     assert_eq!((first.reply(), second.reply()), (value("one"), value("one")));
-    town.act("one", Act::Hang);
-    assert_eq!(first.ask("put", 300), error("XX000"));
-    let used: Vec<usize> = town.heard("one").iter().map(|(number, _)| *number).collect();
-    assert!(used[0] != used[1] && used[..2].contains(&used[2]), "{used:?}");
-    let ended = || used[..2].iter().all(|number| town.ended("one").contains(number));
-    eventually("the idle connection is closed as well", ended);
+    cluster.set_behavior("one", HostBehavior::Hang);
+    assert_eq!(first.execute("put", 300), error("XX000"));
+    let connection_numbers: Vec<usize> =
+        cluster.received_statements("one").iter().map(|(number, _)| *number).collect();
+    assert!(
+        connection_numbers[0] != connection_numbers[1]
+            && connection_numbers[..2].contains(&connection_numbers[2]),
+        "{connection_numbers:?}"
+    );
+    let are_closed =
+        || connection_numbers[..2].iter().all(|number| cluster.closed_connections("one").contains(number));
+    wait_until("the idle connection is closed as well", are_closed);
 }
 
 #[test]
 fn a_draining_host_gets_no_new_ops() {
-    let (town, router) = with_replica(Act::Serve);
+    let (cluster, router) = with_replica(HostBehavior::Serve);
     let mut client = client(&router);
-    assert_eq!(client.ask("look", 1000), value("two"));
-    eventually("the list is watched", || !town.calls(town.discovery).is_empty());
-    let watch = format!("GET /catalog/members?watch=1&from={} HTTP/1.1", town.version());
-    assert_eq!(town.calls(town.discovery), [watch]);
-    town.drain("two");
-    eventually("reads no longer go to the replica", || client.ask("look", 1000) == value("one"));
-    let before = received_count(&town, "two");
-    (0..20).for_each(|_| assert_eq!(client.ask("look", 1000), value("one")));
-    assert_eq!(received_count(&town, "two"), before);
+    assert_eq!(client.execute("look", 1000), value("two"));
+    wait_until("the list is watched", || !cluster.discovery_requests(cluster.discovery_address).is_empty());
+    let watch = format!("GET /catalog/members?watch=1&from={} HTTP/1.1", cluster.list_version());
+    assert_eq!(cluster.discovery_requests(cluster.discovery_address), [watch]);
+    cluster.drain("two");
+    wait_until("reads no longer go to the replica", || client.execute("look", 1000) == value("one"));
+    let count_before = received_count(&cluster, "two");
+    (0..20).for_each(|_| assert_eq!(client.execute("look", 1000), value("one")));
+    assert_eq!(received_count(&cluster, "two"), count_before);
 }
 
 #[test]
 fn a_position_in_the_future_does_not_count_as_fresh() {
-    let (town, router) = with_replica(Act::Serve);
+    let (cluster, router) = with_replica(HostBehavior::Serve);
     let mut client = client(&router);
-    town.ahead("two", 3_600_000);
-    assert_eq!(client.ask("look", 1000), value("two"));
-    town.ahead("two", -3_600_000);
-    assert_eq!(client.ask("view", 1000), value("one"));
-    town.ahead("two", 0);
-    assert_eq!(client.ask("look", 1000), value("two"));
-    assert_eq!(client.ask("view", 1000), value("two"));
+    cluster.set_position_offset("two", 3_600_000);
+    assert_eq!(client.execute("look", 1000), value("two"));
+    cluster.set_position_offset("two", -3_600_000);
+    assert_eq!(client.execute("view", 1000), value("one"));
+    cluster.set_position_offset("two", 0);
+    assert_eq!(client.execute("look", 1000), value("two"));
+    assert_eq!(client.execute("view", 1000), value("two"));
 }
 
 #[test]
 fn a_silent_watch_is_reopened() {
-    let town = Town::start(&[host("one", true)]);
-    town.mute();
-    let _router = start(&town);
-    eventually("the list is watched", || town.calls(town.discovery).len() == 1);
-    eventually("the silent watch is reopened", || town.calls(town.discovery).len() == 2);
+    let cluster = Cluster::start(&[host("one", true)]);
+    cluster.silence_new_watches();
+    let _router = start_router(&cluster);
+    wait_until("the list is watched", || cluster.discovery_requests(cluster.discovery_address).len() == 1);
+    wait_until("the silent watch is reopened", || {
+        cluster.discovery_requests(cluster.discovery_address).len() == 2
+    });
 }
 
 #[test]
 fn sighup_applies_a_new_discovery_address_and_ignores_a_broken_file() {
-    let (town, router) = with_replica(Act::Serve);
-    let (old, new, file) = (town.discovery, town.discover(), platform_config(&town).to_string());
+    let (cluster, router) = with_replica(HostBehavior::Serve);
+    let (old, new, config) =
+        (cluster.discovery_address, cluster.start_discovery(), test_config(&cluster).to_string());
     let mut client = client(&router);
-    eventually("the list is watched", || town.calls(old).len() == 1);
-    router.retell(&file[..file.len() / 2]);
-    assert_eq!(client.ask("look", 1000), value("two"));
-    let moved = file.replace(&old.to_string(), &new.to_string());
-    router.retell(&moved);
-    eventually("the list is watched at the new address", || !town.calls(new).is_empty());
-    assert!(town.calls(new)[0].starts_with("GET /catalog/members?watch=1&from="));
-    town.drain("two");
-    eventually("reads no longer go to the replica", || client.ask("look", 1000) == value("one"));
-    assert_eq!(town.calls(old).len(), 1);
+    wait_until("the list is watched", || cluster.discovery_requests(old).len() == 1);
+    router.reload_platform_config(&config[..config.len() / 2]);
+    assert_eq!(client.execute("look", 1000), value("two"));
+    let new_config = config.replace(&old.to_string(), &new.to_string());
+    router.reload_platform_config(&new_config);
+    wait_until("the list is watched at the new address", || !cluster.discovery_requests(new).is_empty());
+    assert!(cluster.discovery_requests(new)[0].starts_with("GET /catalog/members?watch=1&from="));
+    cluster.drain("two");
+    wait_until("reads no longer go to the replica", || client.execute("look", 1000) == value("one"));
+    assert_eq!(cluster.discovery_requests(old).len(), 1);
 }
 
 #[test]
 fn closed_client_connections_are_not_counted() {
-    let (_town, router) = with_primary(Act::Serve);
-    let mut stays = client(&router);
-    assert_eq!(stays.ask("put", 1000), value("one"));
+    let (_cluster, router) = with_primary(HostBehavior::Serve);
+    let mut first = client(&router);
+    assert_eq!(first.execute("put", 1000), value("one"));
     // More than the client limit, one after the other.
     for _ in 0..150 {
         let mut client = client(&router);
         client.write("");
         assert_eq!(client.reply(), Reply::Empty);
     }
-    assert_eq!(stays.ask("put", 1000), value("one"));
+    assert_eq!(first.execute("put", 1000), value("one"));
 }
 
 #[test]
 fn a_shutdown_answers_admitted_ops() {
-    let (town, mut router) = with_primary(Act::Hang);
+    let (cluster, mut router) = with_primary(HostBehavior::Hang);
     let (mut idle, mut client) = (client(&router), client(&router));
     client.write(&statement("put", 1200));
-    eventually("the write is sent", || received_count(&town, "one") == 1);
-    let waiting = spawn(move || client.reply());
+    wait_until("the write is sent", || received_count(&cluster, "one") == 1);
+    let reply = spawn(move || client.reply());
     assert!(router.terminate() == Some(0));
-    assert_eq!(waiting.join().unwrap(), error("XX000"));
+    assert_eq!(reply.join().unwrap(), error("XX000"));
     assert!(read_message(&mut idle.stream).is_none());
     assert!(TcpStream::connect(router.address).is_err());
 }
--- a/crates/arrowyard-fleet/src/bin/peers.rs
+++ b/crates/arrowyard-fleet/src/bin/peers.rs
@@ -82,7 +82,7 @@
                 let (mut datagrams, mut bytes, mut micros) = (0.0, 0.0, 0.0);
                 for play in 0..line.plays {
                     let plan = Plan::named(name, count)
-                        .or_else(|| Plan::read(&std::fs::read_to_string(name).ok()?).ok());
+                        .or_else(|| Plan::from_json(&std::fs::read_to_string(name).ok()?).ok());
                     let Some(plan) = plan else {
                         eprintln!("{name}: neither a plan's name nor its file");
                         std::process::exit(2);
@@ -94,7 +94,7 @@
                         Box::new(move |now, who, seed| node(&kind, now, who, count, seed)),
                     );
                     let begin = world.now;
-                    let end = plan.acts.iter().map(|act| act.at_ms + act.for_ms).max().unwrap_or(0);
+                    let end = plan.faults.iter().map(|act| act.at_ms + act.duration_ms).max().unwrap_or(0);
                     for second in (1..=end.min(plan.span_ms) / 1000).filter(|_| line.seconds) {
                         world.till(TimeDelta::from_millis(second as i64 * 1000));
                         held(&world, second * 1000);
@@ -121,12 +121,14 @@
                     datagrams += books.datagrams as f64 / routers;
                     bytes += books.bytes as f64 / routers;
                     micros += books.thread.as_secs_f64() * 1e6 / routers;
-                    for act in &plan.acts {
-                        let (Fault::Kill(who) | Fault::EndUnheard(who) | Fault::End(who)) = &act.fault else {
+                    for act in &plan.faults {
+                        let (Fault::Kill(who) | Fault::SilentShutdown(who) | Fault::Shutdown(who)) =
+                            &act.fault
+                        else {
                             continue;
                         };
                         let from = begin + TimeDelta::from_millis(act.at_ms as i64);
-                        let till = from + TimeDelta::from_millis(act.for_ms as i64);
+                        let till = from + TimeDelta::from_millis(act.duration_ms as i64);
                         for &of in who {
                             for by in (0..count).filter(|by| !who.contains(by)) {
                                 let first = |least: Said| {
--- a/crates/arrowyard-fleet/src/peers/world.rs
+++ b/crates/arrowyard-fleet/src/peers/world.rs
@@ -224,9 +224,9 @@
 
     fn step(&mut self, act: usize, begins: bool) {
         let now = self.now;
-        match (self.plan.acts[act].fault.clone(), begins) {
-            (Fault::Halt(who), true) => who.into_iter().for_each(|who| self.processes[who].halted = true),
-            (Fault::Halt(who), false) => {
+        match (self.plan.faults[act].fault.clone(), begins) {
+            (Fault::Pause(who), true) => who.into_iter().for_each(|who| self.processes[who].halted = true),
+            (Fault::Pause(who), false) => {
                 for who in who {
                     self.processes[who].halted = false;
                     let kept = std::mem::take(&mut self.processes[who].kept);
@@ -240,11 +240,11 @@
                     self.wake(who);
                 }
             }
-            (Fault::Kill(who) | Fault::LoseVotes(who) | Fault::OlderVotes(who), true) => {
+            (Fault::Kill(who) | Fault::LoseVotes(who) | Fault::RestoreOldVotes(who), true) => {
                 who.into_iter().for_each(|who| self.processes[who].node = None)
             }
-            (Fault::End(who) | Fault::EndUnheard(who), true) => {
-                let unheard = matches!(self.plan.acts[act].fault, Fault::EndUnheard(_));
+            (Fault::Shutdown(who) | Fault::SilentShutdown(who), true) => {
+                let unheard = matches!(self.plan.faults[act].fault, Fault::SilentShutdown(_));
                 for who in who {
                     self.processes[who].mute = unheard;
                     self.act(who, |node| node.leave(now));
@@ -254,26 +254,28 @@
             (
                 Fault::Kill(who)
                 | Fault::LoseVotes(who)
-                | Fault::OlderVotes(who)
-                | Fault::End(who)
-                | Fault::EndUnheard(who),
+                | Fault::RestoreOldVotes(who)
+                | Fault::Shutdown(who)
+                | Fault::SilentShutdown(who),
                 false,
             ) => {
                 who.into_iter().for_each(|who| self.start(who));
             }
-            (Fault::Cut(from, to), true) => {
+            (Fault::OneWayPartition(from, to), true) => {
                 let pairs = from.iter().flat_map(|&one| to.iter().map(move |&two| (one, two))).collect();
                 self.cuts.push((act, pairs));
             }
-            (Fault::Part(one, two), true) => {
+            (Fault::Partition(one, two), true) => {
                 let both =
                     one.iter().flat_map(|&a| two.iter().flat_map(move |&b| [(a, b), (b, a)])).collect();
                 self.cuts.push((act, both));
             }
-            (Fault::Cut(..) | Fault::Part(..), false) => self.cuts.retain(|(of, _)| *of != act),
-            (Fault::Lose(share), begins) => self.loss = if begins { share } else { 0.0 },
-            (Fault::Double(share), begins) => self.double = if begins { share } else { 0.0 },
-            (Fault::Garble(share), begins) => self.garble = if begins { share } else { 0.0 },
+            (Fault::OneWayPartition(..) | Fault::Partition(..), false) => {
+                self.cuts.retain(|(of, _)| *of != act)
+            }
+            (Fault::PacketLoss(share), begins) => self.loss = if begins { share } else { 0.0 },
+            (Fault::Duplication(share), begins) => self.double = if begins { share } else { 0.0 },
+            (Fault::Corruption(share), begins) => self.garble = if begins { share } else { 0.0 },
             (Fault::Delay { ms }, begins) => self.delay = if begins { ms } else { 0 },
         }
     }
--- a/crates/arrowyard-fleet/tests/peers.rs
+++ b/crates/arrowyard-fleet/tests/peers.rs
@@ -34,8 +34,8 @@
                 let plan = Plan { seed, ..Plan::named(name, count).expect("it has a name") };
                 let mut world = world(plan.clone());
                 let wrong = world.play().wrong.len();
-                assert_eq!(wrong, 0, "{}", plan.text());
-                assert!(world.agreed(), "{:?}: {}", world.held(), plan.text());
+                assert_eq!(wrong, 0, "{}", plan.to_json());
+                assert!(world.agreed(), "{:?}: {}", world.held(), plan.to_json());
             }
         }
     }
@@ -57,7 +57,7 @@
                     })
                 });
             let missing = count - 1 - known.count();
-            assert!(missing * 100 <= count, "{missing} do not know: {}", plan.text());
+            assert!(missing * 100 <= count, "{missing} do not know: {}", plan.to_json());
         }
     }
 }
@@ -66,10 +66,10 @@
 fn after_a_cut_of_an_hour_in_which_both_sides_changed_there_is_one_view_within_five_seconds() {
     let hour = 3_600_000;
     let plan = Plan::new("hour", 8, hour + 40_000)
-        .act(8_000, hour, Fault::Part(vec![0, 1, 2, 3], vec![4, 5, 6, 7]))
-        .act(600_000, 1_000, Fault::Kill(vec![2]))
-        .act(900_000, 1_000, Fault::End(vec![6]))
-        .act(1_200_000, 2 * hour, Fault::Kill(vec![7]));
+        .with_fault(8_000, hour, Fault::Partition(vec![0, 1, 2, 3], vec![4, 5, 6, 7]))
+        .with_fault(600_000, 1_000, Fault::Kill(vec![2]))
+        .with_fault(900_000, 1_000, Fault::Shutdown(vec![6]))
+        .with_fault(1_200_000, 2 * hour, Fault::Kill(vec![7]));
     let mut world = world(plan);
     world.till(TimeDelta::from_millis(8_000 + hour as i64 + 5_000));
     assert!(world.agreed(), "{:?}", world.held());
--- a/crates/arrowyard-flight-daemon/tests/abuse.rs
+++ b/crates/arrowyard-flight-daemon/tests/abuse.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use arrowyard_testbed::flight::FlightClient;
-use arrowyard_testbed::{Process, Reply, Spec, Town};
+use arrowyard_testbed::{Cluster, HostSpec, Process, Reply};
 use fastrand::Rng;
 use helpers::{STANDINGS, ask, runtime, specs, start, start_small};
 
@@ -44,17 +44,17 @@
 fn served(router: &Process, id: u64) {
     runtime().block_on(async {
         let mut client = FlightClient::connect(router.address).await.expect("it lets clients in");
-        let reply = client.ask(&ask(STANDINGS, id, 5)).await;
+        let reply = client.execute(&ask(STANDINGS, id, 5)).await;
         assert!(matches!(reply, Reply::Value(_)), "{reply:?}");
     });
 }
 
 #[test]
 fn clients_that_send_noise_or_floods_are_let_go_and_others_are_served() {
-    let town = Town::start(&specs(1, true));
-    let router = start(&town, true, "");
+    let cluster = Cluster::start(&specs(1, true));
+    let router = start(&cluster, true, "");
     served(&router, 1);
-    let (_, before) = router.cost();
+    let (_, before) = router.resource_usage();
     let mut rng = Rng::with_seed(7);
     for round in 0..20 {
         let mut noise = connect(&router);
@@ -88,16 +88,16 @@
     }
     assert!(ends(&mut resets, Duration::from_secs(5)));
     served(&router, 2);
-    let (_, after) = router.cost();
+    let (_, after) = router.resource_usage();
     assert!(after < before + 8 * 1024, "{before} to {after} KB");
 }
 
 #[test]
 fn clients_that_give_no_window_hold_their_ops_no_longer_than_their_time() {
     const ALL: usize = 64;
-    let wide = specs(1, true).into_iter().map(|spec| Spec { batches: 20, batch_bytes: 10_000, ..spec });
-    let town = Town::start(&wide.collect::<Vec<_>>());
-    let router = start_small(&town, "held_bytes: 0", ALL as u32);
+    let wide = specs(1, true).into_iter().map(|spec| HostSpec { batches: 20, batch_bytes: 10_000, ..spec });
+    let cluster = Cluster::start(&wide.collect::<Vec<_>>());
+    let router = start_small(&cluster, "held_bytes: 0", ALL as u32);
     let tickets: Vec<Vec<u8>> = runtime().block_on(async {
         let mut client = FlightClient::connect(router.address).await.expect("it lets clients in");
         let mut tickets = Vec::new();
@@ -137,14 +137,14 @@
     let began = Instant::now();
     runtime().block_on(async {
         // The hosts take as many as the module gives them at once; the rest waits for these.
-        while town.ledger().commands.values().sum::<u64>() < 8 {
+        while cluster.ledger().commands.values().sum::<u64>() < 8 {
             assert!(began.elapsed() < Duration::from_secs(5), "they are asked");
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let mut client = FlightClient::connect(router.address).await.expect("it lets clients in");
         let mut id = 1000;
         let mut refused = 0;
-        while !matches!(client.ask(&ask(STANDINGS, id, 5)).await, Reply::Value(_)) {
+        while !matches!(client.execute(&ask(STANDINGS, id, 5)).await, Reply::Value(_)) {
             (id, refused) = (id + 1, refused + 1);
             assert!(began.elapsed() < Duration::from_secs(8), "their time is 900 ms");
         }
@@ -173,11 +173,11 @@
 fn hosts_that_send_noise_are_left_for_those_that_answer() {
     let mut rng = Rng::with_seed(9);
     for round in 0..4 {
-        let town = Town::start(&specs(2, true));
+        let cluster = Cluster::start(&specs(2, true));
         let noise: Vec<u8> = (0..rng.usize(1..3000)).map(|_| rng.u8(..)).collect();
         let settings = if round % 2 == 0 { frame(4, 0, 0, &[]) } else { Vec::new() };
-        town.stand_in("r-0", noisy([settings, noise].concat()));
-        let router = start(&town, true, "");
+        cluster.replace_address("r-0", noisy([settings, noise].concat()));
+        let router = start(&cluster, true, "");
         for id in 0..6 {
             served(&router, round * 100 + id + 1);
         }
--- a/crates/arrowyard-flight-daemon/tests/never_ran.rs
+++ b/crates/arrowyard-flight-daemon/tests/never_ran.rs
@@ -10,7 +10,7 @@
 use arrow_flight::sql::DoPutUpdateResult;
 use arrow_flight::{PutResult, Result as Told};
 use arrowyard_testbed::flight::FlightClient;
-use arrowyard_testbed::{Process, Reply, Town};
+use arrowyard_testbed::{Cluster, Process, Reply};
 use helpers::{BUY, ask, runtime, specs, start};
 use prost::Message;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -149,16 +149,16 @@
 
 /// So many updates, one after the other: what was said of each, and the connections and streams that they came over.
 fn play_all(acts: &[Act], updates: u64) -> (Vec<Reply>, Vec<(usize, u32)>) {
-    let town = Town::start(&specs(0, true));
+    let cluster = Cluster::start(&specs(0, true));
     let runtime = runtime();
     let (peer, address) = runtime.block_on(Peer::start(acts));
-    town.stand_in("p-0", address);
-    let router: Process = start(&town, true, "");
+    cluster.replace_address("p-0", address);
+    let router: Process = start(&cluster, true, "");
     runtime.block_on(async {
         let mut client = FlightClient::connect(router.address).await.expect("it lets clients in");
         let mut replies = Vec::new();
         for id in 1..=updates {
-            replies.push(client.ask(&ask(BUY, id, 5)).await);
+            replies.push(client.execute(&ask(BUY, id, 5)).await);
         }
         let came = peer.came.lock().expect("nobody panics with it").clone();
         (replies, came)
--- a/crates/arrowyard-flight-daemon/tests/safety.rs
+++ b/crates/arrowyard-flight-daemon/tests/safety.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use arrowyard_testbed::flight::FlightClient;
-use arrowyard_testbed::{Act, Client, Reply, Speaks, Town};
+use arrowyard_testbed::{Client, Cluster, HostBehavior, ProtocolClient, Reply};
 use fastrand::Rng;
 use helpers::{BUY, OP_TYPES, OWN, STANDINGS, SUBMIT, VIEW, ask, runtime, specs, start};
 use tokio::time::{sleep, timeout};
@@ -26,7 +26,7 @@
 }
 
 /// One client of one session, op by op, till the time is over.
-async fn play<C: Speaks>(
+async fn play<C: ProtocolClient>(
     at: SocketAddr,
     session: u64,
     ids: Arc<AtomicU64>,
@@ -49,7 +49,7 @@
         let id = ids.fetch_add(1, Ordering::Relaxed);
         let token = again.take();
         let mut asked = ask(kind, id, session);
-        asked.again = token.is_some();
+        asked.is_retry = token.is_some();
         asked.token = token.or(asked.token);
         let turn = asked.token.unwrap_or(id);
         let began = Instant::now();
@@ -58,7 +58,7 @@
             if client.is_none() {
                 client = Some(C::connect(at).await?);
             }
-            client.as_mut().expect("it is connected").ask(&asked).await
+            client.as_mut().expect("it is connected").execute(&asked).await
         });
         let reply = match answer.await {
             Ok(Ok(reply)) => reply,
@@ -105,67 +105,68 @@
 }
 
 /// Hosts fall ill, die, drain and take over, as the seed says.
-fn trouble(town: &Town, seed: u64, until: Instant) {
+fn trouble(cluster: &Cluster, seed: u64, until: Instant) {
     let mut rng = Rng::with_seed(seed);
     let names = ["p-0", "r-0", "r-1", "r-2"];
     let acts = [
-        Act::Slow(Duration::from_millis(80)),
-        Act::Hang,
-        Act::TurnAway,
-        Act::Fail,
-        Act::Break,
-        Act::LoseAnswer,
-        Act::Spoil,
-        Act::Miss,
-        Act::ServeTwice,
-        Act::CutAfter(0),
-        Act::CutAfter(1),
-        Act::Mixed,
+        HostBehavior::Slow(Duration::from_millis(80)),
+        HostBehavior::Hang,
+        HostBehavior::RejectOverloaded,
+        HostBehavior::FailBeforeRun,
+        HostBehavior::DisconnectBeforeRun,
+        HostBehavior::DisconnectAfterRun,
+        HostBehavior::ReplyGarbage,
+        HostBehavior::RejectReadOnly,
+        HostBehavior::ReplyTwice,
+        HostBehavior::DisconnectAfterBatches(0),
+        HostBehavior::DisconnectAfterBatches(1),
+        HostBehavior::MislabelReply,
     ];
     let mut drained = false;
     while Instant::now() < until {
         let name = names[rng.usize(0..4)];
         match rng.usize(0..8) {
-            0 if !drained && !town.is_primary(name) => {
-                town.drain(name);
+            0 if !drained && !cluster.is_primary(name) => {
+                cluster.drain(name);
                 drained = true;
             }
-            1 if !town.is_primary(name) => {
-                town.kill(name);
+            1 if !cluster.is_primary(name) => {
+                cluster.kill(name);
                 std::thread::sleep(Duration::from_millis(120));
-                town.revive(name);
+                cluster.restart_as_replica(name);
             }
             2 => {
                 // The primary dies, and one that had applied all takes over a little later.
-                let primary = names.into_iter().find(|name| town.is_primary(name)).expect("there is one");
+                let primary = names.into_iter().find(|name| cluster.is_primary(name)).expect("there is one");
                 let next = names[(names.iter().position(|name| *name == primary).unwrap_or(0) + 1) % 3];
-                town.kill(primary);
+                cluster.kill(primary);
                 std::thread::sleep(Duration::from_millis(150));
-                town.act(next, Act::Serve);
-                town.hand_over(next);
+                cluster.set_behavior(next, HostBehavior::Serve);
+                cluster.switchover(next);
                 std::thread::sleep(Duration::from_millis(100));
-                town.revive(primary);
+                cluster.restart_as_replica(primary);
             }
             _ => {
-                town.act(name, acts[rng.usize(0..acts.len())]);
+                cluster.set_behavior(name, acts[rng.usize(0..acts.len())]);
                 std::thread::sleep(Duration::from_millis(150));
-                town.act(name, Act::Serve);
+                cluster.set_behavior(name, HostBehavior::Serve);
             }
         }
         std::thread::sleep(Duration::from_millis(60));
     }
 }
 
-fn suite<C: Speaks>(flight_hosts: bool, flight_clients: bool, seed: u64) {
-    let town = Town::start(&specs(3, flight_hosts));
-    let router = start(&town, flight_hosts, "");
-    let at = if flight_clients { router.flight.expect("it serves Flight SQL") } else { router.address };
+fn suite<C: ProtocolClient>(flight_hosts: bool, flight_clients: bool, seed: u64) {
+    let cluster = Cluster::start(&specs(3, flight_hosts));
+    let router = start(&cluster, flight_hosts, "");
+    let at =
+        if flight_clients { router.flight_address.expect("it serves Flight SQL") } else { router.address };
     let ids = Arc::new(AtomicU64::new(1));
     let until = Instant::now() + Duration::from_millis(3500);
     let runtime = runtime();
     let clients: Vec<_> =
         (1..=8).map(|session| runtime.spawn(play::<C>(at, session, ids.clone(), seed, until))).collect();
-    trouble(&town, seed, until - Duration::from_millis(500));
+    trouble(&cluster, seed, until - Duration::from_millis(500));
     let all: Vec<Told> = runtime.block_on(async {
         futures::future::join_all(clients).await.into_iter().map(Result::unwrap).collect()
     });
@@ -174,8 +175,8 @@
     let answered: u64 = all.iter().map(|told| told.answered).sum();
     let acked: Vec<u64> = all.iter().flat_map(|told| told.acked.clone()).collect();
     assert!(answered > 300 && acked.len() > 50, "{answered} answered, {} writes acked", acked.len());
-    let ledger = town.ledger();
-    let held: HashSet<String> = town.log(7).into_iter().map(|record| record.turn).collect();
+    let ledger = cluster.ledger();
+    let held: HashSet<String> = cluster.records(7).into_iter().map(|record| record.write_id).collect();
     for turn in &acked {
         assert!(held.contains(&format!("{turn:016x}")), "seed {seed}: an acked write is not there");
     }
@@ -187,7 +188,11 @@
         assert!(!applied, "seed {seed}: {turn:016x} was given back as never run, and ran");
     }
     for name in ["p-0", "r-0", "r-1", "r-2"] {
-        assert_eq!(town.late(name), 0, "seed {seed}: {name} had new work long after it was told to drain");
+        assert_eq!(
+            cluster.late_commands(name),
+            0,
+            "seed {seed}: {name} had new work long after it was told to drain"
+        );
     }
 }
 
--- a/crates/arrowyard-system/tests/helpers/mod.rs
+++ b/crates/arrowyard-system/tests/helpers/mod.rs
@@ -13,7 +13,7 @@
 
 use arrowyard_emulator::{DatabaseHost, HostFaults, HostPlan, Platform, Shard};
 use arrowyard_runtime::{LoopConfig, run};
-use arrowyard_testbed::rig::memory;
+use arrowyard_testbed::rig::memory_directory;
 use arrowyard_types::TimeDelta;
 
 /// Timeout of every wait.
@@ -119,7 +119,7 @@
 
     /// With `quick` the hosts respond without a processing delay.
     pub fn with_hosts(net: u8, quick: bool) -> Fleet {
-        let folder = memory().join(format!("arrowyard-works-{}-{net}", std::process::id()));
+        let folder = memory_directory().join(format!("arrowyard-works-{}-{net}", std::process::id()));
         fs::create_dir_all(&folder).expect("creates the directory");
         let ports = ports();
         let platform = SocketAddrV4::new(Ipv4Addr::new(127, 9, net, 90), ports[3]);
--- a/crates/arrowyard-testbed/src/bin/flood.rs
+++ b/crates/arrowyard-testbed/src/bin/flood.rs
@@ -1,108 +1,110 @@
-//! Measures what a flood of one tenant costs the others, with cells and without.
+//! Measures how trouble in one tenant's cell affects other tenants, with cells and without.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
-use arrowyard_testbed::load::{Outcome, Stream, play};
-use arrowyard_testbed::router::{OP_TYPES, Process, beside, waybill};
-use arrowyard_testbed::{Act, Spec, Town};
+use arrowyard_testbed::load::{LoadResult, TenantLoad, run_load};
+use arrowyard_testbed::router::{OP_TYPES, Process, platform_config, sibling_program};
+use arrowyard_testbed::{Cluster, HostBehavior, HostSpec};
 use clap::{Parser, ValueEnum};
 use comfy_table::{Table, presets};
 
-/// Four tenants, each with its own replicas in a cell of its own; one of them misbehaves, or its hosts do.
+/// Four tenants, each with its own replicas in a cell of its own; one tenant or the hosts of its cell misbehave.
 #[derive(Parser)]
-struct Line {
-    /// What happens in one cell.
+struct Args {
+    /// What happens in the first cell.
     #[arg(value_enum, default_value = "flood")]
     trouble: Trouble,
-    /// How long each of the four runs plays, in seconds.
+    /// Duration of each of the four runs, in seconds.
     #[arg(long, default_value_t = 8)]
     seconds: u64,
-    /// Ops a second of a tenant on a calm day.
+    /// Ops per second of each tenant.
     #[arg(long, default_value_t = 120.0)]
     rate: f64,
-    /// How many times that the flooding tenant asks.
+    /// Factor by which the flooding tenant multiplies its load.
     #[arg(long, default_value_t = 20.0)]
     times: f64,
     #[arg(long, default_value_t = 1)]
     seed: u64,
+    /// The router program; by default the one next to this program.
     #[arg(long)]
     router: Option<PathBuf>,
 }
 
 #[derive(Clone, Copy, PartialEq, ValueEnum)]
 enum Trouble {
-    /// A tenant asks many times as much.
+    /// The tenant multiplies its load.
     Flood,
-    /// The cell's hosts answer slowly.
+    /// The cell's hosts respond slowly.
     Slow,
-    /// They fail at once.
+    /// The cell's hosts fail every command.
     Fail,
-    /// They read and never answer.
+    /// The cell's hosts do not respond.
     Hang,
-    /// They restart cold, all together.
+    /// The cell's hosts are all restarted at once.
     Cold,
 }
 
 const TENANTS: [&str; 4] = ["north", "east", "south", "west"];
 
-fn book() -> String {
+fn operator_config() -> String {
     let cells =
         TENANTS.map(|name| format!("  cell {{ name: \"{name}\" host: \"{name}-*\" guaranteed: 0.6 }}\n"));
-    let rows = TENANTS.map(|name| format!("  tenant {{ name: \"{name}\" cell: \"{name}\" }}\n"));
-    let repeats = "  repeats { share: 0.2 least: 20 window_ms: 2000 }\n";
-    format!("epoch: 1\ncells {{\n{}{}{repeats}}}\n", cells.concat(), rows.concat())
+    let tenants = TENANTS.map(|name| format!("  tenant {{ name: \"{name}\" cell: \"{name}\" }}\n"));
+    let retry_budget = "  repeats { share: 0.2 least: 20 window_ms: 2000 }\n";
+    format!("epoch: 1\ncells {{\n{}{}{retry_budget}}}\n", cells.concat(), tenants.concat())
 }
 
-fn run(line: &Line, cells: bool, trouble: bool) -> Outcome {
-    let host = |name: &str, primary: bool| Spec {
-        service: Duration::from_millis(4),
+fn run(args: &Args, with_cells: bool, with_trouble: bool) -> LoadResult {
+    let host = |name: &str, primary: bool| HostSpec {
+        service_time: Duration::from_millis(4),
         slots: 1,
         queue: 64,
-        ..Spec::new(name, 7, primary)
+        ..HostSpec::new(name, 7, primary)
     };
     let mut hosts = vec![host("primary", true)];
     hosts.extend(TENANTS.iter().flat_map(|name| (0..2).map(move |n| host(&format!("{name}-{n}"), false))));
-    let town = Town::start(&hosts);
-    let program = line.router.clone().unwrap_or_else(|| beside("arrowyard"));
-    let text = book();
-    let told = waybill(&town, &OP_TYPES, 1024);
-    let router = Process::start(&program, &told, cells.then_some(&text[..])).expect("the router starts");
-    let whole = Duration::from_secs(line.seconds);
-    let (from, till) = (whole / 4, whole);
+    let cluster = Cluster::start(&hosts);
+    let program = args.router.clone().unwrap_or_else(|| sibling_program("arrowyard"));
+    let operator_config = operator_config();
+    let platform_config = platform_config(&cluster, &OP_TYPES, 1024);
+    let router = Process::start(&program, &platform_config, with_cells.then_some(&operator_config[..]))
+        .expect("the router starts");
+    let duration = Duration::from_secs(args.seconds);
+    let (start, end) = (duration / 4, duration);
     let mix = vec![(0, 6), (3, 3), (2, 1)];
-    let mut streams: Vec<Stream> = TENANTS
+    let mut loads: Vec<TenantLoad> = TENANTS
         .iter()
-        .map(|tenant| Stream {
+        .map(|tenant| TenantLoad {
             tenant,
             group: 7,
-            rate: line.rate,
+            rate: args.rate,
             mix: mix.clone(),
-            from: Duration::ZERO,
-            till: whole,
+            start: Duration::ZERO,
+            end: duration,
             sessions: 40,
         })
         .collect();
-    if trouble && line.trouble == Trouble::Flood {
-        let rate = line.rate * (line.times - 1.0);
-        streams.push(Stream { rate, mix: vec![(0, 6), (3, 3)], from, till, ..streams[0].clone() });
+    if with_trouble && args.trouble == Trouble::Flood {
+        let rate = args.rate * (args.times - 1.0);
+        loads.push(TenantLoad { rate, mix: vec![(0, 6), (3, 3)], start, end, ..loads[0].clone() });
     }
-    let mut begun = false;
-    play(router.address, &OP_TYPES, &streams, line.seed, |at| {
-        if !trouble || begun || at < from {
+    let mut has_begun = false;
+    run_load(router.address, &OP_TYPES, &loads, args.seed, |elapsed| {
+        if !with_trouble || has_begun || elapsed < start {
             return;
         }
-        begun = true;
+        has_begun = true;
         for name in hosts.iter().map(|host| &host.name[..]).filter(|name| name.starts_with(TENANTS[0])) {
-            match line.trouble {
+            match args.trouble {
                 Trouble::Flood => {}
-                Trouble::Slow => town.act(name, Act::Slow(Duration::from_millis(150))),
-                Trouble::Fail => town.act(name, Act::Fail),
-                Trouble::Hang => town.act(name, Act::Hang),
+                Trouble::Slow => cluster.set_behavior(name, HostBehavior::Slow(Duration::from_millis(150))),
+                Trouble::Fail => cluster.set_behavior(name, HostBehavior::FailBeforeRun),
+                Trouble::Hang => cluster.set_behavior(name, HostBehavior::Hang),
                 Trouble::Cold => {
-                    town.kill(name);
-                    town.revive(name);
+                    cluster.kill(name);
+                    cluster.restart_as_replica(name);
                 }
             }
         }
@@ -110,10 +112,10 @@
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
+    let args = Args::parse();
     let mut table = Table::new();
     table.load_style(presets::NOTHING);
-    let heads = [
+    let columns = [
         "cells",
         "day",
         "tenant",
@@ -126,23 +128,23 @@
         "p50 ms",
         "p99 ms",
     ];
-    table.set_header(heads);
-    for cells in [false, true] {
-        let calm = run(&line, cells, false);
-        let day = run(&line, cells, true);
-        for (name, outcome) in [("calm", &calm), ("trouble", &day)] {
+    table.set_header(columns);
+    for with_cells in [false, true] {
+        let calm = run(&args, with_cells, false);
+        let trouble = run(&args, with_cells, true);
+        for (name, result) in [("calm", &calm), ("trouble", &trouble)] {
             for tenant in TENANTS {
-                let stats = outcome.of_tenant(tenant);
-                let of_calm = stats.share() / calm.of_tenant(tenant).share();
+                let stats = result.tenant_stats(tenant);
+                let relative_to_calm = stats.in_target_share() / calm.tenant_stats(tenant).in_target_share();
                 let ms =
                     |quantile| format!("{:.1}", stats.latency.value_at_quantile(quantile) as f64 / 1000.0);
                 table.add_row([
-                    if cells { "with" } else { "without" }.to_string(),
+                    if with_cells { "with" } else { "without" }.to_string(),
                     name.to_string(),
                     tenant.to_string(),
                     stats.sent.to_string(),
-                    format!("{:.3}", stats.share()),
-                    format!("{of_calm:.3}"),
+                    format!("{:.3}", stats.in_target_share()),
+                    format!("{relative_to_calm:.3}"),
                     stats.busy.to_string(),
                     stats.errored.to_string(),
                     stats.unanswered.to_string(),
--- a/crates/arrowyard-testbed/src/bin/leases.rs
+++ b/crates/arrowyard-testbed/src/bin/leases.rs
@@ -1,108 +1,131 @@
-//! Trials of leases by real processes: fault plans drawn from seeds, many beside each other; what went wrong, how long nobody
-//! held the lease, and how soon the next one held it after a kill, a halt, a cut and a planned end.
+//! Runs random fault plans against leases of real processes, several at a time. Reports violations, the share of time
+//! in which the lease was held, and the time to the next holder after a kill, a pause, a partition and a shutdown.
 
 use std::path::PathBuf;
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
+use arrowyard_testbed::lease_scenario::{ScenarioResult, TERM_MS, random_plan, run};
 use arrowyard_testbed::plan::{Fault, Plan};
-use arrowyard_testbed::router::beside;
-use arrowyard_testbed::trial::{TERM_MS, Told, draw, play};
+use arrowyard_testbed::router::sibling_program;
 use clap::Parser;
 use comfy_table::{Table, presets};
 use hdrhistogram::Histogram;
 
 #[derive(Parser)]
-struct Line {
-    /// Drawn plans.
+struct Args {
+    /// Number of random plans.
     #[arg(long, default_value_t = 100)]
     plans: u64,
     #[arg(long, default_value_t = 1)]
     seed: u64,
     #[arg(long, default_value_t = 5)]
     processes: usize,
-    /// Plays beside each other.
+    /// Number of plans that run at the same time.
     #[arg(long, default_value_t = 3)]
     jobs: usize,
-    /// Plays of each single fault.
+    /// Number of runs with each single fault.
     #[arg(long, default_value_t = 20)]
     plays: u64,
+    /// The router program; by default the one next to this program.
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-/// Plays all of them, so many at a time, in no order.
-fn all(program: &std::path::Path, plans: &[Plan], jobs: usize) -> Vec<Result<Told, String>> {
-    let (next, told) = (AtomicU64::new(0), Mutex::new(Vec::new()));
+/// Runs the plans, `jobs` at a time. The results are in the order of completion.
+fn run_all(program: &std::path::Path, plans: &[Plan], jobs: usize) -> Vec<Result<ScenarioResult, String>> {
+    let (next, results) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..jobs {
             scope.spawn(|| {
                 while let Some(plan) = plans.get(next.fetch_add(1, Ordering::Relaxed) as usize) {
-                    let one = play(program, plan);
-                    told.lock().expect("nobody panics with it").push(one);
+                    let result = run(program, plan);
+                    results.lock().expect("the lock is not poisoned").push(result);
                 }
             });
         }
     });
-    told.into_inner().expect("nobody panics with it")
+    results.into_inner().expect("the lock is not poisoned")
 }
 
-/// From the fault's begin to the first effect of a newer epoch.
-fn took(told: &Told) -> Option<i64> {
-    let before = told.effects.iter().filter(|one| one.came_us <= told.from_us).map(|one| one.epoch).max()?;
-    let next =
-        told.effects.iter().find(|one| one.taken && one.came_us > told.from_us && one.epoch > before)?;
-    Some((next.came_us - told.from_us) / 1000)
+/// Milliseconds from the start of the fault to the first effect of a newer epoch.
+fn takeover_ms(result: &ScenarioResult) -> Option<i64> {
+    let epoch = result
+        .effects
+        .iter()
+        .filter(|effect| effect.received_us <= result.started_us)
+        .map(|effect| effect.epoch)
+        .max()?;
+    let next = result
+        .effects
+        .iter()
+        .find(|effect| effect.accepted && effect.received_us > result.started_us && effect.epoch > epoch)?;
+    Some((next.received_us - result.started_us) / 1000)
 }
 
 fn main() {
-    let line = Line::parse();
-    let program = line.program.clone().unwrap_or_else(|| beside("arrowyard"));
-    let plans: Vec<Plan> = (0..line.plans).map(|n| draw(line.seed + n, line.processes)).collect();
+    let args = Args::parse();
+    let program = args.program.clone().unwrap_or_else(|| sibling_program("arrowyard"));
+    let plans: Vec<Plan> = (0..args.plans).map(|n| random_plan(args.seed + n, args.processes)).collect();
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
-    table.set_header(["plan", "plays", "wrong", "not played", "held", "p50 ms", "p99 ms", "worst ms"]);
-    let mut row = |name: &str, told: &[Result<Told, String>], took: &dyn Fn(&Told) -> Option<i64>| {
-        let mut times: Histogram<u64> = Histogram::new(3).expect("three digits are allowed");
-        let played: Vec<&Told> = told.iter().filter_map(|one| one.as_ref().ok()).collect();
-        played.iter().filter_map(|one| took(one)).for_each(|ms| times.saturating_record(ms.max(0) as u64));
-        let held = played.iter().map(|one| one.held()).sum::<f64>() / played.len().max(1) as f64;
-        for one in played.iter().filter(|one| !one.wrong.is_empty()) {
-            println!("WRONG {:?}: {}", one.wrong[0], one.plan.text());
+    table.set_header(["plan", "plays", "wrong", "not run", "held", "p50 ms", "p99 ms", "worst ms"]);
+    let mut add_row = |name: &str,
+                       results: &[Result<ScenarioResult, String>],
+                       duration_ms: &dyn Fn(&ScenarioResult) -> Option<i64>| {
+        let mut durations: Histogram<u64> =
+            Histogram::new(3).expect("three significant digits are supported");
+        let completed: Vec<&ScenarioResult> =
+            results.iter().filter_map(|result| result.as_ref().ok()).collect();
+        completed
+            .iter()
+            .filter_map(|result| duration_ms(result))
+            .for_each(|ms| durations.saturating_record(ms.max(0) as u64));
+        let held =
+            completed.iter().map(|result| result.held_share()).sum::<f64>() / completed.len().max(1) as f64;
+        for result in completed.iter().filter(|result| !result.violations.is_empty()) {
+            println!("VIOLATION {:?}: {}", result.violations[0], result.plan.to_json());
         }
-        told.iter().filter_map(|one| one.as_ref().err()).for_each(|why| println!("NOT PLAYED {why}"));
-        let wrong = played.iter().filter(|one| !one.wrong.is_empty()).count();
-        let at = |quantile: f64| times.value_at_quantile(quantile).to_string();
+        results
+            .iter()
+            .filter_map(|result| result.as_ref().err())
+            .for_each(|error| println!("NOT RUN {error}"));
+        let wrong = completed.iter().filter(|result| !result.violations.is_empty()).count();
+        let at = |quantile: f64| durations.value_at_quantile(quantile).to_string();
         table.add_row([
             name.to_string(),
-            played.len().to_string(),
+            completed.len().to_string(),
             wrong.to_string(),
-            (told.len() - played.len()).to_string(),
+            (results.len() - completed.len()).to_string(),
             format!("{held:.3}"),
             at(0.5),
             at(0.99),
-            times.max().to_string(),
+            durations.max().to_string(),
         ]);
     };
-    // Of drawn plans: how soon after the last fault somebody acts.
-    row("drawn", &all(&program, &plans, line.jobs), &|told| told.after_ms);
-    let who: Vec<usize> = (0..line.processes).collect();
+    // For random plans, the time from the end of the last fault to the next effect.
+    add_row("drawn", &run_all(&program, &plans, args.jobs), &|result| result.recovery_ms);
+    let all_processes: Vec<usize> = (0..args.processes).collect();
     for name in ["kill", "halt", "cut off", "end"] {
-        let plans: Vec<Plan> = (0..line.plays)
+        let plans: Vec<Plan> = (0..args.plays)
             .map(|n| {
-                // Whoever holds it: the fault is at one process in turn, and those that were no holder do not count.
-                let one = n as usize % line.processes;
-                let others: Vec<usize> = who.iter().copied().filter(|other| *other != one).collect();
+                // The fault affects each process in turn; runs in which it was not the holder have no takeover time.
+                let process = n as usize % args.processes;
+                let others: Vec<usize> =
+                    all_processes.iter().copied().filter(|other| *other != process).collect();
                 let fault = match name {
-                    "kill" => Fault::Kill(vec![one]),
-                    "halt" => Fault::Halt(vec![one]),
-                    "cut off" => Fault::Part(vec![one], others),
-                    _ => Fault::End(vec![one]),
+                    "kill" => Fault::Kill(vec![process]),
+                    "halt" => Fault::Pause(vec![process]),
+                    "cut off" => Fault::Partition(vec![process], others),
+                    _ => Fault::Shutdown(vec![process]),
                 };
-                Plan { seed: line.seed + n, ..Plan::new(name, line.processes, 3_000).act(0, 2_500, fault) }
+                Plan {
+                    seed: args.seed + n,
+                    ..Plan::new(name, args.processes, 3_000).with_fault(0, 2_500, fault)
+                }
             })
             .collect();
-        row(name, &all(&program, &plans, line.jobs), &took);
+        add_row(name, &run_all(&program, &plans, args.jobs), &takeover_ms);
     }
     println!("term {TERM_MS} ms\n{table}");
 }
--- a/crates/arrowyard-testbed/src/bin/lists.rs
+++ b/crates/arrowyard-testbed/src/bin/lists.rs
@@ -1,88 +1,102 @@
-//! Measures what long lists cost the ops that come meanwhile: one process before a few hosts that serve, and thousands of
-//! others that are listed; how long ops take while the list comes, changes, and is told whole again.
+//! Measures how long host lists affect the latency of ops: one router with a few hosts that serve and thousands of
+//! further listed hosts. Ops run while the list is received, while it changes, and at the router's start.
 
 use std::path::PathBuf;
 use std::thread::{sleep, spawn};
 use std::time::{Duration, Instant};
 
-use arrowyard_testbed::load::{Stats, Stream, play};
-use arrowyard_testbed::router::{OP_TYPES, beside, waybill};
-use arrowyard_testbed::{Process, Spec, Town};
+use arrowyard_testbed::load::{OpStats, TenantLoad, run_load};
+use arrowyard_testbed::router::{OP_TYPES, platform_config, sibling_program};
+use arrowyard_testbed::{Cluster, HostSpec, Process};
 use clap::Parser;
 use comfy_table::{Table, presets};
 
 #[derive(Parser)]
-struct Line {
+struct Args {
+    /// Numbers of additional listed hosts.
     #[arg(long, value_delimiter = ',', default_values_t = [100, 1000, 10_000])]
     hosts: Vec<usize>,
-    /// Ops a second.
+    /// Ops per second.
     #[arg(long, default_value_t = 400.0)]
     rate: f64,
-    /// The program that is measured; the one beside this, if absent.
+    /// The router program; by default the one next to this program.
     #[arg(long)]
     program: Option<PathBuf>,
 }
 
-/// What became of ops while something happened.
-fn during(process: &Process, line: &Line, seed: u64, span: Duration, what: impl FnOnce()) -> Stats {
-    let (address, rate) = (process.address, line.rate);
-    let asked = spawn(move || {
+/// Stats of ops that run for `duration` while `action` is executed.
+fn measure(process: &Process, args: &Args, seed: u64, duration: Duration, action: impl FnOnce()) -> OpStats {
+    let (address, rate) = (process.address, args.rate);
+    let load = spawn(move || {
         let mix = vec![(0, 5), (2, 2), (3, 3)];
-        let stream =
-            Stream { tenant: "t", group: 7, rate, mix, from: Duration::ZERO, till: span, sessions: 50 };
-        play(address, &OP_TYPES, &[stream], seed, |_| {})
+        let load = TenantLoad {
+            tenant: "t",
+            group: 7,
+            rate,
+            mix,
+            start: Duration::ZERO,
+            end: duration,
+            sessions: 50,
+        };
+        run_load(address, &OP_TYPES, &[load], seed, |_| {})
     });
-    sleep(span / 4);
-    what();
-    asked.join().map(|outcome| outcome.of_tenant("t")).unwrap_or_default()
+    sleep(duration / 4);
+    action();
+    load.join().map(|result| result.tenant_stats("t")).unwrap_or_default()
 }
 
 fn main() -> Result<(), String> {
-    let line = Line::parse();
-    let program = line.program.clone().unwrap_or_else(|| beside("arrowyard"));
+    let args = Args::parse();
+    let program = args.program.clone().unwrap_or_else(|| sibling_program("arrowyard"));
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
     table.set_header(["hosts", "meanwhile", "p50 ms", "p99 ms", "worst ms", "good", "unanswered"]);
-    for &count in &line.hosts {
-        let host = |name: &str| Spec { slots: 256, ..Spec::new(name, 7, name == "p-0") };
-        let town = Town::start(&["p-0", "r-0", "r-1"].map(host));
-        let mut told = waybill(&town, &OP_TYPES, 2048);
-        told.as_object_mut().expect("it is an object").remove("known");
-        let process = Process::start(&program, &told, None)?;
+    for &count in &args.hosts {
+        let host = |name: &str| HostSpec { slots: 256, ..HostSpec::new(name, 7, name == "p-0") };
+        let cluster = Cluster::start(&["p-0", "r-0", "r-1"].map(host));
+        let mut platform_config = platform_config(&cluster, &OP_TYPES, 2048);
+        platform_config.as_object_mut().expect("the configuration is an object").remove("known");
+        let process = Process::start(&program, &platform_config, None)?;
         let began = Instant::now();
-        while !process.said("host is Ready", Duration::from_millis(10)) {
+        while !process.wait_for_log("host is Ready", Duration::from_millis(10)) {
             if began.elapsed() > Duration::from_secs(10) {
-                return Err("it hears of no host".to_string());
+                return Err("the router received no host list".to_string());
             }
         }
-        let span = Duration::from_secs(3);
-        let mut row = |what: &str, stats: &Stats| {
+        let duration = Duration::from_secs(3);
+        let mut add_row = |action: &str, stats: &OpStats| {
             let ms = |us: u64| format!("{:.1}", us as f64 / 1000.0);
             table.add_row([
                 count.to_string(),
-                what.to_string(),
+                action.to_string(),
                 ms(stats.latency.value_at_quantile(0.5)),
                 ms(stats.latency.value_at_quantile(0.99)),
                 ms(stats.latency.max()),
-                format!("{:.4}", stats.share()),
+                format!("{:.4}", stats.in_target_share()),
                 stats.unanswered.to_string(),
             ]);
         };
-        let _ = during(&process, &line, 1, span, || {});
-        row("nothing", &during(&process, &line, 2, span, || {}));
-        row("all are new", &during(&process, &line, 3, span, || town.extras(count, 0, usize::MAX)));
-        row("a tenth changes", &during(&process, &line, 4, span, || town.extras(count, 0, 10)));
-        let flaps = || {
-            for turn in 0..20 {
-                town.extras(count, turn, 1000);
+        let _ = measure(&process, &args, 1, duration, || {});
+        add_row("nothing", &measure(&process, &args, 2, duration, || {}));
+        add_row(
+            "all hosts are added",
+            &measure(&process, &args, 3, duration, || cluster.list_extra_hosts(count, 0, usize::MAX)),
+        );
+        add_row(
+            "a tenth changes",
+            &measure(&process, &args, 4, duration, || cluster.list_extra_hosts(count, 0, 10)),
+        );
+        let change_repeatedly = || {
+            for round in 0..20 {
+                cluster.list_extra_hosts(count, round, 1000);
                 sleep(Duration::from_millis(100));
             }
         };
-        row("1 in 100 a second flap", &during(&process, &line, 5, span, flaps));
+        add_row("1 in 100 changes each second", &measure(&process, &args, 5, duration, change_repeatedly));
         drop(process);
-        // A new process, which hears the whole list while ops come already.
-        let process = Process::start(&program, &told, None)?;
-        row("the whole list at a start", &during(&process, &line, 6, span, || {}));
+        // A new process receives the complete list while ops already arrive.
+        let process = Process::start(&program, &platform_config, None)?;
+        add_row("complete list at the start", &measure(&process, &args, 6, duration, || {}));
     }
     println!("{table}");
     Ok(())
--- a/crates/arrowyard-testbed/src/bin/look.rs
+++ b/crates/arrowyard-testbed/src/bin/look.rs
@@ -1,76 +1,76 @@
-//! A first look: a router before a small replicated group, mixed ops, and a primary that dies in between.
+//! A demonstration: a router in front of a small replicated group, mixed ops, and a failover.
 
 use std::path::PathBuf;
 use std::process::ExitCode;
 use std::time::Duration;
 
-use arrowyard_testbed::load::{Stats, Stream, play};
-use arrowyard_testbed::router::{OP_TYPES, Process, beside, waybill};
-use arrowyard_testbed::{Spec, Town};
+use arrowyard_testbed::load::{OpStats, TenantLoad, run_load};
+use arrowyard_testbed::router::{OP_TYPES, Process, platform_config, sibling_program};
+use arrowyard_testbed::{Cluster, HostSpec};
 use clap::Parser;
 use comfy_table::{Table, presets};
 
-/// Starts a router before a group of stand-in hosts on loopback, sends it mixed ops, kills the primary after a third of the
-/// time, and shows what became of each op.
+/// Starts a router in front of a group of simulated hosts on loopback, sends it mixed ops, kills the primary after a
+/// third of the time, and prints the results by op type.
 #[derive(Parser)]
-struct Line {
-    /// How long it plays, in seconds.
+struct Args {
+    /// Duration of the run, in seconds.
     #[arg(long, default_value_t = 15)]
     seconds: u64,
-    /// Ops a second.
+    /// Ops per second.
     #[arg(long, default_value_t = 300.0)]
     rate: f64,
-    /// The router's program; the one that was built with this.
+    /// The router program; by default the one next to this program.
     #[arg(long)]
     router: Option<PathBuf>,
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    let hosts: Vec<Spec> = (0..4)
-        .map(|n| Spec {
-            service: Duration::from_millis(4),
+    let args = Args::parse();
+    let hosts: Vec<HostSpec> = (0..4)
+        .map(|n| HostSpec {
+            service_time: Duration::from_millis(4),
             slots: 8,
-            ..Spec::new(&format!("host-{n}"), 7, n == 0)
+            ..HostSpec::new(&format!("host-{n}"), 7, n == 0)
         })
         .collect();
-    let town = Town::start(&hosts);
-    let program = line.router.unwrap_or_else(|| beside("arrowyard"));
-    let router = match Process::start(&program, &waybill(&town, &OP_TYPES, 1024), None) {
+    let cluster = Cluster::start(&hosts);
+    let program = args.router.unwrap_or_else(|| sibling_program("arrowyard"));
+    let router = match Process::start(&program, &platform_config(&cluster, &OP_TYPES, 1024), None) {
         Ok(router) => router,
-        Err(why) => {
-            eprintln!("the router did not start: {why}\n(build it first: cargo build --release)");
+        Err(error) => {
+            eprintln!("the router did not start: {error}\n(build it first: cargo build --release)");
             return ExitCode::from(2);
         }
     };
-    println!("a router at {}, before host-0 (primary) and three replicas", router.address);
-    let whole = Duration::from_secs(line.seconds);
-    let (dies, takes_over) = (whole / 3, whole / 3 + Duration::from_millis(1500));
+    println!("router at {}, with host-0 (primary) and three replicas", router.address);
+    let duration = Duration::from_secs(args.seconds);
+    let (kill_time, failover_time) = (duration / 3, duration / 3 + Duration::from_millis(1500));
     let mix = vec![(0, 5), (1, 2), (2, 2), (3, 3)];
-    let stream = Stream {
+    let load = TenantLoad {
         tenant: "league",
         group: 7,
-        rate: line.rate,
+        rate: args.rate,
         mix,
-        from: Duration::ZERO,
-        till: whole,
+        start: Duration::ZERO,
+        end: duration,
         sessions: 50,
     };
-    let (mut dead, mut new, mut second) = (false, false, u64::MAX);
-    let outcome = play(router.address, &OP_TYPES, &[stream], 1, |at| {
-        if !dead && at >= dies {
-            println!("{:>4} s  host-0, the primary, dies", at.as_secs());
-            town.kill("host-0");
-            dead = true;
+    let (mut killed, mut failed_over, mut printed_second) = (false, false, u64::MAX);
+    let result = run_load(router.address, &OP_TYPES, &[load], 1, |elapsed| {
+        if !killed && elapsed >= kill_time {
+            println!("{:>4} s  host-0, the primary, is killed", elapsed.as_secs());
+            cluster.kill("host-0");
+            killed = true;
         }
-        if !new && at >= takes_over {
-            println!("{:>4} s  host-1 takes over", at.as_secs());
-            town.promote("host-1");
-            new = true;
+        if !failed_over && elapsed >= failover_time {
+            println!("{:>4} s  host-1 becomes the primary", elapsed.as_secs());
+            cluster.failover("host-1");
+            failed_over = true;
         }
-        if at.as_secs() != second && at.as_secs().is_multiple_of(5) {
-            println!("{:>4} s", at.as_secs());
-            second = at.as_secs();
+        if elapsed.as_secs() != printed_second && elapsed.as_secs().is_multiple_of(5) {
+            println!("{:>4} s", elapsed.as_secs());
+            printed_second = elapsed.as_secs();
         }
     });
     let mut table = Table::new();
@@ -86,33 +86,42 @@
         "p50 ms",
         "p99 ms",
     ]);
-    let mut put = |name: &str, stats: &Stats| {
+    let mut add_row = |name: &str, stats: &OpStats| {
         let ms = |quantile| format!("{:.1}", stats.latency.value_at_quantile(quantile) as f64 / 1000.0);
-        let counts =
-            [stats.sent, stats.good + stats.late, stats.good, stats.busy, stats.errored, stats.unanswered];
-        let mut cells = vec![name.to_string()];
-        cells.extend(counts.map(|count| count.to_string()));
-        cells.extend([ms(0.5), ms(0.99)]);
-        table.add_row(cells);
+        let counts = [
+            stats.sent,
+            stats.in_target + stats.late,
+            stats.in_target,
+            stats.busy,
+            stats.errored,
+            stats.unanswered,
+        ];
+        let mut row = vec![name.to_string()];
+        row.extend(counts.map(|count| count.to_string()));
+        row.extend([ms(0.5), ms(0.99)]);
+        table.add_row(row);
     };
-    let mut all = Stats::default();
-    for row in OP_TYPES {
-        let stats = outcome.of_type(row.name);
-        put(row.name, &stats);
-        all.add(&stats);
+    let mut total = OpStats::default();
+    for op_type in OP_TYPES {
+        let stats = result.op_type_stats(op_type.name);
+        add_row(op_type.name, &stats);
+        total.add(&stats);
     }
-    put("all", &all);
+    add_row("all", &total);
     println!("\n{table}");
-    // A tick of the system's account is a hundredth of a second.
-    let (ticks, own) = router.cost();
-    let micros = ticks as f64 * 10_000.0 / all.sent.max(1) as f64;
-    println!("\nthe router took {micros:.0} us of its core an op, and holds {own} KB of its own");
-    let ledger = town.ledger();
+    // A clock tick is a hundredth of a second.
+    let (ticks, memory_kb) = router.resource_usage();
+    let micros = ticks as f64 * 10_000.0 / total.sent.max(1) as f64;
+    println!(
+        "\nthe router used {micros:.0} us of CPU time per op and holds {memory_kb} KB of anonymous memory"
+    );
+    let ledger = cluster.ledger();
     let twice = ledger.applied.values().filter(|times| times.len() > 1).count();
-    let log: std::collections::HashSet<String> = town.log(7).into_iter().map(|record| record.turn).collect();
-    let lost = outcome.acked.iter().filter(|turn| !log.contains(&format!("{turn:016x}"))).count();
-    println!("\nacked turns: {}, applied twice: {twice}", outcome.acked.len());
-    println!("acked turns that the new primary had not applied yet when the old one died: {lost}");
-    // A replica that takes over without them loses them; that no router can mend. An answer that is missing it can.
-    ExitCode::from(u8::from(all.unanswered > 0 || twice > 0))
+    let stored: std::collections::HashSet<String> =
+        cluster.records(7).into_iter().map(|record| record.write_id).collect();
+    let lost = result.acked_writes.iter().filter(|id| !stored.contains(&format!("{id:016x}"))).count();
+    println!("\nacknowledged writes: {}, applied twice: {twice}", result.acked_writes.len());
+    println!("acknowledged writes that the new primary had not applied before the failover: {lost}");
+    // Writes lost by the failover are not the router's fault; missing replies and repeated writes are.
+    ExitCode::from(u8::from(total.unanswered > 0 || twice > 0))
 }
--- a/crates/arrowyard-testbed/src/bin/moves.rs
+++ b/crates/arrowyard-testbed/src/bin/moves.rs
@@ -1,4 +1,4 @@
-//! Moves of a tenant under load, each with a fault script drawn from a seed, and what the ledger says of them.
+//! Moves of a tenant between groups under load, each with a random fault, checked against the ledger.
 
 use std::collections::HashMap;
 use std::path::{Path, PathBuf};
@@ -7,24 +7,25 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::time::Duration;
 
-use arrowyard_testbed::load::{Stats, Stream, play};
-use arrowyard_testbed::router::{OP_TYPES, Process, beside, waybill};
-use arrowyard_testbed::town::unix_ms;
-use arrowyard_testbed::{Act, Spec, Town};
+use arrowyard_testbed::cluster::unix_ms;
+use arrowyard_testbed::load::{OpStats, TenantLoad, run_load};
+use arrowyard_testbed::router::{OP_TYPES, Process, platform_config, sibling_program};
+use arrowyard_testbed::{Cluster, HostBehavior, HostSpec};
 use clap::Parser;
 use comfy_table::{Table, presets};
 use fastrand::Rng;
 
-/// Moves a tenant from a group to another under load, over and over, each time with other faults at other moments.
+/// Moves a tenant from one group to another under load, repeatedly, each time with another fault at a random time.
 #[derive(Parser)]
-struct Line {
+struct Args {
     #[arg(long, default_value_t = 200)]
     moves: u64,
-    /// Moves that are played side by side, each with its own router and hosts.
+    /// Number of moves that run at the same time, each with its own router and hosts.
     #[arg(long, default_value_t = 6)]
     lanes: u64,
     #[arg(long, default_value_t = 1)]
     seed: u64,
+    /// The router program; by default the one next to this program.
     #[arg(long)]
     router: Option<PathBuf>,
 }
@@ -32,36 +33,37 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Fault {
     None,
-    /// The source's primary dies and a replica takes over 300 ms later.
-    SourceDies,
-    /// The same at the target.
-    TargetDies,
-    /// The router is killed and starts anew with the file that holds then.
-    RouterDies,
-    /// Answers of the source's primary are lost for a while, after the writes ran.
-    AnswersLost,
-    /// The source's primary reads and does not answer for a while.
-    Hangs,
-    /// The file of the fence comes only after the fence.
-    LateFile,
+    /// The source's primary is killed and a replica becomes the primary later.
+    SourceFailover,
+    /// The target's primary is killed and a replica becomes the primary later.
+    TargetFailover,
+    /// The router is killed and restarted with the current configuration.
+    RouterRestart,
+    /// The source's primary executes writes but sends no replies for a while.
+    RepliesLost,
+    /// The source's primary does not respond for a while.
+    SourceHangs,
+    /// The configuration with the fence is loaded only after the fence's time.
+    LateConfig,
 }
 
 const FAULTS: [Fault; 7] = [
     Fault::None,
-    Fault::SourceDies,
-    Fault::TargetDies,
-    Fault::RouterDies,
-    Fault::AnswersLost,
-    Fault::Hangs,
-    Fault::LateFile,
+    Fault::SourceFailover,
+    Fault::TargetFailover,
+    Fault::RouterRestart,
+    Fault::RepliesLost,
+    Fault::SourceHangs,
+    Fault::LateConfig,
 ];
 
-fn book(epoch: u64, step: &str, fence: i64, floor: i64, host: &str) -> String {
+/// The operator configuration at a step of the move, with the fence at `fence` in Unix milliseconds.
+fn operator_config(epoch: u64, step: &str, fence: i64, floor: i64, host: &str) -> String {
     let (copied, switch) = (fence + 640, fence + 900);
     let lease = if epoch < 3 { fence - 100 } else { fence + 600_000 };
     let times =
         if epoch < 3 { String::new() } else { format!("fence_at_ms: {fence} switch_at_ms: {switch}") };
-    let end = if epoch < 4 {
+    let target = if epoch < 4 {
         String::new()
     } else {
         format!("copied_through_ms: {copied} target_floor_ms: {floor} target_host: {host:?}")
@@ -70,164 +72,186 @@
         "epoch: {epoch}\ncells {{\n cell {{ name: \"a\" }}\n cell {{ name: \"b\" }}\n \
          tenant {{ name: \"ann\" cell: \"a\" }}\n tenant {{ name: \"bob\" cell: \"b\" }}\n \
          lease {{ until_ms: {lease} skew_ms: 20 }}\n move {{ tenant: \"ann\" from: \"a\" to: \"b\" from_group: 7 \
-         to_group: 8 step: {step} {times} {end} memory_ms: 2000 }}\n}}\n"
+         to_group: 8 step: {step} {times} {target} memory_ms: 2000 }}\n}}\n"
     )
 }
 
+/// Totals of one or more moves.
 #[derive(Default)]
-struct Told {
+struct MoveStats {
     moves: u64,
     switched: u64,
+    /// Acknowledged writes that the target does not hold.
     missing: u64,
+    /// Writes that the target holds more than once.
     doubled: u64,
     unanswered: u64,
     busy: u64,
     sent: u64,
-    /// How long no write of the tenant was acked around the fence, in milliseconds.
-    held: Vec<i64>,
+    /// By move: the time around the fence without an acknowledged write of the tenant, in milliseconds.
+    write_gaps_ms: Vec<i64>,
 }
 
-/// One move; whether it was switched, acked turns that are missing at its end, turns that were applied twice.
-fn one(program: &Path, seed: u64) -> (Fault, Told) {
+/// Runs one move with a random fault.
+fn run_move(program: &Path, seed: u64) -> (Fault, MoveStats) {
     let mut rng = Rng::with_seed(seed);
     let fault = FAULTS[rng.usize(0..FAULTS.len())];
-    let spec = |name: &str| Spec {
+    let spec = |name: &str| HostSpec {
         lag: Duration::from_millis(5),
-        ..Spec::new(name, if name.starts_with('s') { 7 } else { 8 }, name.ends_with('0'))
+        ..HostSpec::new(name, if name.starts_with('s') { 7 } else { 8 }, name.ends_with('0'))
     };
-    let town = Town::start(&["s-0", "s-1", "s-2", "t-0", "t-1", "t-2"].map(spec));
+    let cluster = Cluster::start(&["s-0", "s-1", "s-2", "t-0", "t-1", "t-2"].map(spec));
     let fence = unix_ms() + 1200;
-    let told = waybill(&town, &OP_TYPES, 512);
-    let mut text = book(1, "PLANNED", fence, 0, "");
-    let router = Mutex::new(Some(Process::start(program, &told, Some(&text)).expect("the router starts")));
-    let address = router.lock().expect("no panic").as_ref().map(|router| router.address).expect("it runs");
-    let (from, till) = (Duration::ZERO, Duration::from_millis(4200));
-    let stream = |tenant, group| Stream {
+    let platform_config = platform_config(&cluster, &OP_TYPES, 512);
+    let mut config = operator_config(1, "PLANNED", fence, 0, "");
+    let router = Mutex::new(Some(
+        Process::start(program, &platform_config, Some(&config)).expect("the router starts"),
+    ));
+    let address = router
+        .lock()
+        .expect("the lock is not poisoned")
+        .as_ref()
+        .map(|router| router.address)
+        .expect("the router runs");
+    let (start, end) = (Duration::ZERO, Duration::from_millis(4200));
+    let load = |tenant, group| TenantLoad {
         tenant,
         group,
         rate: 60.0,
         mix: vec![(2, 2), (1, 1), (0, 1)],
-        from,
-        till,
+        start,
+        end,
         sessions: 9,
     };
-    let (strikes, heals) = (fence + rng.i64(-600..1100), rng.i64(150..500));
-    let late = if fault == Fault::LateFile { rng.i64(0..300) } else { -500 };
-    let (mut fenced, mut copied, mut struck, mut healed) = (false, false, false, false);
-    let rebook = |text: &str| router.lock().expect("no panic").iter().for_each(|router| router.rebook(text));
-    let outcome = play(address, &OP_TYPES, &[stream("ann", 7), stream("bob", 8)], seed, |_| {
+    let (fault_start, fault_duration) = (fence + rng.i64(-600..1100), rng.i64(150..500));
+    let config_delay = if fault == Fault::LateConfig { rng.i64(0..300) } else { -500 };
+    let (mut fenced, mut copied, mut fault_started, mut fault_ended) = (false, false, false, false);
+    let reload = |config: &str| {
+        router
+            .lock()
+            .expect("the lock is not poisoned")
+            .iter()
+            .for_each(|router| router.reload_operator_config(config))
+    };
+    let result = run_load(address, &OP_TYPES, &[load("ann", 7), load("bob", 8)], seed, |_| {
         let now = unix_ms();
-        if !fenced && now > fence + late {
-            text = book(3, "FENCED", fence, 0, "");
-            rebook(&text);
+        if !fenced && now > fence + config_delay {
+            config = operator_config(3, "FENCED", fence, 0, "");
+            reload(&config);
             fenced = true;
         }
         if !copied && now > fence + 660 {
-            let floor = town.copy(7, 8, fence + 640);
-            let lead = if healed && fault == Fault::TargetDies { "t-1" } else { "t-0" };
-            text = book(4, "SWITCHED", fence, floor, lead);
-            rebook(&text);
+            let floor = cluster.copy_records(7, 8, fence + 640);
+            let primary = if fault_ended && fault == Fault::TargetFailover { "t-1" } else { "t-0" };
+            config = operator_config(4, "SWITCHED", fence, floor, primary);
+            reload(&config);
             copied = true;
         }
-        if !struck && now > strikes {
-            struck = true;
+        if !fault_started && now > fault_start {
+            fault_started = true;
             match fault {
-                Fault::None | Fault::LateFile => {}
-                Fault::SourceDies => town.kill("s-0"),
-                Fault::TargetDies => town.kill("t-0"),
-                Fault::AnswersLost => town.act("s-0", Act::LoseAnswer),
-                Fault::Hangs => town.act("s-0", Act::Hang),
-                Fault::RouterDies => {
-                    let mut router = router.lock().expect("no panic");
+                Fault::None | Fault::LateConfig => {}
+                Fault::SourceFailover => cluster.kill("s-0"),
+                Fault::TargetFailover => cluster.kill("t-0"),
+                Fault::RepliesLost => cluster.set_behavior("s-0", HostBehavior::DisconnectAfterRun),
+                Fault::SourceHangs => cluster.set_behavior("s-0", HostBehavior::Hang),
+                Fault::RouterRestart => {
+                    let mut router = router.lock().expect("the lock is not poisoned");
                     drop(router.take());
-                    let mut again = told.clone();
-                    again["listen"] = address.to_string().into();
-                    again["known"] = town.known();
-                    *router = Some(Process::start(program, &again, Some(&text)).expect("it starts again"));
+                    let mut restart_config = platform_config.clone();
+                    restart_config["listen"] = address.to_string().into();
+                    restart_config["known"] = cluster.initial_host_list();
+                    *router = Some(
+                        Process::start(program, &restart_config, Some(&config)).expect("the router restarts"),
+                    );
                 }
             }
         }
-        if struck && !healed && now > strikes + heals {
-            healed = true;
+        if fault_started && !fault_ended && now > fault_start + fault_duration {
+            fault_ended = true;
             match fault {
-                Fault::SourceDies => town.promote("s-1"),
-                Fault::TargetDies => {
-                    town.promote("t-1");
+                Fault::SourceFailover => cluster.failover("s-1"),
+                Fault::TargetFailover => {
+                    cluster.failover("t-1");
                     if copied {
-                        // The copy is looked at again, as an operator has to after a failover there.
-                        let floor = town.copy(7, 8, fence + 640);
-                        text = book(5, "SWITCHED", fence, floor, "t-1");
-                        rebook(&text);
+                        // The failover may have lost copied records: copies again, as an operator has to.
+                        let floor = cluster.copy_records(7, 8, fence + 640);
+                        config = operator_config(5, "SWITCHED", fence, floor, "t-1");
+                        reload(&config);
                     }
                 }
-                Fault::AnswersLost | Fault::Hangs => town.act("s-0", Act::Serve),
+                Fault::RepliesLost | Fault::SourceHangs => cluster.set_behavior("s-0", HostBehavior::Serve),
                 _ => {}
             }
         }
     });
     let mut target: HashMap<String, u64> = HashMap::new();
-    town.log(8).into_iter().for_each(|record| *target.entry(record.turn).or_default() += 1);
-    let lost_by_failover = |turn: &str| {
-        // A replica that takes over without the newest records loses them; that no router can mend.
-        let applied = town.ledger().applied.get(turn).cloned().unwrap_or_default();
-        let dies = [("s-0", Fault::SourceDies), ("t-0", Fault::TargetDies)];
-        let died = dies.iter().find(|(_, of)| *of == fault).map(|(host, _)| *host);
-        applied.iter().any(|(host, at)| Some(host.as_str()) == died && *at > strikes - 100)
+    cluster.records(8).into_iter().for_each(|record| *target.entry(record.write_id).or_default() += 1);
+    let lost_by_failover = |write_id: &str| {
+        // A new primary without the newest records loses them, whatever the router does.
+        let applied = cluster.ledger().applied.get(write_id).cloned().unwrap_or_default();
+        let killed_hosts = [("s-0", Fault::SourceFailover), ("t-0", Fault::TargetFailover)];
+        let killed = killed_hosts.iter().find(|(_, cause)| *cause == fault).map(|(host, _)| *host);
+        applied.iter().any(|(host, position)| Some(host.as_str()) == killed && *position > fault_start - 100)
     };
-    let acked = outcome.acked.iter().map(|turn| format!("{turn:016x}"));
-    let missing = acked.filter(|turn| !target.contains_key(turn) && !lost_by_failover(turn)).count() as u64;
+    let acked = result.acked_writes.iter().map(|id| format!("{id:016x}"));
+    let missing = acked.filter(|id| !target.contains_key(id) && !lost_by_failover(id)).count() as u64;
     let doubled = target.values().filter(|times| **times > 1).count() as u64;
-    let switched =
-        router.lock().expect("no panic").as_ref().is_some_and(|r| r.said("stage=switched", Duration::ZERO));
-    // How long writes of the tenant stood still: from the last one that was acked before the fence to the next.
-    let mut times: Vec<i64> = outcome.write_times.get("ann").cloned().unwrap_or_default();
-    times.sort_unstable();
-    let around = times.iter().position(|at| *at > fence);
-    let held = around.filter(|at| *at > 0).map(|at| times[at] - times[at - 1]);
-    let mut stats = Stats::default();
-    stats.add(&outcome.of_tenant("ann"));
-    let told = Told {
+    let switched = router
+        .lock()
+        .expect("the lock is not poisoned")
+        .as_ref()
+        .is_some_and(|router| router.wait_for_log("stage=switched", Duration::ZERO));
+    // The gap between the last acknowledged write before the fence and the next one.
+    let mut ack_times: Vec<i64> = result.write_ack_times.get("ann").cloned().unwrap_or_default();
+    ack_times.sort_unstable();
+    let first_after_fence = ack_times.iter().position(|time| *time > fence);
+    let write_gap_ms =
+        first_after_fence.filter(|index| *index > 0).map(|index| ack_times[index] - ack_times[index - 1]);
+    let mut stats = OpStats::default();
+    stats.add(&result.tenant_stats("ann"));
+    let move_stats = MoveStats {
         moves: 1,
         switched: u64::from(switched),
         missing,
         doubled,
-        unanswered: if fault == Fault::RouterDies { 0 } else { stats.unanswered },
+        unanswered: if fault == Fault::RouterRestart { 0 } else { stats.unanswered },
         busy: stats.busy,
         sent: stats.sent,
-        held: held.into_iter().collect(),
+        write_gaps_ms: write_gap_ms.into_iter().collect(),
     };
-    (fault, told)
+    (fault, move_stats)
 }
 
 fn main() -> ExitCode {
-    let line = Line::parse();
-    let program = line.router.clone().unwrap_or_else(|| beside("arrowyard"));
-    let (next, sums) = (AtomicU64::new(0), Mutex::new(HashMap::<Fault, Told>::new()));
+    let args = Args::parse();
+    let program = args.router.clone().unwrap_or_else(|| sibling_program("arrowyard"));
+    let (next, totals) = (AtomicU64::new(0), Mutex::new(HashMap::<Fault, MoveStats>::new()));
     std::thread::scope(|scope| {
-        for _ in 0..line.lanes {
+        for _ in 0..args.lanes {
             scope.spawn(|| {
                 loop {
                     let number = next.fetch_add(1, Ordering::Relaxed);
-                    if number >= line.moves {
+                    if number >= args.moves {
                         return;
                     }
-                    let (fault, told) = one(&program, line.seed * 1_000_003 + number);
-                    let mut sums = sums.lock().expect("no panic");
-                    let sum = sums.entry(fault).or_default();
-                    if told.missing + told.doubled > 0 {
+                    let (fault, stats) = run_move(&program, args.seed * 1_000_003 + number);
+                    let mut totals = totals.lock().expect("the lock is not poisoned");
+                    let total = totals.entry(fault).or_default();
+                    if stats.missing + stats.doubled > 0 {
                         println!(
                             "seed {number}: {fault:?}: missing {}, doubled {}",
-                            told.missing, told.doubled
+                            stats.missing, stats.doubled
                         );
                     }
-                    sum.moves += told.moves;
-                    sum.switched += told.switched;
-                    sum.missing += told.missing;
-                    sum.doubled += told.doubled;
-                    sum.unanswered += told.unanswered;
-                    sum.busy += told.busy;
-                    sum.sent += told.sent;
-                    sum.held.extend(told.held);
+                    total.moves += stats.moves;
+                    total.switched += stats.switched;
+                    total.missing += stats.missing;
+                    total.doubled += stats.doubled;
+                    total.unanswered += stats.unanswered;
+                    total.busy += stats.busy;
+                    total.sent += stats.sent;
+                    total.write_gaps_ms.extend(stats.write_gaps_ms);
                 }
             });
         }
@@ -241,34 +265,35 @@
         "missing",
         "doubled",
         "unanswered",
-        "given back",
-        "held p50 ms",
+        "busy share",
+        "write gap p50 ms",
         "p99",
         "most",
     ]);
-    let sums = sums.into_inner().expect("no panic");
-    let mut rows: Vec<_> = sums.iter().collect();
+    let totals = totals.into_inner().expect("the lock is not poisoned");
+    let mut rows: Vec<_> = totals.iter().collect();
     rows.sort_by_key(|(fault, _)| **fault);
-    let mut bad = 0;
-    for (fault, told) in rows {
-        let mut held = told.held.clone();
-        held.sort_unstable();
-        let at =
-            |part: f64| held.get(((held.len() as f64 - 1.0).max(0.0) * part) as usize).copied().unwrap_or(-1);
-        bad += told.missing + told.doubled + told.unanswered;
+    let mut violations = 0;
+    for (fault, stats) in rows {
+        let mut gaps = stats.write_gaps_ms.clone();
+        gaps.sort_unstable();
+        let quantile = |share: f64| {
+            gaps.get(((gaps.len() as f64 - 1.0).max(0.0) * share) as usize).copied().unwrap_or(-1)
+        };
+        violations += stats.missing + stats.doubled + stats.unanswered;
         table.add_row([
             format!("{fault:?}"),
-            told.moves.to_string(),
-            told.switched.to_string(),
-            told.missing.to_string(),
-            told.doubled.to_string(),
-            told.unanswered.to_string(),
-            format!("{:.3}", told.busy as f64 / told.sent.max(1) as f64),
-            at(0.5).to_string(),
-            at(0.99).to_string(),
-            at(1.0).to_string(),
+            stats.moves.to_string(),
+            stats.switched.to_string(),
+            stats.missing.to_string(),
+            stats.doubled.to_string(),
+            stats.unanswered.to_string(),
+            format!("{:.3}", stats.busy as f64 / stats.sent.max(1) as f64),
+            quantile(0.5).to_string(),
+            quantile(0.99).to_string(),
+            quantile(1.0).to_string(),
         ]);
     }
     println!("{table}");
-    ExitCode::from(u8::from(bad > 0))
+    ExitCode::from(u8::from(violations > 0))
 }
--- a/crates/arrowyard-testbed/src/bin/returns.rs
+++ b/crates/arrowyard-testbed/src/bin/returns.rs
@@ -1,58 +1,60 @@
-//! Measures how a fleet of real processes comes back: so many killed at one instant and started together, with their stores
-//! and without, with discovery there and away, before hosts that are warm.
+//! Measures how a fleet of router processes recovers: a share of them is killed and restarted at the same time, with
+//! their stored host lists and without, with discovery available and not.
 
 use std::time::{Duration, Instant};
 
-use arrowyard_testbed::load::{Outcome, Stream, play};
-use arrowyard_testbed::rig::{Rig, Setting};
-use arrowyard_testbed::router::{OP_TYPES, beside};
+use arrowyard_testbed::load::{LoadResult, TenantLoad, run_load};
+use arrowyard_testbed::rig::{Rig, RigConfig};
+use arrowyard_testbed::router::{OP_TYPES, sibling_program};
 use clap::Parser;
 use comfy_table::{Table, presets};
 
 #[derive(Parser)]
-struct Line {
+struct Args {
+    /// Sizes of the fleet.
     #[arg(long, value_delimiter = ',', default_values_t = [8])]
     processes: Vec<usize>,
-    /// Ops a second at each.
+    /// Ops per second at each process.
     #[arg(long, default_value_t = 25.0)]
     rate: f64,
     #[arg(long, default_value_t = 1)]
     seed: u64,
-    /// The number of routers that the platform tells; that of the processes if absent.
-    #[arg(long)]
-    told_routers: Option<usize>,
-    /// Further fields of `returns`.
-    #[arg(long, default_value = "")]
-    returns: String,
+    /// Number of routers in the platform's configuration; by default the number of processes.
+    #[arg(long = "told-routers", value_name = "TOLD_ROUTERS")]
+    configured_routers: Option<usize>,
+    /// Additional fields of `returns` in the operator configuration.
+    #[arg(long = "returns", value_name = "RETURNS", default_value = "")]
+    returns_fields: String,
 }
 
-/// The most of these times, in milliseconds, within 100.
-fn peak(times: &[i64]) -> usize {
-    let near = |from: i64| times.iter().filter(|at| (from..from + 100).contains(*at)).count();
-    times.iter().map(|&from| near(from)).max().unwrap_or_default()
+/// The maximum number of these times, in milliseconds, within 100 ms.
+fn max_within_100_ms(times: &[i64]) -> usize {
+    let count_from = |from: i64| times.iter().filter(|time| (from..from + 100).contains(*time)).count();
+    times.iter().map(|&from| count_from(from)).max().unwrap_or_default()
 }
 
-/// Ops at these processes for so long.
-fn ops(rig: &Rig, who: &[usize], span: Duration, rate: f64, seed: u64) -> Vec<Outcome> {
+/// Sends ops to the processes for `duration`.
+fn send_ops(rig: &Rig, processes: &[usize], duration: Duration, rate: f64, seed: u64) -> Vec<LoadResult> {
     std::thread::scope(|scope| {
-        let asked: Vec<_> = who
+        let loads: Vec<_> = processes
             .iter()
-            .filter_map(|&who| Some((who, rig.process(who)?.address)))
-            .map(|(who, address)| {
+            .filter_map(|&process| Some((process, rig.process(process)?.address)))
+            .map(|(process, address)| {
                 scope.spawn(move || {
                     let mix = vec![(0, 3), (1, 3), (2, 2), (3, 2)];
-                    let from = Duration::ZERO;
-                    let stream = Stream { tenant: "t", group: 7, rate, mix, from, till: span, sessions: 20 };
-                    play(address, &OP_TYPES, &[stream], seed * 1000 + who as u64, |_| {})
+                    let start = Duration::ZERO;
+                    let load =
+                        TenantLoad { tenant: "t", group: 7, rate, mix, start, end: duration, sessions: 20 };
+                    run_load(address, &OP_TYPES, &[load], seed * 1000 + process as u64, |_| {})
                 })
             })
             .collect();
-        asked.into_iter().filter_map(|asked| asked.join().ok()).collect()
+        loads.into_iter().filter_map(|load| load.join().ok()).collect()
     })
 }
 
 fn main() -> Result<(), String> {
-    let line = Line::parse();
+    let args = Args::parse();
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
     table.set_header([
@@ -60,67 +62,77 @@
         "killed",
         "stores",
         "discovery",
-        "full p50 ms",
+        "full service p50 ms",
         "worst",
         "never",
-        "good in 9 s",
+        "in target in 9 s",
         "busy",
         "unanswered",
-        "discovery's calls",
+        "discovery calls",
         "most in 100 ms",
         "applied twice",
     ]);
-    for &count in &line.processes {
-        for (share, stores, away) in
+    for &count in &args.processes {
+        for (tenths, keep_stores, outage_seconds) in
             [(7, true, 0), (7, false, 0), (10, true, 0), (10, false, 0), (10, true, 30), (10, false, 3)]
         {
-            let killed: Vec<usize> = (0..count * share / 10).collect();
-            let told_routers = line.told_routers.unwrap_or(count);
-            let returns = line.returns.clone();
-            let setting = Setting { store: true, known: false, off: true, ..Setting::of(count) };
-            let setting = Setting { seed: line.seed, told_routers, returns, ..setting };
-            let mut rig = Rig::start(&beside("arrowyard"), setting)?;
+            let killed: Vec<usize> = (0..count * tenths / 10).collect();
+            let configured_routers = args.configured_routers.unwrap_or(count);
+            let returns_fields = args.returns_fields.clone();
+            let config = RigConfig {
+                with_stores: true,
+                initial_host_list: false,
+                without_membership: true,
+                ..RigConfig::new(count)
+            };
+            let config = RigConfig { seed: args.seed, configured_routers, returns_fields, ..config };
+            let mut rig = Rig::start(&sibling_program("arrowyard"), config)?;
             let all: Vec<usize> = (0..count).collect();
-            let _ = ops(&rig, &all, Duration::from_secs(2), line.rate, line.seed);
-            killed.iter().for_each(|&who| rig.kill(who));
-            if !stores {
-                killed.iter().for_each(|&who| drop(std::fs::remove_dir_all(rig.store(who))));
+            let _ = send_ops(&rig, &all, Duration::from_secs(2), args.rate, args.seed);
+            killed.iter().for_each(|&process| rig.kill(process));
+            if !keep_stores {
+                killed.iter().for_each(|&process| drop(std::fs::remove_dir_all(rig.store_path(process))));
             }
-            let calls = rig.town.called().len();
-            rig.town.undiscovered(away > 0);
-            killed.iter().try_for_each(|&who| rig.begin(who))?;
+            let calls = rig.cluster.discovery_call_times().len();
+            rig.cluster.set_discovery_down(outage_seconds > 0);
+            killed.iter().try_for_each(|&process| rig.start_process(process))?;
             let began = Instant::now();
-            let outcomes = std::thread::scope(|scope| {
-                let asked =
-                    scope.spawn(|| ops(&rig, &killed, Duration::from_secs(9), line.rate, line.seed + 1));
-                if away > 0 && away < 9 {
-                    std::thread::sleep(Duration::from_secs(away).saturating_sub(began.elapsed()));
-                    rig.town.undiscovered(false);
+            let results = std::thread::scope(|scope| {
+                let load =
+                    scope.spawn(|| send_ops(&rig, &killed, Duration::from_secs(9), args.rate, args.seed + 1));
+                if outage_seconds > 0 && outage_seconds < 9 {
+                    std::thread::sleep(Duration::from_secs(outage_seconds).saturating_sub(began.elapsed()));
+                    rig.cluster.set_discovery_down(false);
                 }
-                asked.join().unwrap_or_default()
+                load.join().unwrap_or_default()
             });
-            let mut full: Vec<u64> = killed.iter().filter_map(|&who| rig.full()[who]).collect();
-            full.sort_unstable();
-            let (mut good, mut sent, mut busy, mut unanswered) = (0, 0, 0, 0);
-            for stats in outcomes.iter().map(|outcome| outcome.of_tenant("t")) {
-                (good, sent) = (good + stats.good, sent + stats.sent);
+            let mut startup_times_ms: Vec<u64> =
+                killed.iter().filter_map(|&process| rig.startup_times_ms()[process]).collect();
+            startup_times_ms.sort_unstable();
+            let (mut in_target, mut sent, mut busy, mut unanswered) = (0, 0, 0, 0);
+            for stats in results.iter().map(|result| result.tenant_stats("t")) {
+                (in_target, sent) = (in_target + stats.in_target, sent + stats.sent);
                 (busy, unanswered) = (busy + stats.busy, unanswered + stats.unanswered);
             }
-            let twice = rig.town.ledger().applied.values().filter(|times| times.len() > 1).count();
-            let told = |at: Option<&u64>| at.map_or("-".to_string(), ToString::to_string);
+            let twice = rig.cluster.ledger().applied.values().filter(|times| times.len() > 1).count();
+            let to_text = |ms: Option<&u64>| ms.map_or("-".to_string(), ToString::to_string);
             table.add_row([
                 count.to_string(),
-                format!("{share} in 10"),
-                if stores { "kept" } else { "lost" }.to_string(),
-                if away == 0 { "there".to_string() } else { format!("away {away} s") },
-                told(full.get(full.len() / 2)),
-                told(full.last()),
-                (killed.len() - full.len()).to_string(),
-                format!("{:.3}", good as f64 / (sent as f64).max(1.0)),
+                format!("{tenths} in 10"),
+                if keep_stores { "kept" } else { "lost" }.to_string(),
+                if outage_seconds == 0 {
+                    "available".to_string()
+                } else {
+                    format!("down for {outage_seconds} s")
+                },
+                to_text(startup_times_ms.get(startup_times_ms.len() / 2)),
+                to_text(startup_times_ms.last()),
+                (killed.len() - startup_times_ms.len()).to_string(),
+                format!("{:.3}", in_target as f64 / (sent as f64).max(1.0)),
                 busy.to_string(),
                 unanswered.to_string(),
-                (rig.town.called().len() - calls).to_string(),
-                peak(&rig.town.called()[calls..]).to_string(),
+                (rig.cluster.discovery_call_times().len() - calls).to_string(),
+                max_within_100_ms(&rig.cluster.discovery_call_times()[calls..]).to_string(),
                 twice.to_string(),
             ]);
         }
--- a/crates/arrowyard-testbed/src/bin/rig.rs
+++ b/crates/arrowyard-testbed/src/bin/rig.rs
@@ -1,30 +1,31 @@
-//! Plays fault plans between real processes of the program that stands beside this one, and prints what came of it.
+//! Runs fault plans with a fleet of real router processes and prints how fast faults were detected.
 
 use std::time::Duration;
 
-use arrowyard_testbed::load::{Stream, play};
+use arrowyard_testbed::load::{TenantLoad, run_load};
 use arrowyard_testbed::plan::{Fault, Plan};
-use arrowyard_testbed::rig::{Rig, Setting, mono_us};
-use arrowyard_testbed::router::{OP_TYPES, beside};
+use arrowyard_testbed::rig::{Rig, RigConfig, monotonic_us};
+use arrowyard_testbed::router::{OP_TYPES, sibling_program};
 use clap::Parser;
 use comfy_table::{Table, presets};
 
 #[derive(Parser)]
-struct Line {
-    /// Processes of the fleet.
+struct Args {
+    /// Sizes of the fleet.
     #[arg(long, value_delimiter = ',', default_values_t = [8])]
     processes: Vec<usize>,
-    /// Names of plans, or files.
+    /// Names or files of plans.
     #[arg(required = true)]
     plans: Vec<String>,
+    /// Number of runs of each plan.
     #[arg(long, default_value_t = 1)]
     plays: u64,
-    /// Ops a second at each of the first three processes.
+    /// Ops per second at each of three processes that no fault stops.
     #[arg(long, default_value_t = 20.0)]
     rate: f64,
-    /// Without membership.
-    #[arg(long)]
-    off: bool,
+    /// Run without membership.
+    #[arg(long = "off")]
+    without_membership: bool,
 }
 
 fn percentile(sorted: &[f64], share: f64) -> String {
@@ -35,151 +36,178 @@
 }
 
 fn main() -> Result<(), String> {
-    let line = Line::parse();
+    let args = Args::parse();
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
     table.set_header([
         "processes",
         "plan",
-        "known p50 s",
+        "detected p50 s",
         "p99",
         "worst",
-        "not known",
+        "not detected",
         "dead p99",
-        "over, yet ran",
-        "one view after s",
+        "false deaths",
+        "agreement after s",
         "datagrams/s",
         "bytes/s",
-        "core ms/s",
-        "ops good",
+        "CPU ms/s",
+        "ops in target",
         "busy",
         "unanswered",
     ]);
-    for &count in &line.processes {
-        for name in &line.plans {
-            let (mut known, mut dead, mut views) = (Vec::new(), Vec::new(), Vec::new());
-            let (mut missed, mut wrong, mut never) = (0, 0, 0);
+    for &count in &args.processes {
+        for name in &args.plans {
+            let (mut detection_times, mut death_times, mut agreement_times) =
+                (Vec::new(), Vec::new(), Vec::new());
+            let (mut undetected, mut false_deaths, mut not_agreed) = (0, 0, 0);
             let (mut datagrams, mut bytes, mut ticks, mut seconds) = (0, 0, 0, 0.0);
-            let (mut good, mut busy, mut sent, mut unanswered) = (0, 0, 0, 0);
-            for seed in 1..=line.plays {
+            let (mut in_target, mut busy, mut sent, mut unanswered) = (0, 0, 0, 0);
+            for seed in 1..=args.plays {
                 let plan = Plan::named(name, count)
-                    .or_else(|| Plan::read(&std::fs::read_to_string(name).ok()?).ok());
-                let plan = plan.ok_or_else(|| format!("{name}: neither a plan's name nor its file"))?;
+                    .or_else(|| Plan::from_json(&std::fs::read_to_string(name).ok()?).ok());
+                let plan = plan.ok_or_else(|| format!("{name}: neither the name nor the file of a plan"))?;
                 let plan = Plan { seed, ..plan };
-                let setting = Setting { seed, off: line.off, ..Setting::of(count) };
-                let mut rig = Rig::start(&beside("arrowyard"), setting)?;
-                if !line.off && rig.agree(Duration::from_secs(30)).is_none() {
-                    return Err(format!("{count} processes do not find each other"));
+                let config =
+                    RigConfig { seed, without_membership: args.without_membership, ..RigConfig::new(count) };
+                let mut rig = Rig::start(&sibling_program("arrowyard"), config)?;
+                if !args.without_membership && rig.wait_for_agreement(Duration::from_secs(30)).is_none() {
+                    return Err(format!("{count} processes do not agree on the fleet"));
                 }
-                let (passed, cost, began) = (rig.relays.passed(), rig.cost().0, mono_us());
-                let first = plan.acts.iter().map(|act| act.at_ms).min().unwrap_or_default();
-                let last = plan.acts.iter().map(|act| act.at_ms + act.for_ms).max().unwrap_or(first + 20_000);
-                let span = Duration::from_millis(last - first);
-                // Ops at those that no act kills or halts, as far as there are some.
-                let struck = |who: &usize| {
-                    plan.acts.iter().any(|act| match &act.fault {
-                        Fault::Kill(of) | Fault::End(of) | Fault::EndUnheard(of) | Fault::Halt(of) => {
-                            of.contains(who)
-                        }
+                let (traffic_before, ticks_before, began_us) =
+                    (rig.peer_relays.traffic(), rig.resource_usage().0, monotonic_us());
+                let first_ms = plan.faults.iter().map(|planned| planned.at_ms).min().unwrap_or_default();
+                let last_ms = plan
+                    .faults
+                    .iter()
+                    .map(|planned| planned.at_ms + planned.duration_ms)
+                    .max()
+                    .unwrap_or(first_ms + 20_000);
+                let duration = Duration::from_millis(last_ms - first_ms);
+                // Ops are sent to processes that no fault stops, if there are any.
+                let is_stopped = |process: &usize| {
+                    plan.faults.iter().any(|planned| match &planned.fault {
+                        Fault::Kill(stopped)
+                        | Fault::Shutdown(stopped)
+                        | Fault::SilentShutdown(stopped)
+                        | Fault::Pause(stopped) => stopped.contains(process),
                         _ => false,
                     })
                 };
-                let asked: Vec<_> = (0..count).filter(|who| !struck(who)).take(3).collect();
-                let rate = line.rate;
-                let asking: Vec<_> = asked
+                let loaded: Vec<_> = (0..count).filter(|process| !is_stopped(process)).take(3).collect();
+                let rate = args.rate;
+                let loads: Vec<_> = loaded
                     .iter()
-                    .filter_map(|&who| rig.process(who))
+                    .filter_map(|&process| rig.process(process))
                     .map(|process| {
                         let address = process.address;
                         std::thread::spawn(move || {
                             let mix = vec![(0, 3), (1, 3), (2, 2), (3, 2)];
-                            let stream = Stream {
+                            let load = TenantLoad {
                                 tenant: "t",
                                 group: 7,
                                 rate,
                                 mix,
-                                from: Duration::ZERO,
-                                till: span,
+                                start: Duration::ZERO,
+                                end: duration,
                                 sessions: 20,
                             };
-                            play(address, &OP_TYPES, &[stream], seed, |_| {})
+                            run_load(address, &OP_TYPES, &[load], seed, |_| {})
                         })
                     })
                     .collect();
-                let zero = rig.play(&plan, Duration::ZERO);
-                match rig.agree(Duration::from_secs(if line.off { 0 } else { 20 })) {
-                    Some(took) => views.push(took.as_secs_f64()),
-                    None => never += 1,
+                let plan_start_us = rig.run_plan(&plan, Duration::ZERO);
+                match rig.wait_for_agreement(Duration::from_secs(if args.without_membership {
+                    0
+                } else {
+                    20
+                })) {
+                    Some(took) => agreement_times.push(took.as_secs_f64()),
+                    None => not_agreed += 1,
                 }
-                for outcome in asking.into_iter().filter_map(|asking| asking.join().ok()) {
-                    let stats = outcome.of_tenant("t");
-                    (good, busy, sent) = (good + stats.good, busy + stats.busy, sent + stats.sent);
+                for result in loads.into_iter().filter_map(|load| load.join().ok()) {
+                    let stats = result.tenant_stats("t");
+                    (in_target, busy, sent) =
+                        (in_target + stats.in_target, busy + stats.busy, sent + stats.sent);
                     unanswered += stats.unanswered;
                 }
-                let now = rig.relays.passed();
-                (datagrams, bytes) = (datagrams + now.0 - passed.0, bytes + now.1 - passed.1);
-                ticks += rig.cost().0.saturating_sub(cost);
-                seconds += (mono_us() - began) as f64 / 1e6;
-                let history = rig.history();
-                let gone: Vec<(usize, i64, i64)> = plan
-                    .acts
+                let traffic = rig.peer_relays.traffic();
+                (datagrams, bytes) =
+                    (datagrams + traffic.0 - traffic_before.0, bytes + traffic.1 - traffic_before.1);
+                ticks += rig.resource_usage().0.saturating_sub(ticks_before);
+                seconds += (monotonic_us() - began_us) as f64 / 1e6;
+                let changes = rig.standing_changes();
+                // Processes that were down, with the time in which they were.
+                let outages: Vec<(usize, i64, i64)> = plan
+                    .faults
                     .iter()
-                    .flat_map(|act| {
-                        let (Fault::Kill(who) | Fault::End(who) | Fault::EndUnheard(who)) = &act.fault else {
+                    .flat_map(|planned| {
+                        let (Fault::Kill(processes)
+                        | Fault::Shutdown(processes)
+                        | Fault::SilentShutdown(processes)) = &planned.fault
+                        else {
                             return Vec::new();
                         };
-                        let from = zero + (act.at_ms - first) as i64 * 1000;
-                        who.iter().map(|&who| (who, from, from + act.for_ms as i64 * 1000)).collect()
+                        let start_us = plan_start_us + (planned.at_ms - first_ms) as i64 * 1000;
+                        processes
+                            .iter()
+                            .map(|&process| (process, start_us, start_us + planned.duration_ms as i64 * 1000))
+                            .collect()
                     })
                     .collect();
-                for &(of, from, till) in &gone {
-                    for by in (0..count).filter(|by| !gone.iter().any(|(who, ..)| who == by)) {
-                        let said = |over: bool| {
-                            history.iter().find(|held| {
-                                let so = held.is_over() || !over && held.standing != "Alive";
-                                held.by == by
-                                    && held.of == of
-                                    && so
-                                    && held.mono_us >= from
-                                    && held.mono_us < till
+                for &(member, start_us, end_us) in &outages {
+                    for observer in
+                        (0..count).filter(|observer| !outages.iter().any(|(process, ..)| process == observer))
+                    {
+                        let first_change = |dead_only: bool| {
+                            changes.iter().find(|change| {
+                                let is_detection =
+                                    change.is_lost_or_dead() || !dead_only && change.standing != "Alive";
+                                change.observer == observer
+                                    && change.member == member
+                                    && is_detection
+                                    && change.mono_us >= start_us
+                                    && change.mono_us < end_us
                             })
                         };
-                        let took = |over: bool| said(over).map(|held| (held.mono_us - from) as f64 / 1e6);
+                        let took = |dead_only: bool| {
+                            first_change(dead_only).map(|change| (change.mono_us - start_us) as f64 / 1e6)
+                        };
                         match took(false) {
-                            Some(took) => known.push(took),
-                            None => missed += 1,
+                            Some(took) => detection_times.push(took),
+                            None => undetected += 1,
                         }
-                        dead.extend(took(true));
+                        death_times.extend(took(true));
                     }
                 }
-                // A second is allowed for word of a former life that is still on its way.
-                wrong += rig
-                    .wrong(zero, |of, at| {
-                        !gone
-                            .iter()
-                            .any(|&(who, from, till)| who == of && at >= from && at < till + 1_000_000)
+                // Rumors about the former incarnation may arrive for a second after the restart.
+                false_deaths += rig
+                    .false_deaths(plan_start_us, |member, time_us| {
+                        !outages.iter().any(|&(process, start_us, end_us)| {
+                            process == member && time_us >= start_us && time_us < end_us + 1_000_000
+                        })
                     })
                     .len();
             }
-            known.sort_by(f64::total_cmp);
-            dead.sort_by(f64::total_cmp);
-            views.sort_by(f64::total_cmp);
-            let each = seconds * count as f64;
-            let view = percentile(&views, 1.0);
+            detection_times.sort_by(f64::total_cmp);
+            death_times.sort_by(f64::total_cmp);
+            agreement_times.sort_by(f64::total_cmp);
+            let process_seconds = seconds * count as f64;
+            let agreement = percentile(&agreement_times, 1.0);
             table.add_row([
                 count.to_string(),
                 name.clone(),
-                percentile(&known, 0.5),
-                percentile(&known, 0.99),
-                percentile(&known, 1.0),
-                missed.to_string(),
-                percentile(&dead, 0.99),
-                wrong.to_string(),
-                if never > 0 { format!("{view}, {never} never") } else { view },
-                format!("{:.1}", datagrams as f64 / each),
-                format!("{:.0}", bytes as f64 / each),
-                format!("{:.2}", ticks as f64 * 10.0 / each),
-                if sent == 0 { "-".to_string() } else { format!("{:.3}", good as f64 / sent as f64) },
+                percentile(&detection_times, 0.5),
+                percentile(&detection_times, 0.99),
+                percentile(&detection_times, 1.0),
+                undetected.to_string(),
+                percentile(&death_times, 0.99),
+                false_deaths.to_string(),
+                if not_agreed > 0 { format!("{agreement}, {not_agreed} never") } else { agreement },
+                format!("{:.1}", datagrams as f64 / process_seconds),
+                format!("{:.0}", bytes as f64 / process_seconds),
+                format!("{:.2}", ticks as f64 * 10.0 / process_seconds),
+                if sent == 0 { "-".to_string() } else { format!("{:.3}", in_target as f64 / sent as f64) },
                 busy.to_string(),
                 unanswered.to_string(),
             ]);
--- a/crates/arrowyard-testbed/src/client.rs
+++ b/crates/arrowyard-testbed/src/client.rs
@@ -1,4 +1,4 @@
-//! A client on PostgreSQL's protocol that tells every kind of answer apart.
+//! A client of PostgreSQL's wire protocol that distinguishes all kinds of replies.
 
 use std::io;
 use std::net::SocketAddr;
@@ -8,85 +8,96 @@
 
 use crate::host::{message, read_message};
 
+/// A router's reply to an op.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Reply {
     Value(String),
-    /// Busy, and when to come back, in milliseconds.
+    /// Rejected without having run, with the retry delay in milliseconds.
     Busy(Option<u64>),
     Error(String),
 }
 
+/// A connection to a router.
 pub struct Client {
     stream: TcpStream,
 }
 
-/// What is asked: the comment's names, and whether it writes.
+/// An op to execute: the fields of its statement's comment, and whether it is a write.
 #[derive(Clone, Debug)]
-pub struct Ask<'a> {
+pub struct OpRequest<'a> {
     pub id: u64,
     pub op_type: &'a str,
     pub tenant: Option<&'a str>,
     pub group: i64,
-    pub wait_ms: u32,
+    pub timeout_ms: u32,
     pub token: Option<u64>,
-    pub again: bool,
+    pub is_retry: bool,
     pub session: u64,
-    pub writes: bool,
+    pub is_write: bool,
 }
 
-impl Ask<'_> {
+impl OpRequest<'_> {
+    /// The statement as the router expects it.
     pub fn statement(&self) -> String {
-        let Ask { id, op_type, tenant, group, wait_ms, token, again, session, writes } = self;
+        let OpRequest { id, op_type, tenant, group, timeout_ms, token, is_retry, session, is_write } = self;
         let tenant = tenant.map_or(String::new(), |tenant| format!(",t={tenant}"));
         let token = token.map_or(String::new(), |token| format!(",k={token:016x}"));
-        let again = if *again { ",r=1" } else { "" };
-        let head =
-            format!("/* id={id:016x},c={op_type}{tenant},d={wait_ms}{token},cluster={group}{again} */");
-        if *writes {
+        let retry = if *is_retry { ",r=1" } else { "" };
+        let comment =
+            format!("/* id={id:016x},c={op_type}{tenant},d={timeout_ms}{token},cluster={group}{retry} */");
+        if *is_write {
             return format!(
-                "{head} INSERT INTO entries (ref, payload) VALUES ('{session:016x}', '\\x9f03') RETURNING payload"
+                "{comment} INSERT INTO entries (ref, payload) VALUES ('{session:016x}', '\\x9f03') RETURNING payload"
             );
         }
-        format!("{head} SELECT payload FROM entries WHERE ref = '{session:016x}'")
+        format!("{comment} SELECT payload FROM entries WHERE ref = '{session:016x}'")
     }
 }
 
-fn gone() -> io::Error {
-    io::Error::new(io::ErrorKind::UnexpectedEof, "the router ended the connection")
+fn connection_closed() -> io::Error {
+    io::Error::new(io::ErrorKind::UnexpectedEof, "the router closed the connection")
 }
 
 impl Client {
+    /// Connects and waits until the router is ready.
+    ///
+    /// # Errors
+    /// The router cannot be reached or rejects the connection.
     pub async fn connect(router: SocketAddr) -> io::Result<Client> {
         let mut stream = TcpStream::connect(router).await?;
         stream.set_nodelay(true)?;
         let startup = b"\0\x03\0\0user\0web\0database\0orders\0\0";
         stream.write_all(&[&(startup.len() as u32 + 4).to_be_bytes()[..], startup].concat()).await?;
         loop {
-            match read_message(&mut stream).await.ok_or_else(gone)? {
+            match read_message(&mut stream).await.ok_or_else(connection_closed)? {
                 (b'Z', _) => return Ok(Client { stream }),
-                (b'E', _) => return Err(io::Error::other("turned away")),
+                (b'E', _) => return Err(io::Error::other("the router rejected the connection")),
                 _ => {}
             }
         }
     }
 
-    /// Asks, and reads the one final answer.
-    pub async fn ask(&mut self, statement: &str) -> io::Result<Reply> {
+    /// Sends the statement and returns its reply.
+    ///
+    /// # Errors
+    /// The connection was closed without a reply, or there was more than one.
+    pub async fn execute(&mut self, statement: &str) -> io::Result<Reply> {
         self.stream.write_all(&message(b'Q', format!("{statement}\0").as_bytes())).await?;
         let mut reply = None;
         loop {
-            let Some((letter, body)) = read_message(&mut self.stream).await else {
-                // After a fatal error the connection ends without word that the router is ready.
-                return reply.ok_or_else(gone);
+            let Some((type_byte, body)) = read_message(&mut self.stream).await else {
+                // A fatal error closes the connection without ReadyForQuery.
+                return reply.ok_or_else(connection_closed);
             };
-            let told = match letter {
+            let received = match type_byte {
                 b'D' => Reply::Value(String::from_utf8_lossy(body.get(6..).unwrap_or_default()).into_owned()),
                 b'E' => {
                     let text = String::from_utf8_lossy(&body).into_owned();
-                    let field = |letter| text.split('\0').find_map(|field| field.strip_prefix(letter));
+                    let field =
+                        |field_type| text.split('\0').find_map(|field| field.strip_prefix(field_type));
                     match field('C') {
                         Some("53300" | "57P03") => {
-                            Reply::Busy(field('D').and_then(|after| after.parse().ok()))
+                            Reply::Busy(field('D').and_then(|retry_after| retry_after.parse().ok()))
                         }
                         code => Reply::Error(format!(
                             "{} {}",
@@ -95,12 +106,11 @@
                         )),
                     }
                 }
-                b'Z' => return reply.ok_or_else(|| io::Error::other("ready without an answer")),
+                b'Z' => return reply.ok_or_else(|| io::Error::other("ReadyForQuery without a reply")),
                 _ => continue,
             };
-            // Danger to be seen here: two answers to one op.
-            if reply.replace(told).is_some() {
-                return Err(io::Error::other("two answers to one op"));
+            if reply.replace(received).is_some() {
+                return Err(io::Error::other("two replies to one request"));
             }
         }
     }
--- a/crates/arrowyard-testbed/src/flight/client.rs
+++ b/crates/arrowyard-testbed/src/flight/client.rs
@@ -1,4 +1,4 @@
-//! A client on Arrow Flight SQL: the library's ready-made one, used as a program of its users would.
+//! A client of Arrow Flight SQL that uses the `arrow-flight` crate's client like an application.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,19 +12,20 @@
 use tonic::transport::{Channel, Endpoint};
 use tonic_types::StatusExt;
 
-use crate::client::{Ask, Reply};
+use crate::client::{OpRequest, Reply};
 
+/// A connection to a router.
 pub struct FlightClient {
     pub inner: FlightSqlServiceClient<Channel>,
 }
 
-/// What a failed call says, as the other protocol's client tells it.
+/// The reply that corresponds to a failed call.
 #[must_use]
 pub fn reply(error: &FlightError) -> Reply {
     let FlightError::Tonic(status) = error else { return Reply::Error(error.to_string()) };
     if status.code() == Code::Unavailable && status.message().starts_with("busy") {
-        let after = status.get_details_retry_info().and_then(|info| info.retry_delay);
-        return Reply::Busy(after.map(|after| after.as_millis() as u64));
+        let retry_delay = status.get_details_retry_info().and_then(|info| info.retry_delay);
+        return Reply::Busy(retry_delay.map(|delay| delay.as_millis() as u64));
     }
     Reply::Error(format!("{:?} {}", status.code(), status.message()))
 }
@@ -38,46 +39,46 @@
         Ok(FlightClient { inner: FlightSqlServiceClient::new(channel) })
     }
 
-    /// With room for so many bytes of a stream that were not read yet.
+    /// Connects with a flow-control window of this many bytes.
     ///
     /// # Errors
     /// The router cannot be reached.
-    pub async fn connect_with(router: SocketAddr, window: u32) -> io::Result<FlightClient> {
+    pub async fn connect_with_window(router: SocketAddr, window: u32) -> io::Result<FlightClient> {
         let endpoint = Endpoint::from_shared(format!("http://{router}")).map_err(io::Error::other)?;
         let endpoint = endpoint.initial_stream_window_size(window).initial_connection_window_size(window);
         let channel = endpoint.connect().await.map_err(io::Error::other)?;
         Ok(FlightClient { inner: FlightSqlServiceClient::new(channel) })
     }
 
-    /// Plans the statement and takes its result.
+    /// Plans the statement and reads its result.
     ///
     /// # Errors
-    /// What the call failed with.
+    /// A call failed.
     pub async fn query(&mut self, statement: &str) -> Result<Vec<RecordBatch>, FlightError> {
         let info = self.inner.execute(statement.to_string(), None).await?;
         let ticket = info.endpoint.into_iter().next().and_then(|endpoint| endpoint.ticket);
-        let ticket = ticket.ok_or_else(|| FlightError::protocol("a plan without a ticket"))?;
+        let ticket = ticket.ok_or_else(|| FlightError::protocol("FlightInfo without a ticket"))?;
         self.inner.do_get(ticket).await?.try_collect().await
     }
 
-    /// One op: the first value of a read, the count of a write, or why there is none.
-    pub async fn ask(&mut self, ask: &Ask<'_>) -> Reply {
-        if ask.writes {
-            return match self.inner.execute_update(ask.statement(), None).await {
+    /// Executes an op. Returns the first value of a read, the row count of a write, or the failure.
+    pub async fn execute(&mut self, request: &OpRequest<'_>) -> Reply {
+        if request.is_write {
+            return match self.inner.execute_update(request.statement(), None).await {
                 Ok(count) => Reply::Value(count.to_string()),
                 Err(error) => reply(&error),
             };
         }
-        match self.query(&ask.statement()).await {
-            Ok(batches) => Reply::Value(first(&batches)),
+        match self.query(&request.statement()).await {
+            Ok(batches) => Reply::Value(first_value(&batches)),
             Err(error) => reply(&error),
         }
     }
 }
 
-/// The first value of a result of one binary column, as text.
+/// The first value of a result with one binary column, as text.
 #[must_use]
-pub fn first(batches: &[RecordBatch]) -> String {
+pub fn first_value(batches: &[RecordBatch]) -> String {
     let column = batches.iter().find(|batch| batch.num_rows() > 0).map(|batch| batch.column(0));
     let value = column.and_then(|column| column.as_binary_opt::<i32>()).filter(|column| !column.is_null(0));
     value.map_or(String::new(), |column| String::from_utf8_lossy(column.value(0)).into_owned())
