--- a/crates/arrowyard-testbed/src/flight/host.rs
+++ b/crates/arrowyard-testbed/src/flight/host.rs
@@ -1,4 +1,4 @@
-//! One database host on Arrow Flight SQL, as far as a router needs it.
+//! A simulated database host that implements the part of Arrow Flight SQL used by routers.
 
 use std::io;
 use std::pin::Pin;
@@ -28,46 +28,48 @@
 use tonic::transport::server::Connected;
 use tonic::{Request, Response, Status, Streaming};
 
-use crate::host::{Place, Ran, arrive, run, told};
-use crate::town::{Act, KEPT, Shared, lock, unix_ms};
+use crate::cluster::{HostBehavior, MAX_RECORDED, Shared, lock, unix_ms};
+use crate::host::{CommandResult, Slot, comment_field, execute, receive_command};
 
-/// Ends a connection at once, whatever is under way on it.
+/// Closes a connection, also while calls are in progress.
 #[derive(Default)]
-pub struct Cut {
-    cut: AtomicBool,
+pub struct ConnectionAbort {
+    aborted: AtomicBool,
     waker: AtomicWaker,
 }
 
-impl Cut {
-    pub fn now(&self) {
-        self.cut.store(true, Ordering::SeqCst);
+impl ConnectionAbort {
+    /// Closes the connection.
+    pub fn abort(&self) {
+        self.aborted.store(true, Ordering::SeqCst);
         self.waker.wake();
     }
 }
 
-struct Cuttable {
+/// A connection that can be aborted.
+struct HostStream {
     stream: TcpStream,
     number: usize,
-    cut: Arc<Cut>,
+    abort: Arc<ConnectionAbort>,
 }
 
-impl AsyncRead for Cuttable {
+impl AsyncRead for HostStream {
     fn poll_read(
         mut self: Pin<&mut Self>,
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        self.cut.waker.register(cx.waker());
-        if self.cut.cut.load(Ordering::SeqCst) {
+        self.abort.waker.register(cx.waker());
+        if self.abort.aborted.load(Ordering::SeqCst) {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         Pin::new(&mut self.stream).poll_read(cx, buf)
     }
 }
 
-impl AsyncWrite for Cuttable {
+impl AsyncWrite for HostStream {
     fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<io::Result<usize>> {
-        if self.cut.cut.load(Ordering::SeqCst) {
+        if self.abort.aborted.load(Ordering::SeqCst) {
             return Poll::Ready(Err(io::ErrorKind::ConnectionAborted.into()));
         }
         Pin::new(&mut self.stream).poll_write(cx, buf)
@@ -82,27 +84,28 @@
     }
 }
 
-/// The connection that a call came over.
+/// The connection on which a call arrived.
 #[derive(Clone)]
-struct Line {
+struct ConnectionInfo {
     number: usize,
-    cut: Arc<Cut>,
+    abort: Arc<ConnectionAbort>,
 }
 
-impl Connected for Cuttable {
-    type ConnectInfo = Line;
+impl Connected for HostStream {
+    type ConnectInfo = ConnectionInfo;
 
-    fn connect_info(&self) -> Line {
-        Line { number: self.number, cut: self.cut.clone() }
+    fn connect_info(&self) -> ConnectionInfo {
+        ConnectionInfo { number: self.number, abort: self.abort.clone() }
     }
 }
 
-/// Serves till it is killed.
+/// Serves until the host is killed.
 pub(crate) fn serve(state: Shared, name: String, listener: TcpListener) {
-    let (owner, of) = (state.clone(), name.clone());
+    let (shared, host_name) = (state.clone(), name.clone());
     let host = FlightHost { state, name };
-    let incoming =
-        stream::unfold((listener, owner.clone(), of.clone()), |(listener, owner, of)| async move {
+    let incoming = stream::unfold(
+        (listener, shared.clone(), host_name.clone()),
+        |(listener, shared, host_name)| async move {
             let stream = loop {
                 match listener.accept().await {
                     Ok((stream, _)) => break stream,
@@ -110,141 +113,154 @@
                 }
             };
             let _ = stream.set_nodelay(true);
-            let cut = Arc::new(Cut::default());
+            let abort = Arc::new(ConnectionAbort::default());
             let number = {
-                let mut locked = lock(&owner);
-                let host = locked.hosts.get_mut(&of).expect("it is in the town");
-                host.cuts.push(cut.clone());
+                let mut locked = lock(&shared);
+                let host = locked.hosts.get_mut(&host_name).expect("the host exists");
+                host.aborts.push(abort.clone());
                 host.accepted += 1;
                 host.accepted - 1
             };
-            Some((Ok::<_, io::Error>(Cuttable { stream, number, cut }), (listener, owner, of)))
-        });
+            Some((Ok::<_, io::Error>(HostStream { stream, number, abort }), (listener, shared, host_name)))
+        },
+    );
     let service = FlightServiceServer::new(host).max_encoding_message_size(usize::MAX);
     let serving = tokio::spawn(async move {
         let _ = Server::builder().add_service(service).serve_with_incoming(incoming).await;
     });
-    lock(&owner).hosts.get_mut(&of).expect("it is in the town").tasks.push(serving.abort_handle());
+    lock(&shared).hosts.get_mut(&host_name).expect("the host exists").tasks.push(serving.abort_handle());
 }
 
+/// The Flight SQL service of one host.
 #[derive(Clone)]
 struct FlightHost {
     state: Shared,
     name: String,
 }
 
-type Flow<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
+type ResponseStream<T> = Pin<Box<dyn Stream<Item = Result<T, Status>> + Send>>;
 
-/// A call that came to nothing: it never ran, or its connection ends.
-fn never(why: &'static str) -> Status {
+/// The status of a command that did not run. Its metadata names the reason.
+fn not_executed(reason: &'static str) -> Status {
     let mut metadata = MetadataMap::new();
-    metadata.insert("arrowyard-never", why.parse().expect("it is ASCII"));
+    metadata.insert("arrowyard-never", reason.parse().expect("the reason is ASCII"));
     Status::with_metadata(tonic::Code::Unavailable, "nothing ran", metadata)
 }
 
-async fn end(line: &Line) -> Status {
-    line.cut.now();
-    // Till its connection has ended.
+/// Aborts the connection and waits until the call is dropped with it.
+async fn abort_connection(connection: &ConnectionInfo) -> Status {
+    connection.abort.abort();
     std::future::pending::<()>().await;
-    Status::unknown("never seen")
+    Status::unknown("the connection is aborted")
 }
 
 impl FlightHost {
-    fn said<T>(&self, response: &mut Response<T>, ran: &Ran, text: &str) {
+    fn add_metadata<T>(&self, response: &mut Response<T>, result: &CommandResult, text: &str) {
         let metadata = response.metadata_mut();
-        let role = if ran.primary { "primary" } else { "replica" };
-        metadata.insert("arrowyard-role", role.parse().expect("it is ASCII"));
-        if let Some(position) = ran.position {
+        let role = if result.is_primary { "primary" } else { "replica" };
+        metadata.insert("arrowyard-role", role.parse().expect("the role is ASCII"));
+        if let Some(position) = result.position {
             metadata.insert("arrowyard-position", position.into());
         }
-        if let Some(id) = told(text, "id").and_then(|id| id.parse().ok()) {
+        if let Some(id) = comment_field(text, "id").and_then(|id| id.parse().ok()) {
             metadata.insert("arrowyard-id", id);
         }
     }
 
-    /// Runs the statement as its script says; what it came to, and the act that its answer is given by.
-    async fn command(&self, text: &str, line: &Line) -> Result<(Ran, Act), Status> {
+    /// Handles the statement as the host's behavior requires. Returns its result and the behavior, which
+    /// also affects the response.
+    async fn handle_statement(
+        &self,
+        text: &str,
+        connection: &ConnectionInfo,
+    ) -> Result<(CommandResult, HostBehavior), Status> {
         let FlightHost { state, name } = self;
-        if let Some(host) = lock(state).hosts.get_mut(name).filter(|host| host.heard.len() < KEPT) {
-            host.heard.push((line.number, text.to_string()));
+        if let Some(host) = lock(state).hosts.get_mut(name).filter(|host| host.received.len() < MAX_RECORDED)
+        {
+            host.received.push((connection.number, text.to_string()));
         }
-        let (act, service) = arrive(state, name).ok_or_else(|| Status::unknown("it is gone"))?;
-        match act {
-            Act::TurnAway => return Err(never("full")),
-            Act::Miss => return Err(never("miss")),
-            Act::Fail => return Err(Status::internal("it failed")),
-            Act::Break => return Err(end(line).await),
-            Act::Hang => std::future::pending::<()>().await,
+        let (behavior, service_time) =
+            receive_command(state, name).ok_or_else(|| Status::unknown("the host does not exist"))?;
+        match behavior {
+            HostBehavior::RejectOverloaded => return Err(not_executed("full")),
+            HostBehavior::RejectReadOnly => return Err(not_executed("miss")),
+            HostBehavior::FailBeforeRun => return Err(Status::internal("the command failed")),
+            HostBehavior::DisconnectBeforeRun => return Err(abort_connection(connection).await),
+            HostBehavior::Hang => std::future::pending::<()>().await,
             _ => {}
         }
-        let place = loop {
-            if let Some(place) = Place::take(state, name) {
-                break place;
+        let slot = loop {
+            if let Some(slot) = Slot::acquire(state, name) {
+                break slot;
             }
             sleep(Duration::from_millis(1)).await;
         };
-        let slow = if let Act::Slow(slow) = act { slow } else { Duration::ZERO };
-        if !(service + slow).is_zero() {
-            sleep(service + slow).await;
+        let delay = if let HostBehavior::Slow(delay) = behavior { delay } else { Duration::ZERO };
+        if !(service_time + delay).is_zero() {
+            sleep(service_time + delay).await;
         }
-        let ran = run(state, name, text);
-        drop(place);
-        if ran.value.is_none() {
-            return Err(never("miss"));
+        let result = execute(state, name, text);
+        drop(slot);
+        if result.value.is_none() {
+            return Err(not_executed("miss"));
         }
-        if act == Act::LoseAnswer {
-            return Err(end(line).await);
+        if behavior == HostBehavior::DisconnectAfterRun {
+            return Err(abort_connection(connection).await);
         }
-        Ok((ran, act))
+        Ok((result, behavior))
     }
 }
 
+/// A batch with one value in one binary column.
 fn batch(value: &[u8]) -> RecordBatch {
     let schema = Arc::new(Schema::new(vec![Field::new("payload", DataType::Binary, false)]));
     let column: ArrayRef = Arc::new(BinaryArray::from_iter_values([value]));
-    RecordBatch::try_new(schema, vec![column]).expect("the column is of its type")
+    RecordBatch::try_new(schema, vec![column]).expect("the column matches the schema")
 }
 
-fn line_of<T>(request: &Request<T>) -> Line {
-    request.extensions().get::<Line>().expect("each call has its connection").clone()
+fn connection_of<T>(request: &Request<T>) -> ConnectionInfo {
+    request.extensions().get::<ConnectionInfo>().expect("each call has connection info").clone()
 }
 
-fn command_of(any: &[u8]) -> Result<Command, Status> {
+fn decode_command(any: &[u8]) -> Result<Command, Status> {
     let any = Any::decode(any).map_err(|error| Status::invalid_argument(error.to_string()))?;
     Command::try_from(any).map_err(|error| Status::invalid_argument(error.to_string()))
 }
 
-fn not_here<T>() -> Result<T, Status> {
-    Err(Status::unimplemented("a database host offers no such call"))
+fn unimplemented<T>() -> Result<T, Status> {
+    Err(Status::unimplemented("the host does not implement this call"))
 }
 
 #[tonic::async_trait]
 impl FlightService for FlightHost {
-    type HandshakeStream = Flow<HandshakeResponse>;
-    type ListFlightsStream = Flow<FlightInfo>;
-    type DoGetStream = Flow<FlightData>;
-    type DoPutStream = Flow<PutResult>;
-    type DoActionStream = Flow<arrow_flight::Result>;
-    type ListActionsStream = Flow<ActionType>;
-    type DoExchangeStream = Flow<FlightData>;
+    type HandshakeStream = ResponseStream<HandshakeResponse>;
+    type ListFlightsStream = ResponseStream<FlightInfo>;
+    type DoGetStream = ResponseStream<FlightData>;
+    type DoPutStream = ResponseStream<PutResult>;
+    type DoActionStream = ResponseStream<arrow_flight::Result>;
+    type ListActionsStream = ResponseStream<ActionType>;
+    type DoExchangeStream = ResponseStream<FlightData>;
 
     async fn handshake(
         &self,
         _: Request<Streaming<HandshakeRequest>>,
-    ) -> Result<Response<Flow<HandshakeResponse>>, Status> {
-        not_here()
+    ) -> Result<Response<ResponseStream<HandshakeResponse>>, Status> {
+        unimplemented()
     }
 
-    async fn list_flights(&self, _: Request<Criteria>) -> Result<Response<Flow<FlightInfo>>, Status> {
-        not_here()
+    async fn list_flights(
+        &self,
+        _: Request<Criteria>,
+    ) -> Result<Response<ResponseStream<FlightInfo>>, Status> {
+        unimplemented()
     }
 
     async fn get_flight_info(
         &self,
         request: Request<FlightDescriptor>,
     ) -> Result<Response<FlightInfo>, Status> {
-        let Command::CommandStatementQuery(query) = command_of(&request.get_ref().cmd)? else {
-            return not_here();
+        let Command::CommandStatementQuery(query) = decode_command(&request.get_ref().cmd)? else {
+            return unimplemented();
         };
         let any = TicketStatementQuery { statement_handle: query.query.into() }.as_any();
         let endpoint = FlightEndpoint::new().with_ticket(Ticket { ticket: any.encode_to_vec().into() });
@@ -252,104 +268,113 @@
     }
 
     async fn poll_flight_info(&self, _: Request<FlightDescriptor>) -> Result<Response<PollInfo>, Status> {
-        not_here()
+        unimplemented()
     }
 
     async fn get_schema(&self, _: Request<FlightDescriptor>) -> Result<Response<SchemaResult>, Status> {
-        not_here()
+        unimplemented()
     }
 
-    async fn do_get(&self, request: Request<Ticket>) -> Result<Response<Flow<FlightData>>, Status> {
-        let Command::TicketStatementQuery(ticket) = command_of(&request.get_ref().ticket)? else {
-            return not_here();
+    async fn do_get(&self, request: Request<Ticket>) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        let Command::TicketStatementQuery(ticket) = decode_command(&request.get_ref().ticket)? else {
+            return unimplemented();
         };
-        let text =
-            String::from_utf8(ticket.statement_handle.to_vec()).map_err(|_| Status::internal("no text"))?;
-        let line = line_of(&request);
-        let (ran, act) = self.command(&text, &line).await?;
-        let (batches, bytes) = {
+        let text = String::from_utf8(ticket.statement_handle.to_vec())
+            .map_err(|_| Status::internal("the statement is not UTF-8"))?;
+        let connection = connection_of(&request);
+        let (result, behavior) = self.handle_statement(&text, &connection).await?;
+        let (batches, batch_bytes) = {
             let spec = &lock(&self.state).hosts[&self.name].spec;
             (spec.batches, spec.batch_bytes)
         };
-        let value = ran.value.clone().unwrap_or_default().into_bytes();
-        let all = (0..batches).map(move |number| {
-            let value = if number == 0 { value.clone() } else { vec![number as u8; bytes] };
+        let value = result.value.clone().unwrap_or_default().into_bytes();
+        let batch_values = (0..batches).map(move |number| {
+            let value = if number == 0 { value.clone() } else { vec![number as u8; batch_bytes] };
             Ok::<_, FlightError>(batch(&value))
         });
         let schema = batch(b"").schema();
-        let flow = FlightDataEncoderBuilder::new()
+        let response_stream = FlightDataEncoderBuilder::new()
             .with_schema(schema)
             .with_max_flight_data_size(usize::MAX)
-            .build(stream::iter(all))
+            .build(stream::iter(batch_values))
             .map_err(|error| Status::internal(error.to_string()));
-        let flow: Flow<FlightData> = match act {
-            Act::Spoil => {
-                let noise = FlightData { data_header: vec![7; 40].into(), ..FlightData::default() };
-                Box::pin(flow.take(1).chain(stream::iter([Ok(noise)])))
+        let response_stream: ResponseStream<FlightData> = match behavior {
+            HostBehavior::ReplyGarbage => {
+                let invalid = FlightData { data_header: vec![7; 40].into(), ..FlightData::default() };
+                Box::pin(response_stream.take(1).chain(stream::iter([Ok(invalid)])))
             }
-            Act::ServeTwice => {
-                let again: Vec<_> = flow.collect().await;
-                let again = again.into_iter().map(|data| data.expect("it is encoded"));
-                let twice: Vec<_> = again.clone().chain(again).map(Ok).collect();
-                Box::pin(stream::iter(twice))
+            HostBehavior::ReplyTwice => {
+                let messages: Vec<_> = response_stream.collect().await;
+                let messages = messages.into_iter().map(|data| data.expect("the batches can be encoded"));
+                let doubled: Vec<_> = messages.clone().chain(messages).map(Ok).collect();
+                Box::pin(stream::iter(doubled))
             }
-            Act::CutAfter(most) => {
-                let cut = stream::once(async move {
-                    // What was sent before is on its way first.
+            HostBehavior::DisconnectAfterBatches(batch_count) => {
+                let disconnect = stream::once(async move {
+                    // Lets the batches sent before reach the router first.
                     sleep(Duration::from_millis(20)).await;
-                    Err(end(&line).await)
+                    Err(abort_connection(&connection).await)
                 });
-                // The schema is one more.
-                Box::pin(flow.take(most + 1).chain(cut))
+                // The schema message comes before the batches.
+                Box::pin(response_stream.take(batch_count + 1).chain(disconnect))
             }
-            _ => Box::pin(flow),
+            _ => Box::pin(response_stream),
         };
-        let mut response = Response::new(flow);
-        // A host that mixes its calls up names the op that it believes to answer.
-        let named = if act == Act::Mixed { "/* id=ffffffffffffffff */" } else { &text };
-        self.said(&mut response, &ran, named);
+        let mut response = Response::new(response_stream);
+        // A mislabeled response carries the id of another op.
+        let labeled_text =
+            if behavior == HostBehavior::MislabelReply { "/* id=ffffffffffffffff */" } else { &text };
+        self.add_metadata(&mut response, &result, labeled_text);
         Ok(response)
     }
 
     async fn do_put(
         &self,
         request: Request<Streaming<FlightData>>,
-    ) -> Result<Response<Flow<PutResult>>, Status> {
-        let line = line_of(&request);
-        let first = request.into_inner().message().await?.and_then(|data| data.flight_descriptor);
-        let first = first.ok_or_else(|| Status::invalid_argument("no command"))?;
-        let Command::CommandStatementUpdate(command) = command_of(&first.cmd)? else { return not_here() };
-        let (ran, act) = self.command(&command.query, &line).await?;
-        let mut result = DoPutUpdateResult { record_count: 1 }.encode_to_vec();
-        match act {
-            Act::Spoil => result = b"\x01\x02noise".to_vec(),
-            Act::CutAfter(_) => return Err(end(&line).await),
+    ) -> Result<Response<ResponseStream<PutResult>>, Status> {
+        let connection = connection_of(&request);
+        let descriptor = request.into_inner().message().await?.and_then(|data| data.flight_descriptor);
+        let descriptor =
+            descriptor.ok_or_else(|| Status::invalid_argument("the first message has no command"))?;
+        let Command::CommandStatementUpdate(command) = decode_command(&descriptor.cmd)? else {
+            return unimplemented();
+        };
+        let (result, behavior) = self.handle_statement(&command.query, &connection).await?;
+        let mut update_result = DoPutUpdateResult { record_count: 1 }.encode_to_vec();
+        match behavior {
+            HostBehavior::ReplyGarbage => update_result = b"\x01\x02noise".to_vec(),
+            HostBehavior::DisconnectAfterBatches(_) => return Err(abort_connection(&connection).await),
             _ => {}
         }
-        let result = PutResult { app_metadata: result.into() };
-        let mut response: Response<Flow<PutResult>> = Response::new(Box::pin(stream::iter([Ok(result)])));
-        let named = if act == Act::Mixed { "/* id=ffffffffffffffff */" } else { &command.query };
-        self.said(&mut response, &ran, named);
+        let update_result = PutResult { app_metadata: update_result.into() };
+        let mut response: Response<ResponseStream<PutResult>> =
+            Response::new(Box::pin(stream::iter([Ok(update_result)])));
+        let labeled_text = if behavior == HostBehavior::MislabelReply {
+            "/* id=ffffffffffffffff */"
+        } else {
+            &command.query
+        };
+        self.add_metadata(&mut response, &result, labeled_text);
         Ok(response)
     }
 
-    async fn list_actions(&self, _: Request<Empty>) -> Result<Response<Flow<ActionType>>, Status> {
-        not_here()
+    async fn list_actions(&self, _: Request<Empty>) -> Result<Response<ResponseStream<ActionType>>, Status> {
+        unimplemented()
     }
 
     async fn do_exchange(
         &self,
         _: Request<Streaming<FlightData>>,
-    ) -> Result<Response<Flow<FlightData>>, Status> {
-        not_here()
+    ) -> Result<Response<ResponseStream<FlightData>>, Status> {
+        unimplemented()
     }
 
     async fn do_action(
         &self,
         request: Request<Action>,
-    ) -> Result<Response<Flow<arrow_flight::Result>>, Status> {
+    ) -> Result<Response<ResponseStream<arrow_flight::Result>>, Status> {
         if request.get_ref().r#type != "arrowyard.report" {
-            return not_here();
+            return unimplemented();
         }
         let report = {
             let state = lock(&self.state);
--- a/crates/arrowyard-testbed/src/flight/mod.rs
+++ b/crates/arrowyard-testbed/src/flight/mod.rs
@@ -1,4 +1,4 @@
-//! Hosts and clients on Arrow Flight SQL, by the library's own traits and its ready-made client.
+//! Simulated hosts and clients of Arrow Flight SQL, built on the traits and the client of the `arrow-flight` crate.
 
 pub mod client;
 pub mod host;
--- a/crates/arrowyard-testbed/src/lib.rs
+++ b/crates/arrowyard-testbed/src/lib.rs
@@ -1,26 +1,25 @@
-//! Stand-ins for the systems that a router stands between, on loopback, for tests and measurements: groups of
-//! database hosts that really replicate and do as scripted, discovery with its faults, clients that check what they
-//! are answered, and a ledger of what was applied where. They speak the public protocols on their own and share no
-//! code with the router.
+//! Simulated systems around a router, on loopback, for tests and measurements: replicating database hosts with
+//! configurable faults, a discovery service, clients that check their replies, and a ledger of applied writes. They
+//! implement the public protocols independently and share no code with the router.
 
 pub mod client;
+pub mod cluster;
 pub mod discovery;
+pub mod effect_recorder;
 #[cfg(feature = "flight")]
 pub mod flight;
 mod host;
+pub mod lease_scenario;
 pub mod load;
 pub mod plan;
-pub mod relay;
+pub mod protocol_client;
 pub mod rig;
 pub mod router;
-pub mod speaks;
-pub mod taker;
-pub mod town;
-pub mod trial;
-pub mod wire;
+pub mod tcp_relay;
+pub mod udp_relay;
 
 pub use client::{Client, Reply};
-pub use discovery::Mood;
+pub use cluster::{Cluster, HostBehavior, HostSpec};
+pub use discovery::DiscoveryBehavior;
+pub use protocol_client::ProtocolClient;
 pub use router::Process;
-pub use speaks::Speaks;
-pub use town::{Act, Spec, Town};
--- a/crates/arrowyard-testbed/src/load.rs
+++ b/crates/arrowyard-testbed/src/load.rs
@@ -1,5 +1,5 @@
-//! Open-loop load: ops come at their times whether earlier ones were answered or not, each answer is checked, and
-//! what became of them is counted by tenant.
+//! An open-loop load generator: ops start at their scheduled times even if earlier ones have no reply yet. Replies are
+//! checked and counted by tenant and op type.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,222 +11,238 @@
 use tokio::runtime::Builder;
 use tokio::time::{sleep_until, timeout};
 
-use crate::client::{Ask, Client, Reply};
+use crate::client::{Client, OpRequest, Reply};
+use crate::cluster::unix_ms;
 use crate::router::OpType;
-use crate::town::unix_ms;
 
-/// What one tenant asks for.
+/// The load of one tenant.
 #[derive(Clone, Debug)]
-pub struct Stream {
+pub struct TenantLoad {
     pub tenant: &'static str,
     pub group: i64,
-    /// Ops a second.
+    /// Mean number of ops per second.
     pub rate: f64,
-    /// Places among the op types, and how often each.
+    /// Indices of op types, with weights.
     pub mix: Vec<(usize, u32)>,
-    /// When it begins and ends, from the start of the run.
-    pub from: Duration,
-    pub till: Duration,
-    /// Sessions that it has.
+    /// Start and end, relative to the start of the run.
+    pub start: Duration,
+    pub end: Duration,
+    /// Number of sessions.
     pub sessions: u64,
 }
 
-/// What became of the ops of a tenant.
+/// Counts and latencies of ops.
 #[derive(Clone, Debug)]
-pub struct Stats {
+pub struct OpStats {
     pub sent: u64,
-    /// Acked within the latency target, and later.
-    pub good: u64,
+    /// Acknowledged within the latency target.
+    pub in_target: u64,
+    /// Acknowledged after the latency target.
     pub late: u64,
     pub busy: u64,
     pub errored: u64,
-    /// No answer in time, or a connection that broke without one: rule 1 was broken, or the router was killed.
+    /// Without a reply in time: the router violated its guarantee or was killed.
     pub unanswered: u64,
-    /// Of acked ops, in microseconds.
+    /// Latency of acknowledged ops in microseconds.
     pub latency: Histogram<u64>,
-    /// How long busy replies and errors took.
-    pub refusal: Histogram<u64>,
+    /// Latency of busy replies and errors in microseconds.
+    pub failure_latency: Histogram<u64>,
 }
 
-impl Default for Stats {
+impl Default for OpStats {
     fn default() -> Self {
-        let blank = || Histogram::new(3).expect("three digits are allowed");
-        let (latency, refusal) = (blank(), blank());
-        Stats { sent: 0, good: 0, late: 0, busy: 0, errored: 0, unanswered: 0, latency, refusal }
+        let histogram = || Histogram::new(3).expect("three significant digits are supported");
+        let (latency, failure_latency) = (histogram(), histogram());
+        OpStats {
+            sent: 0,
+            in_target: 0,
+            late: 0,
+            busy: 0,
+            errored: 0,
+            unanswered: 0,
+            latency,
+            failure_latency,
+        }
     }
 }
 
-impl Stats {
-    /// The share of ops that were acked within their latency target.
-    pub fn share(&self) -> f64 {
-        self.good as f64 / self.sent.max(1) as f64
+impl OpStats {
+    /// The share of ops acknowledged within their latency target.
+    pub fn in_target_share(&self) -> f64 {
+        self.in_target as f64 / self.sent.max(1) as f64
     }
 
-    pub fn add(&mut self, other: &Stats) {
-        let Stats { sent, good, late, busy, errored, unanswered, latency, refusal } = other;
+    /// Adds the counts and latencies of `other`.
+    pub fn add(&mut self, other: &OpStats) {
+        let OpStats { sent, in_target, late, busy, errored, unanswered, latency, failure_latency } = other;
         self.sent += sent;
-        self.good += good;
+        self.in_target += in_target;
         self.late += late;
         self.busy += busy;
         self.errored += errored;
         self.unanswered += unanswered;
-        self.latency.add(latency).expect("both are of one form");
-        self.refusal.add(refusal).expect("both are of one form");
+        self.latency.add(latency).expect("the histograms have the same configuration");
+        self.failure_latency.add(failure_latency).expect("the histograms have the same configuration");
     }
 }
 
-/// What came of a run.
+/// The results of a run.
 #[derive(Clone, Debug, Default)]
-pub struct Outcome {
+pub struct LoadResult {
     /// By tenant and op type.
-    pub stats: BTreeMap<(&'static str, &'static str), Stats>,
-    /// Writes that a client holds an ack for, by their tokens.
-    pub acked: Vec<u64>,
-    /// When writes were acked, in Unix milliseconds, by tenant.
-    pub write_times: BTreeMap<&'static str, Vec<i64>>,
+    pub stats: BTreeMap<(&'static str, &'static str), OpStats>,
+    /// Ids of acknowledged writes.
+    pub acked_writes: Vec<u64>,
+    /// By tenant: times of the acknowledgements of writes, in Unix milliseconds.
+    pub write_ack_times: BTreeMap<&'static str, Vec<i64>>,
 }
 
-impl Outcome {
-    pub fn of_tenant(&self, tenant: &str) -> Stats {
-        let mut sum = Stats::default();
-        self.stats.iter().filter(|((of, _), _)| *of == tenant).for_each(|(_, stats)| sum.add(stats));
-        sum
+impl LoadResult {
+    /// Stats of all ops of a tenant.
+    pub fn tenant_stats(&self, tenant: &str) -> OpStats {
+        let mut total = OpStats::default();
+        self.stats.iter().filter(|((name, _), _)| *name == tenant).for_each(|(_, stats)| total.add(stats));
+        total
     }
 
-    pub fn of_type(&self, op_type: &str) -> Stats {
-        let mut sum = Stats::default();
-        self.stats.iter().filter(|((_, of), _)| *of == op_type).for_each(|(_, stats)| sum.add(stats));
-        sum
+    /// Stats of all ops of an op type.
+    pub fn op_type_stats(&self, op_type: &str) -> OpStats {
+        let mut total = OpStats::default();
+        self.stats.iter().filter(|((_, name), _)| *name == op_type).for_each(|(_, stats)| total.add(stats));
+        total
     }
 }
 
-struct Run {
+struct LoadRun {
     router: SocketAddr,
     op_types: Vec<OpType>,
-    idle: Mutex<Vec<Client>>,
-    outcome: Mutex<Outcome>,
+    idle_clients: Mutex<Vec<Client>>,
+    result: Mutex<LoadResult>,
 }
 
-impl Run {
-    async fn op(&self, tenant: &'static str, group: i64, kind: usize, number: u64, session: u64) {
-        let row = self.op_types[kind];
-        let (writes, tokened) = (row.read == "update", row.effect == "idempotency_key");
-        let ask = Ask {
-            id: number,
-            op_type: row.name,
+impl LoadRun {
+    /// Executes an op and counts its reply.
+    async fn execute(&self, tenant: &'static str, group: i64, op_type: usize, id: u64, session: u64) {
+        let op_type = self.op_types[op_type];
+        let (is_write, has_token) = (op_type.read_level == "update", op_type.effect == "idempotency_key");
+        let request = OpRequest {
+            id,
+            op_type: op_type.name,
             tenant: Some(tenant),
             group,
-            wait_ms: row.timeout_ms,
-            token: tokened.then_some(number),
-            again: false,
+            timeout_ms: op_type.timeout_ms,
+            token: has_token.then_some(id),
+            is_retry: false,
             session,
-            writes,
+            is_write,
         };
         let began = Instant::now();
-        // The router's time for an answer, and some for the way.
-        let most = Duration::from_millis(u64::from(row.timeout_ms) + 150);
-        let answered = timeout(most, async {
-            let kept = self.idle.lock().expect("nobody panics with it").pop();
-            let mut client = match kept {
+        // The op's timeout and an allowance for the network.
+        let reply_timeout = Duration::from_millis(u64::from(op_type.timeout_ms) + 150);
+        let reply = timeout(reply_timeout, async {
+            let idle_client = self.idle_clients.lock().expect("the lock is not poisoned").pop();
+            let mut client = match idle_client {
                 Some(client) => client,
                 None => Client::connect(self.router).await?,
             };
-            let reply = match client.ask(&ask.statement()).await {
-                // A connection that was idle may be closed as it is used again; a new one is asked once more.
+            let reply = match client.execute(&request.statement()).await {
+                // The router may close an idle connection at the moment of its reuse: tries once more on a new one.
                 Err(error) if error.kind() != std::io::ErrorKind::Other => {
                     client = Client::connect(self.router).await?;
-                    client.ask(&ask.statement()).await?
+                    client.execute(&request.statement()).await?
                 }
                 reply => reply?,
             };
             std::io::Result::Ok((client, reply))
         });
-        let answered = answered.await;
+        let reply = reply.await;
         let took = began.elapsed();
-        let mut outcome = self.outcome.lock().expect("nobody panics with it");
-        let stats = outcome.stats.entry((tenant, row.name)).or_default();
+        let mut result = self.result.lock().expect("the lock is not poisoned");
+        let stats = result.stats.entry((tenant, op_type.name)).or_default();
         stats.sent += 1;
         let micros = (took.as_micros() as u64).max(1);
-        match answered {
+        match reply {
             Ok(Ok((client, reply))) => {
                 match &reply {
                     Reply::Value(_) => {
-                        let good = took <= Duration::from_millis(row.target_ms.into());
-                        *(if good { &mut stats.good } else { &mut stats.late }) += 1;
+                        let in_target = took <= Duration::from_millis(op_type.target_ms.into());
+                        *(if in_target { &mut stats.in_target } else { &mut stats.late }) += 1;
                         let _ = stats.latency.record(micros);
                     }
                     Reply::Busy(_) => stats.busy += 1,
                     Reply::Error(_) => stats.errored += 1,
                 }
                 if !matches!(reply, Reply::Value(_)) {
-                    let _ = stats.refusal.record(micros);
-                } else if writes {
-                    outcome.acked.push(number);
-                    outcome.write_times.entry(tenant).or_default().push(unix_ms());
+                    let _ = stats.failure_latency.record(micros);
+                } else if is_write {
+                    result.acked_writes.push(id);
+                    result.write_ack_times.entry(tenant).or_default().push(unix_ms());
                 }
-                drop(outcome);
-                self.idle.lock().expect("nobody panics with it").push(client);
+                drop(result);
+                self.idle_clients.lock().expect("the lock is not poisoned").push(client);
             }
-            Ok(Err(error)) if error.to_string() == "turned away" => stats.busy += 1,
+            Ok(Err(error)) if error.to_string() == "the router rejected the connection" => stats.busy += 1,
             _ => stats.unanswered += 1,
         }
     }
 }
 
-/// Plays the streams before the router. `watch` is told the time of the run about every 100 ms.
-pub fn play(
+/// Sends the loads to the router. `on_tick` is called with the time since the start about every 100 ms.
+pub fn run_load(
     router: SocketAddr,
     op_types: &[OpType],
-    streams: &[Stream],
+    loads: &[TenantLoad],
     seed: u64,
-    mut watch: impl FnMut(Duration),
-) -> Outcome {
+    mut on_tick: impl FnMut(Duration),
+) -> LoadResult {
     let runtime = Builder::new_multi_thread().worker_threads(2).enable_all().build();
-    let runtime = runtime.expect("threads can be had");
-    let (idle, outcome) = Default::default();
-    let run = Arc::new(Run { router, op_types: op_types.to_vec(), idle, outcome });
+    let runtime = runtime.expect("the runtime starts");
+    let (idle_clients, result) = Default::default();
+    let run = Arc::new(LoadRun { router, op_types: op_types.to_vec(), idle_clients, result });
     let start = Instant::now();
-    let last = streams.iter().map(|stream| stream.till).max().unwrap_or_default();
-    let mut playing = Vec::new();
-    for (row, stream) in streams.iter().cloned().enumerate() {
-        let (run, mut rng) = (run.clone(), Rng::with_seed(seed ^ (row as u64) << 32));
-        playing.push(runtime.spawn(async move {
-            let mut at = stream.from;
-            let mut asked = Vec::new();
-            let weights: u32 = stream.mix.iter().map(|(_, weight)| weight).sum();
-            while at < stream.till {
-                sleep_until((start + at).into()).await;
-                let mut pick = rng.u32(0..weights);
-                let kind = stream.mix.iter().find(|(_, weight)| {
-                    let hit = pick < *weight;
-                    pick = pick.wrapping_sub(*weight);
-                    hit
+    let end = loads.iter().map(|load| load.end).max().unwrap_or_default();
+    let mut load_tasks = Vec::new();
+    for (index, load) in loads.iter().cloned().enumerate() {
+        let (run, mut rng) = (run.clone(), Rng::with_seed(seed ^ (index as u64) << 32));
+        load_tasks.push(runtime.spawn(async move {
+            let mut next_op = load.start;
+            let mut op_tasks = Vec::new();
+            let total_weight: u32 = load.mix.iter().map(|(_, weight)| weight).sum();
+            while next_op < load.end {
+                sleep_until((start + next_op).into()).await;
+                let mut draw = rng.u32(0..total_weight);
+                let op_type = load.mix.iter().find(|(_, weight)| {
+                    let chosen = draw < *weight;
+                    draw = draw.wrapping_sub(*weight);
+                    chosen
                 });
-                let kind = kind.map_or(0, |(kind, _)| *kind);
-                let (number, session) = (rng.u64(1..), rng.u64(0..stream.sessions));
-                let (run, tenant, group) = (run.clone(), stream.tenant, stream.group);
-                asked.push(tokio::spawn(async move { run.op(tenant, group, kind, number, session).await }));
-                if asked.len() > 4096 {
-                    asked.retain(|task| !task.is_finished());
+                let op_type = op_type.map_or(0, |(op_type, _)| *op_type);
+                let (id, session) = (rng.u64(1..), rng.u64(0..load.sessions));
+                let (run, tenant, group) = (run.clone(), load.tenant, load.group);
+                op_tasks.push(tokio::spawn(
+                    async move { run.execute(tenant, group, op_type, id, session).await },
+                ));
+                if op_tasks.len() > 4096 {
+                    op_tasks.retain(|task| !task.is_finished());
                 }
                 // Poisson arrivals.
-                at += Duration::from_secs_f64(-rng.f64().max(1e-12).ln() / stream.rate);
+                next_op += Duration::from_secs_f64(-rng.f64().max(1e-12).ln() / load.rate);
             }
-            for task in asked {
+            for task in op_tasks {
                 let _ = task.await;
             }
         }));
     }
-    while start.elapsed() < last {
-        watch(start.elapsed());
+    while start.elapsed() < end {
+        on_tick(start.elapsed());
         std::thread::sleep(Duration::from_millis(100));
     }
     runtime.block_on(async {
-        for stream in playing {
-            let _ = stream.await;
+        for task in load_tasks {
+            let _ = task.await;
         }
     });
-    let outcome = run.outcome.lock().expect("nobody panics with it").clone();
+    let result = run.result.lock().expect("the lock is not poisoned").clone();
     runtime.shutdown_background();
-    outcome
+    result
 }
--- a/crates/arrowyard-testbed/src/plan.rs
+++ b/crates/arrowyard-testbed/src/plan.rs
@@ -1,146 +1,178 @@
-//! Fault plans: what breaks between and in a fleet's processes, and when. A plan is data with a seed, written as JSON, so
-//! that one that found something can be played again from a file, by real processes or by the model.
+//! Fault plans: which faults affect the processes of a fleet and the network between them, and when. A plan is stored
+//! as JSON with its seed, so that a failing run can be repeated, with real processes or in the simulation.
 
 use serde::{Deserialize, Serialize};
 
-/// Some of the fleet's processes, by their numbers.
-pub type Some = Vec<usize>;
+/// Indices of processes in the fleet.
+pub type ProcessSet = Vec<usize>;
 
+/// A fault of processes or of the network.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Fault {
-    /// Halted, and let go when the fault ends.
-    Halt(Some),
-    /// Killed at once; started anew when the fault ends.
-    Kill(Some),
-    /// Killed at once; started anew without their votes when the fault ends.
-    LoseVotes(Some),
-    /// Killed at once; started anew with the votes that they had when the plan began.
-    OlderVotes(Some),
-    /// Ended as planned; started anew when the fault ends.
-    End(Some),
-    /// Ended as planned, with no datagram of it getting out; started anew when the fault ends.
-    EndUnheard(Some),
-    /// What the first send to the second is lost.
-    Cut(Some, Some),
-    /// The same both ways.
-    Part(Some, Some),
-    /// This share of all datagrams is lost, doubled, or has a byte changed.
-    Lose(f64),
-    Double(f64),
-    Garble(f64),
-    /// All datagrams take so much longer, and up to as much again, drawn, so that they overtake each other.
-    Delay {
-        ms: u64,
-    },
+    /// Stops the processes; they continue when the fault ends.
+    #[serde(rename = "halt")]
+    Pause(ProcessSet),
+    /// Kills the processes; they restart when the fault ends.
+    Kill(ProcessSet),
+    /// Kills the processes; they restart without their votes when the fault ends.
+    LoseVotes(ProcessSet),
+    /// Kills the processes; they restart with the votes that they had when the plan began.
+    #[serde(rename = "older_votes")]
+    RestoreOldVotes(ProcessSet),
+    /// Shuts the processes down; they restart when the fault ends.
+    #[serde(rename = "end")]
+    Shutdown(ProcessSet),
+    /// Shuts the processes down while none of their datagrams is delivered; they restart when the fault ends.
+    #[serde(rename = "end_unheard")]
+    SilentShutdown(ProcessSet),
+    /// Drops datagrams from the first processes to the second.
+    #[serde(rename = "cut")]
+    OneWayPartition(ProcessSet, ProcessSet),
+    /// Drops datagrams between the two sets, both ways.
+    #[serde(rename = "part")]
+    Partition(ProcessSet, ProcessSet),
+    /// Drops this share of all datagrams.
+    #[serde(rename = "lose")]
+    PacketLoss(f64),
+    /// Duplicates this share of all datagrams.
+    #[serde(rename = "double")]
+    Duplication(f64),
+    /// Flips one bit in this share of all datagrams.
+    #[serde(rename = "garble")]
+    Corruption(f64),
+    /// Delays all datagrams by `ms` plus a random time of up to `ms`, which reorders them.
+    Delay { ms: u64 },
 }
 
-/// A fault and its time, in milliseconds from the begin.
+/// A fault with its start and duration, in milliseconds from the start of the plan.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Act {
+pub struct PlannedFault {
     pub at_ms: u64,
-    pub for_ms: u64,
+    #[serde(rename = "for_ms")]
+    pub duration_ms: u64,
     pub fault: Fault,
 }
 
+/// A named sequence of faults for a fleet of `processes` processes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
     pub name: String,
     pub seed: u64,
     pub processes: usize,
     pub span_ms: u64,
-    pub acts: Vec<Act>,
+    #[serde(rename = "acts")]
+    pub faults: Vec<PlannedFault>,
 }
 
 impl Plan {
+    /// A plan without faults.
     #[must_use]
     pub fn new(name: &str, processes: usize, span_ms: u64) -> Plan {
-        Plan { name: name.to_string(), seed: 1, processes, span_ms, acts: Vec::new() }
+        Plan { name: name.to_string(), seed: 1, processes, span_ms, faults: Vec::new() }
     }
 
+    /// Adds a fault.
     #[must_use]
-    pub fn act(mut self, at_ms: u64, for_ms: u64, fault: Fault) -> Plan {
-        self.acts.push(Act { at_ms, for_ms, fault });
+    pub fn with_fault(mut self, at_ms: u64, duration_ms: u64, fault: Fault) -> Plan {
+        self.faults.push(PlannedFault { at_ms, duration_ms, fault });
         self
     }
 
+    /// The plan as JSON.
     #[must_use]
-    pub fn text(&self) -> String {
-        serde_json::to_string(self).expect("a plan is plain data")
+    pub fn to_json(&self) -> String {
+        serde_json::to_string(self).expect("a plan can be serialized")
     }
 
+    /// Parses a plan from JSON.
+    ///
     /// # Errors
-    /// It is no plan.
-    pub fn read(text: &str) -> Result<Plan, String> {
+    /// The text is not a valid plan.
+    pub fn from_json(text: &str) -> Result<Plan, String> {
         serde_json::from_str(text).map_err(|error| error.to_string())
     }
 
-    /// When something begins or ends, in order: the time, which act, and whether it begins.
+    /// Starts and ends of faults in the order of time: the time, the index of the fault, and whether it starts.
     #[must_use]
     pub fn steps(&self) -> Vec<(u64, usize, bool)> {
-        let begins = self.acts.iter().enumerate().map(|(at, act)| (act.at_ms, at, true));
-        let ends = self.acts.iter().enumerate().map(|(at, act)| (act.at_ms + act.for_ms, at, false));
-        let mut steps: Vec<_> = begins.chain(ends).collect();
-        steps.sort_by_key(|&(at_ms, act, begins)| (at_ms, !begins, act));
+        let starts = self.faults.iter().enumerate().map(|(index, fault)| (fault.at_ms, index, true));
+        let ends = self
+            .faults
+            .iter()
+            .enumerate()
+            .map(|(index, fault)| (fault.at_ms + fault.duration_ms, index, false));
+        let mut steps: Vec<_> = starts.chain(ends).collect();
+        steps.sort_by_key(|&(at_ms, index, starts)| (at_ms, !starts, index));
         steps
     }
 
-    /// A plan by its name, for so many processes: the hard cases of membership.
+    /// A predefined plan for `processes` processes, or `None` if there is none of this name.
     #[must_use]
     pub fn named(name: &str, processes: usize) -> Option<Plan> {
-        let n = processes;
-        let all: Some = (0..n).collect();
-        let but = |one: usize| -> Some { (0..n).filter(|&other| other != one).collect() };
-        let (half, rest): (Some, Some) = ((0..n / 2).collect(), (n / 2..n).collect());
-        let third: Some = (0..n / 3).map(|at| at * 3 + 1).collect();
-        let most: Some = (0..n * 7 / 10).collect();
+        let count = processes;
+        let all: ProcessSet = (0..count).collect();
+        let all_except =
+            |excluded: usize| -> ProcessSet { (0..count).filter(|&other| other != excluded).collect() };
+        let (first_half, second_half): (ProcessSet, ProcessSet) =
+            ((0..count / 2).collect(), (count / 2..count).collect());
+        let every_third: ProcessSet = (0..count / 3).map(|index| index * 3 + 1).collect();
+        let first_70_percent: ProcessSet = (0..count * 7 / 10).collect();
         let plan = |span_ms| Plan::new(name, processes, span_ms);
-        // Everybody knows everybody by then.
+        // All processes know each other by then.
         let at = 8_000;
         Some(match name {
             "calm" => plan(60_000),
-            "crash" => plan(30_000).act(at, 12_000, Fault::Kill(vec![1])),
-            "halt-0.5" => plan(20_000).act(at, 500, Fault::Halt(vec![1])),
-            "halt-3" => plan(20_000).act(at, 3_000, Fault::Halt(vec![1])),
-            "halt-30" => plan(60_000).act(at, 30_000, Fault::Halt(vec![1])),
-            "halt-third" => plan(20_000).act(at, 3_000, Fault::Halt(third)),
-            "loss-30" => plan(40_000).act(at, 30_000, Fault::Lose(0.3)),
-            "loss-10" => plan(620_000).act(at, 600_000, Fault::Lose(0.1)),
-            "one-side" => plan(40_000).act(at, 25_000, Fault::Cut(vec![0], vec![1])),
-            "one-to-all" => plan(40_000).act(at, 20_000, Fault::Cut(vec![1], but(1))),
-            "all-to-one" => plan(40_000).act(at, 20_000, Fault::Cut(but(1), vec![1])),
-            "ring" => (0..n).fold(plan(40_000), |plan, one| {
-                plan.act(at, 25_000, Fault::Cut(vec![one], vec![(one + 1) % n]))
+            "crash" => plan(30_000).with_fault(at, 12_000, Fault::Kill(vec![1])),
+            "halt-0.5" => plan(20_000).with_fault(at, 500, Fault::Pause(vec![1])),
+            "halt-3" => plan(20_000).with_fault(at, 3_000, Fault::Pause(vec![1])),
+            "halt-30" => plan(60_000).with_fault(at, 30_000, Fault::Pause(vec![1])),
+            "halt-third" => plan(20_000).with_fault(at, 3_000, Fault::Pause(every_third)),
+            "loss-30" => plan(40_000).with_fault(at, 30_000, Fault::PacketLoss(0.3)),
+            "loss-10" => plan(620_000).with_fault(at, 600_000, Fault::PacketLoss(0.1)),
+            "one-side" => plan(40_000).with_fault(at, 25_000, Fault::OneWayPartition(vec![0], vec![1])),
+            "one-to-all" => {
+                plan(40_000).with_fault(at, 20_000, Fault::OneWayPartition(vec![1], all_except(1)))
+            }
+            "all-to-one" => {
+                plan(40_000).with_fault(at, 20_000, Fault::OneWayPartition(all_except(1), vec![1]))
+            }
+            "ring" => (0..count).fold(plan(40_000), |plan, sender| {
+                plan.with_fault(at, 25_000, Fault::OneWayPartition(vec![sender], vec![(sender + 1) % count]))
             }),
-            "halves" => plan(40_000).act(at, 15_000, Fault::Part(half, rest)),
-            "one-off" => plan(40_000).act(at, 15_000, Fault::Part(vec![1], but(1))),
-            "roving" => (0..4).fold(plan(50_000), |plan, turn| {
-                plan.act(
-                    at + turn * 6_000,
+            "halves" => plan(40_000).with_fault(at, 15_000, Fault::Partition(first_half, second_half)),
+            "one-off" => plan(40_000).with_fault(at, 15_000, Fault::Partition(vec![1], all_except(1))),
+            "roving" => (0..4).fold(plan(50_000), |plan, round| {
+                plan.with_fault(
+                    at + round * 6_000,
                     6_000,
-                    Fault::Part(vec![turn as usize % n], but(turn as usize % n)),
+                    Fault::Partition(vec![round as usize % count], all_except(round as usize % count)),
                 )
             }),
-            "flapping" => (0..6).fold(plan(50_000), |plan, turn| {
-                plan.act(at + turn * 4_000, 2_000, Fault::Part(half.clone(), rest.clone()))
+            "flapping" => (0..6).fold(plan(50_000), |plan, round| {
+                plan.with_fault(
+                    at + round * 4_000,
+                    2_000,
+                    Fault::Partition(first_half.clone(), second_half.clone()),
+                )
             }),
-            "roll" => (0..10).fold(plan(50_000), |plan, turn| {
-                let some: Some = (0..n).filter(|one| one % 10 == turn).collect();
-                plan.act(at + turn as u64 * 3_000, 1_000, Fault::End(some))
+            "roll" => (0..10).fold(plan(50_000), |plan, round| {
+                let batch: ProcessSet = (0..count).filter(|process| process % 10 == round).collect();
+                plan.with_fault(at + round as u64 * 3_000, 1_000, Fault::Shutdown(batch))
             }),
-            "herd" => plan(30_000).act(at, 2_000, Fault::Kill(most)),
-            "unheard" => plan(25_000).act(at, 12_000, Fault::EndUnheard(vec![1])),
+            "herd" => plan(30_000).with_fault(at, 2_000, Fault::Kill(first_70_percent)),
+            "unheard" => plan(25_000).with_fault(at, 12_000, Fault::SilentShutdown(vec![1])),
             "rough" => plan(40_000)
-                .act(at, 25_000, Fault::Lose(0.1))
-                .act(at, 25_000, Fault::Double(0.2))
-                .act(at, 25_000, Fault::Garble(0.05))
-                .act(at, 25_000, Fault::Delay { ms: 40 }),
-            "quiet" => plan(15_000).act(at, 1_000, Fault::Halt(all)),
+                .with_fault(at, 25_000, Fault::PacketLoss(0.1))
+                .with_fault(at, 25_000, Fault::Duplication(0.2))
+                .with_fault(at, 25_000, Fault::Corruption(0.05))
+                .with_fault(at, 25_000, Fault::Delay { ms: 40 }),
+            "quiet" => plan(15_000).with_fault(at, 1_000, Fault::Pause(all)),
             _ => return None,
         })
     }
 
-    /// The names that `named` knows.
+    /// Names of the predefined plans.
     pub const NAMES: [&str; 21] = [
         "calm",
         "crash",
--- a/crates/arrowyard-testbed/src/rig.rs
+++ b/crates/arrowyard-testbed/src/rig.rs
@@ -1,5 +1,5 @@
-//! A fleet of real processes of the program before one town, with relays between them and a fault plan that is played.
-//! What each process held of each other one, and when, is read from its log, stamped by the machine's monotonic clock.
+//! A fleet of router processes in front of one cluster, with relays between them and fault plans. Each process's view
+//! of the other members over time is read from its log, whose lines carry the machine's monotonic clock.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -11,371 +11,393 @@
 use tokio::runtime::{Builder, Runtime};
 
 use crate::client::{Client, Reply};
+use crate::cluster::{Cluster, HostSpec};
 use crate::plan::{Fault, Plan};
-use crate::relay::Relays;
-use crate::router::{OP_TYPES, Process, waybill};
-use crate::town::{Spec, Town};
-use crate::wire::Wires;
+use crate::router::{OP_TYPES, Process, platform_config};
+use crate::tcp_relay::TcpRelays;
+use crate::udp_relay::UdpRelays;
 
-/// One line of a process's history: at that time it held the other one to be so.
+/// A logged change of a member's standing in another process's view.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Held {
+pub struct StandingChange {
     pub mono_us: i64,
-    pub by: usize,
-    pub of: usize,
-    pub life: u64,
+    /// Index of the process whose view changed.
+    pub observer: usize,
+    /// Index of the process whose standing changed.
+    pub member: usize,
+    pub incarnation: u64,
     pub standing: String,
 }
 
-impl Held {
-    /// Lost or dead.
+impl StandingChange {
+    /// Whether the member is considered lost or dead.
     #[must_use]
-    pub fn is_over(&self) -> bool {
+    pub fn is_lost_or_dead(&self) -> bool {
         self.standing == "Lost" || self.standing == "Dead"
     }
 }
 
-/// What the operator's files of a fleet say beside the relays' addresses.
+/// Configuration of a fleet.
 #[derive(Clone, Debug)]
-pub struct Setting {
+pub struct RigConfig {
     pub processes: usize,
     pub seed: u64,
-    /// Further fields of `peers`, and of `returns`.
-    pub more: String,
-    pub returns: String,
-    /// Without membership, for comparisons.
-    pub off: bool,
-    /// What the platform's settings say of the number of routers.
-    pub told_routers: usize,
-    /// Whether the platform tells a list at the start.
-    pub known: bool,
-    /// Whether each process keeps a store, which outlasts it.
-    pub store: bool,
-    /// The first so many processes vote on leases; none if 0.
+    /// Additional fields of `peers` in the operator configuration.
+    pub peers_fields: String,
+    /// Additional fields of `returns` in the operator configuration.
+    pub returns_fields: String,
+    pub without_membership: bool,
+    /// Number of routers in the platform's configuration.
+    pub configured_routers: usize,
+    /// Whether the platform's configuration contains a host list.
+    pub initial_host_list: bool,
+    /// Whether each process stores its host list, which is kept across restarts.
+    pub with_stores: bool,
+    /// Number of processes that vote on leases, starting with the first.
     pub voters: usize,
-    /// Further fields of `leases`: its duties, its term.
-    pub leases: String,
-    /// Each process reaches hosts and discovery by ways of its own, which can be cut.
-    pub wires: bool,
-    /// By process: how wrong the clock is that it counts leases by, in millionths.
-    pub clocks: Vec<i64>,
+    /// Additional fields of `leases` in the operator configuration: duties and the term.
+    pub leases_fields: String,
+    /// Whether processes reach hosts and discovery over relays, which can be cut.
+    pub use_tcp_relays: bool,
+    /// By process: drift of the clock for leases in parts per million.
+    pub clock_drifts_ppm: Vec<i64>,
 }
 
-impl Setting {
+impl RigConfig {
+    /// A fleet of `processes` processes with membership, without stores and leases.
     #[must_use]
-    pub fn of(processes: usize) -> Setting {
-        let (more, returns, off, known, store) = (String::new(), String::new(), false, true, false);
-        let (leases, clocks) = (String::new(), Vec::new());
-        let (told_routers, voters) = (processes, 0);
-        let wires = false;
-        Setting {
+    pub fn new(processes: usize) -> RigConfig {
+        let (peers_fields, returns_fields, without_membership, initial_host_list, with_stores) =
+            (String::new(), String::new(), false, true, false);
+        let (leases_fields, clock_drifts_ppm) = (String::new(), Vec::new());
+        let (configured_routers, voters) = (processes, 0);
+        let use_tcp_relays = false;
+        RigConfig {
             processes,
             seed: 1,
-            more,
-            returns,
-            off,
-            told_routers,
-            known,
-            store,
+            peers_fields,
+            returns_fields,
+            without_membership,
+            configured_routers,
+            initial_host_list,
+            with_stores,
             voters,
-            leases,
-            wires,
-            clocks,
+            leases_fields,
+            use_tcp_relays,
+            clock_drifts_ppm,
         }
     }
 }
 
+/// A running fleet. Its processes and files are removed on drop.
 pub struct Rig {
-    pub town: Town,
-    pub relays: Relays,
-    /// Those of the leases' datagrams.
-    pub lease_relays: Relays,
-    /// The ways to hosts, and where each process finds discovery, if they are its own.
-    pub wires: Wires,
-    pub asks: Vec<SocketAddr>,
+    pub cluster: Cluster,
+    /// Relays of membership datagrams.
+    pub peer_relays: UdpRelays,
+    /// Relays of lease datagrams.
+    pub lease_relays: UdpRelays,
+    /// Relays to hosts, if the configuration enables them.
+    pub tcp_relays: TcpRelays,
+    /// By process: the address of its discovery.
+    pub discovery_addresses: Vec<SocketAddr>,
     program: PathBuf,
-    setting: Setting,
-    stores: PathBuf,
+    config: RigConfig,
+    directory: PathBuf,
     processes: Vec<Option<Process>>,
-    /// When each process started last, and the logs of those that ended.
-    started: Vec<i64>,
+    /// By process: time of the last start.
+    started_us: Vec<i64>,
+    /// By process: log lines of earlier runs, with the process's index.
     logs: Vec<Vec<(usize, String)>>,
-    /// The votes that each process had when the plan began.
-    older: Vec<Option<Vec<u8>>>,
+    /// By process: the vote file at the start of the plan.
+    old_votes: Vec<Option<Vec<u8>>>,
     runtime: Option<Runtime>,
 }
 
-/// Microseconds of the machine's monotonic clock.
+/// The machine's monotonic clock in microseconds.
 #[must_use]
-pub fn mono_us() -> i64 {
+pub fn monotonic_us() -> i64 {
     let now = rustix::time::clock_gettime(rustix::time::ClockId::Monotonic);
     now.tv_sec * 1_000_000 + now.tv_nsec / 1000
 }
 
-/// The number in a process's name.
-fn number(name: &str) -> Option<usize> {
+/// The index in a process's name.
+fn process_index(name: &str) -> Option<usize> {
     name.strip_prefix('n')?.parse().ok()
 }
 
-/// Tells the rigs of one process apart. Danger: two that start in one moment share a folder, each one's routers read the
-/// other's lists, and the first that ends takes it away.
-static NUMBER: AtomicU32 = AtomicU32::new(0);
+/// Number of the next rig. Without it, rigs that run at the same time in one process would share a directory.
+static NEXT_RIG: AtomicU32 = AtomicU32::new(0);
 
-/// A folder that is kept in memory, where the machine has one that takes files; else the usual one for what is temporary.
-/// Danger: voters answer once their votes are on disk. On a disk that others write to, that takes seconds now and then, and
-/// bounds that are meant for processes and words fail for it. What a rig kills are processes: memory outlives those.
+/// A writable directory in memory if the machine has one, otherwise the directory for temporary files. Voters reply
+/// only once their votes are on disk; on a busy disk, that would exceed the time limits of tests. Files in memory
+/// survive the kill of a process.
 #[must_use]
-pub fn memory() -> PathBuf {
+pub fn memory_directory() -> PathBuf {
     let mounts = std::fs::read_to_string("/proc/mounts").unwrap_or_default();
-    let mut folders = mounts.lines().filter_map(|line| {
-        let mut words = line.split(' ').skip(1);
-        let (folder, kind, how) = (words.next()?, words.next()?, words.next()?);
-        let fits = kind == "tmpfs" && how.split(',').any(|word| word == "rw") && !folder.starts_with("/sys");
-        fits.then(|| PathBuf::from(folder))
+    let mut directories = mounts.lines().filter_map(|line| {
+        let mut fields = line.split(' ').skip(1);
+        let (directory, file_system, options) = (fields.next()?, fields.next()?, fields.next()?);
+        let suitable = file_system == "tmpfs"
+            && options.split(',').any(|option| option == "rw")
+            && !directory.starts_with("/sys");
+        suitable.then(|| PathBuf::from(directory))
     });
-    let takes_files = |folder: &PathBuf| {
-        let probe = folder.join(format!("arrowyard-probe-{}", std::process::id()));
-        let works = std::fs::write(&probe, [0; 4096]).is_ok();
+    let is_writable = |directory: &PathBuf| {
+        let probe = directory.join(format!("arrowyard-probe-{}", std::process::id()));
+        let written = std::fs::write(&probe, [0; 4096]).is_ok();
         drop(std::fs::remove_file(&probe));
-        works
+        written
     };
-    folders.find(takes_files).unwrap_or_else(std::env::temp_dir)
+    directories.find(is_writable).unwrap_or_else(std::env::temp_dir)
 }
 
 impl Rig {
-    /// Starts the processes; they know some seeds, one of which nobody listens at.
+    /// Starts the cluster, the relays and the processes. The seeds of each process include an address without a
+    /// listener.
     ///
     /// # Errors
-    /// What a process said that did not start.
-    pub fn start(program: &Path, setting: Setting) -> Result<Rig, String> {
-        let host = |name: &str| Spec { slots: 64, ..Spec::new(name, 7, name == "p-0") };
-        let town = Town::start(&["p-0", "r-0", "r-1"].map(host));
+    /// A process did not start; the error contains its log.
+    pub fn start(program: &Path, config: RigConfig) -> Result<Rig, String> {
+        let host = |name: &str| HostSpec { slots: 64, ..HostSpec::new(name, 7, name == "p-0") };
+        let cluster = Cluster::start(&["p-0", "r-0", "r-1"].map(host));
         let runtime = Builder::new_multi_thread().worker_threads(2).enable_all().build();
         let runtime = runtime.map_err(|error| error.to_string())?;
-        let relays = runtime.block_on(Relays::start(setting.processes, setting.seed));
-        let lease_relays = runtime.block_on(Relays::start(setting.processes, setting.seed + 1));
-        let count = setting.processes;
-        let wires = Wires::new(runtime.handle().clone());
-        let asks = (0..count).map(|who| {
-            if !setting.wires {
-                return town.discovery;
+        let peer_relays = runtime.block_on(UdpRelays::start(config.processes, config.seed));
+        let lease_relays = runtime.block_on(UdpRelays::start(config.processes, config.seed + 1));
+        let count = config.processes;
+        let tcp_relays = TcpRelays::new(runtime.handle().clone());
+        let discovery_addresses = (0..count).map(|process| {
+            if !config.use_tcp_relays {
+                return cluster.discovery_address;
             }
-            let at = town.discover();
-            town.faces(at, |real| wires.face(who, real));
-            at
+            let discovery = cluster.start_discovery();
+            cluster.set_advertised_addresses(discovery, |host| tcp_relays.address(process, host));
+            discovery
         });
-        let asks = asks.collect();
+        let discovery_addresses = discovery_addresses.collect();
         let mut rig = Rig {
-            town,
-            relays,
+            cluster,
+            peer_relays,
             lease_relays,
-            wires,
-            asks,
+            tcp_relays,
+            discovery_addresses,
             program: program.to_path_buf(),
-            stores: memory().join(format!(
+            directory: memory_directory().join(format!(
                 "arrowyard-stores-{}-{}",
                 std::process::id(),
-                NUMBER.fetch_add(1, Ordering::Relaxed)
+                NEXT_RIG.fetch_add(1, Ordering::Relaxed)
             )),
             processes: (0..count).map(|_| None).collect(),
-            started: vec![0; count],
+            started_us: vec![0; count],
             logs: vec![Vec::new(); count],
-            older: vec![None; count],
+            old_votes: vec![None; count],
             runtime: Some(runtime),
-            setting,
+            config,
         };
-        (0..rig.setting.voters).try_for_each(|who| rig.init(who))?;
-        (0..count).try_for_each(|who| rig.begin(who))?;
+        (0..rig.config.voters).try_for_each(|process| rig.init_voter(process))?;
+        (0..count).try_for_each(|process| rig.start_process(process))?;
         Ok(rig)
     }
 
-    /// Whether it plays without membership.
+    /// Whether the fleet runs without membership.
     #[must_use]
-    pub fn is_off(&self) -> bool {
-        self.setting.off
+    pub fn is_without_membership(&self) -> bool {
+        self.config.without_membership
     }
 
-    /// The operator's file of a process.
+    /// The operator configuration of a process.
     #[must_use]
-    pub fn book(&self, who: usize) -> String {
-        let mut head = "epoch: 1\nlog { form: JSON lines_a_second: 100000 }\n".to_string();
-        if self.setting.store {
-            let (store, more) = (self.store(who), &self.setting.returns);
-            head += &format!("returns {{ store: \"{}\" save_ms: 200 {more} }}\n", store.display());
+    pub fn operator_config(&self, process: usize) -> String {
+        let mut text = "epoch: 1\nlog { form: JSON lines_a_second: 100000 }\n".to_string();
+        if self.config.with_stores {
+            let (store, returns_fields) = (self.store_path(process), &self.config.returns_fields);
+            text += &format!("returns {{ store: \"{}\" save_ms: 200 {returns_fields} }}\n", store.display());
         }
-        if self.setting.voters > 0 {
-            let voters = (0..self.setting.voters).map(|voter| {
-                // A voter says to itself what it has to say to itself.
-                let at = if voter == who {
+        if self.config.voters > 0 {
+            let voters = (0..self.config.voters).map(|voter| {
+                // A voter does not send datagrams to itself.
+                let address = if voter == process {
                     "127.0.0.1:1".to_string()
                 } else {
-                    self.lease_relays.face(who, voter).to_string()
+                    self.lease_relays.address(process, voter).to_string()
                 };
-                format!("  voter {{ name: \"n{voter}\" at: \"{at}\" }}\n")
+                format!("  voter {{ name: \"n{voter}\" at: \"{address}\" }}\n")
             });
-            head += &format!(
+            text += &format!(
                 "leases {{\n  fleet: \"rig\"\n  listen: \"127.0.0.1:0\"\n  store: \"{}\"\n{}  {}\n}}\n",
-                self.votes(who).display(),
+                self.vote_store_path(process).display(),
                 voters.collect::<String>(),
-                self.setting.leases
+                self.config.leases_fields
             );
         }
-        if self.setting.off {
-            return head;
+        if self.config.without_membership {
+            return text;
         }
-        let others = (0..self.setting.processes).filter(|&other| other != who);
-        let via = others
-            .clone()
-            .map(|to| format!("  via {{ name: \"n{to}\" at: \"{}\" }}\n", self.relays.face(who, to)));
-        let seeds = others.take(2).map(|to| format!("  seed: \"{}\"\n", self.relays.face(who, to)));
-        // A port that nobody has.
-        let gone = "  seed: \"127.0.0.1:1\"\n";
+        let others = (0..self.config.processes).filter(|&other| other != process);
+        let via = others.clone().map(|other| {
+            format!("  via {{ name: \"n{other}\" at: \"{}\" }}\n", self.peer_relays.address(process, other))
+        });
+        let seeds =
+            others.take(2).map(|other| format!("  seed: \"{}\"\n", self.peer_relays.address(process, other)));
+        // An address without a listener.
+        let unreachable_seed = "  seed: \"127.0.0.1:1\"\n";
         format!(
-            "{head}peers {{\n  fleet: \"rig\"\n  listen: \"127.0.0.1:0\"\n  allow: \"127.0.0.0/8\"\n{gone}{}{}  {}\n}}\n",
+            "{text}peers {{\n  fleet: \"rig\"\n  listen: \"127.0.0.1:0\"\n  allow: \"127.0.0.0/8\"\n{unreachable_seed}{}{}  {}\n}}\n",
             seeds.collect::<String>(),
             via.collect::<String>(),
-            self.setting.more
+            self.config.peers_fields
         )
     }
 
-    /// Where a process keeps its store.
+    /// Directory of a process's stored host lists.
     #[must_use]
-    pub fn store(&self, who: usize) -> PathBuf {
-        self.stores.join(format!("n{who}"))
+    pub fn store_path(&self, process: usize) -> PathBuf {
+        self.directory.join(format!("n{process}"))
     }
 
-    /// Makes the place for a voter's votes, as an operator would.
-    fn init(&self, who: usize) -> Result<(), String> {
-        let text = |error: std::io::Error| error.to_string();
-        std::fs::create_dir_all(&self.stores).map_err(text)?;
-        let book = self.stores.join(format!("book{who}.txtpb"));
-        std::fs::write(&book, self.book(who)).map_err(text)?;
-        let done = Command::new(&self.program)
-            .args(["leases", "init", "--name", &format!("n{who}"), "--book"])
-            .arg(book)
+    /// Creates a voter's vote store with the command for operators.
+    fn init_voter(&self, process: usize) -> Result<(), String> {
+        let to_text = |error: std::io::Error| error.to_string();
+        std::fs::create_dir_all(&self.directory).map_err(to_text)?;
+        let config_path = self.directory.join(format!("book{process}.txtpb"));
+        std::fs::write(&config_path, self.operator_config(process)).map_err(to_text)?;
+        let output = Command::new(&self.program)
+            .args(["leases", "init", "--name", &format!("n{process}"), "--book"])
+            .arg(config_path)
             .output()
-            .map_err(text)?;
-        if done.status.success() { Ok(()) } else { Err(String::from_utf8_lossy(&done.stderr).into_owned()) }
+            .map_err(to_text)?;
+        if output.status.success() {
+            Ok(())
+        } else {
+            Err(String::from_utf8_lossy(&output.stderr).into_owned())
+        }
     }
 
-    /// Where a process keeps its votes.
+    /// Directory of a process's vote store.
     #[must_use]
-    pub fn votes(&self, who: usize) -> PathBuf {
-        self.stores.join(format!("v{who}"))
+    pub fn vote_store_path(&self, process: usize) -> PathBuf {
+        self.directory.join(format!("v{process}"))
     }
 
-    /// Starts a process, anew if it ran before.
+    /// Starts or restarts a process.
     ///
     /// # Errors
-    /// What it said when it did not start.
-    pub fn begin(&mut self, who: usize) -> Result<(), String> {
-        self.keep_log(who);
-        let mut waybill = waybill(&self.town, &OP_TYPES, 512);
-        waybill["name"] = json!(format!("n{who}"));
-        waybill["seed"] = json!(format!("{:016x}", self.setting.seed * 1000 + who as u64));
-        waybill["discovery"] = json!(self.asks[who].to_string());
-        if !self.setting.known || self.setting.wires {
-            waybill.as_object_mut().expect("it is an object").remove("known");
+    /// It did not start; the error contains its log.
+    pub fn start_process(&mut self, process: usize) -> Result<(), String> {
+        self.save_log(process);
+        let mut platform_config = platform_config(&self.cluster, &OP_TYPES, 512);
+        platform_config["name"] = json!(format!("n{process}"));
+        platform_config["seed"] = json!(format!("{:016x}", self.config.seed * 1000 + process as u64));
+        platform_config["discovery"] = json!(self.discovery_addresses[process].to_string());
+        if !self.config.initial_host_list || self.config.use_tcp_relays {
+            platform_config.as_object_mut().expect("the configuration is an object").remove("known");
         }
-        waybill["settings"]["balancers"] = json!(self.setting.told_routers);
-        self.started[who] = mono_us();
-        let ppm = self.setting.clocks.get(who).copied().unwrap_or_default();
-        let envs = [("ARROWYARD_TEST_CLOCK_PPM", ppm.to_string())];
-        let process = Process::start_with(&self.program, &waybill, Some(&self.book(who)), &envs)?;
-        let log = process.log.lock().expect("nobody panics with the log").clone();
-        let told = |what: &str| {
+        platform_config["settings"]["balancers"] = json!(self.config.configured_routers);
+        self.started_us[process] = monotonic_us();
+        let drift_ppm = self.config.clock_drifts_ppm.get(process).copied().unwrap_or_default();
+        let variables = [("ARROWYARD_TEST_CLOCK_PPM", drift_ppm.to_string())];
+        let router = Process::start_with_env(
+            &self.program,
+            &platform_config,
+            Some(&self.operator_config(process)),
+            &variables,
+        )?;
+        let log = router.log.lock().expect("the lock is not poisoned").clone();
+        let logged_address = |prefix: &str| {
             log.iter().find_map(|line| {
-                let (_, rest) = line.split_once(what)?;
+                let (_, rest) = line.split_once(prefix)?;
                 rest.split(['"', ' ']).next()?.parse().ok()
             })
         };
-        self.relays.place(who, told("datagrams at "));
-        self.lease_relays.place(who, told("leases at "));
-        self.processes[who] = Some(process);
+        self.peer_relays.set_process_address(process, logged_address("datagrams at "));
+        self.lease_relays.set_process_address(process, logged_address("leases at "));
+        self.processes[process] = Some(router);
         Ok(())
     }
 
-    fn keep_log(&mut self, who: usize) {
-        if let Some(process) = self.processes[who].take() {
-            let lines = process.log.lock().expect("nobody panics with the log").clone();
-            self.logs[who].extend(lines.into_iter().map(|line| (who, line)));
+    fn save_log(&mut self, process: usize) {
+        if let Some(router) = self.processes[process].take() {
+            let lines = router.log.lock().expect("the lock is not poisoned").clone();
+            self.logs[process].extend(lines.into_iter().map(|line| (process, line)));
         }
     }
 
-    /// Kills a process at once.
-    pub fn kill(&mut self, who: usize) {
-        if let Some(process) = &self.processes[who] {
-            process.signal("KILL");
+    /// Kills a process.
+    pub fn kill(&mut self, process: usize) {
+        if let Some(router) = &self.processes[process] {
+            router.signal("KILL");
         }
-        self.relays.place(who, None);
-        self.lease_relays.place(who, None);
-        self.keep_log(who);
+        self.peer_relays.set_process_address(process, None);
+        self.lease_relays.set_process_address(process, None);
+        self.save_log(process);
     }
 
-    /// Ends a process as planned; its exit code.
-    pub fn end(&mut self, who: usize) -> Option<i32> {
-        let code = self.processes[who].as_mut().and_then(Process::terminate);
-        self.relays.place(who, None);
-        self.lease_relays.place(who, None);
-        self.keep_log(who);
+    /// Shuts a process down and returns its exit code.
+    pub fn shut_down(&mut self, process: usize) -> Option<i32> {
+        let code = self.processes[process].as_mut().and_then(Process::terminate);
+        self.peer_relays.set_process_address(process, None);
+        self.lease_relays.set_process_address(process, None);
+        self.save_log(process);
         code
     }
 
+    /// The process of this index, if it runs.
     #[must_use]
-    pub fn process(&self, who: usize) -> Option<&Process> {
-        self.processes[who].as_ref()
+    pub fn process(&self, process: usize) -> Option<&Process> {
+        self.processes[process].as_ref()
     }
 
+    /// Indices of the processes that run.
     #[must_use]
     pub fn running(&self) -> Vec<usize> {
-        (0..self.processes.len()).filter(|&who| self.processes[who].is_some()).collect()
+        (0..self.processes.len()).filter(|&process| self.processes[process].is_some()).collect()
     }
 
-    /// What a process shows of its view; nothing while it does not answer.
+    /// A process's view of the fleet, `None` if it does not reply.
     #[must_use]
-    pub fn view(&self, who: usize) -> Option<Value> {
-        self.show(who, "peers")
+    pub fn view(&self, process: usize) -> Option<Value> {
+        self.show(process, "peers")
     }
 
-    /// What a process shows of this; nothing while it does not answer.
+    /// The process's reply to `SHOW <name>`, `None` if it does not reply.
     #[must_use]
-    pub fn show(&self, who: usize, what: &str) -> Option<Value> {
-        let address = self.processes[who].as_ref()?.address;
-        let asked = async {
+    pub fn show(&self, process: usize, name: &str) -> Option<Value> {
+        let address = self.processes[process].as_ref()?.address;
+        let reply = async {
             let mut client = Client::connect(address).await.ok()?;
-            let Ok(Reply::Value(text)) = client.ask(&format!("SHOW {what}")).await else { return None };
+            let Ok(Reply::Value(text)) = client.execute(&format!("SHOW {name}")).await else { return None };
             serde_json::from_str(&text).ok()
         };
-        let within = Duration::from_millis(1000);
-        self.runtime().block_on(async { tokio::time::timeout(within, asked).await.ok().flatten() })
+        let timeout = Duration::from_millis(1000);
+        self.runtime().block_on(async { tokio::time::timeout(timeout, reply).await.ok().flatten() })
     }
 
     fn runtime(&self) -> &Runtime {
-        self.runtime.as_ref().expect("it is there till the rig is dropped")
+        self.runtime.as_ref().expect("the runtime exists until the drop")
     }
 
-    /// Whether each process that runs holds the others that run alive, and no others.
+    /// Whether each running process considers exactly the other running ones alive.
     #[must_use]
-    pub fn agreed(&self) -> bool {
+    pub fn is_agreed(&self) -> bool {
         let running = self.running();
-        running.iter().all(|&who| {
-            let Some(view) = self.view(who) else { return false };
-            let alive = |row: &&Value| row["standing"] == "alive";
+        running.iter().all(|&process| {
+            let Some(view) = self.view(process) else { return false };
+            let is_alive = |row: &&Value| row["standing"] == "alive";
             let rows = view["peers"].as_array().map(Vec::as_slice).unwrap_or_default();
-            let mut held: Vec<usize> =
-                rows.iter().filter(alive).filter_map(|row| number(row["name"].as_str()?)).collect();
-            held.push(who);
-            held.sort_unstable();
-            held == running
+            let mut alive: Vec<usize> =
+                rows.iter().filter(is_alive).filter_map(|row| process_index(row["name"].as_str()?)).collect();
+            alive.push(process);
+            alive.sort_unstable();
+            alive == running
         })
     }
 
-    /// Waits till all agree; how long it took, or nothing if that was too long.
+    /// Waits until all processes agree on the fleet. Returns how long it took, `None` on timeout.
     #[must_use]
-    pub fn agree(&self, within: Duration) -> Option<Duration> {
+    pub fn wait_for_agreement(&self, timeout: Duration) -> Option<Duration> {
         let began = Instant::now();
-        while began.elapsed() < within {
-            if self.agreed() {
+        while began.elapsed() < timeout {
+            if self.is_agreed() {
                 return Some(began.elapsed());
             }
             std::thread::sleep(Duration::from_millis(25));
@@ -383,83 +405,97 @@
         None
     }
 
-    /// Plays the plan's acts from now on, the first one at once, and on till so long after its last end. The time at which
-    /// the first began, and the time of each kill or end with its act.
-    pub fn play(&mut self, plan: &Plan, after: Duration) -> i64 {
-        let first = plan.acts.iter().map(|act| act.at_ms).min().unwrap_or_default();
+    /// Runs the plan, with the first fault at once, and waits for `after` once the last one has ended. Returns the time
+    /// at which the first fault began.
+    pub fn run_plan(&mut self, plan: &Plan, after: Duration) -> i64 {
+        let first_ms = plan.faults.iter().map(|planned| planned.at_ms).min().unwrap_or_default();
         let began = Instant::now();
-        let zero = mono_us();
-        self.older =
-            (0..self.processes.len()).map(|who| std::fs::read(self.votes(who).join("votes")).ok()).collect();
-        let mut last = 0;
-        for (at_ms, act, begins) in plan.steps() {
-            let at = Duration::from_millis(at_ms - first);
-            last = at_ms - first;
+        let began_us = monotonic_us();
+        self.old_votes = (0..self.processes.len())
+            .map(|process| std::fs::read(self.vote_store_path(process).join("votes")).ok())
+            .collect();
+        let mut last_ms = 0;
+        for (at_ms, index, starts) in plan.steps() {
+            let at = Duration::from_millis(at_ms - first_ms);
+            last_ms = at_ms - first_ms;
             std::thread::sleep(at.saturating_sub(began.elapsed()));
-            self.step(act, &plan.acts[act].fault, begins);
+            self.apply_step(index, &plan.faults[index].fault, starts);
         }
-        let end = Duration::from_millis(last) + after;
+        let end = Duration::from_millis(last_ms) + after;
         std::thread::sleep(end.saturating_sub(began.elapsed()));
-        zero
+        began_us
     }
 
-    fn signal(&self, who: &[usize], name: &str) {
-        who.iter().filter_map(|&who| self.processes[who].as_ref()).for_each(|process| process.signal(name));
+    fn signal(&self, processes: &[usize], name: &str) {
+        processes
+            .iter()
+            .filter_map(|&process| self.processes[process].as_ref())
+            .for_each(|router| router.signal(name));
     }
 
-    fn step(&mut self, act: usize, fault: &Fault, begins: bool) {
+    /// Starts or ends a fault.
+    fn apply_step(&mut self, index: usize, fault: &Fault, starts: bool) {
         let pairs = |from: &[usize], to: &[usize]| -> Vec<(usize, usize)> {
-            from.iter().flat_map(|&one| to.iter().map(move |&two| (one, two))).collect()
+            from.iter().flat_map(|&sender| to.iter().map(move |&receiver| (sender, receiver))).collect()
         };
-        match (fault, begins) {
-            (Fault::Halt(who), true) => self.signal(who, "STOP"),
-            (Fault::Halt(who), false) => self.signal(who, "CONT"),
-            (Fault::Kill(who) | Fault::LoseVotes(who) | Fault::OlderVotes(who), true) => {
-                who.iter().for_each(|&who| self.kill(who));
+        match (fault, starts) {
+            (Fault::Pause(processes), true) => self.signal(processes, "STOP"),
+            (Fault::Pause(processes), false) => self.signal(processes, "CONT"),
+            (
+                Fault::Kill(processes) | Fault::LoseVotes(processes) | Fault::RestoreOldVotes(processes),
+                true,
+            ) => {
+                processes.iter().for_each(|&process| self.kill(process));
             }
-            (Fault::LoseVotes(who), false) => who.iter().for_each(|&who| {
-                let _ = std::fs::remove_file(self.votes(who).join("votes"));
-                self.begin(who).expect("it starts again");
+            (Fault::LoseVotes(processes), false) => processes.iter().for_each(|&process| {
+                let _ = std::fs::remove_file(self.vote_store_path(process).join("votes"));
+                self.start_process(process).expect("the process restarts");
             }),
-            (Fault::OlderVotes(who), false) => who.iter().for_each(|&who| {
-                if let Some(votes) = &self.older[who] {
-                    let _ = std::fs::write(self.votes(who).join("votes"), votes);
+            (Fault::RestoreOldVotes(processes), false) => processes.iter().for_each(|&process| {
+                if let Some(votes) = &self.old_votes[process] {
+                    let _ = std::fs::write(self.vote_store_path(process).join("votes"), votes);
                 }
-                self.begin(who).expect("it starts again");
+                self.start_process(process).expect("the process restarts");
             }),
-            (Fault::End(who), true) => {
-                who.iter().for_each(|&who| {
-                    self.end(who);
+            (Fault::Shutdown(processes), true) => {
+                processes.iter().for_each(|&process| {
+                    self.shut_down(process);
                 });
             }
-            (Fault::EndUnheard(who), true) => {
+            (Fault::SilentShutdown(processes), true) => {
                 let others: Vec<usize> =
-                    (0..self.processes.len()).filter(|other| !who.contains(other)).collect();
-                self.relays.cut(act, pairs(who, &others).into_iter().collect());
-                who.iter().for_each(|&who| {
-                    self.end(who);
+                    (0..self.processes.len()).filter(|other| !processes.contains(other)).collect();
+                self.peer_relays.cut(index, pairs(processes, &others).into_iter().collect());
+                processes.iter().for_each(|&process| {
+                    self.shut_down(process);
                 });
-                self.relays.heal(act);
+                self.peer_relays.heal(index);
             }
-            (Fault::Kill(who) | Fault::End(who) | Fault::EndUnheard(who), false) => {
-                who.iter().for_each(|&who| self.begin(who).expect("it starts again"));
+            (
+                Fault::Kill(processes) | Fault::Shutdown(processes) | Fault::SilentShutdown(processes),
+                false,
+            ) => {
+                processes
+                    .iter()
+                    .for_each(|&process| self.start_process(process).expect("the process restarts"));
             }
-            (fault, begins) => {
-                let on = |share: f64| if begins { share } else { 0.0 };
-                for relays in [&self.relays, &self.lease_relays] {
+            (fault, starts) => {
+                let share_if_active = |share: f64| if starts { share } else { 0.0 };
+                for relays in [&self.peer_relays, &self.lease_relays] {
                     match fault {
-                        Fault::Cut(from, to) if begins => {
-                            relays.cut(act, pairs(from, to).into_iter().collect());
+                        Fault::OneWayPartition(from, to) if starts => {
+                            relays.cut(index, pairs(from, to).into_iter().collect());
                         }
-                        Fault::Part(one, two) if begins => {
-                            let both = pairs(one, two).into_iter().chain(pairs(two, one)).collect();
-                            relays.cut(act, both);
+                        Fault::Partition(first, second) if starts => {
+                            let both_ways =
+                                pairs(first, second).into_iter().chain(pairs(second, first)).collect();
+                            relays.cut(index, both_ways);
                         }
-                        Fault::Cut(..) | Fault::Part(..) => relays.heal(act),
-                        Fault::Lose(share) => relays.lose(on(*share)),
-                        Fault::Double(share) => relays.double(on(*share)),
-                        Fault::Garble(share) => relays.garble(on(*share)),
-                        Fault::Delay { ms } => relays.delay(if begins { *ms } else { 0 }),
+                        Fault::OneWayPartition(..) | Fault::Partition(..) => relays.heal(index),
+                        Fault::PacketLoss(share) => relays.set_loss(share_if_active(*share)),
+                        Fault::Duplication(share) => relays.set_duplication(share_if_active(*share)),
+                        Fault::Corruption(share) => relays.set_corruption(share_if_active(*share)),
+                        Fault::Delay { ms } => relays.set_delay(if starts { *ms } else { 0 }),
                         _ => {}
                     }
                 }
@@ -467,84 +503,99 @@
         }
     }
 
-    /// All that every process held of every other one, in the order of time.
+    /// All logged changes of standing in the order of time.
     #[must_use]
-    pub fn history(&self) -> Vec<Held> {
-        let mut held = Vec::new();
-        let mut read = |by: usize, line: &str| {
-            let Ok(told) = serde_json::from_str::<Value>(line) else { return };
-            let standing = told["message"].as_str().and_then(|text| text.strip_prefix("peer is "));
+    pub fn standing_changes(&self) -> Vec<StandingChange> {
+        let mut changes = Vec::new();
+        let mut parse_line = |observer: usize, line: &str| {
+            let Ok(entry) = serde_json::from_str::<Value>(line) else { return };
+            let standing = entry["message"].as_str().and_then(|text| text.strip_prefix("peer is "));
             let Some(standing) = standing else { return };
-            let Some(of) = told["peer"].as_str().and_then(number) else { return };
-            let (mono_us, life) = (told["mono_us"].as_i64(), told["life"].as_u64());
-            let (mono_us, life) = (mono_us.unwrap_or_default(), life.unwrap_or_default());
-            held.push(Held { mono_us, by, of, life, standing: standing.to_string() });
+            let Some(member) = entry["peer"].as_str().and_then(process_index) else { return };
+            let (mono_us, incarnation) = (entry["mono_us"].as_i64(), entry["life"].as_u64());
+            let (mono_us, incarnation) = (mono_us.unwrap_or_default(), incarnation.unwrap_or_default());
+            changes.push(StandingChange {
+                mono_us,
+                observer,
+                member,
+                incarnation,
+                standing: standing.to_string(),
+            });
         };
-        for (by, lines) in self.logs.iter().enumerate() {
-            lines.iter().for_each(|(_, line)| read(by, line));
+        for (observer, lines) in self.logs.iter().enumerate() {
+            lines.iter().for_each(|(_, line)| parse_line(observer, line));
         }
-        for (by, process) in self.processes.iter().enumerate() {
+        for (observer, process) in self.processes.iter().enumerate() {
             if let Some(process) = process {
                 process
                     .log
                     .lock()
-                    .expect("nobody panics with the log")
+                    .expect("the lock is not poisoned")
                     .iter()
-                    .for_each(|line| read(by, line));
+                    .for_each(|line| parse_line(observer, line));
             }
         }
-        held.sort_by_key(|held| held.mono_us);
-        held
+        changes.sort_by_key(|change| change.mono_us);
+        changes
     }
 
-    /// All lines that hold this, of each process, with the number of the process: those of former lives, too.
+    /// All log entries that contain `text`, each with the index of the process, also from before restarts.
     #[must_use]
-    pub fn lines(&self, what: &str) -> Vec<(usize, Value)> {
-        let mut found: Vec<(usize, String)> = Vec::new();
-        for (who, lines) in self.logs.iter().enumerate() {
-            found.extend(lines.iter().map(|(_, line)| (who, line.clone())));
+    pub fn log_entries(&self, text: &str) -> Vec<(usize, Value)> {
+        let mut lines: Vec<(usize, String)> = Vec::new();
+        for (index, old_lines) in self.logs.iter().enumerate() {
+            lines.extend(old_lines.iter().map(|(_, line)| (index, line.clone())));
         }
-        for (who, process) in self.processes.iter().enumerate() {
-            let lines = process
+        for (index, process) in self.processes.iter().enumerate() {
+            let current_lines = process
                 .iter()
-                .flat_map(|process| process.log.lock().expect("nobody panics with the log").clone());
-            found.extend(lines.map(|line| (who, line)));
+                .flat_map(|process| process.log.lock().expect("the lock is not poisoned").clone());
+            lines.extend(current_lines.map(|line| (index, line)));
         }
-        let held = found.into_iter().filter(|(_, line)| line.contains(what));
-        held.filter_map(|(who, line)| Some((who, serde_json::from_str(&line).ok()?))).collect()
+        let matching = lines.into_iter().filter(|(_, line)| line.contains(text));
+        matching.filter_map(|(index, line)| Some((index, serde_json::from_str(&line).ok()?))).collect()
     }
 
-    /// Deaths and losses that were held of a process which ran then, since that time.
+    /// Changes after `since_us` in which a process was considered lost or dead although it ran, according to
+    /// `was_running`.
     #[must_use]
-    pub fn wrong(&self, since: i64, ran: impl Fn(usize, i64) -> bool) -> Vec<Held> {
-        let over = |held: &Held| held.mono_us >= since && held.is_over() && ran(held.of, held.mono_us);
-        self.history().into_iter().filter(over).collect()
+    pub fn false_deaths(
+        &self,
+        since_us: i64,
+        was_running: impl Fn(usize, i64) -> bool,
+    ) -> Vec<StandingChange> {
+        let is_false_death = |change: &StandingChange| {
+            change.mono_us >= since_us
+                && change.is_lost_or_dead()
+                && was_running(change.member, change.mono_us)
+        };
+        self.standing_changes().into_iter().filter(is_false_death).collect()
     }
 
-    /// How long each process that runs says that its last start took till service was full, in milliseconds.
+    /// By running process: the logged time from its last start to full service in milliseconds.
     #[must_use]
-    pub fn full(&self) -> Vec<Option<u64>> {
-        let told = |process: &Process| {
-            let log = process.log.lock().expect("nobody panics with the log");
+    pub fn startup_times_ms(&self) -> Vec<Option<u64>> {
+        let startup_time = |process: &Process| {
+            let log = process.log.lock().expect("the lock is not poisoned");
             let line = log.iter().find(|line| line.contains("service is full"))?;
             serde_json::from_str::<Value>(line).ok()?["ms"].as_u64()
         };
-        self.processes.iter().flatten().map(told).collect()
+        self.processes.iter().flatten().map(startup_time).collect()
     }
 
-    /// Core time in ticks and memory in KB of all that run.
+    /// Sum of the CPU times in clock ticks and maximum of the memory in KB of all running processes.
     #[must_use]
-    pub fn cost(&self) -> (u64, u64) {
-        let costs = self.processes.iter().flatten().map(Process::cost);
-        costs.fold((0, 0), |sum, cost| (sum.0 + cost.0, sum.1.max(cost.1)))
+    pub fn resource_usage(&self) -> (u64, u64) {
+        let usages = self.processes.iter().flatten().map(Process::resource_usage);
+        usages.fold((0, 0), |total, usage| (total.0 + usage.0, total.1.max(usage.1)))
     }
 }
 
 impl Drop for Rig {
     fn drop(&mut self) {
-        // A halted process does not end before it runs again, but for a kill, which the processes' own drop is.
+        // Dropping the processes kills them, which ends paused ones as well.
         self.processes.clear();
-        let _ = std::fs::remove_dir_all(&self.stores);
+        let _ = std::fs::remove_dir_all(&self.directory);
         if let Some(runtime) = self.runtime.take() {
             runtime.shutdown_background();
         }
--- a/crates/arrowyard-testbed/src/router.rs
+++ b/crates/arrowyard-testbed/src/router.rs
@@ -1,4 +1,4 @@
-//! The program under test as a process: its file, its log, its end.
+//! The router program under test as a child process: its configuration files, its log and its exit.
 
 use std::io::{BufRead, BufReader};
 use std::net::SocketAddr;
@@ -10,53 +10,60 @@
 
 use serde_json::{Value, json};
 
-use crate::town::Town;
+use crate::cluster::Cluster;
 
-/// An op type, as the platform's file tells it.
+/// An op type of the platform's configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct OpType {
     pub name: &'static str,
+    /// Latency target.
     pub target_ms: u32,
     pub timeout_ms: u32,
     /// `read_like`, `idempotency_key` or `non_idempotent`.
     pub effect: &'static str,
     /// `loose`, `recent`, `own_writes`, `latest` or `update`.
-    pub read: &'static str,
+    pub read_level: &'static str,
 }
 
-/// What most runs ask for.
+/// The op types used by most tests and tools.
 pub const OP_TYPES: [OpType; 4] = [
-    OpType { name: "board-view", target_ms: 60, timeout_ms: 400, effect: "read_like", read: "recent" },
-    OpType { name: "own-turn", target_ms: 60, timeout_ms: 400, effect: "read_like", read: "own_writes" },
+    OpType { name: "board-view", target_ms: 60, timeout_ms: 400, effect: "read_like", read_level: "recent" },
+    OpType {
+        name: "own-turn",
+        target_ms: 60,
+        timeout_ms: 400,
+        effect: "read_like",
+        read_level: "own_writes",
+    },
     OpType {
         name: "turn-submit",
         target_ms: 100,
         timeout_ms: 500,
         effect: "idempotency_key",
-        read: "update",
+        read_level: "update",
     },
-    OpType { name: "standings", target_ms: 120, timeout_ms: 600, effect: "read_like", read: "loose" },
+    OpType { name: "standings", target_ms: 120, timeout_ms: 600, effect: "read_like", read_level: "loose" },
 ];
 
-/// The platform's file for a router before this town.
-pub fn waybill(town: &Town, op_types: &[OpType], sockets: u32) -> Value {
+/// The platform's configuration file for a router in front of the cluster.
+pub fn platform_config(cluster: &Cluster, op_types: &[OpType], sockets: u32) -> Value {
     let grades: Vec<Value> = op_types
         .iter()
-        .map(|row| {
-            json!({"name": row.name, "credit": 1.0, "objective": row.target_ms, "deadline": row.timeout_ms,
-                "late_worth": 0.5, "effect": row.effect, "group": "cell", "memory_span": 2000.0})
+        .map(|op_type| {
+            json!({"name": op_type.name, "credit": 1.0, "objective": op_type.target_ms, "deadline": op_type.timeout_ms,
+                "late_worth": 0.5, "effect": op_type.effect, "group": "cell", "memory_span": 2000.0})
         })
         .collect();
     json!({
-        "name": "n0", "listen": "127.0.0.1:0", "discovery": town.discovery.to_string(), "seed": "8c1f30d27a5be964",
-        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets}, "known": town.known(),
+        "name": "n0", "listen": "127.0.0.1:0", "discovery": cluster.discovery_address.to_string(), "seed": "8c1f30d27a5be964",
+        "limits": {"cores": 1.0, "memory_mb": 192, "sockets": sockets}, "known": cluster.initial_host_list(),
         "settings": {
             "balancers": 1, "granularity": 5.0, "discovery": "on_request", "dcs": ["a"],
             "caps": {"cancel": true, "dial_timeout": 250.0, "idle_close": 15000.0, "max_retry_after": 2000.0,
                 "open_cap": 100000, "parallel_tries": false, "probing": true, "retry_after": true, "send_cap": 6},
             "clients": {"marks_retry": true},
             "domain": {"list_role": "delayed", "progress_told": true, "server_checks": "silent",
-                "token_mode": "router", "read_level": op_types.iter().map(|row| row.read).collect::<Vec<_>>(),
+                "token_mode": "router", "read_level": op_types.iter().map(|op_type| op_type.read_level).collect::<Vec<_>>(),
                 "oldest_data": op_types.iter().map(|_| 300.0).collect::<Vec<_>>()},
             "invariants": {"answer_slack": 20.0, "ask_within": 10000.0, "cold": 13000.0, "cold_from": 0.2,
                 "drain_grace": 500.0, "fall": 1500.0, "fall_multiple": 2.0},
@@ -65,132 +72,140 @@
     })
 }
 
-/// A router that runs till this is dropped.
+/// A router process, killed on drop.
 pub struct Process {
     child: Child,
     pub address: SocketAddr,
-    /// Where it serves Flight SQL, if it does.
-    pub flight: Option<SocketAddr>,
-    folder: PathBuf,
+    /// Address of its separate Flight SQL listener, if it has one.
+    pub flight_address: Option<SocketAddr>,
+    directory: PathBuf,
     pub log: Arc<Mutex<Vec<String>>>,
 }
 
-/// The program that stands beside the running one; tests name it themselves.
-pub fn beside(name: &str) -> PathBuf {
-    let here = std::env::current_exe().unwrap_or_default();
-    here.parent().map(|folder| folder.join(name)).unwrap_or_default()
+/// Path of a program in the directory of the current executable.
+pub fn sibling_program(name: &str) -> PathBuf {
+    let current = std::env::current_exe().unwrap_or_default();
+    current.parent().map(|directory| directory.join(name)).unwrap_or_default()
 }
 
 impl Process {
-    /// Starts the program with the platform's file and, if there is one, the operator's.
+    /// Starts the program with the platform's configuration and, optionally, an operator configuration, and waits
+    /// until it serves.
     ///
     /// # Errors
-    /// What it said when it did not start.
-    pub fn start(program: &Path, waybill: &Value, book: Option<&str>) -> Result<Process, String> {
-        Process::start_with(program, waybill, book, &[])
+    /// The program did not start; the error contains its log.
+    pub fn start(
+        program: &Path,
+        platform_config: &Value,
+        operator_config: Option<&str>,
+    ) -> Result<Process, String> {
+        Process::start_with_env(program, platform_config, operator_config, &[])
     }
 
-    /// The same, with more in its environment.
+    /// Like `start`, with additional environment variables.
     ///
     /// # Errors
-    /// What it said when it did not start.
-    pub fn start_with(
+    /// The program did not start; the error contains its log.
+    pub fn start_with_env(
         program: &Path,
-        waybill: &Value,
-        book: Option<&str>,
-        envs: &[(&str, String)],
+        platform_config: &Value,
+        operator_config: Option<&str>,
+        variables: &[(&str, String)],
     ) -> Result<Process, String> {
-        static NUMBER: AtomicU32 = AtomicU32::new(0);
-        let number = NUMBER.fetch_add(1, Ordering::Relaxed);
-        let folder = std::env::temp_dir().join(format!("arrowyard-{}-{number}", std::process::id()));
-        std::fs::create_dir_all(&folder).map_err(|error| error.to_string())?;
-        let (config, own) = (folder.join("config.json"), folder.join("book.txtpb"));
-        std::fs::write(&config, waybill.to_string()).map_err(|error| error.to_string())?;
+        static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
+        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+        let directory = std::env::temp_dir().join(format!("arrowyard-{}-{number}", std::process::id()));
+        std::fs::create_dir_all(&directory).map_err(|error| error.to_string())?;
+        let (platform_path, operator_path) = (directory.join("config.json"), directory.join("book.txtpb"));
+        std::fs::write(&platform_path, platform_config.to_string()).map_err(|error| error.to_string())?;
         let mut command = Command::new(program);
-        command.arg("run").env("RELAY_CONFIG", &config).stderr(Stdio::piped());
-        command.envs(envs.iter().map(|(name, value)| (name, value)));
-        if let Some(book) = book {
-            std::fs::write(&own, book).map_err(|error| error.to_string())?;
-            command.arg("--book").arg(&own);
+        command.arg("run").env("RELAY_CONFIG", &platform_path).stderr(Stdio::piped());
+        command.envs(variables.iter().map(|(name, value)| (name, value)));
+        if let Some(operator_config) = operator_config {
+            std::fs::write(&operator_path, operator_config).map_err(|error| error.to_string())?;
+            command.arg("--book").arg(&operator_path);
         }
         let mut child =
-            command.spawn().map_err(|error| format!("{} cannot be started: {error}", program.display()))?;
-        let mut lines = BufReader::new(child.stderr.take().expect("it is piped")).lines();
-        let (mut said, mut flight) = (Vec::new(), None);
+            command.spawn().map_err(|error| format!("cannot start {}: {error}", program.display()))?;
+        let mut lines = BufReader::new(child.stderr.take().expect("stderr is piped")).lines();
+        let (mut log, mut flight_address) = (Vec::new(), None);
         let address = lines.by_ref().map_while(Result::ok).find_map(|line| {
-            if let Some((_, at)) = line.split_once("Flight SQL at ") {
-                flight = at.trim().parse().ok();
+            if let Some((_, address)) = line.split_once("Flight SQL at ") {
+                flight_address = address.trim().parse().ok();
             }
-            let at = line.split_once("serving at ").and_then(|(_, at)| at.split(',').next()?.parse().ok());
-            said.push(line);
-            at
+            let address = line
+                .split_once("serving at ")
+                .and_then(|(_, address)| address.split(',').next()?.parse().ok());
+            log.push(line);
+            address
         });
         let Some(address) = address else {
             let _ = child.wait();
-            return Err(said.join("\n"));
+            return Err(log.join("\n"));
         };
-        let log = Arc::new(Mutex::new(said));
-        let kept = log.clone();
+        let log = Arc::new(Mutex::new(log));
+        let shared_log = log.clone();
         std::thread::spawn(move || {
             for line in lines.map_while(Result::ok) {
-                kept.lock().expect("nobody panics with the log").push(line);
+                shared_log.lock().expect("the lock is not poisoned").push(line);
             }
         });
-        Ok(Process { child, address, flight, folder, log })
+        Ok(Process { child, address, flight_address, directory, log })
     }
 
-    /// Writes the operator's file anew and sends SIGHUP.
-    pub fn rebook(&self, book: &str) {
-        let path = self.folder.join("book.txtpb");
-        let next = self.folder.join("book.next");
-        std::fs::write(&next, book).expect("its folder can be written");
-        std::fs::rename(next, path).expect("both are in one folder");
+    /// Replaces the operator configuration and sends SIGHUP.
+    pub fn reload_operator_config(&self, text: &str) {
+        let path = self.directory.join("book.txtpb");
+        let temporary_path = self.directory.join("book.next");
+        std::fs::write(&temporary_path, text).expect("the directory is writable");
+        std::fs::rename(temporary_path, path).expect("both paths are in one directory");
         self.signal("HUP");
     }
 
-    /// Writes the platform's file anew, whatever it says, and sends SIGHUP.
-    pub fn retell(&self, text: &str) {
-        std::fs::write(self.folder.join("config.json"), text).expect("its folder can be written");
+    /// Replaces the platform's configuration, which may be invalid, and sends SIGHUP.
+    pub fn reload_platform_config(&self, text: &str) {
+        std::fs::write(self.directory.join("config.json"), text).expect("the directory is writable");
         self.signal("HUP");
     }
 
-    /// Tells it to end, and waits till it has; its exit code.
+    /// Sends SIGTERM, waits for the exit and returns the exit code.
     pub fn terminate(&mut self) -> Option<i32> {
         self.signal("TERM");
         self.child.wait().ok().and_then(|status| status.code())
     }
 
+    /// Sends the signal of this name.
     pub fn signal(&self, name: &str) {
         let kill = format!("kill -{name} {}", self.child.id());
         let status = Command::new("sh").args(["-c", &kill]).status();
         assert!(status.is_ok_and(|status| status.success()));
     }
 
-    /// Waits for a line of the log that holds this; whether it came in time.
-    pub fn said(&self, what: &str, within: Duration) -> bool {
-        let until = Instant::now() + within;
+    /// Waits for a log line that contains `text`; whether there was one within the timeout.
+    pub fn wait_for_log(&self, text: &str, timeout: Duration) -> bool {
+        let deadline = Instant::now() + timeout;
         loop {
-            if self.log.lock().expect("nobody panics with the log").iter().any(|line| line.contains(what)) {
+            if self.log.lock().expect("the lock is not poisoned").iter().any(|line| line.contains(text)) {
                 return true;
             }
-            if Instant::now() >= until {
+            if Instant::now() >= deadline {
                 return false;
             }
             std::thread::sleep(Duration::from_millis(5));
         }
     }
 
-    /// User and system time, in clock ticks, and the own memory in KB, as the system counts them.
-    pub fn cost(&self) -> (u64, u64) {
+    /// User and system time in clock ticks, and anonymous memory in KB.
+    pub fn resource_usage(&self) -> (u64, u64) {
         let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id()));
         let stat = read("stat").unwrap_or_default();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
-        let ticks = [11, 12].iter().filter_map(|&at| fields.get(at)?.parse::<u64>().ok()).sum();
+        let ticks = [11, 12].iter().filter_map(|&index| fields.get(index)?.parse::<u64>().ok()).sum();
         let status = read("status").unwrap_or_default();
-        let anon = status
+        let anonymous_kb = status
             .lines()
             .find_map(|line| line.strip_prefix("RssAnon:")?.split_whitespace().next()?.parse().ok());
-        (ticks, anon.unwrap_or_default())
+        (ticks, anonymous_kb.unwrap_or_default())
     }
 }
 
@@ -198,6 +213,6 @@
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
-        let _ = std::fs::remove_dir_all(&self.folder);
+        let _ = std::fs::remove_dir_all(&self.directory);
     }
 }
