--- a/crates/arrowyard-testbed/src/cluster.rs
+++ b/crates/arrowyard-testbed/src/cluster.rs
@@ -40,7 +40,7 @@
     RejectReadOnly,
     /// Sends the complete result and closes the connection before ReadyForQuery.
     ReplyAndDisconnect,
-    /// Sends the result's row twice.
+    /// Sends the rows of the result twice.
     ReplyTwice,
     /// Replies with a value of this many bytes.
     ReplyLarge(usize),
@@ -104,6 +104,7 @@
     pub session: String,
 }
 
+/// State of a group of hosts.
 #[derive(Default)]
 pub(crate) struct Group {
     pub records: Vec<Record>,
@@ -111,6 +112,7 @@
     pub tokens: HashMap<String, (i64, i64)>,
 }
 
+/// State of a host.
 pub(crate) struct HostState {
     pub spec: HostSpec,
     pub address: SocketAddr,
@@ -128,7 +130,7 @@
     pub changed_version: u64,
     /// Milliseconds by which its reported positions are ahead of the clock.
     pub position_offset_ms: i64,
-    /// Number of connections accepted; each connection's number is its index.
+    /// Number of accepted connections, which are numbered from 0.
     pub accepted: usize,
     /// The first statements received, each with its connection's number.
     pub received: Vec<(usize, String)>,
@@ -158,6 +160,7 @@
     pub commands: BTreeMap<String, u64>,
 }
 
+/// State shared by hosts and discovery.
 pub(crate) struct State {
     pub groups: BTreeMap<i64, Group>,
     pub hosts: BTreeMap<String, HostState>,
@@ -203,6 +206,7 @@
     runtime: Option<Runtime>,
 }
 
+/// Handle of the shared state.
 pub(crate) type Shared = Arc<Mutex<State>>;
 
 pub(crate) fn lock(state: &Shared) -> MutexGuard<'_, State> {
@@ -497,6 +501,7 @@
         lock(&self.state).hosts[name].closed_connections.clone()
     }
 
+    /// Whether the host is the primary of its group.
     pub fn is_primary(&self, name: &str) -> bool {
         lock(&self.state).hosts[name].spec.primary
     }
@@ -516,6 +521,7 @@
         self.change_host(name, |host| host.address = address);
     }
 
+    /// The listed address of the host.
     pub fn address(&self, name: &str) -> SocketAddr {
         lock(&self.state).hosts[name].address
     }
--- a/crates/arrowyard-testbed/src/discovery.rs
+++ b/crates/arrowyard-testbed/src/discovery.rs
@@ -119,9 +119,9 @@
         state.discovery_call_times.push(unix_ms());
         (state.discovery_behavior.clone(), state.discovery_requests.len())
     };
-    let mut line = String::new();
-    while stream.read_line(&mut line).await.ok()? > 2 {
-        line.clear();
+    let mut header_line = String::new();
+    while stream.read_line(&mut header_line).await.ok()? > 2 {
+        header_line.clear();
     }
     let outdated_list = match behavior {
         DiscoveryBehavior::Unavailable => {
@@ -130,14 +130,14 @@
         DiscoveryBehavior::HangAfterHeaders => {
             stream.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 512\r\n\r\n").await.ok()?;
             // Waits until the router closes the connection.
-            let _ = stream.read_line(&mut line).await;
+            let _ = stream.read_line(&mut header_line).await;
             return None;
         }
         DiscoveryBehavior::TruncateBody | DiscoveryBehavior::SlowBody(..) => {
             let snapshot = list_snapshot(&lock(&state), Some(listener), None);
             let body = format!("{}\n", snapshot.into_json());
-            let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-            stream.write_all(head.as_bytes()).await.ok()?;
+            let headers = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+            stream.write_all(headers.as_bytes()).await.ok()?;
             let (pieces, delay) = match behavior {
                 DiscoveryBehavior::SlowBody(pieces, delay) => (pieces, delay),
                 _ => return stream.write_all(&body.as_bytes()[..body.len() / 2]).await.ok(),
@@ -153,20 +153,20 @@
     };
     if let Some(list) = outdated_list {
         let body = format!("{list}\n");
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        return stream.write_all([head, body].concat().as_bytes()).await.ok();
+        let headers = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+        return stream.write_all([headers, body].concat().as_bytes()).await.ok();
     }
     if !request_line.contains("watch=1") {
         let snapshot = list_snapshot(&lock(&state), Some(listener), None);
         let body = snapshot.into_json().to_string();
-        let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
-        return stream.write_all([head, body].concat().as_bytes()).await.ok();
+        let headers = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
+        return stream.write_all([headers, body].concat().as_bytes()).await.ok();
     }
     let from = request_line.split("from=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.ok()?;
     if lock(&state).new_watches_silent {
         // Waits until the router closes the connection.
-        let _ = stream.read_line(&mut line).await;
+        let _ = stream.read_line(&mut header_line).await;
         return None;
     }
     let (mut sent_version, mut first): (Option<u64>, bool) = (from, true);
--- a/crates/arrowyard-testbed/src/effect_recorder.rs
+++ b/crates/arrowyard-testbed/src/effect_recorder.rs
@@ -1,6 +1,7 @@
-//! Receives the effects of duties that run under leases: one HTTP call each, with the lease's name, its epoch and its
-//! holder. It rejects effects of epochs older than the newest one seen and records when each effect arrived and
-//! completed by the machine's monotonic clock. It shares no code with the router.
+//! Receives the effects of duties that run under leases: one HTTP call each, with the lease's name, its
+//! epoch and its holder. It rejects effects of epochs older than the newest one seen, and effects of
+//! another holder in the same epoch. It records when each effect arrived and completed by the machine's
+//! monotonic clock, and shares no code with the router.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/arrowyard-testbed/src/host.rs
+++ b/crates/arrowyard-testbed/src/host.rs
@@ -182,27 +182,27 @@
     if !(service_time + delay).is_zero() {
         sleep(service_time + delay).await;
     }
-    let (head, value) = execute_and_encode(state, name, text);
+    let (parameters, value) = execute_and_encode(state, name, text);
     drop(slot);
-    let Some(value) = value else { return Some(head) };
+    let Some(value) = value else { return Some(parameters) };
     match behavior {
         HostBehavior::DisconnectAfterRun => None,
         HostBehavior::ReplyGarbage => Some(b"\x01\x02noise that nobody can read".to_vec()),
-        HostBehavior::ReplyTwice => {
-            Some([head, row_description(), data_row(&value), data_row(&value), command_complete()].concat())
-        }
-        HostBehavior::ReplyLarge(size) => Some([head, result(&vec![b'x'; size])].concat()),
-        HostBehavior::ReplyAndReject => Some([head, result(&value), error_response("53300")].concat()),
+        HostBehavior::ReplyTwice => Some(
+            [parameters, row_description(), data_row(&value), data_row(&value), command_complete()].concat(),
+        ),
+        HostBehavior::ReplyLarge(size) => Some([parameters, result(&vec![b'x'; size])].concat()),
+        HostBehavior::ReplyAndReject => Some([parameters, result(&value), error_response("53300")].concat()),
         HostBehavior::ReplyAndDisconnect => {
-            let _ = stream.write_all(&[head, result(&value)].concat()).await;
+            let _ = stream.write_all(&[parameters, result(&value)].concat()).await;
             None
         }
         HostBehavior::ReadyBeforeReply => {
             stream.write_all(&message(b'Z', b"I")).await.ok()?;
             sleep(Duration::from_millis(20)).await;
-            Some([head, result(&value)].concat())
+            Some([parameters, result(&value)].concat())
         }
-        _ => Some([head, result(&value)].concat()),
+        _ => Some([parameters, result(&value)].concat()),
     }
 }
 
--- a/crates/arrowyard-testbed/src/lease_scenario.rs
+++ b/crates/arrowyard-testbed/src/lease_scenario.rs
@@ -58,7 +58,7 @@
     let mut plan = Plan { seed, ..Plan::new("drawn", processes, 3_000) };
     let mut has_lost_votes = false;
     for _ in 0..rng.usize(2..=5) {
-        let (at, duration) = (rng.u64(..2_000), rng.u64(150..1_400));
+        let (start_ms, duration_ms) = (rng.u64(..2_000), rng.u64(150..1_400));
         let process = if rng.f64() < 0.6 { rng.usize(..VOTERS) } else { rng.usize(..processes) };
         let others: Vec<usize> = (0..processes).filter(|other| *other != process).collect();
         let some_others: Vec<usize> = others.iter().copied().filter(|_| rng.bool()).collect();
@@ -91,12 +91,12 @@
         };
         let stopped = stopped_processes(&fault);
         let conflicts = plan.faults.iter().any(|planned| {
-            let overlaps =
-                planned.at_ms < at + duration + 400 && at < planned.at_ms + planned.duration_ms + 400;
+            let overlaps = planned.at_ms < start_ms + duration_ms + 400
+                && start_ms < planned.at_ms + planned.duration_ms + 400;
             overlaps && stopped_processes(&planned.fault).iter().any(|process| stopped.contains(process))
         });
         if !conflicts {
-            plan = plan.with_fault(at, duration, fault);
+            plan = plan.with_fault(start_ms, duration_ms, fault);
         }
     }
     plan
--- a/crates/arrowyard-testbed/src/plan.rs
+++ b/crates/arrowyard-testbed/src/plan.rs
@@ -120,54 +120,58 @@
         let first_70_percent: ProcessSet = (0..count * 7 / 10).collect();
         let plan = |span_ms| Plan::new(name, processes, span_ms);
         // All processes know each other by then.
-        let at = 8_000;
+        let start_ms = 8_000;
         Some(match name {
             "calm" => plan(60_000),
-            "crash" => plan(30_000).with_fault(at, 12_000, Fault::Kill(vec![1])),
-            "halt-0.5" => plan(20_000).with_fault(at, 500, Fault::Pause(vec![1])),
-            "halt-3" => plan(20_000).with_fault(at, 3_000, Fault::Pause(vec![1])),
-            "halt-30" => plan(60_000).with_fault(at, 30_000, Fault::Pause(vec![1])),
-            "halt-third" => plan(20_000).with_fault(at, 3_000, Fault::Pause(every_third)),
-            "loss-30" => plan(40_000).with_fault(at, 30_000, Fault::PacketLoss(0.3)),
-            "loss-10" => plan(620_000).with_fault(at, 600_000, Fault::PacketLoss(0.1)),
-            "one-side" => plan(40_000).with_fault(at, 25_000, Fault::OneWayPartition(vec![0], vec![1])),
+            "crash" => plan(30_000).with_fault(start_ms, 12_000, Fault::Kill(vec![1])),
+            "halt-0.5" => plan(20_000).with_fault(start_ms, 500, Fault::Pause(vec![1])),
+            "halt-3" => plan(20_000).with_fault(start_ms, 3_000, Fault::Pause(vec![1])),
+            "halt-30" => plan(60_000).with_fault(start_ms, 30_000, Fault::Pause(vec![1])),
+            "halt-third" => plan(20_000).with_fault(start_ms, 3_000, Fault::Pause(every_third)),
+            "loss-30" => plan(40_000).with_fault(start_ms, 30_000, Fault::PacketLoss(0.3)),
+            "loss-10" => plan(620_000).with_fault(start_ms, 600_000, Fault::PacketLoss(0.1)),
+            "one-side" => plan(40_000).with_fault(start_ms, 25_000, Fault::OneWayPartition(vec![0], vec![1])),
             "one-to-all" => {
-                plan(40_000).with_fault(at, 20_000, Fault::OneWayPartition(vec![1], all_except(1)))
+                plan(40_000).with_fault(start_ms, 20_000, Fault::OneWayPartition(vec![1], all_except(1)))
             }
             "all-to-one" => {
-                plan(40_000).with_fault(at, 20_000, Fault::OneWayPartition(all_except(1), vec![1]))
+                plan(40_000).with_fault(start_ms, 20_000, Fault::OneWayPartition(all_except(1), vec![1]))
             }
             "ring" => (0..count).fold(plan(40_000), |plan, sender| {
-                plan.with_fault(at, 25_000, Fault::OneWayPartition(vec![sender], vec![(sender + 1) % count]))
+                plan.with_fault(
+                    start_ms,
+                    25_000,
+                    Fault::OneWayPartition(vec![sender], vec![(sender + 1) % count]),
+                )
             }),
-            "halves" => plan(40_000).with_fault(at, 15_000, Fault::Partition(first_half, second_half)),
-            "one-off" => plan(40_000).with_fault(at, 15_000, Fault::Partition(vec![1], all_except(1))),
+            "halves" => plan(40_000).with_fault(start_ms, 15_000, Fault::Partition(first_half, second_half)),
+            "one-off" => plan(40_000).with_fault(start_ms, 15_000, Fault::Partition(vec![1], all_except(1))),
             "roving" => (0..4).fold(plan(50_000), |plan, round| {
                 plan.with_fault(
-                    at + round * 6_000,
+                    start_ms + round * 6_000,
                     6_000,
                     Fault::Partition(vec![round as usize % count], all_except(round as usize % count)),
                 )
             }),
             "flapping" => (0..6).fold(plan(50_000), |plan, round| {
                 plan.with_fault(
-                    at + round * 4_000,
+                    start_ms + round * 4_000,
                     2_000,
                     Fault::Partition(first_half.clone(), second_half.clone()),
                 )
             }),
             "roll" => (0..10).fold(plan(50_000), |plan, round| {
                 let batch: ProcessSet = (0..count).filter(|process| process % 10 == round).collect();
-                plan.with_fault(at + round as u64 * 3_000, 1_000, Fault::Shutdown(batch))
+                plan.with_fault(start_ms + round as u64 * 3_000, 1_000, Fault::Shutdown(batch))
             }),
-            "herd" => plan(30_000).with_fault(at, 2_000, Fault::Kill(first_70_percent)),
-            "unheard" => plan(25_000).with_fault(at, 12_000, Fault::SilentShutdown(vec![1])),
+            "herd" => plan(30_000).with_fault(start_ms, 2_000, Fault::Kill(first_70_percent)),
+            "unheard" => plan(25_000).with_fault(start_ms, 12_000, Fault::SilentShutdown(vec![1])),
             "rough" => plan(40_000)
-                .with_fault(at, 25_000, Fault::PacketLoss(0.1))
-                .with_fault(at, 25_000, Fault::Duplication(0.2))
-                .with_fault(at, 25_000, Fault::Corruption(0.05))
-                .with_fault(at, 25_000, Fault::Delay { ms: 40 }),
-            "quiet" => plan(15_000).with_fault(at, 1_000, Fault::Pause(all)),
+                .with_fault(start_ms, 25_000, Fault::PacketLoss(0.1))
+                .with_fault(start_ms, 25_000, Fault::Duplication(0.2))
+                .with_fault(start_ms, 25_000, Fault::Corruption(0.05))
+                .with_fault(start_ms, 25_000, Fault::Delay { ms: 40 }),
+            "quiet" => plan(15_000).with_fault(start_ms, 1_000, Fault::Pause(all)),
             _ => return None,
         })
     }
--- a/crates/arrowyard-testbed/src/rig.rs
+++ b/crates/arrowyard-testbed/src/rig.rs
@@ -20,6 +20,7 @@
 /// A logged change of a member's standing in another process's view.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StandingChange {
+    /// Time by the machine's monotonic clock, in microseconds.
     pub mono_us: i64,
     /// Index of the process whose view changed.
     pub observer: usize,
--- a/crates/arrowyard-testbed/src/router.rs
+++ b/crates/arrowyard-testbed/src/router.rs
@@ -75,10 +75,12 @@
 /// A router process, killed on drop.
 pub struct Process {
     child: Child,
+    /// Address of its listener for clients.
     pub address: SocketAddr,
     /// Address of its separate Flight SQL listener, if it has one.
     pub flight_address: Option<SocketAddr>,
     directory: PathBuf,
+    /// The log lines so far.
     pub log: Arc<Mutex<Vec<String>>>,
 }
 
--- a/crates/arrowyard-testbed/src/tcp_relay.rs
+++ b/crates/arrowyard-testbed/src/tcp_relay.rs
@@ -20,7 +20,7 @@
     pub from_hosts: bool,
 }
 
-/// By process.
+/// The cuts by process.
 type Cuts = Arc<Mutex<HashMap<usize, Cut>>>;
 
 /// The relays between all processes and hosts.
@@ -33,6 +33,7 @@
 }
 
 impl TcpRelays {
+    /// Relays without cuts, which run on `runtime`.
     #[must_use]
     pub fn new(runtime: Handle) -> TcpRelays {
         TcpRelays { cuts: Arc::default(), addresses: Arc::default(), runtime }
