--- a/crates/arrowyard-daemon/tests/cells.rs
+++ b/crates/arrowyard-daemon/tests/cells.rs
@@ -108,7 +108,7 @@
         let commands_before = cluster.ledger().commands.values().sum::<u64>();
         for tenant in [Some("eve"), None] {
             let reply = client.execute(tenant, 0, None, false, 7).await;
-            assert!(matches!(&reply, Reply::Error(why) if why.contains("cell")), "{reply:?}");
+            assert!(matches!(&reply, Reply::Error(message) if message.contains("cell")), "{reply:?}");
         }
         assert_eq!(cluster.ledger().commands.values().sum::<u64>(), commands_before);
     });
--- a/crates/arrowyard-daemon/tests/command.rs
+++ b/crates/arrowyard-daemon/tests/command.rs
@@ -30,16 +30,17 @@
     (status.code(), [stdout, stderr].map(|text| String::from_utf8_lossy(&text).into_owned()).concat())
 }
 
-const OLD: &str = r#"epoch: 1 cells { cell { name: "a" } cell { name: "b" } tenant { name: "t" cell: "a" } rest { each: 1 } }"#;
+const OPERATOR_CONFIG: &str = r#"epoch: 1 cells { cell { name: "a" } cell { name: "b" } tenant { name: "t" cell: "a" } rest { each: 1 } }"#;
 
 #[test]
 fn check_reports_each_fault_and_sets_the_exit_code() {
-    let (good, bad) = (TempFile::new("good", OLD), TempFile::new("bad", "epoch: 0\nlog { level: \"loud\" }"));
-    assert_eq!(run(&["check", good.path()]).0, Some(0));
-    let (code, output) = run(&["check", bad.path()]);
+    let (valid, invalid) =
+        (TempFile::new("good", OPERATOR_CONFIG), TempFile::new("bad", "epoch: 0\nlog { level: \"loud\" }"));
+    assert_eq!(run(&["check", valid.path()]).0, Some(0));
+    let (code, output) = run(&["check", invalid.path()]);
     assert_eq!((code, output.lines().count()), (Some(1), 3), "{output}");
     assert!(output.contains(":1:1: epoch: ") && output.contains(":2:7: log.level: \"loud\""), "{output}");
-    let (code, output) = run(&["check", "--json", bad.path()]);
+    let (code, output) = run(&["check", "--json", invalid.path()]);
     assert!(
         code == Some(1) && output.contains(r#""ok":false"#) && output.contains(r#""field":"log.level""#),
         "{output}"
@@ -52,15 +53,17 @@
 
 #[test]
 fn a_router_does_not_start_with_an_invalid_file() {
-    let bad = TempFile::new("start", "cells { }");
-    let (code, output) = run(&["run", "--book", bad.path()]);
+    let invalid = TempFile::new("start", "cells { }");
+    let (code, output) = run(&["run", "--book", invalid.path()]);
     assert!(code == Some(2) && output.contains("there is no cell"), "{output}");
 }
 
 #[test]
 fn the_cells_commands_place_tenants_compare_files_and_compute_odds() {
-    let (old, new) =
-        (TempFile::new("old", OLD), TempFile::new("new", &OLD.replace("cell: \"a\"", "cell: \"b\"")));
+    let (old, new) = (
+        TempFile::new("old", OPERATOR_CONFIG),
+        TempFile::new("new", &OPERATOR_CONFIG.replace("cell: \"a\"", "cell: \"b\"")),
+    );
     let (code, output) = run(&["cells", "place", old.path(), "t"]);
     assert!(code == Some(0) && output.contains('a'), "{output}");
     let (code, output) = run(&["cells", "diff", old.path(), new.path(), "--json"]);
@@ -68,8 +71,8 @@
     assert_eq!(run(&["cells", "diff", old.path(), old.path()]).0, Some(0));
     let (code, output) = run(&["cells", "odds", old.path(), "--pairs", "2000", "--json"]);
     assert!(code == Some(0) && output.contains(r#""worked_out":{"all":0.5,"any":0.5}"#), "{output}");
-    let none = TempFile::new("none", "epoch: 1");
-    assert_eq!(run(&["cells", "place", none.path(), "t"]).0, Some(2));
+    let without_cells = TempFile::new("none", "epoch: 1");
+    assert_eq!(run(&["cells", "place", without_cells.path(), "t"]).0, Some(2));
     // No router listens on this port.
     assert_eq!(run(&["cells", "show", "127.0.0.1:1"]).0, Some(2));
     assert!(Path::new(old.path()).exists());
--- a/crates/arrowyard-daemon/tests/leases.rs
+++ b/crates/arrowyard-daemon/tests/leases.rs
@@ -48,8 +48,8 @@
 /// The router that shows itself as the lease holder.
 fn holder(rig: &Rig) -> Option<usize> {
     let holds = |index: &usize| {
-        let shown = rig.show(*index, "leases").unwrap_or_default();
-        shown["leases"][0]["held"] == true
+        let leases = rig.show(*index, "leases").unwrap_or_default();
+        leases["leases"][0]["held"] == true
     };
     rig.running().into_iter().find(holds)
 }
@@ -57,8 +57,8 @@
 fn wait_for_holder(rig: &Rig) -> usize {
     let began = Instant::now();
     loop {
-        if let Some(found) = holder(rig) {
-            return found;
+        if let Some(holder_index) = holder(rig) {
+            return holder_index;
         }
         if began.elapsed() >= ms(TERM_MS * 6) {
             // Prints every router's view, to show why there is no holder.
--- a/crates/arrowyard-daemon/tests/returns.rs
+++ b/crates/arrowyard-daemon/tests/returns.rs
@@ -490,7 +490,7 @@
             }
             // The router may not know the primary yet.
             Reply::Busy(_) => std::thread::sleep(ms(50)),
-            Reply::Error(why) => panic!("{why}"),
+            Reply::Error(message) => panic!("{message}"),
         }
     }
     assert!(read_count > 10, "{read_count} of 20 were answered");
--- a/crates/arrowyard-testbed/src/bin/returns.rs
+++ b/crates/arrowyard-testbed/src/bin/returns.rs
@@ -120,11 +120,7 @@
                 count.to_string(),
                 format!("{tenths} in 10"),
                 if keep_stores { "kept" } else { "lost" }.to_string(),
-                if outage_seconds == 0 {
-                    "available".to_string()
-                } else {
-                    format!("down for {outage_seconds} s")
-                },
+                if outage_seconds == 0 { "there".to_string() } else { format!("away {outage_seconds} s") },
                 to_text(startup_times_ms.get(startup_times_ms.len() / 2)),
                 to_text(startup_times_ms.last()),
                 (killed.len() - startup_times_ms.len()).to_string(),
