--- a/crates/arrowyard-testbed/src/bin/flood.rs
+++ b/crates/arrowyard-testbed/src/bin/flood.rs
@@ -10,7 +10,8 @@
 use clap::{Parser, ValueEnum};
 use comfy_table::{Table, presets};
 
-/// Four tenants, each with its own replicas in a cell of its own; one tenant or the hosts of its cell misbehave.
+/// Four tenants, each with its own replicas in a cell of its own; one tenant or the hosts of its cell
+/// misbehave.
 #[derive(Parser)]
 struct Args {
     /// What happens in the first cell.
--- a/crates/arrowyard-testbed/src/bin/leases.rs
+++ b/crates/arrowyard-testbed/src/bin/leases.rs
@@ -1,5 +1,6 @@
-//! Runs random fault plans against leases of real processes, several at a time. Reports violations, the share of time
-//! in which the lease was held, and the time to the next holder after a kill, a pause, a partition and a shutdown.
+//! Runs random fault plans against leases of real processes, several at a time. Reports violations, the
+//! share of time in which the lease was held, and the time to the next holder after a kill, a pause, a
+//! partition and a shutdown.
 
 use std::path::PathBuf;
 use std::sync::Mutex;
@@ -109,7 +110,8 @@
     for name in ["kill", "halt", "cut off", "end"] {
         let plans: Vec<Plan> = (0..args.plays)
             .map(|n| {
-                // The fault affects each process in turn; runs in which it was not the holder have no takeover time.
+                // The fault affects each process in turn; runs in which it was not the holder have no
+                // takeover time.
                 let process = n as usize % args.processes;
                 let others: Vec<usize> =
                     all_processes.iter().copied().filter(|other| *other != process).collect();
--- a/crates/arrowyard-testbed/src/bin/lists.rs
+++ b/crates/arrowyard-testbed/src/bin/lists.rs
@@ -1,5 +1,6 @@
-//! Measures how long host lists affect the latency of ops: one router with a few hosts that serve and thousands of
-//! further listed hosts. Ops run while the list is received, while it changes, and at the router's start.
+//! Measures how long host lists affect the latency of ops: one router with a few hosts that serve and
+//! thousands of further listed hosts. Ops run while the list is received, while it changes, and at the
+//! router's start.
 
 use std::path::PathBuf;
 use std::thread::{sleep, spawn};
--- a/crates/arrowyard-testbed/src/bin/look.rs
+++ b/crates/arrowyard-testbed/src/bin/look.rs
@@ -10,8 +10,8 @@
 use clap::Parser;
 use comfy_table::{Table, presets};
 
-/// Starts a router in front of a group of simulated hosts on loopback, sends it mixed ops, kills the primary after a
-/// third of the time, and prints the results by op type.
+/// Starts a router in front of a group of simulated hosts on loopback, sends it mixed ops, kills the
+/// primary after a third of the time, and prints the results by op type.
 #[derive(Parser)]
 struct Args {
     /// Duration of the run, in seconds.
--- a/crates/arrowyard-testbed/src/bin/moves.rs
+++ b/crates/arrowyard-testbed/src/bin/moves.rs
@@ -15,7 +15,8 @@
 use comfy_table::{Table, presets};
 use fastrand::Rng;
 
-/// Moves a tenant from one group to another under load, repeatedly, each time with another fault at a random time.
+/// Moves a tenant from one group to another under load, repeatedly, each time with another fault at a
+/// random time.
 #[derive(Parser)]
 struct Args {
     #[arg(long, default_value_t = 200)]
--- a/crates/arrowyard-testbed/src/bin/returns.rs
+++ b/crates/arrowyard-testbed/src/bin/returns.rs
@@ -1,5 +1,5 @@
-//! Measures how a fleet of router processes recovers: a share of them is killed and restarted at the same time, with
-//! their stored host lists and without, with discovery available and not.
+//! Measures how a fleet of router processes recovers: a share of them is killed and restarted at the same
+//! time, with their stored host lists and without, with discovery available and not.
 
 use std::time::{Duration, Instant};
 
--- a/crates/arrowyard-testbed/src/cluster.rs
+++ b/crates/arrowyard-testbed/src/cluster.rs
@@ -1,5 +1,5 @@
-//! The simulated systems and their shared state: groups with their records, hosts with their roles and configured
-//! behavior, discovery, and the ledger of applied writes.
+//! The simulated systems and their shared state: groups with their records, hosts with their roles and
+//! configured behavior, discovery, and the ledger of applied writes.
 
 use std::collections::{BTreeMap, HashMap};
 use std::net::SocketAddr;
@@ -144,8 +144,8 @@
     pub aborts: Vec<std::sync::Arc<crate::flight::host::ConnectionAbort>>,
 }
 
-/// Time after the start of a drain in which commands may still arrive, in milliseconds: the grace period that routers
-/// are configured with, and an allowance for the delivery of the host list.
+/// Time after the start of a drain in which commands may still arrive, in milliseconds: the grace period
+/// that routers are configured with, and an allowance for the delivery of the host list.
 pub(crate) const DRAIN_GRACE_MS: i64 = 500 + 100;
 
 /// Maximum number of statements, and of closed connections, recorded per host.
@@ -379,8 +379,8 @@
         self.change_host(name, |host| host.spec.primary = true);
     }
 
-    /// Copies the records of one group with positions up to `through` to another group, except those already there.
-    /// Returns the target's position from which on it holds them.
+    /// Copies the records of one group with positions up to `through` to another group, except those
+    /// already there. Returns the target's position from which on it holds them.
     pub fn copy_records(&self, from: i64, to: i64, through: i64) -> i64 {
         let mut state = lock(&self.state);
         let source = state.groups.get(&from).map(|group| group.records.clone()).unwrap_or_default();
@@ -410,8 +410,8 @@
         lock(&self.state).discovery_behavior = behavior;
     }
 
-    /// Lists `count` further hosts that do not exist. Of those listed before, every `every`th, starting at `from`,
-    /// changes its health.
+    /// Lists `count` further hosts that do not exist. Of those listed before, every `every`th, starting at
+    /// `from`, changes its health.
     pub fn list_extra_hosts(&self, count: usize, from: usize, every: usize) {
         {
             let mut state = lock(&self.state);
--- a/crates/arrowyard-testbed/src/effect_recorder.rs
+++ b/crates/arrowyard-testbed/src/effect_recorder.rs
@@ -125,8 +125,8 @@
     SharedEpoch(Effect, Effect),
 }
 
-/// Checks a history of effects. With `allow_overlap`, effects of different holders may overlap, as they can when
-/// processes were paused or clocks drifted beyond the bound; epochs must still not decrease.
+/// Checks a history of effects. With `allow_overlap`, effects of different holders may overlap, as they can
+/// when processes were paused or clocks drifted beyond the bound; epochs must still not decrease.
 #[must_use]
 pub fn audit(effects: &[Effect], allow_overlap: bool) -> Vec<Violation> {
     let mut violations = Vec::new();
--- a/crates/arrowyard-testbed/src/host.rs
+++ b/crates/arrowyard-testbed/src/host.rs
@@ -1,4 +1,5 @@
-//! A simulated database host that implements the part of PostgreSQL's wire protocol (version 3) used by routers.
+//! A simulated database host that implements the part of PostgreSQL's wire protocol (version 3) used by
+//! routers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -206,7 +207,8 @@
     }
 }
 
-/// Waits for an execution slot; `None` if the client disconnects first, so that a waiting command does not run.
+/// Waits for an execution slot; `None` if the client disconnects first, so that a waiting command does not
+/// run.
 async fn wait_for_slot(state: &Shared, name: &str, stream: &mut TcpStream) -> Option<Slot> {
     if let Some(slot) = Slot::acquire(state, name) {
         return Some(slot);
@@ -272,8 +274,8 @@
             .filter(|(first, _)| now < first + token_retention);
         let known_commit = known_commit.map(|(_, commit)| *commit);
         let commit = known_commit.unwrap_or_else(|| {
-            // Positions do not decrease. Writes of one millisecond share a position: with increasing ones, a burst
-            // would get positions ahead of the clock, which routers ignore.
+            // Positions do not decrease. Writes of one millisecond share a position: with increasing ones,
+            // a burst would get positions ahead of the clock, which routers ignore.
             let commit = group.records.last().map_or(now, |last| now.max(last.position));
             group.tokens.insert(write_id.clone(), (now, commit));
             group.records.push(Record { position: commit, write_id: write_id.clone(), session });
@@ -291,8 +293,8 @@
     CommandResult { is_primary, position: Some(position), value: Some(value) }
 }
 
-/// Executes the statement. Returns the encoded parameters and the value; without a value, an error follows the
-/// parameters.
+/// Executes the statement. Returns the encoded parameters and the value; without a value, an error follows
+/// the parameters.
 fn execute_and_encode(state: &Shared, name: &str, text: &str) -> (Vec<u8>, Option<Vec<u8>>) {
     let CommandResult { is_primary, position, value } = execute(state, name, text);
     let mode = parameter_status("mode", if is_primary { "read-write" } else { "read-only" });
--- a/crates/arrowyard-testbed/src/lease_scenario.rs
+++ b/crates/arrowyard-testbed/src/lease_scenario.rs
@@ -1,5 +1,5 @@
-//! Lease scenarios: random fault plans run with real processes, followed by an audit of the effects done under the
-//! lease. The plan of a failing scenario can be run again.
+//! Lease scenarios: random fault plans run with real processes, followed by an audit of the effects done
+//! under the lease. The plan of a failing scenario can be run again.
 
 use std::path::Path;
 use std::time::{Duration, Instant};
@@ -29,8 +29,8 @@
 }
 
 impl ScenarioResult {
-    /// The share of the time in which the lease was held. Gaps between effects of up to two intervals and 30 ms count
-    /// as held.
+    /// The share of the time in which the lease was held. Gaps between effects of up to two intervals and
+    /// 30 ms count as held.
     #[must_use]
     pub fn held_share(&self) -> f64 {
         let max_gap_us = 2 * EFFECT_INTERVAL_MS as i64 * 1000 + 30_000;
@@ -50,8 +50,9 @@
 /// Interval of the duty's effects in milliseconds.
 const EFFECT_INTERVAL_MS: u64 = 20;
 
-/// A random plan of two to five faults within three seconds, most of them at voters, some of them overlapping. At most
-/// one voter loses its votes: if two of three did, no voter would be allowed to vote any more.
+/// A random plan of two to five faults within three seconds, most of them at voters, some of them
+/// overlapping. At most one voter loses its votes: if two of three did, no voter would be allowed to vote
+/// any more.
 #[must_use]
 pub fn random_plan(seed: u64, processes: usize) -> Plan {
     let mut rng = Rng::with_seed(seed);
--- a/crates/arrowyard-testbed/src/lib.rs
+++ b/crates/arrowyard-testbed/src/lib.rs
@@ -1,6 +1,6 @@
-//! Simulated systems around a router, on loopback, for tests and measurements: replicating database hosts with
-//! configurable faults, a discovery service, clients that check their replies, and a ledger of applied writes. They
-//! implement the public protocols independently and share no code with the router.
+//! Simulated systems around a router, on loopback, for tests and measurements: replicating database hosts
+//! with configurable faults, a discovery service, clients that check their replies, and a ledger of applied
+//! writes. They implement the public protocols independently and share no code with the router.
 
 pub mod client;
 pub mod cluster;
--- a/crates/arrowyard-testbed/src/load.rs
+++ b/crates/arrowyard-testbed/src/load.rs
@@ -1,5 +1,5 @@
-//! An open-loop load generator: ops start at their scheduled times even if earlier ones have no reply yet. Replies are
-//! checked and counted by tenant and op type.
+//! An open-loop load generator: ops start at their scheduled times even if earlier ones have no reply yet.
+//! Replies are checked and counted by tenant and op type.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -146,7 +146,8 @@
                 None => Client::connect(self.router).await?,
             };
             let reply = match client.execute(&request.statement()).await {
-                // The router may close an idle connection at the moment of its reuse: tries once more on a new one.
+                // The router may close an idle connection at the moment of its reuse: tries once more on a
+                // new one.
                 Err(error) if error.kind() != std::io::ErrorKind::Other => {
                     client = Client::connect(self.router).await?;
                     client.execute(&request.statement()).await?
--- a/crates/arrowyard-testbed/src/plan.rs
+++ b/crates/arrowyard-testbed/src/plan.rs
@@ -1,5 +1,6 @@
-//! Fault plans: which faults affect the processes of a fleet and the network between them, and when. A plan is stored
-//! as JSON with its seed, so that a failing run can be repeated, with real processes or in the simulation.
+//! Fault plans: which faults affect the processes of a fleet and the network between them, and when. A plan
+//! is stored as JSON with its seed, so that a failing run can be repeated, with real processes or in the
+//! simulation.
 
 use serde::{Deserialize, Serialize};
 
@@ -93,7 +94,8 @@
         serde_json::from_str(text).map_err(|error| error.to_string())
     }
 
-    /// Starts and ends of faults in the order of time: the time, the index of the fault, and whether it starts.
+    /// Starts and ends of faults in the order of time: the time, the index of the fault, and whether it
+    /// starts.
     #[must_use]
     pub fn steps(&self) -> Vec<(u64, usize, bool)> {
         let starts = self.faults.iter().enumerate().map(|(index, fault)| (fault.at_ms, index, true));
--- a/crates/arrowyard-testbed/src/rig.rs
+++ b/crates/arrowyard-testbed/src/rig.rs
@@ -1,5 +1,6 @@
-//! A fleet of router processes in front of one cluster, with relays between them and fault plans. Each process's view
-//! of the other members over time is read from its log, whose lines carry the machine's monotonic clock.
+//! A fleet of router processes in front of one cluster, with relays between them and fault plans. Each
+//! process's view of the other members over time is read from its log, whose lines carry the machine's
+//! monotonic clock.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -129,9 +130,9 @@
 /// Number of the next rig. Without it, rigs that run at the same time in one process would share a directory.
 static NEXT_RIG: AtomicU32 = AtomicU32::new(0);
 
-/// A writable directory in memory if the machine has one, otherwise the directory for temporary files. Voters reply
-/// only once their votes are on disk; on a busy disk, that would exceed the time limits of tests. Files in memory
-/// survive the kill of a process.
+/// A writable directory in memory if the machine has one, otherwise the directory for temporary files.
+/// Voters reply only once their votes are on disk; on a busy disk, that would exceed the time limits of
+/// tests. Files in memory survive the kill of a process.
 #[must_use]
 pub fn memory_directory() -> PathBuf {
     let mounts = std::fs::read_to_string("/proc/mounts").unwrap_or_default();
@@ -153,8 +154,8 @@
 }
 
 impl Rig {
-    /// Starts the cluster, the relays and the processes. The seeds of each process include an address without a
-    /// listener.
+    /// Starts the cluster, the relays and the processes. The seeds of each process include an address
+    /// without a listener.
     ///
     /// # Errors
     /// A process did not start; the error contains its log.
@@ -406,8 +407,8 @@
         None
     }
 
-    /// Runs the plan, with the first fault at once, and waits for `after` once the last one has ended. Returns the time
-    /// at which the first fault began.
+    /// Runs the plan, with the first fault at once, and waits for `after` once the last one has ended.
+    /// Returns the time at which the first fault began.
     pub fn run_plan(&mut self, plan: &Plan, after: Duration) -> i64 {
         let first_ms = plan.faults.iter().map(|planned| planned.at_ms).min().unwrap_or_default();
         let began = Instant::now();
--- a/crates/arrowyard-testbed/src/router.rs
+++ b/crates/arrowyard-testbed/src/router.rs
@@ -91,8 +91,8 @@
 }
 
 impl Process {
-    /// Starts the program with the platform's configuration and, optionally, an operator configuration, and waits
-    /// until it serves.
+    /// Starts the program with the platform's configuration and, optionally, an operator configuration, and
+    /// waits until it serves.
     ///
     /// # Errors
     /// The program did not start; the error contains its log.
--- a/crates/arrowyard-testbed/src/tcp_relay.rs
+++ b/crates/arrowyard-testbed/src/tcp_relay.rs
@@ -1,6 +1,6 @@
-//! The simulated network between processes and the hosts they connect to: a TCP relay on loopback for each pair. A cut
-//! holds back the bytes of a direction, like a network that loses and retransmits packets; they are delivered once the
-//! cut ends.
+//! The simulated network between processes and the hosts they connect to: a TCP relay on loopback for each
+//! pair. A cut holds back the bytes of a direction, like a network that loses and retransmits packets; they
+//! are delivered once the cut ends.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/crates/arrowyard-testbed/src/udp_relay.rs
+++ b/crates/arrowyard-testbed/src/udp_relay.rs
@@ -1,6 +1,7 @@
-//! The simulated datagram network between the processes of a fleet: a relay on loopback for each ordered pair of
-//! processes. Relays lose, delay, duplicate, corrupt and cut datagrams as the fault plan requires. While a process is
-//! down, the sockets that lead to it are closed, so that the operating system refuses datagrams to it.
+//! The simulated datagram network between the processes of a fleet: a relay on loopback for each ordered
+//! pair of processes. Relays lose, delay, duplicate, corrupt and cut datagrams as the fault plan requires.
+//! While a process is down, the sockets that lead to it are closed, so that the operating system refuses
+//! datagrams to it.
 
 use std::collections::{HashMap, HashSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -96,7 +97,8 @@
         self.update_endpoints();
     }
 
-    /// Drops all datagrams between these pairs of sender and receiver until the fault of this index is healed.
+    /// Drops all datagrams between these pairs of sender and receiver until the fault of this index is
+    /// healed.
     pub fn cut(&self, fault: usize, pairs: HashSet<(usize, usize)>) {
         lock(&self.state).faults.cuts.push((fault, pairs));
         self.update_endpoints();
