--- a/crates/arrowyard-flight-daemon/tests/streams.rs
+++ b/crates/arrowyard-flight-daemon/tests/streams.rs
@@ -13,20 +13,20 @@
     CommandGetCrossReference, CommandGetExportedKeys, CommandGetImportedKeys, CommandGetPrimaryKeys,
     CommandGetTables, SqlInfo,
 };
-use arrowyard_testbed::client::Ask;
+use arrowyard_testbed::client::OpRequest;
 use arrowyard_testbed::flight::FlightClient;
-use arrowyard_testbed::flight::client::{first, reply};
-use arrowyard_testbed::router::waybill;
-use arrowyard_testbed::{Act, Client, Process, Reply, Spec, Town};
+use arrowyard_testbed::flight::client::{first_value, reply};
+use arrowyard_testbed::router::platform_config;
+use arrowyard_testbed::{Client, Cluster, HostBehavior, HostSpec, Process, Reply};
 use futures::{StreamExt, TryStreamExt};
 use helpers::{BUY, OWN, STANDINGS, SUBMIT, VIEW, ask, runtime, specs, start, start_with};
 use tonic::Code;
 
 /// Starts hosts that answer with this number of batches of this size.
-fn start_hosts(batches: usize, batch_bytes: usize) -> Town {
-    let specs: Vec<Spec> =
-        specs(1, true).into_iter().map(|spec| Spec { batches, batch_bytes, ..spec }).collect();
-    Town::start(&specs)
+fn start_hosts(batches: usize, batch_bytes: usize) -> Cluster {
+    let specs: Vec<HostSpec> =
+        specs(1, true).into_iter().map(|spec| HostSpec { batches, batch_bytes, ..spec }).collect();
+    Cluster::start(&specs)
 }
 
 fn code(error: &FlightError) -> Code {
@@ -42,10 +42,10 @@
 
 /// The router's Flight SQL address, which is its only one if the hosts speak Flight SQL.
 fn flight_address(router: &Process) -> std::net::SocketAddr {
-    router.flight.unwrap_or(router.address)
+    router.flight_address.unwrap_or(router.address)
 }
 
-async fn plan(client: &mut FlightClient, request: &Ask<'_>) -> Ticket {
+async fn plan(client: &mut FlightClient, request: &OpRequest<'_>) -> Ticket {
     let info = client.inner.execute(request.statement(), None).await.expect("planning succeeds");
     info.endpoint[0].ticket.clone().expect("the plan has a ticket")
 }
@@ -55,15 +55,15 @@
     for (settings, batches, bytes) in
         [("held_bytes: 1000000", 5, 1000), ("held_bytes: 2000", 40, 5000), ("held_bytes: 0", 3, 10)]
     {
-        let town = start_hosts(batches, bytes);
-        let router = start(&town, true, settings);
+        let cluster = start_hosts(batches, bytes);
+        let router = start(&cluster, true, settings);
         runtime().block_on(async {
             let mut client = connect(&router).await;
             let result = client.query(&ask(STANDINGS, 1, 5).statement()).await.expect("the call succeeds");
             assert_eq!(result.iter().map(RecordBatch::num_rows).sum::<usize>(), batches);
             let last = result.last().expect("a batch").column(0).as_binary::<i32>().value(0).to_vec();
             assert_eq!(last, vec![(batches - 1) as u8; bytes]);
-            assert_eq!(town.ledger().commands.values().sum::<u64>(), 1);
+            assert_eq!(cluster.ledger().commands.values().sum::<u64>(), 1);
         });
     }
 }
@@ -73,21 +73,21 @@
     // After the first, a middle and the last batch, before the trailers.
     for sent_batches in [1, 3, 6] {
         for is_buffered in [true, false] {
-            let town = start_hosts(6, 1000);
+            let cluster = start_hosts(6, 1000);
             let router =
-                start(&town, true, if is_buffered { "held_bytes: 1000000" } else { "held_bytes: 0" });
+                start(&cluster, true, if is_buffered { "held_bytes: 1000000" } else { "held_bytes: 0" });
             runtime().block_on(async {
                 let mut client = connect(&router).await;
-                town.act("r-0", Act::CutAfter(sent_batches));
+                cluster.set_behavior("r-0", HostBehavior::DisconnectAfterBatches(sent_batches));
                 let result = client.query(&ask(STANDINGS, 1, 5).statement()).await;
                 if is_buffered {
                     let batches = result.expect("another host serves the query");
                     assert_eq!(batches.len(), 6);
-                    assert!(first(&batches).starts_with("p-0"), "{}", first(&batches));
+                    assert!(first_value(&batches).starts_with("p-0"), "{}", first_value(&batches));
                 } else {
                     assert_eq!(code(&result.expect_err("the result is incomplete")), Code::Aborted);
                     assert_eq!(
-                        town.ledger().commands.get("p-0"),
+                        cluster.ledger().commands.get("p-0"),
                         None,
                         "a partly streamed query is not retried"
                     );
@@ -99,43 +99,43 @@
 
 #[test]
 fn writes_run_once_and_own_reads_are_consistent_when_the_primary_fails() {
-    let town = Town::start(&specs(2, true));
-    let router = start(&town, true, "");
+    let cluster = Cluster::start(&specs(2, true));
+    let router = start(&cluster, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
-        assert!(matches!(client.ask(&ask(SUBMIT, 1, 5)).await, Reply::Value(_)));
+        assert!(matches!(client.execute(&ask(SUBMIT, 1, 5)).await, Reply::Value(_)));
         // An update whose response is lost after it ran is retried with a token, and not without one.
-        town.act("p-0", Act::LoseAnswer);
-        let bought = client.ask(&ask(BUY, 2, 5)).await;
+        cluster.set_behavior("p-0", HostBehavior::DisconnectAfterRun);
+        let bought = client.execute(&ask(BUY, 2, 5)).await;
         assert!(matches!(&bought, Reply::Error(reason) if reason.contains("may have run")), "{bought:?}");
         let submitting = tokio::spawn({
             let mut client = connect(&router).await;
-            async move { client.ask(&ask(SUBMIT, 3, 5)).await }
+            async move { client.execute(&ask(SUBMIT, 3, 5)).await }
         });
-        while !town.ledger().applied.contains_key("0000000000000003") {
+        while !cluster.ledger().applied.contains_key("0000000000000003") {
             tokio::task::yield_now().await;
         }
-        town.act("p-0", Act::Serve);
+        cluster.set_behavior("p-0", HostBehavior::Serve);
         let submitted = submitting.await.expect("the task ends");
         assert!(matches!(submitted, Reply::Value(_)), "{submitted:?}");
         for turn in ["0000000000000001", "0000000000000002", "0000000000000003"] {
-            assert_eq!(town.ledger().applied[turn].len(), 1, "{turn}");
+            assert_eq!(cluster.ledger().applied[turn].len(), 1, "{turn}");
         }
         // The primary crashes during a read of own writes; the new one has all writes.
-        town.act("p-0", Act::CutAfter(0));
+        cluster.set_behavior("p-0", HostBehavior::DisconnectAfterBatches(0));
         let reading = tokio::spawn({
             let mut client = connect(&router).await;
-            async move { client.ask(&ask(OWN, 4, 5)).await }
+            async move { client.execute(&ask(OWN, 4, 5)).await }
         });
-        town.kill("p-0");
-        town.hand_over("r-0");
+        cluster.kill("p-0");
+        cluster.switchover("r-0");
         let read = reading.await.expect("the task ends");
         assert!(!matches!(&read, Reply::Value(value) if !value.ends_with("0000000000000003")), "{read:?}");
         let deadline = Instant::now() + Duration::from_secs(10);
         let mut id = 10;
         loop {
             id += 1;
-            match client.ask(&ask(OWN, id, 5)).await {
+            match client.execute(&ask(OWN, id, 5)).await {
                 Reply::Value(value) => {
                     assert!(value.ends_with("0000000000000003"), "{value}");
                     break;
@@ -148,33 +148,33 @@
 
 #[test]
 fn malformed_and_swapped_results_are_rejected() {
-    for act in [Act::Spoil, Act::ServeTwice, Act::Mixed] {
-        let town = Town::start(&specs(0, true));
-        let router = start(&town, true, "");
+    for act in [HostBehavior::ReplyGarbage, HostBehavior::ReplyTwice, HostBehavior::MislabelReply] {
+        let cluster = Cluster::start(&specs(0, true));
+        let router = start(&cluster, true, "");
         runtime().block_on(async {
             let mut client = connect(&router).await;
-            town.act("p-0", act);
-            let read = client.ask(&ask(STANDINGS, 1, 5)).await;
+            cluster.set_behavior("p-0", act);
+            let read = client.execute(&ask(STANDINGS, 1, 5)).await;
             assert!(!matches!(read, Reply::Value(_)), "{act:?}: {read:?}");
-            if act != Act::ServeTwice {
-                let write = client.ask(&ask(BUY, 2, 5)).await;
+            if act != HostBehavior::ReplyTwice {
+                let write = client.execute(&ask(BUY, 2, 5)).await;
                 assert!(matches!(&write, Reply::Error(_)), "{act:?}: {write:?}");
                 assert_eq!(
-                    town.ledger().applied["0000000000000002"].len(),
+                    cluster.ledger().applied["0000000000000002"].len(),
                     1,
                     "an update that may have run is not retried"
                 );
             }
-            town.act("p-0", Act::Serve);
-            assert!(matches!(client.ask(&ask(STANDINGS, 3, 5)).await, Reply::Value(_)));
+            cluster.set_behavior("p-0", HostBehavior::Serve);
+            assert!(matches!(client.execute(&ask(STANDINGS, 3, 5)).await, Reply::Value(_)));
         });
     }
 }
 
 #[test]
 fn tokens_and_sessions_apply_across_both_protocols() {
-    let town = Town::start(&specs(2, false));
-    let router = start(&town, false, "");
+    let cluster = Cluster::start(&specs(2, false));
+    let router = start(&cluster, false, "");
     runtime().block_on(async {
         let (mut flight, mut pg) = (
             connect(&router).await,
@@ -185,16 +185,19 @@
                 (ask(SUBMIT, turn * 2, turn), ask(SUBMIT, turn * 2 + 1, turn));
             pg_request.token = flight_request.token;
             let statement = pg_request.statement();
-            let (flight_reply, pg_reply) = tokio::join!(flight.ask(&flight_request), pg.ask(&statement));
+            let (flight_reply, pg_reply) =
+                tokio::join!(flight.execute(&flight_request), pg.execute(&statement));
             assert!(matches!(flight_reply, Reply::Value(_)), "{flight_reply:?}");
             assert!(matches!(pg_reply, Ok(Reply::Value(_))), "{pg_reply:?}");
             let expected = format!("{:016x}", turn * 2);
-            assert_eq!(town.ledger().applied[&expected].len(), 1);
+            assert_eq!(cluster.ledger().applied[&expected].len(), 1);
             let own_read = ask(OWN, turn * 2 + 1000, turn);
-            let Ok(Reply::Value(pg_reply)) = pg.ask(&own_read.statement()).await else {
+            let Ok(Reply::Value(pg_reply)) = pg.execute(&own_read.statement()).await else {
+                panic!("the call failed")
+            };
+            let Reply::Value(flight_reply) = flight.execute(&own_read).await else {
                 panic!("the call failed")
             };
-            let Reply::Value(flight_reply) = flight.ask(&own_read).await else { panic!("the call failed") };
             assert!(
                 pg_reply.ends_with(&expected) && flight_reply.ends_with(&expected),
                 "{pg_reply}, {flight_reply}"
@@ -207,14 +210,14 @@
 fn the_staleness_bound_holds_with_lagging_replicas_and_counts_from_the_redemption() {
     let mut host_specs = specs(2, true);
     host_specs.iter_mut().filter(|spec| !spec.primary).for_each(|spec| spec.lag = Duration::from_millis(350));
-    let town = Town::start(&host_specs);
-    let router = start(&town, true, "");
+    let cluster = Cluster::start(&host_specs);
+    let router = start(&cluster, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
-        assert!(matches!(client.ask(&ask(SUBMIT, 1, 5)).await, Reply::Value(_)));
+        assert!(matches!(client.execute(&ask(SUBMIT, 1, 5)).await, Reply::Value(_)));
         // The ticket is redeemed 400 ms later, when a copy that was fresh at the planning is too old.
         let ticket = plan(&mut client, &ask(VIEW, 2, 5)).await;
-        assert!(matches!(client.ask(&ask(SUBMIT, 3, 5)).await, Reply::Value(_)));
+        assert!(matches!(client.execute(&ask(SUBMIT, 3, 5)).await, Reply::Value(_)));
         tokio::time::sleep(Duration::from_millis(400)).await;
         let batches: Vec<RecordBatch> = client
             .inner
@@ -224,10 +227,12 @@
             .try_collect()
             .await
             .expect("a complete result");
-        assert!(first(&batches).ends_with("0000000000000003"), "{}", first(&batches));
+        assert!(first_value(&batches).ends_with("0000000000000003"), "{}", first_value(&batches));
         for id in 4..20 {
-            assert!(matches!(client.ask(&ask(SUBMIT, 100 + id, 6)).await, Reply::Value(_)));
-            let Reply::Value(value) = client.ask(&ask(VIEW, id, 6)).await else { panic!("the call failed") };
+            assert!(matches!(client.execute(&ask(SUBMIT, 100 + id, 6)).await, Reply::Value(_)));
+            let Reply::Value(value) = client.execute(&ask(VIEW, id, 6)).await else {
+                panic!("the call failed")
+            };
             assert!(
                 value.starts_with("p-0"),
                 "a read with a staleness bound of 300 ms used a replica 350 ms behind: {value}"
@@ -238,8 +243,8 @@
 
 #[test]
 fn tickets_are_valid_once_and_until_they_expire() {
-    let town = Town::start(&specs(0, true));
-    let router = start(&town, true, "ticket_ms: 300");
+    let cluster = Cluster::start(&specs(0, true));
+    let router = start(&cluster, true, "ticket_ms: 300");
     runtime().block_on(async {
         let mut client = connect(&router).await;
         let ticket = plan(&mut client, &ask(STANDINGS, 1, 5)).await;
@@ -262,24 +267,28 @@
             code(&redeem(&mut client, Ticket { ticket: changed.into() }).await.expect_err("changed")),
             Code::InvalidArgument
         );
-        assert_eq!(town.ledger().commands.values().sum::<u64>(), 1, "one of four redemptions reaches a host");
+        assert_eq!(
+            cluster.ledger().commands.values().sum::<u64>(),
+            1,
+            "one of four redemptions reaches a host"
+        );
     });
 }
 
 #[test]
 fn a_ticket_is_valid_again_after_a_busy_reply() {
-    let town = Town::start(&specs(0, true));
-    let router = start(&town, true, "");
+    let cluster = Cluster::start(&specs(0, true));
+    let router = start(&cluster, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
-        town.act("p-0", Act::TurnAway);
+        cluster.set_behavior("p-0", HostBehavior::RejectOverloaded);
         let ticket = plan(&mut client, &ask(VIEW, 3, 5)).await;
         let error = match client.inner.do_get(ticket.clone()).await {
             Ok(batches) => batches.try_collect::<Vec<_>>().await.expect_err("no host serves the query"),
             Err(error) => error,
         };
         assert!(matches!(reply(&error), Reply::Busy(Some(_))), "{error}");
-        town.act("p-0", Act::Serve);
+        cluster.set_behavior("p-0", HostBehavior::Serve);
         let deadline = Instant::now() + Duration::from_secs(10);
         loop {
             // Further busy replies may come until the host counts as healthy again; they leave the ticket
@@ -289,7 +298,7 @@
                 Err(error) => Err(error),
             };
             match result {
-                Ok(batches) => break assert!(first(&batches).starts_with("p-0")),
+                Ok(batches) => break assert!(first_value(&batches).starts_with("p-0")),
                 Err(error) => {
                     assert!(matches!(reply(&error), Reply::Busy(_)) && Instant::now() < deadline, "{error}")
                 }
@@ -300,8 +309,8 @@
 
 #[test]
 fn prepared_statements_are_created_bound_executed_and_closed() {
-    let town = Town::start(&specs(0, false));
-    let router = start(&town, false, "handles: 2");
+    let cluster = Cluster::start(&specs(0, false));
+    let router = start(&cluster, false, "handles: 2");
     runtime().block_on(async {
         let mut client = connect(&router).await.inner;
         for (name, value) in
@@ -325,8 +334,12 @@
             .try_collect()
             .await
             .expect("a complete result");
-        assert_eq!(first(&batches), "p-0 -");
-        assert!(town.heard("p-0")[0].1.ends_with("WHERE ref = 'it''s'"), "{:?}", town.heard("p-0"));
+        assert_eq!(first_value(&batches), "p-0 -");
+        assert!(
+            cluster.received_statements("p-0")[0].1.ends_with("WHERE ref = 'it''s'"),
+            "{:?}",
+            cluster.received_statements("p-0")
+        );
         let second = client.prepare(text.clone(), None).await.expect("below the limit of 2");
         let Err(error) = client.prepare(text.clone(), None).await else {
             panic!("the limit of 2 is exceeded")
@@ -339,8 +352,8 @@
 
 #[test]
 fn unsupported_calls_are_rejected_and_server_metadata_is_returned() {
-    let town = Town::start(&specs(0, true));
-    let router = start(&town, true, "");
+    let cluster = Cluster::start(&specs(0, true));
+    let router = start(&cluster, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await.inner;
         let error = client.begin_transaction().await.expect_err("unsupported");
@@ -383,7 +396,7 @@
             let batches = fetch_all(&mut client, info.expect("planning succeeds")).await;
             assert_eq!(batches.iter().map(RecordBatch::num_rows).sum::<usize>(), 0);
         }
-        assert_eq!(town.ledger().commands.len(), 0, "no host got a statement");
+        assert_eq!(cluster.ledger().commands.len(), 0, "no host got a statement");
         // Statements that are no valid op are rejected with the reason.
         for (statement, reason) in [
             ("SELECT 1", "neither d"),
@@ -400,16 +413,16 @@
 #[test]
 fn a_slow_reader_uses_bounded_memory_and_is_interrupted_at_the_deadline() {
     // 400 batches of 64 KiB, read one at a time, while the host drains.
-    let town = start_hosts(400, 64 * 1024);
-    let router = start(&town, true, "held_bytes: 0");
+    let cluster = start_hosts(400, 64 * 1024);
+    let router = start(&cluster, true, "held_bytes: 0");
     runtime().block_on(async {
-        let slow = FlightClient::connect_with(flight_address(&router), 128 * 1024).await;
+        let slow = FlightClient::connect_with_window(flight_address(&router), 128 * 1024).await;
         let mut slow = slow.expect("the router accepts clients");
         let ticket = plan(&mut slow, &ask(STANDINGS, 1, 5)).await;
         let mut stream = slow.inner.do_get(ticket).await.expect("the stream starts");
         assert!(stream.next().await.expect("a batch").is_ok());
-        town.drain("r-0");
-        let (_, memory_before) = router.cost();
+        cluster.drain("r-0");
+        let (_, memory_before) = router.resource_usage();
         let started = Instant::now();
         let mut batches = 1;
         let end = loop {
@@ -427,36 +440,38 @@
             "{batches}, {:?}",
             started.elapsed()
         );
-        let (_, memory_after) = router.cost();
+        let (_, memory_after) = router.resource_usage();
         assert!(
             memory_after < memory_before + 8 * 1024,
             "{memory_before} to {memory_after} KB for a result of 25 MB"
         );
         // Other clients are served by the other host; the draining one gets nothing new.
         let mut other = connect(&router).await;
-        assert!(matches!(other.ask(&ask(VIEW, 2, 5)).await, Reply::Value(value) if value.starts_with("p-0")));
+        assert!(
+            matches!(other.execute(&ask(VIEW, 2, 5)).await, Reply::Value(value) if value.starts_with("p-0"))
+        );
     });
 }
 
 #[test]
 fn a_hanging_call_does_not_block_other_calls_on_its_connection() {
-    let town = Town::start(&specs(1, true));
-    let router = start(&town, true, "calls: 600");
+    let cluster = Cluster::start(&specs(1, true));
+    let router = start(&cluster, true, "calls: 600");
     runtime().block_on(async {
         let client = connect(&router).await;
-        town.act("r-0", Act::Hang);
+        cluster.set_behavior("r-0", HostBehavior::Hang);
         let hanging = tokio::spawn({
             let mut client = FlightClient { inner: client.inner.clone() };
-            async move { client.ask(&ask(STANDINGS, 1, 5)).await }
+            async move { client.execute(&ask(STANDINGS, 1, 5)).await }
         });
-        while town.heard("r-0").is_empty() {
+        while cluster.received_statements("r-0").is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
-        town.act("r-0", Act::Serve);
+        cluster.set_behavior("r-0", HostBehavior::Serve);
         let calls: Vec<_> = (10..510_u64)
             .map(|id| {
                 let mut client = FlightClient { inner: client.inner.clone() };
-                tokio::spawn(async move { client.ask(&ask(STANDINGS, id, id)).await })
+                tokio::spawn(async move { client.execute(&ask(STANDINGS, id, id)).await })
             })
             .collect();
         // The decision module limits how many ops run at once, but each call gets a reply.
@@ -472,7 +487,7 @@
         // A burst opens a connection per hundred streams, not per stream.
         for name in ["p-0", "r-0"] {
             let connections: std::collections::HashSet<usize> =
-                town.heard(name).into_iter().map(|(connection, _)| connection).collect();
+                cluster.received_statements(name).into_iter().map(|(connection, _)| connection).collect();
             assert!(connections.len() <= 6, "{name}: {} connections", connections.len());
         }
         let started = Instant::now();
@@ -483,41 +498,41 @@
 
 #[test]
 fn a_connection_that_cancels_too_many_calls_is_closed_and_others_are_served() {
-    let town = Town::start(&specs(0, true));
-    let router = start(&town, true, "");
+    let cluster = Cluster::start(&specs(0, true));
+    let router = start(&cluster, true, "");
     runtime().block_on(async {
         let client = connect(&router).await;
         let mut other = connect(&router).await;
-        town.act("p-0", Act::Hang);
+        cluster.set_behavior("p-0", HostBehavior::Hang);
         // The time that a call takes to reach the host depends on the machine, so that the rounds differ in
         // length.
         let (deadline, mut id) = (Instant::now() + Duration::from_secs(10), 10_000);
-        while !router.said("cancels too many calls", Duration::ZERO) && Instant::now() < deadline {
+        while !router.wait_for_log("cancels too many calls", Duration::ZERO) && Instant::now() < deadline {
             let calls: Vec<_> = (0..24)
                 .map(|_| {
                     id += 1;
                     let mut client = FlightClient { inner: client.inner.clone() };
-                    tokio::spawn(async move { client.ask(&ask(STANDINGS, id, id)).await })
+                    tokio::spawn(async move { client.execute(&ask(STANDINGS, id, id)).await })
                 })
                 .collect();
             tokio::time::sleep(Duration::from_millis(1 << (id % 5))).await;
             calls.into_iter().for_each(|call| call.abort());
         }
-        town.act("p-0", Act::Serve);
+        cluster.set_behavior("p-0", HostBehavior::Serve);
         let deadline = Instant::now() + Duration::from_secs(10);
         let mut id = 1_000_000;
-        while !matches!(other.ask(&ask(STANDINGS, id, 5)).await, Reply::Value(_)) {
+        while !matches!(other.execute(&ask(STANDINGS, id, 5)).await, Reply::Value(_)) {
             id += 1;
             assert!(Instant::now() < deadline, "the other client is not served");
         }
-        assert!(router.said("cancels too many calls", Duration::from_secs(5)));
+        assert!(router.wait_for_log("cancels too many calls", Duration::from_secs(5)));
     });
 }
 
 #[test]
 fn rejected_calls_do_not_count_as_cancelled() {
-    let town = Town::start(&specs(0, true));
-    let router = start(&town, true, "");
+    let cluster = Cluster::start(&specs(0, true));
+    let router = start(&cluster, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
         // More calls per second than a client may cancel.
@@ -525,24 +540,24 @@
             let result = client.inner.execute(ask(VIEW, 1, 5).statement(), Some(vec![1].into())).await;
             assert_eq!(code(&result.expect_err("no transactions")), Code::Unimplemented);
         }
-        assert!(matches!(client.ask(&ask(STANDINGS, 2, 5)).await, Reply::Value(_)));
+        assert!(matches!(client.execute(&ask(STANDINGS, 2, 5)).await, Reply::Value(_)));
     });
 }
 
 #[test]
 fn streams_survive_a_new_discovery_address_and_complete_during_shutdown() {
-    let town = start_hosts(30, 10_000);
-    let mut router = start(&town, true, "held_bytes: 0");
-    let (old, new) = (town.discovery, town.discover());
-    let file = waybill(&town, &helpers::OP_TYPES, 512).to_string();
+    let cluster = start_hosts(30, 10_000);
+    let mut router = start(&cluster, true, "held_bytes: 0");
+    let (old, new) = (cluster.discovery_address, cluster.start_discovery());
+    let file = platform_config(&cluster, &helpers::OP_TYPES, 512).to_string();
     runtime().block_on(async {
         let mut client = connect(&router).await;
         let ticket = plan(&mut client, &ask(STANDINGS, 1, 5)).await;
         let mut stream = client.inner.do_get(ticket).await.expect("the stream starts");
         assert!(stream.next().await.expect("a batch").is_ok());
         // Discovery moves to another address.
-        router.retell(&file.replace(&old.to_string(), &new.to_string()));
-        while town.calls(new).is_empty() {
+        router.reload_platform_config(&file.replace(&old.to_string(), &new.to_string()));
+        while cluster.discovery_requests(new).is_empty() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         assert!(stream.next().await.expect("a batch").is_ok());
@@ -563,8 +578,8 @@
     use arrow_flight::sql::{CommandStatementUpdate, ProstMessageExt};
     use arrow_flight::{FlightData, FlightDescriptor};
     use prost::Message;
-    let town = Town::start(&specs(0, true));
-    let router = start(&town, true, "");
+    let cluster = Cluster::start(&specs(0, true));
+    let router = start(&cluster, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
         let command = CommandStatementUpdate { query: ask(BUY, 1, 5).statement(), transaction_id: None };
@@ -578,42 +593,42 @@
         });
         tokio::time::sleep(Duration::from_millis(100)).await;
         call.abort();
-        assert!(matches!(client.ask(&ask(BUY, 2, 5)).await, Reply::Value(_)));
-        assert_eq!(town.ledger().applied.keys().collect::<Vec<_>>(), ["0000000000000002"]);
+        assert!(matches!(client.execute(&ask(BUY, 2, 5)).await, Reply::Value(_)));
+        assert_eq!(cluster.ledger().applied.keys().collect::<Vec<_>>(), ["0000000000000002"]);
     });
 }
 
 #[test]
 fn cells_apply_to_flight_sql() {
     let mut host_specs = specs(0, true);
-    host_specs.extend(["a-0", "b-0"].map(|name| Spec { flight: true, ..Spec::new(name, 7, false) }));
-    let town = Town::start(&host_specs);
+    host_specs.extend(["a-0", "b-0"].map(|name| HostSpec { flight: true, ..HostSpec::new(name, 7, false) }));
+    let cluster = Cluster::start(&host_specs);
     let cells = r#"cells { cell { name: "a" host: "a-*" } cell { name: "b" host: "b-*" }
         tenant { name: "ann" cell: "a" } tenant { name: "bob" cell: "b" } repeats { share: 0.0 least: 3 window_ms: 60000 } }"#;
-    let router = start_with(&town, true, "held_bytes: 0", cells);
+    let router = start_with(&cluster, true, "held_bytes: 0", cells);
     runtime().block_on(async {
         let mut client = connect(&router).await;
-        let request_of = |tenant, id, again| Ask { tenant, again, ..ask(STANDINGS, id, 5) };
+        let request_of = |tenant, id, is_retry| OpRequest { tenant, is_retry, ..ask(STANDINGS, id, 5) };
         for id in 0..20 {
             for (tenant, cell_host) in [("ann", "a-0"), ("bob", "b-0")] {
                 let reply = client
-                    .ask(&request_of(Some(tenant), id * 10 + u64::from(cell_host == "a-0"), false))
+                    .execute(&request_of(Some(tenant), id * 10 + u64::from(cell_host == "a-0"), false))
                     .await;
                 let Reply::Value(value) = reply else { panic!("{reply:?}") };
                 assert!(value.starts_with(cell_host) || value.starts_with("p-0"), "{tenant}: {value}");
             }
         }
-        let unknown = client.ask(&request_of(Some("eve"), 500, false)).await;
+        let unknown = client.execute(&request_of(Some("eve"), 500, false)).await;
         assert!(matches!(&unknown, Reply::Error(reason) if reason.contains("no cell")), "{unknown:?}");
         // Retries use the budget of their own cell only.
         let mut busy = 0;
         for id in 600..606 {
             busy += usize::from(matches!(
-                client.ask(&request_of(Some("ann"), id, true)).await,
+                client.execute(&request_of(Some("ann"), id, true)).await,
                 Reply::Busy(Some(_))
             ));
         }
         assert_eq!(busy, 3);
-        assert!(matches!(client.ask(&request_of(Some("bob"), 700, true)).await, Reply::Value(_)));
+        assert!(matches!(client.execute(&request_of(Some("bob"), 700, true)).await, Reply::Value(_)));
     });
 }
--- a/crates/arrowyard-flight-daemon/tests/unprocessed_calls.rs
+++ b/crates/arrowyard-flight-daemon/tests/unprocessed_calls.rs
@@ -10,7 +10,7 @@
 use arrow_flight::sql::DoPutUpdateResult;
 use arrow_flight::{PutResult, Result as ActionResult};
 use arrowyard_testbed::flight::FlightClient;
-use arrowyard_testbed::{Process, Reply, Town};
+use arrowyard_testbed::{Cluster, Process, Reply};
 use helpers::{BUY, ask, runtime, specs, start};
 use prost::Message;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -164,16 +164,16 @@
 /// Sends updates one after the other and returns their replies, and connection and stream of each update
 /// that the host received.
 fn send_updates(behaviors: &[Behavior], updates: u64) -> (Vec<Reply>, Vec<(usize, u32)>) {
-    let town = Town::start(&specs(0, true));
+    let cluster = Cluster::start(&specs(0, true));
     let runtime = runtime();
     let (host, address) = runtime.block_on(FrameHost::start(behaviors));
-    town.stand_in("p-0", address);
-    let router: Process = start(&town, true, "");
+    cluster.replace_address("p-0", address);
+    let router: Process = start(&cluster, true, "");
     runtime.block_on(async {
         let mut client = FlightClient::connect(router.address).await.expect("the router accepts clients");
         let mut replies = Vec::new();
         for id in 1..=updates {
-            replies.push(client.ask(&ask(BUY, id, 5)).await);
+            replies.push(client.execute(&ask(BUY, id, 5)).await);
         }
         let received = host.updates.lock().expect("not poisoned").clone();
         (replies, received)
