--- a/crates/arrowyard-core/src/discovery.rs
+++ b/crates/arrowyard-core/src/discovery.rs
@@ -216,7 +216,7 @@
                 tracing::warn!(
                     held = accepted_version,
                     told = list.version,
-                    "discovery counts its lists anew"
+                    "discovery restarted its list versions"
                 )
             }
             // Treated as a failed call: another one may reach an up-to-date discovery server.
--- a/crates/arrowyard-core/src/leases.rs
+++ b/crates/arrowyard-core/src/leases.rs
@@ -296,11 +296,7 @@
                     // Beyond the bound two routers may hold one lease. Logged once for each voter.
                     if self.drifts.insert(voter, ppm).is_none() {
                         let voter = &self.voters[usize::from(voter.0)].0;
-                        tracing::error!(
-                            voter,
-                            ppm,
-                            "a voter's clock and this one run apart beyond the bound"
-                        );
+                        tracing::error!(voter, ppm, "the clock of a voter drifts beyond the bound");
                     }
                 }
                 let rng = &mut self.rng;
@@ -397,7 +393,7 @@
                     tracing::warn!(mono_us, lease = name(lease), epoch = epoch.0, "lease expired");
                 }
                 Event::Released { lease, epoch } => {
-                    tracing::info!(mono_us, lease = name(lease), epoch = epoch.0, "lease is given back");
+                    tracing::info!(mono_us, lease = name(lease), epoch = epoch.0, "lease is released");
                 }
             }
         }
--- a/crates/arrowyard-core/src/peers.rs
+++ b/crates/arrowyard-core/src/peers.rs
@@ -265,7 +265,7 @@
                     tracing::warn!(
                         mono_us,
                         ms = stall.micros() / 1000,
-                        "was away: the membership view may be outdated"
+                        "the process was stalled; the membership view may be outdated"
                     );
                 }
                 Event::IncarnationRaised(incarnation) => {
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -377,7 +377,7 @@
             match event {
                 CellEvent::ReleaseVerdict(verdict) => {
                     verdict_changed = true;
-                    tracing::warn!(cell = name(verdict.cell), "the release is judged {:?}", verdict.verdict);
+                    tracing::warn!(cell = name(verdict.cell), "release verdict: {:?}", verdict.verdict);
                 }
                 CellEvent::RolloutBlocked(cell, block) => {
                     let (blocked_by, reason) = (
@@ -483,10 +483,10 @@
         };
         match cells.replace_layout(now, layout) {
             Ok(()) => {
-                tracing::info!(epoch, "the operator's file holds");
+                tracing::info!(epoch, "applied the operator's file");
                 self.resend_hosts();
             }
-            Err(error) => tracing::error!(epoch, "the operator's file is refused whole: {error:?}"),
+            Err(error) => tracing::error!(epoch, "rejected the operator's file: {error:?}"),
         }
     }
 
@@ -566,7 +566,7 @@
         }
         tracing::warn!(
             hosts = entries.len(),
-            "closing hosts that other routers report as draining, since the host list is unavailable"
+            "closing hosts reported as draining by other routers, since the host list is unavailable"
         );
         let entries = if self.cells.is_some() { self.assign_cells(entries) } else { entries };
         let (event, mut actions) =
--- a/crates/arrowyard-daemon/tests/cells.rs
+++ b/crates/arrowyard-daemon/tests/cells.rs
@@ -149,10 +149,10 @@
         router.rebook(&BOOK.replace("epoch: 1", "epoch: 2").replace("cell: \"b\"", "cell: \"c\""));
         assert!(router.said("no cell is named \"c\"", within));
         router.rebook(&BOOK.replace("\"bob\"", "\"eve\""));
-        assert!(router.said("refused whole", within));
+        assert!(router.said("rejected the operator's file", within));
         assert!(matches!(client.ask(Some("eve"), 3, None, false, 7).await, Reply::Error(_)));
         router.rebook(&BOOK.replace("epoch: 1", "epoch: 3").replace("\"bob\"", "\"eve\""));
-        assert!(router.said("the operator's file holds epoch=3", within));
+        assert!(router.said("applied the operator's file epoch=3", within));
         assert!(matches!(client.ask(Some("eve"), 3, None, false, 7).await, Reply::Value(_)));
         assert!(matches!(client.ask(Some("bob"), 3, None, false, 7).await, Reply::Error(_)));
     });
@@ -199,7 +199,7 @@
     }
     let within = Duration::from_secs(10);
     assert!(
-        router.said("the release there is not judged yet cell=b by=a", within),
+        router.said("the release in the preceding cell has no verdict yet cell=b by=a", within),
         "{:#?}",
         router.log.lock()
     );
@@ -209,10 +209,13 @@
     // New hosts get few ops, and two have to fail, so the load is repeated until the verdict.
     let mut rounds =
         (0..8).map(|seed| play(router.address, &OP_TYPES, &[stream("ann"), stream("bob")], seed, |_| {}));
-    let outcome =
-        rounds.find(|_| router.said("the release is judged Bad cell=a", Duration::from_millis(100)));
+    let outcome = rounds.find(|_| router.said("release verdict: Bad cell=a", Duration::from_millis(100)));
     let outcome = outcome.expect("a failing canary is classified as bad");
-    assert!(router.said("the release there is bad cell=b by=a", within), "{:#?}", router.log.lock());
+    assert!(
+        router.said("the release in the preceding cell has failed cell=b by=a", within),
+        "{:#?}",
+        router.log.lock()
+    );
     let bob = outcome.of_tenant("bob");
     assert!(bob.share() > 0.9, "{} of {}", bob.good, bob.sent);
 }
--- a/crates/arrowyard-daemon/tests/leases.rs
+++ b/crates/arrowyard-daemon/tests/leases.rs
@@ -105,7 +105,7 @@
     let before = newest_epoch(&taker);
     let requested = mono_us();
     assert_eq!(rig.end(second), Some(0));
-    let gave = rig.lines("lease is given back").into_iter().rfind(|(who, _)| *who == second);
+    let gave = rig.lines("lease is released").into_iter().rfind(|(who, _)| *who == second);
     let gave = gave.and_then(|(_, line)| line["mono_us"].as_i64()).expect("the release is logged");
     let took = wait_for_newer_epoch(&taker, gave, before);
     assert!(
@@ -302,7 +302,7 @@
     let taker = Taker::start(ms(10));
     let bad = rig(3, &taker, Setting { clocks: vec![0, 0, 300_000], ..default_setting() });
     wait_for_holder(&bad);
-    until(15_000, "drift is reported", || !bad.lines("run apart beyond the bound").is_empty());
+    until(15_000, "drift is reported", || !bad.lines("drifts beyond the bound").is_empty());
 }
 
 #[test]
--- a/crates/arrowyard-daemon/tests/peers.rs
+++ b/crates/arrowyard-daemon/tests/peers.rs
@@ -133,7 +133,7 @@
     assert_no_false_deaths(&rig, zero, &plan);
     assert_agreement(&rig, 10_000, &plan);
     assert!(
-        rig.process(1).is_some_and(|process| process.said("was away", ms(100))),
+        rig.process(1).is_some_and(|process| process.said("the process was stalled", ms(100))),
         "the router notices its own pause"
     );
     // A resumed router reports no other router within the next second.
@@ -452,7 +452,8 @@
         let outcome = load.join().expect("the load has been sent");
         let after = rig.town.ledger().commands.get("r-1").copied().unwrap_or_default();
         assert_eq!(outcome.of_tenant("t").unanswered, 0);
-        let closed = rig.process(5).expect("the router runs").said("closed by other routers", ms(100));
+        let closed =
+            rig.process(5).expect("the router runs").said("reported as draining by other routers", ms(100));
         assert_eq!(closed, news);
         if news {
             assert_eq!(after, before, "no more sends to the host");
--- a/crates/arrowyard-daemon/tests/returns.rs
+++ b/crates/arrowyard-daemon/tests/returns.rs
@@ -286,7 +286,7 @@
         outcome.of_tenant("t")
     );
     assert!(logged(&rig, 0, "is older than", 3_000));
-    assert!(logged(&rig, 0, "discovery counts its lists anew", 15_000));
+    assert!(logged(&rig, 0, "discovery restarted its list versions", 15_000));
     assert!(logged(&rig, 0, "the start is at", 100));
 }
 
