--- a/crates/arrowyard-core/src/client_request.rs
+++ b/crates/arrowyard-core/src/client_request.rs
@@ -10,7 +10,7 @@
     pub op_type: &'a str,
     pub tenant: Option<&'a str>,
     pub group: i64,
-    /// How long the client waits for the answer, in milliseconds.
+    /// How long the client waits for the reply, in milliseconds.
     pub timeout_ms: u32,
     /// The session's last commit, as Unix time in milliseconds; 0 if it has not committed.
     pub last_commit_ms: Option<i64>,
--- a/crates/arrowyard-core/src/host_registry.rs
+++ b/crates/arrowyard-core/src/host_registry.rs
@@ -119,7 +119,7 @@
         self.ids.remove(&name)
     }
 
-    /// The id that stands for the group within the cell.
+    /// The group id that represents the group within the cell.
     pub fn cell_group(&mut self, group: GroupId, cell: CellId) -> GroupId {
         let next = GroupId(i64::MIN + self.cell_groups.len() as i64);
         *self.cell_groups.entry((group, cell)).or_insert(next)
--- a/crates/arrowyard-core/src/leases.rs
+++ b/crates/arrowyard-core/src/leases.rs
@@ -32,7 +32,7 @@
     Show(oneshot::Sender<String>),
     /// Whether this router is eligible to hold leases, that is, serves ops.
     SetEligible(bool),
-    /// Releases all leases before the router ends; answered once that is done.
+    /// Releases all leases before the router ends; the channel resolves once that is done.
     ReleaseAll(oneshot::Sender<()>),
     /// Writing the snapshot with this number ended; true if it succeeded.
     VotesStored(u64, bool),
@@ -222,7 +222,7 @@
             let wake_at = self.next_wake();
             tokio::select! {
                 biased;
-                // Timers go first, so that datagrams queued during a halt of the process are not taken as
+                // Timers go first, so that datagrams queued while the process was stopped are not treated as
                 // current.
                 () = sleep_until(wake_at) => self.tick(),
                 command = self.commands.recv() => match command {
--- a/crates/arrowyard-core/src/limits.rs
+++ b/crates/arrowyard-core/src/limits.rs
@@ -13,7 +13,7 @@
 pub struct Limits {
     /// Client connections; beyond this number the longest idle one is closed for a new one.
     pub max_client_connections: usize,
-    /// Further client connections, which get a busy answer.
+    /// Further client connections, which get a busy reply.
     pub max_rejected_connections: usize,
     /// Connections to all database hosts together.
     pub max_host_connections: usize,
@@ -38,7 +38,7 @@
     pub max_file_reads: u32,
     /// Log lines per second.
     pub log_lines_per_second: u32,
-    /// How long a connection to a host may take to come up, and a probe to be answered.
+    /// How long connecting to a host, and the response to a probe, may take.
     pub connect_timeout: Duration,
     /// How long a connection to a host may stay idle; shorter than the host's own limit.
     pub host_idle_timeout: Duration,
--- a/crates/arrowyard-core/src/op_table.rs
+++ b/crates/arrowyard-core/src/op_table.rs
@@ -1,4 +1,4 @@
-//! The open ops: each send ends exactly once, and each op gets exactly one final answer.
+//! The open ops: each send ends exactly once, and each op gets exactly one final reply.
 
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -11,7 +11,7 @@
 /// An open op.
 struct OpEntry<P, A> {
     payload: Rc<P>,
-    /// Present until the final answer is sent.
+    /// Present until the final reply is sent.
     client: Option<oneshot::Sender<Reply<A>>>,
     /// Indexed by `SendIndex`.
     sends: Vec<SendState>,
@@ -121,7 +121,7 @@
         self.complete(op, Reply::Acked(answer));
     }
 
-    /// Sends the final answer, unless the op has one.
+    /// Sends the final reply, unless one was sent.
     pub fn complete(&mut self, op: OpId, reply: Reply<A>) {
         let Some(client) = self.ops.get_mut(&op).and_then(|op_entry| op_entry.client.take()) else { return };
         let count = match reply {
--- a/crates/arrowyard-core/src/peers.rs
+++ b/crates/arrowyard-core/src/peers.rs
@@ -26,11 +26,11 @@
     /// Sends a message of the decision module to all members.
     Broadcast(Vec<u8>),
     Show(oneshot::Sender<String>),
-    /// Announces that the router leaves; answered once that was sent.
+    /// Announces that the router leaves; the channel resolves once that was sent.
     Leave(oneshot::Sender<()>),
     /// The machine of this member refused a datagram to this incarnation of it.
     PortRefused(Rc<str>, u64),
-    /// Ops received and acknowledged since the start; `None` if the route task did not answer in time.
+    /// Ops received and acknowledged since the start; `None` if the route task did not respond in time.
     ServiceReport(Option<(u64, u64)>),
 }
 
@@ -160,7 +160,7 @@
             let wake_at = self.clock.instant_at(self.membership.next_deadline());
             tokio::select! {
                 biased;
-                // Timers go first, so that datagrams queued during a halt of the process are not taken as
+                // Timers go first, so that datagrams queued while the process was stopped are not treated as
                 // current.
                 () = sleep_until(wake_at) => self.membership.tick(self.clock.now()),
                 command = self.commands.recv() => match command {
--- a/crates/arrowyard-core/src/pool.rs
+++ b/crates/arrowyard-core/src/pool.rs
@@ -29,7 +29,7 @@
 
     fn idle_since(&self) -> Instant;
 
-    /// Whether it was not idle for too long and has received nothing since, not even its end.
+    /// Whether it was not idle for too long and has received nothing since, not even the end of the stream.
     fn is_reusable(&self) -> bool;
 
     /// Marks it as idle and frees the memory of its last answer.
@@ -58,7 +58,7 @@
         self.open.get()
     }
 
-    /// Connections started since the start.
+    /// The number of connections started since the pool was created.
     pub fn connections_started(&self) -> u64 {
         self.started.get()
     }
--- a/crates/arrowyard-core/src/reply.rs
+++ b/crates/arrowyard-core/src/reply.rs
@@ -1,4 +1,4 @@
-//! The one final answer of an op.
+//! The final reply of an op; each op gets exactly one.
 
 use arrowyard_types::TimeDelta;
 
--- a/crates/arrowyard-core/src/router_config.rs
+++ b/crates/arrowyard-core/src/router_config.rs
@@ -14,6 +14,7 @@
     pub discovery: SocketAddr,
     pub seed: u64,
     pub memory_mb: usize,
+    /// The limit of open file descriptors.
     pub sockets: usize,
     /// The router's last list of hosts before this start.
     pub host_list: Option<HostList>,
--- a/crates/arrowyard-core/src/submission.rs
+++ b/crates/arrowyard-core/src/submission.rs
@@ -40,7 +40,7 @@
     }
 }
 
-/// Why there is no answer: the router stopped, or the queue is full and the op did not run.
+/// Why there is no reply: the router stopped, or the queue is full and the op did not run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitError {
     Stopped,
--- a/crates/arrowyard-operator-config/src/positions.rs
+++ b/crates/arrowyard-operator-config/src/positions.rs
@@ -23,7 +23,8 @@
     }
 }
 
-/// Positions by the path of the field, as in `cells.cell[1].weight`; elements of repeated fields count from 0.
+/// Positions by the path of the field, as in `cells.cell[1].weight`; elements of repeated fields count from
+/// 0.
 #[derive(Debug, Default)]
 pub struct FieldPositions(pub(crate) HashMap<String, Position>);
 
