--- a/crates/arrowyard-daemon/tests/leases.rs
+++ b/crates/arrowyard-daemon/tests/leases.rs
@@ -122,7 +122,7 @@
     let requested_us = monotonic_us();
     assert_eq!(rig.shut_down(second_holder), Some(0));
     let released_us =
-        rig.log_entries("lease is given back").into_iter().rfind(|(index, _)| *index == second_holder);
+        rig.log_entries("lease is released").into_iter().rfind(|(index, _)| *index == second_holder);
     let released_us =
         released_us.and_then(|(_, line)| line["mono_us"].as_i64()).expect("the release is logged");
     let takeover_ms = wait_for_newer_epoch(&recorder, released_us, epoch_before);
@@ -324,7 +324,7 @@
         rig(3, &recorder, RigConfig { clock_drifts_ppm: vec![0, 0, 300_000], ..default_config() });
     wait_for_holder(&beyond_bound);
     wait_until(15_000, "drift is reported", || {
-        !beyond_bound.log_entries("run apart beyond the bound").is_empty()
+        !beyond_bound.log_entries("drifts beyond the bound").is_empty()
     });
 }
 
--- a/crates/arrowyard-daemon/tests/peers.rs
+++ b/crates/arrowyard-daemon/tests/peers.rs
@@ -169,7 +169,7 @@
     assert_no_false_deaths(&rig, start_us, &plan);
     assert_agreement(&rig, 10_000, &plan);
     assert!(
-        rig.process(1).is_some_and(|process| process.wait_for_log("was away", ms(100))),
+        rig.process(1).is_some_and(|process| process.wait_for_log("the process was stalled", ms(100))),
         "the router notices its own pause"
     );
     // A resumed router reports no other router within the next second.
@@ -520,8 +520,10 @@
         let result = load.join().expect("the load has been sent");
         let commands_after = rig.cluster.ledger().commands.get("r-1").copied().unwrap_or_default();
         assert_eq!(result.tenant_stats("t").unanswered, 0);
-        let closed_by_others =
-            rig.process(5).expect("the router runs").wait_for_log("closed by other routers", ms(100));
+        let closed_by_others = rig
+            .process(5)
+            .expect("the router runs")
+            .wait_for_log("reported as draining by other routers", ms(100));
         assert_eq!(closed_by_others, news);
         if news {
             assert_eq!(commands_after, commands_before, "no more sends to the host");
