--- a/crates/arrowyard-daemon/src/router_service.rs
+++ b/crates/arrowyard-daemon/src/router_service.rs
@@ -11,7 +11,7 @@
 use arrowyard_core::clock::{Clock, StallDetector};
 use arrowyard_core::discovery::{Discovery, ReconnectPolicy};
 use arrowyard_core::drain::{self, Drain, Stage};
-use arrowyard_core::leases::{self as holding, LeasesTask};
+use arrowyard_core::leases::{self, LeasesTask};
 use arrowyard_core::limits::Limits;
 use arrowyard_core::logger::{self, LogConfig, LogFormat};
 use arrowyard_core::messages::{DiscoveryCommand, RouteMessage};
@@ -34,9 +34,9 @@
 use tokio::time::{sleep, timeout};
 
 /// Log settings: those of the operator's file where it has them, else the defaults.
-fn log_settings(name: &str, lines_per_second: u32, book: Option<&Yardbook>) -> LogConfig {
+fn log_settings(name: &str, lines_per_second: u32, operator_config: Option<&Yardbook>) -> LogConfig {
     let defaults = LogConfig::from_env(name, lines_per_second);
-    let Some(log) = book.and_then(|book| book.log.as_ref()) else { return defaults };
+    let Some(log) = operator_config.and_then(|config| config.log.as_ref()) else { return defaults };
     LogConfig {
         format: if log.form() == schema::Form::Json { LogFormat::Json } else { LogFormat::Text },
         level: log.level.as_ref().and_then(|level| level.parse().ok()).unwrap_or(defaults.level),
@@ -51,153 +51,160 @@
 
 /// The tasks of a running router, and the handles by which frontends submit ops.
 pub struct RouterService<B: HostTransport> {
-    pub gate: Rc<AdmissionController>,
-    pub mail: mpsc::Sender<RouteMessage<B>>,
+    pub admission: Rc<AdmissionController>,
+    pub messages: mpsc::Sender<RouteMessage<B>>,
     /// Number of client connections of all frontends.
-    pub clients: Rc<Cell<usize>>,
+    pub client_connections: Rc<Cell<usize>>,
     pub stage: watch::Receiver<Stage>,
-    pub beat: Rc<StallDetector>,
+    pub stall_detector: Rc<StallDetector>,
     pub clock: Clock,
     pub limits: Rc<Limits>,
     peers: Option<mpsc::Sender<PeersCommand>>,
     drain: Drain,
     signals: (Signal, Signal),
-    route: JoinHandle<()>,
+    route_task: JoinHandle<()>,
 }
 
 impl<B: HostTransport> RouterService<B> {
-    /// Starts the tasks; `back` creates the backend that sends to hosts.
+    /// Starts the tasks; `new_transport` creates the backend that sends to hosts.
     ///
     /// # Errors
     /// Why a task could not be started.
     pub async fn start(
         router_config: &RouterConfig,
-        path: Option<PathBuf>,
-        book: Option<&Yardbook>,
-        back: impl FnOnce(&Rc<Limits>) -> Rc<B>,
+        operator_file: Option<PathBuf>,
+        operator_config: Option<&Yardbook>,
+        new_transport: impl FnOnce(&Rc<Limits>) -> Rc<B>,
     ) -> Result<Self, String> {
         let mut settings = router_settings(&router_config.settings)?;
         let limits = Rc::new(Limits::new(router_config, &settings));
-        logger::start(log_settings(&router_config.name, limits.log_lines_per_second, book));
-        let signals = drain::termination_signals().map_err(|e| format!("signals: {e}"))?;
-        let hangup = signal(SignalKind::hangup()).map_err(|e| format!("signals: {e}"))?;
+        logger::start(log_settings(&router_config.name, limits.log_lines_per_second, operator_config));
+        let signals = drain::termination_signals().map_err(|error| format!("signals: {error}"))?;
+        let hangup = signal(SignalKind::hangup()).map_err(|error| format!("signals: {error}"))?;
         let clock = Clock::start();
-        let (mail, inbox) = mpsc::channel(limits.queue_capacity);
+        let (messages, route_inbox) = mpsc::channel(limits.queue_capacity);
         let (discovery_commands, discovery_inbox) = mpsc::channel(limits.queue_capacity);
-        let (stage, staged) = watch::channel(Stage::Serving);
+        let (stage_sender, stage) = watch::channel(Stage::Serving);
 
-        let beat = StallDetector::new(clock, limits.stall_check_interval);
-        drop(spawn_local(beat.clone().run()));
-        let back = back(&limits);
+        let stall_detector = StallDetector::new(clock, limits.stall_check_interval);
+        drop(spawn_local(stall_detector.clone().run()));
+        let transport = new_transport(&limits);
         // Changes cannot be applied to a stored list: the watch starts with the whole list unless the
         // platform gave one.
         let version = Rc::new(Cell::new(router_config.host_list.as_ref().map(|list| list.version)));
-        let (mut known, mut startup, mut reconnect) = (router_config.host_list.clone(), None, None);
-        if let Some(startup_config) = book.and_then(startup_settings) {
+        let (mut host_list, mut startup, mut reconnect) = (router_config.host_list.clone(), None, None);
+        if let Some(startup_config) = operator_config.and_then(startup_settings) {
             let deployment = returns::deployment_fingerprint(&router_config.settings);
-            let (list, stored) = returns::load_stored_list(&startup_config, deployment, known).await;
-            known = list;
+            let (loaded_list, stored_version) =
+                returns::load_stored_list(&startup_config, deployment, host_list).await;
+            host_list = loaded_list;
             let (name, seed) = (&router_config.name, router_config.seed);
-            let held = stored.max(version.get());
+            let newest_version = stored_version.max(version.get());
             reconnect = Some(Rc::new(RefCell::new(ReconnectPolicy {
-                credence: ListVersionTracker::new(clock.now(), held, startup_config.rollback_delay),
+                credence: ListVersionTracker::new(clock.now(), newest_version, startup_config.rollback_delay),
                 herd: CallPacer::new(
                     startup_config.pacing,
                     settings.number_or("routers", 1.0),
                     seed ^ PACING_SEED,
                 ),
-                has_list: known.is_some(),
+                has_list: host_list.is_some(),
                 clock,
             })));
-            let start =
-                RouterStartup::new(clock.now(), startup_config, deployment, name, known.is_some(), seed);
-            startup = Some(Box::new(start));
+            let router_startup =
+                RouterStartup::new(clock.now(), startup_config, deployment, name, host_list.is_some(), seed);
+            startup = Some(Box::new(router_startup));
         }
         let discovery = Discovery {
             address: router_config.discovery,
             version,
-            messages: mail.clone(),
+            messages: messages.clone(),
             limits: limits.clone(),
             reconnect,
         };
         drop(spawn_local(discovery.run(discovery_inbox)));
-        let cells = book.and_then(cell_layout);
-        let layout_source = path.map(|path| -> (LoadLayout, _) {
-            (Arc::new(move || Ok(cell_layout(&arrowyard_operator_config::load(&path)?))), mail.clone())
+        let cells = operator_config.and_then(cell_layout);
+        let layout_source = operator_file.map(|path| -> (LoadLayout, _) {
+            (Arc::new(move || Ok(cell_layout(&arrowyard_operator_config::load(&path)?))), messages.clone())
         });
         let reload =
             ReloadTask { discovery: discovery_commands.clone(), limits: limits.clone(), layout_source };
         drop(spawn_local(reload.run(hangup)));
         if settings.text("list") != "ask" {
             // Where lists are pushed, the decision module never requests one.
-            discovery_commands.send(DiscoveryCommand::Watch(true)).await.map_err(|e| e.to_string())?;
+            discovery_commands
+                .send(DiscoveryCommand::Watch(true))
+                .await
+                .map_err(|error| error.to_string())?;
         }
 
-        let mut gate =
+        let mut admission =
             AdmissionController::new(&router_config.settings, &settings, limits.clone(), cells.is_some());
-        if let Some(lease_config) = book.and_then(lease_settings) {
-            let (task, errands) =
+        if let Some(lease_config) = operator_config.and_then(lease_settings) {
+            let (task, lease_commands) =
                 LeasesTask::open(lease_config, &router_config.name, router_config.seed).await?;
             drop(spawn_local(task.run()));
             // Released as soon as the drain begins: in-flight ops are still finished then, leased tasks are
             // not.
-            let (leases, mut drain_stage) = (errands.clone(), staged.clone());
+            let (commands, mut drain_stage) = (lease_commands.clone(), stage.clone());
             drop(spawn_local(async move {
                 if drain_stage.wait_for(|stage| *stage != Stage::Serving).await.is_ok() {
-                    release_leases(leases).await;
+                    release_leases(commands).await;
                 }
             }));
-            gate.leases = Some(errands);
+            admission.leases = Some(lease_commands);
         }
         let mut peers = None;
-        if let Some(peer_config) = book.and_then(peer_settings) {
-            gate.in_fleet = true;
+        if let Some(peer_config) = operator_config.and_then(peer_settings) {
+            admission.in_fleet = true;
             if peer_config.relay_app_messages {
                 settings.insert("peers".to_string(), SettingValue::Flag(true));
             }
-            let (configured_routers, mail) = (settings.number_or("routers", 1.0), mail.clone());
-            let (name, seed, holding) = (&router_config.name, router_config.seed, gate.leases.clone());
-            let (task, errands) =
-                PeersTask::open(peer_config, name, configured_routers, seed, clock, mail, holding).await?;
+            let (configured_routers, messages) = (settings.number_or("routers", 1.0), messages.clone());
+            let (name, seed, lease_commands) =
+                (&router_config.name, router_config.seed, admission.leases.clone());
+            let (task, peer_commands) =
+                PeersTask::open(peer_config, name, configured_routers, seed, clock, messages, lease_commands)
+                    .await?;
             drop(spawn_local(task.run()));
-            peers = Some(errands);
+            peers = Some(peer_commands);
         }
-        let gate = Rc::new(gate);
+        let admission = Rc::new(admission);
         let hosts = HostRegistry::new(&router_config.settings, limits.clone());
         let context = RouteContext {
             hosts,
-            transport: back,
+            transport,
             clock,
             limits: limits.clone(),
             discovery: discovery_commands,
-            messages: mail.clone(),
+            messages: messages.clone(),
             startup,
             peers: peers.clone(),
         };
-        let route = RouteTask::start(context, router_config.seed, settings, known.as_ref(), cells);
-        let route = spawn_local(route.run(inbox));
-        let clients = Rc::new(Cell::new(0));
-        let drain = Drain { stage, clients: clients.clone(), limits: limits.clone() };
+        let route_task = RouteTask::start(context, router_config.seed, settings, host_list.as_ref(), cells);
+        let route_task = spawn_local(route_task.run(route_inbox));
+        let client_connections = Rc::new(Cell::new(0));
+        let drain =
+            Drain { stage: stage_sender, clients: client_connections.clone(), limits: limits.clone() };
         Ok(RouterService {
             peers,
-            gate,
-            mail,
-            clients,
-            stage: staged,
-            beat,
+            admission,
+            messages,
+            client_connections,
+            stage,
+            stall_detector,
             clock,
             limits,
             drain,
             signals,
-            route,
+            route_task,
         })
     }
 
-    /// Runs until a signal stops the router, or `front` resolves because a frontend failed.
+    /// Runs until a signal stops the router, or `frontend_failure` resolves because a frontend failed.
     ///
     /// # Errors
     /// Why a task ended unexpectedly.
-    pub async fn run(self, front: impl Future<Output = String>) -> Result<(), String> {
+    pub async fn run(self, frontend_failure: impl Future<Output = String>) -> Result<(), String> {
         tokio::select! {
             biased;
             () = self.drain.run(self.signals) => {
@@ -205,30 +212,30 @@
                 Ok(())
             }
             // Without the route task the router would accept ops and never reply. It exits, to be restarted.
-            ended = self.route => Err(format!("the route stage ended: {ended:?}")),
-            error = front => Err(error),
+            result = self.route_task => Err(format!("the route task ended: {result:?}")),
+            error = frontend_failure => Err(error),
         }
     }
 }
 
 /// Releases all leases, so that others need not wait for them to expire.
-async fn release_leases(leases: mpsc::Sender<holding::LeasesCommand>) {
+async fn release_leases(commands: mpsc::Sender<leases::LeasesCommand>) {
     let (done, acknowledged) = oneshot::channel();
     // If the task's queue is full, the leases expire instead.
-    if leases.try_send(holding::LeasesCommand::Leave(done)).is_ok() {
+    if commands.try_send(leases::LeasesCommand::Leave(done)).is_ok() {
         let _ = acknowledged.await;
     }
 }
 
 /// Announces to the fleet that this router leaves. Sent twice, since a datagram may be lost; if both are,
 /// the other routers detect the exit as a failure, by refused datagrams.
-async fn announce_leave(peers: Option<mpsc::Sender<PeersCommand>>) {
-    let Some(peers) = peers else { return };
+async fn announce_leave(commands: Option<mpsc::Sender<PeersCommand>>) {
+    let Some(commands) = commands else { return };
     for _ in 0..2 {
         let (done, acknowledged) = oneshot::channel();
         // Bounded, so that a hanging membership task does not delay the exit.
         let ack_timeout = std::time::Duration::from_millis(100);
-        if peers.try_send(PeersCommand::Leave(done)).is_err()
+        if commands.try_send(PeersCommand::Leave(done)).is_err()
             || timeout(ack_timeout, acknowledged).await.is_err()
         {
             return;
@@ -243,11 +250,11 @@
 /// # Errors
 /// Why it could not start, or why it stopped.
 pub fn run_single_threaded<F: Future<Output = Result<(), String>>>(
-    path: Option<PathBuf>,
+    operator_file: Option<PathBuf>,
     run: impl FnOnce(RouterConfig, Option<PathBuf>, Option<Yardbook>) -> F,
 ) -> Result<(), String> {
-    let runtime = Builder::new_current_thread().enable_all().build().map_err(|e| e.to_string())?;
-    let book = path.as_deref().map(arrowyard_operator_config::load).transpose()?;
+    let runtime = Builder::new_current_thread().enable_all().build().map_err(|error| error.to_string())?;
+    let operator_config = operator_file.as_deref().map(arrowyard_operator_config::load).transpose()?;
     let router_config = RouterConfig::load()?;
-    LocalSet::new().block_on(&runtime, run(router_config, path, book))
+    LocalSet::new().block_on(&runtime, run(router_config, operator_file, operator_config))
 }
--- a/crates/arrowyard-daemon/src/serve.rs
+++ b/crates/arrowyard-daemon/src/serve.rs
@@ -7,7 +7,7 @@
 use arrowyard_core::limits::Limits;
 use arrowyard_core::router_config::RouterConfig;
 use arrowyard_front_pg::PgBackend;
-use arrowyard_front_pg::take_in::{Frontend, IdleConnections};
+use arrowyard_front_pg::frontend::{Frontend, IdleConnections};
 use arrowyard_operator_config::Yardbook;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
@@ -29,17 +29,18 @@
     listen: SocketAddr,
     discovery: SocketAddr,
 ) -> Result<(), String> {
-    let listener = TcpListener::bind(listen).await.map_err(|e| format!("{listen}: {e}"))?;
-    let address = listener.local_addr().map_err(|e| e.to_string())?;
+    let listener = TcpListener::bind(listen).await.map_err(|error| format!("{listen}: {error}"))?;
+    let address = listener.local_addr().map_err(|error| error.to_string())?;
     tracing::info!("serving at {address}, discovery at {discovery}");
-    let RouterService { gate, mail, clients, stage, beat, limits, .. } = service;
+    let RouterService { admission, messages, client_connections, stage, stall_detector, limits, .. } =
+        service;
     let frontend = Frontend {
-        gate: gate.clone(),
-        mail: mail.clone(),
-        clients: clients.clone(),
+        admission: admission.clone(),
+        messages: messages.clone(),
+        client_connections: client_connections.clone(),
         idle_connections: IdleConnections::default(),
         stage: stage.clone(),
-        beat: beat.clone(),
+        stall_detector: stall_detector.clone(),
         limits: limits.clone(),
     };
     drop(spawn_local(Rc::new(frontend).listen(listener)));
@@ -48,13 +49,17 @@
 
 async fn run(
     router_config: RouterConfig,
-    path: Option<PathBuf>,
-    book: Option<Yardbook>,
+    operator_file: Option<PathBuf>,
+    operator_config: Option<Yardbook>,
 ) -> Result<(), String> {
-    if book.as_ref().is_some_and(|book| book.flight.is_some()) {
-        return Err("the operator's file has flight, which the program arrowyard-flight serves".to_string());
+    if operator_config.as_ref().is_some_and(|config| config.flight.is_some()) {
+        return Err(
+            "the operator's file contains `flight`, which only the program arrowyard-flight supports"
+                .to_string(),
+        );
     }
-    let service = RouterService::start(&router_config, path, book.as_ref(), backend).await?;
+    let service =
+        RouterService::start(&router_config, operator_file, operator_config.as_ref(), backend).await?;
     listen(&service, router_config.listen, router_config.discovery).await?;
     service.run(std::future::pending()).await
 }
@@ -63,6 +68,6 @@
 ///
 /// # Errors
 /// Why it could not start, or why it stopped.
-pub fn serve(path: Option<PathBuf>) -> Result<(), String> {
-    run_single_threaded(path, run)
+pub fn serve(operator_file: Option<PathBuf>) -> Result<(), String> {
+    run_single_threaded(operator_file, run)
 }
--- a/crates/arrowyard-flight-daemon/src/main.rs
+++ b/crates/arrowyard-flight-daemon/src/main.rs
@@ -21,7 +21,7 @@
 use arrowyard_front_flight::listen::{Door, serve as speak};
 use arrowyard_front_flight::service::Known;
 use arrowyard_front_flight::{Errand, FlightBack, FlightFront, FlightLimits, Served};
-use arrowyard_front_pg::take_in::op_call;
+use arrowyard_front_pg::frontend::client_request;
 use arrowyard_operator_config::Yardbook;
 use arrowyard_operator_config::schema::{Flight, Speaks};
 use tokio::net::TcpListener;
@@ -62,13 +62,14 @@
 {
     let listener = TcpListener::bind(at).await.map_err(|e| format!("{at}: {e}"))?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
-    let (hatch, desk) = submission::channel(limits.inbox, base.clock, base.gate.clone(), base.mail.clone());
-    drop(spawn_local(desk.run(|errand| op_call(&errand.statement, errand.address), load, lift)));
+    let (hatch, desk) =
+        submission::channel(limits.inbox, base.clock, base.admission.clone(), base.messages.clone());
+    drop(spawn_local(desk.run(|errand| client_request(&errand.statement, errand.address), load, lift)));
     let (counter, own, chores) = clerk::open(limits.inbox);
     let (arrivals, arrived) = mpsc::channel(16);
     drop(spawn_local(Clerk::new(base.clock, key(), limits).run(own, chores, arrived)));
     let (taken, came) = mpsc::channel(16);
-    let (clients, stage) = (base.clients.clone(), base.stage.clone());
+    let (clients, stage) = (base.client_connections.clone(), base.stage.clone());
     let door = Door { clients, arrivals, stage: stage.clone(), limits: base.limits.clone() };
     drop(spawn_local(door.run(listener, taken)));
     let front = FlightFront { hatch, counter, clock: base.clock, limits, known: Known::default().into() };
--- a/crates/arrowyard-front-pg/src/take_in.rs
+++ b/crates/arrowyard-front-pg/src/frontend.rs
@@ -24,12 +24,12 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::back::PgBackend;
-use crate::link::PgResponse;
-use crate::relay;
+use crate::backend::PgBackend;
+use crate::connection::PgResponse;
+use crate::reply;
 
 /// The op that a statement's comment describes.
-pub fn op_call(statement: &Statement, address: Option<IpAddr>) -> ClientRequest<'_> {
+pub fn client_request(statement: &Statement, address: Option<IpAddr>) -> ClientRequest<'_> {
     let Statement {
         id,
         timeout_ms,
@@ -59,42 +59,43 @@
 
 /// State shared by all client connections.
 pub struct Frontend {
-    pub gate: Rc<AdmissionController>,
-    pub mail: mpsc::Sender<RouteMessage<PgBackend>>,
-    pub clients: Rc<Cell<usize>>,
+    pub admission: Rc<AdmissionController>,
+    pub messages: mpsc::Sender<RouteMessage<PgBackend>>,
+    /// Number of client connections of all frontends.
+    pub client_connections: Rc<Cell<usize>>,
     pub idle_connections: IdleConnections,
     pub stage: watch::Receiver<Stage>,
-    pub beat: Rc<StallDetector>,
+    pub stall_detector: Rc<StallDetector>,
     pub limits: Rc<Limits>,
 }
 
 /// A connection's share of the client count; empty once the connection was told to close.
-type ConnectionSlot = Rc<RefCell<Option<UsageGuard>>>;
+type CountGuard = Rc<RefCell<Option<UsageGuard>>>;
 
 /// Connections that wait for input, the longest idle first. Entries of connections that are no longer
 /// waiting are removed once there are too many.
 #[derive(Default)]
-pub struct IdleConnections(RefCell<VecDeque<(oneshot::Sender<()>, ConnectionSlot)>>);
+pub struct IdleConnections(RefCell<VecDeque<(oneshot::Sender<()>, CountGuard)>>);
 
 impl IdleConnections {
     /// Resolves when this connection has to close; `max_connections` bounds the list.
-    fn wait(&self, slot: &ConnectionSlot, max_connections: usize) -> oneshot::Receiver<()> {
+    fn wait(&self, count_guard: &CountGuard, max_connections: usize) -> oneshot::Receiver<()> {
         let (close, closed) = oneshot::channel();
         let mut waiting = self.0.borrow_mut();
         if waiting.len() >= max_connections * 4 {
             waiting.retain(|(close, _)| !close.is_closed());
         }
-        waiting.push_back((close, slot.clone()));
+        waiting.push_back((close, count_guard.clone()));
         closed
     }
 
-    /// Closes the longest idle connection; false if there is none. Its slot is free at once, before its task
-    /// has run.
+    /// Closes the longest idle connection; false if there is none. It stops being counted at once, before its
+    /// task has run.
     fn close_oldest(&self) -> bool {
         let mut waiting = self.0.borrow_mut();
         let mut oldest = std::iter::from_fn(|| waiting.pop_front());
-        let closed = oldest.find_map(|(close, slot)| close.send(()).is_ok().then_some(slot));
-        closed.is_some_and(|slot| slot.take().is_some())
+        let closed = oldest.find_map(|(close, count_guard)| close.send(()).is_ok().then_some(count_guard));
+        closed.is_some_and(|count_guard| count_guard.take().is_some())
     }
 }
 
@@ -102,17 +103,17 @@
     /// Closes idle connections while there are too many clients; whether the rest are within the limit. Idle
     /// connections must not keep out a client that sends an op as soon as it connects.
     fn evict_idle(&self) -> bool {
-        while self.clients.get() > self.limits.max_client_connections && self.idle_connections.close_oldest()
-        {
-        }
-        self.clients.get() <= self.limits.max_client_connections
+        while self.client_connections.get() > self.limits.max_client_connections
+            && self.idle_connections.close_oldest()
+        {}
+        self.client_connections.get() <= self.limits.max_client_connections
     }
 
     /// Accepts connections until the router closes.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         let mut stage = self.stage.clone();
         loop {
-            while self.clients.get()
+            while self.client_connections.get()
                 >= self.limits.max_client_connections + self.limits.max_rejected_connections
             {
                 sleep(self.limits.retry_pause).await;
@@ -124,8 +125,8 @@
             };
             match accepted {
                 Ok((stream, _)) => {
-                    let count = UsageGuard::one(&self.clients);
-                    let over_limit = self.clients.get() > self.limits.max_client_connections;
+                    let count = UsageGuard::one(&self.client_connections);
+                    let over_limit = self.client_connections.get() > self.limits.max_client_connections;
                     self.evict_idle();
                     drop(spawn_local(Client::new(self.clone(), stream, count).serve()));
                     if over_limit {
@@ -143,43 +144,52 @@
 }
 
 struct Client {
-    front: Rc<Frontend>,
+    frontend: Rc<Frontend>,
     stream: TcpStream,
     received: BytesMut,
     out: BytesMut,
-    accepted: Instant,
+    accepted_at: Instant,
     /// Whether it has sent a complete message after the startup.
     has_sent: bool,
     address: Option<IpAddr>,
-    slot: ConnectionSlot,
+    count_guard: CountGuard,
 }
 
 /// The connection has ended: the client closed it or violated the protocol, or the router closes it.
-struct Ended;
+struct ConnectionEnded;
 
 impl Client {
-    fn new(front: Rc<Frontend>, stream: TcpStream, count: UsageGuard) -> Self {
+    fn new(frontend: Rc<Frontend>, stream: TcpStream, count: UsageGuard) -> Self {
         let (received, out) = (BytesMut::new(), BytesMut::new());
-        let slot = Rc::new(RefCell::new(Some(count)));
+        let count_guard = Rc::new(RefCell::new(Some(count)));
         let address = stream.peer_addr().ok().map(|address| address.ip());
-        Client { front, stream, received, out, accepted: Instant::now(), has_sent: false, address, slot }
+        Client {
+            frontend,
+            stream,
+            received,
+            out,
+            accepted_at: Instant::now(),
+            has_sent: false,
+            address,
+            count_guard,
+        }
     }
 
     async fn serve(mut self) {
         if self.stream.set_nodelay(true).is_ok() {
             let _ = self.handle_messages().await;
         }
-        // The idle list may still refer to the slot, which would keep the closed connection counted.
-        self.slot.take();
+        // The idle list may still refer to the guard, which would keep the closed connection counted.
+        self.count_guard.take();
     }
 
-    async fn handle_messages(&mut self) -> Result<(), Ended> {
-        let startup_timeout = self.front.limits.client_message_timeout;
-        timeout(startup_timeout, self.start_up()).await.map_err(|_| Ended)??;
+    async fn handle_messages(&mut self) -> Result<(), ConnectionEnded> {
+        let startup_timeout = self.frontend.limits.client_message_timeout;
+        timeout(startup_timeout, self.start_up()).await.map_err(|_| ConnectionEnded)??;
         loop {
             let message = self.next_message().await?;
             match message {
-                FrontendMessage::Query(text) => self.query(text).await?,
+                FrontendMessage::Query(text) => self.run_query(text).await?,
                 FrontendMessage::Terminate => return Ok(()),
                 FrontendMessage::Other(_) => {
                     return self.fatal(code::NOT_SUPPORTED, "only simple queries").await;
@@ -188,18 +198,18 @@
         }
     }
 
-    async fn start_up(&mut self) -> Result<(), Ended> {
+    async fn start_up(&mut self) -> Result<(), ConnectionEnded> {
         loop {
-            match StartupPacket::decode(&mut self.received, self.front.limits.max_client_message_bytes) {
+            match StartupPacket::decode(&mut self.received, self.frontend.limits.max_client_message_bytes) {
                 Ok(Some(StartupPacket::Startup)) => {
                     put_startup_response(&mut self.out);
                     return self.write().await;
                 }
                 // Encryption is not supported; the client may continue without it.
                 Ok(Some(StartupPacket::EncryptionRequest)) => {
-                    self.stream.write_all(b"N").await.map_err(|_| Ended)?
+                    self.stream.write_all(b"N").await.map_err(|_| ConnectionEnded)?
                 }
-                Ok(Some(StartupPacket::CancelRequest)) => return Err(Ended),
+                Ok(Some(StartupPacket::CancelRequest)) => return Err(ConnectionEnded),
                 Ok(None) => self.fill(true, None).await?,
                 Err(error) => return self.protocol_error(error).await,
             }
@@ -208,87 +218,105 @@
 
     /// Reads the next message. The startup timeout limits the wait for the first message and the time from
     /// the first byte of a message to its last, against clients that send nothing or one byte at a time.
-    async fn next_message(&mut self) -> Result<FrontendMessage, Ended> {
-        let message_timeout = self.front.limits.client_message_timeout;
-        let mut deadline = None;
+    async fn next_message(&mut self) -> Result<FrontendMessage, ConnectionEnded> {
+        let message_timeout = self.frontend.limits.client_message_timeout;
+        let mut message_deadline = None;
         loop {
-            match FrontendMessage::decode(&mut self.received, self.front.limits.max_client_message_bytes) {
+            match FrontendMessage::decode(&mut self.received, self.frontend.limits.max_client_message_bytes) {
                 Ok(Some(message)) => {
                     self.has_sent = true;
                     return Ok(message);
                 }
                 Ok(None) if self.received.is_empty() => {
-                    let until = (!self.has_sent).then(|| self.accepted + message_timeout);
-                    self.fill(true, until).await?
+                    let deadline = (!self.has_sent).then(|| self.accepted_at + message_timeout);
+                    self.fill(true, deadline).await?
                 }
                 Ok(None) => {
-                    let until = *deadline.get_or_insert_with(|| Instant::now() + message_timeout);
-                    self.fill(false, Some(until)).await?
+                    let deadline = *message_deadline.get_or_insert_with(|| Instant::now() + message_timeout);
+                    self.fill(false, Some(deadline)).await?
                 }
                 Err(error) => self.protocol_error(error).await?,
             }
         }
     }
 
-    /// Waits for input. Ends when the connection is closed as the longest idle one, at `until`, or, with
+    /// Waits for input. Ends when the connection is closed as the longest idle one, at `deadline`, or, with
     /// `close_on_shutdown`, when the router shuts down; a client within a message may finish it.
-    async fn fill(&mut self, close_on_shutdown: bool, until: Option<Instant>) -> Result<(), Ended> {
-        let (front, mut stage) = (self.front.clone(), self.front.stage.clone());
+    async fn fill(
+        &mut self,
+        close_on_shutdown: bool,
+        deadline: Option<Instant>,
+    ) -> Result<(), ConnectionEnded> {
+        let (frontend, mut stage) = (self.frontend.clone(), self.frontend.stage.clone());
         if self.received.is_empty() {
             // Releases the memory that a large op took.
             (self.received, self.out) = (BytesMut::new(), BytesMut::new());
         }
-        let closed = front.idle_connections.wait(&self.slot, front.limits.max_client_connections);
+        let closed =
+            frontend.idle_connections.wait(&self.count_guard, frontend.limits.max_client_connections);
         let filled = tokio::select! {
             biased;
             read = self.read() => read,
-            _ = stage.wait_for(|&stage| stage == Stage::Closing), if close_on_shutdown => Err(Ended),
-            _ = closed => Err(Ended),
-            () = sleep_until(until.unwrap_or_else(Instant::now)), if until.is_some() => Err(Ended),
+            _ = stage.wait_for(|&stage| stage == Stage::Closing), if close_on_shutdown => Err(ConnectionEnded),
+            _ = closed => Err(ConnectionEnded),
+            () = sleep_until(deadline.unwrap_or_else(Instant::now)), if deadline.is_some() => Err(ConnectionEnded),
         };
         if filled.is_ok() {
             // Input may have arrived just as the connection was told to close.
-            self.slot.borrow_mut().get_or_insert_with(|| UsageGuard::one(&front.clients));
+            self.count_guard
+                .borrow_mut()
+                .get_or_insert_with(|| UsageGuard::one(&frontend.client_connections));
         }
         filled
     }
 
-    async fn query(&mut self, text: String) -> Result<(), Ended> {
-        let arrived = self.front.beat.earliest_arrival();
+    async fn run_query(&mut self, text: String) -> Result<(), ConnectionEnded> {
+        let arrived_at = self.frontend.stall_detector.earliest_arrival();
         let command = text.trim_matches(|c: char| c.is_whitespace() || c == ';');
         let keyword = command.split_ascii_whitespace().next().unwrap_or_default().to_ascii_uppercase();
         match keyword.as_str() {
             "" => put_empty_query_response(&mut self.out),
             "SET" | "RESET" => put_command_complete(&mut self.out, &keyword),
             "DISCARD" => put_command_complete(&mut self.out, "DISCARD ALL"),
-            "SHOW" if self.front.gate.has_cells() && command.eq_ignore_ascii_case("show cells") => {
-                let (client, answer) = oneshot::channel();
-                self.front.mail.send(RouteMessage::ShowCells(client)).await.map_err(|_| Ended)?;
-                put_single_value(&mut self.out, "cells", &answer.await.map_err(|_| Ended)?);
+            "SHOW" if self.frontend.admission.has_cells() && command.eq_ignore_ascii_case("show cells") => {
+                let (reply_sender, reply) = oneshot::channel();
+                self.frontend
+                    .messages
+                    .send(RouteMessage::ShowCells(reply_sender))
+                    .await
+                    .map_err(|_| ConnectionEnded)?;
+                put_single_value(&mut self.out, "cells", &reply.await.map_err(|_| ConnectionEnded)?);
             }
-            "SHOW" if self.front.gate.in_fleet && command.eq_ignore_ascii_case("show peers") => {
-                let (client, answer) = oneshot::channel();
-                self.front.mail.send(RouteMessage::ShowPeers(client)).await.map_err(|_| Ended)?;
-                put_single_value(&mut self.out, "peers", &answer.await.map_err(|_| Ended)?);
+            "SHOW" if self.frontend.admission.in_fleet && command.eq_ignore_ascii_case("show peers") => {
+                let (reply_sender, reply) = oneshot::channel();
+                self.frontend
+                    .messages
+                    .send(RouteMessage::ShowPeers(reply_sender))
+                    .await
+                    .map_err(|_| ConnectionEnded)?;
+                put_single_value(&mut self.out, "peers", &reply.await.map_err(|_| ConnectionEnded)?);
             }
-            "SHOW" if self.front.gate.leases.is_some() && command.eq_ignore_ascii_case("show leases") => {
-                let (client, answer) = oneshot::channel();
-                if let Some(leases) = &self.front.gate.leases {
-                    let shown = leases.send(leases::LeasesCommand::Show(client));
-                    shown.await.map_err(|_| Ended)?;
+            "SHOW"
+                if self.frontend.admission.leases.is_some()
+                    && command.eq_ignore_ascii_case("show leases") =>
+            {
+                let (reply_sender, reply) = oneshot::channel();
+                if let Some(leases) = &self.frontend.admission.leases {
+                    let sent = leases.send(leases::LeasesCommand::Show(reply_sender));
+                    sent.await.map_err(|_| ConnectionEnded)?;
                 }
-                put_single_value(&mut self.out, "leases", &answer.await.map_err(|_| Ended)?);
+                put_single_value(&mut self.out, "leases", &reply.await.map_err(|_| ConnectionEnded)?);
             }
-            _ if !self.front.evict_idle() => {
-                relay::put_too_many_clients(&mut self.out);
+            _ if !self.frontend.evict_idle() => {
+                reply::put_too_many_clients(&mut self.out);
                 return self.close().await;
             }
             _ => {
                 let reply = match Statement::parse(text) {
-                    Ok(statement) => self.op(statement, arrived).await?,
+                    Ok(statement) => self.run_op(statement, arrived_at).await?,
                     Err(ProtocolError(reason)) => Reply::Refused(reason),
                 };
-                relay::put_reply(&reply, &mut self.out);
+                reply::put_reply(&reply, &mut self.out);
                 return self.write().await;
             }
         }
@@ -297,69 +325,78 @@
     }
 
     /// Runs one op from admission to its final reply. Reads ahead meanwhile, to notice a disconnect.
-    async fn op(&mut self, statement: Statement, arrived: Timestamp) -> Result<Reply<PgResponse>, Ended> {
-        let AdmittedOp { request, origin, slot: _slot } =
-            match self.front.gate.admit(op_call(&statement, self.address), arrived) {
+    async fn run_op(
+        &mut self,
+        statement: Statement,
+        arrived_at: Timestamp,
+    ) -> Result<Reply<PgResponse>, ConnectionEnded> {
+        let AdmittedOp { request, origin, slot: _op_slot } =
+            match self.frontend.admission.admit(client_request(&statement, self.address), arrived_at) {
                 Ok(admitted) => admitted,
                 Err(reply) => return Ok(reply),
             };
-        let (answer, mut answered) = oneshot::channel();
-        let mail = self.front.mail.clone();
+        let (reply_sender, mut reply) = oneshot::channel();
+        let messages = self.frontend.messages.clone();
         let op = request.op;
-        mail.send(RouteMessage::OpAdmitted(request, origin, Rc::new(statement), answer))
+        messages
+            .send(RouteMessage::OpAdmitted(request, origin, Rc::new(statement), reply_sender))
             .await
-            .map_err(|_| Ended)?;
+            .map_err(|_| ConnectionEnded)?;
         loop {
-            let has_room = self.received.len() < self.front.limits.max_client_message_bytes;
+            let has_room = self.received.len() < self.frontend.limits.max_client_message_bytes;
             tokio::select! {
                 biased;
-                reply = &mut answered => return Ok(reply.unwrap_or(Reply::Errored)),
+                reply = &mut reply => return Ok(reply.unwrap_or(Reply::Errored)),
                 read = self.read(), if has_room => if read.is_err() {
-                    let _ = mail.send(RouteMessage::ClientDisconnected(op)).await;
-                    return Err(Ended);
+                    let _ = messages.send(RouteMessage::ClientDisconnected(op)).await;
+                    return Err(ConnectionEnded);
                 },
             }
         }
     }
 
-    async fn read(&mut self) -> Result<(), Ended> {
-        self.received.reserve(self.front.limits.read_chunk_bytes);
+    async fn read(&mut self) -> Result<(), ConnectionEnded> {
+        self.received.reserve(self.frontend.limits.read_chunk_bytes);
         match self.stream.read_buf(&mut self.received).await {
-            Ok(0) | Err(_) => Err(Ended),
+            Ok(0) | Err(_) => Err(ConnectionEnded),
             Ok(_) => Ok(()),
         }
     }
 
-    async fn write(&mut self) -> Result<(), Ended> {
-        let written = relay::write(&mut self.stream, &mut self.out, &self.front.limits).await;
-        if written { Ok(()) } else { Err(Ended) }
+    async fn write(&mut self) -> Result<(), ConnectionEnded> {
+        let written = reply::write(&mut self.stream, &mut self.out, &self.frontend.limits).await;
+        if written { Ok(()) } else { Err(ConnectionEnded) }
     }
 
     /// Writes the last messages and closes. Input is read and discarded for up to `limits.linger_timeout`: closing
     /// with unread input would reset the connection, and the client could not read the last messages.
-    async fn close<T>(&mut self) -> Result<T, Ended> {
+    async fn close<T>(&mut self) -> Result<T, ConnectionEnded> {
         self.write().await?;
         let _ = self.stream.shutdown().await;
-        let (front, linger) = (self.front.clone(), self.front.limits.linger_timeout);
-        let closed = front.idle_connections.wait(&self.slot, front.limits.max_client_connections);
+        let (frontend, linger_timeout) = (self.frontend.clone(), self.frontend.limits.linger_timeout);
+        let closed =
+            frontend.idle_connections.wait(&self.count_guard, frontend.limits.max_client_connections);
         let discard_input = async {
             while self.read().await.is_ok() {
                 self.received.clear();
             }
         };
         tokio::select! {
-            _ = timeout(linger, discard_input) => {}
+            _ = timeout(linger_timeout, discard_input) => {}
             _ = closed => {}
         }
-        Err(Ended)
+        Err(ConnectionEnded)
     }
 
-    async fn protocol_error<T>(&mut self, ProtocolError(reason): ProtocolError) -> Result<T, Ended> {
+    async fn protocol_error<T>(
+        &mut self,
+        ProtocolError(reason): ProtocolError,
+    ) -> Result<T, ConnectionEnded> {
         tracing::warn!("a client violated the protocol: {reason}");
         self.fatal(code::PROTOCOL_VIOLATION, reason).await
     }
 
-    async fn fatal<T>(&mut self, code: &str, message: &str) -> Result<T, Ended> {
+    async fn fatal<T>(&mut self, code: &str, message: &str) -> Result<T, ConnectionEnded> {
         put_fatal_error(&mut self.out, code, message);
         self.close().await
     }
--- a/crates/arrowyard-front-pg/src/probe.rs
+++ b/crates/arrowyard-front-pg/src/probe.rs
@@ -10,18 +10,18 @@
 use arrowyard_core::Limits;
 use arrowyard_core::pool::ConnectionPool;
 
-use crate::link::{PgConnection, apply_load_report};
+use crate::connection::{PgConnection, apply_load_report};
 
 /// Sends `SHOW stats` and returns the outcome with the status that the host reported.
 pub async fn run(
     host: HostId,
-    dial: SocketAddr,
+    address: SocketAddr,
     pool: &ConnectionPool<PgConnection>,
     limits: &Limits,
 ) -> (Outcome, HostStatus) {
     let unknown = HostStatus::default();
     let probed = timeout(limits.connect_timeout, async {
-        let mut connection = match pool.acquire(host, dial).await {
+        let mut connection = match pool.acquire(host, address).await {
             Ok(connection) => connection,
             Err(outcome) => return (outcome, unknown),
         };
@@ -37,7 +37,7 @@
         let (outcome, mut status) = (reply.outcome(), reply.status);
         let row = reply.response.as_ref().and_then(|response| single_value(&response.result.data_row));
         let text = row.as_deref().map(String::from_utf8_lossy);
-        tracing::trace!(%dial, ?outcome, "probe: {text:?} {status:?}");
+        tracing::trace!(%address, ?outcome, "probe: {text:?} {status:?}");
         let report = text.as_deref().and_then(parse_load_report);
         if outcome == Outcome::Acked && report.is_none() {
             // A malformed report must not count as a successful probe.
--- a/crates/arrowyard-front-pg/src/relay.rs
+++ b/crates/arrowyard-front-pg/src/reply.rs
@@ -7,14 +7,14 @@
 
 use arrowyard_core::{Limits, Reply};
 
-use crate::link::PgResponse;
+use crate::connection::PgResponse;
 
 /// Appends the messages of the final reply, followed by ReadyForQuery.
 pub fn put_reply(reply: &Reply<PgResponse>, out: &mut BytesMut) {
     match reply {
         Reply::Acked(response) => response.result.put(out),
         Reply::Busy(retry_after) => {
-            put_busy_error(out, retry_after.map(|delta| (delta.micros().max(0) / 1000) as u64))
+            put_busy_error(out, retry_after.map(|delay| (delay.micros().max(0) / 1000) as u64))
         }
         Reply::Errored => put_error(out, code::INTERNAL, "not answered; it may have run"),
         Reply::Refused(reason) => put_error(out, code::PROTOCOL_VIOLATION, reason),
