--- a/crates/arrowyard-pg/src/client.rs
+++ b/crates/arrowyard-pg/src/client.rs
@@ -34,7 +34,7 @@
             version if version >> 16 == PROTOCOL_VERSION_3 >> 16 => Ok(Some(StartupPacket::Startup)),
             SSL_REQUEST | GSSENC_REQUEST => Ok(Some(StartupPacket::EncryptionRequest)),
             CANCEL_REQUEST => Ok(Some(StartupPacket::CancelRequest)),
-            _ => Err(ProtocolError("the protocol's version is not 3")),
+            _ => Err(ProtocolError("the protocol version is not 3")),
         }
     }
 }
--- a/crates/arrowyard-pg/src/host.rs
+++ b/crates/arrowyard-pg/src/host.rs
@@ -29,7 +29,7 @@
     Other,
 }
 
-/// A message of a host.
+/// A message from a host.
 #[derive(Clone, Debug, PartialEq)]
 pub enum BackendMessage {
     AuthenticationOk,
@@ -126,12 +126,12 @@
 /// Parses a load report such as `inflight=7,util=0.61`. `None` if any field is malformed: the others may
 /// then be corrupted as well.
 pub fn parse_load_report(text: &str) -> Option<Vec<(String, f64)>> {
-    let field = |field: &str| {
+    let parse_field = |field: &str| {
         let (name, number) = field.trim().split_once('=')?;
         let number = number.parse().ok().filter(|number: &f64| number.is_finite())?;
         Some((name.to_string(), number))
     };
-    text.split(',').map(field).collect()
+    text.split(',').map(parse_field).collect()
 }
 
 /// Value of a DataRow body with one column; `None` if it has another shape or the value is null.
--- a/crates/arrowyard-pg/src/statement.rs
+++ b/crates/arrowyard-pg/src/statement.rs
@@ -37,15 +37,16 @@
     /// The comment is missing or malformed, or has no `id`, `d` or `c`.
     pub fn parse(text: String) -> Result<Statement, ProtocolError> {
         let start = text.find("/*").filter(|&start| text[..start].trim().is_empty());
-        let start = start.ok_or(ProtocolError("a statement has no comment"))? + 2;
-        let end = start + text[start..].find("*/").ok_or(ProtocolError("a comment has no end"))?;
+        let start = start.ok_or(ProtocolError("the statement has no routing comment"))? + 2;
+        let end =
+            start + text[start..].find("*/").ok_or(ProtocolError("the routing comment is not terminated"))?;
         let (mut timeout, mut op_type, mut tenant, mut group) = (None, None, None, 0);
         let (mut last_commit_ms, mut is_retry, mut token, mut id) = (None, false, None, None);
         let mut part_start = start;
         for part in text[start..end].split(',') {
-            let not_a_number = ProtocolError("a number of a comment is not one");
+            let malformed_number = ProtocolError("a number in the routing comment is malformed");
             let (name, value) =
-                part.split_once('=').ok_or(ProtocolError("a name of a comment has no value"))?;
+                part.split_once('=').ok_or(ProtocolError("a field of the routing comment has no value"))?;
             let value_start = part_start + name.len() + 1;
             let (name, trimmed) = (name.trim(), value.trim());
             match name {
@@ -56,20 +57,20 @@
                     let trimmed_start = value_start + (value.len() - value.trim_start().len());
                     timeout = Some((
                         trimmed_start..trimmed_start + trimmed.len(),
-                        trimmed.parse().map_err(|_| not_a_number)?,
+                        trimmed.parse().map_err(|_| malformed_number)?,
                     ));
                 }
-                "cluster" => group = trimmed.parse().map_err(|_| not_a_number)?,
-                "after" => last_commit_ms = Some(trimmed.parse().map_err(|_| not_a_number)?),
+                "cluster" => group = trimmed.parse().map_err(|_| malformed_number)?,
+                "after" => last_commit_ms = Some(trimmed.parse().map_err(|_| malformed_number)?),
                 "k" => token = Some(trimmed).filter(|token| !token.is_empty()).map(parse_key),
                 "r" => is_retry = trimmed == "1",
                 _ => {}
             }
             part_start += part.len() + 1;
         }
-        let id = id.ok_or(ProtocolError("a comment has no id"))?;
-        let (timeout_range, timeout_ms) = timeout.ok_or(ProtocolError("a comment has no d"))?;
-        let op_type = op_type.ok_or(ProtocolError("a comment has no c"))?;
+        let id = id.ok_or(ProtocolError("the routing comment has no `id`"))?;
+        let (timeout_range, timeout_ms) = timeout.ok_or(ProtocolError("the routing comment has no `d`"))?;
+        let op_type = op_type.ok_or(ProtocolError("the routing comment has no `c`"))?;
         let session_key = text[end..].split('\'').nth(1).map(parse_key);
         Ok(Statement {
             text,
