--- a/crates/arrowyard-daemon/src/cells.rs
+++ b/crates/arrowyard-daemon/src/cells.rs
@@ -15,66 +15,70 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Show the cells of a running router: what each holds, and how far its moves are.
+    /// Show the cells of a running router, with their load and the stages of tenant moves.
     Show(Show),
-    /// Say which cells tenants belong to by a file.
+    /// Show which cells an operator's file assigns to tenants. Exit code 1 if any tenant has none.
     Place(Place),
-    /// Say which tenants an edit of the file would move, and how many. Exit code 1 if any.
+    /// Show which tenants an edit of the operator's file would move. Exit code 1 if any.
     Diff(Diff),
-    /// Say how likely two tenants share all, and any, of their cells: worked out, and seen in drawing pairs.
+    /// Show the probability that two tenants share all, or any, of their cells: computed, and sampled.
     Odds(Odds),
 }
 
 #[derive(Args)]
 pub struct Show {
-    /// The router's address for clients, as in 127.0.0.1:6543.
+    /// The router's address for clients, such as 127.0.0.1:6543.
     router: SocketAddr,
-    /// As JSON, as the router tells it.
+    /// Print the router's reply unchanged, as JSON.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Args)]
 pub struct Place {
+    /// The operator's file.
     file: PathBuf,
     /// Names of tenants.
     #[arg(required = true)]
     tenants: Vec<String>,
-    /// As JSON: {"tenant": ["cell", …]}.
+    /// Print JSON: {"tenant": ["cell", …]}.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Args)]
 pub struct Diff {
+    /// The operator's file before the edit.
     old: PathBuf,
+    /// The operator's file after the edit.
     new: PathBuf,
-    /// A file with names of further tenants, a line each: those that no row of either file names.
+    /// A file with the names of other tenants, one per line, which neither operator's file mentions.
     #[arg(long, value_name = "FILE")]
     tenants: Option<PathBuf>,
-    /// Rows of the table at most; the count is of all.
+    /// Maximum number of rows to print; the count includes all.
     #[arg(long, default_value_t = 20)]
     rows: usize,
-    /// As JSON: {"moved": [{"tenant", "from", "to"}]}, all of them.
+    /// Print JSON: {"moved": [{"tenant", "from", "to"}]}, without a limit on rows.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Args)]
 pub struct Odds {
+    /// The operator's file.
     file: PathBuf,
-    /// Pairs of tenants that are drawn.
+    /// Number of sampled pairs of tenants.
     #[arg(long, default_value_t = 100_000)]
     pairs: usize,
-    /// As JSON: {"cells", "each", "worked_out": {"all", "any"}, "drawn": {"all", "any"}}.
+    /// Print JSON: {"cells", "each", "worked_out": {"all", "any"}, "drawn": {"all", "any"}}.
     #[arg(long)]
     json: bool,
 }
 
 fn load(path: &Path) -> Result<Layout, String> {
-    let book = arrowyard_operator_config::load(path)?;
-    arrowyard_operator_config::cell_layout(&book)
-        .ok_or_else(|| format!("{}: it says nothing of cells", path.display()))
+    let operator_config = arrowyard_operator_config::load(path)?;
+    arrowyard_operator_config::cell_layout(&operator_config)
+        .ok_or_else(|| format!("{}: no cells are configured", path.display()))
 }
 
 /// Runs the command.
@@ -99,8 +103,11 @@
                 println!("{}", Value::Object(cells_by_tenant));
             } else {
                 let row = |(name, cells): (&String, Vec<String>)| {
-                    let cells =
-                        if cells.is_empty() { "none: its ops are errors".into() } else { cells.join(", ") };
+                    let cells = if cells.is_empty() {
+                        "none: its ops are rejected with an error".into()
+                    } else {
+                        cells.join(", ")
+                    };
                     vec![name.clone(), cells]
                 };
                 println!("{}", table(&["tenant", "cells"], rows.into_iter().map(row)));
@@ -120,15 +127,16 @@
             let moved = reassigned_tenants(&old, &new, other_tenants);
             let any_moved = !moved.is_empty();
             if json {
-                let moves = moved.iter().map(|m| json!({"tenant": m.tenant, "from": m.from, "to": m.to}));
+                let moves = moved
+                    .iter()
+                    .map(|change| json!({"tenant": change.tenant, "from": change.from, "to": change.to}));
                 println!("{}", json!({"moved": moves.collect::<Vec<_>>()}));
             } else {
-                let rows = moved
-                    .iter()
-                    .take(rows)
-                    .map(|m| vec![m.tenant.to_string(), m.from.join(", "), m.to.join(", ")]);
+                let rows = moved.iter().take(rows).map(|change| {
+                    vec![change.tenant.to_string(), change.from.join(", "), change.to.join(", ")]
+                });
                 println!(
-                    "{}\n{} of about {tenant_count} tenants move",
+                    "{}\n{} of about {tenant_count} tenants would move",
                     table(&["tenant", "from", "to"], rows),
                     moved.len()
                 );
@@ -139,7 +147,7 @@
             let layout = load(&file)?;
             let cells_per_tenant = layout
                 .cells_per_hashed_tenant
-                .ok_or_else(|| format!("{}: it places no tenants", file.display()))?;
+                .ok_or_else(|| format!("{}: tenants are not assigned by hash", file.display()))?;
             let cells = layout.cells.iter().filter(|cell| cell.accepts_hashed_tenants).count();
             let (exact, sampled) =
                 (sharing_odds(cells, cells_per_tenant), sampled_sharing_odds(&layout, pairs, 1));
@@ -150,7 +158,9 @@
                     json!({"cells": cells, "each": cells_per_tenant, "worked_out": pair(exact), "drawn": pair(sampled)})
                 );
             } else {
-                println!("{cells_per_tenant} of {cells} cells each; two tenants share");
+                println!(
+                    "{cells_per_tenant} of {cells} cells per tenant; probability that two tenants share"
+                );
                 let row = |name: &str, exact: f64, sampled: f64| {
                     vec![name.to_string(), format!("{exact:.6}"), format!("{sampled:.6}")]
                 };
@@ -160,7 +170,10 @@
                 ];
                 println!(
                     "{}",
-                    table(&["", "worked out, even weights", "drawn, with the weights"], rows.into_iter())
+                    table(
+                        &["", "computed, for equal weights", "sampled, with the weights"],
+                        rows.into_iter()
+                    )
                 );
             }
             Ok(ExitCode::SUCCESS)
@@ -177,7 +190,7 @@
     }
     let report: Value = serde_json::from_str(&report).map_err(|error| format!("{}: {error}", show.router))?;
     let rows = |list: &str, fields: &[&str]| rows(&report[list], fields);
-    println!("epoch {}, held {}", value_text(&report["epoch"]), value_text(&report["held"]));
+    println!("epoch {}, held ops {}", value_text(&report["epoch"]), value_text(&report["held"]));
     let columns = [
         "cell",
         "ops",
--- a/crates/arrowyard-daemon/src/leases.rs
+++ b/crates/arrowyard-daemon/src/leases.rs
@@ -13,32 +13,32 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Show the leases that a running router wants, and the votes that it has given.
+    /// Show the leases that a running router requests, and the votes that it has given.
     Show(Show),
-    /// Make the place for a voter's votes, once, before its first start. A voter without it has lost its votes: it asks the
-    /// others, and never votes while they cannot tell.
+    /// Create a voter's vote file, once, before its first start. A voter without the file has lost its votes: it
+    /// does not vote until enough other voters have reported the highest epoch that they know.
     Init(Init),
 }
 
 #[derive(Args)]
 pub struct Show {
-    /// The router's address for clients, as in 127.0.0.1:6543.
+    /// The router's address for clients, such as 127.0.0.1:6543.
     router: SocketAddr,
-    /// As JSON, as the router tells it.
+    /// Print the router's reply unchanged, as JSON.
     #[arg(long)]
     json: bool,
 }
 
 #[derive(Args)]
 pub struct Init {
-    /// The operator's file of the router.
+    /// The router's operator file.
     #[arg(long)]
     book: PathBuf,
-    /// The router's name, as the platform tells it.
+    /// The router's name in the platform's settings.
     #[arg(long)]
     name: String,
-    /// No epoch up to this one is given: where so many voters lost their votes that the others cannot tell, the newest epoch
-    /// that whoever takes effects has seen.
+    /// Grant only epochs above this one. Needed if so many voters lost their votes that the others cannot tell
+    /// the highest epoch: use the highest that any system fenced by the leases has seen.
     #[arg(long, default_value_t = 0)]
     floor: u64,
 }
@@ -55,15 +55,20 @@
 }
 
 fn init(args: &Init) -> Result<ExitCode, String> {
-    let book = arrowyard_operator_config::load(&args.book)?;
-    let config =
-        arrowyard_operator_config::lease_settings(&book).ok_or("the operator's file has no leases")?;
-    let names: Vec<String> = config.voters.iter().map(|(name, _)| name.clone()).collect();
-    if !names.contains(&args.name) {
-        return Err(format!("{} is none of the voters", args.name));
+    let operator_config = arrowyard_operator_config::load(&args.book)?;
+    let lease_config =
+        arrowyard_operator_config::lease_settings(&operator_config).ok_or("no leases are configured")?;
+    let voter_names: Vec<String> = lease_config.voters.iter().map(|(name, _)| name.clone()).collect();
+    if !voter_names.contains(&args.name) {
+        return Err(format!("{} is not a voter", args.name));
     }
-    let folder = config.store.ok_or("leases.store is not set")?;
-    let group = message::group_id(&config.fleet, &names, config.config.term, config.config.drift_ppm);
+    let folder = lease_config.store.ok_or("leases.store is not set")?;
+    let group = message::group_id(
+        &lease_config.fleet,
+        &voter_names,
+        lease_config.config.term,
+        lease_config.config.drift_ppm,
+    );
     std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     let path = folder.join("votes");
     // Replacing valid votes would allow their epochs to be granted again.
@@ -72,16 +77,16 @@
         .ok()
         .map(|(bytes, _)| storage::decode(&bytes, group, &args.name));
     if let Some(Ok(_)) = existing {
-        return Err(format!("{}: there are votes, and they are good", path.display()));
+        return Err(format!("{}: a valid vote file exists already", path.display()));
     }
-    let image =
+    let snapshot =
         VoterSnapshot { is_complete: true, epoch_floor: Epoch(args.floor), ..VoterSnapshot::default() };
     let temporary = folder.join("votes.next");
     let written = SystemDisk
-        .write(&temporary, &storage::encode(&image, group, &args.name))
+        .write(&temporary, &storage::encode(&snapshot, group, &args.name))
         .and_then(|()| SystemDisk.replace(&temporary, &path));
     written.map_err(|error| format!("{}: {error}", path.display()))?;
-    println!("{}: made", path.display());
+    println!("{}: created", path.display());
     Ok(ExitCode::SUCCESS)
 }
 
@@ -94,15 +99,13 @@
     }
     let report: Value = serde_json::from_str(&report).map_err(|error| format!("{}: {error}", args.router))?;
     let [name, candidate] = ["name", "candidate"].map(|field| value_text(&report[field]));
-    println!("{name} wants leases as {candidate}");
+    println!("{name} requests leases as candidate {candidate}");
     match report["voter"].as_str() {
-        Some(stage) => println!("it is a voter, and {stage}"),
-        None => println!("it does not vote"),
+        Some(stage) => println!("it is a voter: {stage}"),
+        None => println!("it is not a voter"),
     }
     let drifts = report["drifts_ppm"].as_object().into_iter().flatten();
-    drifts.for_each(|(voter, ppm)| {
-        println!("the clock of {voter} runs apart from its own by {ppm} millionths")
-    });
+    drifts.for_each(|(voter, ppm)| println!("its clock and that of {voter} drift apart by {ppm} ppm"));
     let columns = ["name", "held", "left_ms", "epoch", "acts", "failed"];
     println!("{}", table(&columns, rows(&report["leases"], &columns).into_iter()));
     let columns = ["name", "epoch", "holder", "left_ms"];
--- a/crates/arrowyard-daemon/src/lib.rs
+++ b/crates/arrowyard-daemon/src/lib.rs
@@ -17,10 +17,11 @@
 
 /// A router that spreads reads over database replicas and sends writes to the primary.
 ///
-/// With no command it serves, as with `run`. What the platform tells it stands in the file that RELAY_CONFIG names.
+/// Without a command it serves, as with `run`. The platform's settings are read from the file that RELAY_CONFIG
+/// names.
 ///
-/// Exit codes: 0 done; 1 a file that was to be checked has faults, or what was compared differs; 2 what was asked for could not be done, or the
-/// router could not start or go on.
+/// Exit codes: 0 success; 1 a checked file has faults, or a comparison found differences; 2 the command failed,
+/// or the router could not start or continue.
 #[derive(Parser)]
 #[command(name = "arrowyard", version, max_term_width = 110)]
 struct CommandLine {
@@ -32,27 +33,27 @@
 
 #[derive(Subcommand)]
 enum Command {
-    /// Serve till SIGTERM; then finish the ops in hand and end.
+    /// Serve until SIGTERM, then finish the in-flight ops and exit.
     Run(Run),
-    /// Check an operator's file and report every fault, each with its line and column.
+    /// Check an operator's file and report all faults with line and column.
     Check(Check),
-    /// Cells: who belongs where, what an edit would move, how a router's cells stand.
+    /// Cells: the assignment of tenants, the effect of an edit, and the state of a router's cells.
     #[command(subcommand)]
     Cells(cells::Command),
-    /// Show what a running router holds true of the other routers of its fleet.
+    /// Show how a running router sees the other routers of its fleet.
     Peers(peers::Peers),
-    /// Leases for tasks that one router does for all.
+    /// Leases for tasks that only one router of a fleet performs.
     #[command(subcommand)]
     Leases(leases::Command),
-    /// What a router has kept for its next start.
+    /// The host list that a router has stored for its next start.
     #[command(subcommand)]
     Store(store::Command),
 }
 
 #[derive(Args)]
 struct Run {
-    /// The operator's own file, in protobuf's text format (see deploy/yardbook.txtpb); without one all that it can
-    /// set is off.
+    /// The operator's file, in protobuf's text format (see deploy/yardbook.txtpb). Without it, all features that it
+    /// configures are off.
     #[arg(long, value_name = "FILE", env = "ARROWYARD_BOOK")]
     book: Option<PathBuf>,
 }
@@ -83,8 +84,8 @@
     } else {
         faults.iter().for_each(|fault| println!("{}:{fault}", file.display()));
         match faults.len() {
-            0 => println!("{}: nothing is wrong with it", file.display()),
-            count => println!("{}: {count} faults; a router would refuse it whole", file.display()),
+            0 => println!("{}: no faults", file.display()),
+            count => println!("{}: {count} faults; a router would reject the whole file", file.display()),
         }
     }
     Ok(if faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAULTS) })
--- a/crates/arrowyard-daemon/src/peers.rs
+++ b/crates/arrowyard-daemon/src/peers.rs
@@ -10,9 +10,9 @@
 
 #[derive(Args)]
 pub struct Peers {
-    /// The router's address for clients, as in 127.0.0.1:6543.
+    /// The router's address for clients, such as 127.0.0.1:6543.
     router: SocketAddr,
-    /// As JSON, as the router tells it.
+    /// Print the router's reply unchanged, as JSON.
     #[arg(long)]
     json: bool,
 }
@@ -29,17 +29,19 @@
         return Ok(ExitCode::SUCCESS);
     }
     let view: Value = serde_json::from_str(&view).map_err(|error| format!("{}: {error}", peers.router))?;
-    let [name, reach, whole, routers, health] =
+    let [name, reachable, total, router_count, health] =
         ["name", "reach", "whole", "routers", "health"].map(|field| value_text(&view[field]));
-    println!("{name} reaches {reach} of {whole}, itself among them; shares are reckoned by {routers}");
+    println!(
+        "{name} reaches {reachable} of {total} routers, including itself; router count for shares: {router_count}"
+    );
     if view["doubts"] == true {
-        println!("it doubts itself (it was away, or hears nobody), and declares nobody silent");
+        println!("it suspects itself (it stalled, or hears no member), and suspects no member");
     }
     if view["health"] != 0 {
-        println!("its own health is at {health}: its questions go unanswered more than they should");
+        println!("its local health score is {health}: too many of its probes are not acked");
     }
     if view["doubled"] == true {
-        println!("another process has its name");
+        println!("another process uses its name");
     }
     let columns = ["name", "standing", "reach", "for_ms", "by", "accusers", "sure", "serves", "fell", "life"];
     println!("{}", table(&columns, rows(&view["peers"], &columns).into_iter()));
--- a/crates/arrowyard-daemon/src/show.rs
+++ b/crates/arrowyard-daemon/src/show.rs
@@ -56,15 +56,19 @@
         stream.read_exact(&mut head)?;
         let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
         if !(4..=MAX_MESSAGE_BYTES).contains(&length) {
-            return Ok(Err("what it answers is no answer".to_string()));
+            return Ok(Err("the reply is malformed".to_string()));
         }
         let mut body = vec![0; length - 4];
         stream.read_exact(&mut body)?;
         match head[0] {
             b'D' => return Ok(Ok(String::from_utf8_lossy(body.get(6..).unwrap_or_default()).into_owned())),
-            b'E' => return Ok(Err(format!("the router has no {subject}, or is no arrowyard"))),
+            b'E' => {
+                return Ok(Err(format!(
+                    "no {subject} are configured, or the server is not an arrowyard router"
+                )));
+            }
             // The first ReadyForQuery ends the startup.
-            b'Z' if ready_count > 0 => return Ok(Err("it said nothing".to_string())),
+            b'Z' if ready_count > 0 => return Ok(Err("the reply is empty".to_string())),
             b'Z' => ready_count += 1,
             _ => {}
         }
--- a/crates/arrowyard-daemon/src/store.rs
+++ b/crates/arrowyard-daemon/src/store.rs
@@ -12,36 +12,37 @@
 
 #[derive(Subcommand)]
 pub enum Command {
-    /// Show the hosts of the newest whole generation.
+    /// Show the hosts of the newest valid generation.
     Show(Location),
-    /// Say what each generation is. Exit code 1 if none is whole.
+    /// Show the state of each generation. Exit code 1 if none is valid.
     Check(Location),
 }
 
 #[derive(Args)]
 pub struct Location {
-    /// The folder that the operator's file names.
+    /// The directory that the operator's file names.
     folder: PathBuf,
+    /// Print JSON.
     #[arg(long)]
     json: bool,
 }
 
-fn describe(found: &GenerationState) -> String {
-    match found {
+fn describe(state: &GenerationState) -> String {
+    match state {
         GenerationState::Valid(snapshot) => {
-            format!("whole, number {}, {} hosts", snapshot.number, snapshot.hosts.len())
+            format!("valid, number {}, {} hosts", snapshot.number, snapshot.hosts.len())
         }
         GenerationState::Missing => "missing".to_string(),
         GenerationState::NoFile => "no file".to_string(),
-        GenerationState::NoRights => "no right to read it".to_string(),
+        GenerationState::NoRights => "permission denied".to_string(),
         GenerationState::Unreadable(reason) => format!("unreadable: {reason}"),
         GenerationState::Empty => "empty".to_string(),
-        GenerationState::Huge(bytes) => format!("{bytes} bytes, more than it may have"),
-        GenerationState::Truncated => "it ends too early".to_string(),
-        GenerationState::Garbled => "garbled".to_string(),
-        GenerationState::Newer(format) => format!("of the later form {format}"),
-        GenerationState::Older(format) => format!("of the former form {format}"),
-        GenerationState::Foreign => "of another deployment".to_string(),
+        GenerationState::Huge(bytes) => format!("too large: {bytes} bytes"),
+        GenerationState::Truncated => "truncated".to_string(),
+        GenerationState::Garbled => "corrupted".to_string(),
+        GenerationState::Newer(format) => format!("unsupported newer format {format}"),
+        GenerationState::Older(format) => format!("unsupported older format {format}"),
+        GenerationState::Foreign => "from another deployment".to_string(),
         GenerationState::Future(ms) => format!("written {ms} ms in the future"),
     }
 }
@@ -49,11 +50,11 @@
 /// Runs the command.
 ///
 /// # Errors
-/// There is no such folder.
+/// The directory does not exist.
 pub fn run(command: &Command) -> Result<ExitCode, String> {
     let (Command::Show(Location { folder, json }) | Command::Check(Location { folder, json })) = command;
     if !folder.is_dir() {
-        return Err(format!("{}: no folder", folder.display()));
+        return Err(format!("{}: not a directory", folder.display()));
     }
     let now_ms = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64);
     let store = Store { disk: SystemDisk, folder: folder.clone(), deployment: None, max_clock_skew_ms: 1000 };
@@ -61,15 +62,15 @@
     let newest = loaded.newest();
     if let Command::Check(_) = command {
         let rows =
-            loaded.generations.iter().map(|(generation, found)| (format!("{generation:?}"), describe(found)));
+            loaded.generations.iter().map(|(generation, state)| (format!("{generation:?}"), describe(state)));
         if *json {
             let rows: Vec<_> =
-                rows.map(|(generation, found)| json!({"generation": generation, "found": found})).collect();
+                rows.map(|(generation, state)| json!({"generation": generation, "found": state})).collect();
             println!("{}", json!({"ok": newest.is_some(), "generations": rows}));
         } else {
             println!(
                 "{}",
-                table(&["generation", "found"], rows.map(|(generation, found)| vec![generation, found]))
+                table(&["generation", "found"], rows.map(|(generation, state)| vec![generation, state]))
             );
         }
         return Ok(ExitCode::from(u8::from(newest.is_none())));
@@ -88,7 +89,7 @@
     } else {
         let age_s = now_ms.saturating_sub(snapshot.written_ms) / 1000;
         println!(
-            "number {} of {}, {age_s} s old, discovery's version {}",
+            "number {}, stored by {} {age_s} s ago, discovery version {}",
             snapshot.number, snapshot.router, snapshot.version
         );
         let rows = snapshot.hosts.iter().map(|host| {
