--- a/crates/arrowyard-core/src/peers.rs
+++ b/crates/arrowyard-core/src/peers.rs
@@ -328,7 +328,7 @@
                 Reach::None => "-",
             };
             json!({"name": &*row.name, "standing": standing, "reach": reach, "life": row.incarnation,
-                "for_ms": row.standing_for.micros() / 1000, "by": &*row.reported_by, "accusers": row.accuser_count,
+                "for_ms": row.standing_for.micros() / 1000, "by": &*row.reported_by, "accusers": row.suspected_by_count,
                 "sure": row.confirmed_locally, "serves": !row.idle, "fell": row.suspicion_count})
         });
         let counts = self.fleet.counts;
--- a/crates/arrowyard-peers/src/anti_entropy.rs
+++ b/crates/arrowyard-peers/src/anti_entropy.rs
@@ -6,7 +6,7 @@
 use arrowyard_types::Timestamp;
 use prost::Message;
 
-use crate::member::{Member, Slot};
+use crate::member::{Member, MemberIndex};
 use crate::membership::Membership;
 use crate::message::{CHECKSUM_BYTES, DIGEST_PARTS, Datagram, Kind};
 use crate::table::{digest_contribution, member_digest};
@@ -15,14 +15,14 @@
 const MAX_PAGES: usize = 3;
 
 impl Membership {
-    pub(crate) fn send_digest(&mut self, now: Timestamp, slot: Slot, wants_reply: bool) {
-        if !self.exchange_bucket.take(now) {
+    pub(crate) fn send_digest(&mut self, now: Timestamp, member_index: MemberIndex, wants_reply: bool) {
+        if !self.anti_entropy_bucket.take(now) {
             return;
         }
         let digest = self.table.digest().to_vec();
         let mut datagram = Datagram { digest, wants_reply, ..self.new_datagram(now, Kind::Digest) };
         self.piggyback_rumors(&mut datagram, None);
-        self.send_to_member(slot, datagram);
+        self.send_to_member(member_index, datagram);
     }
 
     /// Compares a received digest; sends the rows that differ and, if requested, the own digest.
@@ -44,9 +44,9 @@
             return;
         }
         // While views differ, they are compared every period.
-        self.next_exchange = self.next_exchange.min(now + self.config.probe_interval);
+        self.next_anti_entropy = self.next_anti_entropy.min(now + self.config.probe_interval);
         self.send_pages(now, from, &differing);
-        if datagram.wants_reply && self.exchange_bucket.take(now) {
+        if datagram.wants_reply && self.anti_entropy_bucket.take(now) {
             let digest = self.table.digest().to_vec();
             let datagram = Datagram { digest, wants_reply: false, ..self.new_datagram(now, Kind::Digest) };
             self.send(from, &datagram);
@@ -55,9 +55,9 @@
 
     /// Sends rows of these partitions, starting at a random one.
     fn send_pages(&mut self, now: Timestamp, to: SocketAddr, differing_parts: &[usize]) {
-        let mut rows: Vec<Slot> = differing_parts
+        let mut rows: Vec<MemberIndex> = differing_parts
             .iter()
-            .flat_map(|&part| self.table.members_in_part(part).map(|(slot, _)| slot))
+            .flat_map(|&part| self.table.members_in_part(part).map(|(member_index, _)| member_index))
             .collect();
         let count = rows.len();
         if count > 0 {
@@ -65,12 +65,14 @@
         }
         let mut rows = rows.into_iter().peekable();
         for _ in 0..MAX_PAGES {
-            if rows.peek().is_none() || !self.exchange_bucket.take(now) {
+            if rows.peek().is_none() || !self.anti_entropy_bucket.take(now) {
                 return;
             }
             let mut page = self.new_datagram(now, Kind::Page);
             let mut remaining_bytes = self.config.max_datagram_bytes - page.encoded_len() - CHECKSUM_BYTES;
-            while let Some(rumor) = rows.peek().and_then(|&slot| self.table.get(slot)).map(Member::rumor) {
+            while let Some(rumor) =
+                rows.peek().and_then(|&member_index| self.table.get(member_index)).map(Member::rumor)
+            {
                 let length = rumor.encoded_len() + 3;
                 if length > remaining_bytes {
                     break;
@@ -86,11 +88,11 @@
     /// Handles a page whose rows were processed as rumors. If it named an unknown member, the next
     /// comparison follows at once within the rate limit, so that joining takes few rounds.
     pub(crate) fn handle_page(&mut self, now: Timestamp, _from: SocketAddr, datagram: &Datagram) {
-        let names_unknown = datagram.rumors.iter().any(|rumor| self.table.slot(&rumor.name).is_none());
-        if names_unknown && let Some(slot) = self.table.slot(&datagram.from) {
-            self.next_exchange = self.next_exchange.min(now + self.config.probe_interval);
+        let names_unknown = datagram.rumors.iter().any(|rumor| self.table.index_of(&rumor.name).is_none());
+        if names_unknown && let Some(member_index) = self.table.index_of(&datagram.from) {
+            self.next_anti_entropy = self.next_anti_entropy.min(now + self.config.probe_interval);
             if self.candidates.len() < self.config.max_candidates / 2 {
-                self.send_digest(now, slot, false);
+                self.send_digest(now, member_index, false);
             }
         }
     }
--- a/crates/arrowyard-peers/src/config.rs
+++ b/crates/arrowyard-peers/src/config.rs
@@ -23,9 +23,9 @@
     pub retry_interval: TimeDelta,
     /// Time after the first ping at which a probe has failed.
     pub probe_timeout: TimeDelta,
-    /// Silence after which a member with at least two accusers is lost; doubled with a single accuser.
+    /// Silence after which a member that at least two members suspect is lost; doubled if only one does.
     pub lost_after: TimeDelta,
-    /// A member that this router heard from within this time is not suspected on reports of others.
+    /// A member that this router heard from within this time is not suspected because of rumors.
     pub freshness_window: TimeDelta,
     /// How long lost and dead members are remembered and probed.
     pub forget_after: TimeDelta,
@@ -50,7 +50,7 @@
     pub receive_burst: f64,
     /// Datagrams sent per second besides probes and acks: urgent rumors, and digests with their pages.
     pub push_rate: f64,
-    pub exchange_rate: f64,
+    pub anti_entropy_rate: f64,
     /// For the router count: how long it has to be stable before it may fall, and how long a missing member
     /// counts.
     pub count_settle_time: TimeDelta,
@@ -83,7 +83,7 @@
             receive_rate: 400.0,
             receive_burst: 1200.0,
             push_rate: 60.0,
-            exchange_rate: 30.0,
+            anti_entropy_rate: 30.0,
             count_settle_time: ms(10_000),
             missing_grace_period: ms(60_000),
         }
@@ -116,7 +116,7 @@
             || self.allowed_networks.iter().any(|net| net.contains(&address.ip()))
     }
 
-    /// Address at which this router reaches a member that advertises `at`.
+    /// Address at which this router reaches a member that advertises `address`.
     #[must_use]
     pub fn reachable_address(&self, name: &str, address: SocketAddr) -> SocketAddr {
         self.address_overrides.get(name).copied().unwrap_or(address)
--- a/crates/arrowyard-peers/src/gossip.rs
+++ b/crates/arrowyard-peers/src/gossip.rs
@@ -1,12 +1,12 @@
 //! Dissemination: processes what a datagram's sender states about itself and its rumors about other members,
-//! and decides which reports take effect.
+//! and decides which rumors take effect.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
-use crate::member::{Member, Slot, Standing, supersedes};
+use crate::member::{Member, MemberIndex, Standing, supersedes};
 use crate::membership::{Event, Membership};
 use crate::message::{Claim, Datagram, Kind, Rumor};
 use crate::probe::Candidate;
@@ -31,7 +31,7 @@
         from: SocketAddr,
         acks_open_probe: bool,
     ) {
-        let Some(slot) = self.table.slot(&datagram.from) else {
+        let Some(member_index) = self.table.index_of(&datagram.from) else {
             if acks_open_probe {
                 self.add_member(now, datagram, address);
             } else if datagram.kind() != Kind::Gossip || datagram.leaving {
@@ -44,21 +44,28 @@
             return;
         };
         self.last_heard_any = now;
-        let Some(member) = self.table.get(slot) else { return };
+        let Some(member) = self.table.get(member_index) else { return };
         if datagram.incarnation < member.incarnation {
             // A delayed datagram of an earlier incarnation says nothing about the current one.
             self.counts.stale += 1;
             return;
         }
         if datagram.incarnation > member.incarnation {
-            self.accept_incarnation(now, slot, datagram.incarnation, datagram.nonce, address, &datagram.from);
+            self.accept_incarnation(
+                now,
+                member_index,
+                datagram.incarnation,
+                datagram.nonce,
+                address,
+                &datagram.from,
+            );
         } else if datagram.nonce != member.nonce {
             self.counts.stale += 1;
             return;
         }
-        let since =
-            now - self.table.get(slot).map_or(now, |member| member.last_heard.max(member.standing_since));
-        let Some(member) = self.table.get_mut(slot) else { return };
+        let since = now
+            - self.table.get(member_index).map_or(now, |member| member.last_heard.max(member.standing_since));
+        let Some(member) = self.table.get_mut(member_index) else { return };
         let Some(delay) = member.accept_datagram(datagram.sent_us, now, since) else {
             self.counts.stale += u64::from(!acks_open_probe);
             return;
@@ -69,21 +76,22 @@
         if datagram.leaving {
             let reporter = member.name.clone();
             if member.standing != Standing::Left {
-                self.set_standing(now, slot, Standing::Left, &reporter);
+                self.set_standing(now, member_index, Standing::Left, &reporter);
             }
         } else if delay < self.config.freshness_window {
             let standing = member.standing;
-            if standing == Standing::Silent || !member.accusers.is_empty() && standing == Standing::Alive {
-                self.confirm_alive(now, slot);
+            if standing == Standing::Silent || !member.suspected_by.is_empty() && standing == Standing::Alive
+            {
+                self.confirm_alive(now, member_index);
             }
         }
     }
 
-    /// Sets a new incarnation of a member, which restarted or refuted a report.
+    /// Sets a new incarnation of a member, which restarted or refuted a rumor.
     fn accept_incarnation(
         &mut self,
         now: Timestamp,
-        slot: Slot,
+        member_index: MemberIndex,
         incarnation: u64,
         nonce: u64,
         address: SocketAddr,
@@ -91,14 +99,14 @@
     ) {
         let reporter: Rc<str> =
             self.table.by_name(reporter).map_or_else(|| reporter.into(), |member| member.name.clone());
-        self.probes.retain(|probe| probe.slot != Some(slot));
-        let changed = self.table.update(slot, |member| {
+        self.probes.retain(|probe| probe.member_index != Some(member_index));
+        let changed = self.table.update(member_index, |member| {
             let restarted = member.nonce != nonce;
             let previous = member.standing;
             (member.incarnation, member.nonce, member.address) = (incarnation, nonce, address);
             (member.last_sent_us, member.min_clock_offset) =
                 if restarted { (0, None) } else { (member.last_sent_us, member.min_clock_offset) };
-            member.accusers.clear();
+            member.suspected_by.clear();
             member.refused_by.clear();
             (member.standing, member.reported_by) = (Standing::Alive, reporter.clone());
             if previous != Standing::Alive || restarted {
@@ -108,7 +116,7 @@
         });
         let restarted = matches!(changed, Some(Some((_, true))));
         let times = if restarted { JOIN_TRANSMISSIONS } else { self.retransmit_limit() };
-        self.table.queue_rumor(slot, times);
+        self.table.queue_rumor(member_index, times);
         // A refutation is urgent; a restart is not.
         let urgent = !restarted;
         if let Some(Some((name, _))) = changed {
@@ -120,7 +128,7 @@
             });
         }
         if urgent {
-            self.push_rumor(now, Some(slot));
+            self.push_rumor(now, Some(member_index));
         }
     }
 
@@ -133,7 +141,7 @@
         if datagram.leaving {
             return;
         }
-        let Some(slot) = self.table.add(member, self.config.max_members) else { return };
+        let Some(member_index) = self.table.add(member, self.config.max_members) else { return };
         self.table.version += 1;
         self.candidates.retain(|candidate| candidate.name != name);
         let first = self.table.live().len() == 1;
@@ -145,9 +153,9 @@
         });
         // A join is not urgent. Pushing each would displace urgent rumors when many members join;
         // anti-entropy distributes the rest.
-        self.table.queue_rumor(slot, JOIN_TRANSMISSIONS);
+        self.table.queue_rumor(member_index, JOIN_TRANSMISSIONS);
         if first {
-            self.send_digest(now, slot, true);
+            self.send_digest(now, member_index, true);
         }
     }
 
@@ -191,16 +199,16 @@
             return;
         };
         let claim = rumor.claim();
-        let Some(slot) = self.table.slot(&rumor.name) else {
+        let Some(member_index) = self.table.index_of(&rumor.name) else {
             // Only processes that may be running become candidates.
             if matches!(claim, Claim::Alive | Claim::Suspect) {
                 self.add_candidate(now, &rumor.name, address, rumor.incarnation);
             }
             return;
         };
-        let Some(member) = self.table.get(slot) else { return };
+        let Some(member) = self.table.get(member_index) else { return };
         if claim == Claim::Alive && rumor.incarnation == member.incarnation {
-            return self.accept_vouching(now, slot, rumor, reporter);
+            return self.accept_vouching(now, member_index, rumor, reporter);
         }
         let repeated = claim == Claim::Suspect && rumor.incarnation == member.incarnation;
         if !repeated && !supersedes(rumor.incarnation, claim, member.incarnation, member.standing) {
@@ -208,8 +216,8 @@
         }
         if rumor.incarnation > member.incarnation {
             if matches!(claim, Claim::Alive | Claim::Suspect) {
-                self.accept_incarnation(now, slot, rumor.incarnation, rumor.nonce, address, reporter);
-                if let Some(member) = self.table.get_mut(slot) {
+                self.accept_incarnation(now, member_index, rumor.incarnation, rumor.nonce, address, reporter);
+                if let Some(member) = self.table.get_mut(member_index) {
                     member.idle = rumor.idle;
                 }
             }
@@ -217,45 +225,45 @@
                 return;
             }
         }
-        let Some(member) = self.table.get(slot) else { return };
+        let Some(member) = self.table.get(member_index) else { return };
         if now - member.last_direct_evidence() <= self.config.freshness_window && claim != Claim::Left {
-            // This router heard from the member just now, so that a wrong report must not take effect. The
+            // This router heard from the member just now, so that a wrong rumor must not take effect. The
             // member is told, so that it can refute; since it may not receive that, this router vouches for
             // it, too.
             if self.push_bucket.take(now) {
-                self.send_message(now, slot, Kind::Gossip, 0, "", Some(rumor.clone()));
+                self.send_message(now, member_index, Kind::Gossip, 0, "", Some(rumor.clone()));
             }
-            self.vouch_for(now, slot, reporter);
+            self.vouch_for(now, member_index, reporter);
             return;
         }
         match claim {
-            Claim::Suspect => self.handle_suspicion(now, slot, rumor, reporter),
+            Claim::Suspect => self.handle_suspicion(now, member_index, rumor, reporter),
             Claim::Lost | Claim::Dead | Claim::Left => {
                 if rumor.refused {
-                    self.record_refusals(slot, rumor);
+                    self.record_refusals(member_index, rumor);
                 }
-                self.verify(now, slot, claim, reporter, Some(rumor));
+                self.verify(now, member_index, claim, reporter, Some(rumor));
             }
             _ => {}
         }
     }
 
-    /// Tells those that received the accusation that this router heard from the member.
-    fn vouch_for(&mut self, now: Timestamp, slot: Slot, to: &Rc<str>) {
-        let Some(member) = self.table.get(slot) else { return };
+    /// Tells those that received the suspicion that this router heard from the member.
+    fn vouch_for(&mut self, now: Timestamp, member_index: MemberIndex, to: &Rc<str>) {
+        let Some(member) = self.table.get(member_index) else { return };
         let age_ms = ((now - member.last_direct_evidence()).micros() / 1000) as u32;
         let reporters = vec![self.local.name.to_string()];
         let rumor = Rumor { claim: Claim::Alive as i32, reporters, age_ms, ..member.rumor() };
-        if let Some(to) = self.table.slot(to)
+        if let Some(to) = self.table.index_of(to)
             && self.push_bucket.take(now)
         {
             self.send_message(now, to, Kind::Gossip, 0, "", Some(rumor.clone()));
         }
-        self.forward_rumor(now, slot, &rumor);
+        self.forward_rumor(now, member_index, &rumor);
     }
 
     /// Pushes a rumor about a member to some other members.
-    pub(crate) fn forward_rumor(&mut self, now: Timestamp, subject: Slot, rumor: &Rumor) {
+    pub(crate) fn forward_rumor(&mut self, now: Timestamp, subject: MemberIndex, rumor: &Rumor) {
         let eligible = |member: &Member| member.standing == Standing::Alive;
         for to in self.table.sample(&mut self.rng, self.config.urgent_fanout, &[subject], eligible) {
             if self.push_bucket.take(now) {
@@ -267,40 +275,46 @@
     /// Processes the claim of others that they hear a member. It clears silence only, neither a refusal nor
     /// a loss, and counts as much as an ack through a helper, so that a faulty member cannot keep a dead one
     /// alive.
-    fn accept_vouching(&mut self, now: Timestamp, slot: Slot, rumor: &Rumor, reporter: &Rc<str>) {
+    fn accept_vouching(
+        &mut self,
+        now: Timestamp,
+        member_index: MemberIndex,
+        rumor: &Rumor,
+        reporter: &Rc<str>,
+    ) {
         let is_alive =
             |name: &String| self.table.by_name(name).is_some_and(|member| member.standing == Standing::Alive);
         let voucher = rumor.reporters.iter().find(|name| **name != rumor.name && is_alive(name)).cloned();
         // Each hop adds its delay to the age, so that the claim expires instead of circulating.
         let heard_at =
             now - TimeDelta::from_millis(i64::from(rumor.age_ms)) - self.config.retry_interval * 0.1;
-        let Some(member) = self.table.get_mut(slot) else { return };
+        let Some(member) = self.table.get_mut(member_index) else { return };
         let outdated = now - heard_at > self.config.freshness_window
             || heard_at <= member.last_indirect_ack + self.config.freshness_window;
         if voucher.is_none() || outdated || !member.refused_by.is_empty() || member.standing.is_inactive() {
             return;
         }
         member.last_indirect_ack = heard_at;
-        let was_suspected = member.standing == Standing::Silent || !member.accusers.is_empty();
-        member.accusers.clear();
+        let was_suspected = member.standing == Standing::Silent || !member.suspected_by.is_empty();
+        member.suspected_by.clear();
         if member.standing == Standing::Silent {
-            self.set_standing(now, slot, Standing::Alive, reporter);
+            self.set_standing(now, member_index, Standing::Alive, reporter);
         }
         if was_suspected {
-            // Forwarded on first receipt, like the accusation.
+            // Forwarded on first receipt, like the suspicion.
             let age_ms = ((now - heard_at).micros() / 1000) as u32;
             let rumor = Rumor { age_ms, ..rumor.clone() };
-            self.forward_rumor(now, slot, &rumor);
+            self.forward_rumor(now, member_index, &rumor);
         }
     }
 
-    fn record_refusals(&mut self, slot: Slot, rumor: &Rumor) {
+    fn record_refusals(&mut self, member_index: MemberIndex, rumor: &Rumor) {
         let names: Vec<Rc<str>> = rumor
             .reporters
             .iter()
             .filter_map(|reporter| self.table.by_name(reporter).map(|member| member.name.clone()))
             .collect();
-        if let Some(member) = self.table.get_mut(slot) {
+        if let Some(member) = self.table.get_mut(member_index) {
             for name in names {
                 if member.refused_by.len() < 3 && !member.refused_by.contains(&name) {
                     member.refused_by.push(name);
@@ -309,10 +323,16 @@
         }
     }
 
-    /// Processes a report of silence: a single accuser is recorded, two start a verification.
-    fn handle_suspicion(&mut self, now: Timestamp, slot: Slot, rumor: &Rumor, reporter: &Rc<str>) {
-        // Only active members count as accusers.
-        let accusers: Vec<Rc<str>> = rumor
+    /// Processes a suspicion: a single suspecting member is recorded, two start a verification.
+    fn handle_suspicion(
+        &mut self,
+        now: Timestamp,
+        member_index: MemberIndex,
+        rumor: &Rumor,
+        reporter: &Rc<str>,
+    ) {
+        // Only active members count.
+        let suspecting_members: Vec<Rc<str>> = rumor
             .reporters
             .iter()
             .filter_map(|name| {
@@ -322,25 +342,26 @@
                     .map(|member| member.name.clone())
             })
             .collect();
-        let Some(member) = self.table.get_mut(slot).filter(|member| !member.standing.is_inactive()) else {
+        let Some(member) = self.table.get_mut(member_index).filter(|member| !member.standing.is_inactive())
+        else {
             return;
         };
         let mut any_new = false;
-        for name in &accusers {
-            any_new |= *name != member.name && member.add_accuser(name);
+        for name in &suspecting_members {
+            any_new |= *name != member.name && member.add_suspecting_member(name);
         }
         if !any_new {
             return;
         }
-        let (agreed, refused) = (member.accusers.len() >= 2, rumor.refused);
+        let (agreed, refused) = (member.suspected_by.len() >= 2, rumor.refused);
         let standing = member.standing;
         if refused {
-            self.record_refusals(slot, rumor);
+            self.record_refusals(member_index, rumor);
         }
         let times = self.retransmit_limit();
-        self.table.queue_rumor(slot, times);
+        self.table.queue_rumor(member_index, times);
         if standing == Standing::Alive && (agreed || refused || self.table.live().len() <= 3) {
-            self.verify(now, slot, Claim::Suspect, reporter, Some(rumor));
+            self.verify(now, member_index, Claim::Suspect, reporter, Some(rumor));
         }
     }
 
--- a/crates/arrowyard-peers/src/health.rs
+++ b/crates/arrowyard-peers/src/health.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct LocalHealth {
     score: u32,
-    /// Until then this router reports no member as silent.
+    /// Until then this router suspects no member.
     suspect_until: Timestamp,
 }
 
@@ -25,7 +25,7 @@
         self.score = (self.score + 1).min(MAX_SCORE);
     }
 
-    /// Records that the thread ran late by `by`, and returns whether it stalled. Acks that waited in the
+    /// Records that the thread ran late by `delay`, and returns whether it stalled. Acks that waited in the
     /// socket meanwhile look like silence of the others.
     pub fn record_delay(
         &mut self,
@@ -50,7 +50,7 @@
         self.suspect_until = self.suspect_until.max(now + period);
     }
 
-    /// Whether this router reports no member as silent for now.
+    /// Whether this router suspects itself, and therefore no member.
     #[must_use]
     pub fn is_suspect(&self, now: Timestamp) -> bool {
         now < self.suspect_until
--- a/crates/arrowyard-peers/src/member.rs
+++ b/crates/arrowyard-peers/src/member.rs
@@ -1,4 +1,4 @@
-//! State of one member, and the precedence of reports about it.
+//! State of one member, and the precedence of claims about it.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 
 /// Index of a member in the table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Slot(pub u32);
+pub struct MemberIndex(pub u32);
 
 /// Standing of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -20,14 +20,14 @@
     Silent,
     /// Silent beyond the suspicion timeout: dead, or on the other side of a partition.
     Lost,
-    /// Its machine reported that the process no longer exists.
+    /// Its machine refuses datagrams: the process no longer exists.
     Dead,
     /// It shut down as planned.
     Left,
 }
 
 impl Standing {
-    /// The claim that reports this standing.
+    /// The claim of this standing in rumors.
     #[must_use]
     pub fn claim(self) -> Claim {
         match self {
@@ -52,7 +52,7 @@
     }
 }
 
-/// Whether a report with this incarnation and claim replaces the current standing. A higher incarnation
+/// Whether a rumor with this incarnation and claim replaces the current standing. A higher incarnation
 /// always does. Within one incarnation a claim only replaces a weaker one, so that a late datagram cannot
 /// bring a dead member back.
 #[must_use]
@@ -63,7 +63,8 @@
 /// Largest drift between two clocks, as a fraction of elapsed time.
 const MAX_CLOCK_DRIFT: f64 = 0.001;
 
-pub const MAX_ACCUSERS: usize = 3;
+/// Maximum number of members that are recorded as suspecting or refusing a member.
+pub const MAX_REPORTERS: usize = 3;
 
 /// What this router knows of another member.
 #[derive(Clone, Debug)]
@@ -86,13 +87,13 @@
     pub last_indirect_ack: Timestamp,
     /// When a probe of this router last failed.
     pub last_probe_failure: Timestamp,
-    /// Names of the members that report it silent.
-    pub accusers: SmallVec<[Rc<str>; MAX_ACCUSERS]>,
+    /// Names of the members that suspect it.
+    pub suspected_by: SmallVec<[Rc<str>; MAX_REPORTERS]>,
     /// Names of the members whose datagrams its port refused.
-    pub refused_by: SmallVec<[Rc<str>; MAX_ACCUSERS]>,
+    pub refused_by: SmallVec<[Rc<str>; MAX_REPORTERS]>,
     /// Whether the member serves no ops.
     pub idle: bool,
-    /// Name of the member whose report led to the standing.
+    /// Name of the member whose rumor led to the standing.
     pub reported_by: Rc<str>,
     /// How often the standing changed from alive to silent.
     pub suspicion_count: u32,
@@ -123,7 +124,7 @@
             last_ack: Timestamp::DISTANT_PAST,
             last_indirect_ack: Timestamp::DISTANT_PAST,
             last_probe_failure: Timestamp::DISTANT_PAST,
-            accusers: SmallVec::new(),
+            suspected_by: SmallVec::new(),
             refused_by: SmallVec::new(),
             idle: false,
             suspicion_count: 0,
@@ -166,11 +167,11 @@
         now - self.standing_since.max(self.last_evidence())
     }
 
-    /// The rumor that reports the current standing.
+    /// The rumor that states the current standing.
     #[must_use]
     pub fn rumor(&self) -> Rumor {
         let reporters = if self.standing == Standing::Silent || self.standing == Standing::Lost {
-            self.accusers.iter().map(ToString::to_string).collect()
+            self.suspected_by.iter().map(ToString::to_string).collect()
         } else if self.standing == Standing::Dead {
             self.refused_by.iter().map(ToString::to_string).collect()
         } else {
@@ -189,11 +190,11 @@
         }
     }
 
-    /// Adds a member that reports this one silent. Returns whether it is new and there was room.
-    pub fn add_accuser(&mut self, reporter: &Rc<str>) -> bool {
-        let new = !self.accusers.contains(reporter) && self.accusers.len() < MAX_ACCUSERS;
+    /// Adds a member that suspects this one. Returns whether it is new and there was room.
+    pub fn add_suspecting_member(&mut self, reporter: &Rc<str>) -> bool {
+        let new = !self.suspected_by.contains(reporter) && self.suspected_by.len() < MAX_REPORTERS;
         if new {
-            self.accusers.push(reporter.clone());
+            self.suspected_by.push(reporter.clone());
         }
         new
     }
--- a/crates/arrowyard-peers/src/membership.rs
+++ b/crates/arrowyard-peers/src/membership.rs
@@ -9,7 +9,7 @@
 
 use crate::config::MembershipConfig;
 use crate::health::LocalHealth;
-use crate::member::{Member, Slot, Standing};
+use crate::member::{Member, MemberIndex, Standing};
 use crate::message::{
     CHECKSUM_BYTES, Claim, Datagram, DropReason, FORMAT_VERSION, Kind, Rumor, decode, encode, hash_name,
 };
@@ -60,7 +60,7 @@
     },
     /// This router stalled for this time, so that its view is unreliable.
     Stalled(TimeDelta),
-    /// This router raised its incarnation, to refute a report or after a stall.
+    /// This router raised its incarnation, to refute a rumor or after a stall.
     IncarnationRaised(u64),
     /// Another process has the same name. `yields` says whether this one withdraws.
     DuplicateName {
@@ -128,17 +128,17 @@
     pub(crate) relays: Vec<RelayedProbe>,
     pub(crate) candidates: Vec<Candidate>,
     /// Members still to be probed in the current round of the rotation.
-    pub(crate) rotation: Vec<Slot>,
+    pub(crate) rotation: Vec<MemberIndex>,
     /// Members that this router observes, and the table version that they were computed from.
-    pub(crate) observed: (u64, Vec<Slot>),
+    pub(crate) observed: (u64, Vec<MemberIndex>),
     pub(crate) next_period: Timestamp,
     pub(crate) periods: u64,
-    pub(crate) next_exchange: Timestamp,
+    pub(crate) next_anti_entropy: Timestamp,
     pub(crate) receive_bucket: TokenBucket,
     pub(crate) push_bucket: TokenBucket,
     /// Limits digests and pages. Separate from `push_bucket`: when many members join, urgent rumors would
     /// use up all tokens, and members that missed rumors depend on anti-entropy.
-    pub(crate) exchange_bucket: TokenBucket,
+    pub(crate) anti_entropy_bucket: TokenBucket,
     pub(crate) last_heard_any: Timestamp,
     pub(crate) idle: bool,
     pub(crate) leaving: bool,
@@ -181,10 +181,10 @@
             observed: (u64::MAX, Vec::new()),
             next_period: first_period,
             periods: 0,
-            next_exchange: first_period,
+            next_anti_entropy: first_period,
             receive_bucket: TokenBucket::new(config.receive_rate, config.receive_burst, now),
             push_bucket: TokenBucket::new(config.push_rate, config.push_rate, now),
-            exchange_bucket: TokenBucket::new(config.exchange_rate, config.exchange_rate, now),
+            anti_entropy_bucket: TokenBucket::new(config.anti_entropy_rate, config.anti_entropy_rate, now),
             last_heard_any: now,
             idle: false,
             leaving: false,
@@ -220,10 +220,10 @@
 
     /// Advances timers and probes.
     pub fn tick(&mut self, now: Timestamp) {
-        let late = now - self.next_deadline();
+        let delay = now - self.next_deadline();
         let (stall_threshold, period) = (self.config.stall_threshold, self.config.probe_interval);
-        if self.health.record_delay(now, late, stall_threshold, period) {
-            self.resume_after_stall(now, late);
+        if self.health.record_delay(now, delay, stall_threshold, period) {
+            self.resume_after_stall(now, delay);
         }
         self.advance_probes(now);
         self.expire_relays(now);
@@ -235,16 +235,16 @@
     }
 
     /// Recovers from a stall. Probes failed because of this router itself, and its view is old. Open probes
-    /// are dropped, no member is reported as silent for a while, and a higher incarnation is announced at
-    /// once to refute reports that arose meanwhile.
-    fn resume_after_stall(&mut self, now: Timestamp, late: TimeDelta) {
+    /// are dropped, no member is suspected for a while, and a higher incarnation is announced at once to refute
+    /// rumors that arose meanwhile.
+    fn resume_after_stall(&mut self, now: Timestamp, delay: TimeDelta) {
         self.probes.clear();
         self.relays.clear();
         self.last_heard_any = now;
         self.router_count_estimator.restart_window(now);
-        self.events.push(Event::Stalled(late));
+        self.events.push(Event::Stalled(delay));
         self.next_period = now;
-        self.next_exchange = now;
+        self.next_anti_entropy = now;
         self.raise_incarnation();
         self.push_rumor(now, None);
     }
@@ -266,8 +266,10 @@
     /// Announces a planned shutdown to several members, since a datagram may be lost.
     pub fn leave(&mut self, now: Timestamp) {
         self.leaving = true;
-        for slot in self.table.sample(&mut self.rng, 8, &[], |member| member.standing == Standing::Alive) {
-            self.send_message(now, slot, Kind::Gossip, 0, "", None);
+        for member_index in
+            self.table.sample(&mut self.rng, 8, &[], |member| member.standing == Standing::Alive)
+        {
+            self.send_message(now, member_index, Kind::Gossip, 0, "", None);
         }
     }
 
@@ -276,13 +278,13 @@
         if bytes.len() > crate::message::MAX_APP_MESSAGE_BYTES {
             return;
         }
-        for slot in self.table.sample(&mut self.rng, self.config.urgent_fanout, &[], |member| {
+        for member_index in self.table.sample(&mut self.rng, self.config.urgent_fanout, &[], |member| {
             member.standing == Standing::Alive
         }) {
             if self.push_bucket.take(now) {
                 let datagram =
                     Datagram { app_message: bytes.to_vec(), ..self.new_datagram(now, Kind::AppMessage) };
-                self.send_to_member(slot, datagram);
+                self.send_to_member(member_index, datagram);
             }
         }
     }
@@ -309,8 +311,8 @@
                 self.handle_duplicate_name(now, datagram.incarnation, datagram.nonce);
                 // The other process has to learn of this one, too.
                 if self.push_bucket.take(now) {
-                    let bytes = self.new_datagram(now, Kind::Gossip);
-                    self.send(from, &bytes);
+                    let datagram = self.new_datagram(now, Kind::Gossip);
+                    self.send(from, &datagram);
                 }
             }
             return;
@@ -348,8 +350,8 @@
             Kind::Digest => self.compare_digest(now, from, &datagram),
             Kind::Page => self.handle_page(now, from, &datagram),
             Kind::AppMessage => {
-                if let Some(slot) = self.table.slot(&datagram.from) {
-                    self.app_messages.push((PeerId(slot.0), datagram.app_message));
+                if let Some(member_index) = self.table.index_of(&datagram.from) {
+                    self.app_messages.push((PeerId(member_index.0), datagram.app_message));
                 }
             }
             Kind::Gossip | Kind::None => {}
@@ -403,8 +405,8 @@
             try_push(datagram, about);
         }
         for _ in 0..self.table.pending_rumors().min(8) {
-            let Some(slot) = self.table.next_rumor() else { break };
-            let Some(rumor) = self.table.get(slot).map(Member::rumor) else { continue };
+            let Some(member_index) = self.table.next_rumor() else { break };
+            let Some(rumor) = self.table.get(member_index).map(Member::rumor) else { continue };
             if !try_push(datagram, rumor) {
                 break;
             }
@@ -421,32 +423,32 @@
         self.actions.push(Action::Send { to, bytes });
     }
 
-    pub(crate) fn member_address(&self, slot: Slot) -> Option<SocketAddr> {
-        self.table.get(slot).map(|member| self.config.reachable_address(&member.name, member.address))
+    pub(crate) fn member_address(&self, member_index: MemberIndex) -> Option<SocketAddr> {
+        self.table.get(member_index).map(|member| self.config.reachable_address(&member.name, member.address))
     }
 
-    pub(crate) fn send_to_member(&mut self, slot: Slot, datagram: Datagram) {
-        if let Some(to) = self.member_address(slot) {
+    pub(crate) fn send_to_member(&mut self, member_index: MemberIndex, datagram: Datagram) {
+        if let Some(to) = self.member_address(member_index) {
             self.send(to, &datagram);
         }
     }
 
-    /// Sends a datagram with piggybacked rumors to a member. A report against the recipient goes first, so
-    /// that it can refute it.
+    /// Sends a datagram with piggybacked rumors to a member. A rumor against the recipient goes first, so that
+    /// it can refute it.
     pub(crate) fn send_message(
         &mut self,
         now: Timestamp,
-        slot: Slot,
+        member_index: MemberIndex,
         kind: Kind,
         seq: u64,
         subject: &str,
         rumor: Option<Rumor>,
     ) {
-        let accusation = self
+        let rumor_about_recipient = self
             .table
-            .get(slot)
-            .filter(|member| member.standing != Standing::Alive || !member.accusers.is_empty());
-        let accusation = accusation.map(|member| {
+            .get(member_index)
+            .filter(|member| member.standing != Standing::Alive || !member.suspected_by.is_empty());
+        let rumor_about_recipient = rumor_about_recipient.map(|member| {
             let mut rumor = member.rumor();
             if rumor.claim() == Claim::Alive {
                 rumor.claim = Claim::Suspect as i32;
@@ -454,22 +456,22 @@
             rumor
         });
         let mut datagram = Datagram { seq, subject: subject.to_string(), ..self.new_datagram(now, kind) };
-        self.piggyback_rumors(&mut datagram, rumor.or(accusation));
-        self.send_to_member(slot, datagram);
+        self.piggyback_rumors(&mut datagram, rumor.or(rumor_about_recipient));
+        self.send_to_member(member_index, datagram);
     }
 
     /// Pushes an urgent rumor to some members. Each forwards it on first receipt, so that it reaches all in
     /// a logarithmic number of steps; a token bucket bounds the cost.
-    pub(crate) fn push_rumor(&mut self, now: Timestamp, subject: Option<Slot>) {
-        let excluded: Vec<Slot> = subject.into_iter().collect();
-        for slot in self.table.sample(&mut self.rng, self.config.urgent_fanout, &excluded, |member| {
+    pub(crate) fn push_rumor(&mut self, now: Timestamp, subject: Option<MemberIndex>) {
+        let excluded: Vec<MemberIndex> = subject.into_iter().collect();
+        for member_index in self.table.sample(&mut self.rng, self.config.urgent_fanout, &excluded, |member| {
             member.standing == Standing::Alive
         }) {
             if !self.push_bucket.take(now) {
                 return;
             }
-            let rumor = subject.and_then(|slot| self.table.get(slot)).map(Member::rumor);
-            self.send_message(now, slot, Kind::Gossip, 0, "", rumor);
+            let rumor = subject.and_then(|member_index| self.table.get(member_index)).map(Member::rumor);
+            self.send_message(now, member_index, Kind::Gossip, 0, "", rumor);
         }
     }
 
@@ -482,11 +484,11 @@
     pub(crate) fn set_standing(
         &mut self,
         now: Timestamp,
-        slot: Slot,
+        member_index: MemberIndex,
         standing: Standing,
         reporter: &Rc<str>,
     ) {
-        let changed = self.table.update(slot, |member| {
+        let changed = self.table.update(member_index, |member| {
             let previous = member.standing;
             member.suspicion_count += u32::from(previous == Standing::Alive && standing != Standing::Left);
             if previous != standing {
@@ -494,7 +496,7 @@
             }
             (member.standing, member.reported_by) = (standing, reporter.clone());
             if standing == Standing::Alive {
-                member.accusers.clear();
+                member.suspected_by.clear();
                 member.refused_by.clear();
             }
             (previous != standing).then(|| (member.name.clone(), member.incarnation))
@@ -507,7 +509,7 @@
             reported_by: reporter.clone(),
         });
         let transmissions = self.retransmit_limit();
-        self.table.queue_rumor(slot, transmissions);
-        self.push_rumor(now, Some(slot));
+        self.table.queue_rumor(member_index, transmissions);
+        self.push_rumor(now, Some(member_index));
     }
 }
--- a/crates/arrowyard-peers/src/message.rs
+++ b/crates/arrowyard-peers/src/message.rs
@@ -45,7 +45,7 @@
     Left = 5,
 }
 
-/// A report about a member. It applies to the stated incarnation only.
+/// A claim about a member that is passed on. It applies to the stated incarnation only.
 #[derive(Clone, PartialEq, Eq, prost::Message)]
 pub struct Rumor {
     #[prost(string, tag = "1")]
@@ -140,7 +140,7 @@
 }
 
 /// Size of the checksum at the start of a datagram: CRC-32C of the rest, little-endian. UDP's 16-bit
-/// checksum misses some bit errors, and one of them can forge a report with a higher incarnation.
+/// checksum misses some bit errors, and one of them can forge a rumor with a higher incarnation.
 pub const CHECKSUM_BYTES: usize = 4;
 
 /// Encodes a datagram.
@@ -154,7 +154,7 @@
     bytes
 }
 
-/// Decodes and validates a datagram of at most `most` bytes.
+/// Decodes and validates a datagram of at most `max_bytes`.
 ///
 /// # Errors
 /// Why the datagram is dropped.
--- a/crates/arrowyard-peers/src/router_count.rs
+++ b/crates/arrowyard-peers/src/router_count.rs
@@ -6,7 +6,7 @@
 use arrowyard_types::{TimeDelta, Timestamp};
 
 /// Upper bound of the estimate as a multiple of the configured number. It limits the effect of a member that
-/// reports nonexistent members.
+/// announces nonexistent members.
 const MAX_CONFIGURED_MULTIPLE: f64 = 4.0;
 
 /// Estimator of the number of routers.
--- a/crates/arrowyard-peers/src/view.rs
+++ b/crates/arrowyard-peers/src/view.rs
@@ -29,11 +29,11 @@
     pub standing: Standing,
     pub reach: Reach,
     pub incarnation: u64,
-    /// How long it has had its standing, and whose report led to it.
+    /// How long it has had its standing, and whose rumor led to it.
     pub standing_for: TimeDelta,
     pub reported_by: Rc<str>,
-    /// Number of members that report it silent.
-    pub accuser_count: usize,
+    /// Number of members that suspect it.
+    pub suspected_by_count: usize,
     /// Whether this router has first-hand evidence of the standing.
     pub confirmed_locally: bool,
     pub idle: bool,
@@ -68,8 +68,8 @@
         if member.standing != Standing::Alive {
             return Reach::None;
         }
-        let last = member.last_ack.max(member.last_heard).max(member.last_indirect_ack);
-        if now - last > rotation_time {
+        let last_evidence = member.last_ack.max(member.last_heard).max(member.last_indirect_ack);
+        if now - last_evidence > rotation_time {
             return Reach::Reported;
         }
         if member.last_indirect_ack > member.last_ack && now - member.last_indirect_ack <= rotation_time {
@@ -100,7 +100,7 @@
             incarnation: member.incarnation,
             standing_for: now - member.standing_since,
             reported_by: member.reported_by.clone(),
-            accuser_count: member.accusers.len(),
+            suspected_by_count: member.suspected_by.len(),
             confirmed_locally,
             idle: member.idle,
             suspicion_count: member.suspicion_count,
@@ -152,21 +152,21 @@
     }
 
     fn sample(&self, now: Timestamp) -> MembershipSample {
-        let (mut missing, mut forgiven) = (0, 0);
-        let any =
+        let (mut missing, mut long_missing) = (0, 0);
+        let any_missing =
             self.table.count_by_standing(Standing::Silent) + self.table.count_by_standing(Standing::Lost) > 0;
-        for (_, member) in self.table.iter().filter(|_| any) {
+        for (_, member) in self.table.iter().filter(|_| any_missing) {
             if matches!(member.standing, Standing::Silent | Standing::Lost) {
                 let past_grace = now - member.standing_since > self.config.missing_grace_period;
-                *(if past_grace { &mut forgiven } else { &mut missing }) += 1;
+                *(if past_grace { &mut long_missing } else { &mut missing }) += 1;
             }
         }
-        let reach = 1 + self.alive_count() + usize::from(self.duplicate_name);
+        let reachable = 1 + self.alive_count() + usize::from(self.duplicate_name);
         let joined = self.config.seeds.is_empty() || self.table.len() > 0;
         MembershipSample {
-            reachable: reach,
+            reachable,
             missing,
-            long_missing: forgiven,
+            long_missing,
             reliable: joined && !self.health.is_suspect(now) && self.candidates.is_empty(),
         }
     }
--- a/crates/arrowyard-peers/tests/membership.rs
+++ b/crates/arrowyard-peers/tests/membership.rs
@@ -1,4 +1,4 @@
-//! Membership of one router and of small simulated fleets: dropped datagrams, precedence of reports,
+//! Membership of one router and of small simulated fleets: dropped datagrams, precedence of rumors,
 //! suspicion, and local health.
 
 use std::net::SocketAddr;
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn false_reports_do_not_remove_live_members() {
+fn false_rumors_do_not_remove_live_members() {
     let mut sim = SimulatedFleet::with_all_joined(5);
     for round in 0..20_u64 {
         for claim in [Claim::Suspect, Claim::Lost, Claim::Dead, Claim::Left] {
