--- a/crates/arrowyard-control/src/control/fair_shares.rs
+++ b/crates/arrowyard-control/src/control/fair_shares.rs
@@ -1,8 +1,8 @@
-//! Allocation of overloaded hosts to services. The duty holder allocates; the other control machines
-//! forward messages to and from the routers subscribed to them. A service here is a class of requests that
-//! the operator configures as a share.
+//! Allocation of overloaded hosts to classes of requests, each of which the operator configures as a share.
+//! The duty holder allocates; the other control machines forward messages to and from the routers subscribed
+//! to them.
 
-use arrowyard_fair_shares::{Allocator, HostInfo, RouterId, ServiceDemand, ServiceStatus, ShareConfig};
+use arrowyard_fair_shares::{Allocator, ClassDemand, ClassStatus, HostInfo, RouterId, ShareConfig};
 use arrowyard_messages::{
     DemandReport, HostAllocation, HostAllocations, HostDemand, OverloadedHosts, Payload, ServiceCap,
 };
@@ -30,11 +30,11 @@
 }
 
 impl Shares {
-    /// Status of each service at each host with the name of the service; empty without the duty.
-    pub fn status(&self) -> Vec<(ServiceStatus, &str)> {
+    /// Status of each class at each host with the name of the class; empty without the duty.
+    pub fn status(&self) -> Vec<(ClassStatus, &str)> {
         let rows = self.allocator.iter().flat_map(Allocator::status);
         rows.map(|row| {
-            let name = self.config.service_name(row.service);
+            let name = self.config.class_name(row.class);
             (row, name)
         })
         .collect()
@@ -80,15 +80,15 @@
         }
         next_hops.insert(report.router, from);
         for HostDemand { host, slots, fence, allocation_number, services, group } in report.hosts {
-            let decode = |demand: arrowyard_messages::ServiceDemand| ServiceDemand {
-                service: config.service_id(&demand.service),
+            let decode = |demand: arrowyard_messages::ServiceDemand| ClassDemand {
+                class: config.class_id(&demand.service),
                 in_flight: demand.running_milli,
                 queued: demand.waiting_milli,
             };
             // A number given under another fence acknowledges no allocation of this allocator.
             let acknowledged = if Some(fence) == self.fence { allocation_number } else { 0 };
-            let demands = services.into_iter().take(MAX_SERVICES_PER_REPORT).map(decode).collect();
-            let host_info = HostInfo { id: &host, group: &group, slots };
+            let demands = services.into_iter().take(MAX_CLASSES_PER_REPORT).map(decode).collect();
+            let host_info = HostInfo { id: &host, group: &group, capacity: slots };
             allocator.record_demand(
                 now,
                 &host_info,
@@ -118,8 +118,8 @@
             std::collections::BTreeMap::new();
         for (router, allocation) in round.allocations {
             let caps = allocation.caps.iter();
-            let cap = |(service, cap): &(_, u32)| ServiceCap {
-                service: config.service_name(*service).to_string(),
+            let cap = |(class, cap): &(_, u32)| ServiceCap {
+                service: config.class_name(*class).to_string(),
                 cap_milli: *cap,
             };
             by_router.entry(router.0).or_default().push(HostAllocation {
@@ -174,5 +174,5 @@
     }
 }
 
-/// Limit of the services in one router's report for one host.
-const MAX_SERVICES_PER_REPORT: usize = 256;
+/// Limit of the classes in one router's report for one host.
+const MAX_CLASSES_PER_REPORT: usize = 256;
--- a/crates/arrowyard-fair-shares/src/allocator.rs
+++ b/crates/arrowyard-fair-shares/src/allocator.rs
@@ -1,8 +1,8 @@
-//! Divides overloaded hosts between services and routers. It runs on the control machine that holds the
+//! Divides overloaded hosts between classes and routers. It runs on the control machine that holds the
 //! duty.
 //!
-//! Routers report their demand for a host. While the summed demand exceeds the host's capacity, services
-//! that want more than their fair share are limited to it, each router to its part. Services that want less
+//! Routers report their demand for a host. While the summed demand exceeds the host's capacity, classes
+//! that want more than their fair share are limited to it, each router to its part. Classes that want less
 //! are not limited.
 //!
 //! Invariant: the caps that routers may be applying never sum up to more than the fair shares. A cap is
@@ -15,7 +15,7 @@
 
 use crate::leases::ALLOCATION_LEASE;
 use crate::max_min::weighted_max_min;
-use crate::{MilliPermits, ServiceDemand, ServiceId, ShareConfig};
+use crate::{ClassDemand, ClassId, MilliPermits, ShareConfig};
 
 /// One incarnation of a router process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -42,7 +42,7 @@
 const MAX_HOSTS: usize = 4096;
 const MAX_UNACKNOWLEDGED: usize = 64;
 
-/// The caps of one router at a host, by service; services that are not named are not limited.
+/// The caps of one router at a host, by class; classes that are not named are not limited.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Allocation {
     pub host: String,
@@ -53,7 +53,7 @@
     pub report: u64,
     /// Whether the host is overloaded. If not, all limits are lifted.
     pub overloaded: bool,
-    pub caps: Vec<(ServiceId, MilliPermits)>,
+    pub caps: Vec<(ClassId, MilliPermits)>,
     /// The host's permits and the number of routers that share them: the router's fallback once its lease
     /// has expired.
     pub permits: MilliPermits,
@@ -67,43 +67,43 @@
     /// The group of hosts that hold the same databases.
     pub group: &'a str,
     /// Statements that the host runs at a time.
-    pub slots: u32,
+    pub capacity: u32,
 }
 
 /// State of one router at one host.
 #[derive(Clone, Debug, Default)]
 struct RouterState {
-    demands: Vec<ServiceDemand>,
+    demands: Vec<ClassDemand>,
     /// Number of the router's last report, and when it arrived.
     report: u64,
     reported_at: Timestamp,
     /// The last acknowledged allocation and all that were sent since; the router may be applying any of
     /// them.
-    sent: VecDeque<(u64, Vec<(ServiceId, MilliPermits)>)>,
+    sent: VecDeque<(u64, Vec<(ClassId, MilliPermits)>)>,
     acknowledged: bool,
     sent_at: Timestamp,
 }
 
 impl RouterState {
-    fn demand(&self, service: ServiceId) -> ServiceDemand {
-        self.demands.iter().copied().find(|demand| demand.service == service).unwrap_or_default()
+    fn demand(&self, class: ClassId) -> ClassDemand {
+        self.demands.iter().copied().find(|demand| demand.class == class).unwrap_or_default()
     }
 
     /// The most that the router may be using: the highest cap it may be applying, or its reported in-flight
     /// statements.
-    fn max_in_use(&self, service: ServiceId) -> MilliPermits {
-        self.max_sent_cap(service).unwrap_or(0).max(self.demand(service).in_flight)
+    fn max_in_use(&self, class: ClassId) -> MilliPermits {
+        self.max_sent_cap(class).unwrap_or(0).max(self.demand(class).in_flight)
     }
 
-    /// The highest cap that the router may be applying; `None` if this service was never limited there.
-    fn max_sent_cap(&self, service: ServiceId) -> Option<MilliPermits> {
-        let sent = self.sent.iter().flat_map(|(_, caps)| caps).filter(|(other, _)| *other == service);
+    /// The highest cap that the router may be applying; `None` if this class was never limited there.
+    fn max_sent_cap(&self, class: ClassId) -> Option<MilliPermits> {
+        let sent = self.sent.iter().flat_map(|(_, caps)| caps).filter(|(other, _)| *other == class);
         sent.map(|(_, cap)| *cap).max()
     }
 
-    fn last_sent_cap(&self, service: ServiceId) -> Option<MilliPermits> {
+    fn last_sent_cap(&self, class: ClassId) -> Option<MilliPermits> {
         let caps = self.sent.back().map(|(_, caps)| caps)?;
-        caps.iter().find(|(other, _)| *other == service).map(|(_, cap)| *cap)
+        caps.iter().find(|(other, _)| *other == class).map(|(_, cap)| *cap)
     }
 }
 
@@ -118,19 +118,19 @@
     below_exit_since: Option<Timestamp>,
     allocated_at: Timestamp,
     polled_at: Timestamp,
-    /// By service: its fair share and its demand, in permits.
-    fair_shares: Vec<(ServiceId, f64, f64)>,
+    /// By class: its fair share and its demand, in permits.
+    fair_shares: Vec<(ClassId, f64, f64)>,
 }
 
-/// One service at one host for status output, in permits.
+/// One class at one host for status output, in permits.
 #[derive(Clone, Debug, PartialEq)]
-pub struct ServiceStatus {
+pub struct ClassStatus {
     pub host: String,
-    pub service: ServiceId,
+    pub class: ClassId,
     pub fair_share: f64,
     pub in_flight: f64,
     pub queued: f64,
-    /// Whether the service is limited to its fair share.
+    /// Whether the class is limited to its fair share.
     pub limited: bool,
     /// Since when the host is overloaded; the default if it is not.
     pub overloaded_since: Timestamp,
@@ -154,12 +154,12 @@
     hosts: BTreeMap<String, HostState>,
 }
 
-/// A host's permits over all routers: twice the number of statements that it runs at a time, so that no
-/// slot is idle while answers travel and no statement waits at the host for much longer than one statement
+/// A host's permits over all routers: twice the number of statements that it runs at a time, so that the
+/// host is not idle while answers travel and no statement waits at the host for much longer than one statement
 /// takes.
 #[must_use]
-pub fn permits_for_slots(slots: u32) -> MilliPermits {
-    slots.clamp(1, 100_000) * 2000
+pub fn permits_for_capacity(capacity: u32) -> MilliPermits {
+    capacity.clamp(1, 100_000) * 2000
 }
 
 impl Allocator {
@@ -184,7 +184,7 @@
         host: &HostInfo<'_>,
         router: RouterId,
         (report, applied): (u64, u64),
-        demands: Vec<ServiceDemand>,
+        demands: Vec<ClassDemand>,
     ) {
         if !self.hosts.contains_key(host.id) && self.hosts.len() >= MAX_HOSTS {
             return;
@@ -193,7 +193,7 @@
         if state.group != host.group {
             state.group = host.group.to_string();
         }
-        state.permits = permits_for_slots(host.slots);
+        state.permits = permits_for_capacity(host.capacity);
         let router = state.routers.entry(router).or_default();
         // Reports may arrive out of order; an older one must not undo the acknowledgement of a newer one.
         if report <= router.report {
@@ -215,11 +215,11 @@
             return round;
         }
         let (fence, last_number) = (self.fence, &mut self.last_number);
-        // Permits of each service by group: its fair share at each host, as far as it has demand there.
-        let mut elsewhere: BTreeMap<(String, ServiceId), f64> = BTreeMap::new();
+        // Permits of each class by group: its fair share at each host, as far as it has demand there.
+        let mut elsewhere: BTreeMap<(String, ClassId), f64> = BTreeMap::new();
         for host in self.hosts.values() {
-            for (service, fair_share, demand) in &host.fair_shares {
-                *elsewhere.entry((host.group.clone(), *service)).or_default() += fair_share.min(*demand);
+            for (class, fair_share, demand) in &host.fair_shares {
+                *elsewhere.entry((host.group.clone(), *class)).or_default() += fair_share.min(*demand);
             }
         }
         for (id, host) in &mut self.hosts {
@@ -230,13 +230,13 @@
             host.routers.retain(|_, router| now - router.reported_at < ALLOCATION_LEASE * LEASE_CLOCK_MARGIN);
             // Each host is divided by the current result of the hosts before it. Dividing all hosts of a
             // group by the previous round's results oscillates between two wrong divisions.
-            let key = |host: &HostState, service: ServiceId| (host.group.clone(), service);
-            for (service, fair_share, demand) in &host.fair_shares {
-                *elsewhere.entry(key(host, *service)).or_default() -= fair_share.min(*demand);
+            let key = |host: &HostState, class: ClassId| (host.group.clone(), class);
+            for (class, fair_share, demand) in &host.fair_shares {
+                *elsewhere.entry(key(host, *class)).or_default() -= fair_share.min(*demand);
             }
             host.update_fair_shares(now, config, &elsewhere);
-            for (service, fair_share, demand) in &host.fair_shares {
-                *elsewhere.entry(key(host, *service)).or_default() += fair_share.min(*demand);
+            for (class, fair_share, demand) in &host.fair_shares {
+                *elsewhere.entry(key(host, *class)).or_default() += fair_share.min(*demand);
             }
             let is_overloaded = host.overloaded_since.is_some();
             if is_overloaded && now - host.polled_at >= DEMAND_POLL_INTERVAL {
@@ -270,17 +270,17 @@
         round
     }
 
-    /// The status of every service at every host with reported demand, limited ones first.
+    /// The status of every class at every host with reported demand, limited ones first.
     #[must_use]
-    pub fn status(&self) -> Vec<ServiceStatus> {
+    pub fn status(&self) -> Vec<ClassStatus> {
         let mut rows = Vec::new();
         for (id, host) in &self.hosts {
-            for (service, fair_share, demand) in &host.fair_shares {
-                let demands = || host.routers.values().map(|router| router.demand(*service));
+            for (class, fair_share, demand) in &host.fair_shares {
+                let demands = || host.routers.values().map(|router| router.demand(*class));
                 let permits = |milli: MilliPermits| f64::from(milli) / 1000.0;
-                rows.push(ServiceStatus {
+                rows.push(ClassStatus {
                     host: id.clone(),
-                    service: *service,
+                    class: *class,
                     fair_share: *fair_share,
                     in_flight: permits(demands().map(|demand| demand.in_flight).sum()),
                     queued: permits(demands().map(|demand| demand.queued).sum()),
@@ -295,20 +295,20 @@
 }
 
 impl HostState {
-    /// Updates the fair share of each service, and whether the host is overloaded.
+    /// Updates the fair share of each class, and whether the host is overloaded.
     fn update_fair_shares(
         &mut self,
         now: Timestamp,
         config: &ShareConfig,
-        elsewhere: &BTreeMap<(String, ServiceId), f64>,
+        elsewhere: &BTreeMap<(String, ClassId), f64>,
     ) {
-        let mut demands: BTreeMap<ServiceId, u64> = BTreeMap::new();
+        let mut demands: BTreeMap<ClassId, u64> = BTreeMap::new();
         for demand in self.routers.values().flat_map(|router| &router.demands) {
-            *demands.entry(demand.service).or_default() +=
+            *demands.entry(demand.class).or_default() +=
                 u64::from(demand.in_flight) + u64::from(demand.queued);
         }
-        let demands: Vec<(ServiceId, f64)> =
-            demands.into_iter().map(|(service, demand)| (service, demand as f64 / 1000.0)).collect();
+        let demands: Vec<(ClassId, f64)> =
+            demands.into_iter().map(|(class, demand)| (class, demand as f64 / 1000.0)).collect();
         let permits = f64::from(self.permits) / 1000.0;
         let total: f64 = demands.iter().map(|(_, demand)| demand).sum();
         let reserved = config.reserved(permits, &demands);
@@ -324,56 +324,55 @@
         } else {
             self.below_exit_since = None;
         }
-        let mut claims = config.claims(permits, &demands);
-        for ((service, _), claim) in demands.iter().zip(&mut claims) {
-            let held_elsewhere = elsewhere.get(&(self.group.clone(), *service)).copied().unwrap_or(0.0);
-            claim.held_elsewhere = held_elsewhere.max(0.0);
+        let mut contenders = config.contenders(permits, &demands);
+        for ((class, _), contender) in demands.iter().zip(&mut contenders) {
+            let held_elsewhere = elsewhere.get(&(self.group.clone(), *class)).copied().unwrap_or(0.0);
+            contender.held_elsewhere = held_elsewhere.max(0.0);
         }
-        let shares = weighted_max_min(available, &claims);
+        let shares = weighted_max_min(available, &contenders);
         self.fair_shares =
-            demands.iter().zip(shares).map(|((service, demand), share)| (*service, share, *demand)).collect();
+            demands.iter().zip(shares).map(|((class, demand), share)| (*class, share, *demand)).collect();
     }
 
     /// The caps to send to each router; routers whose caps changed little and whose lease is fresh are left
     /// out.
-    fn caps_to_send(&self, now: Timestamp) -> Vec<(RouterId, Vec<(ServiceId, MilliPermits)>)> {
-        let limited: Vec<(ServiceId, f64, f64)> = match self.overloaded_since {
+    fn caps_to_send(&self, now: Timestamp) -> Vec<(RouterId, Vec<(ClassId, MilliPermits)>)> {
+        let limited: Vec<(ClassId, f64, f64)> = match self.overloaded_since {
             Some(_) => self.fair_shares.iter().copied().filter(|(_, share, demand)| demand > share).collect(),
             _ => Vec::new(),
         };
-        // By service: the part of its fair share that no router may be using, in thousandths.
-        let mut free: BTreeMap<ServiceId, i64> = BTreeMap::new();
-        for (service, fair_share, _) in &limited {
-            let in_use: i64 =
-                self.routers.values().map(|router| i64::from(router.max_in_use(*service))).sum();
-            free.insert(*service, (*fair_share * 1000.0) as i64 - in_use);
+        // By class: the part of its fair share that no router may be using, in thousandths.
+        let mut free: BTreeMap<ClassId, i64> = BTreeMap::new();
+        for (class, fair_share, _) in &limited {
+            let in_use: i64 = self.routers.values().map(|router| i64::from(router.max_in_use(*class))).sum();
+            free.insert(*class, (*fair_share * 1000.0) as i64 - in_use);
         }
-        // Permits that one service gives up go to another only once that is acknowledged, and a service
+        // Permits that one class gives up go to another only once that is acknowledged, and a class
         // that is no longer limited still counts with its old caps at routers that have not acknowledged
         // the change.
-        let mut services: std::collections::BTreeSet<ServiceId> =
-            self.fair_shares.iter().map(|(service, ..)| *service).collect();
+        let mut classes: std::collections::BTreeSet<ClassId> =
+            self.fair_shares.iter().map(|(class, ..)| *class).collect();
         let sent = self.routers.values().flat_map(|router| &router.sent).flat_map(|(_, caps)| caps);
-        services.extend(sent.map(|(service, _)| *service));
+        classes.extend(sent.map(|(class, _)| *class));
         let mut total_free = i64::from(self.permits);
-        for service in services {
-            let in_use: i64 = self.routers.values().map(|router| i64::from(router.max_in_use(service))).sum();
+        for class in classes {
+            let in_use: i64 = self.routers.values().map(|router| i64::from(router.max_in_use(class))).sum();
             total_free -= in_use;
         }
         let mut out = Vec::new();
         for (id, router) in &self.routers {
             let mut caps = Vec::new();
-            for (service, fair_share, total_demand) in &limited {
-                let demand = router.demand(*service);
+            for (class, fair_share, total_demand) in &limited {
+                let demand = router.demand(*class);
                 let router_demand = f64::from(demand.in_flight) + f64::from(demand.queued);
                 let target = (fair_share * router_demand / total_demand) as i64;
                 // A raise starts from the cap that was sent, not from the in-flight statements: those may
-                // date from before the service was limited, and permits that were never allocated would
+                // date from before the class was limited, and permits that were never allocated would
                 // count as kept.
-                let sent = router.max_sent_cap(*service);
+                let sent = router.max_sent_cap(*class);
                 let is_new = sent.is_none();
                 let current = i64::from(sent.unwrap_or(demand.in_flight));
-                let free = free.get_mut(service).expect("every limited service has an entry");
+                let free = free.get_mut(class).expect("every limited class has an entry");
                 let room = (*free).min(total_free);
                 let cap = if is_new {
                     // An unlimited router uses what it has in flight; its first cap is bounded by what
@@ -386,15 +385,15 @@
                 };
                 let raised_by = if is_new { cap - current } else { (cap - current).max(0) };
                 (*free, total_free) = (*free - raised_by, total_free - raised_by);
-                caps.push((*service, cap.max(0) as MilliPermits));
+                caps.push((*class, cap.max(0) as MilliPermits));
             }
             if self.overloaded_since.is_none() {
                 // Routers with caps are told that the limits are lifted.
                 out.extend((!router.sent.is_empty()).then(|| (*id, Vec::new())));
                 continue;
             }
-            let unchanged = |(service, cap): &(ServiceId, MilliPermits)| {
-                router.last_sent_cap(*service).is_some_and(|last| {
+            let unchanged = |(class, cap): &(ClassId, MilliPermits)| {
+                router.last_sent_cap(*class).is_some_and(|last| {
                     last.abs_diff(*cap) <= MIN_CAP_CHANGE.max(last / MIN_CAP_CHANGE_DIVISOR)
                 })
             };
--- a/crates/arrowyard-fair-shares/src/demand_meter.rs
+++ b/crates/arrowyard-fair-shares/src/demand_meter.rs
@@ -1,4 +1,4 @@
-//! A router's in-flight and queued statements by host and service, averaged over the time since the last
+//! A router's in-flight and queued statements by host and class, averaged over the time since the last
 //! reading.
 //!
 //! In-flight statements are derived from answers by Little's law: the summed latency of answered statements
@@ -10,7 +10,7 @@
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
-use crate::{MilliPermits, ServiceDemand, ServiceId};
+use crate::{ClassDemand, ClassId, MilliPermits};
 
 /// Weight of the newest reading in the exponential moving average of in-flight statements.
 const SMOOTHING: f64 = 0.5;
@@ -60,7 +60,7 @@
 /// parts at each.
 #[derive(Clone, Debug)]
 pub struct DemandMeter<H> {
-    counters: BTreeMap<(H, ServiceId), Counters>,
+    counters: BTreeMap<(H, ClassId), Counters>,
 }
 
 impl<H> Default for DemandMeter<H> {
@@ -74,57 +74,51 @@
 }
 
 impl<H: Copy + Ord> DemandMeter<H> {
-    fn counters(&mut self, now: Timestamp, host: H, service: ServiceId) -> &mut Counters {
+    fn counters(&mut self, now: Timestamp, host: H, class: ClassId) -> &mut Counters {
         let new = || {
             let count = TimeAverage { updated_at: now, read_at: now, ..TimeAverage::default() };
             Counters { queued: count, ..Counters::default() }
         };
-        self.counters.entry((host, service)).or_insert_with(new)
+        self.counters.entry((host, class)).or_insert_with(new)
     }
 
     /// Records that a statement was sent to a host.
-    pub fn statement_started(&mut self, now: Timestamp, host: H, service: ServiceId) {
-        self.counters(now, host, service).outstanding += 1;
+    pub fn statement_started(&mut self, now: Timestamp, host: H, class: ClassId) {
+        self.counters(now, host, class).outstanding += 1;
     }
 
     /// Records the end of a statement. `latency` is given only if the host answered.
-    pub fn statement_ended(
-        &mut self,
-        now: Timestamp,
-        host: H,
-        service: ServiceId,
-        latency: Option<TimeDelta>,
-    ) {
-        let counters = self.counters(now, host, service);
+    pub fn statement_ended(&mut self, now: Timestamp, host: H, class: ClassId, latency: Option<TimeDelta>) {
+        let counters = self.counters(now, host, class);
         counters.outstanding = counters.outstanding.saturating_sub(1);
         counters.answered_s += latency.map_or(0.0, TimeDelta::as_secs_f64);
     }
 
     /// Adds `delta` (negative to remove) to the statements queued for any of these hosts.
-    pub fn add_queued(&mut self, now: Timestamp, hosts: &[H], service: ServiceId, delta: f64) {
+    pub fn add_queued(&mut self, now: Timestamp, hosts: &[H], class: ClassId, delta: f64) {
         let part = delta / hosts.len().max(1) as f64;
-        hosts.iter().for_each(|host| self.counters(now, *host, service).queued.add(now, part));
+        hosts.iter().for_each(|host| self.counters(now, *host, class).queued.add(now, part));
     }
 
     /// Whether a host has neither outstanding nor queued statements.
     #[must_use]
     pub fn is_idle(&self, host: H) -> bool {
-        let mut counters = self.counters.range((host, ServiceId(0))..=(host, ServiceId(u32::MAX)));
+        let mut counters = self.counters.range((host, ClassId(0))..=(host, ClassId(u32::MAX)));
         counters.all(|(_, counters)| counters.outstanding == 0 && counters.queued.value <= 0.0)
     }
 
-    /// The demand at a host, by service, averaged since the last reading.
-    pub fn read(&mut self, now: Timestamp, host: H) -> Vec<ServiceDemand> {
-        let counters = self.counters.range_mut((host, ServiceId(0))..=(host, ServiceId(u32::MAX)));
+    /// The demand at a host, by class, averaged since the last reading.
+    pub fn read(&mut self, now: Timestamp, host: H) -> Vec<ClassDemand> {
+        let counters = self.counters.range_mut((host, ClassId(0))..=(host, ClassId(u32::MAX)));
         counters
-            .map(|((_, service), counters)| {
+            .map(|((_, class), counters)| {
                 let elapsed_s = (now - counters.queued.read_at).as_secs_f64();
                 let answered_s = std::mem::take(&mut counters.answered_s);
                 if elapsed_s > 0.0 {
                     counters.in_flight += (answered_s / elapsed_s - counters.in_flight) * SMOOTHING;
                 }
-                ServiceDemand {
-                    service: *service,
+                ClassDemand {
+                    class: *class,
                     in_flight: milli_permits(counters.in_flight),
                     queued: milli_permits(counters.queued.read(now)),
                 }
@@ -144,6 +138,6 @@
 
     /// Drops the counters of a host.
     pub fn forget(&mut self, host: H) {
-        self.counters.retain(|(of, _), _| *of != host);
+        self.counters.retain(|(other, _), _| *other != host);
     }
 }
--- a/crates/arrowyard-fair-shares/src/leases.rs
+++ b/crates/arrowyard-fair-shares/src/leases.rs
@@ -7,7 +7,7 @@
 use arrowyard_types::{TimeDelta, Timestamp};
 
 use crate::max_min::weighted_max_min;
-use crate::{Allocation, MilliPermits, ServiceDemand, ServiceId, ShareConfig};
+use crate::{Allocation, ClassDemand, ClassId, MilliPermits, ShareConfig};
 
 /// How long an allocation is valid after the report that it answers. It holds in full for the first half of
 /// that, then shrinks.
@@ -64,7 +64,7 @@
         }
         // The lease runs from the report, not from now: the message may have been delayed for longer than
         // the lease. A router that has not reported yet (report 0) is allocated nothing of the limited
-        // services, so a late message does no harm.
+        // classes, so a late message does no harm.
         let lease_start =
             if allocation.report == 0 { Some(now) } else { self.reports.get(&allocation.report).copied() };
         let Some(lease_start) = lease_start else { return false };
@@ -112,16 +112,16 @@
         self.applied.retain(|host, _| self.allocations.contains_key(host) || self.polled.contains_key(host));
     }
 
-    /// The current cap on in-flight statements at a host, by service; services that are not named are not
+    /// The current cap on in-flight statements at a host, by class; classes that are not named are not
     /// limited. `demands` is this router's current demand there.
     #[must_use]
     pub fn caps(
         &self,
         now: Timestamp,
         host: &str,
-        demands: &[ServiceDemand],
+        demands: &[ClassDemand],
         config: &ShareConfig,
-    ) -> Vec<(ServiceId, MilliPermits)> {
+    ) -> Vec<(ClassId, MilliPermits)> {
         let Some(held) = self.allocations.get(host) else { return Vec::new() };
         let age = now - held.lease_start;
         if age < ALLOCATION_LEASE * 0.5 {
@@ -129,33 +129,29 @@
         }
         let fallback = held.fallback_caps(demands, config);
         let remaining = (1.0 - (age - ALLOCATION_LEASE * 0.5) / (ALLOCATION_LEASE * 0.5)).clamp(0.0, 1.0);
-        let shrunk = |(service, cap): &(ServiceId, MilliPermits)| {
+        let shrunk = |(class, cap): &(ClassId, MilliPermits)| {
             let fallback =
-                fallback.iter().find(|(other, _)| other == service).map_or(0, |(_, cap)| *cap).min(*cap);
+                fallback.iter().find(|(other, _)| other == class).map_or(0, |(_, cap)| *cap).min(*cap);
             let cap = f64::from(fallback) + f64::from(cap - fallback) * remaining;
-            (*service, cap as MilliPermits)
+            (*class, cap as MilliPermits)
         };
         held.allocation.caps.iter().map(shrunk).collect()
     }
 }
 
 impl LeasedAllocation {
-    /// This router's equal part of the host's permits, divided between its own services.
-    fn fallback_caps(
-        &self,
-        demands: &[ServiceDemand],
-        config: &ShareConfig,
-    ) -> Vec<(ServiceId, MilliPermits)> {
+    /// This router's equal part of the host's permits, divided between its own classes.
+    fn fallback_caps(&self, demands: &[ClassDemand], config: &ShareConfig) -> Vec<(ClassId, MilliPermits)> {
         let permits = f64::from(self.allocation.permits) / 1000.0 / f64::from(self.allocation.routers.max(1));
-        let demands: Vec<(ServiceId, f64)> = demands
+        let demands: Vec<(ClassId, f64)> = demands
             .iter()
-            .map(|demand| (demand.service, (f64::from(demand.in_flight) + f64::from(demand.queued)) / 1000.0))
+            .map(|demand| (demand.class, (f64::from(demand.in_flight) + f64::from(demand.queued)) / 1000.0))
             .collect();
-        let shares = weighted_max_min(permits, &config.claims(permits, &demands));
+        let shares = weighted_max_min(permits, &config.contenders(permits, &demands));
         demands
             .iter()
             .zip(shares)
-            .map(|((service, _), share)| (*service, (share * 1000.0) as MilliPermits))
+            .map(|((class, _), share)| (*class, (share * 1000.0) as MilliPermits))
             .collect()
     }
 }
--- a/crates/arrowyard-fair-shares/src/max_min.rs
+++ b/crates/arrowyard-fair-shares/src/max_min.rs
@@ -1,46 +1,54 @@
 //! Weighted max-min division of a capacity.
 
-/// What one service may claim of a host's permits. `guaranteed` and `limit` are in permits; the guaranteed
-/// part is given before the rest is divided by weight, as far as there is demand for it.
+/// A class that contends for a host's permits. `guaranteed` and `limit` are in permits; the guaranteed part is
+/// given before the rest is divided by weight, as far as there is demand for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Claim {
-    /// Permits that the service could use now.
+pub struct Contender {
+    /// Permits that the class could use now.
     pub demand: f64,
-    /// Relative weight. A service of weight 0 gets only what services with a weight leave over.
+    /// Relative weight. A class of weight 0 gets only what classes with a weight leave over.
     pub weight: f64,
     pub guaranteed: f64,
     pub limit: f64,
-    /// Permits that the service has at other hosts of the same group; they count against its share here.
+    /// Permits that the class has at other hosts of the same group; they count against its share here.
     pub held_elsewhere: f64,
 }
 
-/// The weighted max-min share of each claim in `capacity` permits. Each claim gets its weight times a
+/// The weighted max-min share of each contender in `capacity` permits. Each contender gets its weight times a
 /// common level, less what it holds elsewhere, but at least its guarantee and at most its limit and its
 /// demand; the level is the highest at which the sum stays within the capacity. Guarantees that together
 /// exceed the capacity are cut in proportion.
 #[must_use]
-pub fn weighted_max_min(capacity: f64, claims: &[Claim]) -> Vec<f64> {
-    let upper: Vec<f64> = claims.iter().map(|claim| claim.demand.min(claim.limit).max(0.0)).collect();
-    let mut lower: Vec<f64> =
-        claims.iter().zip(&upper).map(|(claim, upper)| claim.guaranteed.clamp(0.0, *upper)).collect();
+pub fn weighted_max_min(capacity: f64, contenders: &[Contender]) -> Vec<f64> {
+    let upper: Vec<f64> =
+        contenders.iter().map(|contender| contender.demand.min(contender.limit).max(0.0)).collect();
+    let mut lower: Vec<f64> = contenders
+        .iter()
+        .zip(&upper)
+        .map(|(contender, upper)| contender.guaranteed.clamp(0.0, *upper))
+        .collect();
     let sum: f64 = lower.iter().sum();
     if sum > capacity {
         lower.iter_mut().for_each(|lower| *lower *= capacity.max(0.0) / sum);
         return lower;
     }
     let share_at = |index: usize, level: f64| {
-        (claims[index].weight * level - claims[index].held_elsewhere).clamp(lower[index], upper[index])
+        (contenders[index].weight * level - contenders[index].held_elsewhere)
+            .clamp(lower[index], upper[index])
     };
-    let weighted: Vec<usize> = (0..claims.len()).filter(|&index| claims[index].weight > 0.0).collect();
-    let unweighted: f64 =
-        (0..claims.len()).filter(|&index| claims[index].weight <= 0.0).map(|index| lower[index]).sum();
+    let weighted: Vec<usize> =
+        (0..contenders.len()).filter(|&index| contenders[index].weight > 0.0).collect();
+    let unweighted: f64 = (0..contenders.len())
+        .filter(|&index| contenders[index].weight <= 0.0)
+        .map(|index| lower[index])
+        .sum();
     let sum_at = |level: f64| weighted.iter().map(|&index| share_at(index, level)).sum::<f64>() + unweighted;
-    // The sum is piecewise linear in the level; its breakpoints are where a claim leaves its lower bound or
+    // The sum is piecewise linear in the level; its breakpoints are where a contender leaves its lower bound or
     // reaches its upper bound.
     let mut breakpoints: Vec<f64> = weighted
         .iter()
         .flat_map(|&index| {
-            let Claim { weight, held_elsewhere, .. } = claims[index];
+            let Contender { weight, held_elsewhere, .. } = contenders[index];
             [(lower[index] + held_elsewhere) / weight, (upper[index] + held_elsewhere) / weight]
         })
         .collect();
@@ -57,18 +65,19 @@
     };
     let mut shares: Vec<f64> = lower.clone();
     weighted.iter().for_each(|&index| shares[index] = share_at(index, level));
-    // What the weighted claims leave over is divided evenly between those of weight 0.
+    // What the weighted contenders leave over is divided evenly between those of weight 0.
     let rest = capacity - shares.iter().sum::<f64>();
-    let zero_weight: Vec<usize> = (0..claims.len()).filter(|&index| claims[index].weight <= 0.0).collect();
+    let zero_weight: Vec<usize> =
+        (0..contenders.len()).filter(|&index| contenders[index].weight <= 0.0).collect();
     if rest > 0.0 && !zero_weight.is_empty() {
-        let even_claim = |index: &usize| Claim {
+        let equal_contender = |index: &usize| Contender {
             demand: upper[*index] - shares[*index],
             weight: 1.0,
             guaranteed: 0.0,
             limit: f64::INFINITY,
-            held_elsewhere: claims[*index].held_elsewhere,
+            held_elsewhere: contenders[*index].held_elsewhere,
         };
-        let more = weighted_max_min(rest, &zero_weight.iter().map(even_claim).collect::<Vec<_>>());
+        let more = weighted_max_min(rest, &zero_weight.iter().map(equal_contender).collect::<Vec<_>>());
         zero_weight.iter().zip(more).for_each(|(&index, more)| shares[index] += more);
     }
     shares
--- a/crates/arrowyard-fair-shares/tests/allocation.rs
+++ b/crates/arrowyard-fair-shares/tests/allocation.rs
@@ -2,18 +2,18 @@
 //! never exceed the host's permits, and while messages arrive they converge to the fair shares.
 
 use arrowyard_fair_shares::{
-    Allocation, AllocationLeases, Allocator, HostInfo, RouterId, ServiceDemand, ServiceId, ShareConfig,
+    Allocation, AllocationLeases, Allocator, ClassDemand, ClassId, HostInfo, RouterId, ShareConfig,
     weighted_max_min,
 };
 use arrowyard_types::{TimeDelta, Timestamp};
 use proptest::prelude::*;
 
 const HOST: &str = "h";
-const SLOTS: u32 = 5;
-const HOST_INFO: HostInfo<'static> = HostInfo { id: HOST, group: "g", slots: SLOTS };
+const CAPACITY: u32 = 5;
+const HOST_INFO: HostInfo<'static> = HostInfo { id: HOST, group: "g", capacity: CAPACITY };
 
 fn permits() -> f64 {
-    f64::from(arrowyard_fair_shares::permits_for_slots(SLOTS)) / 1000.0
+    f64::from(arrowyard_fair_shares::permits_for_capacity(CAPACITY)) / 1000.0
 }
 
 fn at(ms: i64) -> Timestamp {
@@ -22,23 +22,23 @@
 
 struct RouterModel {
     leases: AllocationLeases,
-    /// By service: its clients' demand, in permits.
+    /// By class: its clients' demand, in permits.
     demands: Vec<f64>,
 }
 
 impl RouterModel {
-    fn cap(&self, now: Timestamp, service: ServiceId, config: &ShareConfig) -> Option<f64> {
+    fn cap(&self, now: Timestamp, class: ClassId, config: &ShareConfig) -> Option<f64> {
         let caps = self.leases.caps(now, HOST, &[], config);
-        caps.into_iter().find(|(of, _)| *of == service).map(|(_, cap)| f64::from(cap) / 1000.0)
+        caps.into_iter().find(|(other, _)| *other == class).map(|(_, cap)| f64::from(cap) / 1000.0)
     }
 
     /// The demand as the router reports it: in flight up to the cap, the rest queued.
-    fn reported_demands(&self, now: Timestamp, config: &ShareConfig) -> Vec<ServiceDemand> {
+    fn reported_demands(&self, now: Timestamp, config: &ShareConfig) -> Vec<ClassDemand> {
         let reported = |(number, demand): (usize, &f64)| {
-            let service = ServiceId(number as u32);
-            let in_flight = self.cap(now, service, config).unwrap_or(f64::INFINITY).min(*demand);
-            ServiceDemand {
-                service,
+            let class = ClassId(number as u32);
+            let in_flight = self.cap(now, class, config).unwrap_or(f64::INFINITY).min(*demand);
+            ClassDemand {
+                class,
                 in_flight: (in_flight * 1000.0) as u32,
                 queued: ((demand - in_flight) * 1000.0) as u32,
             }
@@ -47,7 +47,7 @@
     }
 }
 
-type Report = (RouterId, u64, u64, Vec<ServiceDemand>);
+type Report = (RouterId, u64, u64, Vec<ClassDemand>);
 
 /// A step of a history.
 #[derive(Clone, Debug)]
@@ -66,7 +66,7 @@
 
 fn step() -> impl Strategy<Value = Step> {
     prop_oneof![
-        1 => (0..4_usize, 0..3_usize, 0.0..8.0_f64).prop_map(|(router, service, demand)| Step::SetDemand(router, service, demand)),
+        1 => (0..4_usize, 0..3_usize, 0.0..8.0_f64).prop_map(|(router, class, demand)| Step::SetDemand(router, class, demand)),
         4 => (0..4_usize).prop_map(Step::Report),
         6 => (0..8_usize, prop::bool::weighted(0.1)).prop_map(|(index, duplicate)| Step::DeliverReport(index, duplicate)),
         6 => (0..8_usize, prop::bool::weighted(0.1)).prop_map(|(index, duplicate)| Step::DeliverAllocation(index, duplicate)),
@@ -93,7 +93,7 @@
     fn new(routers: usize) -> Simulation {
         let mut config = ShareConfig::default();
         for name in ["a", "b", "c"] {
-            config.service_id(name);
+            config.class_id(name);
         }
         let router = |_| RouterModel { leases: AllocationLeases::default(), demands: vec![0.0; 3] };
         let allocator = Allocator::start(at(0), 7, TimeDelta::ZERO);
@@ -138,10 +138,10 @@
         }
     }
 
-    /// The sum of all caps in force, over all routers and services.
+    /// The sum of all caps in force, over all routers and classes.
     fn sum_of_caps(&self) -> f64 {
         let caps = |router: &RouterModel| -> f64 {
-            (0..3).filter_map(|service| router.cap(at(self.now_ms), ServiceId(service), &self.config)).sum()
+            (0..3).filter_map(|class| router.cap(at(self.now_ms), ClassId(class), &self.config)).sum()
         };
         self.routers.iter().map(caps).sum()
     }
@@ -172,7 +172,7 @@
         let mut simulation = Simulation::new(4);
         for step in steps {
             match step {
-                Step::SetDemand(router, service, demand) => simulation.routers[router].demands[service] = demand,
+                Step::SetDemand(router, class, demand) => simulation.routers[router].demands[class] = demand,
                 Step::Report(router) => simulation.send_report(router),
                 Step::DeliverReport(index, duplicate) => simulation.deliver_report(index, duplicate),
                 Step::DeliverAllocation(index, duplicate) => simulation.deliver_allocation(index, duplicate),
@@ -194,18 +194,18 @@
         let mut simulation = Simulation::new(demands.len());
         simulation.routers.iter_mut().zip(&demands).for_each(|(router, demands)| router.demands.clone_from(demands));
         simulation.run_rounds(4);
-        let totals: Vec<f64> = (0..3).map(|service| demands.iter().map(|of| of[service]).sum()).collect();
-        let totals: Vec<(ServiceId, f64)> =
-            totals.iter().enumerate().map(|(of, demand)| (ServiceId(of as u32), *demand)).collect();
-        let fair_shares = weighted_max_min(permits(), &simulation.config.claims(permits(), &totals));
-        for service in 0..3 {
-            let id = ServiceId(service as u32);
+        let totals: Vec<f64> = (0..3).map(|class| demands.iter().map(|router_demands| router_demands[class]).sum()).collect();
+        let totals: Vec<(ClassId, f64)> =
+            totals.iter().enumerate().map(|(index, demand)| (ClassId(index as u32), *demand)).collect();
+        let fair_shares = weighted_max_min(permits(), &simulation.config.contenders(permits(), &totals));
+        for class in 0..3 {
+            let id = ClassId(class as u32);
             let in_flight: f64 = simulation
                 .routers
                 .iter()
-                .map(|router| router.cap(at(simulation.now_ms), id, &simulation.config).unwrap_or(f64::INFINITY).min(router.demands[service]))
+                .map(|router| router.cap(at(simulation.now_ms), id, &simulation.config).unwrap_or(f64::INFINITY).min(router.demands[class]))
                 .sum();
-            prop_assert!((in_flight - fair_shares[service]).abs() <= 0.1 * fair_shares[service] + 0.3, "service {service}: {in_flight} in flight, fair shares {fair_shares:?}");
+            prop_assert!((in_flight - fair_shares[class]).abs() <= 0.1 * fair_shares[class] + 0.3, "class {class}: {in_flight} in flight, fair shares {fair_shares:?}");
         }
     }
 }
@@ -217,13 +217,13 @@
     simulation.routers[1].demands = vec![0.0, 2.0, 0.0];
     simulation.run_rounds(4);
     let cap = simulation.routers[0]
-        .cap(at(simulation.now_ms), ServiceId(0), &simulation.config)
-        .expect("service 0 is limited");
+        .cap(at(simulation.now_ms), ClassId(0), &simulation.config)
+        .expect("class 0 is limited");
     assert!((7.5..=8.1).contains(&cap), "{cap}");
     // The second router has the same demand now; the first one no longer exchanges messages.
     simulation.routers[1].demands = vec![20.0, 2.0, 0.0];
     let cut_off_ms = simulation.now_ms;
-    let mut last = cap;
+    let mut last_cap = cap;
     while simulation.now_ms < cut_off_ms + 1400 {
         simulation.send_report(1);
         while !simulation.reports.is_empty() {
@@ -235,49 +235,50 @@
         for (router, allocation) in allocations.into_iter().filter(|(router, _)| *router == RouterId(1)) {
             simulation.routers[router.0 as usize].leases.apply(at(simulation.now_ms), allocation);
         }
-        let now = simulation.routers[0]
-            .cap(at(simulation.now_ms), ServiceId(0), &simulation.config)
-            .expect("service 0 is limited");
-        assert!(now <= last + 1e-9, "the cap never grows without messages");
-        last = now;
+        let current_cap = simulation.routers[0]
+            .cap(at(simulation.now_ms), ClassId(0), &simulation.config)
+            .expect("class 0 is limited");
+        assert!(current_cap <= last_cap + 1e-9, "the cap never grows without messages");
+        last_cap = current_cap;
     }
-    let demands = [ServiceDemand { service: ServiceId(0), in_flight: 1000, queued: 19_000 }];
+    let demands = [ClassDemand { class: ClassId(0), in_flight: 1000, queued: 19_000 }];
     let caps = simulation.routers[0].leases.caps(at(simulation.now_ms), HOST, &demands, &simulation.config);
-    assert_eq!(caps, [(ServiceId(0), 5000)], "half of the permits, as there are two routers");
-    let gained = simulation.routers[1]
-        .cap(at(simulation.now_ms), ServiceId(0), &simulation.config)
-        .expect("service 0 is limited");
-    assert!(gained > 7.0, "{gained}");
+    assert_eq!(caps, [(ClassId(0), 5000)], "half of the permits, as there are two routers");
+    let other_cap = simulation.routers[1]
+        .cap(at(simulation.now_ms), ClassId(0), &simulation.config)
+        .expect("class 0 is limited");
+    assert!(other_cap > 7.0, "{other_cap}");
 }
 
 #[test]
 fn an_older_fence_is_ignored_and_a_new_holder_waits_for_the_end_of_old_leases() {
     let mut simulation = Simulation::new(1);
-    let old = |number| Allocation {
+    let old_allocation = |number| Allocation {
         host: HOST.into(),
         fence: 6,
         number,
         overloaded: true,
-        caps: vec![(ServiceId(0), 9000)],
+        caps: vec![(ClassId(0), 9000)],
         ..Allocation::default()
     };
     let leases = &mut simulation.routers[0].leases;
-    assert!(
-        leases.apply(at(0), Allocation { fence: 7, number: 1, caps: vec![(ServiceId(0), 100)], ..old(1) })
-    );
-    assert!(!leases.apply(at(1), old(99)));
-    let mut new = Allocator::start(at(0), 8, TimeDelta::from_millis(1500));
+    assert!(leases.apply(
+        at(0),
+        Allocation { fence: 7, number: 1, caps: vec![(ClassId(0), 100)], ..old_allocation(1) }
+    ));
+    assert!(!leases.apply(at(1), old_allocation(99)));
+    let mut new_allocator = Allocator::start(at(0), 8, TimeDelta::from_millis(1500));
     let demands = vec![
-        ServiceDemand { service: ServiceId(0), in_flight: 9000, queued: 0 },
-        ServiceDemand { service: ServiceId(1), in_flight: 9000, queued: 0 },
+        ClassDemand { class: ClassId(0), in_flight: 9000, queued: 0 },
+        ClassDemand { class: ClassId(1), in_flight: 9000, queued: 0 },
     ];
     for ms in (0..2600).step_by(100) {
-        new.record_demand(at(ms), &HOST_INFO, RouterId(0), (1 + ms as u64, 0), demands.clone());
-        let allocations = new.allocate(at(ms), &simulation.config, 1).allocations;
+        new_allocator.record_demand(at(ms), &HOST_INFO, RouterId(0), (1 + ms as u64, 0), demands.clone());
+        let allocations = new_allocator.allocate(at(ms), &simulation.config, 1).allocations;
         assert!(allocations.is_empty() || ms >= 2500, "{allocations:?} at {ms} ms");
     }
-    new.record_demand(at(2700), &HOST_INFO, RouterId(0), (9000, 0), demands);
-    assert!(!new.allocate(at(2700), &simulation.config, 1).allocations.is_empty());
+    new_allocator.record_demand(at(2700), &HOST_INFO, RouterId(0), (9000, 0), demands);
+    assert!(!new_allocator.allocate(at(2700), &simulation.config, 1).allocations.is_empty());
 }
 
 #[test]
@@ -285,18 +286,18 @@
     let mut simulation = Simulation::new(2);
     simulation.routers[0].demands = vec![30.0, 0.0, 0.0];
     simulation.run_rounds(4);
-    let alone = simulation.routers[0]
-        .cap(at(simulation.now_ms), ServiceId(0), &simulation.config)
+    let cap_alone = simulation.routers[0]
+        .cap(at(simulation.now_ms), ClassId(0), &simulation.config)
         .expect("the demand exceeds the permits");
-    assert!((alone - permits()).abs() < 0.1, "a single service has all permits: {alone}");
+    assert!((cap_alone - permits()).abs() < 0.1, "a single class has all permits: {cap_alone}");
     simulation.routers[1].demands = vec![0.0, 1.0, 0.0];
     simulation.run_rounds(3);
-    let shared = simulation.routers[0]
-        .cap(at(simulation.now_ms), ServiceId(0), &simulation.config)
-        .expect("service 0 is limited");
-    assert!((shared - permits() + 1.0).abs() < 0.1, "{shared}");
+    let cap_shared = simulation.routers[0]
+        .cap(at(simulation.now_ms), ClassId(0), &simulation.config)
+        .expect("class 0 is limited");
+    assert!((cap_shared - permits() + 1.0).abs() < 0.1, "{cap_shared}");
     assert_eq!(
-        simulation.routers[1].cap(at(simulation.now_ms), ServiceId(1), &simulation.config),
+        simulation.routers[1].cap(at(simulation.now_ms), ClassId(1), &simulation.config),
         None,
         "the demand is below the fair share"
     );
@@ -317,31 +318,27 @@
     assert_eq!(simulation.polled, [HOST]);
 }
 
-/// Two services want both hosts of a group. Dividing each host by the previous round's shares would give a
-/// service all permits of both hosts in one round and none in the next.
+/// Two classes want both hosts of a group. Dividing each host by the previous round's shares would give a
+/// class all permits of both hosts in one round and none in the next.
 #[test]
 fn hosts_of_one_group_converge_to_a_stable_division() {
     let mut config = ShareConfig::default();
-    let services = [config.service_id("a"), config.service_id("b")];
+    let classes = [config.class_id("a"), config.class_id("b")];
     let mut allocator = Allocator::start(at(0), 7, TimeDelta::ZERO);
-    let hosts = ["h1", "h2"].map(|id| HostInfo { id, group: "g", slots: SLOTS });
+    let hosts = ["h1", "h2"].map(|id| HostInfo { id, group: "g", capacity: CAPACITY });
     for round in 0..40_i64 {
         for host in &hosts {
             let demands =
-                services.map(|service| ServiceDemand { service, in_flight: 2000, queued: 20_000 }).to_vec();
+                classes.map(|class| ClassDemand { class, in_flight: 2000, queued: 20_000 }).to_vec();
             allocator.record_demand(at(round * 20), host, RouterId(0), (1 + round as u64, 0), demands);
         }
         allocator.allocate(at(round * 20), &config, 1);
         if round < 4 {
             continue;
         }
-        for service in services {
-            let share: f64 = allocator
-                .status()
-                .iter()
-                .filter(|row| row.service == service)
-                .map(|row| row.fair_share)
-                .sum();
+        for class in classes {
+            let share: f64 =
+                allocator.status().iter().filter(|row| row.class == class).map(|row| row.fair_share).sum();
             assert!((share - permits()).abs() < 0.2, "round {round}: {share} of {}", 2.0 * permits());
         }
     }
--- a/crates/arrowyard-fair-shares/tests/demand_meter.rs
+++ b/crates/arrowyard-fair-shares/tests/demand_meter.rs
@@ -1,9 +1,9 @@
 //! Measured demand of a router.
 
-use arrowyard_fair_shares::{DemandMeter, ServiceId};
+use arrowyard_fair_shares::{ClassId, DemandMeter};
 use arrowyard_types::{TimeDelta, Timestamp};
 
-const SERVICE: ServiceId = ServiceId(0);
+const CLASS: ClassId = ClassId(0);
 
 fn at(ms: i64) -> Timestamp {
     Timestamp::from_micros(ms * 1000)
@@ -19,10 +19,10 @@
     let mut demands = Vec::new();
     for now in 0..1000 {
         if now % interval_ms == 0 {
-            meter.statement_started(at(now), 1, SERVICE);
+            meter.statement_started(at(now), 1, CLASS);
         }
         if now >= 10 && (now - 10) % interval_ms == 0 {
-            meter.statement_ended(at(now), 1, SERVICE, answered.then_some(ms(10)));
+            meter.statement_ended(at(now), 1, CLASS, answered.then_some(ms(10)));
         }
         if now % 50 == 49 {
             demands = meter.read(at(now), 1);
@@ -48,7 +48,7 @@
     let (in_flight, _) = steady_demand(&mut DemandMeter::default(), 5, false);
     assert_eq!(in_flight, 0.0);
     let mut meter = DemandMeter::default();
-    (0..20).for_each(|_| meter.statement_started(at(0), 1, SERVICE));
+    (0..20).for_each(|_| meter.statement_started(at(0), 1, CLASS));
     assert!(!meter.is_idle(1));
     assert_eq!(meter.read(at(50), 1)[0].in_flight, 0, "the host is unreachable");
 }
@@ -56,9 +56,9 @@
 #[test]
 fn a_statement_queued_for_several_hosts_counts_in_parts_at_each() {
     let mut meter = DemandMeter::default();
-    meter.add_queued(at(0), &[1, 2], SERVICE, 1.0);
+    meter.add_queued(at(0), &[1, 2], CLASS, 1.0);
     assert_eq!(meter.read(at(100), 1)[0].queued, 500);
-    meter.add_queued(at(200), &[1, 2], SERVICE, -1.0);
+    meter.add_queued(at(200), &[1, 2], CLASS, -1.0);
     assert_eq!(meter.read(at(200), 2)[0].queued, 500);
     assert_eq!(meter.read(at(300), 2)[0].queued, 0);
     assert!(meter.is_idle(1));
--- a/crates/arrowyard-pooler/src/host_connection.rs
+++ b/crates/arrowyard-pooler/src/host_connection.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-use arrowyard_fair_shares::ServiceId;
+use arrowyard_fair_shares::ClassId;
 use arrowyard_messages::{HostRequest, RelayedRequest};
 use arrowyard_protocol::{AccessMode, FaultCode, LineDecoder, Observed, Position};
 use arrowyard_runtime::Conn;
@@ -71,8 +71,8 @@
     /// When the decision module sent it, and when it was written to the connection.
     pub sent_at: Timestamp,
     pub written_at: Option<Timestamp>,
-    /// The service that it counts as in the fair shares.
-    pub service: ServiceId,
+    /// The class that it counts as in the fair shares.
+    pub class: ClassId,
 }
 
 /// A connection to a host.
@@ -87,8 +87,8 @@
     pub prepared: FxHashSet<u32>,
     pub in_transaction: bool,
     pub sent: Option<SentStatement>,
-    /// The service of the session that last used it.
-    pub service: Option<ServiceId>,
+    /// The class of the session that last used it.
+    pub class: Option<ClassId>,
     /// Statements written later to the same host that are already answered.
     pub overtaken: u32,
     /// The reply being received: its rows as encoded, its stamp, its fault.
@@ -114,7 +114,7 @@
             prepared: FxHashSet::default(),
             in_transaction: false,
             sent: None,
-            service: None,
+            class: None,
             overtaken: 0,
             rows: Vec::new(),
             stamp: None,
--- a/crates/arrowyard-pooler/src/plane/hosts.rs
+++ b/crates/arrowyard-pooler/src/plane/hosts.rs
@@ -204,7 +204,7 @@
         let Some(connection) = self.host_connection(host_conn) else { return };
         connection.set_stage(now, ConnectionStage::Assigned(conn));
         connection.sent = Some(sent);
-        connection.service = Some(sent.service);
+        connection.class = Some(sent.class);
         let setup = connection.setup_statements(
             &variables,
             prepare.as_ref().map(|(number, mode, shape)| (*number, *mode, &**shape)),
--- a/crates/arrowyard-pooler/src/plane/ops.rs
+++ b/crates/arrowyard-pooler/src/plane/ops.rs
@@ -42,7 +42,7 @@
         commands: &mut Commands,
     ) {
         self.check_demand_if_due(now, commands);
-        let service = self.service_of(route);
+        let class = self.class_of(route);
         let op_type = self.op_types.id(route, submission.kind);
         if let Some(rows) = self.op_types.take_changed() {
             self.notify(now, RouterEvent::OpTypes(rows));
@@ -63,7 +63,7 @@
             op,
             op_type,
             route: route.clone(),
-            service,
+            class,
             queued_for: SmallVec::new(),
             kind: submission.kind,
             is_commit: submission.is_commit,
@@ -86,7 +86,7 @@
         let deadline = now + (timeout - REPLY_MARGIN).max(TimeDelta::from_millis(1));
         let session = Some(SessionId(conn.0));
         self.count_queued(now, conn, route);
-        let tenant = Some(TenantId(service.0));
+        let tenant = Some(TenantId(class.0));
         let request = OpRequest {
             op,
             op_type,
@@ -119,10 +119,10 @@
         statement.host = Some(host);
         let old_timer = statement.timer.replace(timer);
         let (host_conn, is_later) = (statement.host_conn, statement.kind == StatementKind::Later);
-        let service = statement.service;
-        self.shares.meter.statement_started(now, host, service);
+        let class = statement.class;
+        self.shares.meter.statement_started(now, host, class);
         old_timer.into_iter().for_each(|key| self.timers.cancel(key));
-        let sent = SentStatement { op, send, sent_at: now, written_at: None, service };
+        let sent = SentStatement { op, send, sent_at: now, written_at: None, class };
         match host_conn.filter(|host_conn| self.host_connection(*host_conn).is_some()) {
             Some(host_conn) => self.assign(now, conn, host_conn, sent, commands),
             None if is_later => self.revert(now, conn, sent, host, commands),
@@ -175,7 +175,7 @@
         op_finished: bool,
     ) {
         let elapsed = now - sent.sent_at;
-        self.shares.meter.statement_ended(now, host, sent.service, outcome.is_answer().then_some(elapsed));
+        self.shares.meter.statement_ended(now, host, sent.class, outcome.is_answer().then_some(elapsed));
         if !op_finished && let Some(&conn) = self.ops.get(&sent.op) {
             self.requeue(now, conn);
         }
--- a/crates/arrowyard-pooler/src/plane/shares.rs
+++ b/crates/arrowyard-pooler/src/plane/shares.rs
@@ -5,8 +5,8 @@
 
 use arrowyard_config::{Route, RouteKind};
 use arrowyard_fair_shares::{
-    Allocation, AllocationLeases, DemandMeter, MilliPermits, ServiceDemand, ServiceId, ShareConfig,
-    permits_for_slots,
+    Allocation, AllocationLeases, ClassDemand, ClassId, DemandMeter, MilliPermits, ShareConfig,
+    permits_for_capacity,
 };
 use arrowyard_messages::{DemandReport, HostAllocations, HostDemand, Payload, Phase, encode_payload};
 use arrowyard_runtime::{Commands, Conn};
@@ -40,43 +40,43 @@
     /// Whether a timer for the next check is set.
     check_scheduled: bool,
     /// The demand last reported to control by host, and when.
-    reported: BTreeMap<HostId, (Timestamp, Vec<ServiceDemand>)>,
+    reported: BTreeMap<HostId, (Timestamp, Vec<ClassDemand>)>,
     /// The demand measured at the last check by host.
-    demands: BTreeMap<HostId, Vec<ServiceDemand>>,
+    demands: BTreeMap<HostId, Vec<ClassDemand>>,
     /// The limits that the decision module has.
-    limits: BTreeMap<(HostId, ServiceId), MilliPermits>,
+    limits: BTreeMap<(HostId, ClassId), MilliPermits>,
 }
 
-fn demand_changed(old: &[ServiceDemand], new: &[ServiceDemand]) -> bool {
-    let of = |list: &[ServiceDemand], service| {
-        list.iter().copied().find(|demand| demand.service == service).unwrap_or_default()
+fn demand_changed(old: &[ClassDemand], new: &[ClassDemand]) -> bool {
+    let demand_of = |list: &[ClassDemand], class| {
+        list.iter().copied().find(|demand| demand.class == class).unwrap_or_default()
     };
     let differs = |a: MilliPermits, b: MilliPermits| {
         a.abs_diff(b) > MIN_DEMAND_CHANGE.max(a.max(b) / MIN_DEMAND_CHANGE_DIVISOR)
     };
-    let changed = |demand: &ServiceDemand| {
-        let (old, new) = (of(old, demand.service), of(new, demand.service));
+    let changed = |demand: &ClassDemand| {
+        let (old, new) = (demand_of(old, demand.class), demand_of(new, demand.class));
         differs(old.in_flight, new.in_flight) || differs(old.queued, new.queued)
     };
     old.iter().chain(new).any(changed)
 }
 
 impl RouterPlane {
-    /// The service that a route counts as in the fair shares.
-    pub(super) fn service_of(&mut self, route: &Route) -> ServiceId {
-        self.shares.config.service_id(&route.share)
+    /// The class that a route counts as in the fair shares.
+    pub(super) fn class_of(&mut self, route: &Route) -> ClassId {
+        self.shares.config.class_id(&route.share)
     }
 
     /// Counts a session's statement as queued at the hosts that may run it.
     pub(super) fn count_queued(&mut self, now: Timestamp, conn: Conn, route: &Route) {
         let Some(statement) = self.session(conn).and_then(|session| session.pending()) else { return };
-        let (kind, service) = (statement.kind, statement.service);
+        let (kind, class) = (statement.kind, statement.class);
         if kind == StatementKind::Later {
             return;
         }
         let reads = kind == StatementKind::Read && route.kind != RouteKind::Primary;
         let hosts = self.decision.eligible_hosts(&route.service, reads);
-        self.shares.meter.add_queued(now, &hosts, service, 1.0);
+        self.shares.meter.add_queued(now, &hosts, class, 1.0);
         if let Some(statement) = self.session(conn).and_then(|session| session.pending()) {
             statement.queued_for = hosts;
         }
@@ -85,9 +85,9 @@
     /// Undoes `count_queued`.
     pub(super) fn uncount_queued(&mut self, now: Timestamp, conn: Conn) {
         let Some(statement) = self.session(conn).and_then(|session| session.pending()) else { return };
-        let (service, hosts) = (statement.service, std::mem::take(&mut statement.queued_for));
+        let (class, hosts) = (statement.class, std::mem::take(&mut statement.queued_for));
         if !hosts.is_empty() {
-            self.shares.meter.add_queued(now, &hosts, service, -1.0);
+            self.shares.meter.add_queued(now, &hosts, class, -1.0);
         }
     }
 
@@ -117,11 +117,11 @@
             if known.phase() == Phase::Gone && self.shares.meter.is_idle(host) {
                 self.shares.meter.forget(host);
             }
-            let (id, group, slots) = (known.id.clone(), known.service.clone(), known.capacity);
-            let divisible = permits_for_slots(slots) / self.routers.max(1) >= MIN_ROUTER_PART;
+            let (id, group, capacity) = (known.id.clone(), known.service.clone(), known.capacity);
+            let divisible = permits_for_capacity(capacity) / self.routers.max(1) >= MIN_ROUTER_PART;
             let polled = divisible && self.shares.leases.is_polled(now, &id);
             let exceeds_part =
-                divisible && sum * f64::from(self.routers) >= f64::from(permits_for_slots(slots));
+                divisible && sum * f64::from(self.routers) >= f64::from(permits_for_capacity(capacity));
             let last = self.shares.reported.get(&host);
             let due = match last {
                 Some((at, old)) => now - *at >= REPORT_INTERVAL || demand_changed(old, &demands),
@@ -139,8 +139,8 @@
                 self.shares.reported.insert(host, (now, demands.clone()));
             }
             let (fence, allocation_number) = self.shares.leases.last_applied(&id);
-            let encode = |demand: &ServiceDemand| arrowyard_messages::ServiceDemand {
-                service: self.shares.config.service_name(demand.service).to_string(),
+            let encode = |demand: &ClassDemand| arrowyard_messages::ServiceDemand {
+                service: self.shares.config.class_name(demand.class).to_string(),
                 running_milli: demand.in_flight,
                 waiting_milli: demand.queued,
             };
@@ -149,7 +149,14 @@
                 .filter(|demand| demand.in_flight > 0 || demand.queued > 0)
                 .map(encode)
                 .collect();
-            hosts.push(HostDemand { host: id, slots, fence, allocation_number, services: list, group });
+            hosts.push(HostDemand {
+                host: id,
+                slots: capacity,
+                fence,
+                allocation_number,
+                services: list,
+                group,
+            });
             self.shares.demands.insert(host, demands);
         }
         if let Some(conn) = self.feed.open_conn().filter(|_| !hosts.is_empty()) {
@@ -204,7 +211,7 @@
             let caps = allocation
                 .caps
                 .iter()
-                .map(|cap| (self.shares.config.service_id(&cap.service), cap.cap_milli))
+                .map(|cap| (self.shares.config.class_id(&cap.service), cap.cap_milli))
                 .collect();
             let allocation = Allocation {
                 host: allocation.host,
@@ -235,51 +242,50 @@
         for name in self.shares.leases.overloaded_hosts() {
             let Some(host) = self.decision.host_id(name) else { continue };
             let demands = self.shares.demands.get(&host).map_or(&[][..], Vec::as_slice);
-            for (service, cap) in self.shares.leases.caps(now, name, demands, &self.shares.config) {
-                limits.insert((host, service), cap);
+            for (class, cap) in self.shares.leases.caps(now, name, demands, &self.shares.config) {
+                limits.insert((host, class), cap);
             }
         }
         let old = std::mem::replace(&mut self.shares.limits, limits);
         let new = self.shares.limits.clone();
-        for ((host, service), cap) in &new {
-            if old.get(&(*host, *service)) != Some(cap) {
+        for ((host, class), cap) in &new {
+            if old.get(&(*host, *class)) != Some(cap) {
                 let max_in_flight = Some(f64::from(*cap) / 1000.0);
                 self.notify(
                     now,
-                    RouterEvent::TenantLimit { host: *host, tenant: TenantId(service.0), max_in_flight },
+                    RouterEvent::TenantLimit { host: *host, tenant: TenantId(class.0), max_in_flight },
                 );
             }
         }
-        for (host, service) in old.keys().filter(|key| !new.contains_key(key)) {
+        for (host, class) in old.keys().filter(|key| !new.contains_key(key)) {
             self.notify(
                 now,
-                RouterEvent::TenantLimit { host: *host, tenant: TenantId(service.0), max_in_flight: None },
+                RouterEvent::TenantLimit { host: *host, tenant: TenantId(class.0), max_in_flight: None },
             );
         }
     }
 
-    /// The index of the waiter that gets a free connection: of the services that wait, the one that uses
+    /// The index of the waiter that gets a free connection: of the classes that wait, the one that uses
     /// the fewest connections relative to its weight; of its statements, the one that has waited longest.
     pub(super) fn next_waiter(&self, host: HostId) -> usize {
         let waiting = &self.pools[host.0 as usize].waiting;
-        let first = waiting.front().map(|(_, sent)| sent.service);
-        if waiting.iter().all(|(_, sent)| Some(sent.service) == first) {
+        let first = waiting.front().map(|(_, sent)| sent.class);
+        if waiting.iter().all(|(_, sent)| Some(sent.class) == first) {
             return 0;
         }
-        let mut in_use: BTreeMap<ServiceId, f64> = BTreeMap::new();
+        let mut in_use: BTreeMap<ClassId, f64> = BTreeMap::new();
         for endpoint in self.endpoints.values() {
             if let Endpoint::Host(connection) = endpoint
                 && connection.host == host
-                && let (ConnectionStage::Assigned(_), Some(service)) = (connection.stage, connection.service)
+                && let (ConnectionStage::Assigned(_), Some(class)) = (connection.stage, connection.class)
             {
-                *in_use.entry(service).or_default() += 1.0;
+                *in_use.entry(class).or_default() += 1.0;
             }
         }
-        let use_by_weight = |service: ServiceId| {
-            in_use.get(&service).copied().unwrap_or(0.0) / self.shares.config.weight(service).max(1e-9)
+        let use_by_weight = |class: ClassId| {
+            in_use.get(&class).copied().unwrap_or(0.0) / self.shares.config.weight(class).max(1e-9)
         };
-        let waiters =
-            waiting.iter().enumerate().map(|(index, (_, sent))| (use_by_weight(sent.service), index));
+        let waiters = waiting.iter().enumerate().map(|(index, (_, sent))| (use_by_weight(sent.class), index));
         waiters.min_by(|a, b| a.0.total_cmp(&b.0).then(a.1.cmp(&b.1))).map_or(0, |(_, index)| index)
     }
 
--- a/crates/arrowyard-pooler/src/session.rs
+++ b/crates/arrowyard-pooler/src/session.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 
 use arrowyard_config::Route;
-use arrowyard_fair_shares::ServiceId;
+use arrowyard_fair_shares::ClassId;
 use arrowyard_protocol::{AccessMode, FaultCode, LineDecoder, Position, TransactionState};
 use arrowyard_runtime::Conn;
 use arrowyard_types::{HostId, OpId, OpTypeId, TimeDelta, Timestamp};
@@ -39,8 +39,8 @@
     /// one until it ends; the configuration may drop or change the route while the statement waits for a
     /// connection.
     pub route: Rc<Route>,
-    /// The service that it counts as in the fair shares, and the hosts that it is queued for.
-    pub service: ServiceId,
+    /// The class that it counts as in the fair shares, and the hosts that it is queued for.
+    pub class: ClassId,
     pub queued_for: SmallVec<[HostId; 4]>,
     pub kind: StatementKind,
     pub is_commit: bool,
--- a/crates/arrowyard-types/src/interface.rs
+++ b/crates/arrowyard-types/src/interface.rs
@@ -86,7 +86,7 @@
     pub zone: ZoneId,
     /// Capacity relative to other hosts.
     pub size: f64,
-    /// The list's claim, which may be old.
+    /// What the list says; it may be out of date.
     pub is_primary: bool,
     pub started_at: Option<Timestamp>,
 }
