--- a/crates/arrowyard-cells/src/admission.rs
+++ b/crates/arrowyard-cells/src/admission.rs
@@ -14,7 +14,7 @@
 use crate::index::CellIndex;
 use crate::layout::{ConcurrencyLimitConfig, Layout};
 use crate::retry_budget::RetryBudget;
-use crate::rollout::{ReleaseVerdict, Rollout, RolloutBlocked, UNVERIFIED_TRUST, VerdictChange};
+use crate::rollout::{Rollout, RolloutBlocked, RolloutVerdict, UNVERIFIED_TRUST, VerdictChange};
 use crate::tenant_move::{
     MoveBlocker, MoveConflict, MoveOp, MoveSettings, Placement, Stage, Step, TenantMove, WriteOutcome,
 };
@@ -110,7 +110,7 @@
             RejectReason::OpCapacity => "the cell has no room for ops",
             RejectReason::ByteCapacity => "the cell has no room for bytes",
             RejectReason::ConcurrencyLimit => "the cell's hosts are slow",
-            RejectReason::RetryBudget => "the cell's budget of repeated attempts is spent",
+            RejectReason::RetryBudget => "the cell's retry budget is exhausted",
             RejectReason::LeaseExpired => "the operator's file is too old for writes and bounded reads",
             RejectReason::MoveFenced => "the tenant moves",
             RejectReason::OutcomeUnknown => "it may have run; the tenant moved since",
@@ -131,7 +131,7 @@
 /// Changes that are reported to operators.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CellEvent {
-    ReleaseVerdict(VerdictChange),
+    RolloutVerdict(VerdictChange),
     /// Restarted hosts of the cell get reduced trust.
     RolloutBlocked(CellId, RolloutBlocked),
     MoveStageChanged(Box<str>, Stage),
@@ -173,8 +173,8 @@
     pub errors: u32,
     /// First sends of ops.
     pub first_sends: u32,
-    /// Sends after the first one.
-    pub further_sends: u32,
+    /// Sends of ops after the first one.
+    pub retries: u32,
 }
 
 /// Admission state of all cells of one router.
@@ -492,23 +492,23 @@
         Ok(())
     }
 
-    /// Records that a send of the op goes out: the first one, or a further one.
+    /// Records that a send of the op goes out: the first one, or a retry.
     pub fn record_send(&mut self, now: Timestamp, permit: &AdmissionPermit, first: bool) {
         let cell = &mut self.cells[permit.cell.0 as usize];
         if let Some(retry_budget) = &mut cell.retry_budget {
             if first { retry_budget.record_first_send(now) } else { retry_budget.record_retry(now) }
         }
         cell.counters.first_sends += u32::from(first);
-        cell.counters.further_sends += u32::from(!first);
+        cell.counters.retries += u32::from(!first);
     }
 
-    /// How many further sends the cell may make now; `None` if it has no budget.
+    /// How many retries the cell may send now; `None` if it has no budget.
     pub fn remaining_retries(&self, now: Timestamp, cell: CellId) -> Option<u32> {
         self.cells[cell.0 as usize].retry_budget.as_ref().map(|budget| budget.remaining(now))
     }
 
     /// Records the end of a send. `latency` is in latency targets; `restarted_in_trial` says whether the
-    /// host restarted during the cell's release trial.
+    /// host restarted during the rollout trial of the cell.
     pub fn record_send_end(
         &mut self,
         permit: &AdmissionPermit,
@@ -527,7 +527,7 @@
         if let Some(rollout) = self.rollout.as_mut().filter(|_| outcome != SendOutcome::NotExecuted) {
             let change = rollout
                 .record_outcome(restarted_in_trial.then_some(permit.cell), outcome == SendOutcome::Failed);
-            self.events.extend(change.map(CellEvent::ReleaseVerdict));
+            self.events.extend(change.map(CellEvent::RolloutVerdict));
         }
     }
 
@@ -641,7 +641,7 @@
             bytes: self.bytes.used(id),
             probes: self.probes.used(id),
             concurrency_limit: cell.concurrency_limit.map(|limit| limit.limit()),
-            release_verdict: self.rollout.as_ref().map(|rollout| rollout.verdict(id)),
+            rollout_verdict: self.rollout.as_ref().map(|rollout| rollout.verdict(id)),
             counters: std::mem::take(&mut cell.counters),
         };
         (0..).map(CellId).zip(&mut self.cells).map(state).collect()
@@ -679,8 +679,8 @@
     pub probes: u64,
     /// The adaptive limit on in-flight ops, if one is configured.
     pub concurrency_limit: Option<u64>,
-    /// Verdict on the cell's release, if a rollout is configured.
-    pub release_verdict: Option<ReleaseVerdict>,
+    /// Verdict on the rollout in the cell, if a rollout is configured.
+    pub rollout_verdict: Option<RolloutVerdict>,
     /// Counts since the previous report.
     pub counters: CellCounters,
 }
--- a/crates/arrowyard-cells/src/layout.rs
+++ b/crates/arrowyard-cells/src/layout.rs
@@ -24,7 +24,7 @@
     pub reclaim_period: TimeDelta,
     /// Retry budget of each cell. `None`: unlimited.
     pub retry_budget: Option<RetryBudgetConfig>,
-    /// Order in which cells receive host releases. `None`: releases are not tested.
+    /// Order in which cells receive rollouts of host software. `None`: rollouts are not tested.
     pub rollout: Option<RolloutConfig>,
     /// Validity of the layout. `None`: unlimited.
     pub lease: Option<Lease>,
@@ -86,12 +86,12 @@
     pub window: TimeDelta,
 }
 
-/// Order of a host release over the cells, and the parameters of its test.
+/// Order of a rollout of host software over the cells, and the parameters of its test.
 #[derive(Clone, Debug, PartialEq)]
 pub struct RolloutConfig {
     /// Cells in rollout order; the first one is the canary.
     pub order: Vec<CellId>,
-    /// Ratio of a bad release's error rate to the baseline.
+    /// Ratio of a bad rollout's error rate to the baseline.
     pub error_rate_ratio: f64,
     /// Probability of a wrong verdict, in either direction.
     pub error_probability: f64,
@@ -130,23 +130,24 @@
     /// given to a new cell once `free` returns true for it.
     pub fn aligned(mut self, old: &Layout, free: impl Fn(CellId) -> bool) -> Layout {
         let mut cells = std::mem::take(&mut self.cells);
-        let mut slots: Vec<Option<Cell>> = vec![None; old.cells.len()];
+        let mut cells_by_id: Vec<Option<Cell>> = vec![None; old.cells.len()];
         let mut ids = vec![CellId(0); cells.len()];
         let mut unplaced = Vec::new();
         for (index, cell) in cells.drain(..).enumerate() {
             match old.ids().find(|&id| old.cell(id).name == cell.name) {
-                Some(id) => (ids[index], slots[id.0 as usize]) = (id, Some(cell)),
+                Some(id) => (ids[index], cells_by_id[id.0 as usize]) = (id, Some(cell)),
                 None => unplaced.push((index, cell)),
             }
         }
         for (index, cell) in unplaced {
-            let slot =
-                old.ids().find(|&id| slots[id.0 as usize].is_none() && old.cell(id).removed && free(id));
-            let slot = slot.map_or(slots.len(), |id| id.0 as usize);
-            if slot == slots.len() {
-                slots.push(None);
+            let free_index = old
+                .ids()
+                .find(|&id| cells_by_id[id.0 as usize].is_none() && old.cell(id).removed && free(id));
+            let free_index = free_index.map_or(cells_by_id.len(), |id| id.0 as usize);
+            if free_index == cells_by_id.len() {
+                cells_by_id.push(None);
             }
-            (ids[index], slots[slot]) = (CellId(slot as u32), Some(cell));
+            (ids[index], cells_by_id[free_index]) = (CellId(free_index as u32), Some(cell));
         }
         let removed = |id: usize| Cell {
             removed: true,
@@ -156,7 +157,7 @@
             hosts: Vec::new(),
             ..old.cells[id].clone()
         };
-        let filled = slots.into_iter().enumerate();
+        let filled = cells_by_id.into_iter().enumerate();
         self.cells = filled.map(|(id, cell)| cell.unwrap_or_else(|| removed(id))).collect();
         let renumber = |id: &mut CellId| *id = ids[id.0 as usize];
         self.tenants.values_mut().for_each(renumber);
--- a/crates/arrowyard-cells/src/lib.rs
+++ b/crates/arrowyard-cells/src/lib.rs
@@ -1,6 +1,6 @@
 //! Cell-based isolation for the router. A cell is a subset of the hosts together with a share of the
 //! router's capacity. Tenants and groups are confined to cells, so that overload, a misbehaving tenant or a
-//! bad release affects a single cell.
+//! bad rollout affects a single cell.
 //!
 //! This crate decides which cell an op belongs to, whether that cell has capacity for it, how many retries
 //! the cell may send, and where a tenant's ops go while the tenant moves between cells. Choosing a host,
--- a/crates/arrowyard-cells/src/retry_budget.rs
+++ b/crates/arrowyard-cells/src/retry_budget.rs
@@ -1,5 +1,5 @@
-//! Retry budget of a cell: limits further sends and clients' marked retries relative to first sends. Over
-//! any window the retries stay within a ratio of the first sends, or within a fixed minimum if that is
+//! Retry budget of a cell: limits the retries of the router, which are sends of an op after the first one, and
+//! retries that clients mark, relative to first sends. Over any window the retries stay within a ratio of the first sends, or within a fixed minimum if that is
 //! larger.
 
 use arrowyard_types::{TimeDelta, Timestamp};
--- a/crates/arrowyard-cells/src/rollout.rs
+++ b/crates/arrowyard-cells/src/rollout.rs
@@ -1,23 +1,23 @@
-//! Limits the blast radius of a host release. Cells receive a release one after another. The outcomes of
+//! Limits the blast radius of a rollout of host software. Cells receive it one after another. The outcomes of
 //! hosts that restarted are compared with those of all other hosts by Wald's sequential probability ratio
-//! test. Until a cell's release is verified, restarted hosts of the cells after it receive only a small part
-//! of their traffic. The router never moves a release by itself.
+//! test. Until the rollout is verified in a cell, restarted hosts of the cells after it receive only a small
+//! part of their traffic. The router never advances a rollout by itself.
 
 use arrowyard_types::{CellId, TimeDelta, Timestamp};
 
 use crate::layout::RolloutConfig;
 
-/// Factor on the size of a restarted host, and thereby on its traffic, while the release of an earlier cell
-/// is unverified.
+/// Factor on the size of a restarted host, and thereby on its traffic, while the rollout is unverified in an
+/// earlier cell.
 pub const UNVERIFIED_TRUST: f64 = 0.1;
-/// Lower bound of the baseline error rate. With a baseline of zero a single error would fail the release.
+/// Lower bound of the baseline error rate. With a baseline of zero a single error would fail the rollout.
 const MIN_ERROR_RATE: f64 = 0.002;
 /// Weight of one outcome in the moving average of the baseline error rate.
 const ERROR_RATE_SMOOTHING: f64 = 0.002;
 
-/// Verdict on the release of a cell.
+/// Verdict on the rollout in a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ReleaseVerdict {
+pub enum RolloutVerdict {
     /// No host restarted, or there is not enough evidence.
     Open,
     Good,
@@ -26,14 +26,14 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Trial {
-    /// Log-likelihood ratio of a bad release against a good one.
+    /// Log-likelihood ratio of a bad rollout against a good one.
     evidence: f64,
-    verdict: ReleaseVerdict,
+    verdict: RolloutVerdict,
     /// When a host of the cell last restarted.
     last_restart: Option<Timestamp>,
 }
 
-/// Release trials of the cells, in rollout order.
+/// Trials of the cells, in rollout order.
 #[derive(Clone, Debug)]
 pub struct Rollout {
     config: RolloutConfig,
@@ -48,22 +48,22 @@
     /// The cell whose verdict changed.
     pub cell: CellId,
     /// The new verdict.
-    pub verdict: ReleaseVerdict,
+    pub verdict: RolloutVerdict,
 }
 
-/// Why the release is not extended to a cell.
+/// Why the rollout is not extended to a cell.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct RolloutBlocked {
     /// The first earlier cell without a good verdict.
     pub blocked_by: CellId,
-    /// Whether the release failed there; otherwise it is unverified.
+    /// Whether the rollout failed there; otherwise it is unverified.
     pub failed: bool,
 }
 
 impl Rollout {
     /// Creates a rollout without evidence on any cell.
     pub fn new(config: RolloutConfig) -> Self {
-        let trial = Trial { evidence: 0.0, verdict: ReleaseVerdict::Open, last_restart: None };
+        let trial = Trial { evidence: 0.0, verdict: RolloutVerdict::Open, last_restart: None };
         Rollout { trials: vec![trial; config.order.len()], config, baseline_error_rate: MIN_ERROR_RATE }
     }
 
@@ -77,7 +77,7 @@
         let Some(position) = self.position(cell) else { return };
         let trial = &mut self.trials[position];
         if trial.last_restart.is_none_or(|last| at - last > within) {
-            (trial.evidence, trial.verdict) = (0.0, ReleaseVerdict::Open);
+            (trial.evidence, trial.verdict) = (0.0, RolloutVerdict::Open);
         }
         trial.last_restart = Some(at).max(trial.last_restart);
     }
@@ -94,17 +94,17 @@
         let failing_rate = (baseline * self.config.error_rate_ratio).min((1.0 + baseline) * 0.5);
         let bound = ((1.0 - self.config.error_probability) / self.config.error_probability).ln();
         let trial = &mut self.trials[position];
-        if trial.verdict == ReleaseVerdict::Bad {
+        if trial.verdict == RolloutVerdict::Bad {
             return None;
         }
         let likelihood_ratio =
             if failed { failing_rate / baseline } else { (1.0 - failing_rate) / (1.0 - baseline) };
         // The test continues after a good verdict, and the clamp bounds its accumulated evidence: without it
-        // a release that degrades late would be detected late.
+        // a rollout that degrades late would be detected late.
         trial.evidence = (trial.evidence + likelihood_ratio.ln()).clamp(-bound, bound);
         let verdict = match trial.evidence {
-            evidence if evidence >= bound => ReleaseVerdict::Bad,
-            evidence if evidence <= -bound => ReleaseVerdict::Good,
+            evidence if evidence >= bound => RolloutVerdict::Bad,
+            evidence if evidence <= -bound => RolloutVerdict::Good,
             _ => trial.verdict,
         };
         let changed = verdict != trial.verdict;
@@ -112,20 +112,20 @@
         changed.then(|| VerdictChange { cell: self.config.order[position], verdict })
     }
 
-    /// Verdict on the cell's release; open if the cell is not part of the rollout.
-    pub fn verdict(&self, cell: CellId) -> ReleaseVerdict {
-        self.position(cell).map_or(ReleaseVerdict::Open, |position| self.trials[position].verdict)
+    /// Verdict on the rollout in the cell; open if the cell is not part of the rollout.
+    pub fn verdict(&self, cell: CellId) -> RolloutVerdict {
+        self.position(cell).map_or(RolloutVerdict::Open, |position| self.trials[position].verdict)
     }
 
     /// Whether restarted hosts of the cell may receive their full share of traffic.
     ///
     /// # Errors
-    /// The first earlier cell whose release failed or is unverified.
+    /// The first earlier cell in which the rollout failed or is unverified.
     pub fn check_rollout(&self, cell: CellId) -> Result<(), RolloutBlocked> {
         let earlier = self.position(cell).map_or(&[][..], |position| &self.trials[..position]);
-        let blocking = earlier.iter().position(|trial| trial.verdict != ReleaseVerdict::Good);
+        let blocking = earlier.iter().position(|trial| trial.verdict != RolloutVerdict::Good);
         blocking.map_or(Ok(()), |position| {
-            let failed = self.trials[position].verdict == ReleaseVerdict::Bad;
+            let failed = self.trials[position].verdict == RolloutVerdict::Bad;
             Err(RolloutBlocked { blocked_by: self.config.order[position], failed })
         })
     }
--- a/crates/arrowyard-cells/tests/admission.rs
+++ b/crates/arrowyard-cells/tests/admission.rs
@@ -8,7 +8,7 @@
     Cell, ConcurrencyLimitConfig, Layout, Lease, RetryBudgetConfig, RolloutConfig,
 };
 use arrowyard_cells::retry_budget::RetryBudget;
-use arrowyard_cells::rollout::ReleaseVerdict;
+use arrowyard_cells::rollout::RolloutVerdict;
 use arrowyard_cells::tenant_move::{MoveConfig, MoveSettings, Stage, Step, WriteOutcome};
 use arrowyard_cells::{AdmissionDecision, Cells, SendOutcome};
 use arrowyard_types::{CellId, Consistency, GroupId, TimeDelta, Timestamp};
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn retries_of_clients_and_further_sends_count_against_the_budget_of_the_cell() {
+fn marked_retries_of_clients_and_retries_of_the_router_count_against_the_budget_of_the_cell() {
     let window = TimeDelta::from_millis(1600);
     let mut cells = new_cells(Layout {
         retry_budget: Some(RetryBudgetConfig { retry_ratio: 0.5, min_retries: 2, window }),
@@ -170,8 +170,8 @@
 
 #[test]
 fn restarted_hosts_get_full_trust_only_after_earlier_cells_are_verified() {
-    let release = RolloutConfig { order: vec![A, B], error_rate_ratio: 3.0, error_probability: 0.001 };
-    let mut cells = new_cells(Layout { rollout: Some(release), ..layout(1) });
+    let rollout = RolloutConfig { order: vec![A, B], error_rate_ratio: 3.0, error_probability: 0.001 };
+    let mut cells = new_cells(Layout { rollout: Some(rollout), ..layout(1) });
     let (canary, other) = (admit(&mut cells, 0, "ann", false, 1), admit(&mut cells, 0, "bob", false, 1));
     let (canary, other) = (canary.expect("the cell has capacity"), other.expect("the cell has capacity"));
     let within = TimeDelta::from_millis(1000);
@@ -190,33 +190,33 @@
         cells.record_send_end(&canary, SendOutcome::NotExecuted, 0.2, true);
     }
     assert_eq!(
-        cells.report()[0].release_verdict,
-        Some(ReleaseVerdict::Open),
-        "sends that did not run are no evidence on the release"
+        cells.report()[0].rollout_verdict,
+        Some(RolloutVerdict::Open),
+        "sends that did not run are no evidence on the rollout"
     );
     (0..4000).for_each(|_| cells.record_send_end(&canary, SendOutcome::Acked, 0.2, true));
     assert_eq!(
-        (cells.report()[0].release_verdict, cells.restarted_host_trust(B)),
-        (Some(ReleaseVerdict::Good), 1.0)
+        (cells.report()[0].rollout_verdict, cells.restarted_host_trust(B)),
+        (Some(RolloutVerdict::Good), 1.0)
     );
     (0..400).for_each(|_| cells.record_send_end(&canary, SendOutcome::Failed, 0.2, true));
     assert_eq!(
-        (cells.report()[0].release_verdict, cells.restarted_host_trust(B)),
-        (Some(ReleaseVerdict::Bad), 0.1)
+        (cells.report()[0].rollout_verdict, cells.restarted_host_trust(B)),
+        (Some(RolloutVerdict::Bad), 0.1)
     );
-    let verdict: Vec<ReleaseVerdict> = cells
+    let verdict: Vec<RolloutVerdict> = cells
         .take_events()
         .iter()
         .filter_map(
-            |event| if let CellEvent::ReleaseVerdict(verdict) = event { Some(verdict.verdict) } else { None },
+            |event| if let CellEvent::RolloutVerdict(verdict) = event { Some(verdict.verdict) } else { None },
         )
         .collect();
-    assert_eq!(verdict, [ReleaseVerdict::Good, ReleaseVerdict::Bad]);
-    // A later release starts a new trial; a new layout with the same rollout keeps the verdict.
+    assert_eq!(verdict, [RolloutVerdict::Good, RolloutVerdict::Bad]);
+    // A later rollout starts a new trial; a new layout with the same rollout keeps the verdict.
     let next = Layout { epoch: 2, ..cells.layout().clone() };
     assert_eq!((cells.replace_layout(ms(1), next), cells.restarted_host_trust(B)), (Ok(()), 0.1));
     cells.host_restarted(A, ms(60_000), within);
-    assert_eq!(cells.report()[0].release_verdict, Some(ReleaseVerdict::Open));
+    assert_eq!(cells.report()[0].rollout_verdict, Some(RolloutVerdict::Open));
 }
 
 fn layout_with_move(epoch: u64, tenant: &str, step: Step, fence: Option<i64>, groups: bool) -> Layout {
--- a/crates/arrowyard-cells/tests/components.rs
+++ b/crates/arrowyard-cells/tests/components.rs
@@ -14,7 +14,7 @@
     Cell, ConcurrencyLimitConfig, Layout, NetworkRule, RetryBudgetConfig, RolloutConfig,
 };
 use arrowyard_cells::retry_budget::RetryBudget;
-use arrowyard_cells::rollout::{ReleaseVerdict, Rollout};
+use arrowyard_cells::rollout::{Rollout, RolloutVerdict};
 use arrowyard_types::{CellId, GroupId, TimeDelta, Timestamp};
 use proptest::prelude::*;
 
@@ -281,7 +281,7 @@
 fn a_bad_canary_blocks_the_next_cell_and_a_good_one_unblocks_it() {
     let [canary, next] = [CellId(3), CellId(1)];
     let config = RolloutConfig { order: vec![canary, next], error_rate_ratio: 3.0, error_probability: 0.001 };
-    for (every, wanted) in [(8, ReleaseVerdict::Bad), (10_000, ReleaseVerdict::Good)] {
+    for (every, wanted) in [(8, RolloutVerdict::Bad), (10_000, RolloutVerdict::Good)] {
         let mut rollout = Rollout::new(config.clone());
         // The baseline is one error in 50 from hosts that did not restart; then outcomes of the canary
         // follow.
@@ -290,14 +290,14 @@
         rollout.host_restarted(canary, ms(0), TimeDelta::from_millis(1000));
         let verdict = (1..4000).find_map(|n| rollout.record_outcome(Some(canary), n % every == 0));
         assert_eq!(verdict.map(|verdict| verdict.verdict), Some(wanted));
-        assert_eq!(rollout.check_rollout(next).is_ok(), wanted == ReleaseVerdict::Good);
-        // A release that degrades after a good verdict still fails.
+        assert_eq!(rollout.check_rollout(next).is_ok(), wanted == RolloutVerdict::Good);
+        // A rollout that degrades after a good verdict still fails.
         let late = (1..4000).find_map(|n| rollout.record_outcome(Some(canary), n % 4 == 0));
-        assert_eq!(late.is_some(), wanted == ReleaseVerdict::Good);
+        assert_eq!(late.is_some(), wanted == RolloutVerdict::Good);
         assert_eq!(rollout.check_rollout(next).map_err(|held| held.failed), Err(true));
-        // The next release gets its own trial.
+        // The next rollout gets its own trial.
         rollout.host_restarted(canary, ms(60_000), TimeDelta::from_millis(1000));
-        assert_eq!(rollout.verdict(canary), ReleaseVerdict::Open);
+        assert_eq!(rollout.verdict(canary), RolloutVerdict::Open);
     }
 }
 
--- a/crates/arrowyard-cells/tests/reference_models.rs
+++ b/crates/arrowyard-cells/tests/reference_models.rs
@@ -1,4 +1,4 @@
-//! The adaptive limit and the release trial against independent reference implementations, and what happens
+//! The adaptive limit and the rollout trial against independent reference implementations, and what happens
 //! to bulkheads, queues and cells when a layout changes.
 
 use arrowyard_cells::admission::{AdmissionPermit, Capacity, CellEvent, OpContext, RejectReason};
@@ -6,7 +6,7 @@
 use arrowyard_cells::concurrency_limit::ConcurrencyLimit;
 use arrowyard_cells::fair_queue::FairQueue;
 use arrowyard_cells::layout::{Cell, ConcurrencyLimitConfig, Layout, RolloutConfig};
-use arrowyard_cells::rollout::{ReleaseVerdict, Rollout};
+use arrowyard_cells::rollout::{Rollout, RolloutVerdict};
 use arrowyard_cells::tenant_move::MoveSettings;
 use arrowyard_cells::{AdmissionDecision, Cells, SendOutcome};
 use arrowyard_types::{CellId, Consistency, GroupId, TimeDelta, Timestamp};
@@ -90,14 +90,14 @@
         }
     }
 
-    /// The likelihood ratio of a bad release, kept as a product instead of a sum of logarithms.
+    /// The likelihood ratio of a bad rollout, kept as a product instead of a sum of logarithms.
     #[test]
     fn the_verdict_matches_the_likelihood_ratio(
         outcomes in prop::collection::vec((0_u8..4, any::<bool>(), any::<bool>()), 1..600), worse in 1.5_f64..6.0,
     ) {
         let error_probability = 0.02;
         let mut rollout = Rollout::new(RolloutConfig { order: vec![A, B], error_rate_ratio: worse, error_probability });
-        let (mut likelihood_ratio, mut verdict, mut others) = (1.0_f64, ReleaseVerdict::Open, 0.002_f64);
+        let (mut likelihood_ratio, mut verdict, mut others) = (1.0_f64, RolloutVerdict::Open, 0.002_f64);
         let bound = (1.0 - error_probability) / error_probability;
         for (who, one, two) in outcomes {
             let bad = one && two;
@@ -109,18 +109,18 @@
             let baseline = others.clamp(0.002, 0.4);
             let failing_rate = (baseline * worse).min(0.5 + baseline / 2.0);
             let change = rollout.record_outcome(Some(A), bad);
-            if verdict != ReleaseVerdict::Bad {
+            if verdict != RolloutVerdict::Bad {
                 likelihood_ratio *= if bad { failing_rate / baseline } else { (1.0 - failing_rate) / (1.0 - baseline) };
                 likelihood_ratio = likelihood_ratio.clamp(1.0 / bound, bound);
                 let close = |a: f64, b: f64| (a / b - 1.0).abs() < 1e-6;
                 let before = verdict;
-                verdict = if close(likelihood_ratio, bound) { ReleaseVerdict::Bad } else if close(likelihood_ratio, 1.0 / bound) { ReleaseVerdict::Good } else { verdict };
+                verdict = if close(likelihood_ratio, bound) { RolloutVerdict::Bad } else if close(likelihood_ratio, 1.0 / bound) { RolloutVerdict::Good } else { verdict };
                 prop_assert_eq!(change.map(|change| (change.cell, change.verdict)), (verdict != before).then_some((A, verdict)));
             } else {
                 prop_assert_eq!(change, None);
             }
             prop_assert_eq!(rollout.verdict(A), verdict);
-            prop_assert_eq!(rollout.check_rollout(B).is_ok(), verdict == ReleaseVerdict::Good);
+            prop_assert_eq!(rollout.check_rollout(B).is_ok(), verdict == RolloutVerdict::Good);
         }
     }
 }
@@ -131,11 +131,11 @@
         let mut rollout =
             Rollout::new(RolloutConfig { order: vec![A, B], error_rate_ratio: 3.0, error_probability: 0.1 });
         rollout.host_restarted(A, ms(0), TimeDelta::from_millis(100));
-        while rollout.verdict(A) != ReleaseVerdict::Good {
+        while rollout.verdict(A) != RolloutVerdict::Good {
             rollout.record_outcome(Some(A), false);
         }
         rollout.host_restarted(A, ms(later), TimeDelta::from_millis(100));
-        assert_eq!(rollout.verdict(A) == ReleaseVerdict::Open, open, "{later} ms later");
+        assert_eq!(rollout.verdict(A) == RolloutVerdict::Open, open, "{later} ms later");
     }
 }
 
@@ -300,24 +300,21 @@
         let permit = admit_first(&mut cells);
         (0..2000).for_each(|_| cells.record_send_end(&permit, SendOutcome::Acked, 0.1, true));
         let verdict = |change: Vec<CellEvent>| {
-            change.iter().any(|change| matches!(change, CellEvent::ReleaseVerdict(change) if change.verdict == ReleaseVerdict::Good))
+            change.iter().any(|change| matches!(change, CellEvent::RolloutVerdict(change) if change.verdict == RolloutVerdict::Good))
         };
         assert!(verdict(cells.take_events()));
-        let release = Some(RolloutConfig { order: vec![A], error_rate_ratio: worse, error_probability: 0.1 });
+        let rollout = Some(RolloutConfig { order: vec![A], error_rate_ratio: worse, error_probability: 0.1 });
+        assert_eq!(cells.replace_layout(ms(1), Layout { rollout, ..layout(2, &["a", "b"]) }), Ok(()));
         assert_eq!(
-            cells.replace_layout(ms(1), Layout { rollout: release, ..layout(2, &["a", "b"]) }),
-            Ok(())
-        );
-        assert_eq!(
-            cells.report()[0].release_verdict,
-            Some(if keeps { ReleaseVerdict::Good } else { ReleaseVerdict::Open })
+            cells.report()[0].rollout_verdict,
+            Some(if keeps { RolloutVerdict::Good } else { RolloutVerdict::Open })
         );
         // A report contains the counts since the previous one.
         cells.record_send(ms(2), &permit, true);
         (0..3).for_each(|_| cells.record_send(ms(2), &permit, false));
-        let tally = cells.report()[0].counters;
-        assert_eq!((tally.first_sends, tally.further_sends), (1, 3));
-        assert_eq!(cells.report()[0].counters.further_sends, 0);
+        let counters = cells.report()[0].counters;
+        assert_eq!((counters.first_sends, counters.retries), (1, 3));
+        assert_eq!(cells.report()[0].counters.retries, 0);
     }
     assert!(
         [RejectReason::OpCapacity, RejectReason::MoveFenced, RejectReason::LeaseExpired]
--- a/crates/arrowyard-core/src/cell_scheduler.rs
+++ b/crates/arrowyard-core/src/cell_scheduler.rs
@@ -285,9 +285,9 @@
             .map(|state| {
                 json!({"cell": state.name, "ops": state.ops, "share": state.share, "guaranteed": state.guaranteed,
                     "borrowed": state.borrowed, "bytes": state.bytes, "probes": state.probes, "limit": state.concurrency_limit,
-                    "release": state.release_verdict.map(|judged| format!("{judged:?}").to_lowercase()),
+                    "release": state.rollout_verdict.map(|judged| format!("{judged:?}").to_lowercase()),
                     "taken": state.counters.admitted, "busy": state.counters.busy, "errors": state.counters.errors,
-                    "first_sends": state.counters.first_sends, "further_sends": state.counters.further_sends})
+                    "first_sends": state.counters.first_sends, "further_sends": state.counters.retries})
             })
             .collect();
         let moves: Vec<Value> = self
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -369,7 +369,7 @@
         let mut verdict_changed = false;
         for events in events {
             match events {
-                CellEvent::ReleaseVerdict(verdict) => {
+                CellEvent::RolloutVerdict(verdict) => {
                     verdict_changed = true;
                     tracing::warn!(cell = name(verdict.cell), "the release is judged {:?}", verdict.verdict);
                 }
