--- a/crates/arrowyard-adapter/src/batch.rs
+++ b/crates/arrowyard-adapter/src/batch.rs
@@ -11,7 +11,7 @@
 const POOL_COUNT: usize = 16;
 
 /// A named instance; `None` after a crash.
-struct InstanceSlot {
+struct InstanceEntry {
     name: String,
     instance: Option<Instance>,
     seen_in_batch: bool,
@@ -20,8 +20,8 @@
 /// All instances of this process, and the numbered host lists.
 #[derive(Default)]
 pub struct Process {
-    slots: Vec<InstanceSlot>,
-    slots_by_name: HashMap<String, usize>,
+    entries: Vec<InstanceEntry>,
+    indices_by_name: HashMap<String, usize>,
     pools: Vec<Option<Vec<Value>>>,
 }
 
@@ -45,8 +45,8 @@
                     Some(records);
                 continue;
             }
-            let slot = self.slot(fields)?;
-            let InstanceSlot { instance, seen_in_batch, .. } = &mut self.slots[slot];
+            let entry_index = self.entry_index(fields)?;
+            let InstanceEntry { instance, seen_in_batch, .. } = &mut self.entries[entry_index];
             match (fields.name, instance.as_mut()) {
                 ("PowerOn", _) => *instance = Some(Instance::start(fields, now)?),
                 // Also drops the actions of earlier events of this batch.
@@ -59,12 +59,12 @@
                 (_, None) => {}
             }
             if !std::mem::replace(seen_in_batch, true) {
-                touched.push(slot);
+                touched.push(entry_index);
             }
         }
         reply.push_str(r#"{"outbox":["#);
-        for slot in touched {
-            let InstanceSlot { name, instance, seen_in_batch } = &mut self.slots[slot];
+        for entry_index in touched {
+            let InstanceEntry { name, instance, seen_in_batch } = &mut self.entries[entry_index];
             *seen_in_batch = false;
             if let Some(instance) = instance {
                 instance.write_actions(name, reply);
@@ -74,17 +74,17 @@
         Ok(())
     }
 
-    fn slot(&mut self, fields: Fields) -> Result<usize, String> {
+    fn entry_index(&mut self, fields: Fields) -> Result<usize, String> {
         let name = fields.text(0)?;
-        if let Some(&slot) = self.slots_by_name.get(name) {
-            return Ok(slot);
+        if let Some(&entry_index) = self.indices_by_name.get(name) {
+            return Ok(entry_index);
         }
         if fields.name != "PowerOn" {
             return Err(format!("{}: {name} was never started", fields.name));
         }
-        self.slots.push(InstanceSlot { name: name.to_string(), instance: None, seen_in_batch: false });
-        self.slots_by_name.insert(name.to_string(), self.slots.len() - 1);
-        Ok(self.slots.len() - 1)
+        self.entries.push(InstanceEntry { name: name.to_string(), instance: None, seen_in_batch: false });
+        self.indices_by_name.insert(name.to_string(), self.entries.len() - 1);
+        Ok(self.entries.len() - 1)
     }
 }
 
--- a/src/choice.rs
+++ b/src/choice.rs
@@ -16,12 +16,12 @@
 const CONNECT_WEIGHT: f64 = 0.2;
 
 impl Dispatcher {
-    pub fn choose_host(&mut self, slot: usize, queues: &mut Queues) -> Option<HostId> {
+    pub fn choose_host(&mut self, op_index: usize, queues: &mut Queues) -> Option<HostId> {
         // A statement of an open transaction must go to the host that holds the transaction.
-        if let Some(pinned) = self.ops[slot].request.pinned_host {
+        if let Some(pinned) = self.ops[op_index].request.pinned_host {
             return Some(pinned);
         }
-        let id = self.ops[slot].request.group;
+        let id = self.ops[op_index].request.group;
         let group = self.groups.get_mut(&id)?;
         if group.roles_probed_at.is_none() {
             group.roles_probed_at = Some(self.now);
@@ -31,12 +31,12 @@
                 return None;
             }
         }
-        let candidates = self.candidates(slot, queues);
-        (!candidates.is_empty()).then(|| self.least_loaded(&candidates, slot))
+        let candidates = self.candidates(op_index, queues);
+        (!candidates.is_empty()).then(|| self.least_loaded(&candidates, op_index))
     }
 
-    pub fn candidates(&self, slot: usize, queues: &mut Queues) -> HostIds {
-        let op = &self.ops[slot];
+    pub fn candidates(&self, op_index: usize, queues: &mut Queues) -> HostIds {
+        let op = &self.ops[op_index];
         let (op_type, group) = (self.op_type(op), &self.groups[&op.request.group]);
         let primary = self.primary(group);
         let checks = self.settings.text("host_checks") != "none";
@@ -136,7 +136,7 @@
     }
 
     /// Within the load window: a host that runs the session's ops, else the least loaded, ties at random.
-    pub fn least_loaded(&mut self, hosts: &[HostId], slot: usize) -> HostId {
+    pub fn least_loaded(&mut self, hosts: &[HostId], op_index: usize) -> HostId {
         let load = |host: HostId| {
             let view = self.view(host);
             let opening = if self.is_connected(host) { 0.0 } else { CONNECT_WEIGHT };
@@ -144,7 +144,7 @@
         };
         let least = hosts.iter().map(|&host| load(host)).fold(f64::INFINITY, f64::min);
         let window: HostIds = hosts.iter().copied().filter(|&h| load(h) * LOAD_WINDOW <= least).collect();
-        let op = &self.ops[slot];
+        let op = &self.ops[op_index];
         if window.len() > 1 && op.request.session.is_some() {
             let session = op.request.session;
             let others = || self.ops.iter().filter(|(_, o)| o.request.session == session && !o.finished);
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -95,8 +95,8 @@
             RouterEvent::OpRequested(request) => self.admit(request, queues),
             RouterEvent::SendEnded(result) => self.handle_send_end(result, queues),
             RouterEvent::ClientCancelled { op } => {
-                if let Some(&slot) = self.op_slots.get(&op) {
-                    self.finish(slot, queues);
+                if let Some(&op_index) = self.op_indices.get(&op) {
+                    self.finish(op_index, queues);
                 }
             }
             RouterEvent::TimerFired { timer: SUBSCRIBE_TIMER } => {
--- a/src/pressure.rs
+++ b/src/pressure.rs
@@ -139,7 +139,7 @@
     pub fn retry_waiting(&mut self, queues: &mut Queues) {
         // Of equal priority the newest go first, since the oldest have the least time left.
         let mut waiting = std::mem::take(&mut self.waiting);
-        let key = |slot: &usize| (self.priority(&self.ops[*slot]), self.ops[*slot].arrived_at);
+        let key = |op_index: &usize| (self.priority(&self.ops[*op_index]), self.ops[*op_index].arrived_at);
         waiting.sort_by(|a, b| key(b).partial_cmp(&key(a)).expect("priorities are not NaN"));
         queues.ops.extend(&waiting);
         self.waiting = waiting;
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -52,7 +52,7 @@
     Maintain(TimeDelta, f64, f64),
 }
 
-/// Pending events, view updates, op slots and actions of one call of the router.
+/// Pending events, view updates, indices of ops and actions of one call of the router.
 #[derive(Default)]
 pub struct Queues {
     pub hosts: Inboxes<HostEvent>,
--- a/src/router.rs
+++ b/src/router.rs
@@ -34,8 +34,8 @@
                 hosts[index].handle(id, now, event, &dispatcher.settings, queues);
             }
             queues.host_views.drain(..).for_each(|(id, view)| dispatcher.host_views[id.0 as usize] = view);
-            let Some(slot) = queues.ops.pop_front() else { break };
-            dispatcher.dispatch(slot, queues);
+            let Some(op_index) = queues.ops.pop_front() else { break };
+            dispatcher.dispatch(op_index, queues);
         }
         actions.append(&mut queues.actions);
     }
--- a/src/sending.rs
+++ b/src/sending.rs
@@ -29,12 +29,12 @@
             _ => (group.read_shed * if self.is_over_share(&request) { OVER_SHARE_SHED_FACTOR } else { 1.0 })
                 .min(MAX_SHED_SHARE),
         });
-        let slot = self.ops.insert(Op { request, arrived_at: self.now, min_position, ..Op::default() });
-        self.op_slots.insert(request.op, slot);
+        let op_index = self.ops.insert(Op { request, arrived_at: self.now, min_position, ..Op::default() });
+        self.op_indices.insert(request.op, op_index);
         if request.pinned_host.is_none() && self.rng.borrow_mut().f64() < shed_share {
-            return self.reject(slot, queues);
+            return self.reject(op_index, queues);
         }
-        queues.ops.push_back(slot);
+        queues.ops.push_back(op_index);
     }
 
     /// The latest time at which an answer is still of value and reaches the client before its deadline.
@@ -64,32 +64,32 @@
     }
 
     /// Sends the op, lets it wait, or rejects it. An op has at most one send in flight.
-    pub fn dispatch(&mut self, slot: usize, queues: &mut Queues) {
+    pub fn dispatch(&mut self, op_index: usize, queues: &mut Queues) {
         let is_idle = |op: &&Op| !op.finished && !op.sends.is_pending();
-        let Some(op) = self.ops.get(slot).filter(is_idle) else { return };
+        let Some(op) = self.ops.get(op_index).filter(is_idle) else { return };
         // An op never sent is rejected at half of its time, so that its client can still retry elsewhere.
         let half_time = op.arrived_at + (op.request.deadline - op.arrived_at) * 0.5
             - self.settings.time_delta("tick") * 2.0;
         let waited_long = op.sends.len() == 0 && self.now >= half_time;
         if waited_long || self.now >= self.send_deadline(op) || !self.may_send(op, None) {
-            self.reject(slot, queues);
+            self.reject(op_index, queues);
         } else if self.backoff_elapsed(op)
-            && let Some(host) = self.choose_host(slot, queues)
-            && self.may_send(&self.ops[slot], Some(host))
+            && let Some(host) = self.choose_host(op_index, queues)
+            && self.may_send(&self.ops[op_index], Some(host))
         {
-            self.send(slot, host, queues);
-        } else if self.max_wait_elapsed(&self.ops[slot]) {
-            self.reject(slot, queues);
-        } else if !self.waiting.contains(&slot) {
-            self.waiting.push(slot);
-            self.shed_oldest_waiting(slot, queues);
+            self.send(op_index, host, queues);
+        } else if self.max_wait_elapsed(&self.ops[op_index]) {
+            self.reject(op_index, queues);
+        } else if !self.waiting.contains(&op_index) {
+            self.waiting.push(op_index);
+            self.shed_oldest_waiting(op_index, queues);
             self.schedule_waiting_retry(queues);
         }
     }
 
     /// Rejects a tenant's oldest waiting op if more wait than its quotas can serve in time.
-    pub fn shed_oldest_waiting(&mut self, slot: usize, queues: &mut Queues) {
-        let op = &self.ops[slot];
+    pub fn shed_oldest_waiting(&mut self, op_index: usize, queues: &mut Queues) {
+        let op = &self.ops[op_index];
         let Some(tenant) = op.request.tenant.filter(|_| !self.quotas.is_empty()) else { return };
         let group = op.request.group;
         let Some(members) = self.groups.get(&group).map(|group| group.members.as_slice()) else { return };
@@ -105,7 +105,7 @@
         };
         let waiting = self.waiting.iter().copied().filter(same_tenant);
         if waiting.clone().count() > max_waiting.max(1.0) as usize
-            && let Some(oldest) = waiting.min_by_key(|slot| self.ops[*slot].arrived_at)
+            && let Some(oldest) = waiting.min_by_key(|op_index| self.ops[*op_index].arrived_at)
         {
             self.reject(oldest, queues);
         }
@@ -124,11 +124,11 @@
         op.sends.last().is_none_or(|last| self.now >= last.sent_at + backoff)
     }
 
-    pub fn send(&mut self, slot: usize, host: HostId, queues: &mut Queues) {
-        let op = &self.ops[slot];
+    pub fn send(&mut self, op_index: usize, host: HostId, queues: &mut Queues) {
+        let op = &self.ops[op_index];
         let (weight, deadline) = (self.weight(self.op_type(op)), self.send_deadline(op));
-        self.waiting.retain(|&waiting| waiting != slot);
-        let op = &mut self.ops[slot];
+        self.waiting.retain(|&waiting| waiting != op_index);
+        let op = &mut self.ops[op_index];
         if let Some(retries) = self.retry_budgets.get_mut(&op.request.cell).filter(|_| op.sends.len() > 0) {
             *retries = retries.saturating_sub(1);
         }
@@ -157,8 +157,8 @@
         op_type.value / self.weight(op_type) * late * share_factor
     }
 
-    pub fn reject(&mut self, slot: usize, queues: &mut Queues) {
-        let op = &self.ops[slot];
+    pub fn reject(&mut self, op_index: usize, queues: &mut Queues) {
+        let op = &self.ops[op_index];
         let safe_to_retry = match self.op_type(op).retry_safety {
             RetrySafety::Retryable | RetrySafety::Deduplicated { scope: DedupScope::All, .. } => true,
             _ => op.sends.may_have_run().is_none(),
@@ -169,16 +169,16 @@
             true => Action::BusyReply { op, retry_after: after },
             false => Action::ErrorReply { op },
         });
-        self.finish(slot, queues);
+        self.finish(op_index, queues);
     }
 
-    pub fn finish(&mut self, slot: usize, queues: &mut Queues) {
-        self.waiting.retain(|&waiting| waiting != slot);
-        let op = &mut self.ops[slot];
+    pub fn finish(&mut self, op_index: usize, queues: &mut Queues) {
+        self.waiting.retain(|&waiting| waiting != op_index);
+        let op = &mut self.ops[op_index];
         let newly_finished = !std::mem::replace(&mut op.finished, true);
         if !op.sends.is_pending() {
-            let op = self.ops.remove(slot);
-            self.op_slots.remove(&op.request.op);
+            let op = self.ops.remove(op_index);
+            self.op_indices.remove(&op.request.op);
         } else if newly_finished && self.settings.flag("cancel") {
             let cancels = op.sends.in_flight().map(|(send, _)| Action::Cancel { op: op.request.op, send });
             queues.actions.extend(cancels);
@@ -186,11 +186,11 @@
     }
 
     pub fn handle_send_end(&mut self, result: SendResult, queues: &mut Queues) {
-        let Some(&slot) = self.op_slots.get(&result.op) else { return };
-        let op_type = self.op_type(&self.ops[slot]);
+        let Some(&op_index) = self.op_indices.get(&result.op) else { return };
+        let op_type = self.op_type(&self.ops[op_index]);
         let (latency_ratio, weight) = (result.elapsed / op_type.latency_target, self.weight(op_type));
         let is_write = op_type.consistency == Consistency::Write;
-        let op = &mut self.ops[slot];
+        let op = &mut self.ops[op_index];
         let Some(send) = op.sends.end(result.send, result.outcome) else { return };
         if let Some(session) = op.request.session.filter(|_| is_write && result.outcome == Outcome::Acked) {
             self.session_commits.record(session, result.status.position.unwrap_or(self.now), MAX_SESSIONS);
@@ -202,9 +202,9 @@
             *mean += (result.elapsed.as_secs_f64() - *mean) * LATENCY_SMOOTHING;
         }
         if done {
-            self.finish(slot, queues);
-        } else if !self.ops[slot].sends.is_pending() {
-            queues.ops.push_back(slot);
+            self.finish(op_index, queues);
+        } else if !self.ops[op_index].sends.is_pending() {
+            queues.ops.push_back(op_index);
         }
         if !is_write {
             self.adjust_read_shedding(group, result.outcome, latency_ratio);
--- a/src/state.rs
+++ b/src/state.rs
@@ -127,8 +127,8 @@
     /// By cell: retries left; a cell without an entry has no limit.
     pub retry_budgets: FxHashMap<CellId, u32>,
     pub ops: Slab<Op>,
-    pub op_slots: FxHashMap<OpId, usize>,
-    /// Slots of the ops that wait for a host.
+    pub op_indices: FxHashMap<OpId, usize>,
+    /// Indices of the ops that wait for a host.
     pub waiting: Vec<usize>,
     /// Ops in flight, if tenants are limited.
     pub tenant_in_flight: FxHashMap<(HostId, TenantId), u32>,
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -199,7 +199,7 @@
 }
 
 #[test]
-fn late_outcome_does_not_affect_an_op_in_a_reused_slot() {
+fn late_outcome_does_not_affect_an_op_at_a_reused_index() {
     let mut harness = Harness::with_known_primary(settings(true, false, false));
     let old = harness.request(10, ANY, None);
     harness.handle(RouterEvent::ClientCancelled { op: old });
