--- a/crates/arrowyard-cells/src/retry_budget.rs
+++ b/crates/arrowyard-cells/src/retry_budget.rs
@@ -1,6 +1,6 @@
-//! Retry budget of a cell: limits the retries of the router, which are sends of an op after the first one, and
-//! retries that clients mark, relative to first sends. Over any window the retries stay within a ratio of the first sends, or within a fixed minimum if that is
-//! larger.
+//! Retry budget of a cell: limits the retries of the router, which are sends of an op after the first one,
+//! and retries that clients mark, relative to first sends. Over any window the retries stay within a ratio of
+//! the first sends, or within a fixed minimum if that is larger.
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
--- a/crates/arrowyard-control/src/control/fair_shares.rs
+++ b/crates/arrowyard-control/src/control/fair_shares.rs
@@ -25,7 +25,8 @@
     slot: u64,
     /// Present while this machine holds the duty.
     allocator: Option<Allocator>,
-    /// By incarnation of the router: the control machine that it is subscribed to; `None` if that is this one.
+    /// By incarnation of the router: the control machine that it is subscribed to; `None` if that is this
+    /// one.
     next_hops: FxHashMap<u64, Option<u32>>,
 }
 
--- a/crates/arrowyard-daemon/src/leases.rs
+++ b/crates/arrowyard-daemon/src/leases.rs
@@ -15,8 +15,8 @@
 pub enum Command {
     /// Show the leases that a running router requests, and the votes that it has given.
     Show(Show),
-    /// Create a voter's vote file, once, before its first start. A voter without the file has lost its votes: it
-    /// does not vote until enough other voters have reported the highest epoch that they know.
+    /// Create a voter's vote file, once, before its first start. A voter without the file has lost its votes:
+    /// it does not vote until enough other voters have reported the highest epoch that they know.
     Init(Init),
 }
 
@@ -37,8 +37,8 @@
     /// The router's name in the platform's settings.
     #[arg(long)]
     name: String,
-    /// Grant only epochs above this one. Needed if so many voters lost their votes that the others cannot tell
-    /// the highest epoch: use the highest that any system fenced by the leases has seen.
+    /// Grant only epochs above this one. Needed if so many voters lost their votes that the others cannot
+    /// tell the highest epoch: use the highest that any system fenced by the leases has seen.
     #[arg(long, default_value_t = 0)]
     floor: u64,
 }
--- a/crates/arrowyard-daemon/src/lib.rs
+++ b/crates/arrowyard-daemon/src/lib.rs
@@ -17,11 +17,11 @@
 
 /// A router that spreads reads over database replicas and sends writes to the primary.
 ///
-/// Without a command it serves, as with `run`. The platform's settings are read from the file that RELAY_CONFIG
-/// names.
+/// Without a command it serves, as with `run`. The platform's settings are read from the file that
+/// RELAY_CONFIG names.
 ///
-/// Exit codes: 0 success; 1 a checked file has faults, or a comparison found differences; 2 the command failed,
-/// or the router could not start or continue.
+/// Exit codes: 0 success; 1 a checked file has faults, or a comparison found differences; 2 the command
+/// failed, or the router could not start or continue.
 #[derive(Parser)]
 #[command(name = "arrowyard", version, max_term_width = 110)]
 struct CommandLine {
@@ -52,8 +52,8 @@
 
 #[derive(Args)]
 struct Run {
-    /// The operator's file, in protobuf's text format (see deploy/yardbook.txtpb). Without it, all features that it
-    /// configures are off.
+    /// The operator's file, in protobuf's text format (see deploy/yardbook.txtpb). Without it, all features
+    /// that it configures are off.
     #[arg(long, value_name = "FILE", env = "ARROWYARD_BOOK")]
     book: Option<PathBuf>,
 }
--- a/crates/arrowyard-fair-shares/src/allocator.rs
+++ b/crates/arrowyard-fair-shares/src/allocator.rs
@@ -154,8 +154,8 @@
     hosts: BTreeMap<String, HostState>,
 }
 
-/// A host's permits over all routers: twice the number of statements that it runs at a time, so that the
-/// host is not idle while answers travel and no statement waits at the host for much longer than one statement
+/// A host's permits over all routers: twice the number of statements that it runs at a time, so that the host
+/// is not idle while answers travel and no statement waits at the host for much longer than one statement
 /// takes.
 #[must_use]
 pub fn permits_for_capacity(capacity: u32) -> MilliPermits {
--- a/crates/arrowyard-fair-shares/src/max_min.rs
+++ b/crates/arrowyard-fair-shares/src/max_min.rs
@@ -1,7 +1,7 @@
 //! Weighted max-min division of a capacity.
 
-/// A class that contends for a host's permits. `guaranteed` and `limit` are in permits; the guaranteed part is
-/// given before the rest is divided by weight, as far as there is demand for it.
+/// A class that contends for a host's permits. `guaranteed` and `limit` are in permits; the guaranteed part
+/// is given before the rest is divided by weight, as far as there is demand for it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Contender {
     /// Permits that the class could use now.
@@ -43,8 +43,8 @@
         .map(|index| lower[index])
         .sum();
     let sum_at = |level: f64| weighted.iter().map(|&index| share_at(index, level)).sum::<f64>() + unweighted;
-    // The sum is piecewise linear in the level; its breakpoints are where a contender leaves its lower bound or
-    // reaches its upper bound.
+    // The sum is piecewise linear in the level; its breakpoints are where a contender leaves its lower bound
+    // or reaches its upper bound.
     let mut breakpoints: Vec<f64> = weighted
         .iter()
         .flat_map(|&index| {
--- a/crates/arrowyard-fleet/src/bin/peers.rs
+++ b/crates/arrowyard-fleet/src/bin/peers.rs
@@ -1,5 +1,5 @@
-//! Runs fault plans against membership in simulated time, arrowyard's and two baselines, and prints a table of
-//! the results.
+//! Runs fault plans against membership in simulated time, arrowyard's and two baselines, and prints a table
+//! of the results.
 
 use arrowyard_fleet::membership::{
     ArrowyardNode, HeartbeatNode, MemberState, MembershipSimulation, Node, SwimNode,
--- a/crates/arrowyard-fleet/src/host.rs
+++ b/crates/arrowyard-fleet/src/host.rs
@@ -60,8 +60,8 @@
         self.cold_capacity + (1.0 - self.cold_capacity) * progress
     }
 
-    /// Queues `work` microseconds of a warm core and returns when it will be done; `None` if it would wait for
-    /// longer than `max_wait`.
+    /// Queues `work` microseconds of a warm core and returns when it will be done; `None` if it would wait
+    /// for longer than `max_wait`.
     pub fn serve(&mut self, now: Timestamp, work: f64, max_wait: TimeDelta) -> Option<Timestamp> {
         let capacity_share = self.capacity_share(now);
         if capacity_share < 1.0 {
--- a/crates/arrowyard-fleet/src/membership/simulation.rs
+++ b/crates/arrowyard-fleet/src/membership/simulation.rs
@@ -1,4 +1,5 @@
-//! Simulates processes, the network between them and a fault plan, and records how each process sees the others.
+//! Simulates processes, the network between them and a fault plan, and records how each process sees the
+//! others.
 
 use std::collections::{BTreeMap, HashSet};
 use std::net::SocketAddr;
--- a/crates/arrowyard-fleet/src/simulation.rs
+++ b/crates/arrowyard-fleet/src/simulation.rs
@@ -27,8 +27,8 @@
     pub replica_lag: TimeDelta,
     /// Time without a primary after a group's primary has failed.
     pub failover_time: TimeDelta,
-    /// How often a client retries an op that was rejected, failed, or lost with its router, and the mean delay
-    /// of a retry.
+    /// How often a client retries an op that was rejected, failed, or lost with its router, and the mean
+    /// delay of a retry.
     pub client_retries: u32,
     pub client_retry_delay: TimeDelta,
 }
@@ -142,8 +142,8 @@
 /// An op that would wait for longer than this at a host is rejected.
 const MAX_QUEUE_TIME: TimeDelta = TimeDelta::from_millis(1_500);
 
-/// Read consistency, effect, share of requests, mean milliseconds of a core, latency target, op timeout, value,
-/// late value.
+/// Read consistency, effect, share of requests, mean milliseconds of a core, latency target, op timeout,
+/// value, late value.
 type OpTypeParameters = (&'static str, &'static str, f64, f64, i64, i64, f64, f64);
 const OP_TYPES: [OpTypeParameters; 4] = [
     ("bounded", "retryable", 0.32, 100.0, 500, 2000, 2.0, 0.0),
@@ -205,8 +205,8 @@
         self.handle_event(router, RouterEvent::HostList { kind: ListKind::Saved, entries });
     }
 
-    /// Kills a router and restarts it. Its ops are lost and its connections closed; hosts continue with the ops
-    /// that they have received.
+    /// Kills a router and restarts it. Its ops are lost and its connections closed; hosts continue with the
+    /// ops that they have received.
     fn restart_router(&mut self, router: usize) {
         self.schedule.retain(|_, scheduled| match scheduled {
             Scheduled::TimerFired(owner, _)
--- a/crates/arrowyard-fleet/tests/fleet.rs
+++ b/crates/arrowyard-fleet/tests/fleet.rs
@@ -1,4 +1,5 @@
-//! Failures of a whole fleet that a single router does not show, each reproduced by a small deterministic run.
+//! Failures of a whole fleet that a single router does not show, each reproduced by a small deterministic
+//! run.
 
 use arrowyard_fleet::{Event, FleetConfig, FleetCounts, FleetSimulation};
 use arrowyard_types::TimeDelta;
@@ -69,8 +70,8 @@
     }
 }
 
-/// Replaces four of eight groups by cold hosts. Returns the highest peak load of a cold host and the mean share
-/// of ops acked over several seeds.
+/// Replaces four of eight groups by cold hosts. Returns the highest peak load of a cold host and the mean
+/// share of ops acked over several seeds.
 fn replace_half_the_hosts(routers: usize) -> (f64, f64) {
     let runs = (1..6).map(|seed| {
         let mut simulation = FleetSimulation::new(FleetConfig { routers, seed, ..FleetConfig::default() });
--- a/crates/arrowyard-front-pg/src/connection.rs
+++ b/crates/arrowyard-front-pg/src/connection.rs
@@ -244,8 +244,8 @@
     /// Missing bytes of a large message, for which memory is reserved; 0 for any other message.
     ///
     /// # Errors
-    /// The large results of all connections would exceed `limits.max_large_answer_bytes`, although each is within its own
-    /// limit.
+    /// The large results of all connections would exceed `limits.max_large_answer_bytes`, although each is
+    /// within its own limit.
     fn reserve_memory(&mut self) -> Result<usize, ConnectionError> {
         let length = declared_length(&self.received).unwrap_or_default() as usize;
         if length <= self.limits.max_client_message_bytes {
--- a/crates/arrowyard-front-pg/src/frontend.rs
+++ b/crates/arrowyard-front-pg/src/frontend.rs
@@ -368,8 +368,8 @@
         if written { Ok(()) } else { Err(ConnectionEnded) }
     }
 
-    /// Writes the last messages and closes. Input is read and discarded for up to `limits.linger_timeout`: closing
-    /// with unread input would reset the connection, and the client could not read the last messages.
+    /// Writes the last messages and closes. Input is read and discarded for up to `limits.linger_timeout`:
+    /// closing with unread input would reset the connection, and the client could not read the last messages.
     async fn close<T>(&mut self) -> Result<T, ConnectionEnded> {
         self.write().await?;
         let _ = self.stream.shutdown().await;
--- a/crates/arrowyard-front-pg/src/reply.rs
+++ b/crates/arrowyard-front-pg/src/reply.rs
@@ -27,7 +27,8 @@
     put_fatal_error(out, code::TOO_MANY_CONNECTIONS, "too many clients, nothing was done");
 }
 
-/// Writes and clears `out`. False if the client has disconnected or does not read it within `limits.client_write_timeout`.
+/// Writes and clears `out`. False if the client has disconnected or does not read it within
+/// `limits.client_write_timeout`.
 pub async fn write(client: &mut (impl AsyncWrite + Unpin), out: &mut BytesMut, limits: &Limits) -> bool {
     let written = matches!(timeout(limits.client_write_timeout, client.write_all(out)).await, Ok(Ok(())));
     out.clear();
--- a/crates/arrowyard-peers/src/membership.rs
+++ b/crates/arrowyard-peers/src/membership.rs
@@ -235,8 +235,8 @@
     }
 
     /// Recovers from a stall. Probes failed because of this router itself, and its view is old. Open probes
-    /// are dropped, no member is suspected for a while, and a higher incarnation is announced at once to refute
-    /// rumors that arose meanwhile.
+    /// are dropped, no member is suspected for a while, and a higher incarnation is announced at once to
+    /// refute rumors that arose meanwhile.
     fn resume_after_stall(&mut self, now: Timestamp, delay: TimeDelta) {
         self.probes.clear();
         self.relays.clear();
@@ -433,8 +433,8 @@
         }
     }
 
-    /// Sends a datagram with piggybacked rumors to a member. A rumor against the recipient goes first, so that
-    /// it can refute it.
+    /// Sends a datagram with piggybacked rumors to a member. A rumor against the recipient goes first, so
+    /// that it can refute it.
     pub(crate) fn send_message(
         &mut self,
         now: Timestamp,
