--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -375,7 +375,7 @@
         let mut verdict_changed = false;
         for event in cell_events {
             match event {
-                CellEvent::ReleaseVerdict(verdict) => {
+                CellEvent::RolloutVerdict(verdict) => {
                     verdict_changed = true;
                     tracing::warn!(cell = name(verdict.cell), "release verdict: {:?}", verdict.verdict);
                 }
--- a/crates/arrowyard-flight-daemon/src/main.rs
+++ b/crates/arrowyard-flight-daemon/src/main.rs
@@ -21,7 +21,7 @@
 use arrowyard_front_flight::response::{split_flight_response, split_pg_response};
 use arrowyard_front_flight::service::ServerInfo;
 use arrowyard_front_flight::{ClientResponse, FlightBackend, FlightFrontEnd, FlightLimits, OpPayload};
-use arrowyard_front_pg::take_in::op_call;
+use arrowyard_front_pg::frontend::client_request;
 use arrowyard_operator_config::Yardbook;
 use arrowyard_operator_config::schema::{Flight, Speaks};
 use tokio::net::TcpListener;
@@ -63,9 +63,17 @@
 {
     let listener = TcpListener::bind(listen_address).await.map_err(|e| format!("{listen_address}: {e}"))?;
     let address = listener.local_addr().map_err(|e| e.to_string())?;
-    let (submitter, intake) =
-        submission::channel(limits.queue_capacity, router.clock, router.gate.clone(), router.mail.clone());
-    drop(spawn_local(intake.run(|payload| op_call(&payload.statement, payload.client_address), load, split)));
+    let (submitter, intake) = submission::channel(
+        limits.queue_capacity,
+        router.clock,
+        router.admission.clone(),
+        router.messages.clone(),
+    );
+    drop(spawn_local(intake.run(
+        |payload| client_request(&payload.statement, payload.client_address),
+        load,
+        split,
+    )));
     let (state, own_requests, requests) = front_end_state::channel(limits.queue_capacity);
     let (new_connections, new_connection_receiver) = mpsc::channel(16);
     drop(spawn_local(FrontEndState::new(router.clock, random_key(), limits).run(
@@ -74,7 +82,7 @@
         new_connection_receiver,
     )));
     let (socket_sender, accepted_sockets) = mpsc::channel(16);
-    let (clients, stage) = (router.clients.clone(), router.stage.clone());
+    let (clients, stage) = (router.client_connections.clone(), router.stage.clone());
     let acceptor = Acceptor { clients, new_connections, stage: stage.clone(), limits: router.limits.clone() };
     drop(spawn_local(acceptor.run(listener, socket_sender)));
     let front_end = FlightFrontEnd {
