--- a/crates/arrowyard-daemon/src/serve.rs
+++ b/crates/arrowyard-daemon/src/serve.rs
@@ -7,7 +7,7 @@
 use arrowyard_core::limits::Limits;
 use arrowyard_core::router_config::RouterConfig;
 use arrowyard_front_pg::PgBackend;
-use arrowyard_front_pg::take_in::{Frontend, IdleConnections};
+use arrowyard_front_pg::frontend::{Frontend, IdleConnections};
 use arrowyard_operator_config::Yardbook;
 use tokio::net::TcpListener;
 use tokio::task::spawn_local;
--- a/crates/arrowyard-flight-daemon/src/main.rs
+++ b/crates/arrowyard-flight-daemon/src/main.rs
@@ -21,7 +21,7 @@
 use arrowyard_front_flight::response::{split_flight_response, split_pg_response};
 use arrowyard_front_flight::service::ServerInfo;
 use arrowyard_front_flight::{ClientResponse, FlightBackend, FlightFrontEnd, FlightLimits, OpPayload};
-use arrowyard_front_pg::take_in::op_call;
+use arrowyard_front_pg::frontend::client_request;
 use arrowyard_operator_config::Yardbook;
 use arrowyard_operator_config::schema::{Flight, Speaks};
 use tokio::net::TcpListener;
@@ -65,7 +65,11 @@
     let address = listener.local_addr().map_err(|e| e.to_string())?;
     let (submitter, intake) =
         submission::channel(limits.queue_capacity, router.clock, router.gate.clone(), router.mail.clone());
-    drop(spawn_local(intake.run(|payload| op_call(&payload.statement, payload.client_address), load, split)));
+    drop(spawn_local(intake.run(
+        |payload| client_request(&payload.statement, payload.client_address),
+        load,
+        split,
+    )));
     let (state, own_requests, requests) = front_end_state::channel(limits.queue_capacity);
     let (new_connections, new_connection_receiver) = mpsc::channel(16);
     drop(spawn_local(FrontEndState::new(router.clock, random_key(), limits).run(
--- a/crates/arrowyard-front-flight/src/response.rs
+++ b/crates/arrowyard-front-flight/src/response.rs
@@ -9,7 +9,7 @@
 use arrow_flight::FlightData;
 use arrowyard_core::submission::RetainedResources;
 use arrowyard_flight::result_buffer::{BatchAction, ResultBuffer, ResultBuffers};
-use arrowyard_front_pg::link::PgResponse;
+use arrowyard_front_pg::host_connection::PgResponse;
 use arrowyard_pg::{Statement, single_value};
 use bytes::Bytes;
 use tokio::sync::{Notify, mpsc, oneshot};
--- a/crates/arrowyard-front-pg/src/back.rs
+++ b/crates/arrowyard-front-pg/src/backend.rs
@@ -12,16 +12,17 @@
 use bytes::BytesMut;
 use tokio::time::Instant;
 
-use crate::link::{PgConnection, PgResponse};
+use crate::host_connection::{PgConnection, PgResponse};
 use crate::probe;
 
-/// Backend for hosts that speak PostgreSQL's protocol.
+/// Transport for hosts that speak PostgreSQL's protocol.
 pub struct PgBackend {
     pool: Rc<ConnectionPool<PgConnection>>,
     limits: Rc<Limits>,
 }
 
 impl PgBackend {
+    /// Creates a backend with an empty connection pool.
     pub fn new(limits: Rc<Limits>) -> Self {
         PgBackend { pool: ConnectionPool::new(limits.clone()), limits }
     }
@@ -38,22 +39,22 @@
     async fn exchange(
         &self,
         host: HostId,
-        dial: SocketAddr,
+        address: SocketAddr,
         statement: &Statement,
-        until: Timestamp,
+        deadline: Timestamp,
         clock: Clock,
         progress: &Progress<PgResponse>,
     ) -> ExchangeResult<PgResponse> {
-        let mut connection = match self.pool.acquire(host, dial).await {
+        let mut connection = match self.pool.acquire(host, address).await {
             Ok(connection) => connection,
             Err(outcome) => return (outcome, HostStatus::default(), None),
         };
         let mut out = BytesMut::new();
         // Rounded up to whole milliseconds, so that the host does not time out before the router does.
-        let timeout_us = (until - clock.now()).micros().max(0) as u64;
+        let timeout_us = (deadline - clock.now()).micros().max(0) as u64;
         statement.put_query(&mut out, timeout_us.div_ceil(1000));
         if let Err(error) = connection.write(&out).await {
-            tracing::debug!(%dial, "writing the statement failed: {}", error.0);
+            tracing::debug!(dial = %address, "writing the statement failed: {}", error.0);
             return (Outcome::ConnectFailed, HostStatus::default(), None);
         }
         progress.mark_written();
@@ -66,14 +67,14 @@
                 (outcome, reply.status, reply.response.filter(|_| outcome == Outcome::Acked))
             }
             Err(error) => {
-                tracing::debug!(%dial, "reading the reply failed: {}", error.0);
+                tracing::debug!(dial = %address, "reading the reply failed: {}", error.0);
                 (Outcome::Reset, HostStatus::default(), None)
             }
         }
     }
 
-    async fn probe(&self, host: HostId, dial: SocketAddr) -> (Outcome, HostStatus) {
-        probe::run(host, dial, &self.pool, &self.limits).await
+    async fn probe(&self, host: HostId, address: SocketAddr) -> (Outcome, HostStatus) {
+        probe::run(host, address, &self.pool, &self.limits).await
     }
 
     fn send_timed_out(&self, host: HostId, since: Instant) {
--- a/crates/arrowyard-front-pg/src/take_in.rs
+++ b/crates/arrowyard-front-pg/src/frontend.rs
@@ -1,4 +1,4 @@
-//! Client connections: accepts them, decodes their messages and stamps the arrival time of each op.
+//! Client connections: accepts them, decodes their messages and submits their ops with the time of arrival.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -24,12 +24,12 @@
 use tokio::task::{spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-use crate::back::PgBackend;
-use crate::link::PgResponse;
-use crate::relay;
+use crate::backend::PgBackend;
+use crate::host_connection::PgResponse;
+use crate::reply;
 
-/// The op that a statement's comment describes.
-pub fn op_call(statement: &Statement, address: Option<IpAddr>) -> ClientRequest<'_> {
+/// The request that the routing comment of a statement describes.
+pub fn client_request(statement: &Statement, address: Option<IpAddr>) -> ClientRequest<'_> {
     let Statement {
         id,
         timeout_ms,
@@ -61,6 +61,7 @@
 pub struct Frontend {
     pub gate: Rc<AdmissionController>,
     pub mail: mpsc::Sender<RouteMessage<PgBackend>>,
+    /// The number of client connections.
     pub clients: Rc<Cell<usize>>,
     pub idle_connections: IdleConnections,
     pub stage: watch::Receiver<Stage>,
@@ -68,39 +69,40 @@
     pub limits: Rc<Limits>,
 }
 
-/// A connection's share of the client count; empty once the connection was told to close.
+/// The guard that counts a connection as open; empty once the connection was told to close.
 type ConnectionSlot = Rc<RefCell<Option<UsageGuard>>>;
 
-/// Connections that wait for input, the longest idle first. Entries of connections that are no longer
-/// waiting are removed once there are too many.
+/// Connections that wait for input, the longest idle first.
 #[derive(Default)]
 pub struct IdleConnections(RefCell<VecDeque<(oneshot::Sender<()>, ConnectionSlot)>>);
 
 impl IdleConnections {
-    /// Resolves when this connection has to close; `max_connections` bounds the list.
+    /// Adds a connection to the list and returns a receiver that resolves when the connection has to close.
+    /// Entries of connections that no longer wait are removed at four times `max_connections` entries.
     fn wait(&self, slot: &ConnectionSlot, max_connections: usize) -> oneshot::Receiver<()> {
-        let (close, closed) = oneshot::channel();
+        let (close_sender, close_receiver) = oneshot::channel();
         let mut waiting = self.0.borrow_mut();
         if waiting.len() >= max_connections * 4 {
-            waiting.retain(|(close, _)| !close.is_closed());
+            waiting.retain(|(close_sender, _)| !close_sender.is_closed());
         }
-        waiting.push_back((close, slot.clone()));
-        closed
+        waiting.push_back((close_sender, slot.clone()));
+        close_receiver
     }
 
-    /// Closes the longest idle connection; false if there is none. Its slot is free at once, before its task
-    /// has run.
+    /// Closes the longest idle connection and returns whether there was one. Its slot is freed at once,
+    /// before its task runs.
     fn close_oldest(&self) -> bool {
         let mut waiting = self.0.borrow_mut();
-        let mut oldest = std::iter::from_fn(|| waiting.pop_front());
-        let closed = oldest.find_map(|(close, slot)| close.send(()).is_ok().then_some(slot));
-        closed.is_some_and(|slot| slot.take().is_some())
+        let mut entries = std::iter::from_fn(|| waiting.pop_front());
+        let closed_slot =
+            entries.find_map(|(close_sender, slot)| close_sender.send(()).is_ok().then_some(slot));
+        closed_slot.is_some_and(|slot| slot.take().is_some())
     }
 }
 
 impl Frontend {
-    /// Closes idle connections while there are too many clients; whether the rest are within the limit. Idle
-    /// connections must not keep out a client that sends an op as soon as it connects.
+    /// Closes idle connections while there are too many clients, so that these do not keep out clients that
+    /// send ops. Returns whether the number of clients is within the limit then.
     fn evict_idle(&self) -> bool {
         while self.clients.get() > self.limits.max_client_connections && self.idle_connections.close_oldest()
         {
@@ -108,7 +110,7 @@
         self.clients.get() <= self.limits.max_client_connections
     }
 
-    /// Accepts connections until the router closes.
+    /// Accepts connections until the router stops serving.
     pub async fn listen(self: Rc<Self>, listener: TcpListener) {
         let mut stage = self.stage.clone();
         loop {
@@ -124,10 +126,10 @@
             };
             match accepted {
                 Ok((stream, _)) => {
-                    let count = UsageGuard::one(&self.clients);
+                    let usage = UsageGuard::one(&self.clients);
                     let over_limit = self.clients.get() > self.limits.max_client_connections;
                     self.evict_idle();
-                    drop(spawn_local(Client::new(self.clone(), stream, count).serve()));
+                    drop(spawn_local(Client::new(self.clone(), stream, usage).serve()));
                     if over_limit {
                         // Lets the connections that were told to close release their file descriptors.
                         yield_now().await;
@@ -143,26 +145,35 @@
 }
 
 struct Client {
-    front: Rc<Frontend>,
+    frontend: Rc<Frontend>,
     stream: TcpStream,
     received: BytesMut,
     out: BytesMut,
-    accepted: Instant,
-    /// Whether it has sent a complete message after the startup.
-    has_sent: bool,
+    accepted_at: Instant,
+    /// Whether the client has sent a complete message after the startup.
+    has_sent_message: bool,
     address: Option<IpAddr>,
     slot: ConnectionSlot,
 }
 
-/// The connection has ended: the client closed it or violated the protocol, or the router closes it.
+/// The connection ended: the client closed it or violated the protocol, or the router closes it.
 struct Ended;
 
 impl Client {
-    fn new(front: Rc<Frontend>, stream: TcpStream, count: UsageGuard) -> Self {
+    fn new(frontend: Rc<Frontend>, stream: TcpStream, usage: UsageGuard) -> Self {
         let (received, out) = (BytesMut::new(), BytesMut::new());
-        let slot = Rc::new(RefCell::new(Some(count)));
+        let slot = Rc::new(RefCell::new(Some(usage)));
         let address = stream.peer_addr().ok().map(|address| address.ip());
-        Client { front, stream, received, out, accepted: Instant::now(), has_sent: false, address, slot }
+        Client {
+            frontend,
+            stream,
+            received,
+            out,
+            accepted_at: Instant::now(),
+            has_sent_message: false,
+            address,
+            slot,
+        }
     }
 
     async fn serve(mut self) {
@@ -174,23 +185,25 @@
     }
 
     async fn handle_messages(&mut self) -> Result<(), Ended> {
-        let startup_timeout = self.front.limits.client_message_timeout;
-        timeout(startup_timeout, self.start_up()).await.map_err(|_| Ended)??;
+        let startup_timeout = self.frontend.limits.client_message_timeout;
+        timeout(startup_timeout, self.handle_startup()).await.map_err(|_| Ended)??;
         loop {
             let message = self.next_message().await?;
             match message {
-                FrontendMessage::Query(text) => self.query(text).await?,
+                FrontendMessage::Query(text) => self.handle_query(text).await?,
                 FrontendMessage::Terminate => return Ok(()),
                 FrontendMessage::Other(_) => {
-                    return self.fatal(code::NOT_SUPPORTED, "only simple queries").await;
+                    return self
+                        .send_fatal_error(code::NOT_SUPPORTED, "only simple queries are supported")
+                        .await;
                 }
             }
         }
     }
 
-    async fn start_up(&mut self) -> Result<(), Ended> {
+    async fn handle_startup(&mut self) -> Result<(), Ended> {
         loop {
-            match StartupPacket::decode(&mut self.received, self.front.limits.max_client_message_bytes) {
+            match StartupPacket::decode(&mut self.received, self.frontend.limits.max_client_message_bytes) {
                 Ok(Some(StartupPacket::Startup)) => {
                     put_startup_response(&mut self.out);
                     return self.write().await;
@@ -200,95 +213,100 @@
                     self.stream.write_all(b"N").await.map_err(|_| Ended)?
                 }
                 Ok(Some(StartupPacket::CancelRequest)) => return Err(Ended),
-                Ok(None) => self.fill(true, None).await?,
-                Err(error) => return self.protocol_error(error).await,
+                Ok(None) => self.wait_for_input(true, None).await?,
+                Err(error) => return self.reject_protocol_error(error).await,
             }
         }
     }
 
-    /// Reads the next message. The startup timeout limits the wait for the first message and the time from
-    /// the first byte of a message to its last, against clients that send nothing or one byte at a time.
+    /// Reads the next message. `limits.client_message_timeout` limits the wait for the first message and the
+    /// time from a message's first byte to its last, so that slow clients do not keep connections open.
     async fn next_message(&mut self) -> Result<FrontendMessage, Ended> {
-        let message_timeout = self.front.limits.client_message_timeout;
-        let mut deadline = None;
+        let message_timeout = self.frontend.limits.client_message_timeout;
+        let mut message_deadline = None;
         loop {
-            match FrontendMessage::decode(&mut self.received, self.front.limits.max_client_message_bytes) {
+            match FrontendMessage::decode(&mut self.received, self.frontend.limits.max_client_message_bytes) {
                 Ok(Some(message)) => {
-                    self.has_sent = true;
+                    self.has_sent_message = true;
                     return Ok(message);
                 }
                 Ok(None) if self.received.is_empty() => {
-                    let until = (!self.has_sent).then(|| self.accepted + message_timeout);
-                    self.fill(true, until).await?
+                    let deadline = (!self.has_sent_message).then(|| self.accepted_at + message_timeout);
+                    self.wait_for_input(true, deadline).await?
                 }
                 Ok(None) => {
-                    let until = *deadline.get_or_insert_with(|| Instant::now() + message_timeout);
-                    self.fill(false, Some(until)).await?
+                    let deadline = *message_deadline.get_or_insert_with(|| Instant::now() + message_timeout);
+                    self.wait_for_input(false, Some(deadline)).await?
                 }
-                Err(error) => self.protocol_error(error).await?,
+                Err(error) => self.reject_protocol_error(error).await?,
             }
         }
     }
 
-    /// Waits for input. Ends when the connection is closed as the longest idle one, at `until`, or, with
-    /// `close_on_shutdown`, when the router shuts down; a client within a message may finish it.
-    async fn fill(&mut self, close_on_shutdown: bool, until: Option<Instant>) -> Result<(), Ended> {
-        let (front, mut stage) = (self.front.clone(), self.front.stage.clone());
+    /// Waits for input, until `deadline` or until the connection has to close as the longest idle one. With
+    /// `close_on_shutdown` it also ends when the router shuts down.
+    async fn wait_for_input(
+        &mut self,
+        close_on_shutdown: bool,
+        deadline: Option<Instant>,
+    ) -> Result<(), Ended> {
+        let (frontend, mut stage) = (self.frontend.clone(), self.frontend.stage.clone());
         if self.received.is_empty() {
-            // Releases the memory that a large op took.
+            // Releases the buffers of a large op.
             (self.received, self.out) = (BytesMut::new(), BytesMut::new());
         }
-        let closed = front.idle_connections.wait(&self.slot, front.limits.max_client_connections);
-        let filled = tokio::select! {
+        let close_receiver =
+            frontend.idle_connections.wait(&self.slot, frontend.limits.max_client_connections);
+        let result = tokio::select! {
             biased;
             read = self.read() => read,
             _ = stage.wait_for(|&stage| stage == Stage::Closing), if close_on_shutdown => Err(Ended),
-            _ = closed => Err(Ended),
-            () = sleep_until(until.unwrap_or_else(Instant::now)), if until.is_some() => Err(Ended),
+            _ = close_receiver => Err(Ended),
+            () = sleep_until(deadline.unwrap_or_else(Instant::now)), if deadline.is_some() => Err(Ended),
         };
-        if filled.is_ok() {
-            // Input may have arrived just as the connection was told to close.
-            self.slot.borrow_mut().get_or_insert_with(|| UsageGuard::one(&front.clients));
+        if result.is_ok() {
+            // Counts the connection again if input arrived just after it was told to close.
+            self.slot.borrow_mut().get_or_insert_with(|| UsageGuard::one(&frontend.clients));
         }
-        filled
+        result
     }
 
-    async fn query(&mut self, text: String) -> Result<(), Ended> {
-        let arrived = self.front.beat.earliest_arrival();
+    async fn handle_query(&mut self, text: String) -> Result<(), Ended> {
+        let arrived_at = self.frontend.beat.earliest_arrival();
         let command = text.trim_matches(|c: char| c.is_whitespace() || c == ';');
         let keyword = command.split_ascii_whitespace().next().unwrap_or_default().to_ascii_uppercase();
         match keyword.as_str() {
             "" => put_empty_query_response(&mut self.out),
             "SET" | "RESET" => put_command_complete(&mut self.out, &keyword),
             "DISCARD" => put_command_complete(&mut self.out, "DISCARD ALL"),
-            "SHOW" if self.front.gate.has_cells() && command.eq_ignore_ascii_case("show cells") => {
-                let (client, answer) = oneshot::channel();
-                self.front.mail.send(RouteMessage::ShowCells(client)).await.map_err(|_| Ended)?;
-                put_single_value(&mut self.out, "cells", &answer.await.map_err(|_| Ended)?);
+            "SHOW" if self.frontend.gate.has_cells() && command.eq_ignore_ascii_case("show cells") => {
+                let (report_sender, report) = oneshot::channel();
+                self.frontend.mail.send(RouteMessage::ShowCells(report_sender)).await.map_err(|_| Ended)?;
+                put_single_value(&mut self.out, "cells", &report.await.map_err(|_| Ended)?);
             }
-            "SHOW" if self.front.gate.in_fleet && command.eq_ignore_ascii_case("show peers") => {
-                let (client, answer) = oneshot::channel();
-                self.front.mail.send(RouteMessage::ShowPeers(client)).await.map_err(|_| Ended)?;
-                put_single_value(&mut self.out, "peers", &answer.await.map_err(|_| Ended)?);
+            "SHOW" if self.frontend.gate.in_fleet && command.eq_ignore_ascii_case("show peers") => {
+                let (report_sender, report) = oneshot::channel();
+                self.frontend.mail.send(RouteMessage::ShowPeers(report_sender)).await.map_err(|_| Ended)?;
+                put_single_value(&mut self.out, "peers", &report.await.map_err(|_| Ended)?);
             }
-            "SHOW" if self.front.gate.leases.is_some() && command.eq_ignore_ascii_case("show leases") => {
-                let (client, answer) = oneshot::channel();
-                if let Some(leases) = &self.front.gate.leases {
-                    let shown = leases.send(leases::LeasesCommand::Show(client));
-                    shown.await.map_err(|_| Ended)?;
+            "SHOW" if self.frontend.gate.leases.is_some() && command.eq_ignore_ascii_case("show leases") => {
+                let (report_sender, report) = oneshot::channel();
+                if let Some(leases) = &self.frontend.gate.leases {
+                    let sending = leases.send(leases::LeasesCommand::Show(report_sender));
+                    sending.await.map_err(|_| Ended)?;
                 }
-                put_single_value(&mut self.out, "leases", &answer.await.map_err(|_| Ended)?);
+                put_single_value(&mut self.out, "leases", &report.await.map_err(|_| Ended)?);
             }
-            _ if !self.front.evict_idle() => {
-                relay::put_too_many_clients(&mut self.out);
+            _ if !self.frontend.evict_idle() => {
+                reply::put_too_many_clients(&mut self.out);
                 return self.close().await;
             }
             _ => {
                 let reply = match Statement::parse(text) {
-                    Ok(statement) => self.op(statement, arrived).await?,
+                    Ok(statement) => self.run_op(statement, arrived_at).await?,
                     Err(ProtocolError(reason)) => Reply::Refused(reason),
                 };
-                relay::put_reply(&reply, &mut self.out);
+                reply::put_reply(&reply, &mut self.out);
                 return self.write().await;
             }
         }
@@ -296,24 +314,28 @@
         self.write().await
     }
 
-    /// Runs one op from admission to its final reply. Reads ahead meanwhile, to notice a disconnect.
-    async fn op(&mut self, statement: Statement, arrived: Timestamp) -> Result<Reply<PgResponse>, Ended> {
+    /// Runs an op from admission to its final reply. Reads ahead meanwhile, to detect a disconnect.
+    async fn run_op(
+        &mut self,
+        statement: Statement,
+        arrived_at: Timestamp,
+    ) -> Result<Reply<PgResponse>, Ended> {
         let AdmittedOp { request, origin, slot: _slot } =
-            match self.front.gate.admit(op_call(&statement, self.address), arrived) {
+            match self.frontend.gate.admit(client_request(&statement, self.address), arrived_at) {
                 Ok(admitted) => admitted,
                 Err(reply) => return Ok(reply),
             };
-        let (answer, mut answered) = oneshot::channel();
-        let mail = self.front.mail.clone();
+        let (reply_sender, mut reply_receiver) = oneshot::channel();
+        let mail = self.frontend.mail.clone();
         let op = request.op;
-        mail.send(RouteMessage::OpAdmitted(request, origin, Rc::new(statement), answer))
+        mail.send(RouteMessage::OpAdmitted(request, origin, Rc::new(statement), reply_sender))
             .await
             .map_err(|_| Ended)?;
         loop {
-            let has_room = self.received.len() < self.front.limits.max_client_message_bytes;
+            let has_room = self.received.len() < self.frontend.limits.max_client_message_bytes;
             tokio::select! {
                 biased;
-                reply = &mut answered => return Ok(reply.unwrap_or(Reply::Errored)),
+                reply = &mut reply_receiver => return Ok(reply.unwrap_or(Reply::Errored)),
                 read = self.read(), if has_room => if read.is_err() {
                     let _ = mail.send(RouteMessage::ClientDisconnected(op)).await;
                     return Err(Ended);
@@ -323,7 +345,7 @@
     }
 
     async fn read(&mut self) -> Result<(), Ended> {
-        self.received.reserve(self.front.limits.read_chunk_bytes);
+        self.received.reserve(self.frontend.limits.read_chunk_bytes);
         match self.stream.read_buf(&mut self.received).await {
             Ok(0) | Err(_) => Err(Ended),
             Ok(_) => Ok(()),
@@ -331,35 +353,37 @@
     }
 
     async fn write(&mut self) -> Result<(), Ended> {
-        let written = relay::write(&mut self.stream, &mut self.out, &self.front.limits).await;
+        let written = reply::write(&mut self.stream, &mut self.out, &self.frontend.limits).await;
         if written { Ok(()) } else { Err(Ended) }
     }
 
-    /// Writes the last messages and closes. Input is read and discarded for up to `limits.linger_timeout`: closing
-    /// with unread input would reset the connection, and the client could not read the last messages.
+    /// Writes the pending messages and closes the connection. Discards input for up to
+    /// `limits.linger_timeout`: closing with unread input would reset the connection before the client has
+    /// read these messages.
     async fn close<T>(&mut self) -> Result<T, Ended> {
         self.write().await?;
         let _ = self.stream.shutdown().await;
-        let (front, linger) = (self.front.clone(), self.front.limits.linger_timeout);
-        let closed = front.idle_connections.wait(&self.slot, front.limits.max_client_connections);
+        let (frontend, linger_timeout) = (self.frontend.clone(), self.frontend.limits.linger_timeout);
+        let close_receiver =
+            frontend.idle_connections.wait(&self.slot, frontend.limits.max_client_connections);
         let discard_input = async {
             while self.read().await.is_ok() {
                 self.received.clear();
             }
         };
         tokio::select! {
-            _ = timeout(linger, discard_input) => {}
-            _ = closed => {}
+            _ = timeout(linger_timeout, discard_input) => {}
+            _ = close_receiver => {}
         }
         Err(Ended)
     }
 
-    async fn protocol_error<T>(&mut self, ProtocolError(reason): ProtocolError) -> Result<T, Ended> {
+    async fn reject_protocol_error<T>(&mut self, ProtocolError(reason): ProtocolError) -> Result<T, Ended> {
         tracing::warn!("a client violated the protocol: {reason}");
-        self.fatal(code::PROTOCOL_VIOLATION, reason).await
+        self.send_fatal_error(code::PROTOCOL_VIOLATION, reason).await
     }
 
-    async fn fatal<T>(&mut self, code: &str, message: &str) -> Result<T, Ended> {
+    async fn send_fatal_error<T>(&mut self, code: &str, message: &str) -> Result<T, Ended> {
         put_fatal_error(&mut self.out, code, message);
         self.close().await
     }
--- a/crates/arrowyard-front-pg/src/link.rs
+++ b/crates/arrowyard-front-pg/src/host_connection.rs
@@ -22,16 +22,16 @@
 
 /// An authenticated connection to a database host.
 pub struct PgConnection {
-    dial: SocketAddr,
+    address: SocketAddr,
     idle_since: Instant,
     stream: TcpStream,
     received: BytesMut,
-    /// Memory that large results take, of all connections together, in bytes.
-    large: Rc<Cell<usize>>,
-    /// Share of `large` that the result being read takes.
+    /// Bytes reserved for large results on all connections.
+    large_result_bytes: Rc<Cell<usize>>,
+    /// The share of `large_result_bytes` that is reserved for the result being read.
     memory: Option<UsageGuard>,
     limits: Rc<Limits>,
-    _count: UsageGuard,
+    _usage: UsageGuard,
 }
 
 /// A result, with the memory reserved for it until it has been written to its client.
@@ -82,28 +82,28 @@
 
 impl PooledConnection for PgConnection {
     async fn connect(
-        dial: SocketAddr,
-        count: UsageGuard,
-        large: Rc<Cell<usize>>,
+        address: SocketAddr,
+        usage: UsageGuard,
+        large_result_bytes: Rc<Cell<usize>>,
         limits: Rc<Limits>,
     ) -> Result<Self, Outcome> {
-        let failed = |error: ConnectionError| {
-            tracing::debug!(%dial, "connecting failed: {}", error.0);
+        let connect_failed = |error: ConnectionError| {
+            tracing::debug!(dial = %address, "connecting failed: {}", error.0);
             Outcome::ConnectFailed
         };
-        let opened = timeout(limits.connect_timeout, async {
-            let stream = TcpStream::connect(dial).await?;
+        let attempt = timeout(limits.connect_timeout, async {
+            let stream = TcpStream::connect(address).await?;
             stream.set_nodelay(true)?;
             let (received, idle_since) = (BytesMut::new(), Instant::now());
             let mut connection = PgConnection {
-                dial,
+                address,
                 idle_since,
                 stream,
                 received,
-                large,
+                large_result_bytes,
                 memory: None,
                 limits: limits.clone(),
-                _count: count,
+                _usage: usage,
             };
             let mut out = BytesMut::new();
             put_startup_packet(&mut out, "web", "orders");
@@ -111,29 +111,31 @@
             let reply = connection.read_reply().await?;
             Ok((connection, reply))
         });
-        match opened.await {
+        match attempt.await {
             Ok(Ok((connection, HostReply { ready: true, error_code: None, .. }))) => Ok(connection),
             Ok(Ok((_, reply))) if reply.outcome() == Outcome::Overloaded => Err(Outcome::Overloaded),
-            Ok(Ok((_, reply))) => Err(failed(ConnectionError(format!("error {:?}", reply.error_code)))),
-            Ok(Err(error)) => Err(failed(error)),
-            Err(_) => Err(failed(ConnectionError("connect timeout".to_string()))),
+            Ok(Ok((_, reply))) => {
+                Err(connect_failed(ConnectionError(format!("error {:?}", reply.error_code))))
+            }
+            Ok(Err(error)) => Err(connect_failed(error)),
+            Err(_) => Err(connect_failed(ConnectionError("connect timeout".to_string()))),
         }
     }
 
     fn address(&self) -> SocketAddr {
-        self.dial
+        self.address
     }
 
     fn idle_since(&self) -> Instant {
         self.idle_since
     }
 
-    /// Peeks at the socket itself, since the runtime's readiness is as old as its last poll: a send on a
-    /// connection that the host has closed would fail.
+    /// Peeks at the socket, since the runtime's readiness state may be outdated. A send on a connection that
+    /// the host has closed would fail.
     fn is_reusable(&self) -> bool {
         let has_no_input = || {
-            let peeked = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
-            peeked.is_err_and(|e| e.kind() == io::ErrorKind::WouldBlock)
+            let peek_result = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
+            peek_result.is_err_and(|error| error.kind() == io::ErrorKind::WouldBlock)
         };
         self.idle_since.elapsed() < self.limits.host_idle_timeout
             && self.received.is_empty()
@@ -154,13 +156,13 @@
         Ok(self.stream.write_all(command).await?)
     }
 
-    /// Reads messages up to ReadyForQuery. Once the result or an error is complete it is returned even if
-    /// what follows fails or is missing.
+    /// Reads messages up to ReadyForQuery. A complete result or error is returned even if reading the
+    /// messages after it fails.
     pub async fn read_reply(&mut self) -> Result<HostReply, ConnectionError> {
         let (mut reply, mut result) = (HostReply::default(), QueryResult::default());
         loop {
-            let decided = reply.response.is_some() || reply.error_code.is_some();
-            let message = match decided {
+            let has_outcome = reply.response.is_some() || reply.error_code.is_some();
+            let message = match has_outcome {
                 true => timeout(self.limits.ready_timeout, self.next_message())
                     .await
                     .unwrap_or(Err(ConnectionError(String::new()))),
@@ -194,16 +196,16 @@
                 Ok(BackendMessage::ParameterStatus(ParameterStatus::LoadReport(report))) => {
                     apply_load_report(&mut reply.status, &report)
                 }
-                // An error after a complete result does not belong to it. Taken as its outcome, it would
-                // make the router run the op again.
-                Ok(BackendMessage::ErrorResponse(_)) if decided => return Ok(reply),
+                // An error after a complete result is not the op's outcome: using it as such would make the
+                // router retry an op that ran.
+                Ok(BackendMessage::ErrorResponse(_)) if has_outcome => return Ok(reply),
                 Ok(BackendMessage::ErrorResponse(code)) => reply.error_code = Some(code),
                 Ok(BackendMessage::ReadyForQuery) => {
                     reply.ready = true;
                     return Ok(reply);
                 }
                 Ok(_) => {}
-                Err(_) if decided => return Ok(reply),
+                Err(_) if has_outcome => return Ok(reply),
                 Err(error) => return Err(error),
             }
         }
@@ -241,23 +243,23 @@
 }
 
 impl PgConnection {
-    /// Missing bytes of a large message, for which memory is reserved; 0 for any other message.
+    /// Reserves memory for the message being received if it is large, and returns its missing bytes; 0 for
+    /// any other message.
     ///
     /// # Errors
-    /// The large results of all connections would exceed `limits.max_large_answer_bytes`, although each is within its own
-    /// limit.
+    /// The large results of all connections together would exceed `limits.max_large_answer_bytes`.
     fn reserve_memory(&mut self) -> Result<usize, ConnectionError> {
         let length = declared_length(&self.received).unwrap_or_default() as usize;
         if length <= self.limits.max_client_message_bytes {
             return Ok(0);
         }
         if self.memory.is_none() {
-            // Held twice: as received, and as written to the client.
+            // Stored twice: as received, and as written to the client.
             let bytes = 2 * length;
-            if self.large.get() + bytes > self.limits.max_large_answer_bytes {
+            if self.large_result_bytes.get() + bytes > self.limits.max_large_answer_bytes {
                 return Err(ConnectionError("the memory for large results is exhausted".to_string()));
             }
-            self.memory = Some(UsageGuard::add(&self.large, bytes));
+            self.memory = Some(UsageGuard::add(&self.large_result_bytes, bytes));
         }
         Ok(length.saturating_sub(self.received.len()))
     }
@@ -298,9 +300,9 @@
             max_large_answer_bytes: 700_000,
             ..Limits::for_test(serde_json::json!({})).2
         };
-        for (reserved, fits) in [(0, true), (200_000, false)] {
+        for (reserved_bytes, fits) in [(0, true), (200_000, false)] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
-            let dial = listener.local_addr().expect("the listener is bound");
+            let address = listener.local_addr().expect("the listener is bound");
             let mut out = BytesMut::new();
             put_startup_response(&mut out);
             out.extend_from_slice(&bytes);
@@ -309,42 +311,49 @@
                 let _ = (stream.read(&mut [0; 64])?, stream.write_all(&out));
                 std::io::Result::Ok(stream)
             });
-            let large = Rc::new(Cell::new(reserved));
-            let opened =
-                PgConnection::connect(dial, UsageGuard::one(&Rc::default()), large.clone(), Rc::new(limits))
-                    .await;
-            let reply = opened.expect("the host accepts the connection").read_result().await;
+            let large_result_bytes = Rc::new(Cell::new(reserved_bytes));
+            let connection = PgConnection::connect(
+                address,
+                UsageGuard::one(&Rc::default()),
+                large_result_bytes.clone(),
+                Rc::new(limits),
+            )
+            .await;
+            let reply = connection.expect("the host accepts the connection").read_result().await;
             assert_eq!(reply.is_ok(), fits, "{reply:?}");
-            assert_eq!(large.get() - reserved, if fits { 2 * (value.len() + 10) } else { 0 });
+            assert_eq!(
+                large_result_bytes.get() - reserved_bytes,
+                if fits { 2 * (value.len() + 10) } else { 0 }
+            );
             drop(reply);
-            assert_eq!(large.get(), reserved);
+            assert_eq!(large_result_bytes.get(), reserved_bytes);
             drop(host);
         }
     }
 
     #[tokio::test]
     async fn an_idle_connection_with_input_or_closed_by_the_host_is_not_reused() {
-        for last in [&b""[..], b"noise"] {
+        for last_bytes in [&b""[..], b"noise"] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
-            let dial = listener.local_addr().expect("the listener is bound");
-            let (send, received) = std::sync::mpsc::channel();
+            let address = listener.local_addr().expect("the listener is bound");
+            let (write_signal, wait_for_signal) = std::sync::mpsc::channel();
             let host = std::thread::spawn(move || {
                 let (mut stream, _) = listener.accept()?;
                 let mut out = BytesMut::new();
                 put_startup_response(&mut out);
-                let _ = (stream.read(&mut [0; 64])?, stream.write_all(&out)?, received.recv());
-                stream.write_all(last)
+                let _ = (stream.read(&mut [0; 64])?, stream.write_all(&out)?, wait_for_signal.recv());
+                stream.write_all(last_bytes)
             });
             let limits = Rc::new(Limits::for_test(serde_json::json!({})).2);
             let connection =
-                PgConnection::connect(dial, UsageGuard::one(&Rc::default()), Rc::default(), limits)
+                PgConnection::connect(address, UsageGuard::one(&Rc::default()), Rc::default(), limits)
                     .await
                     .expect("the host accepts the connection");
             assert!(connection.is_reusable());
             // Blocks the runtime, so that its readiness does not change.
-            send.send(()).expect("the host waits");
+            write_signal.send(()).expect("the host waits");
             host.join().expect("the host thread ends").expect("the host has written");
-            assert!(!connection.is_reusable(), "{last:?}");
+            assert!(!connection.is_reusable(), "{last_bytes:?}");
         }
     }
 
@@ -356,8 +365,8 @@
             &arrowyard_pg::parse_load_report("x0=1767225600.123,x1=0").expect("the report is well-formed"),
         );
         let position = status.position.expect("the report holds a position");
-        let early = Timestamp::from_micros(1_767_225_600_123_000) - position;
-        assert!((0..=1).contains(&early.micros()), "{position:?}");
+        let rounding_error = Timestamp::from_micros(1_767_225_600_123_000) - position;
+        assert!((0..=1).contains(&rounding_error.micros()), "{position:?}");
         assert_eq!(status.role, Some(Role::Replica));
     }
 }
--- a/crates/arrowyard-front-pg/src/lib.rs
+++ b/crates/arrowyard-front-pg/src/lib.rs
@@ -1,11 +1,11 @@
 //! PostgreSQL's protocol on both sides of the core: the server that clients connect to, and the backend that
 //! sends ops to database hosts.
 
-pub mod back;
-pub mod link;
+pub mod backend;
+pub mod frontend;
+pub mod host_connection;
 mod probe;
-pub mod relay;
-pub mod take_in;
+pub mod reply;
 
-pub use back::PgBackend;
-pub use take_in::Frontend;
+pub use backend::PgBackend;
+pub use frontend::Frontend;
--- a/crates/arrowyard-front-pg/src/relay.rs
+++ b/crates/arrowyard-front-pg/src/reply.rs
@@ -1,4 +1,4 @@
-//! Writes the final reply of an op to its client, in one write.
+//! Encodes the final reply of an op and writes it to the client.
 
 use arrowyard_pg::{code, put_busy_error, put_error, put_fatal_error, put_ready_for_query};
 use bytes::BytesMut;
@@ -7,7 +7,7 @@
 
 use arrowyard_core::{Limits, Reply};
 
-use crate::link::PgResponse;
+use crate::host_connection::PgResponse;
 
 /// Appends the messages of the final reply, followed by ReadyForQuery.
 pub fn put_reply(reply: &Reply<PgResponse>, out: &mut BytesMut) {
@@ -16,7 +16,7 @@
         Reply::Busy(retry_after) => {
             put_busy_error(out, retry_after.map(|delta| (delta.micros().max(0) / 1000) as u64))
         }
-        Reply::Errored => put_error(out, code::INTERNAL, "not answered; it may have run"),
+        Reply::Errored => put_error(out, code::INTERNAL, "the op failed; it may have run"),
         Reply::Refused(reason) => put_error(out, code::PROTOCOL_VIOLATION, reason),
     }
     put_ready_for_query(out);
@@ -27,7 +27,8 @@
     put_fatal_error(out, code::TOO_MANY_CONNECTIONS, "too many clients, nothing was done");
 }
 
-/// Writes and clears `out`. False if the client has disconnected or does not read it within `limits.client_write_timeout`.
+/// Writes and clears `out`. Returns false if the client has disconnected or the write takes longer than
+/// `limits.client_write_timeout`.
 pub async fn write(client: &mut (impl AsyncWrite + Unpin), out: &mut BytesMut, limits: &Limits) -> bool {
     let written = matches!(timeout(limits.client_write_timeout, client.write_all(out)).await, Ok(Ok(())));
     out.clear();
--- a/crates/arrowyard-pg/src/client.rs
+++ b/crates/arrowyard-pg/src/client.rs
@@ -14,8 +14,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum StartupPacket {
     Startup,
-    /// SSLRequest or GSSENCRequest. The reply is a single byte, after which the client sends another first
-    /// message.
+    /// SSLRequest or GSSENCRequest. The reply is a single byte, after which the client sends another startup
+    /// packet.
     EncryptionRequest,
     CancelRequest,
 }
@@ -24,17 +24,17 @@
     /// Removes the packet from `received`; `None` while it is incomplete.
     ///
     /// # Errors
-    /// Its length is out of range, or it asks for another protocol version.
+    /// Its length is out of range, or it requests another protocol version.
     pub fn decode(received: &mut BytesMut, max_bytes: usize) -> Result<Option<StartupPacket>, ProtocolError> {
         let Some(body) = take_untyped_message(received, max_bytes)? else { return Ok(None) };
         let Some(&[a, b, c, d]) = body.get(..4) else {
-            return Err(ProtocolError("the first message is too short"));
+            return Err(ProtocolError("the startup packet is too short"));
         };
         match u32::from_be_bytes([a, b, c, d]) {
             version if version >> 16 == PROTOCOL_VERSION_3 >> 16 => Ok(Some(StartupPacket::Startup)),
             SSL_REQUEST | GSSENC_REQUEST => Ok(Some(StartupPacket::EncryptionRequest)),
             CANCEL_REQUEST => Ok(Some(StartupPacket::CancelRequest)),
-            _ => Err(ProtocolError("the protocol's version is not 3")),
+            _ => Err(ProtocolError("the protocol version is not 3")),
         }
     }
 }
@@ -86,15 +86,17 @@
     put_ready_for_query(out);
 }
 
+/// Writes ReadyForQuery outside of a transaction.
 pub fn put_ready_for_query(out: &mut BytesMut) {
     put_message(out, Some(b'Z'), |out| out.put_u8(b'I'));
 }
 
+/// Writes EmptyQueryResponse, the reply to a statement without a command.
 pub fn put_empty_query_response(out: &mut BytesMut) {
     put_message(out, Some(b'I'), |_| ());
 }
 
-/// Writes a result of one row with one text column, for a `SHOW` that the router answers itself.
+/// Writes the result of a `SHOW` command: one row with one text column.
 pub fn put_single_value(out: &mut BytesMut, column: &str, value: &str) {
     put_message(out, Some(b'T'), |out| {
         out.put_u16(1);
@@ -119,7 +121,7 @@
     put_message(out, Some(b'E'), |out| {
         let detail = detail.map(|detail| detail.to_string());
         let fields = [(b'S', severity), (b'V', severity), (b'C', code), (b'M', text)];
-        for (field, value) in fields.into_iter().chain(detail.as_deref().map(|d| (b'D', d))) {
+        for (field, value) in fields.into_iter().chain(detail.as_deref().map(|detail| (b'D', detail))) {
             out.put_u8(field);
             put_cstr(out, value);
         }
--- a/crates/arrowyard-pg/src/frame.rs
+++ b/crates/arrowyard-pg/src/frame.rs
@@ -7,7 +7,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ProtocolError(pub &'static str);
 
-/// Length that the next message declares, without its type byte. `None` until the length has arrived.
+/// The declared length of the next message, without its type byte; `None` until it was received.
 pub fn declared_length(received: &[u8]) -> Option<u32> {
     received.get(1..5).and_then(|bytes| bytes.try_into().ok()).map(u32::from_be_bytes)
 }
@@ -15,8 +15,7 @@
 /// Removes the next complete message from `received`; `None` while it is incomplete.
 ///
 /// # Errors
-/// The declared length is below 4 or above `max_bytes`. It is checked before any memory is reserved for the
-/// body.
+/// The declared length is below 4 or above `max_bytes`, which is checked before the body is received.
 pub fn take_message(received: &mut BytesMut, max_bytes: usize) -> Result<Option<(u8, Bytes)>, ProtocolError> {
     let Some(&type_byte) = received.first() else { return Ok(None) };
     Ok(take_body(received, 1, max_bytes)?.map(|body| (type_byte, body)))
@@ -32,19 +31,19 @@
 
 fn take_body(
     received: &mut BytesMut,
-    length_at: usize,
+    length_offset: usize,
     max_bytes: usize,
 ) -> Result<Option<Bytes>, ProtocolError> {
-    let Some(&[a, b, c, d]) = received.get(length_at..length_at + 4) else { return Ok(None) };
+    let Some(&[a, b, c, d]) = received.get(length_offset..length_offset + 4) else { return Ok(None) };
     let length = u32::from_be_bytes([a, b, c, d]) as usize;
     if length < 4 || length > max_bytes {
         return Err(ProtocolError("a message's length is out of range"));
     }
-    if received.len() < length_at + length {
+    if received.len() < length_offset + length {
         return Ok(None);
     }
-    let mut message = received.split_to(length_at + length).freeze();
-    message.advance(length_at + 4);
+    let mut message = received.split_to(length_offset + length).freeze();
+    message.advance(length_offset + 4);
     Ok(Some(message))
 }
 
@@ -69,7 +68,8 @@
 /// # Errors
 /// The terminator is missing.
 pub fn take_cstr(body: &mut Bytes) -> Result<Bytes, ProtocolError> {
-    let end = body.iter().position(|&byte| byte == 0).ok_or(ProtocolError("a text has no end"))?;
+    let end =
+        body.iter().position(|&byte| byte == 0).ok_or(ProtocolError("a string is not zero-terminated"))?;
     let string = body.split_to(end);
     body.advance(1);
     Ok(string)
--- a/crates/arrowyard-pg/src/host.rs
+++ b/crates/arrowyard-pg/src/host.rs
@@ -12,6 +12,7 @@
     pub command_complete: Bytes,
 }
 
+/// Whether a host accepts writes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AccessMode {
     ReadWrite,
@@ -86,8 +87,8 @@
     }
 }
 
-/// Rejects an invalid message by its first bytes. Otherwise the router would wait for the rest of a garbled
-/// message until the timeout. A valid row is exactly as long as its single value requires.
+/// Rejects an invalid message by its first bytes, so that the router does not wait until the timeout for the
+/// rest of a malformed message. The length of a valid row is determined by its single value.
 fn check_prefix(received: &[u8]) -> Result<(), ProtocolError> {
     let Some(&type_byte) = received.first() else { return Ok(()) };
     if !b"RSTDCIEZNKA".contains(&type_byte) {
@@ -109,6 +110,7 @@
     (name.len() - end - 1 == 18).then_some(())
 }
 
+/// Parses the body of a ParameterStatus message.
 fn parse_parameter_status(body: &mut Bytes) -> Result<ParameterStatus, ProtocolError> {
     let (name, value) = (take_cstr(body)?, take_cstr(body)?);
     let Ok(value) = std::str::from_utf8(&value) else { return Ok(ParameterStatus::Other) };
@@ -123,18 +125,18 @@
     })
 }
 
-/// Parses a load report such as `inflight=7,util=0.61`. `None` if any field is malformed: the others may
-/// then be corrupted as well.
+/// Parses a load report such as `inflight=7,util=0.61`. `None` if any field is malformed, since the others
+/// may be corrupted as well.
 pub fn parse_load_report(text: &str) -> Option<Vec<(String, f64)>> {
-    let field = |field: &str| {
+    let parse_field = |field: &str| {
         let (name, number) = field.trim().split_once('=')?;
         let number = number.parse().ok().filter(|number: &f64| number.is_finite())?;
         Some((name.to_string(), number))
     };
-    text.split(',').map(field).collect()
+    text.split(',').map(parse_field).collect()
 }
 
-/// Value of a DataRow body with one column; `None` if it has another shape or the value is null.
+/// The value of a DataRow body with one column; `None` if it has another shape or the value is null.
 pub fn single_value(row: &Bytes) -> Option<Bytes> {
     let mut row = row.clone();
     if row.len() < 6 || row.get_u16() != 1 {
@@ -144,6 +146,7 @@
     (row.len() == length).then_some(row)
 }
 
+/// The SQLSTATE code of an ErrorResponse body.
 fn error_code(mut body: Bytes) -> Result<String, ProtocolError> {
     while body.first().is_some_and(|&field| field != 0) {
         let field = body.get_u8();
--- a/crates/arrowyard-pg/src/lib.rs
+++ b/crates/arrowyard-pg/src/lib.rs
@@ -20,10 +20,16 @@
 
 /// SQLSTATE codes from PostgreSQL's list of error codes.
 pub mod code {
+    /// The client or the op was rejected because of overload.
     pub const TOO_MANY_CONNECTIONS: &str = "53300";
+    /// A write was sent to a read-only host.
     pub const READ_ONLY: &str = "25006";
+    /// The host's copy is older than the read allows.
     pub const SNAPSHOT_TOO_OLD: &str = "72000";
+    /// The op failed and may have run.
     pub const INTERNAL: &str = "XX000";
+    /// The client sent a malformed message or statement.
     pub const PROTOCOL_VIOLATION: &str = "08P01";
+    /// The message type is not supported.
     pub const NOT_SUPPORTED: &str = "0A000";
 }
--- a/crates/arrowyard-pg/src/statement.rs
+++ b/crates/arrowyard-pg/src/statement.rs
@@ -1,4 +1,4 @@
-//! A client's statement with the routing comment at its head.
+//! A client's statement, which starts with a routing comment.
 
 use std::ops::Range;
 
@@ -6,27 +6,30 @@
 
 use crate::frame::{ProtocolError, put_message};
 
-/// A statement and the fields of its routing comment. The text is forwarded unchanged except for the timeout
-/// in `d`.
+/// A statement and the fields of its routing comment, such as `/* id=1,c=look,d=400 */`. The text is
+/// forwarded unchanged except for the timeout in `d`.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Statement {
     text: String,
     /// Byte range of the value of `d` in `text`.
     timeout_range: Range<usize>,
-    /// Id of the op, as [`Statement::parse_id`] reads it.
+    /// The id of the op, see [`Statement::parse_id`].
     pub id: u64,
-    /// How long the client waits for the reply, in milliseconds from sending the statement.
+    /// The timeout of the client in milliseconds since it sent the statement, from `d`.
     pub timeout_ms: u32,
+    /// The name of the op type, from `c`.
     pub op_type: String,
+    /// The name of the tenant, from `t`.
     pub tenant: Option<String>,
+    /// The group whose hosts serve the op, from `cluster`; 0 if it is missing.
     pub group: i64,
-    /// The session's last commit, as Unix time in milliseconds; 0 if it has none.
+    /// The session's last commit as Unix time in milliseconds, from `after`; 0 if it has none.
     pub last_commit_ms: Option<i64>,
-    /// Whether the client sends the op again.
+    /// Whether the client retries the op, from `r`.
     pub is_retry: bool,
-    /// Idempotency token by which hosts recognize a repeated op.
+    /// The idempotency token by which hosts recognize a repeated op, from `k`.
     pub token: Option<u64>,
-    /// First quoted literal after the comment, which identifies the session.
+    /// The key of the first quoted literal after the comment, which identifies the session.
     pub session_key: Option<u64>,
 }
 
@@ -36,41 +39,45 @@
     /// # Errors
     /// The comment is missing or malformed, or has no `id`, `d` or `c`.
     pub fn parse(text: String) -> Result<Statement, ProtocolError> {
-        let start = text.find("/*").filter(|&start| text[..start].trim().is_empty());
-        let start = start.ok_or(ProtocolError("a statement has no comment"))? + 2;
-        let end = start + text[start..].find("*/").ok_or(ProtocolError("a comment has no end"))?;
+        let comment_start = text.find("/*").filter(|&start| text[..start].trim().is_empty());
+        let comment_start = comment_start.ok_or(ProtocolError("the statement has no routing comment"))? + 2;
+        let comment_end = comment_start
+            + text[comment_start..]
+                .find("*/")
+                .ok_or(ProtocolError("the routing comment is not terminated"))?;
         let (mut timeout, mut op_type, mut tenant, mut group) = (None, None, None, 0);
         let (mut last_commit_ms, mut is_retry, mut token, mut id) = (None, false, None, None);
-        let mut part_start = start;
-        for part in text[start..end].split(',') {
-            let not_a_number = ProtocolError("a number of a comment is not one");
+        let mut field_start = comment_start;
+        for field in text[comment_start..comment_end].split(',') {
+            let not_a_number = ProtocolError("a field of the routing comment is not a valid number");
             let (name, value) =
-                part.split_once('=').ok_or(ProtocolError("a name of a comment has no value"))?;
-            let value_start = part_start + name.len() + 1;
-            let (name, trimmed) = (name.trim(), value.trim());
+                field.split_once('=').ok_or(ProtocolError("a field of the routing comment has no value"))?;
+            let value_start = field_start + name.len() + 1;
+            let (name, trimmed_value) = (name.trim(), value.trim());
             match name {
-                "id" => id = Some(trimmed).filter(|id| !id.is_empty()).map(parse_key),
-                "c" => op_type = Some(trimmed.to_string()),
-                "t" => tenant = Some(trimmed.to_string()),
+                "id" => id = Some(trimmed_value).filter(|id| !id.is_empty()).map(parse_key),
+                "c" => op_type = Some(trimmed_value.to_string()),
+                "t" => tenant = Some(trimmed_value.to_string()),
                 "d" => {
                     let trimmed_start = value_start + (value.len() - value.trim_start().len());
                     timeout = Some((
-                        trimmed_start..trimmed_start + trimmed.len(),
-                        trimmed.parse().map_err(|_| not_a_number)?,
+                        trimmed_start..trimmed_start + trimmed_value.len(),
+                        trimmed_value.parse().map_err(|_| not_a_number)?,
                     ));
                 }
-                "cluster" => group = trimmed.parse().map_err(|_| not_a_number)?,
-                "after" => last_commit_ms = Some(trimmed.parse().map_err(|_| not_a_number)?),
-                "k" => token = Some(trimmed).filter(|token| !token.is_empty()).map(parse_key),
-                "r" => is_retry = trimmed == "1",
+                "cluster" => group = trimmed_value.parse().map_err(|_| not_a_number)?,
+                "after" => last_commit_ms = Some(trimmed_value.parse().map_err(|_| not_a_number)?),
+                "k" => token = Some(trimmed_value).filter(|token| !token.is_empty()).map(parse_key),
+                "r" => is_retry = trimmed_value == "1",
                 _ => {}
             }
-            part_start += part.len() + 1;
+            field_start += field.len() + 1;
         }
-        let id = id.ok_or(ProtocolError("a comment has no id"))?;
-        let (timeout_range, timeout_ms) = timeout.ok_or(ProtocolError("a comment has no d"))?;
-        let op_type = op_type.ok_or(ProtocolError("a comment has no c"))?;
-        let session_key = text[end..].split('\'').nth(1).map(parse_key);
+        let id = id.ok_or(ProtocolError("the routing comment has no id"))?;
+        let (timeout_range, timeout_ms) =
+            timeout.ok_or(ProtocolError("the routing comment has no timeout d"))?;
+        let op_type = op_type.ok_or(ProtocolError("the routing comment has no op type c"))?;
+        let session_key = text[comment_end..].split('\'').nth(1).map(parse_key);
         Ok(Statement {
             text,
             timeout_range,
@@ -86,12 +93,12 @@
         })
     }
 
-    /// Numeric form of an op id as written in a comment.
+    /// The numeric form of an op id in a routing comment.
     pub fn parse_id(text: &str) -> u64 {
         parse_key(text)
     }
 
-    /// Length of the text in bytes.
+    /// The length of the text in bytes.
     pub fn text_bytes(&self) -> usize {
         self.text.len()
     }
@@ -115,8 +122,8 @@
 
 /// Reads a key of 16 hexadecimal digits as a number; hashes any other key with FNV-1a.
 fn parse_key(text: &str) -> u64 {
-    let digits = Some(text).filter(|text| text.len() == 16);
-    digits.and_then(|text| u64::from_str_radix(text, 16).ok()).unwrap_or_else(|| {
+    let hex_digits = Some(text).filter(|text| text.len() == 16);
+    hex_digits.and_then(|digits| u64::from_str_radix(digits, 16).ok()).unwrap_or_else(|| {
         text.bytes()
             .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x100_0000_01b3))
     })
--- a/crates/arrowyard-pg/tests/codec.rs
+++ b/crates/arrowyard-pg/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec on complete, split and malicious input.
+//! The codec with complete, split and malformed input.
 
 use arrowyard_pg::*;
 use bytes::{BufMut, Bytes, BytesMut};
@@ -10,17 +10,17 @@
     [&[type_byte][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-/// Decodes a host's messages, received in two pieces split at `cut`.
-fn decode_split(bytes: &[u8], cut: usize) -> Result<Vec<BackendMessage>, ProtocolError> {
-    let (mut received, mut all) = (BytesMut::new(), Vec::new());
-    for piece in [&bytes[..cut], &bytes[cut..]] {
+/// Decodes a host's messages, received in two pieces split at `split_at`.
+fn decode_split(bytes: &[u8], split_at: usize) -> Result<Vec<BackendMessage>, ProtocolError> {
+    let (mut received, mut messages) = (BytesMut::new(), Vec::new());
+    for piece in [&bytes[..split_at], &bytes[split_at..]] {
         received.extend_from_slice(piece);
         while let Some(message) = BackendMessage::decode(&mut received, MAX_BYTES, MAX_BYTES / 8)? {
-            all.push(message);
+            messages.push(message);
         }
     }
     assert!(received.is_empty(), "undecoded bytes remain");
-    Ok(all)
+    Ok(messages)
 }
 
 fn row(value: &[u8]) -> Bytes {
@@ -33,7 +33,7 @@
 
 #[test]
 fn host_messages_decode_the_same_wherever_the_input_is_split() {
-    let answer = QueryResult {
+    let result = QueryResult {
         row_description: Bytes::from_static(
             b"\0\x01payload\0\0\0\0\0\0\0\0\0\0\x11\xff\xff\xff\xff\xff\xff\0\x01",
         ),
@@ -46,7 +46,7 @@
     {
         bytes.extend_from_slice(&message(b'S', format!("{name}\0{value}\0").as_bytes()));
     }
-    answer.put(&mut bytes);
+    result.put(&mut bytes);
     bytes.extend_from_slice(&message(b'E', b"SERROR\0C72000\0Mtoo far behind\0\0"));
     put_ready_for_query(&mut bytes);
     let expected = vec![
@@ -56,16 +56,16 @@
             ("inflight".to_string(), 7.0),
             ("util".to_string(), 0.61),
         ])),
-        BackendMessage::RowDescription(answer.row_description.clone()),
-        BackendMessage::DataRow(answer.data_row.clone()),
-        BackendMessage::CommandComplete(answer.command_complete.clone()),
+        BackendMessage::RowDescription(result.row_description.clone()),
+        BackendMessage::DataRow(result.data_row.clone()),
+        BackendMessage::CommandComplete(result.command_complete.clone()),
         BackendMessage::ErrorResponse("72000".to_string()),
         BackendMessage::ReadyForQuery,
     ];
-    for cut in 0..bytes.len() {
-        assert_eq!(decode_split(&bytes, cut).as_ref(), Ok(&expected), "split at {cut}");
+    for split_at in 0..bytes.len() {
+        assert_eq!(decode_split(&bytes, split_at).as_ref(), Ok(&expected), "split at {split_at}");
     }
-    assert_eq!(single_value(&answer.data_row).as_deref(), Some(&b"\0\x9f\x03"[..]));
+    assert_eq!(single_value(&result.data_row).as_deref(), Some(&b"\0\x9f\x03"[..]));
 }
 
 #[test]
@@ -75,12 +75,16 @@
     let startup_bytes = bytes.len();
     put_query(&mut bytes, "SELECT 1");
     bytes.extend_from_slice(&message(b'X', b""));
-    for cut in 0..bytes.len() {
-        let mut received = BytesMut::from(&bytes[..cut]);
-        let first = StartupPacket::decode(&mut received, MAX_BYTES).unwrap();
-        assert_eq!(first, (cut >= startup_bytes).then_some(StartupPacket::Startup), "split at {cut}");
-        received.extend_from_slice(&bytes[cut..]);
-        if first.is_none() {
+    for split_at in 0..bytes.len() {
+        let mut received = BytesMut::from(&bytes[..split_at]);
+        let packet = StartupPacket::decode(&mut received, MAX_BYTES).unwrap();
+        assert_eq!(
+            packet,
+            (split_at >= startup_bytes).then_some(StartupPacket::Startup),
+            "split at {split_at}"
+        );
+        received.extend_from_slice(&bytes[split_at..]);
+        if packet.is_none() {
             assert_eq!(StartupPacket::decode(&mut received, MAX_BYTES), Ok(Some(StartupPacket::Startup)));
         }
         assert_eq!(
@@ -105,14 +109,15 @@
     }
     // An unknown type, a message too long for its type, and rows whose value length contradicts the message
     // length are rejected by their first bytes.
-    let row =
-        |length: u32, inner: u32| [&b"D"[..], &length.to_be_bytes(), &[0, 1], &inner.to_be_bytes()].concat();
-    for head in
+    let row = |length: u32, value_length: u32| {
+        [&b"D"[..], &length.to_be_bytes(), &[0, 1], &value_length.to_be_bytes()].concat()
+    };
+    for prefix in
         [b"x".to_vec(), [&b"T"[..], &(MAX_BYTES as u32).to_be_bytes()].concat(), row(900, 3), row(14, 900)]
     {
         assert!(
-            BackendMessage::decode(&mut BytesMut::from(&head[..]), MAX_BYTES, MAX_BYTES / 8).is_err(),
-            "{head:?}"
+            BackendMessage::decode(&mut BytesMut::from(&prefix[..]), MAX_BYTES, MAX_BYTES / 8).is_err(),
+            "{prefix:?}"
         );
     }
     for (type_byte, body) in
@@ -123,11 +128,11 @@
     for malformed in ["", "x0", "x0=", "x0=1,x1", "x0=1e999,x1=0", "x0=NaN"] {
         assert_eq!(parse_load_report(malformed), None, "{malformed}");
     }
-    // A value length that is past the end of the row, negative, or -1 for null.
-    for inner in [3_i32, i32::MAX, i32::MIN, -1] {
-        let body = [&[0, 1][..], &inner.to_be_bytes(), b"ab"].concat();
-        assert_eq!(single_value(&Bytes::from(body.clone())), None, "{inner}");
-        assert!(decode_split(&message(b'D', &body), 0).is_err(), "{inner}");
+    // Value lengths past the end of the row, negative ones, and -1 for null.
+    for value_length in [3_i32, i32::MAX, i32::MIN, -1] {
+        let body = [&[0, 1][..], &value_length.to_be_bytes(), b"ab"].concat();
+        assert_eq!(single_value(&Bytes::from(body.clone())), None, "{value_length}");
+        assert!(decode_split(&message(b'D', &body), 0).is_err(), "{value_length}");
     }
 }
 
