--- a/crates/arrowyard-flight-daemon/tests/streams.rs
+++ b/crates/arrowyard-flight-daemon/tests/streams.rs
@@ -331,7 +331,7 @@
         let Err(error) = client.prepare(text.clone(), None).await else {
             panic!("the limit of 2 is exceeded")
         };
-        assert!(error.to_string().contains("more than are kept"), "{error}");
+        assert!(error.to_string().contains("too many prepared statements"), "{error}");
         second.close().await.expect("closing succeeds");
         assert!(client.prepare(text, None).await.is_ok());
     });
--- a/crates/arrowyard-flight/src/bind.rs
+++ b/crates/arrowyard-flight/src/bind.rs
@@ -28,14 +28,14 @@
 }
 
 impl Literal {
-    /// Appends the SQL text. Quotes in strings are doubled; a backslash is an ordinary character, as
-    /// `standard_conforming_strings` defines.
+    /// Appends the value as an SQL literal. Quotes in strings are doubled; a backslash is an ordinary
+    /// character, as with PostgreSQL's `standard_conforming_strings`.
     fn write_sql(&self, out: &mut String) -> Result<(), CallError> {
         match self {
             Literal::Null => out.push_str("NULL"),
             Literal::Bool(true) => out.push_str("TRUE"),
             Literal::Bool(false) => out.push_str("FALSE"),
-            // Without parentheses, `1-$1` with -2 would become a comment.
+            // Without parentheses, `1-$1` with -2 would become `1--2`, which starts a comment.
             Literal::Int(number) if *number < 0 => out.push_str(&format!("({number})")),
             Literal::Int(number) => out.push_str(&number.to_string()),
             Literal::Float(number) if !number.is_finite() => {
@@ -51,17 +51,17 @@
                 ));
             }
             Literal::Float(number) => out.push_str(&format!("({number:?})")),
-            // A host would end the text at the first NUL.
+            // A host would take the first NUL as the end of the statement.
             Literal::Text(text) if text.contains('\0') => {
-                return Err(CallError::InvalidOp("a parameter's text holds a NUL".to_string()));
+                return Err(CallError::InvalidOp("a text parameter contains a NUL character".to_string()));
             }
             Literal::Text(text) => {
                 out.push('\'');
-                text.chars().for_each(|c| {
-                    if c == '\'' {
+                text.chars().for_each(|character| {
+                    if character == '\'' {
                         out.push('\'');
                     }
-                    out.push(c);
+                    out.push(character);
                 });
                 out.push('\'');
             }
@@ -74,7 +74,7 @@
         Ok(())
     }
 
-    /// Appends the encoding of the value in a handle.
+    /// Appends the value as it is encoded in the handle of a prepared statement.
     pub(crate) fn encode(&self, out: &mut BytesMut) {
         let mut put = |tag: u8, bytes: &[u8]| {
             out.put_u8(tag);
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Decodes the values of a handle.
+    /// Decodes the values in the handle of a prepared statement.
     pub(crate) fn decode_all(mut encoded: &[u8]) -> Option<Vec<Literal>> {
         let mut values = Vec::new();
         while !encoded.is_empty() {
@@ -125,10 +125,11 @@
 ) -> Result<(), CallError> {
     let bytes = text.as_bytes();
     let mut offset = 0;
-    let after =
-        |from: usize, end: &str| text[from..].find(end).map_or(bytes.len(), |index| from + index + end.len());
+    let position_after = |from: usize, delimiter: &str| {
+        text[from..].find(delimiter).map_or(bytes.len(), |index| from + index + delimiter.len())
+    };
     while offset < bytes.len() {
-        let pair = bytes.get(offset..offset + 2).unwrap_or_default();
+        let next_two = bytes.get(offset..offset + 2).unwrap_or_default();
         match bytes[offset] {
             // In an escape string, a backslash escapes a quote.
             b'\''
@@ -143,12 +144,12 @@
                 offset += 1;
             }
             quote @ (b'\'' | b'"') => {
-                // A doubled quote ends one string and starts the next, with the same result.
-                let end = if quote == b'\'' { "'" } else { "\"" };
-                offset = after(offset + 1, end);
+                // A doubled quote is read as the end of one string and the start of the next.
+                let delimiter = if quote == b'\'' { "'" } else { "\"" };
+                offset = position_after(offset + 1, delimiter);
             }
-            _ if pair == b"--" => offset = after(offset, "\n"),
-            _ if pair == b"/*" => {
+            _ if next_two == b"--" => offset = position_after(offset, "\n"),
+            _ if next_two == b"/*" => {
                 // Comments can be nested.
                 let (mut depth, mut end) = (1, offset + 2);
                 while depth > 0 && end < bytes.len() {
@@ -163,7 +164,7 @@
             b'$' => {
                 let digits = bytes[offset + 1..].iter().take_while(|byte| byte.is_ascii_digit()).count();
                 let end = offset + 1 + digits;
-                // A `$` inside a name is a part of the name.
+                // A `$` within a name is a part of the name.
                 let in_name = offset > 0 && is_name_byte(bytes[offset - 1]);
                 if digits > 0 && !in_name {
                     let number = text[offset + 1..end]
@@ -171,12 +172,14 @@
                         .ok()
                         .filter(|number| (1..=MAX_PARAMETERS).contains(number));
                     let number = number.ok_or_else(|| {
-                        CallError::InvalidOp(format!("a parameter is none of $1 to ${MAX_PARAMETERS}"))
+                        CallError::InvalidOp(format!(
+                            "a parameter is not in the range $1 to ${MAX_PARAMETERS}"
+                        ))
                     })?;
                     on_parameter(number, offset, end)?;
                     offset = end;
                 } else if !in_name && let Some(tag) = dollar_tag(&text[offset..]) {
-                    offset = after(offset + tag.len(), tag);
+                    offset = position_after(offset + tag.len(), tag);
                 } else {
                     offset = end;
                 }
@@ -187,6 +190,7 @@
     Ok(())
 }
 
+/// Whether the byte can be a part of an unquoted name.
 fn is_name_byte(byte: u8) -> bool {
     byte.is_ascii_alphanumeric() || byte == b'_' || byte >= 0x80
 }
@@ -216,10 +220,10 @@
 /// # Errors
 /// The number of values is not the number of parameters, or a value cannot be written as SQL.
 pub fn substitute(text: &str, values: &[Literal]) -> Result<String, CallError> {
-    let parameters = parameter_count(text)?;
-    if parameters != values.len() {
+    let expected = parameter_count(text)?;
+    if expected != values.len() {
         return Err(CallError::InvalidOp(format!(
-            "the statement has {parameters} parameters, and {} are bound",
+            "the statement has {expected} parameters, but {} values are bound",
             values.len()
         )));
     }
@@ -239,11 +243,15 @@
 /// The batch does not have exactly one row, has too many columns, or has a column of an unsupported type.
 pub fn batch_literals(batch: &RecordBatch) -> Result<Vec<Literal>, CallError> {
     if batch.num_rows() != 1 || batch.num_columns() > MAX_PARAMETERS {
-        return Err(CallError::InvalidOp(format!("parameters come as one row, not {}", batch.num_rows())));
+        return Err(CallError::InvalidOp(format!(
+            "parameters must be bound as one row of at most {MAX_PARAMETERS} columns; the batch has {} rows",
+            batch.num_rows()
+        )));
     }
     batch.columns().iter().map(|column| column_literal(column)).collect()
 }
 
+/// The value in the first row of a column.
 fn column_literal(column: &dyn Array) -> Result<Literal, CallError> {
     if column.is_null(0) {
         return Ok(Literal::Null);
@@ -271,6 +279,8 @@
         DataType::Utf8View => Literal::Text(column.as_string_view().value(0).to_string()),
         DataType::Binary => Literal::Binary(column.as_binary::<i32>().value(0).to_vec()),
         DataType::LargeBinary => Literal::Binary(column.as_binary::<i64>().value(0).to_vec()),
-        other => return Err(CallError::InvalidOp(format!("a parameter of type {other} is not taken"))),
+        unsupported => {
+            return Err(CallError::InvalidOp(format!("parameters of type {unsupported} are not supported")));
+        }
     })
 }
--- a/crates/arrowyard-flight/src/call_metadata.rs
+++ b/crates/arrowyard-flight/src/call_metadata.rs
@@ -1,12 +1,11 @@
-//! The description of a call's op: in the comment at the head of its statement, as in PostgreSQL's
-//! protocol, or in gRPC metadata. Both are merged into one comment, which the core and every kind of host
-//! understand.
+//! The fields of a call's op, from the routing comment of its statement and from gRPC metadata. Both are
+//! merged into one routing comment, which hosts of either protocol understand.
 
 use arrowyard_pg::Statement;
 
 use crate::status::CallError;
 
-/// Metadata keys, each with the name of the same field in a statement's comment.
+/// Metadata keys, each with the name of the same field in a routing comment.
 pub const METADATA_KEYS: [(&str, &str); 8] = [
     ("arrowyard-id", "id"),
     ("arrowyard-op-type", "c"),
@@ -21,7 +20,7 @@
 /// The maximum length of a metadata value.
 const MAX_VALUE_BYTES: usize = 128;
 
-/// The fields of an op that a call's metadata sets, under their names in the comment.
+/// The fields of an op that a call's metadata sets, under their names in a routing comment.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct CallMetadata {
     fields: Vec<(&'static str, String)>,
@@ -37,19 +36,20 @@
     pub fn insert(&mut self, key: &str, value: &str) -> Result<(), CallError> {
         if key == "grpc-timeout" {
             let timeout_ms = parse_grpc_timeout(value)
-                .ok_or_else(|| CallError::InvalidOp("grpc-timeout is no time".to_string()))?;
+                .ok_or_else(|| CallError::InvalidOp("grpc-timeout is not a valid timeout".to_string()))?;
             self.client_timeout_ms = Some(timeout_ms);
             return Ok(());
         }
         let Some(&(_, field)) = METADATA_KEYS.iter().find(|(known, _)| *known == key) else { return Ok(()) };
-        // A value that ends the comment or starts another field of it would set fields that nothing has
-        // checked.
+        // A value that ends the comment or starts another field would set fields that were not checked.
         let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"_-.:+@".contains(&byte);
         if value.is_empty() || value.len() > MAX_VALUE_BYTES || !value.bytes().all(is_allowed) {
-            return Err(CallError::InvalidOp(format!("{key} holds what cannot stand there")));
+            return Err(CallError::InvalidOp(format!(
+                "the value of {key} is empty, too long or has characters that are not allowed"
+            )));
         }
         if self.fields.iter().any(|(known, _)| *known == field) {
-            return Err(CallError::InvalidOp(format!("{key} came twice")));
+            return Err(CallError::InvalidOp(format!("{key} occurs twice")));
         }
         self.fields.push((field, value.to_string()));
         Ok(())
@@ -74,28 +74,29 @@
     })
 }
 
-/// The fields of a comment in their order, and the text after the comment.
+/// The names and values of a comment in their order, and the text after the comment.
 type ParsedComment<'a> = (Vec<(&'a str, &'a str)>, &'a str);
 
+/// Parses a leading routing comment; a comment of another kind counts as a part of the text.
 fn parse_comment(text: &str) -> Result<ParsedComment<'_>, CallError> {
     let Some(comment) = text.trim_start().strip_prefix("/*") else { return Ok((Vec::new(), text)) };
-    let (comment, rest) =
-        comment.split_once("*/").ok_or_else(|| CallError::InvalidOp("a comment has no end".to_string()))?;
+    let (comment, rest) = comment
+        .split_once("*/")
+        .ok_or_else(|| CallError::InvalidOp("the comment is not terminated".to_string()))?;
     let mut fields = Vec::new();
-    for part in comment.split(',') {
+    for field in comment.split(',') {
         // Not a routing comment.
-        let Some((name, value)) = part.split_once('=') else { return Ok((Vec::new(), text)) };
+        let Some((name, value)) = field.split_once('=') else { return Ok((Vec::new(), text)) };
         fields.push((name.trim(), value.trim()));
     }
     Ok((fields, rest))
 }
 
-/// Returns the statement with one comment that holds the fields of its own comment and of the metadata.
-/// `after` is the larger of both values, since each is a lower bound; the op is a retry if either source
-/// marks it as one.
+/// Returns the statement with one comment that has the fields of its own comment and of the metadata. Of
+/// `after`, a lower bound, the larger value applies; `r` is set if it is set in either source.
 ///
 /// # Errors
-/// Comment and metadata contradict each other.
+/// Comment and metadata set another field to different values.
 pub fn merge_comment(text: &str, metadata: &CallMetadata) -> Result<String, CallError> {
     let (comment_fields, rest) = parse_comment(text)?;
     let mut fields: Vec<(&str, String)> =
@@ -118,7 +119,7 @@
         };
         let Some(merged) = merged else {
             return Err(CallError::InvalidOp(format!(
-                "the comment says {name}={current}, and the metadata {value}"
+                "the comment sets {name} to {current}, but the metadata sets it to {value}"
             )));
         };
         changed |= *current != merged;
@@ -149,10 +150,10 @@
         defaults.fields.push(("id", format!("{:016x}", random_id())));
     }
     match (field("d").map(str::parse::<u64>), metadata.client_timeout_ms) {
-        // The client would give up before the op's timeout, and a later answer would be lost.
+        // The client would give up before the op's timeout, and a later result would be lost.
         (Some(Ok(timeout_ms)), Some(client_ms)) if timeout_ms > client_ms => {
             return Err(CallError::InvalidOp(format!(
-                "d says {timeout_ms} ms, and grpc-timeout ends after {client_ms}"
+                "the timeout of {timeout_ms} ms is longer than the grpc-timeout of {client_ms} ms"
             )));
         }
         (Some(_), _) => {}
@@ -161,7 +162,7 @@
         }
         (None, None) => {
             return Err(CallError::InvalidOp(
-                "neither d, arrowyard-timeout-ms nor grpc-timeout is said".to_string(),
+                "neither d, arrowyard-timeout-ms nor grpc-timeout is set".to_string(),
             ));
         }
     }
--- a/crates/arrowyard-flight/src/client_connections.rs
+++ b/crates/arrowyard-flight/src/client_connections.rs
@@ -1,5 +1,5 @@
 //! Limits per client connection: the number of open calls, and the rate of calls that the client cancels
-//! before they are answered. They keep one connection from using more than its share.
+//! before they are answered.
 
 use std::collections::HashMap;
 
@@ -23,10 +23,11 @@
 #[derive(Clone, Copy, Debug)]
 struct Connection {
     open_calls: usize,
-    /// Start of the current window, and the calls cancelled in it and in the window before.
     window_start: Timestamp,
+    /// Calls cancelled in the current window.
     cancelled: u32,
-    cancelled_before: u32,
+    /// Calls cancelled in the window before it.
+    previous_cancelled: u32,
     /// When a call last started or ended.
     last_used: Timestamp,
 }
@@ -34,7 +35,7 @@
 /// The open client connections with their calls.
 #[derive(Debug)]
 pub struct ClientConnections {
-    /// Open calls per connection, and connections.
+    /// Open calls per connection.
     max_calls: usize,
     max_connections: usize,
     /// Cancelled calls per connection and window.
@@ -46,6 +47,7 @@
 }
 
 impl ClientConnections {
+    /// Creates an empty set with its limits; `max_calls` and `max_cancelled` apply per connection.
     pub fn new(
         max_connections: usize,
         max_calls: usize,
@@ -82,7 +84,7 @@
                 open_calls: 0,
                 window_start: now,
                 cancelled: 0,
-                cancelled_before: 0,
+                previous_cancelled: 0,
                 last_used: now,
             },
         );
@@ -94,8 +96,8 @@
         self.connections.remove(&id);
     }
 
-    /// Connections without an open call to close: those past the idle timeout or, if there are none and the
-    /// limit is reached, the longest idle one. Otherwise idle connections would keep active clients out.
+    /// The idle connections to close: those past the idle timeout or, if there are none and the limit on
+    /// connections is reached, the longest idle one.
     pub fn idle_to_close(&self, now: Timestamp) -> Vec<ConnectionId> {
         let idle = || self.connections.iter().filter(|(_, connection)| connection.open_calls == 0);
         let mut expired: Vec<ConnectionId> = idle()
@@ -127,8 +129,8 @@
         CallAdmission::Admitted
     }
 
-    /// A call ended; `cancelled` if the client left before it was answered. Returns whether to close the
-    /// connection.
+    /// Counts a call as ended; `cancelled` if the client cancelled it before it was answered. Returns whether
+    /// to close the connection.
     pub fn end_call(&mut self, now: Timestamp, id: ConnectionId, cancelled: bool) -> bool {
         let (max_cancelled, window) = (self.max_cancelled, self.window);
         let Some(connection) = self.connections.get_mut(&id) else { return false };
@@ -136,25 +138,26 @@
         connection.last_used = now;
         connection.open_calls = connection.open_calls.saturating_sub(1);
         connection.cancelled += u32::from(cancelled);
-        // Calls that are reset right after they start each cost a host work, and the limit on open calls
-        // misses them.
+        // Calls that are cancelled right after they start load the hosts, but do not reach the limit on open
+        // calls.
         connection.recently_cancelled(now, window) > max_cancelled
     }
 }
 
 impl Connection {
+    /// Starts a new window if the current one has ended.
     fn advance_window(&mut self, now: Timestamp, window: TimeDelta) {
         if now - self.window_start >= window {
-            let is_next = now - self.window_start < window * 2.0;
-            (self.cancelled_before, self.cancelled) = (if is_next { self.cancelled } else { 0 }, 0);
-            self.window_start = if is_next { self.window_start + window } else { now };
+            let follows_window = now - self.window_start < window * 2.0;
+            (self.previous_cancelled, self.cancelled) = (if follows_window { self.cancelled } else { 0 }, 0);
+            self.window_start = if follows_window { self.window_start + window } else { now };
         }
     }
 
-    /// Estimates the calls cancelled within one window before now: the count of the previous window is
-    /// weighted by the part of it that still lies in that span.
+    /// Estimates the calls cancelled in the last `window` before now, with the count of the previous window
+    /// weighted by the part of it in that period.
     fn recently_cancelled(&self, now: Timestamp, window: TimeDelta) -> u32 {
         let elapsed = ((now - self.window_start) / window).clamp(0.0, 1.0);
-        self.cancelled + (f64::from(self.cancelled_before) * (1.0 - elapsed)) as u32
+        self.cancelled + (f64::from(self.previous_cancelled) * (1.0 - elapsed)) as u32
     }
 }
--- a/crates/arrowyard-flight/src/frames.rs
+++ b/crates/arrowyard-flight/src/frames.rs
@@ -1,12 +1,12 @@
-//! What the frames of an HTTP/2 connection to a host (RFC 9113) prove about a send, beyond what the HTTP/2
-//! library reports: whether the last byte of a request was written, and whether the host declared that it
-//! did not process it. Observes the bytes that the socket wrote or read, and stores only frame headers and
-//! a few bytes of payload.
+//! Observes the HTTP/2 frames (RFC 9113) of a connection to a host, to determine what the HTTP/2 library does
+//! not report: whether a request was written completely, and whether the host declared that it did not
+//! process it. Stores only frame headers and a few bytes of payload.
 
 use std::collections::BTreeMap;
 
 /// Length of the client's connection preface.
 const PREFACE_BYTES: usize = 24;
+/// Length of a frame header.
 const HEADER_BYTES: usize = 9;
 
 mod frame_type {
@@ -17,7 +17,9 @@
     pub const GOAWAY: u8 = 7;
 }
 
+/// The flag of the last frame of a stream.
 const END_STREAM: u8 = 1;
+/// The error code of a stream that the host did not process.
 const REFUSED_STREAM: u32 = 7;
 
 /// The frame being read.
@@ -73,9 +75,9 @@
             if self.header_len < HEADER_BYTES {
                 return;
             }
-            let [a, b, c, frame_type, flags, s0, s1, s2, s3] = self.header;
-            let remaining = u32::from_be_bytes([0, a, b, c]) as usize;
-            let stream = u32::from_be_bytes([s0, s1, s2, s3]) & 0x7fff_ffff;
+            let [len0, len1, len2, frame_type, flags, id0, id1, id2, id3] = self.header;
+            let remaining = u32::from_be_bytes([0, len0, len1, len2]) as usize;
+            let stream = u32::from_be_bytes([id0, id1, id2, id3]) & 0x7fff_ffff;
             self.frame = Some(FrameHeader { frame_type, flags, stream, remaining });
         }
     }
@@ -99,9 +101,9 @@
     sent: FrameDecoder,
     received: FrameDecoder,
     streams: BTreeMap<u32, RequestProgress>,
-    /// Whether the host's SETTINGS came, which shows that it is reachable and speaks HTTP/2.
+    /// Whether the host's SETTINGS frame was received, which shows that it speaks HTTP/2.
     settings_received: bool,
-    /// The last stream that the host processes, from its GOAWAY.
+    /// The highest stream id that the host processes, from its GOAWAY frame.
     last_stream: Option<u32>,
 }
 
@@ -121,7 +123,7 @@
 impl FrameTracker {
     /// Starts tracking a stream of which no byte is written yet.
     pub fn track(&mut self, stream: u32) {
-        // A stream opened after the host's GOAWAY is not processed, and no later frame says so.
+        // The host does not process a stream opened after its GOAWAY frame, and sends no frame about it.
         let is_refused = self.last_stream.is_some_and(|last| stream > last);
         self.streams
             .insert(stream, if is_refused { RequestProgress::Refused } else { RequestProgress::Incomplete });
@@ -137,11 +139,12 @@
         self.streams.get(&stream).copied().unwrap_or(RequestProgress::Written)
     }
 
+    /// Whether the host's SETTINGS frame was received.
     pub fn settings_received(&self) -> bool {
         self.settings_received
     }
 
-    /// Whether the host sent GOAWAY, so that it accepts no new stream.
+    /// Whether the host sent a GOAWAY frame, so that it accepts no new stream.
     pub fn is_going_away(&self) -> bool {
         self.last_stream.is_some()
     }
@@ -181,13 +184,13 @@
                     }
                 }
                 frame_type::GOAWAY => {
-                    let Some(last) = read_u32(0).map(|last| last & 0x7fff_ffff) else { return };
-                    // A later GOAWAY may only lower the last stream. Raising it would claim that streams
-                    // may have run that were already resent to another host.
-                    let last = last_stream.map_or(last, |previous| last.min(previous));
-                    *last_stream = Some(last);
+                    let Some(stream) = read_u32(0).map(|stream| stream & 0x7fff_ffff) else { return };
+                    // A later GOAWAY frame may only lower the last stream, since requests on higher streams
+                    // may already have been retried on another host.
+                    let lowest = last_stream.map_or(stream, |previous| stream.min(previous));
+                    *last_stream = Some(lowest);
                     streams
-                        .range_mut(last.saturating_add(1)..)
+                        .range_mut(lowest.saturating_add(1)..)
                         .for_each(|(_, progress)| *progress = RequestProgress::Refused);
                 }
                 _ => {}
--- a/crates/arrowyard-flight/src/ipc_validation.rs
+++ b/crates/arrowyard-flight/src/ipc_validation.rs
@@ -1,6 +1,5 @@
-//! Validates the Arrow IPC messages of a result: a schema, then each dictionary before the batches that
-//! need it, then batches that match the schema. Reads only message headers and the ends of offset buffers,
-//! not the values.
+//! Validates the Arrow IPC messages of a result: a schema, then dictionaries before the batches that need
+//! them, then batches that match the schema. Reads message headers and offsets, but not the values.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -21,12 +20,12 @@
     Batch(u64),
 }
 
-/// Limits of a result.
+/// Limits on the messages of a result.
 #[derive(Clone, Copy, Debug)]
 pub struct IpcLimits {
-    /// Fields of a schema, nested ones included.
+    /// The fields of a schema, nested ones included.
     pub max_fields: usize,
-    /// Bytes of the decompressed buffers of one message.
+    /// The bytes of the decompressed buffers of one message.
     pub max_decompressed_bytes: u64,
 }
 
@@ -35,9 +34,10 @@
 pub struct IpcValidator {
     limits: IpcLimits,
     schema: Option<Schema>,
-    /// Value types by dictionary id, and the dictionaries that were received.
-    dictionaries: BTreeMap<i64, DataType>,
-    received: BTreeSet<i64>,
+    /// The value types of the schema's dictionaries, by id.
+    dictionary_types: BTreeMap<i64, DataType>,
+    /// The ids of the dictionaries that were received.
+    received_dictionaries: BTreeSet<i64>,
     rows: u64,
 }
 
@@ -45,9 +45,10 @@
 const MAX_DEPTH: usize = 32;
 
 impl IpcValidator {
+    /// Creates a validator for a new result.
     pub fn new(limits: IpcLimits) -> Self {
-        let (dictionaries, received) = Default::default();
-        IpcValidator { limits, schema: None, dictionaries, received, rows: 0 }
+        let (dictionary_types, received_dictionaries) = Default::default();
+        IpcValidator { limits, schema: None, dictionary_types, received_dictionaries, rows: 0 }
     }
 
     /// The rows received so far.
@@ -55,6 +56,7 @@
         self.rows
     }
 
+    /// Whether the schema was received.
     pub fn has_schema(&self) -> bool {
         self.schema.is_some()
     }
@@ -62,17 +64,18 @@
     /// Validates the next message from its header and body.
     ///
     /// # Errors
-    /// The message contradicts itself or an earlier one. Later messages cannot be validated then.
+    /// The message is malformed or contradicts an earlier one. No further message can be validated then.
     pub fn check(&mut self, header: &[u8], body: &[u8]) -> Result<MessageKind, InvalidMessage> {
-        let message = root_as_message(header).map_err(|_| InvalidMessage("a head that cannot be read"))?;
+        let message =
+            root_as_message(header).map_err(|_| InvalidMessage("a message header that cannot be decoded"))?;
         if usize::try_from(message.bodyLength()) != Ok(body.len()) {
-            return Err(InvalidMessage("a body of another length than its head says"));
+            return Err(InvalidMessage("a body whose length differs from its header"));
         }
         match message.header_type() {
             MessageHeader::Schema => self.check_schema(&message),
             MessageHeader::DictionaryBatch => self.check_dictionary(&message, body),
             MessageHeader::RecordBatch => self.check_batch(&message, body),
-            _ => Err(InvalidMessage("a message that is neither schema, dictionary nor batch")),
+            _ => Err(InvalidMessage("a message that is neither a schema, a dictionary nor a batch")),
         }
     }
 
@@ -80,12 +83,13 @@
         if self.schema.is_some() {
             return Err(InvalidMessage("a second schema"));
         }
-        let header = message.header_as_schema().ok_or(InvalidMessage("a schema that is none"))?;
+        let header = message.header_as_schema().ok_or(InvalidMessage("a schema message without a schema"))?;
         let mut field_count = 0;
         for field in header.fields().into_iter().flatten() {
             self.check_field(field, 0, &mut field_count)?;
         }
-        let schema = try_fb_to_schema(header).map_err(|_| InvalidMessage("a schema that cannot be read"))?;
+        let schema =
+            try_fb_to_schema(header).map_err(|_| InvalidMessage("a schema that cannot be decoded"))?;
         // Dictionaries are in the order of the fields that need them.
         let mut types = Vec::new();
         schema.fields().iter().for_each(|field| collect_value_types(field.data_type(), &mut types));
@@ -94,20 +98,19 @@
             collect_dictionary_ids(field, &mut ids);
         }
         if ids.len() != types.len() {
-            return Err(InvalidMessage("dictionaries that no field needs"));
+            return Err(InvalidMessage("dictionary ids that do not match the fields"));
         }
         for (id, value_type) in ids.into_iter().zip(types) {
-            let previous = self.dictionaries.insert(id, value_type.clone());
+            let previous = self.dictionary_types.insert(id, value_type.clone());
             if previous.is_some_and(|previous| previous != value_type) {
-                return Err(InvalidMessage("one dictionary of two types"));
+                return Err(InvalidMessage("a dictionary with two value types"));
             }
         }
         self.schema = Some(schema);
         Ok(MessageKind::Schema)
     }
 
-    /// Checks the depth and number of fields: a schema of a few bytes could otherwise nest types without
-    /// limit.
+    /// Checks the depth and number of fields. A small schema could otherwise nest types without limit.
     fn check_field(
         &self,
         field: arrow_ipc::Field<'_>,
@@ -116,7 +119,7 @@
     ) -> Result<(), InvalidMessage> {
         *count += 1;
         if depth > MAX_DEPTH || *count > self.limits.max_fields {
-            return Err(InvalidMessage("a schema larger than any table's"));
+            return Err(InvalidMessage("a schema with too many or too deeply nested fields"));
         }
         for child in field.children().into_iter().flatten() {
             self.check_field(child, depth + 1, count)?;
@@ -132,26 +135,30 @@
         if self.schema.is_none() {
             return Err(InvalidMessage("a dictionary before the schema"));
         }
-        let header =
-            message.header_as_dictionary_batch().ok_or(InvalidMessage("a dictionary that is none"))?;
-        let value_type =
-            self.dictionaries.get(&header.id()).ok_or(InvalidMessage("a dictionary that no field needs"))?;
-        if header.isDelta() && !self.received.contains(&header.id()) {
-            return Err(InvalidMessage("an addition to a dictionary that has not come"));
+        let header = message
+            .header_as_dictionary_batch()
+            .ok_or(InvalidMessage("a dictionary message without a dictionary"))?;
+        let value_type = self
+            .dictionary_types
+            .get(&header.id())
+            .ok_or(InvalidMessage("a dictionary that no field uses"))?;
+        if header.isDelta() && !self.received_dictionaries.contains(&header.id()) {
+            return Err(InvalidMessage("a delta to a dictionary that was not received"));
         }
         let data = header.data().ok_or(InvalidMessage("a dictionary without values"))?;
         BatchReader::new(&data, body, self.limits)?.check_columns(data.length(), [value_type].into_iter())?;
-        self.received.insert(header.id());
+        self.received_dictionaries.insert(header.id());
         Ok(MessageKind::Dictionary)
     }
 
     fn check_batch(&mut self, message: &Message<'_>, body: &[u8]) -> Result<MessageKind, InvalidMessage> {
         let Some(schema) = &self.schema else { return Err(InvalidMessage("a batch before the schema")) };
         // Otherwise the client would resolve keys against a missing or an outdated dictionary.
-        if !self.dictionaries.keys().all(|id| self.received.contains(id)) {
+        if !self.dictionary_types.keys().all(|id| self.received_dictionaries.contains(id)) {
             return Err(InvalidMessage("a batch before a dictionary that it needs"));
         }
-        let header = message.header_as_record_batch().ok_or(InvalidMessage("a batch that is none"))?;
+        let header =
+            message.header_as_record_batch().ok_or(InvalidMessage("a batch message without a batch"))?;
         let types = schema.fields().iter().map(|field| field.data_type());
         BatchReader::new(&header, body, self.limits)?.check_columns(header.length(), types)?;
         let rows = header.length() as u64;
@@ -160,7 +167,7 @@
     }
 }
 
-/// Collects the value types of dictionaries, outer ones first.
+/// Collects the value types of dictionaries in the order of the fields, outer ones first.
 fn collect_value_types(data_type: &DataType, value_types: &mut Vec<DataType>) {
     if let DataType::Dictionary(_, value_type) = data_type {
         value_types.push((**value_type).clone());
@@ -170,6 +177,7 @@
     children(data_type).iter().for_each(|child| collect_value_types(child.data_type(), value_types));
 }
 
+/// Collects the ids of dictionaries in the same order as `collect_value_types`.
 fn collect_dictionary_ids(field: arrow_ipc::Field<'_>, ids: &mut Vec<i64>) {
     if let Some(dictionary) = field.dictionary() {
         ids.push(dictionary.id());
@@ -179,6 +187,7 @@
     }
 }
 
+/// The child fields of a nested type.
 fn children(data_type: &DataType) -> Vec<&Field> {
     match data_type {
         DataType::List(child)
@@ -196,10 +205,12 @@
 
 /// Reads the nodes and buffers of one batch in the order of its column types.
 struct BatchReader<'a> {
+    /// The length of each field node.
     nodes: Vec<i64>,
-    /// The part of the body that each buffer takes.
+    /// The part of the body of each buffer.
     buffers: Vec<&'a [u8]>,
     compressed: bool,
+    /// The number of data buffers of each view column.
     variadic_counts: Vec<i64>,
     next_node: usize,
     next_buffer: usize,
@@ -228,7 +239,7 @@
         }
         // A decompression bomb would exhaust the client's memory.
         if decompressed_bytes > limits.max_decompressed_bytes {
-            return Err(InvalidMessage("buffers that unpack into more than is passed on"));
+            return Err(InvalidMessage("buffers whose decompressed size exceeds the limit"));
         }
         let variadic_counts = header.variadicBufferCounts().into_iter().flatten().collect();
         Ok(BatchReader {
@@ -253,14 +264,14 @@
         }
         for data_type in types {
             if self.check_column(data_type, 0)? != rows as u64 {
-                return Err(InvalidMessage("a column of another length than its batch"));
+                return Err(InvalidMessage("a column whose length differs from its batch"));
             }
         }
         if self.next_node != self.nodes.len()
             || self.next_buffer != self.buffers.len()
             || self.next_variadic != self.variadic_counts.len()
         {
-            return Err(InvalidMessage("more columns than the schema has"));
+            return Err(InvalidMessage("more columns or buffers than the schema needs"));
         }
         Ok(())
     }
@@ -278,7 +289,7 @@
     fn sized_buffer(&mut self, min_len: u64) -> Result<&'a [u8], InvalidMessage> {
         let bytes = self.next_buffer()?;
         if decompressed_length(bytes, self.compressed)? < min_len {
-            return Err(InvalidMessage("a buffer shorter than its rows"));
+            return Err(InvalidMessage("a buffer too short for its rows"));
         }
         Ok(bytes)
     }
@@ -287,13 +298,13 @@
     fn check_validity(&mut self, rows: u64) -> Result<(), InvalidMessage> {
         let bytes = self.next_buffer()?;
         if !bytes.is_empty() && decompressed_length(bytes, self.compressed)? < rows.div_ceil(BITS_PER_BYTE) {
-            return Err(InvalidMessage("a buffer shorter than its rows"));
+            return Err(InvalidMessage("a buffer too short for its rows"));
         }
         Ok(())
     }
 
-    /// Checks the offsets of `rows` rows with `width` bytes each. Returns the last offset, unless it is
-    /// compressed.
+    /// Checks the offsets of `rows` rows with `width` bytes each. Returns the last offset, or `None` if the
+    /// offsets are compressed.
     fn check_offsets(&mut self, rows: u64, width: u64) -> Result<Option<u64>, InvalidMessage> {
         if rows == 0 {
             self.next_buffer()?;
@@ -310,18 +321,18 @@
                 _ => i64::from_le_bytes(bytes[start..start + 8].try_into().expect("eight bytes")),
             }
         };
-        let (first, last) = (offset(0), offset(rows));
-        if first < 0 || last < first {
-            return Err(InvalidMessage("offsets that go back"));
+        let (first_offset, last_offset) = (offset(0), offset(rows));
+        if first_offset < 0 || last_offset < first_offset {
+            return Err(InvalidMessage("offsets that are negative or decrease"));
         }
-        Ok(Some(last as u64))
+        Ok(Some(last_offset as u64))
     }
 
     /// Checks the offsets and the values of a column of variable length.
     fn check_variable_length(&mut self, rows: u64, width: u64) -> Result<(), InvalidMessage> {
-        let end = self.check_offsets(rows, width)?;
+        let last_offset = self.check_offsets(rows, width)?;
         let bytes = self.next_buffer()?;
-        if end.is_some_and(|end| end > bytes.len() as u64) {
+        if last_offset.is_some_and(|last_offset| last_offset > bytes.len() as u64) {
             return Err(InvalidMessage("offsets beyond their buffer"));
         }
         Ok(())
@@ -330,7 +341,7 @@
     /// Checks one column and returns its number of rows.
     fn check_column(&mut self, data_type: &DataType, depth: usize) -> Result<u64, InvalidMessage> {
         let rows =
-            *self.nodes.get(self.next_node).ok_or(InvalidMessage("fewer columns than the schema has"))?
+            *self.nodes.get(self.next_node).ok_or(InvalidMessage("fewer columns than the schema needs"))?
                 as u64;
         self.next_node += 1;
         let fixed_width = |bytes: u64| rows.saturating_mul(bytes);
@@ -344,14 +355,14 @@
                 for (_, field) in fields.iter() {
                     let child_rows = self.check_column(field.data_type(), depth + 1)?;
                     if *mode == UnionMode::Sparse && child_rows < rows {
-                        return Err(InvalidMessage("a child shorter than its rows"));
+                        return Err(InvalidMessage("a child column whose length does not match its parent"));
                     }
                 }
             }
             DataType::RunEndEncoded(ends, values) => {
                 let runs = self.check_column(ends.data_type(), depth + 1)?;
                 if self.check_column(values.data_type(), depth + 1)? != runs {
-                    return Err(InvalidMessage("a child shorter than its rows"));
+                    return Err(InvalidMessage("a child column whose length does not match its parent"));
                 }
             }
             data_type => {
@@ -362,6 +373,7 @@
         Ok(rows)
     }
 
+    /// Checks the buffers and children of a column after its validity bitmap.
     fn check_values(&mut self, data_type: &DataType, rows: u64, depth: usize) -> Result<(), InvalidMessage> {
         let fixed_width = |bytes: u64| rows.saturating_mul(bytes);
         match data_type {
@@ -375,12 +387,12 @@
             DataType::LargeUtf8 | DataType::LargeBinary => self.check_variable_length(rows, 8)?,
             DataType::Utf8View | DataType::BinaryView => {
                 self.sized_buffer(fixed_width(16))?;
-                let count = *self
+                let buffer_count = *self
                     .variadic_counts
                     .get(self.next_variadic)
                     .ok_or(InvalidMessage("fewer buffers than the schema needs"))?;
                 self.next_variadic += 1;
-                for _ in 0..count.max(0) {
+                for _ in 0..buffer_count.max(0) {
                     self.next_buffer()?;
                 }
             }
@@ -395,13 +407,13 @@
             DataType::FixedSizeList(child, length) => {
                 let min_len = fixed_width(u64::try_from(*length).unwrap_or(u64::MAX));
                 if self.check_column(child.data_type(), depth + 1)? < min_len {
-                    return Err(InvalidMessage("a child shorter than its rows"));
+                    return Err(InvalidMessage("a child column whose length does not match its parent"));
                 }
             }
             DataType::Struct(fields) => {
                 for field in fields {
                     if self.check_column(field.data_type(), depth + 1)? < rows {
-                        return Err(InvalidMessage("a child shorter than its rows"));
+                        return Err(InvalidMessage("a child column whose length does not match its parent"));
                     }
                 }
             }
@@ -415,13 +427,14 @@
                 self.sized_buffer(fixed_width(width))?;
             }
             data_type => {
-                let width = data_type.primitive_width().ok_or(InvalidMessage("a type that is not known"))?;
+                let width = data_type.primitive_width().ok_or(InvalidMessage("an unsupported type"))?;
                 self.sized_buffer(fixed_width(width as u64))?;
             }
         }
         Ok(())
     }
 
+    /// Checks the offsets and the child column of a list column.
     fn check_list(
         &mut self,
         child: &Field,
@@ -429,9 +442,9 @@
         width: u64,
         depth: usize,
     ) -> Result<(), InvalidMessage> {
-        let end = self.check_offsets(rows, width)?;
+        let last_offset = self.check_offsets(rows, width)?;
         let child_rows = self.check_column(child.data_type(), depth + 1)?;
-        if end.is_some_and(|end| end > child_rows) {
+        if last_offset.is_some_and(|last_offset| last_offset > child_rows) {
             return Err(InvalidMessage("offsets beyond their buffer"));
         }
         Ok(())
@@ -445,7 +458,7 @@
         return Ok(bytes.len() as u64);
     }
     let Some((prefix, rest)) = bytes.split_first_chunk::<8>() else {
-        return Err(InvalidMessage("a packed buffer without its length"));
+        return Err(InvalidMessage("a compressed buffer without its length"));
     };
     match i64::from_le_bytes(*prefix) {
         -1 => Ok(rest.len() as u64),
--- a/crates/arrowyard-flight/src/lib.rs
+++ b/crates/arrowyard-flight/src/lib.rs
@@ -1,7 +1,6 @@
-//! Arrow Flight SQL without I/O: the call metadata that describes an op, tickets, prepared statements,
-//! validation and buffering of results, what the HTTP/2 frames prove about a send, limits per client
-//! connection, and gRPC statuses. Routing, retries and rejections are decided by the decision module, as
-//! for every front end.
+//! Arrow Flight SQL without I/O: call metadata, tickets, prepared statements, validation and buffering of
+//! results, tracking of HTTP/2 frames, limits per client connection, and gRPC statuses. The decision module
+//! decides on routing, retries and rejections, as for every front end.
 
 pub mod bind;
 pub mod call_metadata;
--- a/crates/arrowyard-flight/src/prepared_statements.rs
+++ b/crates/arrowyard-flight/src/prepared_statements.rs
@@ -1,5 +1,5 @@
-//! Prepared statements: a handle names a statement that this router stores, and carries the bound
-//! parameters itself. Hosts never see handles, so that they survive the failure of a host.
+//! Prepared statements: a handle identifies a statement that this router stores, and contains the bound
+//! parameters. Hosts do not know handles, so that these survive the failure of a host.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,7 +10,7 @@
 use crate::status::CallError;
 use crate::ticket::{MacKey, constant_time_eq};
 
-/// The purpose of the message authentication code of a handle.
+/// The purpose in the message authentication code of a handle; tickets use another one.
 const PURPOSE: u8 = 2;
 const MAC_BYTES: usize = 16;
 
@@ -18,7 +18,7 @@
 struct PreparedStatement {
     text: String,
     last_used: Timestamp,
-    /// Position in the order of use.
+    /// The key in `use_order`.
     use_number: u64,
 }
 
@@ -30,9 +30,9 @@
     idle_timeout: TimeDelta,
     max_statement_bytes: usize,
     statements: HashMap<u64, PreparedStatement>,
-    /// Statement numbers by use, the least recently used first.
+    /// Statement numbers, the least recently used first.
     use_order: BTreeMap<u64, u64>,
-    next_number: u64,
+    next_statement_number: u64,
     use_count: u64,
 }
 
@@ -53,7 +53,7 @@
             max_statement_bytes,
             statements,
             use_order,
-            next_number: 0,
+            next_statement_number: 0,
             use_count: 0,
         }
     }
@@ -66,41 +66,43 @@
     /// Prepares a statement and returns its handle and the number of its parameters.
     ///
     /// # Errors
-    /// The statement is too long, a parameter is invalid, or the limit on statements is reached.
+    /// The statement is too long, a parameter number is out of range, or the limit on statements is reached.
     pub fn prepare(&mut self, now: Timestamp, text: &str) -> Result<(Bytes, usize), CallError> {
         if text.len() > self.max_statement_bytes {
             return Err(CallError::TooLarge("the statement"));
         }
-        let parameters = bind::parameter_count(text)?;
+        let parameter_count = bind::parameter_count(text)?;
         self.remove_expired(now);
-        // At the limit, new statements are rejected: evicting one would break a client that still uses it.
+        // At the limit new statements are rejected: evicting one would break a client that still uses it.
         if self.statements.len() >= self.max_statements {
             return Err(CallError::TooMany("prepared statements"));
         }
-        let number = self.next_number;
-        self.next_number += 1;
-        self.statements
-            .insert(number, PreparedStatement { text: text.to_string(), last_used: now, use_number: 0 });
-        self.mark_used(now, number);
-        Ok((self.encode_handle(number, &[]), parameters))
+        let statement_number = self.next_statement_number;
+        self.next_statement_number += 1;
+        self.statements.insert(
+            statement_number,
+            PreparedStatement { text: text.to_string(), last_used: now, use_number: 0 },
+        );
+        self.mark_used(now, statement_number);
+        Ok((self.encode_handle(statement_number, &[]), parameter_count))
     }
 
-    /// Binds parameters and returns the handle that carries them.
+    /// Binds parameters and returns a handle that contains them.
     ///
     /// # Errors
     /// The statement does not exist, the number of parameters differs, or the statement becomes too long
     /// with them.
     pub fn bind(&mut self, now: Timestamp, handle: &[u8], values: &[Literal]) -> Result<Bytes, CallError> {
-        let (number, _) = self.decode_handle(handle)?;
+        let (statement_number, _) = self.decode_handle(handle)?;
         self.remove_expired(now);
-        let statement = self.statements.get(&number).ok_or(CallError::UnknownHandle)?;
+        let statement = self.statements.get(&statement_number).ok_or(CallError::UnknownHandle)?;
         // Only checks the length; the handle carries the values.
         let text = bind::substitute(&statement.text, values)?;
         if text.len() > self.max_statement_bytes {
             return Err(CallError::TooLarge("the statement with its parameters"));
         }
-        self.mark_used(now, number);
-        Ok(self.encode_handle(number, values))
+        self.mark_used(now, statement_number);
+        Ok(self.encode_handle(statement_number, values))
     }
 
     /// Returns the statement of a handle with its parameters substituted.
@@ -108,11 +110,11 @@
     /// # Errors
     /// The statement does not exist, or its parameters are not bound.
     pub fn bound_statement(&mut self, now: Timestamp, handle: &[u8]) -> Result<String, CallError> {
-        let (number, values) = self.decode_handle(handle)?;
+        let (statement_number, values) = self.decode_handle(handle)?;
         self.remove_expired(now);
-        let statement = self.statements.get(&number).ok_or(CallError::UnknownHandle)?;
+        let statement = self.statements.get(&statement_number).ok_or(CallError::UnknownHandle)?;
         let text = bind::substitute(&statement.text, &values)?;
-        self.mark_used(now, number);
+        self.mark_used(now, statement_number);
         Ok(text)
     }
 
@@ -121,56 +123,58 @@
     /// # Errors
     /// The handle was not issued by this router.
     pub fn close(&mut self, handle: &[u8]) -> Result<(), CallError> {
-        let (number, _) = self.decode_handle(handle)?;
-        if let Some(statement) = self.statements.remove(&number) {
+        let (statement_number, _) = self.decode_handle(handle)?;
+        if let Some(statement) = self.statements.remove(&statement_number) {
             self.use_order.remove(&statement.use_number);
         }
         Ok(())
     }
 
-    fn mark_used(&mut self, now: Timestamp, number: u64) {
+    /// Moves the statement to the end of the order of use.
+    fn mark_used(&mut self, now: Timestamp, statement_number: u64) {
         self.use_count += 1;
-        let Some(statement) = self.statements.get_mut(&number) else { return };
+        let Some(statement) = self.statements.get_mut(&statement_number) else { return };
         self.use_order.remove(&statement.use_number);
         (statement.last_used, statement.use_number) = (now, self.use_count);
-        self.use_order.insert(self.use_count, number);
+        self.use_order.insert(self.use_count, statement_number);
     }
 
     /// Removes statements past the idle timeout.
     fn remove_expired(&mut self, now: Timestamp) {
-        while let Some((&use_number, &number)) = self.use_order.first_key_value() {
+        while let Some((&use_number, &statement_number)) = self.use_order.first_key_value() {
             if self
                 .statements
-                .get(&number)
+                .get(&statement_number)
                 .is_some_and(|statement| now - statement.last_used < self.idle_timeout)
             {
                 return;
             }
             self.use_order.remove(&use_number);
-            self.statements.remove(&number);
+            self.statements.remove(&statement_number);
         }
     }
 
-    fn encode_handle(&self, number: u64, values: &[Literal]) -> Bytes {
+    fn encode_handle(&self, statement_number: u64, values: &[Literal]) -> Bytes {
         let mut handle = BytesMut::new();
-        handle.put_u64(number);
+        handle.put_u64(statement_number);
         values.iter().for_each(|value| value.encode(&mut handle));
         let mac = self.key.mac(PURPOSE, &handle);
         handle.put_slice(&mac);
         handle.freeze()
     }
 
+    /// Returns the statement number and the bound parameters of a handle that this router issued.
     fn decode_handle(&self, handle: &[u8]) -> Result<(u64, Vec<Literal>), CallError> {
         if handle.len() < 8 + MAC_BYTES || handle.len() > self.max_statement_bytes * 2 + 64 {
             return Err(CallError::UnknownHandle);
         }
         let (signed, mac) = handle.split_at(handle.len() - MAC_BYTES);
-        // Without this check a client could guess numbers, and run or close the statements of other clients.
+        // Otherwise a client could guess the numbers of other clients' statements, and run or close these.
         if !constant_time_eq(&self.key.mac(PURPOSE, signed), mac) {
             return Err(CallError::UnknownHandle);
         }
-        let (number, values) = signed.split_at(8);
-        let number = number.try_into().map(u64::from_be_bytes).unwrap_or_default();
-        Ok((number, Literal::decode_all(values).ok_or(CallError::UnknownHandle)?))
+        let (statement_number, values) = signed.split_at(8);
+        let statement_number = statement_number.try_into().map(u64::from_be_bytes).unwrap_or_default();
+        Ok((statement_number, Literal::decode_all(values).ok_or(CallError::UnknownHandle)?))
     }
 }
--- a/crates/arrowyard-flight/src/result_buffer.rs
+++ b/crates/arrowyard-flight/src/result_buffer.rs
@@ -1,6 +1,5 @@
-//! Memory limits for buffered results. While a result is buffered the client has seen nothing of it, so
-//! that the op can be retried after an interruption. A larger result is streamed, and an interruption of it
-//! is reported to the client.
+//! Memory limits for buffered results. The client has seen nothing of a buffered result, so that its op can
+//! be retried after an interruption; the interruption of a streamed result is reported to the client.
 
 /// The memory of all buffered results of this router.
 #[derive(Debug)]
@@ -8,8 +7,9 @@
     max_result_bytes: usize,
     max_total_bytes: usize,
     used_bytes: usize,
-    /// Results that were streamed because they, or all buffered results together, exceeded the limit.
+    /// Results that were streamed because they exceeded the limit of one result.
     pub exceeded_result_limit: u64,
+    /// Results that were streamed because all buffered results together exceeded the total limit.
     pub exceeded_total_limit: u64,
 }
 
@@ -41,6 +41,7 @@
 }
 
 impl ResultBuffers {
+    /// Limits one result to `max_result_bytes`, and all results together to `max_total_bytes`.
     pub fn new(max_result_bytes: usize, max_total_bytes: usize) -> Self {
         ResultBuffers {
             max_result_bytes,
@@ -51,12 +52,12 @@
         }
     }
 
-    /// Bytes of all buffered results.
+    /// The bytes of all buffered results.
     pub fn used_bytes(&self) -> usize {
         self.used_bytes
     }
 
-    /// Accounts for a received batch.
+    /// Accounts for a received batch of the result and decides what to do with it.
     pub fn add_batch(&mut self, buffer: &mut ResultBuffer, bytes: usize) -> BatchAction {
         if buffer.streaming {
             return BatchAction::Stream;
@@ -90,6 +91,7 @@
         if self.streaming { Interruption::Report } else { Interruption::Retry }
     }
 
+    /// The bytes of the buffered batches.
     pub fn buffered_bytes(&self) -> usize {
         self.buffered_bytes
     }
--- a/crates/arrowyard-flight/src/status.rs
+++ b/crates/arrowyard-flight/src/status.rs
@@ -1,4 +1,4 @@
-//! gRPC statuses: those that clients get, and what a host's status means for a send.
+//! gRPC statuses: those sent to clients, and the outcome of a send by the host's status.
 
 use arrowyard_types::{Outcome, TimeDelta};
 
@@ -46,12 +46,13 @@
     DeadlineExceeded,
     /// The call does not describe a valid op.
     InvalidOp(String),
+    /// The named object exceeds its size limit.
     TooLarge(&'static str),
-    /// The limit on handles, streams or tickets is reached.
+    /// The limit on the named objects is reached.
     TooMany(&'static str),
-    /// The ticket was not issued by this router.
+    /// The ticket was not issued by this router or was changed.
     InvalidTicket(&'static str),
-    /// The ticket is expired or was redeemed; the client must plan again.
+    /// The ticket is expired or was redeemed; the client must get a new one.
     SpentTicket(&'static str),
     /// The prepared statement does not exist or was closed.
     UnknownHandle,
@@ -59,6 +60,7 @@
     Interrupted,
     /// The host's result is malformed; the op may have run.
     InvalidResult,
+    /// The call is not supported.
     Unimplemented(&'static str),
 }
 
@@ -83,18 +85,20 @@
     /// The message of the status.
     pub fn message(&self) -> String {
         match self {
-            CallError::Busy(_) => "busy; nothing of it ran".to_string(),
-            CallError::Errored => "not answered; it may have run".to_string(),
-            CallError::DeadlineExceeded => "its time is up; it may have run".to_string(),
+            CallError::Busy(_) => "busy; the op did not run".to_string(),
+            CallError::Errored => "the op failed; it may have run".to_string(),
+            CallError::DeadlineExceeded => "the op's deadline passed; it may have run".to_string(),
             CallError::InvalidOp(reason) => reason.clone(),
-            CallError::TooLarge(object) => format!("{object}: more bytes than are taken"),
-            CallError::TooMany(objects) => format!("{objects}: more than are kept at once"),
+            CallError::TooLarge(object) => format!("{object}: the size limit is exceeded"),
+            CallError::TooMany(objects) => format!("too many {objects}"),
             CallError::InvalidTicket(reason)
             | CallError::SpentTicket(reason)
             | CallError::Unimplemented(reason) => (*reason).to_string(),
-            CallError::UnknownHandle => "no such prepared statement, or it was closed".to_string(),
-            CallError::Interrupted => "the result broke off; what came is not whole".to_string(),
-            CallError::InvalidResult => "the host's result makes no sense; it may have run".to_string(),
+            CallError::UnknownHandle => "the prepared statement does not exist or was closed".to_string(),
+            CallError::Interrupted => {
+                "the result was interrupted; the rows received are incomplete".to_string()
+            }
+            CallError::InvalidResult => "the host's result is malformed; the op may have run".to_string(),
         }
     }
 
@@ -104,13 +108,12 @@
     }
 }
 
-/// The metadata key by which a host declares that it did not begin to run the op: `full` if it is
-/// overloaded, `miss` if it is not the primary or its copy is too old. Without it the op may have run,
-/// whatever the status is.
+/// The metadata key by which a host declares that it did not start the op: `full` if it is overloaded, `miss`
+/// if it is not the primary or its copy is too old. Without this key the op may have run.
 pub const NEVER_RAN_KEY: &str = "arrowyard-never";
 
-/// The outcome of a completely written send, from the host's status code and its `NEVER_RAN_KEY` value. A
-/// status code alone proves nothing: servers also send `UNAVAILABLE` for ops that they began to run.
+/// The outcome of a completely written send, from the host's status code and its `NEVER_RAN_KEY` value. The
+/// status code is not sufficient: servers also send `UNAVAILABLE` for ops that they started.
 pub fn send_outcome(code: i32, never_ran: Option<&str>) -> Outcome {
     match (code, never_ran) {
         (0, _) => Outcome::Acked,
--- a/crates/arrowyard-flight/src/ticket.rs
+++ b/crates/arrowyard-flight/src/ticket.rs
@@ -1,5 +1,5 @@
-//! Tickets: each holds the planned statement under a message authentication code, so that the router stores
-//! nothing for plans that are never redeemed. It stores redeemed tickets until they expire.
+//! Tickets: each contains the planned statement with a message authentication code, so that the router stores
+//! only redeemed tickets, until they expire.
 
 use std::collections::BTreeSet;
 use std::hash::Hasher;
@@ -54,6 +54,7 @@
 }
 
 impl Tickets {
+    /// Issues tickets that expire after `lifetime`, and stores up to `max_redeemed` redeemed ones.
     pub fn new(key: MacKey, lifetime: TimeDelta, max_redeemed: usize, max_statement_bytes: usize) -> Self {
         Tickets {
             key,
@@ -65,7 +66,7 @@
         }
     }
 
-    /// Issues a ticket for the statement.
+    /// Issues a ticket for the statement and returns it with its expiry.
     ///
     /// # Errors
     /// The statement is too long.
@@ -95,15 +96,15 @@
         now: Timestamp,
         ticket: &'a [u8],
     ) -> Result<(&'a str, RedeemedTicket), CallError> {
-        let invalid = CallError::InvalidTicket("not a ticket of this router, or spoilt on its way");
+        let invalid = CallError::InvalidTicket("the ticket was not issued by this router or was changed");
         if ticket.len() < HEADER_BYTES + MAC_BYTES
             || ticket.len() > HEADER_BYTES + self.max_statement_bytes + MAC_BYTES
         {
             return Err(invalid);
         }
         let (signed, mac) = ticket.split_at(ticket.len() - MAC_BYTES);
-        // A forged ticket would run a statement that skipped the checks of planning. The code covers the
-        // format version and uses it as its purpose, so that no other signed data is accepted as a ticket.
+        // A forged ticket would run a statement that was not checked at planning. The format version is the
+        // purpose of the code, so that a signed handle is not accepted as a ticket.
         if !constant_time_eq(&self.key.mac(FORMAT, signed), mac) {
             return Err(invalid);
         }
@@ -112,16 +113,15 @@
         let expires = Timestamp::from_micros(read_u64(1) as i64);
         let Ok(text) = std::str::from_utf8(&signed[HEADER_BYTES..]) else { return Err(invalid) };
         if now >= expires {
-            return Err(CallError::SpentTicket("the ticket has expired; plan again"));
+            return Err(CallError::SpentTicket("the ticket has expired; call GetFlightInfo again"));
         }
-        // Expired tickets are rejected by the check above.
+        // Expired tickets need no entry, since the check above rejects them.
         self.redeemed = self.redeemed.split_off(&RedeemedTicket { expires: now, number: 0 });
         let redeemed = RedeemedTicket { expires, number: read_u64(9) };
         if self.redeemed.contains(&redeemed) {
-            return Err(CallError::SpentTicket("the ticket was redeemed before; plan again"));
+            return Err(CallError::SpentTicket("the ticket was already redeemed; call GetFlightInfo again"));
         }
-        // Evicting an entry before its ticket expires would let that ticket run again, so that at the limit
-        // no further ticket is redeemed.
+        // At the limit no further ticket is redeemed: without its entry, a ticket could be redeemed twice.
         if self.redeemed.len() >= self.max_redeemed {
             return Err(CallError::TooMany("tickets"));
         }
@@ -134,7 +134,7 @@
         self.redeemed.remove(&ticket);
     }
 
-    /// The number of redeemed tickets that are remembered.
+    /// The number of stored redeemed tickets.
     pub fn redeemed_count(&self) -> usize {
         self.redeemed.len()
     }
--- a/crates/arrowyard-flight/tests/bounded_state.rs
+++ b/crates/arrowyard-flight/tests/bounded_state.rs
@@ -1,4 +1,4 @@
-//! Tickets, prepared statements, result buffers and client connections, checked against models or by example.
+//! Tickets, prepared statements, result buffers and client connections, tested by example and against models.
 
 use std::collections::HashSet;
 
@@ -22,42 +22,42 @@
 }
 
 #[test]
-fn a_ticket_is_valid_once_until_it_expires_and_at_its_router() {
-    let mut router = tickets(8);
-    let (ticket, expires) = router.issue(ms(0), "SELECT 1").expect("within the length limit");
+fn a_ticket_is_valid_once_until_it_expires_and_only_at_its_router() {
+    let mut issuer = tickets(8);
+    let (ticket, expires) = issuer.issue(ms(0), "SELECT 1").expect("within the length limit");
     assert_eq!(expires, ms(1000));
-    let mut other_router = Tickets::new(MacKey(7, 12), TimeDelta::from_millis(1000), 8, 200);
-    assert!(matches!(other_router.redeem(ms(1), &ticket), Err(CallError::InvalidTicket(_))));
-    let (text, redeemed) = router.redeem(ms(400), &ticket).expect("a valid ticket");
+    let mut other_issuer = Tickets::new(MacKey(7, 12), TimeDelta::from_millis(1000), 8, 200);
+    assert!(matches!(other_issuer.redeem(ms(1), &ticket), Err(CallError::InvalidTicket(_))));
+    let (text, redeemed) = issuer.redeem(ms(400), &ticket).expect("a valid ticket");
     assert_eq!(text, "SELECT 1");
-    assert!(matches!(router.redeem(ms(401), &ticket), Err(CallError::SpentTicket(_))));
+    assert!(matches!(issuer.redeem(ms(401), &ticket), Err(CallError::SpentTicket(_))));
     // Its op did not run.
-    router.restore(redeemed);
-    assert!(router.redeem(ms(402), &ticket).is_ok());
-    let (expired_ticket, _) = router.issue(ms(0), "SELECT 2").expect("within the length limit");
-    let expired_error = CallError::SpentTicket("the ticket has expired; plan again");
+    issuer.restore(redeemed);
+    assert!(issuer.redeem(ms(402), &ticket).is_ok());
+    let (expired_ticket, _) = issuer.issue(ms(0), "SELECT 2").expect("within the length limit");
+    let expired_error = CallError::SpentTicket("the ticket has expired; call GetFlightInfo again");
     assert_eq!(
-        router.redeem(ms(1000), &expired_ticket).map(drop),
+        issuer.redeem(ms(1000), &expired_ticket).map(drop),
         Err(expired_error),
         "expired and never redeemed"
     );
-    let (last, _) = router.issue(ms(0), "SELECT 3").expect("within the length limit");
-    assert!(router.redeem(ms(999), &last).is_ok(), "not expired yet");
-    let (next, _) = router.issue(ms(2000), "SELECT 1").expect("within the length limit");
-    assert!(router.redeem(ms(2001), &next).is_ok());
-    assert_eq!(router.redeemed_count(), 1, "expired tickets are not stored");
-    assert_eq!(router.issue(ms(0), &"x".repeat(201)).map(drop), Err(CallError::TooLarge("the statement")));
+    let (last, _) = issuer.issue(ms(0), "SELECT 3").expect("within the length limit");
+    assert!(issuer.redeem(ms(999), &last).is_ok(), "not expired yet");
+    let (next, _) = issuer.issue(ms(2000), "SELECT 1").expect("within the length limit");
+    assert!(issuer.redeem(ms(2001), &next).is_ok());
+    assert_eq!(issuer.redeemed_count(), 1, "expired tickets are not stored");
+    assert_eq!(issuer.issue(ms(0), &"x".repeat(201)).map(drop), Err(CallError::TooLarge("the statement")));
 }
 
 #[test]
-fn at_the_limit_of_redeemed_tickets_none_is_redeemed_and_none_forgotten() {
-    let mut router = tickets(2);
+fn at_the_limit_of_redeemed_tickets_no_other_is_redeemed_and_all_stay_redeemed() {
+    let mut issuer = tickets(2);
     let issued: Vec<_> =
-        (0..3).map(|n| router.issue(ms(n), "q").expect("within the length limit").0).collect();
-    assert!(router.redeem(ms(5), &issued[0]).is_ok() && router.redeem(ms(5), &issued[1]).is_ok());
-    assert_eq!(router.redeem(ms(5), &issued[2]).map(drop), Err(CallError::TooMany("tickets")));
-    assert!(matches!(router.redeem(ms(6), &issued[0]), Err(CallError::SpentTicket(_))));
-    assert!(router.redeem(ms(1001), &issued[2]).is_ok(), "the first two have expired");
+        (0..3).map(|millis| issuer.issue(ms(millis), "q").expect("within the length limit").0).collect();
+    assert!(issuer.redeem(ms(5), &issued[0]).is_ok() && issuer.redeem(ms(5), &issued[1]).is_ok());
+    assert_eq!(issuer.redeem(ms(5), &issued[2]).map(drop), Err(CallError::TooMany("tickets")));
+    assert!(matches!(issuer.redeem(ms(6), &issued[0]), Err(CallError::SpentTicket(_))));
+    assert!(issuer.redeem(ms(1001), &issued[2]).is_ok(), "the first two have expired");
 }
 
 /// A fixed seed, so that every run tests the same cases.
@@ -72,14 +72,14 @@
     /// A changed bit or a truncation invalidates a ticket or a handle.
     #[test]
     fn changed_tickets_and_handles_are_rejected(position in 0_usize..80, bit in 0_u8..8, missing in 0_usize..40, text in "[a-z ]{1,40}") {
-        let mut router = tickets(8);
-        let (ticket, _) = router.issue(ms(0), &text).expect("within the length limit");
+        let mut issuer = tickets(8);
+        let (ticket, _) = issuer.issue(ms(0), &text).expect("within the length limit");
         let mut changed = ticket.to_vec();
         let offset = position % changed.len();
         changed[offset] ^= 1 << bit;
-        prop_assert!(matches!(router.redeem(ms(1), &changed), Err(CallError::InvalidTicket(_))));
+        prop_assert!(matches!(issuer.redeem(ms(1), &changed), Err(CallError::InvalidTicket(_))));
         let length = ticket.len().saturating_sub(missing + 1);
-        prop_assert!(matches!(router.redeem(ms(1), &ticket[..length]), Err(CallError::InvalidTicket(_))));
+        prop_assert!(matches!(issuer.redeem(ms(1), &ticket[..length]), Err(CallError::InvalidTicket(_))));
         let mut statements = PreparedStatements::new(KEY, 4, TimeDelta::from_millis(100), 200);
         let (handle, _) = statements.prepare(ms(0), &text).expect("within the length limit");
         let mut changed = handle.to_vec();
@@ -96,7 +96,8 @@
         prop_assert!(statements.bound_statement(ms(1), &bytes).is_err() && statements.close(&bytes).is_err());
     }
 
-    /// The model is a list of the statements with the time of their last use.
+    /// The model is a list of handles, each with the time of its last use (`None` once it is invalid) and its
+    /// text.
     #[test]
     fn prepared_statements_are_stored_up_to_the_limit_and_until_the_idle_timeout(
         steps in prop::collection::vec((0_u8..4, 0_usize..6, 1_i64..40), 1..60),
@@ -118,8 +119,8 @@
                     }
                 }
                 (1 | 2, Some((handle, last_used, text))) => {
-                    let text_of_handle = statements.bound_statement(ms(now), &handle);
-                    prop_assert_eq!(&text_of_handle, &if is_live(&last_used) { Ok(text) } else { Err(CallError::UnknownHandle) });
+                    let bound_text = statements.bound_statement(ms(now), &handle);
+                    prop_assert_eq!(&bound_text, &if is_live(&last_used) { Ok(text) } else { Err(CallError::UnknownHandle) });
                     model[index].1 = if is_live(&last_used) { Some(now) } else { None };
                 }
                 (3, Some((handle, ..))) => {
@@ -140,7 +141,7 @@
         prop_assert!(literal.is_some_and(|literal| literal.replace("''", "").find('\'').is_none()));
     }
 
-    /// The model is a list of the buffered bytes, summed up after each step.
+    /// The model is a list of the results, each with its buffered bytes and whether it is streamed.
     #[test]
     fn buffered_bytes_are_bounded_and_released(
         steps in prop::collection::vec((0_usize..4, 0_usize..60, any::<bool>()), 0..60),
@@ -199,8 +200,8 @@
 #[test]
 fn bound_parameters_belong_to_their_handle() {
     let mut statements = PreparedStatements::new(KEY, 4, TimeDelta::from_millis(100), 200);
-    let (handle, parameters) = statements.prepare(ms(0), "SELECT $1").expect("within the length limit");
-    assert_eq!(parameters, 1);
+    let (handle, parameter_count) = statements.prepare(ms(0), "SELECT $1").expect("within the length limit");
+    assert_eq!(parameter_count, 1);
     let with_int = statements.bind(ms(1), &handle, &[Literal::Int(1)]).expect("as many values as parameters");
     let with_text = statements
         .bind(ms(1), &handle, &[Literal::Text("two".into())])
@@ -254,16 +255,16 @@
     }
     assert_eq!(connections.begin_call(ms(1), well_behaved), CallAdmission::TooManyOpen);
     let closes: Vec<bool> = (0..5)
-        .map(|n| {
-            assert_eq!(connections.begin_call(ms(2 + n), abusive), CallAdmission::Admitted);
-            connections.end_call(ms(2 + n), abusive, true)
+        .map(|index| {
+            assert_eq!(connections.begin_call(ms(2 + index), abusive), CallAdmission::Admitted);
+            connections.end_call(ms(2 + index), abusive, true)
         })
         .collect();
     assert_eq!(closes, [false, false, false, false, true]);
     assert_eq!(connections.begin_call(ms(8), abusive), CallAdmission::CloseConnection);
     assert!(!connections.end_call(ms(9), well_behaved, false));
     assert_eq!(connections.begin_call(ms(9), well_behaved), CallAdmission::Admitted);
-    // Later the cancelled calls are outside of the window.
+    // The cancelled calls are outside of the window by then.
     assert_eq!(connections.begin_call(ms(2500), abusive), CallAdmission::Admitted);
     // At the limit the longest idle connection is closed, but never one with an open call.
     connections.end_call(ms(2501), abusive, false);
--- a/crates/arrowyard-flight/tests/call_metadata.rs
+++ b/crates/arrowyard-flight/tests/call_metadata.rs
@@ -91,9 +91,9 @@
     for value in ["a,d=1", "*/ DROP", "a b", "", "a'b"] {
         assert!(CallMetadata::default().insert("arrowyard-tenant", value).is_err(), "{value}");
     }
-    let mut repeated = metadata(&[("arrowyard-tenant", "ann")]);
-    assert!(repeated.insert("arrowyard-tenant", "ann").is_err());
-    // A comment that is not a routing comment is passed on.
+    let mut with_tenant = metadata(&[("arrowyard-tenant", "ann")]);
+    assert!(with_tenant.insert("arrowyard-tenant", "ann").is_err());
+    // A comment that is not a routing comment stays in the text.
     let statement = parse_op(
         "/* made by a tool */ SELECT 1",
         &metadata(&[("arrowyard-op-type", "look"), ("grpc-timeout", "1S")]),
--- a/crates/arrowyard-flight/tests/frames.rs
+++ b/crates/arrowyard-flight/tests/frames.rs
@@ -1,17 +1,17 @@
-//! What frames prove about a send, checked against a model that has the frames as a list.
+//! Tracking of HTTP/2 frames, tested by example and against a model that has the frames as a list.
 
 use arrowyard_flight::frames::{FrameTracker, RequestProgress};
 use proptest::prelude::*;
 
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
-fn frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
+fn frame(frame_type: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
     let length = &(payload.len() as u32).to_be_bytes()[1..];
-    [length, &[kind, flags], &stream.to_be_bytes(), payload].concat()
+    [length, &[frame_type, flags], &stream.to_be_bytes(), payload].concat()
 }
 
-fn goaway(last: u32) -> Vec<u8> {
-    frame(7, 0, 0, &[&last.to_be_bytes()[..], &[0; 4]].concat())
+fn goaway(last_stream: u32) -> Vec<u8> {
+    frame(7, 0, 0, &[&last_stream.to_be_bytes()[..], &[0; 4]].concat())
 }
 
 #[test]
@@ -47,8 +47,8 @@
         [1, 3].map(|stream| tracker.progress(stream)),
         [RequestProgress::Written, RequestProgress::Refused]
     );
-    // A first GOAWAY may name the highest stream id, and a later one the last stream; it must not be raised
-    // again.
+    // A first GOAWAY frame may have the highest possible stream id, and a later one the last stream that the
+    // host processes. A later frame with a higher id must not raise it.
     tracker.on_received(&goaway(0x7fff_ffff));
     assert!(tracker.is_going_away());
     assert_eq!(
@@ -62,11 +62,7 @@
         [RequestProgress::Written, RequestProgress::Refused]
     );
     tracker.track(9);
-    assert_eq!(
-        tracker.progress(9),
-        RequestProgress::Refused,
-        "opened after GOAWAY, and no further frame says so"
-    );
+    assert_eq!(tracker.progress(9), RequestProgress::Refused, "opened after GOAWAY");
 }
 
 #[derive(Clone, Debug)]
@@ -79,11 +75,11 @@
 }
 
 fn steps() -> impl Strategy<Value = Vec<Step>> {
-    let stream = || (0_u32..6).prop_map(|n| n * 2 + 1);
+    let stream = || (0_u32..6).prop_map(|index| index * 2 + 1);
     prop::collection::vec(
         prop_oneof![
-            (stream(), 0_usize..40).prop_map(|(s, n)| Step::Data(s, n)),
-            (stream(), 0_usize..40).prop_map(|(s, n)| Step::LastData(s, n)),
+            (stream(), 0_usize..40).prop_map(|(stream, size)| Step::Data(stream, size)),
+            (stream(), 0_usize..40).prop_map(|(stream, size)| Step::LastData(stream, size)),
             stream().prop_map(Step::RefusedStream),
             stream().prop_map(Step::OtherReset),
             (0_u32..14).prop_map(Step::GoAway),
@@ -117,7 +113,7 @@
             }
         };
         feed(&mut tracker, PREFACE, true, &mut chunk_sizes);
-        (0..6).for_each(|n| tracker.track(n * 2 + 1));
+        (0..6).for_each(|index| tracker.track(index * 2 + 1));
         let (mut finished, mut refused, mut last_stream) = (Vec::new(), Vec::new(), u32::MAX);
         for step in &steps {
             match *step {
@@ -137,7 +133,7 @@
                 }
             }
         }
-        for stream in (0..6).map(|n| n * 2 + 1) {
+        for stream in (0..6).map(|index| index * 2 + 1) {
             let expected = if refused.contains(&stream) || stream > last_stream {
                 RequestProgress::Refused
             } else if finished.contains(&stream) {
--- a/crates/arrowyard-flight/tests/ipc_validation.rs
+++ b/crates/arrowyard-flight/tests/ipc_validation.rs
@@ -60,6 +60,7 @@
     block_on(encoder.try_collect()).expect("batches of one schema")
 }
 
+/// Validates messages in their order.
 fn check_all(messages: &[FlightData], limits: IpcLimits) -> Result<Vec<MessageKind>, InvalidMessage> {
     let mut validator = IpcValidator::new(limits);
     messages.iter().map(|data| validator.check(&data.data_header, &data.data_body)).collect()
@@ -110,10 +111,10 @@
     for data in &messages[..messages.len() - 1] {
         assert!(validator.check(&data.data_header, &data.data_body).is_ok());
     }
-    let short = &last.data_body[..last.data_body.len() - 8];
+    let truncated_body = &last.data_body[..last.data_body.len() - 8];
     assert_eq!(
-        validator.check(&last.data_header, short),
-        Err(InvalidMessage("a body of another length than its head says"))
+        validator.check(&last.data_header, truncated_body),
+        Err(InvalidMessage("a body whose length differs from its header"))
     );
     // Offsets beyond the values of a text column.
     let texts =
@@ -122,8 +123,8 @@
     let mut messages = encoded(vec![texts]);
     let batch = messages.last_mut().expect("a batch");
     let mut body = batch.data_body.to_vec();
-    let end = body.windows(4).position(|bytes| bytes == 5_i32.to_le_bytes()).expect("the last offset");
-    body[end..end + 4].copy_from_slice(&500_i32.to_le_bytes());
+    let offset = body.windows(4).position(|bytes| bytes == 5_i32.to_le_bytes()).expect("the last offset");
+    body[offset..offset + 4].copy_from_slice(&500_i32.to_le_bytes());
     batch.data_body = body.into();
     assert_eq!(check_all(&messages, LIMITS), Err(InvalidMessage("offsets beyond their buffer")));
 }
@@ -143,7 +144,7 @@
     assert!(messages[1].data_body.len() < 1 << 14, "compressed to {} bytes", messages[1].data_body.len());
     assert_eq!(
         check_all(&messages, LIMITS),
-        Err(InvalidMessage("buffers that unpack into more than is passed on"))
+        Err(InvalidMessage("buffers whose decompressed size exceeds the limit"))
     );
     assert!(check_all(&messages, IpcLimits { max_decompressed_bytes: 1 << 24, ..LIMITS }).is_ok());
     let mut data_type = DataType::Int32;
@@ -155,7 +156,10 @@
         &IpcWriteOptions::default(),
     )
     .into();
-    assert_eq!(check_all(&[nested], LIMITS), Err(InvalidMessage("a schema larger than any table's")));
+    assert_eq!(
+        check_all(&[nested], LIMITS),
+        Err(InvalidMessage("a schema with too many or too deeply nested fields"))
+    );
 }
 
 /// A fixed seed, so that every run tests the same cases.
@@ -169,11 +173,11 @@
 
     /// A changed byte must not cause a panic.
     #[test]
-    fn one_changed_byte_does_not_panic(rows in 0_i32..20, index in 0_usize..4, position in any::<prop::sample::Index>(), value in any::<u8>(), body in any::<bool>()) {
+    fn one_changed_byte_does_not_panic(rows in 0_i32..20, index in 0_usize..4, position in any::<prop::sample::Index>(), value in any::<u8>(), in_body in any::<bool>()) {
         let mut messages = encoded(vec![batch(rows)]);
         let index = index % messages.len();
         let data = &mut messages[index];
-        let bytes = if body { &mut data.data_body } else { &mut data.data_header };
+        let bytes = if in_body { &mut data.data_body } else { &mut data.data_header };
         if !bytes.is_empty() {
             let mut changed = bytes.to_vec();
             let offset = position.index(changed.len());
