--- a/crates/arrowyard-flight-daemon/examples/standings.rs
+++ b/crates/arrowyard-flight-daemon/examples/standings.rs
@@ -2,8 +2,8 @@
 //!
 //!     cargo run -p arrowyard-flight-daemon --example standings -- 127.0.0.1:32010
 //!
-//! The address is that of a router, which `docs/flight.md` shows how to start. A busy reply is retried
-//! once, after the delay that it names.
+//! The argument is the address of a router; `docs/flight.md` describes how to start one. A busy reply is
+//! retried once, after its retry delay.
 
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
     let router = std::env::args().nth(1).ok_or("usage: standings ROUTER_ADDRESS")?;
     let channel = Endpoint::from_shared(format!("http://{router}"))?.connect().await?;
     let mut client = FlightSqlServiceClient::new(channel);
-    // The fields of each call's op; a comment in the statement could set them too.
+    // Sets the op's fields for all calls; a routing comment in the statement could set them too.
     for (name, value) in [("op-type", "standings"), ("group", "7"), ("timeout-ms", "600")] {
         client.set_header(format!("arrowyard-{name}"), value);
     }
--- a/crates/arrowyard-flight-daemon/src/main.rs
+++ b/crates/arrowyard-flight-daemon/src/main.rs
@@ -1,5 +1,5 @@
-//! The router with Arrow Flight SQL. Its command line is that of `arrowyard`; the operator's file sets the
-//! listen address of Flight SQL and the protocol of the hosts.
+//! The router with Arrow Flight SQL. It has the command line of `arrowyard`; the operator's file sets the
+//! Flight SQL listen address and the protocol of the hosts.
 
 use std::collections::hash_map::RandomState;
 use std::hash::{BuildHasher, Hasher};
@@ -28,7 +28,7 @@
 use tokio::sync::mpsc;
 use tokio::task::spawn_local;
 
-/// The limits that the operator's file sets; the others are derived from the router's limits.
+/// The limits that the operator's file sets, and those derived from the router's limits.
 fn flight_limits(limits: &Limits, config: &Flight) -> FlightLimits {
     let to_usize = |value: Option<u32>| value.map(|value| value as usize);
     let settings = FlightSettings {
@@ -42,33 +42,34 @@
     FlightLimits::new(limits, settings)
 }
 
-/// A random key for this process. The standard library seeds its hashers from the system's random numbers.
+/// Draws a random key. The standard library seeds `RandomState` with the operating system's random numbers.
 fn random_key() -> MacKey {
     let random_u64 = || RandomState::new().build_hasher().finish();
     MacKey(random_u64(), random_u64())
 }
 
-/// Starts the Flight SQL front end. The returned future resolves if its server fails.
+/// Starts the Flight SQL front end and returns its address, with a future that resolves if its server fails.
 async fn listen<B, L, T>(
     router: &RouterService<B>,
     listen_address: SocketAddr,
     limits: FlightLimits,
-    load: L,
-    split: T,
+    to_payload: L,
+    split_answer: T,
 ) -> Result<(SocketAddr, impl Future<Output = String> + use<B, L, T>), String>
 where
     B: HostTransport,
     L: Fn(OpPayload) -> B::Payload + 'static,
     T: Fn(B::Answer) -> (ClientResponse, Option<RetainedResources>) + 'static,
 {
-    let listener = TcpListener::bind(listen_address).await.map_err(|e| format!("{listen_address}: {e}"))?;
-    let address = listener.local_addr().map_err(|e| e.to_string())?;
+    let listener =
+        TcpListener::bind(listen_address).await.map_err(|error| format!("{listen_address}: {error}"))?;
+    let address = listener.local_addr().map_err(|error| error.to_string())?;
     let (submitter, intake) =
         submission::channel(limits.queue_capacity, router.clock, router.gate.clone(), router.mail.clone());
     drop(spawn_local(intake.run(
         |payload| client_request(&payload.statement, payload.client_address),
-        load,
-        split,
+        to_payload,
+        split_answer,
     )));
     let (state, own_requests, requests) = front_end_state::channel(limits.queue_capacity);
     let (new_connections, new_connection_receiver) = mpsc::channel(16);
@@ -92,7 +93,7 @@
     let server = spawn_local(serve_flight(front_end, limits, stage.clone(), accepted_sockets));
     let server_failed = async move {
         match server.await {
-            // The server stops when the router drains, which ends the process by itself.
+            // The server stops when the router drains, which ends the process.
             Ok(Ok(())) => std::future::pending().await,
             result => format!("the Flight SQL server failed: {result:?}"),
         }
@@ -107,7 +108,7 @@
 ) -> Result<(), String> {
     let flight = operator_config.as_ref().and_then(|config| config.flight.clone());
     let flight = flight.ok_or("arrowyard-flight needs an operator's file with a flight section")?;
-    let listen_address = flight.listen().parse().map_err(|e| format!("flight.listen: {e}"))?;
+    let listen_address = flight.listen().parse().map_err(|error| format!("flight.listen: {error}"))?;
     if flight.hosts() == Speaks::FlightSql {
         let backend =
             |limits: &Rc<Limits>| Rc::new(FlightBackend::new(limits.clone(), flight_limits(limits, &flight)));
--- a/crates/arrowyard-flight-daemon/tests/streams.rs
+++ b/crates/arrowyard-flight-daemon/tests/streams.rs
@@ -344,7 +344,7 @@
     runtime().block_on(async {
         let mut client = connect(&router).await.inner;
         let error = client.begin_transaction().await.expect_err("unsupported");
-        assert!(error.to_string().contains("no transactions are offered"), "{error}");
+        assert!(error.to_string().contains("transactions are not supported"), "{error}");
         let result = client.execute(ask(VIEW, 1, 5).statement(), Some(vec![1].into())).await;
         assert_eq!(code(&result.expect_err("no transactions")), Code::Unimplemented);
         async fn fetch_all(
--- a/crates/arrowyard-front-flight/src/backend.rs
+++ b/crates/arrowyard-front-flight/src/backend.rs
@@ -27,11 +27,11 @@
 use crate::limits::FlightLimits;
 use crate::response::{BufferReservation, FlightResponse, LargeMessageBudget, OpPayload, StreamItem};
 
-/// The metadata keys of a host's role (`primary` or `replica`) and of its copy's position in Unix
-/// milliseconds.
+/// The metadata key of a host's role, `primary` or `replica`.
 pub const ROLE_KEY: &str = "arrowyard-role";
+/// The metadata key of the position of a host's copy, as Unix time in milliseconds.
 pub const POSITION_KEY: &str = "arrowyard-position";
-/// The metadata key of the id of the answered op, as in the statement's comment.
+/// The metadata key of the op id in a response, written as in the routing comment of the statement.
 pub const OP_ID_KEY: &str = "arrowyard-id";
 /// The action that returns a host's load report, such as
 /// `position=1700000000000,primary=1,util=0.61,queue=2`.
@@ -42,7 +42,7 @@
     connections: RefCell<BTreeMap<HostId, Vec<Rc<HostConnection>>>>,
     pending_connects: RefCell<BTreeMap<HostId, Rc<PendingConnect>>>,
     large_messages: Arc<LargeMessageBudget>,
-    /// When a host last completed a call.
+    /// When each host last completed a call.
     last_completed: RefCell<BTreeMap<HostId, Instant>>,
     open_connections: Rc<Cell<usize>>,
     connections_started: Cell<u64>,
@@ -89,6 +89,7 @@
 }
 
 impl FlightBackend {
+    /// Creates a backend without connections.
     pub fn new(limits: Rc<Limits>, flight_limits: FlightLimits) -> Self {
         let (connections, pending_connects, last_completed, open_connections, connections_started) =
             Default::default();
@@ -111,8 +112,7 @@
     }
 
     /// Returns a connection with a free stream, or connects. Only one connection attempt per host runs at a
-    /// time, so that a burst of sends does not open a connection per send; its failure fails all sends that
-    /// waited for it.
+    /// time; if it fails, all sends that wait for it fail.
     async fn acquire(
         &self,
         host: HostId,
@@ -135,23 +135,24 @@
         let guard = ConnectGuard { backend: self, host, pending: Rc::default() };
         self.pending_connects.borrow_mut().insert(host, guard.pending.clone());
         self.connections_started.set(self.connections_started.get() + 1);
-        let connected = HostConnection::connect(
+        let connection = HostConnection::connect(
             address,
             UsageGuard::one(&self.open_connections),
             self.flight_limits.window_bytes,
             &self.limits,
         )
         .await;
-        guard.pending.failed.set(connected.is_err());
-        let connection = Rc::new(connected?);
+        guard.pending.failed.set(connection.is_err());
+        let connection = Rc::new(connection?);
         self.connections.borrow_mut().entry(host).or_default().push(connection.clone());
         Ok(connection)
     }
 
+    /// The connection to this address with the most open streams that has a free one.
     fn find_available(&self, host: HostId, address: SocketAddr) -> Option<Rc<HostConnection>> {
         let mut connections = self.connections.borrow_mut();
         let connections = connections.get_mut(&host)?;
-        // Open calls still hold a connection that is removed here.
+        // Open calls keep a reference to a connection that is removed here.
         connections.retain(|connection| connection.is_open() && connection.address() == address);
         let available = connections
             .iter()
@@ -159,6 +160,7 @@
         available.max_by_key(|connection| connection.open_streams()).cloned()
     }
 
+    /// Closes the longest idle connection to any host and returns whether there was one.
     fn close_longest_idle(&self) -> bool {
         let mut connections = self.connections.borrow_mut();
         let with_host = connections
@@ -218,7 +220,7 @@
         mut status: HostStatus,
         body: &mut ResponseBody,
     ) -> Result<(Bytes, HostStatus), CallFailure> {
-        let mut single = None;
+        let mut single_message = None;
         loop {
             match body
                 .next(
@@ -228,7 +230,7 @@
                 )
                 .await?
             {
-                BodyItem::Message(message, _) if single.is_none() => single = Some(message),
+                BodyItem::Message(message, _) if single_message.is_none() => single_message = Some(message),
                 BodyItem::Message(..) => return Err(CallFailure::InvalidResponse("more than one message")),
                 BodyItem::End(trailers) => {
                     update_host_status(&mut status, &trailers);
@@ -236,12 +238,13 @@
                     if !trailers.contains_key("grpc-status") {
                         return Err(CallFailure::Connection("a response without grpc-status".to_string()));
                     }
-                    return Ok((single.ok_or(CallFailure::InvalidResponse("no message"))?, status));
+                    return Ok((single_message.ok_or(CallFailure::InvalidResponse("no message"))?, status));
                 }
             }
         }
     }
 
+    /// Executes the update and returns the number of changed rows.
     async fn execute_update(
         &self,
         connection: &Rc<HostConnection>,
@@ -267,7 +270,8 @@
         ))
     }
 
-    /// Has the host plan the query, and reads the result.
+    /// Lets the host plan the query, then reads its result with the ticket. Returns no response if the result
+    /// was streamed.
     async fn execute_query(
         &self,
         connection: &Rc<HostConnection>,
@@ -278,7 +282,7 @@
         let command =
             CommandStatementQuery { query: statement.text_with_timeout(timeout_ms), transaction_id: None };
         let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
-        // A host may run a statement when it plans it, so that the op may have run from here on.
+        // A host may run a statement already when it plans it.
         let on_queued = || progress.mark_written();
         let (_call, headers, mut body) =
             self.call(connection, "GetFlightInfo", &descriptor, timeout_ms, on_queued).await?;
@@ -305,8 +309,8 @@
         self.read_result(status, &mut body, progress).await.map(|response| (response, status))
     }
 
-    /// Reads the messages of a result: buffers them up to the limit, then streams them. `status` is the
-    /// host status from the headers.
+    /// Reads the messages of a result: buffers them up to the limit, then streams them. `status` is the host
+    /// status from the response headers. Returns no response if the result was streamed.
     async fn read_result(
         &self,
         status: HostStatus,
@@ -318,18 +322,18 @@
         } = self.flight_limits;
         let mut validator = IpcValidator::new(IpcLimits { max_fields, max_decompressed_bytes });
         let (mut buffered, mut reservation) = (Vec::new(), BufferReservation::new(self.buffers.clone()));
-        let mut client: Option<mpsc::Sender<StreamItem>> = None;
+        let mut stream_sender: Option<mpsc::Sender<StreamItem>> = None;
         let large_messages = (self.limits.max_client_message_bytes, &self.large_messages);
-        // Otherwise a wait for this router's memory would count as a slow host.
+        // A wait for the router's memory must not count as a slow host.
         let set_waiting = |is_waiting| progress.set_client_blocked(is_waiting);
         loop {
-            let item = match &client {
+            let item = match &stream_sender {
                 None => body.next(max_host_message_bytes, large_messages, set_waiting).await?,
-                Some(client) => tokio::select! {
+                Some(stream_sender) => tokio::select! {
                     biased;
                     item = body.next(max_host_message_bytes, large_messages, set_waiting) => item?,
                     // Otherwise the host would go on sending after the client disconnected.
-                    () = client.closed() => return Err(CallFailure::ClientDisconnected),
+                    () = stream_sender.closed() => return Err(CallFailure::ClientDisconnected),
                 },
             };
             match item {
@@ -344,9 +348,9 @@
                     validator
                         .check(&data.data_header, &data.data_body)
                         .map_err(|invalid| CallFailure::InvalidResponse(invalid.0))?;
-                    if let Some(client) = &client {
+                    if let Some(stream_sender) = &stream_sender {
                         progress.set_client_blocked(true);
-                        client
+                        stream_sender
                             .send(StreamItem::Message((data, permit)))
                             .await
                             .map_err(|_| CallFailure::ClientDisconnected)?;
@@ -366,8 +370,8 @@
                             rest: Some(rest),
                             reservation,
                         });
-                        client = Some(sender);
-                        // The core passes the response on before the next message is read.
+                        stream_sender = Some(sender);
+                        // Lets the core pass the response on before the next message is read.
                         tokio::task::yield_now().await;
                     }
                 }
@@ -379,11 +383,11 @@
                     if !validator.has_schema() {
                         return Err(CallFailure::InvalidResponse("a result without a schema"));
                     }
-                    let Some(client) = client else {
+                    let Some(stream_sender) = stream_sender else {
                         return Ok(Some(FlightResponse::Stream { buffered, rest: None, reservation }));
                     };
                     progress.set_client_blocked(true);
-                    client.send(StreamItem::End).await.map_err(|_| CallFailure::ClientDisconnected)?;
+                    stream_sender.send(StreamItem::End).await.map_err(|_| CallFailure::ClientDisconnected)?;
                     progress.set_client_blocked(false);
                     return Ok(None);
                 }
@@ -391,6 +395,7 @@
         }
     }
 
+    /// Requests the host's load report and returns it as a status.
     async fn request_load_report(
         &self,
         host: HostId,
@@ -408,7 +413,7 @@
         let result = arrow_flight::Result::decode(message)
             .map_err(|_| CallFailure::InvalidResponse("a load report that cannot be decoded"))?;
         let text = String::from_utf8(result.body.to_vec()).ok();
-        // An unreadable report must not count as a sign of a healthy host.
+        // A malformed report must not count as a successful probe.
         let report = text
             .as_deref()
             .and_then(parse_load_report)
@@ -427,8 +432,8 @@
     }
 }
 
-/// Checks the op id in the response headers, if the host sent one: a host or proxy that mixes up its
-/// streams would otherwise answer one client with another client's values.
+/// Checks the op id in the response headers, if the host sent one. Otherwise a host or proxy that mixes up
+/// streams could return the result of another client's op.
 fn check_op_id(headers: &HeaderMap, statement: &Statement) -> Result<(), CallFailure> {
     let op_id = headers.get(OP_ID_KEY).and_then(|id| id.to_str().ok());
     let matches = op_id.is_none_or(|op_id| Statement::parse_id(op_id) == statement.id);
@@ -442,14 +447,15 @@
     status
 }
 
+/// Updates the status with the role and the position in response metadata.
 fn update_host_status(status: &mut HostStatus, metadata: &HeaderMap) {
-    let text = |key| metadata.get(key).and_then(|value| value.to_str().ok());
-    status.role = match text(ROLE_KEY) {
+    let header_text = |key| metadata.get(key).and_then(|value| value.to_str().ok());
+    status.role = match header_text(ROLE_KEY) {
         Some("primary") => Some(Role::Primary),
         Some("replica") => Some(Role::Replica),
         _ => status.role,
     };
-    let position = text(POSITION_KEY).and_then(|millis| millis.parse::<i64>().ok());
+    let position = header_text(POSITION_KEY).and_then(|millis| millis.parse::<i64>().ok());
     status.position =
         position.map(|millis| Timestamp::from_micros(millis.saturating_mul(1000))).or(status.position);
 }
@@ -537,8 +543,8 @@
         }
     }
 
-    /// Drops the host's connections if it completed nothing since the send: the connections of a machine
-    /// that failed stay open, and each further send over them would time out.
+    /// Drops the host's connections if it completed no call since the send started: connections to an
+    /// unreachable machine stay open, and each further send over them would time out.
     fn send_timed_out(&self, host: HostId, since: Instant) {
         if self.last_completed.borrow().get(&host).is_none_or(|completed| *completed < since) {
             self.connections.borrow_mut().remove(&host);
--- a/crates/arrowyard-front-flight/src/front_end_state.rs
+++ b/crates/arrowyard-front-flight/src/front_end_state.rs
@@ -21,30 +21,43 @@
 
 /// A request to the state task.
 pub enum StateRequest {
+    /// The connection has ended.
     ConnectionClosed(ConnectionId),
+    /// Counts a call of the connection as open, if it is admitted.
     BeginCall(ConnectionId, StateClient, ReplySender<Result<OpenCall, CallAdmission>>),
+    /// Counts the call as ended; `cancelled` if it was not answered.
     EndCall { connection: ConnectionId, cancelled: bool },
+    /// Issues a ticket for a statement.
     IssueTicket(String, ReplySender<Result<(Bytes, Timestamp), CallError>>),
+    /// Redeems a ticket and returns its statement.
     RedeemTicket(Bytes, ReplySender<Result<(String, RedeemedTicket), CallError>>),
+    /// Makes a redeemed ticket valid again.
     RestoreTicket(RedeemedTicket),
+    /// Prepares a statement and returns its handle and the number of its parameters.
     Prepare(String, ReplySender<Result<(Bytes, usize), CallError>>),
+    /// Binds parameters to the statement of a handle and returns a new handle.
     Bind(Bytes, Vec<Literal>, ReplySender<Result<Bytes, CallError>>),
+    /// Returns the statement of a handle with its parameters substituted.
     BoundStatement(Bytes, ReplySender<Result<String, CallError>>),
+    /// Closes the statement of a handle.
     ClosePrepared(Bytes, ReplySender<Result<(), CallError>>),
 }
 
-/// A new connection; dropping the sender of `closed` reports its end.
+/// A new connection to register.
 pub struct NewConnection {
+    /// Counts the connection as open.
     pub usage: UsageGuard,
-    pub closed: oneshot::Receiver<()>,
-    /// Sent to when the connection has to be closed.
-    pub close: oneshot::Sender<()>,
-    pub id: oneshot::Sender<Option<ConnectionId>>,
+    /// Resolves when the connection has ended.
+    pub closed_receiver: oneshot::Receiver<()>,
+    /// Requests to close the connection.
+    pub close_sender: oneshot::Sender<()>,
+    /// Returns the id, or `None` if the limit on connections is reached.
+    pub id_sender: oneshot::Sender<Option<ConnectionId>>,
 }
 
-struct Connection {
-    /// Sent to when the connection has to be closed.
-    close: oneshot::Sender<()>,
+struct RegisteredConnection {
+    /// Requests to close the connection.
+    close_sender: oneshot::Sender<()>,
     _usage: UsageGuard,
 }
 
@@ -53,8 +66,10 @@
     clock: Clock,
     tickets: Tickets,
     prepared_statements: PreparedStatements,
+    /// The open calls and limits of the connections.
     client_connections: ClientConnections,
-    connections: HashMap<ConnectionId, Connection>,
+    /// The close channels and usage guards of the same connections.
+    registered_connections: HashMap<ConnectionId, RegisteredConnection>,
     limits: FlightLimits,
 }
 
@@ -63,6 +78,7 @@
 }
 
 impl FrontEndState {
+    /// Creates the state without connections, tickets and statements.
     pub fn new(clock: Clock, key: MacKey, limits: FlightLimits) -> Self {
         let tickets = Tickets::new(
             key,
@@ -89,7 +105,7 @@
             tickets,
             prepared_statements,
             client_connections,
-            connections: HashMap::new(),
+            registered_connections: HashMap::new(),
             limits,
         }
     }
@@ -121,38 +137,38 @@
         }
     }
 
-    /// Tells the connection to close and frees its place at once.
+    /// Requests to close the connection, and frees its place at once.
     fn close(&mut self, id: ConnectionId) {
         self.client_connections.remove(id);
-        if let Some(Connection { close, .. }) = self.connections.remove(&id) {
+        if let Some(RegisteredConnection { close_sender, .. }) = self.registered_connections.remove(&id) {
             // The connection may have ended already.
-            let _ = close.send(());
+            let _ = close_sender.send(());
         }
     }
 
     fn register(
         &mut self,
-        NewConnection { usage, closed, close, id }: NewConnection,
+        NewConnection { usage, closed_receiver, close_sender, id_sender }: NewConnection,
         own_requests: &mpsc::WeakSender<StateRequest>,
     ) {
-        let mut registered = self.client_connections.register(self.clock.now());
-        if registered.is_none() {
-            // Otherwise idle connections could occupy all places.
+        let mut assigned_id = self.client_connections.register(self.clock.now());
+        if assigned_id.is_none() {
+            // Otherwise idle connections could keep new ones out.
             self.close_idle();
-            registered = self.client_connections.register(self.clock.now());
+            assigned_id = self.client_connections.register(self.clock.now());
         }
-        if let Some(registered) = registered {
-            self.connections.insert(registered, Connection { close, _usage: usage });
+        if let Some(id) = assigned_id {
+            self.registered_connections.insert(id, RegisteredConnection { close_sender, _usage: usage });
             let own_requests = own_requests.clone();
             drop(tokio::task::spawn_local(async move {
-                let _ = closed.await;
+                let _ = closed_receiver.await;
                 if let Some(own_requests) = own_requests.upgrade() {
-                    let _ = own_requests.send(StateRequest::ConnectionClosed(registered)).await;
+                    let _ = own_requests.send(StateRequest::ConnectionClosed(id)).await;
                 }
             }));
         }
-        // The listener may have ended with the router.
-        let _ = id.send(registered);
+        // The acceptor may have ended already.
+        let _ = id_sender.send(assigned_id);
     }
 
     fn handle_request(&mut self, request: StateRequest) {
@@ -161,7 +177,7 @@
         match request {
             StateRequest::ConnectionClosed(connection) => {
                 self.client_connections.remove(connection);
-                self.connections.remove(&connection);
+                self.registered_connections.remove(&connection);
             }
             StateRequest::BeginCall(connection, state, reply) => {
                 let admission = self.client_connections.begin_call(now, connection);
@@ -213,7 +229,7 @@
 #[derive(Clone)]
 pub struct StateClient(mpsc::Sender<StateRequest>);
 
-/// Creates the channel to the state task.
+/// Creates the channel to the state task. The weak sender is for the task's own requests.
 pub fn channel(
     capacity: usize,
 ) -> (StateClient, mpsc::WeakSender<StateRequest>, mpsc::Receiver<StateRequest>) {
@@ -249,7 +265,7 @@
     /// Sends a request that must not be lost and has no reply.
     pub fn notify(&self, request: StateRequest) {
         if let Err(mpsc::error::TrySendError::Full(request)) = self.0.try_send(request) {
-            // If the end of a call were dropped, the call would count as open for ever.
+            // Without its end, a call would count as open until its connection closes.
             let requests = self.0.clone();
             drop(tokio::spawn(async move { requests.send(request).await }));
         }
--- a/crates/arrowyard-front-flight/src/host_connection.rs
+++ b/crates/arrowyard-front-flight/src/host_connection.rs
@@ -1,5 +1,4 @@
-//! An HTTP/2 connection to a host that speaks Flight SQL, with a stream per call and the frame tracker that
-//! observes it.
+//! An HTTP/2 connection to a host that speaks Flight SQL, with one stream per call and a frame tracker.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -24,8 +23,8 @@
 
 use crate::response::{LargeMessageBudget, LargeMessagePermit};
 
-/// The maximum size of a host's frame: a part of the window, so that a stream need not wait until another
-/// one has used up its window.
+/// The maximum size of a host's frame. It is a fraction of the window, so that the frames of concurrent streams
+/// are interleaved.
 const MAX_FRAME_BYTES: u32 = 64 * 1024;
 
 /// The state of a connection, and the task that waits for a change of it.
@@ -50,10 +49,10 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let filled = buf.filled().len();
+        let filled_before = buf.filled().len();
         ready!(Pin::new(&mut self.stream).poll_read(cx, buf))?;
         let mut state = self.state.borrow_mut();
-        state.tracker.on_received(&buf.filled()[filled..]);
+        state.tracker.on_received(&buf.filled()[filled_before..]);
         if let Some(waker) = state.waker.take() {
             waker.wake();
         }
@@ -89,7 +88,7 @@
 
 impl Drop for HostConnection {
     fn drop(&mut self) {
-        // Open calls hold the connection, so that this interrupts none.
+        // No call is open, since each call holds a reference to the connection.
         self.task.abort();
     }
 }
@@ -105,16 +104,15 @@
 }
 
 impl HostConnection {
-    /// Connects to the host and waits for its SETTINGS frame. Without that, a call to a host that accepts
-    /// connections but does not respond would time out after it was written, and count as one that may have
-    /// run.
+    /// Connects to the host and waits for its SETTINGS frame. Otherwise a call to a host that accepts
+    /// connections but does not respond would time out as one that may have run.
     pub async fn connect(
         address: SocketAddr,
         usage: UsageGuard,
         window: u32,
         limits: &Limits,
     ) -> Result<HostConnection, ConnectionError> {
-        let opened = timeout(limits.connect_timeout, async {
+        let attempt = timeout(limits.connect_timeout, async {
             let stream = TcpStream::connect(address).await?;
             stream.set_nodelay(true)?;
             let state = SharedState::default();
@@ -152,7 +150,7 @@
             connection.wait_for_settings().await?;
             Ok(connection)
         });
-        opened.await.unwrap_or_else(|_| Err(ConnectionError("connect timeout".to_string())))
+        attempt.await.unwrap_or_else(|_| Err(ConnectionError("connect timeout".to_string())))
     }
 
     async fn wait_for_settings(&self) -> Result<(), ConnectionError> {
@@ -170,6 +168,7 @@
         .await
     }
 
+    /// The address of the host.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -179,7 +178,7 @@
         self.open_streams.get()
     }
 
-    /// Since when no call is open; `None` while one is.
+    /// When the last call ended, or the connection was opened if there was none; `None` while a call is open.
     pub fn idle_since(&self) -> Option<Instant> {
         (self.open_streams.get() == 0).then(|| self.idle_since.get())
     }
@@ -220,21 +219,20 @@
 }
 
 impl HostCall {
-    /// Writes the message with its gRPC prefix, within the host's flow-control window. Calls `on_queued`
-    /// before the last bytes are passed to the HTTP/2 connection: from then on the request may be written
-    /// completely at any time.
+    /// Writes the message with its gRPC prefix, within the host's flow-control window. Calls `on_queued` before
+    /// the last bytes are passed to the HTTP/2 connection, which may write them at any time from then on.
     pub async fn write(&mut self, message: &[u8], on_queued: impl FnOnce()) -> Result<(), ConnectionError> {
         let mut framed = BytesMut::with_capacity(5 + message.len());
         framed.put_u8(0);
         framed.put_u32(message.len() as u32);
         framed.put_slice(message);
-        let mut rest = framed.freeze();
+        let mut remaining = framed.freeze();
         loop {
-            self.request_body.reserve_capacity(rest.len());
+            self.request_body.reserve_capacity(remaining.len());
             let capacity = poll_fn(|cx| self.request_body.poll_capacity(cx)).await;
             let capacity = capacity.ok_or_else(|| ConnectionError("the stream was reset".to_string()))??;
-            let chunk = rest.split_to(capacity.min(rest.len()));
-            if rest.is_empty() {
+            let chunk = remaining.split_to(capacity.min(remaining.len()));
+            if remaining.is_empty() {
                 on_queued();
                 self.queued = true;
                 return Ok(self.request_body.send_data(chunk, true)?);
@@ -249,12 +247,12 @@
         if response.status() != http::StatusCode::OK {
             return Err(ConnectionError(format!("HTTP status {}", response.status())));
         }
-        let (head, stream) = response.into_parts();
-        Ok((head.headers, ResponseBody { stream, received: BytesMut::new(), permit: None }))
+        let (parts, stream) = response.into_parts();
+        Ok((parts.headers, ResponseBody { stream, received: BytesMut::new(), permit: None }))
     }
 
-    /// Whether a failed call provably did not run. As long as the connection is open, queued bytes may
-    /// still be written, so that an incomplete request proves nothing then.
+    /// Whether a failed call provably did not run. An incomplete request is no proof while its last bytes are
+    /// queued on an open connection, since they may still be written.
     pub fn did_not_run(&self) -> bool {
         let state = self.connection.state.borrow();
         match state.tracker.progress(self.stream_id) {
@@ -283,9 +281,8 @@
 }
 
 impl ResponseBody {
-    /// Reads the next message of up to `max_bytes`. One of more than `max_small_bytes` first acquires its
-    /// memory from `budget`, with `set_waiting` called before and after. Received bytes are returned to the
-    /// host's window.
+    /// Reads the next message of up to `max_bytes`. For a message of more than `max_small_bytes`, first waits
+    /// for its memory from `budget`, and calls `set_waiting` before and after the wait.
     pub async fn next(
         &mut self,
         max_bytes: usize,
@@ -329,8 +326,8 @@
         }
     }
 
-    /// The length of the next message, once its prefix was received. The host's value is checked against
-    /// the limit before memory is reserved for it.
+    /// The length of the next message, once its prefix was received. Checked against the limit before memory
+    /// is reserved.
     fn message_length(&self, max_bytes: usize) -> Result<Option<usize>, ConnectionError> {
         let Some(&[compressed, a, b, c, d]) = self.received.get(..5) else { return Ok(None) };
         let length = u32::from_be_bytes([a, b, c, d]) as usize;
--- a/crates/arrowyard-front-flight/src/lib.rs
+++ b/crates/arrowyard-front-flight/src/lib.rs
@@ -1,6 +1,5 @@
-//! Arrow Flight SQL: the front end that clients call, and the transport that sends ops to hosts. Protocol
-//! logic without I/O is in `arrowyard-flight`; routing, retries and rejections are decided by the decision
-//! module.
+//! Arrow Flight SQL over the network: the front end for clients, and the transport to hosts. The protocol
+//! logic without I/O is in `arrowyard-flight`; the decision module decides on routing, retries and rejections.
 
 pub mod backend;
 pub mod front_end_state;
--- a/crates/arrowyard-front-flight/src/listen.rs
+++ b/crates/arrowyard-front-flight/src/listen.rs
@@ -1,4 +1,4 @@
-//! Accepts and counts client connections; the gRPC library's server serves them.
+//! Accepts and counts client connections, which the server of the gRPC library serves.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -38,11 +38,12 @@
     peer: Peer,
     close_request: oneshot::Receiver<()>,
     must_close: bool,
-    /// Dropping this reports the end of the connection.
-    _closed: oneshot::Sender<()>,
+    /// Reports the end of the connection when it is dropped.
+    _closed_sender: oneshot::Sender<()>,
 }
 
 impl ClientSocket {
+    /// Whether the state task requested to close the connection.
     fn must_close(&mut self, cx: &mut Context<'_>) -> bool {
         if !self.must_close {
             self.must_close = Pin::new(&mut self.close_request).poll(cx).is_ready();
@@ -100,7 +101,9 @@
 
 /// Accepts client connections.
 pub struct Acceptor {
+    /// The number of client connections of all protocols.
     pub clients: Rc<Cell<usize>>,
+    /// The channel to the state task, which assigns connection ids.
     pub new_connections: mpsc::Sender<NewConnection>,
     pub stage: watch::Receiver<Stage>,
     pub limits: Rc<Limits>,
@@ -124,21 +127,29 @@
                     continue;
                 }
             };
-            let (usage, (closed, closed_receiver)) = (UsageGuard::one(&self.clients), oneshot::channel());
-            let ((close, close_request), (id, connection)) = (oneshot::channel(), oneshot::channel());
+            let (usage, (closed_sender, closed_receiver)) =
+                (UsageGuard::one(&self.clients), oneshot::channel());
+            let ((close_sender, close_request), (id_sender, assigned_id)) =
+                (oneshot::channel(), oneshot::channel());
             if self
                 .new_connections
-                .send(NewConnection { usage, closed: closed_receiver, close, id })
+                .send(NewConnection { usage, closed_receiver, close_sender, id_sender })
                 .await
                 .is_err()
             {
                 return;
             }
-            // At the limit the connection is closed before its client sent a call.
-            let Ok(Some(connection)) = connection.await else { continue };
+            // At the limit on connections no id is assigned, and the connection is closed.
+            let Ok(Some(connection)) = assigned_id.await else { continue };
             let peer = Peer { connection, address };
             let _ = stream.set_nodelay(true);
-            let socket = ClientSocket { stream, peer, close_request, must_close: false, _closed: closed };
+            let socket = ClientSocket {
+                stream,
+                peer,
+                close_request,
+                must_close: false,
+                _closed_sender: closed_sender,
+            };
             if accepted_sockets.send(socket).await.is_err() {
                 return;
             }
@@ -146,11 +157,10 @@
     }
 }
 
-/// Serves the accepted connections until the router stops serving; streams that are open then continue to
-/// their end.
+/// Serves the accepted connections until the router stops serving and the open streams have ended.
 ///
 /// # Errors
-/// The library's server failed.
+/// The server of the gRPC library failed.
 pub async fn serve(
     front_end: FlightFrontEnd,
     limits: FlightLimits,
@@ -170,13 +180,13 @@
         .initial_stream_window_size(limits.window_bytes)
         .initial_connection_window_size(limits.window_bytes.saturating_mul(2))
         .http2_max_header_list_size(limits.max_metadata_bytes)
-        // Streams that are reset right after they open cost work, and the limit on open streams misses them.
+        // Streams that are reset right after they open do not reach the limit on open streams.
         .http2_max_pending_accept_reset_streams(Some(32))
         .http2_max_local_error_reset_streams(Some(256))
         .http2_keepalive_interval(Some(limits.idle_timeout / 4))
         .http2_keepalive_timeout(Some(limits.call_timeout))
         .max_connection_age(limits.max_connection_age)
-        // Otherwise a client could keep a call open for ever by not sending its request.
+        // Otherwise a client could keep a call open indefinitely by not sending its request.
         .timeout(limits.call_timeout)
         .add_service(service)
         .serve_with_incoming_shutdown(incoming, closing)
--- a/crates/arrowyard-front-flight/src/response.rs
+++ b/crates/arrowyard-front-flight/src/response.rs
@@ -1,5 +1,4 @@
-//! A host's response in the form that the core passes on, and in the form that the Flight SQL front end
-//! takes.
+//! A host's response: as received by the backend, and as passed to the Flight SQL front end.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -14,8 +13,7 @@
 use bytes::Bytes;
 use tokio::sync::{Notify, mpsc, oneshot};
 
-/// The payload of an op: its statement, and whether the client wants the number of changed rows in place of
-/// rows.
+/// The payload of an op. With `is_update`, the result is the number of changed rows.
 #[derive(Clone, Debug)]
 pub struct OpPayload {
     pub statement: Statement,
@@ -52,10 +50,9 @@
         Arc::new(LargeMessageBudget { used_bytes: AtomicUsize::new(0), max_bytes, freed: Notify::new() })
     }
 
-    /// Waits for the memory of a message, which is needed twice: as received and as sent. Returns `None` if
-    /// the message can never fit. Without this budget many large messages, each within its limit, would
-    /// exhaust the memory. A waiter holds no permit except for a message that its client is about to read,
-    /// so that waiters cannot deadlock.
+    /// Waits for the memory of a message, which is stored twice: as received and as sent. Returns `None` if
+    /// the message exceeds the budget. A task must not wait while it holds a permit that only it can release;
+    /// otherwise tasks could deadlock.
     pub async fn acquire(self: &Arc<Self>, message_bytes: usize) -> Option<LargeMessagePermit> {
         let bytes = message_bytes.saturating_mul(2);
         if bytes > self.max_bytes {
@@ -78,6 +75,7 @@
 /// What follows the buffered part of a result.
 #[derive(Debug)]
 pub enum StreamItem {
+    /// The next message of the result.
     Message(ResultMessage),
     /// The result is complete. A stream without this item was interrupted.
     End,
@@ -109,35 +107,41 @@
 
 /// A host's response to an op.
 pub enum FlightResponse {
-    /// Schema, dictionaries and batches; `rest` is set if the result is streamed after the buffered part.
+    /// Schema, dictionaries and batches.
     Stream {
         buffered: Vec<ResultMessage>,
+        /// The messages after the buffered ones, if the result is streamed.
         rest: Option<mpsc::Receiver<StreamItem>>,
         reservation: BufferReservation,
     },
+    /// The number of rows that an update changed.
     UpdateCount(i64),
 }
 
-/// A response on its way to a client; its front end may run on another thread.
+/// A response for a client, without the resources that stay on the core's thread.
 #[derive(Debug)]
 pub enum ClientResponse {
+    /// Schema, dictionaries and batches.
     Stream {
         buffered: Vec<ResultMessage>,
+        /// The messages after the buffered ones, if the result is streamed.
         rest: Option<mpsc::Receiver<StreamItem>>,
         /// Dropped once the client is done with the response.
         done: oneshot::Sender<()>,
     },
+    /// The number of rows that an update changed.
     UpdateCount(i64),
     /// The single value of a host that speaks PostgreSQL's protocol, and the row count of its command tag.
     Value {
         value: Bytes,
         count: i64,
+        /// Dropped once the client is done with the response.
         done: oneshot::Sender<()>,
     },
 }
 
-/// Splits the response of a host that speaks Flight SQL into the part for the client and the retained
-/// resources.
+/// Splits the response of a host that speaks Flight SQL into the part for the client and the resources that
+/// are retained until the client is done with it.
 pub fn split_flight_response(response: FlightResponse) -> (ClientResponse, Option<RetainedResources>) {
     match response {
         FlightResponse::UpdateCount(count) => (ClientResponse::UpdateCount(count), None),
@@ -151,8 +155,7 @@
     }
 }
 
-/// Splits the response of a host that speaks PostgreSQL's protocol: one row of one column, which becomes a
-/// batch with one binary column.
+/// Splits the response of a host that speaks PostgreSQL's protocol, which is one row of one column.
 pub fn split_pg_response(
     PgResponse { result, memory }: PgResponse,
 ) -> (ClientResponse, Option<RetainedResources>) {
--- a/crates/arrowyard-front-flight/src/service.rs
+++ b/crates/arrowyard-front-flight/src/service.rs
@@ -1,4 +1,4 @@
-//! The calls of Flight SQL: ops are submitted to the core, all other calls are answered here.
+//! The calls of Flight SQL. Ops are submitted to the core; all other calls are answered by the front end.
 
 use std::pin::Pin;
 use std::sync::Arc;
@@ -58,14 +58,16 @@
 /// Serves the calls of all connections.
 #[derive(Clone)]
 pub struct FlightFrontEnd {
+    /// Submits ops to the core.
     pub submitter: OpSubmitter<OpPayload, ClientResponse>,
+    /// Sends requests to the state task.
     pub state: StateClient,
     pub clock: Clock,
     pub limits: FlightLimits,
     pub server_info: Arc<ServerInfo>,
 }
 
-/// Metadata of the server itself.
+/// The answers to requests for server metadata.
 pub struct ServerInfo {
     sql_info: SqlInfoData,
     type_info: XdbcTypeInfoData,
@@ -115,7 +117,7 @@
     Ok(metadata)
 }
 
-/// What a call carries besides its message.
+/// The metadata and the client of a call.
 struct CallContext {
     metadata: CallMetadata,
     peer: Peer,
@@ -127,15 +129,16 @@
     Ok(CallContext { metadata, peer: peer.ok_or_else(|| to_status(&CallError::Errored))? })
 }
 
-fn no_transaction(id: Option<&Bytes>) -> Result<(), CallError> {
+/// Rejects a call that is part of a transaction.
+fn reject_transaction(id: Option<&Bytes>) -> Result<(), CallError> {
     id.is_none_or(Bytes::is_empty)
         .then_some(())
-        .ok_or(CallError::Unimplemented("no transactions are offered"))
+        .ok_or(CallError::Unimplemented("transactions are not supported"))
 }
 
 impl FlightFrontEnd {
-    /// Runs a call while it counts as open on its connection. The call counts as answered whatever its
-    /// result is, and as cancelled only if its client disconnects before.
+    /// Runs a call while it counts as open on its connection. It counts as cancelled only if the returned
+    /// future is dropped before the call ends.
     async fn run_call<T>(
         &self,
         connection: ConnectionId,
@@ -154,9 +157,9 @@
         context: &CallContext,
         is_update: bool,
     ) -> Result<ClientResponse, CallError> {
-        let arrived = self.clock.now();
+        let arrived_at = self.clock.now();
         let statement = call_metadata::parse_op(text, &context.metadata, || fastrand::u64(1..))?;
-        let deadline = arrived + TimeDelta::from_millis(statement.timeout_ms.into());
+        let deadline = arrived_at + TimeDelta::from_millis(statement.timeout_ms.into());
         let payload = OpPayload { statement, is_update, client_address: Some(context.peer.address.ip()) };
         match self.submitter.submit(payload).await {
             Ok(Reply::Acked(response)) => Ok(response),
@@ -169,7 +172,7 @@
         }
     }
 
-    /// Whether the deadline has passed, with a margin because the core replies up to a tick before it.
+    /// Whether the deadline has passed, with a margin since the core may reply shortly before it.
     fn has_passed(&self, deadline: Timestamp) -> bool {
         deadline - self.clock.now() <= TimeDelta::from_millis(50)
     }
@@ -181,8 +184,8 @@
         }
     }
 
-    /// Runs a query and restores its ticket if nothing ran: a client that retries after a busy reply would
-    /// otherwise present a ticket that was already redeemed.
+    /// Runs a query. Restores its ticket if the op did not run, so that the client can retry with the same
+    /// ticket.
     async fn execute_query(
         &self,
         text: &str,
@@ -211,6 +214,7 @@
         FlightInfo::new().with_descriptor(descriptor).with_endpoint(endpoint)
     }
 
+    /// Issues a ticket for the statement and returns it as flight info.
     async fn plan(&self, text: String, descriptor: FlightDescriptor) -> Result<Response<FlightInfo>, Status> {
         let issued = self.state.request(|reply| StateRequest::IssueTicket(text, reply)).await;
         let (ticket, expires) = issued.and_then(|issued| issued).map_err(|error| to_status(&error))?;
@@ -221,8 +225,8 @@
         self.state.request(|reply| StateRequest::BoundStatement(handle, reply)).await?
     }
 
-    /// Streams the messages of a response. Keeps `open_call` and the resources retained by the core until
-    /// the client has taken the last message or disconnected.
+    /// Streams the messages of a response. Keeps `open_call` and the resources retained by the core until the
+    /// client has received the last message or disconnected.
     fn stream_response(
         &self,
         response: ClientResponse,
@@ -264,8 +268,7 @@
     _done: oneshot::Sender<()>,
 }
 
-/// The next message of a streamed result. The stream ends without an error only if the host completed the
-/// result.
+/// Returns the next message of a streamed result, or an error if the result was interrupted.
 async fn next_message(
     streaming: Option<StreamingResult>,
 ) -> Option<(Result<FlightData, Status>, Option<StreamingResult>)> {
@@ -280,7 +283,7 @@
             streaming.open_call.answered = true;
             None
         }
-        // Without an error the client would take the interrupted result for a complete one.
+        // Without an error the client would treat the partial result as complete.
         None => {
             streaming.open_call.answered = true;
             Some((Err(to_status(&CallError::Interrupted)), None))
@@ -293,6 +296,7 @@
     stream::once(async move { drop(resources) }).filter_map(|()| async { None })
 }
 
+/// The schema of a result from a host that speaks PostgreSQL's protocol.
 fn value_schema() -> SchemaRef {
     Arc::new(Schema::new(vec![Field::new(VALUE_COLUMN, DataType::Binary, false)]))
 }
@@ -307,7 +311,7 @@
     message.map(|message| message.0).map_err(|_| to_status(&CallError::Errored))
 }
 
-/// The flight info of a call that is answered here: its ticket is the command itself.
+/// The flight info of a call that the front end answers. Its ticket is the encoded command.
 fn local_flight_info(
     command: &impl ProstMessageExt,
     descriptor: FlightDescriptor,
@@ -329,8 +333,8 @@
     Ok(Response::new(Box::pin(messages)))
 }
 
-/// Reads a client's stream to its end and rejects data in it. An update must not run before that, since its
-/// client may still disconnect.
+/// Reads a client's stream to its end and rejects data in it. An update runs only after that, so that it does
+/// not run if its client disconnects before.
 async fn read_empty_stream(
     request: Request<PeekableFlightDataStream>,
     max_bytes: usize,
@@ -345,7 +349,9 @@
             return Err(to_status(&CallError::TooLarge("the client's stream")));
         }
         if !data.data_header.is_empty() || !data.data_body.is_empty() {
-            return Err(to_status(&CallError::InvalidOp("an update by a statement has no data".to_string())));
+            return Err(to_status(&CallError::InvalidOp(
+                "an update statement must be sent without data".to_string(),
+            )));
         }
     }
     Ok(())
@@ -362,7 +368,7 @@
     ) -> Result<Response<FlightInfo>, Status> {
         let context = call_context(&request)?;
         let call = async {
-            no_transaction(query.transaction_id.as_ref()).map_err(|error| to_status(&error))?;
+            reject_transaction(query.transaction_id.as_ref()).map_err(|error| to_status(&error))?;
             let text = call_metadata::merge_comment(&query.query, &context.metadata)
                 .map_err(|error| to_status(&error))?;
             self.plan(text, request.into_inner()).await
@@ -429,7 +435,7 @@
     ) -> Result<i64, Status> {
         let context = call_context(&request)?;
         let call = async {
-            no_transaction(command.transaction_id.as_ref()).map_err(|error| to_status(&error))?;
+            reject_transaction(command.transaction_id.as_ref()).map_err(|error| to_status(&error))?;
             read_empty_stream(request, self.limits.max_client_message_bytes).await?;
             let count = self.execute_update(&command.query, &context).await;
             count.map_err(|error| to_status(&error))
@@ -493,12 +499,12 @@
     ) -> Result<ActionCreatePreparedStatementResult, Status> {
         let context = call_context(&request)?;
         let call = async {
-            no_transaction(query.transaction_id.as_ref()).map_err(|error| to_status(&error))?;
+            reject_transaction(query.transaction_id.as_ref()).map_err(|error| to_status(&error))?;
             let prepared = self.state.request(|reply| StateRequest::Prepare(query.query, reply)).await;
-            let (handle, parameters) =
+            let (handle, parameter_count) =
                 prepared.and_then(|prepared| prepared).map_err(|error| to_status(&error))?;
-            // Only the host knows the types of the parameters, so that the schema has names without types.
-            let fields: Vec<Field> = (1..=parameters)
+            // The router does not know the types of the parameters, so that the schema has the null type for each.
+            let fields: Vec<Field> = (1..=parameter_count)
                 .map(|number| Field::new(format!("${number}"), DataType::Null, true))
                 .collect();
             let parameter_schema =
@@ -565,7 +571,8 @@
         batch_response(query.into_builder(&self.server_info.type_info).build())
     }
 
-    // Routers know no tables, so that the following lists are empty. Clients query the catalog by statements.
+    // The router has no table metadata, so that the following lists are empty. Clients can query the catalog
+    // of a host with statements.
 
     async fn get_flight_info_catalogs(
         &self,
@@ -700,7 +707,7 @@
         _query: ActionBeginTransactionRequest,
         _request: Request<Action>,
     ) -> Result<ActionBeginTransactionResult, Status> {
-        unimplemented("no transactions are offered")
+        unimplemented("transactions are not supported")
     }
 
     async fn do_action_end_transaction(
@@ -708,7 +715,7 @@
         _query: ActionEndTransactionRequest,
         _request: Request<Action>,
     ) -> Result<(), Status> {
-        unimplemented("no transactions are offered")
+        unimplemented("transactions are not supported")
     }
 
     async fn do_action_begin_savepoint(
@@ -716,7 +723,7 @@
         _query: ActionBeginSavepointRequest,
         _request: Request<Action>,
     ) -> Result<ActionBeginSavepointResult, Status> {
-        unimplemented("no savepoints are offered")
+        unimplemented("savepoints are not supported")
     }
 
     async fn do_action_end_savepoint(
@@ -724,7 +731,7 @@
         _query: ActionEndSavepointRequest,
         _request: Request<Action>,
     ) -> Result<(), Status> {
-        unimplemented("no savepoints are offered")
+        unimplemented("savepoints are not supported")
     }
 
     async fn do_action_cancel_query(
@@ -732,7 +739,7 @@
         _query: ActionCancelQueryRequest,
         _request: Request<Action>,
     ) -> Result<ActionCancelQueryResult, Status> {
-        unimplemented("a query is called off by cancelling its call")
+        unimplemented("to cancel a query, cancel its call")
     }
 
     async fn do_put_statement_ingest(
@@ -740,7 +747,7 @@
         _command: CommandStatementIngest,
         _request: Request<PeekableFlightDataStream>,
     ) -> Result<i64, Status> {
-        unimplemented("no bulk ingestion is offered")
+        unimplemented("bulk ingestion is not supported")
     }
 
     async fn register_sql_info(&self, _id: i32, _info: &SqlInfo) {}
@@ -790,16 +797,16 @@
             max_fields: 256,
             max_decompressed_bytes: 1 << 20,
         });
-    // The decoder trusts its input, so that it must only get validated messages.
+    // The decoder does not validate its input.
     for data in messages {
         validator
             .check(&data.data_header, &data.data_body)
-            .map_err(|invalid| CallError::InvalidOp(format!("the parameters: {}", invalid.0)))?;
+            .map_err(|invalid| CallError::InvalidOp(format!("invalid parameters: {}", invalid.0)))?;
     }
     let batches = flight_data_to_batches(messages)
-        .map_err(|_| CallError::InvalidOp("the parameters cannot be read".to_string()))?;
+        .map_err(|_| CallError::InvalidOp("the parameters cannot be decoded".to_string()))?;
     match batches.as_slice() {
         [batch] => bind::batch_literals(batch),
-        _ => Err(CallError::InvalidOp("parameters come as one batch".to_string())),
+        _ => Err(CallError::InvalidOp("parameters must be sent as one batch".to_string())),
     }
 }
