--- a/crates/arrowyard-flight-daemon/tests/abuse.rs
+++ b/crates/arrowyard-flight-daemon/tests/abuse.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use arrowyard_testbed::flight::FlightClient;
-use arrowyard_testbed::{Process, Reply, Spec, Town};
+use arrowyard_testbed::{Cluster, HostSpec, Process, Reply};
 use fastrand::Rng;
 use helpers::{STANDINGS, ask, runtime, specs, start, start_with_sockets};
 
@@ -45,17 +45,17 @@
 fn assert_served(router: &Process, id: u64) {
     runtime().block_on(async {
         let mut client = FlightClient::connect(router.address).await.expect("the router accepts clients");
-        let reply = client.ask(&ask(STANDINGS, id, 5)).await;
+        let reply = client.execute(&ask(STANDINGS, id, 5)).await;
         assert!(matches!(reply, Reply::Value(_)), "{reply:?}");
     });
 }
 
 #[test]
 fn clients_that_send_random_bytes_or_floods_are_disconnected_and_others_served() {
-    let town = Town::start(&specs(1, true));
-    let router = start(&town, true, "");
+    let cluster = Cluster::start(&specs(1, true));
+    let router = start(&cluster, true, "");
     assert_served(&router, 1);
-    let (_, memory_before) = router.cost();
+    let (_, memory_before) = router.resource_usage();
     let mut rng = Rng::with_seed(7);
     for round in 0..20 {
         let mut connection = connect(&router);
@@ -89,16 +89,17 @@
     }
     assert!(closes_within(&mut resets, Duration::from_secs(5)));
     assert_served(&router, 2);
-    let (_, memory_after) = router.cost();
+    let (_, memory_after) = router.resource_usage();
     assert!(memory_after < memory_before + 8 * 1024, "{memory_before} to {memory_after} KB");
 }
 
 #[test]
 fn clients_with_a_zero_window_hold_their_ops_only_until_the_deadline() {
     const CALLS: usize = 64;
-    let host_specs = specs(1, true).into_iter().map(|spec| Spec { batches: 20, batch_bytes: 10_000, ..spec });
-    let town = Town::start(&host_specs.collect::<Vec<_>>());
-    let router = start_with_sockets(&town, "held_bytes: 0", CALLS as u32);
+    let host_specs =
+        specs(1, true).into_iter().map(|spec| HostSpec { batches: 20, batch_bytes: 10_000, ..spec });
+    let cluster = Cluster::start(&host_specs.collect::<Vec<_>>());
+    let router = start_with_sockets(&cluster, "held_bytes: 0", CALLS as u32);
     let tickets: Vec<Vec<u8>> = runtime().block_on(async {
         let mut client = FlightClient::connect(router.address).await.expect("the router accepts clients");
         let mut tickets = Vec::new();
@@ -139,14 +140,14 @@
     let started = Instant::now();
     runtime().block_on(async {
         // The decision module limits how many ops run on the hosts at once; the other ops wait for these.
-        while town.ledger().commands.values().sum::<u64>() < 8 {
+        while cluster.ledger().commands.values().sum::<u64>() < 8 {
             assert!(started.elapsed() < Duration::from_secs(5), "the hosts get the ops");
             tokio::time::sleep(Duration::from_millis(1)).await;
         }
         let mut client = FlightClient::connect(router.address).await.expect("the router accepts clients");
         let mut id = 1000;
         let mut refused = 0;
-        while !matches!(client.ask(&ask(STANDINGS, id, 5)).await, Reply::Value(_)) {
+        while !matches!(client.execute(&ask(STANDINGS, id, 5)).await, Reply::Value(_)) {
             (id, refused) = (id + 1, refused + 1);
             assert!(started.elapsed() < Duration::from_secs(8), "the deadline of the blocked ops is 900 ms");
         }
@@ -175,11 +176,11 @@
 fn ops_are_served_despite_a_host_that_sends_random_bytes() {
     let mut rng = Rng::with_seed(9);
     for round in 0..4 {
-        let town = Town::start(&specs(2, true));
+        let cluster = Cluster::start(&specs(2, true));
         let noise: Vec<u8> = (0..rng.usize(1..3000)).map(|_| rng.u8(..)).collect();
         let settings = if round % 2 == 0 { frame(4, 0, 0, &[]) } else { Vec::new() };
-        town.stand_in("r-0", start_noisy_host([settings, noise].concat()));
-        let router = start(&town, true, "");
+        cluster.replace_address("r-0", start_noisy_host([settings, noise].concat()));
+        let router = start(&cluster, true, "");
         for id in 0..6 {
             assert_served(&router, round * 100 + id + 1);
         }
--- a/crates/arrowyard-flight-daemon/tests/safety.rs
+++ b/crates/arrowyard-flight-daemon/tests/safety.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use arrowyard_testbed::flight::FlightClient;
-use arrowyard_testbed::{Act, Client, Reply, Speaks, Town};
+use arrowyard_testbed::{Client, Cluster, HostBehavior, ProtocolClient, Reply};
 use fastrand::Rng;
 use helpers::{BUY, OP_TYPES, OWN, STANDINGS, SUBMIT, VIEW, ask, runtime, specs, start};
 use tokio::time::{sleep, timeout};
@@ -26,7 +26,7 @@
 }
 
 /// Sends the ops of one session one after the other until the deadline.
-async fn run_client<C: Speaks>(
+async fn run_client<C: ProtocolClient>(
     router: SocketAddr,
     session: u64,
     ids: Arc<AtomicU64>,
@@ -50,7 +50,7 @@
         let id = ids.fetch_add(1, Ordering::Relaxed);
         let token = retry_token.take();
         let mut request = ask(op_type, id, session);
-        request.again = token.is_some();
+        request.is_retry = token.is_some();
         request.token = token.or(request.token);
         let turn = request.token.unwrap_or(id);
         let sent_at = Instant::now();
@@ -59,7 +59,7 @@
             if client.is_none() {
                 client = Some(C::connect(router).await?);
             }
-            client.as_mut().expect("connected above").ask(&request).await
+            client.as_mut().expect("connected above").execute(&request).await
         });
         let reply = match pending_reply.await {
             Ok(Ok(reply)) => reply,
@@ -107,70 +107,70 @@
 }
 
 /// Injects host faults, crashes, a drain and failovers as the seed determines.
-fn inject_faults(town: &Town, seed: u64, deadline: Instant) {
+fn inject_faults(cluster: &Cluster, seed: u64, deadline: Instant) {
     let mut rng = Rng::with_seed(seed);
     let names = ["p-0", "r-0", "r-1", "r-2"];
     let faults = [
-        Act::Slow(Duration::from_millis(80)),
-        Act::Hang,
-        Act::TurnAway,
-        Act::Fail,
-        Act::Break,
-        Act::LoseAnswer,
-        Act::Spoil,
-        Act::Miss,
-        Act::ServeTwice,
-        Act::CutAfter(0),
-        Act::CutAfter(1),
-        Act::Mixed,
+        HostBehavior::Slow(Duration::from_millis(80)),
+        HostBehavior::Hang,
+        HostBehavior::RejectOverloaded,
+        HostBehavior::FailBeforeRun,
+        HostBehavior::DisconnectBeforeRun,
+        HostBehavior::DisconnectAfterRun,
+        HostBehavior::ReplyGarbage,
+        HostBehavior::RejectReadOnly,
+        HostBehavior::ReplyTwice,
+        HostBehavior::DisconnectAfterBatches(0),
+        HostBehavior::DisconnectAfterBatches(1),
+        HostBehavior::MislabelReply,
     ];
     let mut drained = false;
     while Instant::now() < deadline {
         let name = names[rng.usize(0..4)];
         match rng.usize(0..8) {
-            0 if !drained && !town.is_primary(name) => {
-                town.drain(name);
+            0 if !drained && !cluster.is_primary(name) => {
+                cluster.drain(name);
                 drained = true;
             }
-            1 if !town.is_primary(name) => {
-                town.kill(name);
+            1 if !cluster.is_primary(name) => {
+                cluster.kill(name);
                 std::thread::sleep(Duration::from_millis(120));
-                town.revive(name);
+                cluster.restart_as_replica(name);
             }
             2 => {
                 // The primary crashes, and a host that has applied everything is promoted later.
-                let primary = names.into_iter().find(|name| town.is_primary(name)).expect("a primary");
+                let primary = names.into_iter().find(|name| cluster.is_primary(name)).expect("a primary");
                 let next_primary =
                     names[(names.iter().position(|name| *name == primary).unwrap_or(0) + 1) % 3];
-                town.kill(primary);
+                cluster.kill(primary);
                 std::thread::sleep(Duration::from_millis(150));
-                town.act(next_primary, Act::Serve);
-                town.hand_over(next_primary);
+                cluster.set_behavior(next_primary, HostBehavior::Serve);
+                cluster.switchover(next_primary);
                 std::thread::sleep(Duration::from_millis(100));
-                town.revive(primary);
+                cluster.restart_as_replica(primary);
             }
             _ => {
-                town.act(name, faults[rng.usize(0..faults.len())]);
+                cluster.set_behavior(name, faults[rng.usize(0..faults.len())]);
                 std::thread::sleep(Duration::from_millis(150));
-                town.act(name, Act::Serve);
+                cluster.set_behavior(name, HostBehavior::Serve);
             }
         }
         std::thread::sleep(Duration::from_millis(60));
     }
 }
 
-fn run_suite<C: Speaks>(flight_hosts: bool, flight_clients: bool, seed: u64) {
-    let town = Town::start(&specs(3, flight_hosts));
-    let router = start(&town, flight_hosts, "");
+fn run_suite<C: ProtocolClient>(flight_hosts: bool, flight_clients: bool, seed: u64) {
+    let cluster = Cluster::start(&specs(3, flight_hosts));
+    let router = start(&cluster, flight_hosts, "");
     let router_address =
-        if flight_clients { router.flight.expect("a Flight SQL address") } else { router.address };
+        if flight_clients { router.flight_address.expect("a Flight SQL address") } else { router.address };
     let ids = Arc::new(AtomicU64::new(1));
     let deadline = Instant::now() + Duration::from_millis(3500);
     let runtime = runtime();
     let clients: Vec<_> = (1..=8)
         .map(|session| runtime.spawn(run_client::<C>(router_address, session, ids.clone(), seed, deadline)))
         .collect();
-    inject_faults(&town, seed, deadline - Duration::from_millis(500));
+    inject_faults(&cluster, seed, deadline - Duration::from_millis(500));
     let replies: Vec<Replies> = runtime.block_on(async {
         futures::future::join_all(clients).await.into_iter().map(Result::unwrap).collect()
     });
@@ -179,8 +179,8 @@
     let answered: u64 = replies.iter().map(|replies| replies.answered).sum();
     let acked: Vec<u64> = replies.iter().flat_map(|replies| replies.acked.clone()).collect();
     assert!(answered > 300 && acked.len() > 50, "{answered} answered, {} writes acked", acked.len());
-    let ledger = town.ledger();
-    let logged: HashSet<String> = town.log(7).into_iter().map(|record| record.turn).collect();
+    let ledger = cluster.ledger();
+    let logged: HashSet<String> = cluster.records(7).into_iter().map(|record| record.write_id).collect();
     for turn in &acked {
         assert!(logged.contains(&format!("{turn:016x}")), "seed {seed}: an acked write is lost");
     }
@@ -192,7 +192,11 @@
         assert!(!applied, "seed {seed}: {turn:016x} got a busy reply, but ran");
     }
     for name in ["p-0", "r-0", "r-1", "r-2"] {
-        assert_eq!(town.late(name), 0, "seed {seed}: {name} got new ops long after its drain started");
+        assert_eq!(
+            cluster.late_commands(name),
+            0,
+            "seed {seed}: {name} got new ops long after its drain started"
+        );
     }
 }
 
