--- a/crates/arrowyard-flight-daemon/src/main.rs
+++ b/crates/arrowyard-flight-daemon/src/main.rs
@@ -49,17 +49,17 @@
 }
 
 /// Starts the Flight SQL front end and returns its address, with a future that resolves if its server fails.
-async fn listen<B, L, T>(
+async fn listen<B, ToPayload, SplitAnswer>(
     router: &RouterService<B>,
     listen_address: SocketAddr,
     limits: FlightLimits,
-    to_payload: L,
-    split_answer: T,
-) -> Result<(SocketAddr, impl Future<Output = String> + use<B, L, T>), String>
+    to_payload: ToPayload,
+    split_answer: SplitAnswer,
+) -> Result<(SocketAddr, impl Future<Output = String> + use<B, ToPayload, SplitAnswer>), String>
 where
     B: HostTransport,
-    L: Fn(OpPayload) -> B::Payload + 'static,
-    T: Fn(B::Answer) -> (ClientResponse, Option<RetainedResources>) + 'static,
+    ToPayload: Fn(OpPayload) -> B::Payload + 'static,
+    SplitAnswer: Fn(B::Answer) -> (ClientResponse, Option<RetainedResources>) + 'static,
 {
     let listener =
         TcpListener::bind(listen_address).await.map_err(|error| format!("{listen_address}: {error}"))?;
--- a/crates/arrowyard-flight-daemon/tests/abuse.rs
+++ b/crates/arrowyard-flight-daemon/tests/abuse.rs
@@ -14,9 +14,9 @@
 
 const PREFACE: &[u8] = b"PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n";
 
-fn frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
+fn frame(frame_type: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
     let length = &(payload.len() as u32).to_be_bytes()[1..];
-    [length, &[kind, flags], &stream.to_be_bytes(), payload].concat()
+    [length, &[frame_type, flags], &stream.to_be_bytes(), payload].concat()
 }
 
 fn connect(router: &Process) -> TcpStream {
@@ -42,6 +42,7 @@
     false
 }
 
+/// Asserts that the router serves an op of another client.
 fn assert_served(router: &Process, id: u64) {
     runtime().block_on(async {
         let mut client = FlightClient::connect(router.address).await.expect("the router accepts clients");
@@ -146,12 +147,12 @@
         }
         let mut client = FlightClient::connect(router.address).await.expect("the router accepts clients");
         let mut id = 1000;
-        let mut refused = 0;
+        let mut rejected = 0;
         while !matches!(client.execute(&ask(STANDINGS, id, 5)).await, Reply::Value(_)) {
-            (id, refused) = (id + 1, refused + 1);
+            (id, rejected) = (id + 1, rejected + 1);
             assert!(started.elapsed() < Duration::from_secs(8), "the deadline of the blocked ops is 900 ms");
         }
-        assert!(refused > 0, "no other op is admitted before that deadline");
+        assert!(rejected > 0, "no other op is admitted before that deadline");
     });
 }
 
@@ -165,7 +166,7 @@
             std::thread::spawn(move || {
                 let _ = (stream.read(&mut [0; 64]), stream.write_all(&bytes));
                 let mut rest = [0; 1024];
-                while stream.read(&mut rest).is_ok_and(|read| read > 0) {}
+                while stream.read(&mut rest).is_ok_and(|length| length > 0) {}
             });
         }
     });
--- a/crates/arrowyard-flight-daemon/tests/helpers/mod.rs
+++ b/crates/arrowyard-flight-daemon/tests/helpers/mod.rs
@@ -9,6 +9,7 @@
 use arrowyard_testbed::{Cluster, HostSpec, Process};
 use tokio::runtime::Runtime;
 
+/// The op types of the tests.
 pub const OP_TYPES: [OpType; 5] = [
     OpType { name: "board-view", target_ms: 60, timeout_ms: 400, effect: "read_like", read_level: "recent" },
     OpType {
@@ -29,6 +30,7 @@
     OpType { name: "buy", target_ms: 100, timeout_ms: 500, effect: "non_idempotent", read_level: "update" },
 ];
 
+/// Indices of `OP_TYPES`.
 pub const VIEW: usize = 0;
 pub const OWN: usize = 1;
 pub const SUBMIT: usize = 2;
@@ -39,7 +41,7 @@
     Runtime::new().expect("the runtime starts")
 }
 
-/// A group of a primary `p-0` and the given number of replicas `r-0`, `r-1`.
+/// The hosts of group 7: a primary `p-0` and the given number of replicas `r-0`, `r-1` and so on.
 pub fn specs(replicas: usize, flight: bool) -> Vec<HostSpec> {
     let names = ["p-0".to_string()].into_iter().chain((0..replicas).map(|number| format!("r-{number}")));
     names.map(|name| HostSpec { flight, ..HostSpec::new(&name, 7, name == "p-0") }).collect()
@@ -50,7 +52,7 @@
     start_with(cluster, flight_hosts, flight_fields, "")
 }
 
-/// Starts the router with a limit on sockets, which is also its limit on ops.
+/// Starts the router with a limit on sockets, which also limits its ops.
 pub fn start_with_sockets(cluster: &Cluster, flight_fields: &str, sockets: u32) -> Process {
     let config =
         format!("epoch: 1\nflight {{ listen: \"127.0.0.1:0\" hosts: FLIGHT_SQL {flight_fields} }}\n");
--- a/crates/arrowyard-flight-daemon/tests/safety.rs
+++ b/crates/arrowyard-flight-daemon/tests/safety.rs
@@ -35,9 +35,8 @@
 ) -> Replies {
     let (mut rng, mut replies) = (Rng::with_seed(seed ^ session << 17), Replies::default());
     let mut client: Option<C> = None;
-    // A read of own writes must show the last acked write, or one that was sent since and may have run. A
-    // write that may have run may also take effect after a later write was acked, up to `max_run_time`
-    // after it was sent.
+    // A read of own writes must show the last acked write or one that may have run. The latter may take
+    // effect up to `max_run_time` after it was sent, also after a later write was acked.
     let (mut last_acked, mut may_have_run): (Option<u64>, Vec<(Instant, u64)>) = (None, Vec::new());
     let max_run_time = Duration::from_millis(1200);
     let mut retry_token: Option<u64> = None;
@@ -81,7 +80,8 @@
                 replies.acked.push(turn);
                 last_acked = Some(turn);
                 acked_at = Instant::now();
-                may_have_run.retain(|(since, other)| since.elapsed() < max_run_time && *other != turn);
+                may_have_run
+                    .retain(|(sent_at, other_turn)| sent_at.elapsed() < max_run_time && *other_turn != turn);
             }
             // A busy reply to a retry says nothing about the first attempt, which may have run.
             (SUBMIT | BUY, Reply::Busy(_)) if token.is_none() => replies.busy.push(turn),
@@ -106,7 +106,7 @@
     replies
 }
 
-/// Injects host faults, crashes, a drain and failovers as the seed determines.
+/// Injects host faults, crashes, a drain and failovers in an order that the seed determines.
 fn inject_faults(cluster: &Cluster, seed: u64, deadline: Instant) {
     let mut rng = Rng::with_seed(seed);
     let names = ["p-0", "r-0", "r-1", "r-2"];
@@ -159,6 +159,7 @@
     }
 }
 
+/// Runs clients against hosts with injected faults, and checks the replies and the ledger.
 fn run_suite<C: ProtocolClient>(flight_hosts: bool, flight_clients: bool, seed: u64) {
     let cluster = Cluster::start(&specs(3, flight_hosts));
     let router = start(&cluster, flight_hosts, "");
--- a/crates/arrowyard-flight-daemon/tests/streams.rs
+++ b/crates/arrowyard-flight-daemon/tests/streams.rs
@@ -29,6 +29,7 @@
     Cluster::start(&specs)
 }
 
+/// The gRPC status code of an error.
 fn code(error: &FlightError) -> Code {
     match error {
         FlightError::Tonic(status) => status.code(),
@@ -45,6 +46,7 @@
     router.flight_address.unwrap_or(router.address)
 }
 
+/// Plans the statement of a request and returns its ticket.
 async fn plan(client: &mut FlightClient, request: &OpRequest<'_>) -> Ticket {
     let info = client.inner.execute(request.statement(), None).await.expect("planning succeeds");
     info.endpoint[0].ticket.clone().expect("the plan has a ticket")
@@ -504,8 +506,8 @@
         let client = connect(&router).await;
         let mut other = connect(&router).await;
         cluster.set_behavior("p-0", HostBehavior::Hang);
-        // The time that a call takes to reach the host depends on the machine, so that the rounds differ in
-        // length.
+        // The rounds differ in length, since the time that a call takes to reach the host depends on the
+        // machine.
         let (deadline, mut id) = (Instant::now() + Duration::from_secs(10), 10_000);
         while !router.wait_for_log("cancels too many calls", Duration::ZERO) && Instant::now() < deadline {
             let calls: Vec<_> = (0..24)
--- a/crates/arrowyard-flight-daemon/tests/unprocessed_calls.rs
+++ b/crates/arrowyard-flight-daemon/tests/unprocessed_calls.rs
@@ -1,5 +1,5 @@
-//! Resending of calls that HTTP/2 proves unprocessed: an update without a token is resent only with this
-//! proof. The simulated host writes its frames byte by byte.
+//! An update without a token is resent only if HTTP/2 frames prove that the host did not process it. The
+//! simulated host encodes its frames itself.
 
 mod helpers;
 
@@ -22,7 +22,7 @@
     Serve,
     /// Sends RST_STREAM with this error code.
     Reset(u32),
-    /// Sends GOAWAY with this last stream id, or with the update's own for `u32::MAX`, and closes the
+    /// Sends GOAWAY with this last stream id, or with that of the update for `u32::MAX`, and closes the
     /// connection.
     GoAway(u32),
     /// Closes the connection.
@@ -31,9 +31,9 @@
     GoAwayAndServe,
 }
 
-fn frame(kind: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
+fn frame(frame_type: u8, flags: u8, stream: u32, payload: &[u8]) -> Vec<u8> {
     let length = &(payload.len() as u32).to_be_bytes()[1..];
-    [length, &[kind, flags], &stream.to_be_bytes(), payload].concat()
+    [length, &[frame_type, flags], &stream.to_be_bytes(), payload].concat()
 }
 
 /// Encodes headers as HPACK literals without indexing.
@@ -96,11 +96,11 @@
         loop {
             let mut header = [0; 9];
             socket.read_exact(&mut header).await.ok()?;
-            let [a, b, c, kind, flags, s0, s1, s2, s3] = header;
-            let mut payload = vec![0; u32::from_be_bytes([0, a, b, c]) as usize];
+            let [len0, len1, len2, frame_type, flags, id0, id1, id2, id3] = header;
+            let mut payload = vec![0; u32::from_be_bytes([0, len0, len1, len2]) as usize];
             socket.read_exact(&mut payload).await.ok()?;
-            let stream = u32::from_be_bytes([s0, s1, s2, s3]);
-            match kind {
+            let stream = u32::from_be_bytes([id0, id1, id2, id3]);
+            match frame_type {
                 4 if flags & 1 == 0 => socket.write_all(&frame(4, 1, 0, &[])).await.ok()?,
                 6 if flags & 1 == 0 => socket.write_all(&frame(6, 1, 0, &payload)).await.ok()?,
                 0 => {
@@ -138,9 +138,12 @@
                 socket.write_all(&response(stream, &PutResult { app_metadata: result.into() })).await.ok()
             }
             Behavior::Reset(code) => socket.write_all(&frame(3, 0, stream, &code.to_be_bytes())).await.ok(),
-            Behavior::GoAway(last) => {
-                let last = if last == u32::MAX { stream } else { last };
-                socket.write_all(&frame(7, 0, 0, &[last.to_be_bytes(), [0; 4]].concat())).await.ok()?;
+            Behavior::GoAway(last_stream) => {
+                let last_stream = if last_stream == u32::MAX { stream } else { last_stream };
+                socket
+                    .write_all(&frame(7, 0, 0, &[last_stream.to_be_bytes(), [0; 4]].concat()))
+                    .await
+                    .ok()?;
                 tokio::time::sleep(Duration::from_millis(20)).await;
                 None
             }
@@ -180,6 +183,7 @@
     })
 }
 
+/// HTTP/2 error codes.
 const REFUSED: u32 = 7;
 const CANCEL: u32 = 8;
 
--- a/crates/arrowyard-front-pg/src/frontend.rs
+++ b/crates/arrowyard-front-pg/src/frontend.rs
@@ -59,12 +59,15 @@
 
 /// State shared by all client connections.
 pub struct Frontend {
+    /// Admits or rejects ops.
     pub gate: Rc<AdmissionController>,
+    /// The channel to the route task.
     pub mail: mpsc::Sender<RouteMessage<PgBackend>>,
     /// The number of client connections.
     pub clients: Rc<Cell<usize>>,
     pub idle_connections: IdleConnections,
     pub stage: watch::Receiver<Stage>,
+    /// Determines the arrival time of ops, which may be before a stall of the thread.
     pub beat: Rc<StallDetector>,
     pub limits: Rc<Limits>,
 }
@@ -326,9 +329,10 @@
                 Err(reply) => return Ok(reply),
             };
         let (reply_sender, mut reply_receiver) = oneshot::channel();
-        let mail = self.frontend.mail.clone();
+        let messages = self.frontend.mail.clone();
         let op = request.op;
-        mail.send(RouteMessage::OpAdmitted(request, origin, Rc::new(statement), reply_sender))
+        messages
+            .send(RouteMessage::OpAdmitted(request, origin, Rc::new(statement), reply_sender))
             .await
             .map_err(|_| Ended)?;
         loop {
@@ -337,7 +341,7 @@
                 biased;
                 reply = &mut reply_receiver => return Ok(reply.unwrap_or(Reply::Errored)),
                 read = self.read(), if has_room => if read.is_err() {
-                    let _ = mail.send(RouteMessage::ClientDisconnected(op)).await;
+                    let _ = messages.send(RouteMessage::ClientDisconnected(op)).await;
                     return Err(Ended);
                 },
             }
