--- a/crates/arrowyard-front-flight/src/backend.rs
+++ b/crates/arrowyard-front-flight/src/backend.rs
@@ -163,11 +163,12 @@
     /// Closes the longest idle connection to any host and returns whether there was one.
     fn close_longest_idle(&self) -> bool {
         let mut connections = self.connections.borrow_mut();
-        let with_host = connections
+        let connections_with_host = connections
             .iter()
             .flat_map(|(host, connections)| connections.iter().map(move |connection| (*host, connection)));
-        let longest_idle =
-            with_host.filter_map(|(host, connection)| Some((connection.idle_since()?, host))).min();
+        let longest_idle = connections_with_host
+            .filter_map(|(host, connection)| Some((connection.idle_since()?, host)))
+            .min();
         let Some((since, host)) = longest_idle else { return false };
         let Some(host_connections) = connections.get_mut(&host) else { return false };
         host_connections.retain(|connection| connection.idle_since() != Some(since));
--- a/crates/arrowyard-front-flight/src/front_end_state.rs
+++ b/crates/arrowyard-front-flight/src/front_end_state.rs
@@ -73,6 +73,7 @@
     limits: FlightLimits,
 }
 
+/// Converts a duration, with the largest time delta as the maximum.
 fn time_delta(duration: std::time::Duration) -> TimeDelta {
     TimeDelta::from_micros(i64::try_from(duration.as_micros()).unwrap_or(i64::MAX))
 }
--- a/crates/arrowyard-front-pg/src/frontend.rs
+++ b/crates/arrowyard-front-pg/src/frontend.rs
@@ -75,7 +75,7 @@
 /// The guard that counts a connection as open; empty once the connection was told to close.
 type ConnectionSlot = Rc<RefCell<Option<UsageGuard>>>;
 
-/// Connections that wait for input, the longest idle first.
+/// Connections that wait for input, the longest idle first, each with the sender that requests to close it.
 #[derive(Default)]
 pub struct IdleConnections(RefCell<VecDeque<(oneshot::Sender<()>, ConnectionSlot)>>);
 
--- a/crates/arrowyard-front-pg/src/host_connection.rs
+++ b/crates/arrowyard-front-pg/src/host_connection.rs
@@ -265,8 +265,8 @@
     }
 }
 
-/// Updates the status from a load report. Positions in a load report are Unix times in seconds, those in
-/// parameter statuses in milliseconds.
+/// Updates the status from a load report: `x0` is the position as Unix time in seconds (in parameter statuses
+/// it is in milliseconds), `x1` is 1 for a primary and 0 for a replica.
 pub fn apply_load_report(status: &mut HostStatus, report: &[(String, f64)]) {
     for (name, value) in report {
         match name.as_str() {
