--- a/crates/arrowyard-front-pg/src/backend.rs
+++ b/crates/arrowyard-front-pg/src/backend.rs
@@ -12,17 +12,17 @@
 use bytes::BytesMut;
 use tokio::time::Instant;
 
-use crate::connection::{PgConnection, PgResponse};
+use crate::host_connection::{PgConnection, PgResponse};
 use crate::probe;
 
-/// Backend for hosts that speak PostgreSQL's protocol.
+/// Transport for hosts that speak PostgreSQL's protocol.
 pub struct PgBackend {
     pool: Rc<ConnectionPool<PgConnection>>,
     limits: Rc<Limits>,
 }
 
 impl PgBackend {
-    /// A backend without connections.
+    /// Creates a backend with an empty connection pool.
     pub fn new(limits: Rc<Limits>) -> Self {
         PgBackend { pool: ConnectionPool::new(limits.clone()), limits }
     }
@@ -54,7 +54,7 @@
         let timeout_us = (deadline - clock.now()).micros().max(0) as u64;
         statement.put_query(&mut out, timeout_us.div_ceil(1000));
         if let Err(error) = connection.write(&out).await {
-            tracing::debug!(%address, "writing the statement failed: {}", error.0);
+            tracing::debug!(dial = %address, "writing the statement failed: {}", error.0);
             return (Outcome::ConnectFailed, HostStatus::default(), None);
         }
         progress.mark_written();
@@ -67,7 +67,7 @@
                 (outcome, reply.status, reply.response.filter(|_| outcome == Outcome::Acked))
             }
             Err(error) => {
-                tracing::debug!(%address, "reading the reply failed: {}", error.0);
+                tracing::debug!(dial = %address, "reading the reply failed: {}", error.0);
                 (Outcome::Reset, HostStatus::default(), None)
             }
         }
--- a/crates/arrowyard-front-pg/src/connection.rs
+++ b/crates/arrowyard-front-pg/src/host_connection.rs
@@ -26,12 +26,12 @@
     idle_since: Instant,
     stream: TcpStream,
     received: BytesMut,
-    /// Memory that large results take, of all connections together, in bytes.
+    /// Bytes reserved for large results on all connections.
     large_result_bytes: Rc<Cell<usize>>,
-    /// Share of `large_result_bytes` that the result being read takes.
+    /// The share of `large_result_bytes` that is reserved for the result being read.
     memory: Option<UsageGuard>,
     limits: Rc<Limits>,
-    _connection_count: UsageGuard,
+    _usage: UsageGuard,
 }
 
 /// A result, with the memory reserved for it until it has been written to its client.
@@ -83,15 +83,15 @@
 impl PooledConnection for PgConnection {
     async fn connect(
         address: SocketAddr,
-        connection_count: UsageGuard,
+        usage: UsageGuard,
         large_result_bytes: Rc<Cell<usize>>,
         limits: Rc<Limits>,
     ) -> Result<Self, Outcome> {
-        let failed = |error: ConnectionError| {
-            tracing::debug!(%address, "connecting failed: {}", error.0);
+        let connect_failed = |error: ConnectionError| {
+            tracing::debug!(dial = %address, "connecting failed: {}", error.0);
             Outcome::ConnectFailed
         };
-        let connecting = timeout(limits.connect_timeout, async {
+        let attempt = timeout(limits.connect_timeout, async {
             let stream = TcpStream::connect(address).await?;
             stream.set_nodelay(true)?;
             let (received, idle_since) = (BytesMut::new(), Instant::now());
@@ -103,7 +103,7 @@
                 large_result_bytes,
                 memory: None,
                 limits: limits.clone(),
-                _connection_count: connection_count,
+                _usage: usage,
             };
             let mut out = BytesMut::new();
             put_startup_packet(&mut out, "web", "orders");
@@ -111,12 +111,14 @@
             let reply = connection.read_reply().await?;
             Ok((connection, reply))
         });
-        match connecting.await {
+        match attempt.await {
             Ok(Ok((connection, HostReply { ready: true, error_code: None, .. }))) => Ok(connection),
             Ok(Ok((_, reply))) if reply.outcome() == Outcome::Overloaded => Err(Outcome::Overloaded),
-            Ok(Ok((_, reply))) => Err(failed(ConnectionError(format!("error {:?}", reply.error_code)))),
-            Ok(Err(error)) => Err(failed(error)),
-            Err(_) => Err(failed(ConnectionError("connect timeout".to_string()))),
+            Ok(Ok((_, reply))) => {
+                Err(connect_failed(ConnectionError(format!("error {:?}", reply.error_code))))
+            }
+            Ok(Err(error)) => Err(connect_failed(error)),
+            Err(_) => Err(connect_failed(ConnectionError("connect timeout".to_string()))),
         }
     }
 
@@ -128,8 +130,8 @@
         self.idle_since
     }
 
-    /// Peeks at the socket itself, since the runtime's readiness is as old as its last poll: a send on a
-    /// connection that the host has closed would fail.
+    /// Peeks at the socket, since the runtime's readiness state may be outdated. A send on a connection that
+    /// the host has closed would fail.
     fn is_reusable(&self) -> bool {
         let has_no_input = || {
             let peek_result = SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]);
@@ -154,13 +156,13 @@
         Ok(self.stream.write_all(command).await?)
     }
 
-    /// Reads messages up to ReadyForQuery. Once the result or an error is complete it is returned even if
-    /// what follows fails or is missing.
+    /// Reads messages up to ReadyForQuery. A complete result or error is returned even if reading the
+    /// messages after it fails.
     pub async fn read_reply(&mut self) -> Result<HostReply, ConnectionError> {
         let (mut reply, mut result) = (HostReply::default(), QueryResult::default());
         loop {
-            let is_complete = reply.response.is_some() || reply.error_code.is_some();
-            let message = match is_complete {
+            let has_outcome = reply.response.is_some() || reply.error_code.is_some();
+            let message = match has_outcome {
                 true => timeout(self.limits.ready_timeout, self.next_message())
                     .await
                     .unwrap_or(Err(ConnectionError(String::new()))),
@@ -194,16 +196,16 @@
                 Ok(BackendMessage::ParameterStatus(ParameterStatus::LoadReport(report))) => {
                     apply_load_report(&mut reply.status, &report)
                 }
-                // An error after a complete result does not belong to it. Taken as its outcome, it would
-                // make the router run the op again.
-                Ok(BackendMessage::ErrorResponse(_)) if is_complete => return Ok(reply),
+                // An error after a complete result is not the op's outcome: using it as such would make the
+                // router retry an op that ran.
+                Ok(BackendMessage::ErrorResponse(_)) if has_outcome => return Ok(reply),
                 Ok(BackendMessage::ErrorResponse(code)) => reply.error_code = Some(code),
                 Ok(BackendMessage::ReadyForQuery) => {
                     reply.ready = true;
                     return Ok(reply);
                 }
                 Ok(_) => {}
-                Err(_) if is_complete => return Ok(reply),
+                Err(_) if has_outcome => return Ok(reply),
                 Err(error) => return Err(error),
             }
         }
@@ -241,18 +243,18 @@
 }
 
 impl PgConnection {
-    /// Missing bytes of a large message, for which memory is reserved; 0 for any other message.
+    /// Reserves memory for the message being received if it is large, and returns its missing bytes; 0 for
+    /// any other message.
     ///
     /// # Errors
-    /// The large results of all connections would exceed `limits.max_large_answer_bytes`, although each is
-    /// within its own limit.
+    /// The large results of all connections together would exceed `limits.max_large_answer_bytes`.
     fn reserve_memory(&mut self) -> Result<usize, ConnectionError> {
         let length = declared_length(&self.received).unwrap_or_default() as usize;
         if length <= self.limits.max_client_message_bytes {
             return Ok(0);
         }
         if self.memory.is_none() {
-            // Held twice: as received, and as written to the client.
+            // Stored twice: as received, and as written to the client.
             let bytes = 2 * length;
             if self.large_result_bytes.get() + bytes > self.limits.max_large_answer_bytes {
                 return Err(ConnectionError("the memory for large results is exhausted".to_string()));
@@ -263,8 +265,8 @@
     }
 }
 
-/// Updates the status from a load report. Positions in a load report are Unix times in seconds, those in
-/// parameter statuses in milliseconds.
+/// Updates the status from a load report: `x0` is the position as Unix time in seconds (in parameter statuses
+/// it is in milliseconds), `x1` is 1 for a primary and 0 for a replica.
 pub fn apply_load_report(status: &mut HostStatus, report: &[(String, f64)]) {
     for (name, value) in report {
         match name.as_str() {
@@ -298,7 +300,7 @@
             max_large_answer_bytes: 700_000,
             ..Limits::for_test(serde_json::json!({})).2
         };
-        for (reserved, fits) in [(0, true), (200_000, false)] {
+        for (reserved_bytes, fits) in [(0, true), (200_000, false)] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
             let address = listener.local_addr().expect("the listener is bound");
             let mut out = BytesMut::new();
@@ -309,19 +311,22 @@
                 let _ = (stream.read(&mut [0; 64])?, stream.write_all(&out));
                 std::io::Result::Ok(stream)
             });
-            let large_result_bytes = Rc::new(Cell::new(reserved));
-            let connected = PgConnection::connect(
+            let large_result_bytes = Rc::new(Cell::new(reserved_bytes));
+            let connection = PgConnection::connect(
                 address,
                 UsageGuard::one(&Rc::default()),
                 large_result_bytes.clone(),
                 Rc::new(limits),
             )
             .await;
-            let reply = connected.expect("the host accepts the connection").read_result().await;
+            let reply = connection.expect("the host accepts the connection").read_result().await;
             assert_eq!(reply.is_ok(), fits, "{reply:?}");
-            assert_eq!(large_result_bytes.get() - reserved, if fits { 2 * (value.len() + 10) } else { 0 });
+            assert_eq!(
+                large_result_bytes.get() - reserved_bytes,
+                if fits { 2 * (value.len() + 10) } else { 0 }
+            );
             drop(reply);
-            assert_eq!(large_result_bytes.get(), reserved);
+            assert_eq!(large_result_bytes.get(), reserved_bytes);
             drop(host);
         }
     }
@@ -331,12 +336,12 @@
         for last_bytes in [&b""[..], b"noise"] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
             let address = listener.local_addr().expect("the listener is bound");
-            let (release_host, released) = std::sync::mpsc::channel();
+            let (write_signal, wait_for_signal) = std::sync::mpsc::channel();
             let host = std::thread::spawn(move || {
                 let (mut stream, _) = listener.accept()?;
                 let mut out = BytesMut::new();
                 put_startup_response(&mut out);
-                let _ = (stream.read(&mut [0; 64])?, stream.write_all(&out)?, released.recv());
+                let _ = (stream.read(&mut [0; 64])?, stream.write_all(&out)?, wait_for_signal.recv());
                 stream.write_all(last_bytes)
             });
             let limits = Rc::new(Limits::for_test(serde_json::json!({})).2);
@@ -346,7 +351,7 @@
                     .expect("the host accepts the connection");
             assert!(connection.is_reusable());
             // Blocks the runtime, so that its readiness does not change.
-            release_host.send(()).expect("the host waits");
+            write_signal.send(()).expect("the host waits");
             host.join().expect("the host thread ends").expect("the host has written");
             assert!(!connection.is_reusable(), "{last_bytes:?}");
         }
@@ -360,8 +365,8 @@
             &arrowyard_pg::parse_load_report("x0=1767225600.123,x1=0").expect("the report is well-formed"),
         );
         let position = status.position.expect("the report holds a position");
-        let difference = Timestamp::from_micros(1_767_225_600_123_000) - position;
-        assert!((0..=1).contains(&difference.micros()), "{position:?}");
+        let rounding_error = Timestamp::from_micros(1_767_225_600_123_000) - position;
+        assert!((0..=1).contains(&rounding_error.micros()), "{position:?}");
         assert_eq!(status.role, Some(Role::Replica));
     }
 }
--- a/crates/arrowyard-front-pg/src/lib.rs
+++ b/crates/arrowyard-front-pg/src/lib.rs
@@ -2,8 +2,8 @@
 //! sends ops to database hosts.
 
 pub mod backend;
-pub mod connection;
 pub mod frontend;
+pub mod host_connection;
 mod probe;
 pub mod reply;
 
--- a/crates/arrowyard-pg/tests/codec.rs
+++ b/crates/arrowyard-pg/tests/codec.rs
@@ -1,4 +1,4 @@
-//! The codec on complete, split and malicious input.
+//! The codec with complete, split and malformed input.
 
 use arrowyard_pg::*;
 use bytes::{BufMut, Bytes, BytesMut};
@@ -10,7 +10,7 @@
     [&[type_byte][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
-/// Decodes a host's messages, received in two pieces split at byte `split_at`.
+/// Decodes a host's messages, received in two pieces split at `split_at`.
 fn decode_split(bytes: &[u8], split_at: usize) -> Result<Vec<BackendMessage>, ProtocolError> {
     let (mut received, mut messages) = (BytesMut::new(), Vec::new());
     for piece in [&bytes[..split_at], &bytes[split_at..]] {
@@ -77,14 +77,14 @@
     bytes.extend_from_slice(&message(b'X', b""));
     for split_at in 0..bytes.len() {
         let mut received = BytesMut::from(&bytes[..split_at]);
-        let first = StartupPacket::decode(&mut received, MAX_BYTES).unwrap();
+        let packet = StartupPacket::decode(&mut received, MAX_BYTES).unwrap();
         assert_eq!(
-            first,
+            packet,
             (split_at >= startup_bytes).then_some(StartupPacket::Startup),
             "split at {split_at}"
         );
         received.extend_from_slice(&bytes[split_at..]);
-        if first.is_none() {
+        if packet.is_none() {
             assert_eq!(StartupPacket::decode(&mut received, MAX_BYTES), Ok(Some(StartupPacket::Startup)));
         }
         assert_eq!(
@@ -128,7 +128,7 @@
     for malformed in ["", "x0", "x0=", "x0=1,x1", "x0=1e999,x1=0", "x0=NaN"] {
         assert_eq!(parse_load_report(malformed), None, "{malformed}");
     }
-    // A value length that is past the end of the row, negative, or -1 for null.
+    // Value lengths past the end of the row, negative ones, and -1 for null.
     for value_length in [3_i32, i32::MAX, i32::MIN, -1] {
         let body = [&[0, 1][..], &value_length.to_be_bytes(), b"ab"].concat();
         assert_eq!(single_value(&Bytes::from(body.clone())), None, "{value_length}");
