--- a/crates/arrowyard-cells/src/admission.rs
+++ b/crates/arrowyard-cells/src/admission.rs
@@ -110,7 +110,7 @@
             RejectReason::OpCapacity => "the cell has no room for ops",
             RejectReason::ByteCapacity => "the cell has no room for bytes",
             RejectReason::ConcurrencyLimit => "the cell's hosts are slow",
-            RejectReason::RetryBudget => "the cell's retry budget is exhausted",
+            RejectReason::RetryBudget => "the cell's budget of repeated attempts is spent",
             RejectReason::LeaseExpired => "the operator's file is too old for writes and bounded reads",
             RejectReason::MoveFenced => "the tenant moves",
             RejectReason::OutcomeUnknown => "it may have run; the tenant moved since",
--- a/crates/arrowyard-daemon/src/store.rs
+++ b/crates/arrowyard-daemon/src/store.rs
@@ -30,19 +30,19 @@
 fn describe(state: &GenerationState) -> String {
     match state {
         GenerationState::Valid(snapshot) => {
-            format!("valid, number {}, {} hosts", snapshot.number, snapshot.hosts.len())
+            format!("whole, number {}, {} hosts", snapshot.number, snapshot.hosts.len())
         }
         GenerationState::Missing => "missing".to_string(),
         GenerationState::NoFile => "no file".to_string(),
-        GenerationState::NoRights => "permission denied".to_string(),
+        GenerationState::NoRights => "no right to read it".to_string(),
         GenerationState::Unreadable(reason) => format!("unreadable: {reason}"),
         GenerationState::Empty => "empty".to_string(),
-        GenerationState::Huge(bytes) => format!("too large: {bytes} bytes"),
-        GenerationState::Truncated => "truncated".to_string(),
-        GenerationState::Garbled => "corrupted".to_string(),
-        GenerationState::Newer(format) => format!("unsupported newer format {format}"),
-        GenerationState::Older(format) => format!("unsupported older format {format}"),
-        GenerationState::Foreign => "from another deployment".to_string(),
+        GenerationState::Huge(bytes) => format!("{bytes} bytes, more than it may have"),
+        GenerationState::Truncated => "it ends too early".to_string(),
+        GenerationState::Garbled => "garbled".to_string(),
+        GenerationState::Newer(format) => format!("of the later form {format}"),
+        GenerationState::Older(format) => format!("of the former form {format}"),
+        GenerationState::Foreign => "of another deployment".to_string(),
         GenerationState::Future(ms) => format!("written {ms} ms in the future"),
     }
 }
--- a/crates/arrowyard-flight-daemon/tests/streams.rs
+++ b/crates/arrowyard-flight-daemon/tests/streams.rs
@@ -346,7 +346,7 @@
         let Err(error) = client.prepare(text.clone(), None).await else {
             panic!("the limit of 2 is exceeded")
         };
-        assert!(error.to_string().contains("too many prepared statements"), "{error}");
+        assert!(error.to_string().contains("more than are kept"), "{error}");
         second.close().await.expect("closing succeeds");
         assert!(client.prepare(text, None).await.is_ok());
     });
@@ -359,7 +359,7 @@
     runtime().block_on(async {
         let mut client = connect(&router).await.inner;
         let error = client.begin_transaction().await.expect_err("unsupported");
-        assert!(error.to_string().contains("transactions are not supported"), "{error}");
+        assert!(error.to_string().contains("no transactions are offered"), "{error}");
         let result = client.execute(ask(VIEW, 1, 5).statement(), Some(vec![1].into())).await;
         assert_eq!(code(&result.expect_err("no transactions")), Code::Unimplemented);
         async fn fetch_all(
--- a/crates/arrowyard-flight/src/bind.rs
+++ b/crates/arrowyard-flight/src/bind.rs
@@ -53,7 +53,7 @@
             Literal::Float(number) => out.push_str(&format!("({number:?})")),
             // A host would take the first NUL as the end of the statement.
             Literal::Text(text) if text.contains('\0') => {
-                return Err(CallError::InvalidOp("a text parameter contains a NUL character".to_string()));
+                return Err(CallError::InvalidOp("a parameter's text holds a NUL".to_string()));
             }
             Literal::Text(text) => {
                 out.push('\'');
@@ -172,9 +172,7 @@
                         .ok()
                         .filter(|number| (1..=MAX_PARAMETERS).contains(number));
                     let number = number.ok_or_else(|| {
-                        CallError::InvalidOp(format!(
-                            "a parameter is not in the range $1 to ${MAX_PARAMETERS}"
-                        ))
+                        CallError::InvalidOp(format!("a parameter is none of $1 to ${MAX_PARAMETERS}"))
                     })?;
                     on_parameter(number, offset, end)?;
                     offset = end;
@@ -223,7 +221,7 @@
     let expected = parameter_count(text)?;
     if expected != values.len() {
         return Err(CallError::InvalidOp(format!(
-            "the statement has {expected} parameters, but {} values are bound",
+            "the statement has {expected} parameters, and {} are bound",
             values.len()
         )));
     }
@@ -243,10 +241,7 @@
 /// The batch does not have exactly one row, has too many columns, or has a column of an unsupported type.
 pub fn batch_literals(batch: &RecordBatch) -> Result<Vec<Literal>, CallError> {
     if batch.num_rows() != 1 || batch.num_columns() > MAX_PARAMETERS {
-        return Err(CallError::InvalidOp(format!(
-            "parameters must be bound as one row of at most {MAX_PARAMETERS} columns; the batch has {} rows",
-            batch.num_rows()
-        )));
+        return Err(CallError::InvalidOp(format!("parameters come as one row, not {}", batch.num_rows())));
     }
     batch.columns().iter().map(|column| column_literal(column)).collect()
 }
@@ -280,7 +275,7 @@
         DataType::Binary => Literal::Binary(column.as_binary::<i32>().value(0).to_vec()),
         DataType::LargeBinary => Literal::Binary(column.as_binary::<i64>().value(0).to_vec()),
         unsupported => {
-            return Err(CallError::InvalidOp(format!("parameters of type {unsupported} are not supported")));
+            return Err(CallError::InvalidOp(format!("a parameter of type {unsupported} is not taken")));
         }
     })
 }
--- a/crates/arrowyard-flight/src/call_metadata.rs
+++ b/crates/arrowyard-flight/src/call_metadata.rs
@@ -36,7 +36,7 @@
     pub fn insert(&mut self, key: &str, value: &str) -> Result<(), CallError> {
         if key == "grpc-timeout" {
             let timeout_ms = parse_grpc_timeout(value)
-                .ok_or_else(|| CallError::InvalidOp("grpc-timeout is not a valid timeout".to_string()))?;
+                .ok_or_else(|| CallError::InvalidOp("grpc-timeout is no time".to_string()))?;
             self.client_timeout_ms = Some(timeout_ms);
             return Ok(());
         }
@@ -44,12 +44,10 @@
         // A value that ends the comment or starts another field would set fields that were not checked.
         let is_allowed = |byte: u8| byte.is_ascii_alphanumeric() || b"_-.:+@".contains(&byte);
         if value.is_empty() || value.len() > MAX_VALUE_BYTES || !value.bytes().all(is_allowed) {
-            return Err(CallError::InvalidOp(format!(
-                "the value of {key} is empty, too long or has characters that are not allowed"
-            )));
+            return Err(CallError::InvalidOp(format!("{key} holds what cannot stand there")));
         }
         if self.fields.iter().any(|(known, _)| *known == field) {
-            return Err(CallError::InvalidOp(format!("{key} occurs twice")));
+            return Err(CallError::InvalidOp(format!("{key} came twice")));
         }
         self.fields.push((field, value.to_string()));
         Ok(())
@@ -80,9 +78,8 @@
 /// Parses a leading routing comment; a comment of another kind counts as a part of the text.
 fn parse_comment(text: &str) -> Result<ParsedComment<'_>, CallError> {
     let Some(comment) = text.trim_start().strip_prefix("/*") else { return Ok((Vec::new(), text)) };
-    let (comment, rest) = comment
-        .split_once("*/")
-        .ok_or_else(|| CallError::InvalidOp("the comment is not terminated".to_string()))?;
+    let (comment, rest) =
+        comment.split_once("*/").ok_or_else(|| CallError::InvalidOp("a comment has no end".to_string()))?;
     let mut fields = Vec::new();
     for field in comment.split(',') {
         // Not a routing comment.
@@ -119,7 +116,7 @@
         };
         let Some(merged) = merged else {
             return Err(CallError::InvalidOp(format!(
-                "the comment sets {name} to {current}, but the metadata sets it to {value}"
+                "the comment says {name}={current}, and the metadata {value}"
             )));
         };
         changed |= *current != merged;
@@ -153,7 +150,7 @@
         // The client would give up before the op's timeout, and a later result would be lost.
         (Some(Ok(timeout_ms)), Some(client_ms)) if timeout_ms > client_ms => {
             return Err(CallError::InvalidOp(format!(
-                "the timeout of {timeout_ms} ms is longer than the grpc-timeout of {client_ms} ms"
+                "d says {timeout_ms} ms, and grpc-timeout ends after {client_ms}"
             )));
         }
         (Some(_), _) => {}
@@ -162,7 +159,7 @@
         }
         (None, None) => {
             return Err(CallError::InvalidOp(
-                "neither d, arrowyard-timeout-ms nor grpc-timeout is set".to_string(),
+                "neither d, arrowyard-timeout-ms nor grpc-timeout is said".to_string(),
             ));
         }
     }
--- a/crates/arrowyard-flight/src/ipc_validation.rs
+++ b/crates/arrowyard-flight/src/ipc_validation.rs
@@ -66,16 +66,15 @@
     /// # Errors
     /// The message is malformed or contradicts an earlier one. No further message can be validated then.
     pub fn check(&mut self, header: &[u8], body: &[u8]) -> Result<MessageKind, InvalidMessage> {
-        let message =
-            root_as_message(header).map_err(|_| InvalidMessage("a message header that cannot be decoded"))?;
+        let message = root_as_message(header).map_err(|_| InvalidMessage("a head that cannot be read"))?;
         if usize::try_from(message.bodyLength()) != Ok(body.len()) {
-            return Err(InvalidMessage("a body whose length differs from its header"));
+            return Err(InvalidMessage("a body of another length than its head says"));
         }
         match message.header_type() {
             MessageHeader::Schema => self.check_schema(&message),
             MessageHeader::DictionaryBatch => self.check_dictionary(&message, body),
             MessageHeader::RecordBatch => self.check_batch(&message, body),
-            _ => Err(InvalidMessage("a message that is neither a schema, a dictionary nor a batch")),
+            _ => Err(InvalidMessage("a message that is neither schema, dictionary nor batch")),
         }
     }
 
@@ -83,13 +82,12 @@
         if self.schema.is_some() {
             return Err(InvalidMessage("a second schema"));
         }
-        let header = message.header_as_schema().ok_or(InvalidMessage("a schema message without a schema"))?;
+        let header = message.header_as_schema().ok_or(InvalidMessage("a schema that is none"))?;
         let mut field_count = 0;
         for field in header.fields().into_iter().flatten() {
             self.check_field(field, 0, &mut field_count)?;
         }
-        let schema =
-            try_fb_to_schema(header).map_err(|_| InvalidMessage("a schema that cannot be decoded"))?;
+        let schema = try_fb_to_schema(header).map_err(|_| InvalidMessage("a schema that cannot be read"))?;
         // Dictionaries are in the order of the fields that need them.
         let mut types = Vec::new();
         schema.fields().iter().for_each(|field| collect_value_types(field.data_type(), &mut types));
@@ -98,12 +96,12 @@
             collect_dictionary_ids(field, &mut ids);
         }
         if ids.len() != types.len() {
-            return Err(InvalidMessage("dictionary ids that do not match the fields"));
+            return Err(InvalidMessage("dictionaries that no field needs"));
         }
         for (id, value_type) in ids.into_iter().zip(types) {
             let previous = self.dictionary_types.insert(id, value_type.clone());
             if previous.is_some_and(|previous| previous != value_type) {
-                return Err(InvalidMessage("a dictionary with two value types"));
+                return Err(InvalidMessage("one dictionary of two types"));
             }
         }
         self.schema = Some(schema);
@@ -119,7 +117,7 @@
     ) -> Result<(), InvalidMessage> {
         *count += 1;
         if depth > MAX_DEPTH || *count > self.limits.max_fields {
-            return Err(InvalidMessage("a schema with too many or too deeply nested fields"));
+            return Err(InvalidMessage("a schema larger than any table's"));
         }
         for child in field.children().into_iter().flatten() {
             self.check_field(child, depth + 1, count)?;
@@ -135,15 +133,14 @@
         if self.schema.is_none() {
             return Err(InvalidMessage("a dictionary before the schema"));
         }
-        let header = message
-            .header_as_dictionary_batch()
-            .ok_or(InvalidMessage("a dictionary message without a dictionary"))?;
+        let header =
+            message.header_as_dictionary_batch().ok_or(InvalidMessage("a dictionary that is none"))?;
         let value_type = self
             .dictionary_types
             .get(&header.id())
-            .ok_or(InvalidMessage("a dictionary that no field uses"))?;
+            .ok_or(InvalidMessage("a dictionary that no field needs"))?;
         if header.isDelta() && !self.received_dictionaries.contains(&header.id()) {
-            return Err(InvalidMessage("a delta to a dictionary that was not received"));
+            return Err(InvalidMessage("an addition to a dictionary that has not come"));
         }
         let data = header.data().ok_or(InvalidMessage("a dictionary without values"))?;
         BatchReader::new(&data, body, self.limits)?.check_columns(data.length(), [value_type].into_iter())?;
@@ -157,8 +154,7 @@
         if !self.dictionary_types.keys().all(|id| self.received_dictionaries.contains(id)) {
             return Err(InvalidMessage("a batch before a dictionary that it needs"));
         }
-        let header =
-            message.header_as_record_batch().ok_or(InvalidMessage("a batch message without a batch"))?;
+        let header = message.header_as_record_batch().ok_or(InvalidMessage("a batch that is none"))?;
         let types = schema.fields().iter().map(|field| field.data_type());
         BatchReader::new(&header, body, self.limits)?.check_columns(header.length(), types)?;
         let rows = header.length() as u64;
@@ -239,7 +235,7 @@
         }
         // A decompression bomb would exhaust the client's memory.
         if decompressed_bytes > limits.max_decompressed_bytes {
-            return Err(InvalidMessage("buffers whose decompressed size exceeds the limit"));
+            return Err(InvalidMessage("buffers that unpack into more than is passed on"));
         }
         let variadic_counts = header.variadicBufferCounts().into_iter().flatten().collect();
         Ok(BatchReader {
@@ -264,14 +260,14 @@
         }
         for data_type in types {
             if self.check_column(data_type, 0)? != rows as u64 {
-                return Err(InvalidMessage("a column whose length differs from its batch"));
+                return Err(InvalidMessage("a column of another length than its batch"));
             }
         }
         if self.next_node != self.nodes.len()
             || self.next_buffer != self.buffers.len()
             || self.next_variadic != self.variadic_counts.len()
         {
-            return Err(InvalidMessage("more columns or buffers than the schema needs"));
+            return Err(InvalidMessage("more columns than the schema has"));
         }
         Ok(())
     }
@@ -289,7 +285,7 @@
     fn sized_buffer(&mut self, min_len: u64) -> Result<&'a [u8], InvalidMessage> {
         let bytes = self.next_buffer()?;
         if decompressed_length(bytes, self.compressed)? < min_len {
-            return Err(InvalidMessage("a buffer too short for its rows"));
+            return Err(InvalidMessage("a buffer shorter than its rows"));
         }
         Ok(bytes)
     }
@@ -298,7 +294,7 @@
     fn check_validity(&mut self, rows: u64) -> Result<(), InvalidMessage> {
         let bytes = self.next_buffer()?;
         if !bytes.is_empty() && decompressed_length(bytes, self.compressed)? < rows.div_ceil(BITS_PER_BYTE) {
-            return Err(InvalidMessage("a buffer too short for its rows"));
+            return Err(InvalidMessage("a buffer shorter than its rows"));
         }
         Ok(())
     }
@@ -323,7 +319,7 @@
         };
         let (first_offset, last_offset) = (offset(0), offset(rows));
         if first_offset < 0 || last_offset < first_offset {
-            return Err(InvalidMessage("offsets that are negative or decrease"));
+            return Err(InvalidMessage("offsets that go back"));
         }
         Ok(Some(last_offset as u64))
     }
@@ -341,7 +337,7 @@
     /// Checks one column and returns its number of rows.
     fn check_column(&mut self, data_type: &DataType, depth: usize) -> Result<u64, InvalidMessage> {
         let rows =
-            *self.nodes.get(self.next_node).ok_or(InvalidMessage("fewer columns than the schema needs"))?
+            *self.nodes.get(self.next_node).ok_or(InvalidMessage("fewer columns than the schema has"))?
                 as u64;
         self.next_node += 1;
         let fixed_width = |bytes: u64| rows.saturating_mul(bytes);
@@ -355,14 +351,14 @@
                 for (_, field) in fields.iter() {
                     let child_rows = self.check_column(field.data_type(), depth + 1)?;
                     if *mode == UnionMode::Sparse && child_rows < rows {
-                        return Err(InvalidMessage("a child column whose length does not match its parent"));
+                        return Err(InvalidMessage("a child shorter than its rows"));
                     }
                 }
             }
             DataType::RunEndEncoded(ends, values) => {
                 let runs = self.check_column(ends.data_type(), depth + 1)?;
                 if self.check_column(values.data_type(), depth + 1)? != runs {
-                    return Err(InvalidMessage("a child column whose length does not match its parent"));
+                    return Err(InvalidMessage("a child shorter than its rows"));
                 }
             }
             data_type => {
@@ -407,13 +403,13 @@
             DataType::FixedSizeList(child, length) => {
                 let min_len = fixed_width(u64::try_from(*length).unwrap_or(u64::MAX));
                 if self.check_column(child.data_type(), depth + 1)? < min_len {
-                    return Err(InvalidMessage("a child column whose length does not match its parent"));
+                    return Err(InvalidMessage("a child shorter than its rows"));
                 }
             }
             DataType::Struct(fields) => {
                 for field in fields {
                     if self.check_column(field.data_type(), depth + 1)? < rows {
-                        return Err(InvalidMessage("a child column whose length does not match its parent"));
+                        return Err(InvalidMessage("a child shorter than its rows"));
                     }
                 }
             }
@@ -427,7 +423,7 @@
                 self.sized_buffer(fixed_width(width))?;
             }
             data_type => {
-                let width = data_type.primitive_width().ok_or(InvalidMessage("an unsupported type"))?;
+                let width = data_type.primitive_width().ok_or(InvalidMessage("a type that is not known"))?;
                 self.sized_buffer(fixed_width(width as u64))?;
             }
         }
@@ -458,7 +454,7 @@
         return Ok(bytes.len() as u64);
     }
     let Some((prefix, rest)) = bytes.split_first_chunk::<8>() else {
-        return Err(InvalidMessage("a compressed buffer without its length"));
+        return Err(InvalidMessage("a packed buffer without its length"));
     };
     match i64::from_le_bytes(*prefix) {
         -1 => Ok(rest.len() as u64),
--- a/crates/arrowyard-flight/src/status.rs
+++ b/crates/arrowyard-flight/src/status.rs
@@ -85,20 +85,18 @@
     /// The message of the status.
     pub fn message(&self) -> String {
         match self {
-            CallError::Busy(_) => "busy; the op did not run".to_string(),
-            CallError::Errored => "the op failed; it may have run".to_string(),
-            CallError::DeadlineExceeded => "the op's deadline passed; it may have run".to_string(),
+            CallError::Busy(_) => "busy; nothing of it ran".to_string(),
+            CallError::Errored => "not answered; it may have run".to_string(),
+            CallError::DeadlineExceeded => "its time is up; it may have run".to_string(),
             CallError::InvalidOp(reason) => reason.clone(),
-            CallError::TooLarge(object) => format!("{object}: the size limit is exceeded"),
-            CallError::TooMany(objects) => format!("too many {objects}"),
+            CallError::TooLarge(object) => format!("{object}: more bytes than are taken"),
+            CallError::TooMany(objects) => format!("{objects}: more than are kept at once"),
             CallError::InvalidTicket(reason)
             | CallError::SpentTicket(reason)
             | CallError::Unimplemented(reason) => (*reason).to_string(),
-            CallError::UnknownHandle => "the prepared statement does not exist or was closed".to_string(),
-            CallError::Interrupted => {
-                "the result was interrupted; the rows received are incomplete".to_string()
-            }
-            CallError::InvalidResult => "the host's result is malformed; the op may have run".to_string(),
+            CallError::UnknownHandle => "no such prepared statement, or it was closed".to_string(),
+            CallError::Interrupted => "the result broke off; what came is not whole".to_string(),
+            CallError::InvalidResult => "the host's result makes no sense; it may have run".to_string(),
         }
     }
 
--- a/crates/arrowyard-flight/src/ticket.rs
+++ b/crates/arrowyard-flight/src/ticket.rs
@@ -96,7 +96,7 @@
         now: Timestamp,
         ticket: &'a [u8],
     ) -> Result<(&'a str, RedeemedTicket), CallError> {
-        let invalid = CallError::InvalidTicket("the ticket was not issued by this router or was changed");
+        let invalid = CallError::InvalidTicket("not a ticket of this router, or spoilt on its way");
         if ticket.len() < HEADER_BYTES + MAC_BYTES
             || ticket.len() > HEADER_BYTES + self.max_statement_bytes + MAC_BYTES
         {
@@ -113,13 +113,13 @@
         let expires = Timestamp::from_micros(read_u64(1) as i64);
         let Ok(text) = std::str::from_utf8(&signed[HEADER_BYTES..]) else { return Err(invalid) };
         if now >= expires {
-            return Err(CallError::SpentTicket("the ticket has expired; call GetFlightInfo again"));
+            return Err(CallError::SpentTicket("the ticket has expired; plan again"));
         }
         // Expired tickets need no entry, since the check above rejects them.
         self.redeemed = self.redeemed.split_off(&RedeemedTicket { expires: now, number: 0 });
         let redeemed = RedeemedTicket { expires, number: read_u64(9) };
         if self.redeemed.contains(&redeemed) {
-            return Err(CallError::SpentTicket("the ticket was already redeemed; call GetFlightInfo again"));
+            return Err(CallError::SpentTicket("the ticket was redeemed before; plan again"));
         }
         // At the limit no further ticket is redeemed: without its entry, a ticket could be redeemed twice.
         if self.redeemed.len() >= self.max_redeemed {
--- a/crates/arrowyard-flight/tests/bounded_state.rs
+++ b/crates/arrowyard-flight/tests/bounded_state.rs
@@ -35,7 +35,7 @@
     issuer.restore(redeemed);
     assert!(issuer.redeem(ms(402), &ticket).is_ok());
     let (expired_ticket, _) = issuer.issue(ms(0), "SELECT 2").expect("within the length limit");
-    let expired_error = CallError::SpentTicket("the ticket has expired; call GetFlightInfo again");
+    let expired_error = CallError::SpentTicket("the ticket has expired; plan again");
     assert_eq!(
         issuer.redeem(ms(1000), &expired_ticket).map(drop),
         Err(expired_error),
--- a/crates/arrowyard-flight/tests/ipc_validation.rs
+++ b/crates/arrowyard-flight/tests/ipc_validation.rs
@@ -114,7 +114,7 @@
     let truncated_body = &last.data_body[..last.data_body.len() - 8];
     assert_eq!(
         validator.check(&last.data_header, truncated_body),
-        Err(InvalidMessage("a body whose length differs from its header"))
+        Err(InvalidMessage("a body of another length than its head says"))
     );
     // Offsets beyond the values of a text column.
     let texts =
@@ -144,7 +144,7 @@
     assert!(messages[1].data_body.len() < 1 << 14, "compressed to {} bytes", messages[1].data_body.len());
     assert_eq!(
         check_all(&messages, LIMITS),
-        Err(InvalidMessage("buffers whose decompressed size exceeds the limit"))
+        Err(InvalidMessage("buffers that unpack into more than is passed on"))
     );
     assert!(check_all(&messages, IpcLimits { max_decompressed_bytes: 1 << 24, ..LIMITS }).is_ok());
     let mut data_type = DataType::Int32;
@@ -156,10 +156,7 @@
         &IpcWriteOptions::default(),
     )
     .into();
-    assert_eq!(
-        check_all(&[nested], LIMITS),
-        Err(InvalidMessage("a schema with too many or too deeply nested fields"))
-    );
+    assert_eq!(check_all(&[nested], LIMITS), Err(InvalidMessage("a schema larger than any table's")));
 }
 
 /// A fixed seed, so that every run tests the same cases.
--- a/crates/arrowyard-front-flight/src/front_end_state.rs
+++ b/crates/arrowyard-front-flight/src/front_end_state.rs
@@ -217,10 +217,7 @@
 
     fn end_call(&mut self, now: Timestamp, connection: ConnectionId, cancelled: bool) {
         if self.client_connections.end_call(now, connection, cancelled) {
-            tracing::warn!(
-                connection = connection.0,
-                "closing a client connection that cancels too many calls"
-            );
+            tracing::warn!(line = connection.0, "closing a client connection that cancels too many calls");
             self.close(connection);
         }
     }
--- a/crates/arrowyard-front-flight/src/service.rs
+++ b/crates/arrowyard-front-flight/src/service.rs
@@ -133,7 +133,7 @@
 fn reject_transaction(id: Option<&Bytes>) -> Result<(), CallError> {
     id.is_none_or(Bytes::is_empty)
         .then_some(())
-        .ok_or(CallError::Unimplemented("transactions are not supported"))
+        .ok_or(CallError::Unimplemented("no transactions are offered"))
 }
 
 impl FlightFrontEnd {
@@ -349,9 +349,7 @@
             return Err(to_status(&CallError::TooLarge("the client's stream")));
         }
         if !data.data_header.is_empty() || !data.data_body.is_empty() {
-            return Err(to_status(&CallError::InvalidOp(
-                "an update statement must be sent without data".to_string(),
-            )));
+            return Err(to_status(&CallError::InvalidOp("an update by a statement has no data".to_string())));
         }
     }
     Ok(())
@@ -707,7 +705,7 @@
         _query: ActionBeginTransactionRequest,
         _request: Request<Action>,
     ) -> Result<ActionBeginTransactionResult, Status> {
-        unimplemented("transactions are not supported")
+        unimplemented("no transactions are offered")
     }
 
     async fn do_action_end_transaction(
@@ -715,7 +713,7 @@
         _query: ActionEndTransactionRequest,
         _request: Request<Action>,
     ) -> Result<(), Status> {
-        unimplemented("transactions are not supported")
+        unimplemented("no transactions are offered")
     }
 
     async fn do_action_begin_savepoint(
@@ -723,7 +721,7 @@
         _query: ActionBeginSavepointRequest,
         _request: Request<Action>,
     ) -> Result<ActionBeginSavepointResult, Status> {
-        unimplemented("savepoints are not supported")
+        unimplemented("no savepoints are offered")
     }
 
     async fn do_action_end_savepoint(
@@ -731,7 +729,7 @@
         _query: ActionEndSavepointRequest,
         _request: Request<Action>,
     ) -> Result<(), Status> {
-        unimplemented("savepoints are not supported")
+        unimplemented("no savepoints are offered")
     }
 
     async fn do_action_cancel_query(
@@ -739,7 +737,7 @@
         _query: ActionCancelQueryRequest,
         _request: Request<Action>,
     ) -> Result<ActionCancelQueryResult, Status> {
-        unimplemented("to cancel a query, cancel its call")
+        unimplemented("a query is called off by cancelling its call")
     }
 
     async fn do_put_statement_ingest(
@@ -747,7 +745,7 @@
         _command: CommandStatementIngest,
         _request: Request<PeekableFlightDataStream>,
     ) -> Result<i64, Status> {
-        unimplemented("bulk ingestion is not supported")
+        unimplemented("no bulk ingestion is offered")
     }
 
     async fn register_sql_info(&self, _id: i32, _info: &SqlInfo) {}
@@ -801,12 +799,12 @@
     for data in messages {
         validator
             .check(&data.data_header, &data.data_body)
-            .map_err(|invalid| CallError::InvalidOp(format!("invalid parameters: {}", invalid.0)))?;
+            .map_err(|invalid| CallError::InvalidOp(format!("the parameters: {}", invalid.0)))?;
     }
     let batches = flight_data_to_batches(messages)
-        .map_err(|_| CallError::InvalidOp("the parameters cannot be decoded".to_string()))?;
+        .map_err(|_| CallError::InvalidOp("the parameters cannot be read".to_string()))?;
     match batches.as_slice() {
         [batch] => bind::batch_literals(batch),
-        _ => Err(CallError::InvalidOp("parameters must be sent as one batch".to_string())),
+        _ => Err(CallError::InvalidOp("parameters come as one batch".to_string())),
     }
 }
--- a/crates/arrowyard-front-pg/src/frontend.rs
+++ b/crates/arrowyard-front-pg/src/frontend.rs
@@ -196,9 +196,7 @@
                 FrontendMessage::Query(text) => self.handle_query(text).await?,
                 FrontendMessage::Terminate => return Ok(()),
                 FrontendMessage::Other(_) => {
-                    return self
-                        .send_fatal_error(code::NOT_SUPPORTED, "only simple queries are supported")
-                        .await;
+                    return self.send_fatal_error(code::NOT_SUPPORTED, "only simple queries").await;
                 }
             }
         }
--- a/crates/arrowyard-front-pg/src/reply.rs
+++ b/crates/arrowyard-front-pg/src/reply.rs
@@ -16,7 +16,7 @@
         Reply::Busy(retry_after) => {
             put_busy_error(out, retry_after.map(|delay| (delay.micros().max(0) / 1000) as u64))
         }
-        Reply::Errored => put_error(out, code::INTERNAL, "the op failed; it may have run"),
+        Reply::Errored => put_error(out, code::INTERNAL, "not answered; it may have run"),
         Reply::Refused(reason) => put_error(out, code::PROTOCOL_VIOLATION, reason),
     }
     put_ready_for_query(out);
--- a/crates/arrowyard-pg/src/client.rs
+++ b/crates/arrowyard-pg/src/client.rs
@@ -28,13 +28,13 @@
     pub fn decode(received: &mut BytesMut, max_bytes: usize) -> Result<Option<StartupPacket>, ProtocolError> {
         let Some(body) = take_untyped_message(received, max_bytes)? else { return Ok(None) };
         let Some(&[a, b, c, d]) = body.get(..4) else {
-            return Err(ProtocolError("the startup packet is too short"));
+            return Err(ProtocolError("the first message is too short"));
         };
         match u32::from_be_bytes([a, b, c, d]) {
             version if version >> 16 == PROTOCOL_VERSION_3 >> 16 => Ok(Some(StartupPacket::Startup)),
             SSL_REQUEST | GSSENC_REQUEST => Ok(Some(StartupPacket::EncryptionRequest)),
             CANCEL_REQUEST => Ok(Some(StartupPacket::CancelRequest)),
-            _ => Err(ProtocolError("the protocol version is not 3")),
+            _ => Err(ProtocolError("the protocol's version is not 3")),
         }
     }
 }
--- a/crates/arrowyard-pg/src/frame.rs
+++ b/crates/arrowyard-pg/src/frame.rs
@@ -68,8 +68,7 @@
 /// # Errors
 /// The terminator is missing.
 pub fn take_cstr(body: &mut Bytes) -> Result<Bytes, ProtocolError> {
-    let end =
-        body.iter().position(|&byte| byte == 0).ok_or(ProtocolError("a string is not zero-terminated"))?;
+    let end = body.iter().position(|&byte| byte == 0).ok_or(ProtocolError("a text has no end"))?;
     let string = body.split_to(end);
     body.advance(1);
     Ok(string)
--- a/crates/arrowyard-pg/src/statement.rs
+++ b/crates/arrowyard-pg/src/statement.rs
@@ -40,18 +40,16 @@
     /// The comment is missing or malformed, or has no `id`, `d` or `c`.
     pub fn parse(text: String) -> Result<Statement, ProtocolError> {
         let comment_start = text.find("/*").filter(|&start| text[..start].trim().is_empty());
-        let comment_start = comment_start.ok_or(ProtocolError("the statement has no routing comment"))? + 2;
-        let comment_end = comment_start
-            + text[comment_start..]
-                .find("*/")
-                .ok_or(ProtocolError("the routing comment is not terminated"))?;
+        let comment_start = comment_start.ok_or(ProtocolError("a statement has no comment"))? + 2;
+        let comment_end =
+            comment_start + text[comment_start..].find("*/").ok_or(ProtocolError("a comment has no end"))?;
         let (mut timeout, mut op_type, mut tenant, mut group) = (None, None, None, 0);
         let (mut last_commit_ms, mut is_retry, mut token, mut id) = (None, false, None, None);
         let mut field_start = comment_start;
         for field in text[comment_start..comment_end].split(',') {
-            let malformed_number = ProtocolError("a field of the routing comment is not a valid number");
+            let malformed_number = ProtocolError("a number of a comment is not one");
             let (name, value) =
-                field.split_once('=').ok_or(ProtocolError("a field of the routing comment has no value"))?;
+                field.split_once('=').ok_or(ProtocolError("a name of a comment has no value"))?;
             let value_start = field_start + name.len() + 1;
             let (name, trimmed_value) = (name.trim(), value.trim());
             match name {
@@ -73,10 +71,9 @@
             }
             field_start += field.len() + 1;
         }
-        let id = id.ok_or(ProtocolError("the routing comment has no id"))?;
-        let (timeout_range, timeout_ms) =
-            timeout.ok_or(ProtocolError("the routing comment has no timeout d"))?;
-        let op_type = op_type.ok_or(ProtocolError("the routing comment has no op type c"))?;
+        let id = id.ok_or(ProtocolError("a comment has no id"))?;
+        let (timeout_range, timeout_ms) = timeout.ok_or(ProtocolError("a comment has no d"))?;
+        let op_type = op_type.ok_or(ProtocolError("a comment has no c"))?;
         let session_key = text[comment_end..].split('\'').nth(1).map(parse_key);
         Ok(Statement {
             text,
