--- a/crates/arrowyard-emulator/src/acknowledgements.rs
+++ b/crates/arrowyard-emulator/src/acknowledgements.rs
@@ -1,53 +1,59 @@
-//! How long the operator waits for an acknowledgement while a control machine is in trouble: drawn cases by what happens
-//! to it. Measured from outside: a change is sent as soon as the one before is acknowledged, ten a second at most, and the
-//! longest time between two acknowledgements around the trouble counts.
+//! Measures how long configuration changes wait for an acknowledgement during a fault of a control machine.
+//! The measure is external: a change is sent as soon as the previous one is acknowledged, at most ten per
+//! second, and the longest gap between acknowledgements around the fault counts.
 
 use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
-use crate::day::{Day, Fault, Trouble, play};
-use crate::failover::{Outages, longest_pause, measured};
+use crate::failover::{DurationSummary, longest_gap, summarize_runs};
+use crate::scenario::{Fault, FaultKind, Scenario, run_scenario};
 
-/// Changes are sent from then on, so often and so many, in seconds.
-const FIRST: f64 = 4.0;
-const EVERY: f64 = 0.1;
-const CHANGES: u32 = 160;
+/// Start and interval of the changes in seconds, and their number.
+const FIRST_CHANGE_S: f64 = 4.0;
+const CHANGE_INTERVAL_S: f64 = 0.1;
+const CHANGE_COUNT: u32 = 160;
 
-/// What happens to one control machine of three, or of four where one is exchanged.
-pub const TROUBLES: [Trouble; 10] = [
-    Trouble::KillControl,
-    Trouble::DarkControl,
-    Trouble::WipeControl,
-    Trouble::ReplaceControl,
-    Trouble::FreezeControl,
-    Trouble::CutControl,
-    Trouble::MuteControl,
-    Trouble::DeafControl,
-    Trouble::RefuseDisk,
-    Trouble::HangDisk,
+/// Measured faults of one control machine of three, or of four where it is replaced.
+pub const CONTROL_FAULTS: [FaultKind; 10] = [
+    FaultKind::KillControl,
+    FaultKind::DarkControl,
+    FaultKind::WipeControl,
+    FaultKind::ReplaceControl,
+    FaultKind::FreezeControl,
+    FaultKind::CutControl,
+    FaultKind::MuteControl,
+    FaultKind::DeafControl,
+    FaultKind::RefuseDisk,
+    FaultKind::HangDisk,
 ];
 
-/// A day on which it happens, from when and until when.
-fn day(trouble: Trouble, seed: u64) -> (Day, Timestamp, Timestamp) {
+/// Scenario with this fault, and the start and the end of the fault.
+fn scenario(fault_kind: FaultKind, seed: u64) -> (Scenario, Timestamp, Timestamp) {
     let mut rng = Rng::with_seed(seed ^ 0xacc5);
-    let (at, for_s) = (8.0 + rng.f64(), 3.0 + 2.0 * rng.f64());
-    let fault = Fault { at, for_s, what: trouble, which: rng.usize(0..6) };
-    let changes = (0..CHANGES).map(|number| FIRST + EVERY * f64::from(number)).collect();
-    let controls = if trouble == Trouble::ReplaceControl { 4 } else { 3 };
-    let day = Day { seed, controls, routers: 2, services: 1, users: 1, seconds: 26.0, ..Day::default() };
-    let point = |seconds: f64| Timestamp::from_micros((seconds * 1e6) as i64);
-    (Day { think_ms: 400, changes, faults: vec![fault], ..day }, point(at), point(at + for_s))
+    let (at, duration_s) = (8.0 + rng.f64(), 3.0 + 2.0 * rng.f64());
+    let fault = Fault { at, duration_s, kind: fault_kind, target_index: rng.usize(0..6) };
+    let changes =
+        (0..CHANGE_COUNT).map(|number| FIRST_CHANGE_S + CHANGE_INTERVAL_S * f64::from(number)).collect();
+    let controls = if fault_kind == FaultKind::ReplaceControl { 4 } else { 3 };
+    let scenario =
+        Scenario { seed, controls, routers: 2, services: 1, users: 1, seconds: 26.0, ..Scenario::default() };
+    let timestamp = |seconds: f64| Timestamp::from_micros((seconds * 1e6) as i64);
+    (
+        Scenario { think_ms: 400, changes, faults: vec![fault], ..scenario },
+        timestamp(at),
+        timestamp(at + duration_s),
+    )
 }
 
-/// Plays so many drawn cases of one trouble.
-pub fn pauses(trouble: Trouble, cases: u64, from: u64) -> Outages {
-    measured(cases, from, |seed| {
-        let (day, begins, ends) = day(trouble, seed);
-        let played = play(&day);
-        (longest_pause(&played.acks, begins, ends), !played.breaches.is_empty())
+/// Measures `cases` generated scenarios of one fault.
+pub fn measure_acknowledgement_gaps(fault_kind: FaultKind, cases: u64, first_seed: u64) -> DurationSummary {
+    summarize_runs(cases, first_seed, |seed| {
+        let (scenario, fault_start, fault_end) = scenario(fault_kind, seed);
+        let result = run_scenario(&scenario);
+        (longest_gap(&result.change_times, fault_start, fault_end), !result.violations.is_empty())
     })
 }
 
-/// What a change may wait at most, whatever happens to one control machine: a call that is not answered is given up after
-/// a second, and the next machine is asked.
-pub const BOUND: TimeDelta = TimeDelta::from_millis(1500);
+/// Upper bound of a change's wait during a fault of one control machine: a call times out after a second,
+/// and the next machine is tried.
+pub const MAX_GAP: TimeDelta = TimeDelta::from_millis(1500);
--- a/crates/arrowyard-emulator/src/bin/arrowyard-basin.rs
+++ b/crates/arrowyard-emulator/src/bin/arrowyard-basin.rs
@@ -1,184 +1,187 @@
-//! Plays days of the emulator: one, or many that are drawn, and says what was broken and what was served.
+//! Command-line interface of the emulator: runs scenarios, measurements and model checks.
 
 use std::io::BufRead;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
 
-use arrowyard_emulator::acknowledgements::{TROUBLES, pauses};
-use arrowyard_emulator::capacity::{ChangeCost, configuration, measure};
-use arrowyard_emulator::catch_up::catch_up;
-use arrowyard_emulator::chart::{draw, draw_paces};
-use arrowyard_emulator::departures::last_questions;
-use arrowyard_emulator::experiment::{Difference, FIGURES, Outcome, compare, outcomes};
-use arrowyard_emulator::failover::{Cause, Outages, outages};
-use arrowyard_emulator::models::{Checked, ledger, promotion};
-use arrowyard_emulator::{Day, Played, drawn, play, shares};
+use arrowyard_emulator::acknowledgements::{CONTROL_FAULTS, measure_acknowledgement_gaps};
+use arrowyard_emulator::capacity::{ChangeCost, measure_configuration_change, measure_deployment};
+use arrowyard_emulator::catch_up::measure_catch_up;
+use arrowyard_emulator::chart::{draw_kinds, draw_throughput};
+use arrowyard_emulator::departures::measure_requests_after_drain;
+use arrowyard_emulator::experiment::{Difference, METRIC_NAMES, RunMetrics, compare, run_seeds};
+use arrowyard_emulator::failover::{Cause, DurationSummary, measure_outages};
+use arrowyard_emulator::models::{CheckResult, ledger, promotion};
+use arrowyard_emulator::{RunResult, Scenario, random_scenario, run_scenario, shares};
 use bpaf::Bpaf;
 
-/// The share of a core that a control machine is reckoned to have.
-const SHARE: f64 = 0.25;
+/// Assumed share of a core of a control machine.
+const CPU_SHARE: f64 = 0.25;
 
-/// The emulator of the whole system.
+/// Emulator of the whole system.
 #[derive(Bpaf, Clone, Debug)]
 #[bpaf(options)]
 enum Command {
-    /// Plays the day of a file.
+    /// Runs the scenario of a file.
     #[bpaf(command)]
     Play {
         #[bpaf(positional("FILE"))]
-        day: PathBuf,
+        scenario: PathBuf,
     },
-    /// Plays drawn days, and prints each that breaks a rule so that it can be kept.
+    /// Runs generated scenarios and prints each one that violates an invariant.
     #[bpaf(command)]
     Hunt {
-        /// How many.
-        #[bpaf(argument("N"), fallback(100))]
-        days: u64,
-        /// The first seed.
-        #[bpaf(argument("SEED"), fallback(1))]
-        from: u64,
+        /// Number of scenarios.
+        #[bpaf(long("days"), argument("N"), fallback(100))]
+        count: u64,
+        /// First seed.
+        #[bpaf(long("from"), argument("SEED"), fallback(1))]
+        first_seed: u64,
     },
     /// Measures how long services are without a primary, by cause.
     #[bpaf(command)]
     Failover {
-        /// Of each cause.
+        /// Number of cases per cause.
         #[bpaf(argument("N"), fallback(30))]
         cases: u64,
-        /// The first seed.
-        #[bpaf(argument("SEED"), fallback(1))]
-        from: u64,
+        /// First seed.
+        #[bpaf(long("from"), argument("SEED"), fallback(1))]
+        first_seed: u64,
     },
-    /// How long the operator waits for an acknowledgement while a control machine is in trouble, by what happens to it.
+    /// Measures how long the operator waits for an acknowledgement, by fault of a control machine.
     #[bpaf(command)]
     Acknowledgements {
-        /// Of each trouble.
+        /// Number of cases per fault.
         #[bpaf(argument("N"), fallback(20))]
         cases: u64,
-        /// The first seed.
-        #[bpaf(argument("SEED"), fallback(1))]
-        from: u64,
+        /// First seed.
+        #[bpaf(long("from"), argument("SEED"), fallback(1))]
+        first_seed: u64,
     },
-    /// How long a replica that leaves is asked after that was acknowledged, by what happens to a control machine.
+    /// Measures how long a draining replica still receives requests, by fault of a control machine.
     #[bpaf(command)]
     Departures {
-        /// Of each trouble.
+        /// Number of cases per fault.
         #[bpaf(argument("N"), fallback(20))]
         cases: u64,
-        /// The first seed.
-        #[bpaf(argument("SEED"), fallback(1))]
-        from: u64,
+        /// First seed.
+        #[bpaf(long("from"), argument("SEED"), fallback(1))]
+        first_seed: u64,
     },
-    /// How long a control machine that was away takes to catch up.
+    /// Measures how long a control machine takes to catch up.
     #[bpaf(command)]
     CatchUp {
-        /// Entries that it lacks.
-        #[bpaf(argument("N"), some("tell how many entries"))]
+        /// Number of missing entries.
+        #[bpaf(argument("N"), some("at least one number of entries is required"))]
         entries: Vec<u64>,
-        /// Routes of the configuration.
-        #[bpaf(argument("N"), some("tell how many routes"))]
+        /// Number of configured routes.
+        #[bpaf(argument("N"), some("at least one number of routes is required"))]
         routes: Vec<usize>,
     },
-    /// Plays drawn days and prints a line for each: seed, shares served in aim, late, lost, p50 and p99 in ms, rules broken.
+    /// Runs generated scenarios and prints a line for each: seed, shares served in aim, late, lost, p50 and
+    /// p99 in ms, violated invariants.
     #[bpaf(command)]
     Outcomes {
-        /// How many.
-        #[bpaf(argument("N"), fallback(100))]
-        days: u64,
-        /// The first seed.
-        #[bpaf(argument("SEED"), fallback(1))]
-        from: u64,
-        /// A setting of every day, NAME=VALUE.
+        /// Number of scenarios.
+        #[bpaf(long("days"), argument("N"), fallback(100))]
+        count: u64,
+        /// First seed.
+        #[bpaf(long("from"), argument("SEED"), fallback(1))]
+        first_seed: u64,
+        /// Setting of every scenario, NAME=VALUE.
         #[bpaf(long("set"), argument("NAME=VALUE"), many)]
         settings: Vec<String>,
     },
-    /// Plays the same drawn days twice, under other settings or with another build of this program, and tells what
-    /// differs.
+    /// Runs the same generated scenarios twice, with other settings or with another build of this program,
+    /// and prints the differences.
     #[bpaf(command)]
     Compare {
-        /// How many.
-        #[bpaf(argument("N"), fallback(100))]
-        days: u64,
-        /// The first seed.
-        #[bpaf(argument("SEED"), fallback(1))]
-        from: u64,
-        /// The other build; this one if none is named.
-        #[bpaf(argument("PROGRAM"), optional)]
-        against: Option<PathBuf>,
-        /// A setting of both, NAME=VALUE.
+        /// Number of scenarios.
+        #[bpaf(long("days"), argument("N"), fallback(100))]
+        count: u64,
+        /// First seed.
+        #[bpaf(long("from"), argument("SEED"), fallback(1))]
+        first_seed: u64,
+        /// Path of the other build; this one by default.
+        #[bpaf(long("against"), argument("PROGRAM"), optional)]
+        other_program: Option<PathBuf>,
+        /// Setting of both, NAME=VALUE.
         #[bpaf(long("set"), argument("NAME=VALUE"), many)]
         settings: Vec<String>,
-        /// A setting of the second alone, NAME=VALUE.
+        /// Setting of the second only, NAME=VALUE.
         #[bpaf(long("second"), argument("NAME=VALUE"), many)]
         second: Vec<String>,
     },
-    /// Plays the rainy-season morning with hosts divided and not: what each kind of requests keeps of its pace.
+    /// Runs the surge scenario with and without division of hosts and prints statistics by kind of
+    /// requests.
     #[bpaf(command)]
     Shares {
-        /// Without a primary replaced, one lost, answers lost, a router killed.
+        /// Without the faults: a replaced primary, a crashed one, lost replies, a killed router.
         #[bpaf(long("calm"), switch)]
-        calm: bool,
-        /// Services, of three databases and three hosts each.
+        without_faults: bool,
+        /// Number of services, with three databases and three hosts each.
         #[bpaf(argument("N"), fallback(1))]
         services: usize,
         #[bpaf(argument("SEED"), fallback(1))]
         seed: u64,
-        /// Instead: of so many days, how soon a kind that was idle has its pace back.
-        #[bpaf(argument("N"), optional)]
-        back: Option<u64>,
-        /// Draws the last morning's paces by kind, as SVG.
-        #[bpaf(argument("SVG"), optional)]
-        out: Option<PathBuf>,
-        /// How many routers there are, one morning after the other.
+        /// Instead: measures over N scenarios how soon an idle kind recovers its throughput.
+        #[bpaf(long("back"), argument("N"), optional)]
+        recovery_cases: Option<u64>,
+        /// Draws the last run by kind, as SVG.
+        #[bpaf(long("out"), argument("SVG"), optional)]
+        output: Option<PathBuf>,
+        /// Numbers of routers, one run each.
         #[bpaf(positional("N"))]
         routers: Vec<usize>,
     },
-    /// Explores the ledger and the change of primary to exhaustion, scene by scene, with the code that ships.
+    /// Model-checks the ledger and promotion exhaustively, scenario by scenario.
     #[bpaf(command)]
     Check,
-    /// Draws the day of a file, as SVG: operations asked and served by second, and what happened when.
+    /// Draws the scenario of a file as SVG: operations asked and served by second, and the faults.
     #[bpaf(command)]
     Chart {
-        /// The picture.
-        #[bpaf(argument("SVG"))]
-        out: PathBuf,
+        /// Path of the chart.
+        #[bpaf(long("out"), argument("SVG"))]
+        output: PathBuf,
         #[bpaf(positional("FILE"))]
-        day: PathBuf,
+        scenario: PathBuf,
     },
-    /// Measures what control costs, by the number of routers, hosts, sessions and routes.
+    /// Measures the cost of control, by the number of routers, hosts, sessions and routes.
     #[bpaf(command)]
     Capacity {
-        /// What is to grow: routers, hosts, sessions, changes, routes.
+        /// What grows: routers, hosts, sessions, changes, routes.
         #[bpaf(positional("WHAT"))]
-        what: String,
-        /// The sizes.
+        dimension: String,
+        /// Sizes.
         #[bpaf(positional("N"))]
         sizes: Vec<usize>,
     },
 }
 
-fn capacity(what: &str, sizes: &[usize]) -> Result<(), String> {
+fn print_capacity(dimension: &str, sizes: &[usize]) -> Result<(), String> {
     println!(
-        "{what:>8}  controls routers hosts  users | control bytes/s  writes/s  events/s  busy us/s | router bytes/s  busy us/s | \
+        "{dimension:>8}  controls routers hosts  users | control bytes/s  writes/s  events/s  busy us/s | router bytes/s  busy us/s | \
          memory MB  statements"
     );
     for &size in sizes {
-        if what == "routes" {
-            let ChangeCost { apply, layout, difference, whole } = configuration(size);
+        if dimension == "routes" {
+            let ChangeCost { apply_time, layout_time, difference_time, configuration_bytes } =
+                measure_configuration_change(size);
             println!(
-                "{size:>8}  change {apply:?}, layout {layout:?}, difference {difference:?}, whole {whole} bytes"
+                "{size:>8}  change {apply_time:?}, layout {layout_time:?}, difference {difference_time:?}, whole {configuration_bytes} bytes"
             );
             continue;
         }
-        let cost = match what {
-            "routers" => measure(3, size, 3, 0, 0),
-            "hosts" => measure(3, 6, size / 3, 0, 0),
-            "sessions" => measure(3, 1, 3, size / 9, 0),
-            "load" => measure(3, 3, 3, size, 0),
-            "changes" => measure(3, 60, 3, 0, size),
-            "controls" => measure(size, 60, 3, 0, 0),
+        let cost = match dimension {
+            "routers" => measure_deployment(3, size, 3, 0, 0),
+            "hosts" => measure_deployment(3, 6, size / 3, 0, 0),
+            "sessions" => measure_deployment(3, 1, 3, size / 9, 0),
+            "load" => measure_deployment(3, 3, 3, size, 0),
+            "changes" => measure_deployment(3, 60, 3, 0, size),
+            "controls" => measure_deployment(size, 60, 3, 0, 0),
             _ => {
                 return Err(format!(
-                    "{what}: is none of routers, hosts, sessions, load, changes, controls, routes"
+                    "unknown dimension {dimension}; expected one of routers, hosts, sessions, load, changes, controls, routes"
                 ));
             }
         };
@@ -191,9 +194,9 @@
             cost.control.bytes,
             cost.control.writes,
             cost.control.events,
-            cost.control.busy * 1e6,
+            cost.control.cpu_seconds * 1e6,
             cost.router.bytes,
-            cost.router.busy * 1e6,
+            cost.router.cpu_seconds * 1e6,
             cost.memory as f64 / 1e6,
             cost.statements,
         );
@@ -201,232 +204,254 @@
     Ok(())
 }
 
-fn print_header(what: &str) {
-    println!("{what:>24}  cases  p50 ms  p99 ms  worst ms  never  days with a rule broken");
+fn print_header(column: &str) {
+    println!("{column:>24}  cases  p50 ms  p99 ms  worst ms  never  days with a rule broken");
 }
 
-fn print_outages(name: &str, outages: &Outages) {
+fn print_outages(name: &str, outages: &DurationSummary) {
     println!(
         "{name:>24}  {:>5}  {:>6}  {:>6}  {:>8}  {:>5}  {}",
-        outages.cases, outages.p50, outages.p99, outages.worst, outages.never, outages.broken
+        outages.cases,
+        outages.p50_ms,
+        outages.p99_ms,
+        outages.worst_ms,
+        outages.unrecovered,
+        outages.runs_with_violations
     );
 }
 
-fn acknowledgements(cases: u64, from: u64) {
+fn print_acknowledgements(cases: u64, first_seed: u64) {
     print_header("trouble");
-    for trouble in TROUBLES {
-        print_outages(&format!("{trouble:?}"), &pauses(trouble, cases, from));
+    for fault_kind in CONTROL_FAULTS {
+        print_outages(
+            &format!("{fault_kind:?}"),
+            &measure_acknowledgement_gaps(fault_kind, cases, first_seed),
+        );
     }
 }
 
-fn departures(cases: u64, from: u64) {
+fn print_departures(cases: u64, first_seed: u64) {
     print_header("trouble");
-    for trouble in [None].into_iter().chain(TROUBLES.map(Some)) {
-        let name = trouble.map_or("none".to_string(), |trouble| format!("{trouble:?}"));
-        print_outages(&name, &last_questions(trouble, cases, from));
+    for fault_kind in [None].into_iter().chain(CONTROL_FAULTS.map(Some)) {
+        let name = fault_kind.map_or("none".to_string(), |fault_kind| format!("{fault_kind:?}"));
+        print_outages(&name, &measure_requests_after_drain(fault_kind, cases, first_seed));
     }
 }
 
-fn failover(cases: u64, from: u64) {
+fn print_failover(cases: u64, first_seed: u64) {
     print_header("cause");
     for cause in Cause::ALL {
-        print_outages(cause.name(), &outages(cause, cases, from));
+        print_outages(cause.name(), &measure_outages(cause, cases, first_seed));
     }
 }
 
-fn measure_catch_up(entries: &[u64], routes: &[usize]) -> Result<(), String> {
-    println!("entries  routes  waited ms  busy ms  sent KB  at {SHARE} of a core, ms at most");
+fn print_catch_up(entries: &[u64], routes: &[usize]) -> Result<(), String> {
+    println!("entries  routes  waited ms  busy ms  sent KB  at {CPU_SHARE} of a core, ms at most");
     for &entries in entries {
         for &routes in routes {
-            let took = catch_up(entries, routes)?;
+            let result = measure_catch_up(entries, routes)?;
             println!(
                 "{entries:>7}  {routes:>6}  {:>9.0}  {:>7.1}  {:>7}  {:.0}",
-                took.waited.as_secs_f64() * 1e3,
-                took.busy.as_secs_f64() * 1e3,
-                took.bytes / 1000,
-                took.at_share(SHARE) * 1e3
+                result.elapsed.as_secs_f64() * 1e3,
+                result.plane_time.as_secs_f64() * 1e3,
+                result.bytes_sent / 1000,
+                result.at_cpu_share(CPU_SHARE) * 1e3
             );
         }
     }
     Ok(())
 }
 
-/// How a part's scenes are explored, by name.
-type Explore = fn(&str) -> Option<Checked>;
+/// Explores a scenario by name.
+type Explore = fn(&str) -> Option<CheckResult>;
 
-/// Explores all scenes; whether every property holds in each.
-fn check() -> bool {
-    let parts: [(&str, &[&str], Explore); 2] = [
-        ("ledger", &ledger::SCENES, |name| ledger::check(name, None)),
-        ("promotion", &promotion::SCENES, |name| promotion::check(name, None)),
+/// Explores all scenarios and returns whether every property holds.
+fn check_models() -> bool {
+    let models: [(&str, &[&str], Explore); 2] = [
+        ("ledger", &ledger::SCENARIOS, |name| ledger::check(name, None)),
+        ("promotion", &promotion::SCENARIOS, |name| promotion::check(name, None)),
     ];
     let mut holds = true;
-    for (part, scenes, explore) in parts {
-        for name in scenes {
-            let began = std::time::Instant::now();
+    for (model, scenarios, explore) in models {
+        for name in scenarios {
+            let started = std::time::Instant::now();
             let Some(checked) = explore(name) else { continue };
-            let word = if checked.broken.is_empty() && checked.lives { "holds" } else { "does not hold" };
+            let verdict =
+                if checked.violations.is_empty() && checked.progressed { "holds" } else { "does not hold" };
             println!(
-                "{part:>10}  {name:<30}  {:>9} states  {:>6.1?}  {word}",
-                checked.states,
-                began.elapsed()
+                "{model:>10}  {name:<30}  {:>9} states  {:>6.1?}  {verdict}",
+                checked.unique_states,
+                started.elapsed()
             );
-            checked.broken.iter().for_each(|(property, way)| println!("{property}: {way}"));
-            holds &= checked.broken.is_empty() && checked.lives;
+            checked.violations.iter().for_each(|(property, trace)| println!("{property}: {trace}"));
+            holds &= checked.violations.is_empty() && checked.progressed;
         }
     }
     holds
 }
 
-/// The days as a program plays them, read from what it prints; progress goes to standard error.
-fn played_by(
+/// Runs scenarios with a program and parses its output. Progress is printed to standard error.
+fn run_with_program(
     program: &Path,
-    days: u64,
-    from: u64,
+    count: u64,
+    first_seed: u64,
     settings: &[&String],
-) -> Result<Vec<Outcome>, Box<dyn std::error::Error>> {
+) -> Result<Vec<RunMetrics>, Box<dyn std::error::Error>> {
     let mut command = std::process::Command::new(program);
-    command.args(["outcomes", "--days", &days.to_string(), "--from", &from.to_string()]);
+    command.args(["outcomes", "--days", &count.to_string(), "--from", &first_seed.to_string()]);
     for setting in settings {
         command.args(["--set", setting]);
     }
     let mut child = command.stdout(std::process::Stdio::piped()).spawn()?;
-    let lines = std::io::BufReader::new(child.stdout.take().ok_or("its output cannot be read")?).lines();
-    let mut outcomes = Vec::new();
+    let lines =
+        std::io::BufReader::new(child.stdout.take().ok_or("cannot read the output of the program")?).lines();
+    let mut results = Vec::new();
     for line in lines {
-        outcomes.push(line?.parse::<Outcome>()?);
-        eprint!("\r{} of {days} days", outcomes.len());
+        results.push(line?.parse::<RunMetrics>()?);
+        eprint!("\r{} of {count} days", results.len());
     }
     eprintln!();
-    if child.wait()?.success() { Ok(outcomes) } else { Err("it did not play to the end".into()) }
+    if child.wait()?.success() { Ok(results) } else { Err("the program failed".into()) }
 }
 
-fn compared(
-    (days, from): (u64, u64),
-    against: Option<PathBuf>,
+fn compare_programs(
+    (count, first_seed): (u64, u64),
+    other_program: Option<PathBuf>,
     settings: &[String],
     second: &[String],
 ) -> Result<(), Box<dyn std::error::Error>> {
-    let this = std::env::current_exe()?;
-    let both: Vec<&String> = settings.iter().collect();
-    let other: Vec<&String> = settings.iter().chain(second).collect();
-    let one = played_by(&against.unwrap_or_else(|| this.clone()), days, from, &both)?;
-    let two = played_by(&this, days, from, &other)?;
+    let this_program = std::env::current_exe()?;
+    let first_settings: Vec<&String> = settings.iter().collect();
+    let second_settings: Vec<&String> = settings.iter().chain(second).collect();
+    let first_results = run_with_program(
+        &other_program.unwrap_or_else(|| this_program.clone()),
+        count,
+        first_seed,
+        &first_settings,
+    )?;
+    let second_results = run_with_program(&this_program, count, first_seed, &second_settings)?;
     println!("{:>8}  {:>12}  {:>12}  {:>12}  within (95 of 100)", "figure", "first", "second", "second less");
-    for (name, difference) in FIGURES.iter().zip(compare(&one, &two)?) {
-        let Difference { first, second, mean, within } = difference;
-        let sure = if mean.abs() > within { "" } else { "  no difference shown" };
-        println!("{name:>8}  {first:>12.4}  {second:>12.4}  {mean:>+12.4}  {within:.4}{sure}");
+    for (name, difference) in METRIC_NAMES.iter().zip(compare(&first_results, &second_results)?) {
+        let Difference { first, second, mean, margin } = difference;
+        let note = if mean.abs() > margin { "" } else { "  no difference shown" };
+        println!("{name:>8}  {first:>12.4}  {second:>12.4}  {mean:>+12.4}  {margin:.4}{note}");
     }
     Ok(())
 }
 
-fn read_day(file: &Path) -> Result<Day, String> {
-    let text = std::fs::read_to_string(file).map_err(|fault| format!("{}: {fault}", file.display()))?;
-    serde_saphyr::from_str(&text).map_err(|fault| format!("{}: {fault}", file.display()))
+fn read_scenario(file: &Path) -> Result<Scenario, String> {
+    let text = std::fs::read_to_string(file).map_err(|error| format!("{}: {error}", file.display()))?;
+    serde_saphyr::from_str(&text).map_err(|error| format!("{}: {error}", file.display()))
 }
 
-/// What could not be done is told, and is exit code 2.
-fn ended<T>(done: Result<T, impl std::fmt::Display>) -> ExitCode {
-    match done {
+/// Prints an error and maps it to exit code 2.
+fn exit_code<T>(result: Result<T, impl std::fmt::Display>) -> ExitCode {
+    match result {
         Ok(_) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("{fault}");
+        Err(error) => {
+            eprintln!("{error}");
             ExitCode::from(2)
         }
     }
 }
 
-fn tells(played: &Played) -> String {
-    let tally = played.tally;
+fn summary(result: &RunResult) -> String {
+    let counts = result.counts;
     format!(
         "asked {}, in aim {}, late {}, refused {}, failed {}; p50 {:.1} ms, p99 {:.1} ms; {} promotions, {} statements run, {} \
          connections over the cap, {} rules broken",
-        tally.asked,
-        tally.served,
-        tally.late,
-        tally.refused,
-        tally.failed,
-        played.p50_ms,
-        played.p99_ms,
-        played.promotions,
-        played.runs,
-        played.over_cap,
-        played.breaches.len()
+        counts.total,
+        counts.served,
+        counts.late,
+        counts.rejected,
+        counts.failed,
+        result.p50_ms,
+        result.p99_ms,
+        result.promotions,
+        result.statements_run,
+        result.connections_over_limit,
+        result.violations.len()
     )
 }
 
-fn shown(played: &Played) {
-    for breach in played.breaches.iter().take(8) {
-        println!("  {} at {:.3} s: {}", breach.rule, breach.at.micros() as f64 / 1e6, breach.what);
+fn print_violations(result: &RunResult) {
+    for violation in result.violations.iter().take(8) {
+        println!(
+            "  {} at {:.3} s: {}",
+            violation.invariant,
+            violation.at.micros() as f64 / 1e6,
+            violation.description
+        );
     }
 }
 
 fn main() -> ExitCode {
     match command().run() {
-        Command::Capacity { what, sizes } => ended(capacity(&what, &sizes)),
-        Command::Acknowledgements { cases, from } => {
-            acknowledgements(cases, from);
+        Command::Capacity { dimension, sizes } => exit_code(print_capacity(&dimension, &sizes)),
+        Command::Acknowledgements { cases, first_seed } => {
+            print_acknowledgements(cases, first_seed);
             ExitCode::SUCCESS
         }
-        Command::Departures { cases, from } => {
-            departures(cases, from);
+        Command::Departures { cases, first_seed } => {
+            print_departures(cases, first_seed);
             ExitCode::SUCCESS
         }
-        Command::CatchUp { entries, routes } => ended(measure_catch_up(&entries, &routes)),
-        Command::Failover { cases, from } => {
-            failover(cases, from);
+        Command::CatchUp { entries, routes } => exit_code(print_catch_up(&entries, &routes)),
+        Command::Failover { cases, first_seed } => {
+            print_failover(cases, first_seed);
             ExitCode::SUCCESS
         }
-        Command::Outcomes { days, from, settings } => {
-            ended(outcomes(from..from + days, &settings, |outcome| println!("{outcome}")))
+        Command::Outcomes { count, first_seed, settings } => {
+            exit_code(run_seeds(first_seed..first_seed + count, &settings, |metrics| println!("{metrics}")))
         }
-        Command::Compare { days, from, against, settings, second } => {
-            ended(compared((days, from), against, &settings, &second))
+        Command::Compare { count, first_seed, other_program, settings, second } => {
+            exit_code(compare_programs((count, first_seed), other_program, &settings, &second))
         }
-        Command::Shares { back: Some(cases), routers, .. } => {
-            routers.iter().for_each(|routers| shares::back(cases, *routers));
+        Command::Shares { recovery_cases: Some(cases), routers, .. } => {
+            routers.iter().for_each(|routers| shares::print_recovery_times(cases, *routers));
             ExitCode::SUCCESS
         }
-        Command::Shares { calm, services, seed, out, routers, .. } => {
-            let last = shares::compare(&routers, services, !calm, seed);
-            ended(match (out, last) {
-                (Some(out), Some((day, played))) => draw_paces(&day, &played, &out),
+        Command::Shares { without_faults, services, seed, output, routers, .. } => {
+            let last = shares::print_comparison(&routers, services, !without_faults, seed);
+            exit_code(match (output, last) {
+                (Some(output), Some((scenario, result))) => draw_kinds(&scenario, &result, &output),
                 _ => Ok(()),
             })
         }
-        Command::Check => ExitCode::from(u8::from(!check())),
-        Command::Chart { out, day } => {
-            let drawn = read_day(&day).map_err(Into::into).and_then(|day| draw(&day, &play(&day), &out));
-            ended(drawn)
+        Command::Check => ExitCode::from(u8::from(!check_models())),
+        Command::Chart { output, scenario } => {
+            let chart = read_scenario(&scenario)
+                .map_err(Into::into)
+                .and_then(|scenario| draw_throughput(&scenario, &run_scenario(&scenario), &output));
+            exit_code(chart)
         }
-        Command::Play { day } => {
-            let day = match read_day(&day) {
-                Ok(day) => day,
-                Err(fault) => return ended(Err::<(), _>(fault)),
+        Command::Play { scenario } => {
+            let scenario = match read_scenario(&scenario) {
+                Ok(scenario) => scenario,
+                Err(error) => return exit_code(Err::<(), _>(error)),
             };
-            let played = play(&day);
-            println!("{}", tells(&played));
-            for (second, asked, served) in &played.seconds {
-                println!("{second:3} s  asked {asked:5}  served {served:5}");
+            let result = run_scenario(&scenario);
+            println!("{}", summary(&result));
+            for (second, requested, served) in &result.counts_by_second {
+                println!("{second:3} s  asked {requested:5}  served {served:5}");
             }
-            shown(&played);
-            ExitCode::from(u8::from(!played.breaches.is_empty()))
+            print_violations(&result);
+            ExitCode::from(u8::from(!result.violations.is_empty()))
         }
-        Command::Hunt { days, from } => {
-            let mut broken = 0;
-            for seed in from..from + days {
-                let day = drawn(seed);
-                let played = play(&day);
-                if !played.breaches.is_empty() {
-                    broken += 1;
-                    println!("seed {seed}: {}", tells(&played));
-                    shown(&played);
-                    println!("{}", serde_saphyr::to_string(&day).unwrap_or_default());
+        Command::Hunt { count, first_seed } => {
+            let mut failing_scenarios = 0;
+            for seed in first_seed..first_seed + count {
+                let scenario = random_scenario(seed);
+                let result = run_scenario(&scenario);
+                if !result.violations.is_empty() {
+                    failing_scenarios += 1;
+                    println!("seed {seed}: {}", summary(&result));
+                    print_violations(&result);
+                    println!("{}", serde_saphyr::to_string(&scenario).unwrap_or_default());
                 }
             }
-            println!("{days} days, {broken} with a rule broken");
-            ExitCode::from(u8::from(broken > 0))
+            println!("{count} days, {failing_scenarios} with a rule broken");
+            ExitCode::from(u8::from(failing_scenarios > 0))
         }
     }
 }
--- a/crates/arrowyard-emulator/src/calls.rs
+++ b/crates/arrowyard-emulator/src/calls.rs
@@ -1,4 +1,4 @@
-//! Calls of hosts and operators, one at a time, made by hand.
+//! Single HTTP calls to control machines, for tests.
 
 use std::cell::RefCell;
 use std::net::SocketAddrV4;
@@ -8,36 +8,36 @@
 use arrowyard_runtime::{Commands, Event, Plane};
 use arrowyard_types::{TimeDelta, Timestamp};
 
-use crate::system::System;
+use crate::deployment::Deployment;
 
-/// What a call was answered: its status and body; status 0 for a connection that ended without an answer.
-pub type CallAnswer = Rc<RefCell<Option<(u16, String)>>>;
+/// Status and body of the response, once there is one. Status 0: the connection closed without a response.
+pub type CallReply = Rc<RefCell<Option<(u16, String)>>>;
 
-/// A call is looked at so often, and waited for so often at most: a second.
-const LOOK: TimeDelta = TimeDelta::from_millis(5);
-const LOOKS: usize = 200;
+/// A response is polled at this interval, for one second at most.
+const POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(5);
+const MAX_POLLS: usize = 200;
 
-/// Makes one call.
+/// A client that makes one call.
 struct Caller {
     to: SocketAddrV4,
-    text: String,
-    messages: HttpDecoder,
-    answer: CallAnswer,
+    request: String,
+    decoder: HttpDecoder,
+    reply: CallReply,
 }
 
 impl Plane for Caller {
     fn handle(&mut self, _: Timestamp, event: Event<'_>, commands: &mut Commands) {
         match event {
             Event::Start => drop(commands.dial(self.to)),
-            Event::Connected { conn } => commands.write(conn, &[self.text.as_bytes()]),
+            Event::Connected { conn } => commands.write(conn, &[self.request.as_bytes()]),
             Event::Received { bytes, .. } => {
-                self.messages.put(bytes);
-                if let Ok(Some(response)) = self.messages.next_response() {
+                self.decoder.put(bytes);
+                if let Ok(Some(response)) = self.decoder.next_response() {
                     let body = String::from_utf8_lossy(&response.body).into_owned();
-                    self.answer.borrow_mut().get_or_insert((response.status, body));
+                    self.reply.borrow_mut().get_or_insert((response.status, body));
                 }
             }
-            Event::Closed { .. } => drop(self.answer.borrow_mut().get_or_insert((0, String::new()))),
+            Event::Closed { .. } => drop(self.reply.borrow_mut().get_or_insert((0, String::new()))),
             _ => {}
         }
     }
@@ -47,29 +47,29 @@
     }
 }
 
-impl System {
-    /// Begins a call at a control machine, with the whole text of its request.
-    pub fn begin_call(&mut self, control: usize, text: &str) -> CallAnswer {
-        let answer = CallAnswer::default();
+impl Deployment {
+    /// Starts a call to a control machine; `request` is its whole text.
+    pub fn start_call(&mut self, control: usize, request: &str) -> CallReply {
+        let reply = CallReply::default();
         let caller = Caller {
             to: self.control_address(control),
-            text: text.to_string(),
-            messages: HttpDecoder::default(),
-            answer: answer.clone(),
+            request: request.to_string(),
+            decoder: HttpDecoder::default(),
+            reply: reply.clone(),
         };
-        let machine = self.world.add("caller", Vec::new(), Rc::default(), TimeDelta::ZERO);
-        self.world.start(machine, Box::new(caller));
-        answer
+        let machine = self.simulation.add_machine("caller", Vec::new(), Rc::default(), TimeDelta::ZERO);
+        self.simulation.start(machine, Box::new(caller));
+        reply
     }
 
-    /// Makes a call and waits for its answer, a second at most; status 0 stands for none.
-    pub fn call(&mut self, control: usize, text: &str) -> (u16, String) {
-        let answer = self.begin_call(control, text);
-        for _ in 0..LOOKS {
-            let until = self.world.now + LOOK;
-            self.world.run(until);
-            if let Some(answer) = answer.borrow().clone() {
-                return answer;
+    /// Makes a call and waits up to a second for the response. Status 0 stands for no response.
+    pub fn call(&mut self, control: usize, request: &str) -> (u16, String) {
+        let reply = self.start_call(control, request);
+        for _ in 0..MAX_POLLS {
+            let until = self.simulation.now + POLL_INTERVAL;
+            self.simulation.run_until(until);
+            if let Some(reply) = reply.borrow().clone() {
+                return reply;
             }
         }
         (0, String::new())
--- a/crates/arrowyard-emulator/src/catch_up.rs
+++ b/crates/arrowyard-emulator/src/catch_up.rs
@@ -1,132 +1,138 @@
-//! How long a control machine that was away takes to catch up: by the entries that it lacks and the routes of the
-//! configuration. Simulated time has no processor; the real time of the machine's plane is measured beside it and
-//! charged at the share of a core that it would have.
+//! Measures how long a control machine takes to catch up, by missing entries and configured routes.
+//! Simulated time does not include processing, so the real time of the plane is measured separately and
+//! scaled by the assumed share of a core.
 
 use std::time::Duration;
 
 use arrowyard_runtime::http::format_request;
 use arrowyard_types::{TimeDelta, Timestamp};
 
-use crate::system::{Plan, System};
+use crate::deployment::{Deployment, DeploymentPlan};
 
-/// Who is away.
-const AWAY: usize = 2;
-/// The first configuration has this revision.
+/// Index of the control machine that is down.
+const STOPPED_CONTROL: usize = 2;
+/// Revision of the initial configuration.
 const FIRST_REVISION: u64 = 3;
-/// Whoever has not caught up in so long never does.
-const GIVEN_UP: TimeDelta = TimeDelta::from_millis(60_000);
-const LOOK: TimeDelta = TimeDelta::from_millis(5);
+/// Timeout of a catch-up.
+const TIMEOUT: TimeDelta = TimeDelta::from_millis(60_000);
+const POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(5);
 
-/// What catching up took.
+/// Duration and cost of a catch-up.
 #[derive(Clone, Copy, Debug)]
 pub struct CatchUp {
-    /// From the start of the process until it has all entries: waits, messages and the disk's syncs.
-    pub waited: TimeDelta,
-    /// The plane's own time meanwhile, on the real clock.
-    pub busy: Duration,
-    /// Bytes that the others sent meanwhile, to whomever.
-    pub bytes: u64,
+    /// Simulated time from the start of the process until all entries are present: timeouts, messages and
+    /// syncs.
+    pub elapsed: TimeDelta,
+    /// Real time spent in the plane meanwhile.
+    pub plane_time: Duration,
+    /// Bytes sent by the other control machines meanwhile.
+    pub bytes_sent: u64,
 }
 
 impl CatchUp {
-    /// How long it takes at most where the machine has this share of a core.
-    pub fn at_share(&self, share: f64) -> f64 {
-        self.waited.as_secs_f64() + self.busy.as_secs_f64() / share
+    /// Upper bound of the duration, in seconds, on a machine with this share of a core.
+    pub fn at_cpu_share(&self, share: f64) -> f64 {
+        self.elapsed.as_secs_f64() + self.plane_time.as_secs_f64() / share
     }
 }
 
-fn plan() -> Plan {
-    Plan {
+fn deployment_plan() -> DeploymentPlan {
+    DeploymentPlan {
         seed: 11,
         controls: 3,
         routers: 2,
         services: 1,
         users: 0,
-        think: TimeDelta::from_millis(100),
-        from: Timestamp::from_micros(0),
-        until: Timestamp::from_micros(3_600_000_000),
+        think_time: TimeDelta::from_millis(100),
+        load_start: Timestamp::from_micros(0),
+        load_end: Timestamp::from_micros(3_600_000_000),
         changes: Vec::new(),
-        limit: 40,
+        connection_limit: 40,
         zones: 3,
         tolerance: 1,
         fence_checked: true,
         surges: Vec::new(),
-        divides: false,
+        divide_hosts: false,
         shares: String::new(),
     }
 }
 
-fn route(number: usize, deadline: u64) -> String {
+fn route_json(number: usize, deadline: u64) -> String {
     format!(
         "{{\"name\":\"r-{number}\",\"plant\":\"p{number}\",\"path-prefix\":\"/\",\"kind\":\"primary\",\"deadline-ms\":{deadline},\
          \"setpoint-ms\":150,\"priority\":1,\"service\":\"s0\",\"tries\":2}}"
     )
 }
 
-fn order(path: &str, base: u64, body: &str) -> String {
+fn change_request(path: &str, base: u64, body: &str) -> String {
     format_request("POST", path, "c", &[("Arrowyard-Base-Revision", &base.to_string())], body)
 }
 
-fn taken(system: &mut System, text: &str) -> Result<(), String> {
-    for control in 0..AWAY {
-        if system.call(control, text).0 == 200 {
+fn apply_change(deployment: &mut Deployment, request: &str) -> Result<(), String> {
+    for control in 0..STOPPED_CONTROL {
+        if deployment.call(control, request).0 == 200 {
             return Ok(());
         }
     }
-    Err("a sound change was not taken".into())
+    Err("no control machine accepted a valid change".into())
 }
 
-/// Measures it for so many entries, of a configuration of so many routes.
+/// Measures the catch-up of `entries` missing entries of a configuration with `routes` routes.
 ///
 /// # Errors
-/// When a change is not taken, or the machine never catches up.
-pub fn catch_up(entries: u64, routes: usize) -> Result<CatchUp, String> {
-    let mut system = System::new(plan());
-    pass(&mut system, TimeDelta::from_millis(6000));
+/// If a change is not accepted, or if the machine does not catch up.
+pub fn measure_catch_up(entries: u64, routes: usize) -> Result<CatchUp, String> {
+    let mut deployment = Deployment::new(deployment_plan());
+    advance(&mut deployment, TimeDelta::from_millis(6000));
     let mut revision = FIRST_REVISION + 1;
-    let all: Vec<String> = (0..routes).map(|number| route(number, 800)).collect();
-    let whole = format!(
+    let route_list: Vec<String> = (0..routes).map(|number| route_json(number, 800)).collect();
+    let configuration = format!(
         "{{\"revision\":{revision},\"channels\":[{}],\"services\":[{{\"name\":\"s0\",\"conn-limit\":40,\"sync-replicas\":1}}]}}",
-        all.join(",")
+        route_list.join(",")
     );
-    taken(&mut system, &order("/Config.Replace", FIRST_REVISION, &whole))?;
-    pass(&mut system, TimeDelta::from_millis(1000));
-    let machine = system.controls[AWAY];
-    system.world.kill(machine);
+    apply_change(&mut deployment, &change_request("/Config.Replace", FIRST_REVISION, &configuration))?;
+    advance(&mut deployment, TimeDelta::from_millis(1000));
+    let machine = deployment.controls[STOPPED_CONTROL];
+    deployment.simulation.kill(machine);
     for entry in 0..entries {
         let base = revision;
         revision += 1;
-        let changed = route(entry as usize % routes, 500 + entry);
-        let body = format!("{{\"revision\":{revision},\"upsert\":{{\"channels\":[{changed}]}}}}");
-        taken(&mut system, &order("/Config.Adjust", base, &body))?;
+        let route = route_json(entry as usize % routes, 500 + entry);
+        let body = format!("{{\"revision\":{revision},\"upsert\":{{\"channels\":[{route}]}}}}");
+        apply_change(&mut deployment, &change_request("/Config.Adjust", base, &body))?;
     }
-    let (began, cost) = (system.world.now, system.world.cost(machine).3);
-    let sent = sent_by_others(&system);
-    let opening = std::time::Instant::now();
-    system.start_control(AWAY, false);
-    let opened = opening.elapsed();
-    while system.world.now - began < GIVEN_UP {
-        pass(&mut system, LOOK);
-        if has_read(&mut system, revision) {
-            let busy = opened + system.world.cost(machine).3 - cost;
-            let bytes = sent_by_others(&system) - sent;
-            return Ok(CatchUp { waited: system.world.now - began, busy, bytes });
+    let (started_at, plane_time_before) =
+        (deployment.simulation.now, deployment.simulation.resource_usage(machine).3);
+    let sent_before = sent_by_others(&deployment);
+    let open_started = std::time::Instant::now();
+    deployment.start_control(STOPPED_CONTROL, false);
+    let open_time = open_started.elapsed();
+    while deployment.simulation.now - started_at < TIMEOUT {
+        advance(&mut deployment, POLL_INTERVAL);
+        if is_caught_up(&mut deployment, revision) {
+            let plane_time = open_time + deployment.simulation.resource_usage(machine).3 - plane_time_before;
+            let bytes_sent = sent_by_others(&deployment) - sent_before;
+            return Ok(CatchUp { elapsed: deployment.simulation.now - started_at, plane_time, bytes_sent });
         }
     }
-    Err(format!("it has not caught up after {GIVEN_UP:?}"))
+    Err(format!("the control machine has not caught up after {TIMEOUT:?}"))
 }
 
-fn pass(system: &mut System, time: TimeDelta) {
-    let until = system.world.now + time;
-    system.world.run(until);
+fn advance(deployment: &mut Deployment, time: TimeDelta) {
+    let until = deployment.simulation.now + time;
+    deployment.simulation.run_until(until);
 }
 
-fn sent_by_others(system: &System) -> u64 {
-    system.controls[..AWAY].iter().map(|machine| system.world.cost(*machine).0).sum()
+fn sent_by_others(deployment: &Deployment) -> u64 {
+    deployment.controls[..STOPPED_CONTROL]
+        .iter()
+        .map(|machine| deployment.simulation.resource_usage(*machine).0)
+        .sum()
 }
 
-/// Whether it answers a read, which it does only with all that was acknowledged.
-fn has_read(system: &mut System, revision: u64) -> bool {
-    let (status, body) = system.call(AWAY, &format_request("GET", "/Config.Read", "c", &[], ""));
+/// Whether the machine serves a read, which requires all acknowledged entries.
+fn is_caught_up(deployment: &mut Deployment, revision: u64) -> bool {
+    let (status, body) =
+        deployment.call(STOPPED_CONTROL, &format_request("GET", "/Config.Read", "c", &[], ""));
     status == 200 && body.contains(&format!("\"revision\":{revision}"))
 }
--- a/crates/arrowyard-emulator/src/chart.rs
+++ b/crates/arrowyard-emulator/src/chart.rs
@@ -1,49 +1,50 @@
-//! A day as a picture: operations asked and served by second, and when what happened.
+//! Charts of a run: throughput by second, and the latency target by kind, with the fault schedule.
 
 use std::path::Path;
 
 use plotters::prelude::*;
 
-use crate::day::{Day, Played};
+use crate::scenario::{RunResult, Scenario};
 
-type Fault<T> = Result<T, Box<dyn std::error::Error>>;
+type ChartResult<T> = Result<T, Box<dyn std::error::Error>>;
 
-/// Draws a day into a file, as SVG.
+/// Draws requested and served operations by second as SVG.
 ///
 /// # Errors
-/// When the file cannot be written.
-pub fn draw(day: &Day, played: &Played, file: &Path) -> Fault<()> {
-    let most = played.seconds.iter().map(|(_, asked, _)| *asked).max().unwrap_or(1).max(1);
+/// If the file cannot be written.
+pub fn draw_throughput(scenario: &Scenario, result: &RunResult, file: &Path) -> ChartResult<()> {
+    let max_requests =
+        result.counts_by_second.iter().map(|(_, requested, _)| *requested).max().unwrap_or(1).max(1);
     let area = SVGBackend::new(file, (900, 420)).into_drawing_area();
     area.fill(&WHITE)?;
-    let title = format!("Day {}: operations asked and served", day.seed);
+    let title = format!("Day {}: operations asked and served", scenario.seed);
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 20))
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(52)
-        .build_cartesian_2d(0.0..day.seconds, 0.0..most as f64 * 1.35)?;
+        .build_cartesian_2d(0.0..scenario.seconds, 0.0..max_requests as f64 * 1.35)?;
     chart.configure_mesh().x_desc("seconds").y_desc("operations a second").disable_x_mesh().draw()?;
-    for (place, fault) in day.faults.iter().enumerate() {
-        let (from, till) = (fault.at, (fault.at + fault.for_s.max(0.2)).min(day.seconds));
-        let colour = Palette99::pick(place + 3);
-        let top = most as f64 * 1.35;
-        let band = Rectangle::new([(from, 0.0), (till, top)], colour.mix(0.18).filled());
+    for (index, fault) in scenario.faults.iter().enumerate() {
+        let (from, until) = (fault.at, (fault.at + fault.duration_s.max(0.2)).min(scenario.seconds));
+        let colour = Palette99::pick(index + 3);
+        let top = max_requests as f64 * 1.35;
+        let band = Rectangle::new([(from, 0.0), (until, top)], colour.mix(0.18).filled());
         chart.draw_series([band])?;
-        let height = most as f64 * (1.28 - 0.07 * (place % 3) as f64);
-        let name = Text::new(format!("{:?}", fault.what), (from, height), ("sans-serif", 13).into_font());
+        let height = max_requests as f64 * (1.28 - 0.07 * (index % 3) as f64);
+        let name = Text::new(format!("{:?}", fault.kind), (from, height), ("sans-serif", 13).into_font());
         chart.draw_series([name])?;
     }
-    let line = |of: fn(&(i64, u64, u64)) -> u64| {
-        played
-            .seconds
+    let series = |count_of: fn(&(i64, u64, u64)) -> u64| {
+        result
+            .counts_by_second
             .iter()
-            .map(move |second| (second.0 as f64 + 0.5, of(second) as f64))
+            .map(move |second| (second.0 as f64 + 0.5, count_of(second) as f64))
             .collect::<Vec<_>>()
     };
-    let asked = chart.draw_series(LineSeries::new(line(|second| second.1), BLUE.stroke_width(2)))?;
-    asked.label("asked").legend(|(x, y)| PathElement::new([(x, y), (x + 18, y)], BLUE));
-    let served = chart.draw_series(LineSeries::new(line(|second| second.2), RED.stroke_width(2)))?;
+    let requested = chart.draw_series(LineSeries::new(series(|second| second.1), BLUE.stroke_width(2)))?;
+    requested.label("asked").legend(|(x, y)| PathElement::new([(x, y), (x + 18, y)], BLUE));
+    let served = chart.draw_series(LineSeries::new(series(|second| second.2), RED.stroke_width(2)))?;
     served.label("served").legend(|(x, y)| PathElement::new([(x, y), (x + 18, y)], RED));
     chart
         .configure_series_labels()
@@ -55,39 +56,44 @@
     Ok(())
 }
 
-/// Draws what each kind kept of its pace, by half a second, into a file, as SVG; surges and faults behind it.
+/// Draws the ratio of operations within the latency target by kind and half-second as SVG, with surges and
+/// faults.
 ///
 /// # Errors
-/// When the file cannot be written.
-pub fn draw_paces(day: &Day, played: &Played, file: &Path) -> Fault<()> {
+/// If the file cannot be written.
+pub fn draw_kinds(scenario: &Scenario, result: &RunResult, file: &Path) -> ChartResult<()> {
     let area = SVGBackend::new(file, (900, 420)).into_drawing_area();
     area.fill(&WHITE)?;
-    let divided = if day.divides { "divided" } else { "not divided" };
-    let title = format!("{} routers, hosts {divided}: part of the operations inside their aim", day.routers);
+    let divided = if scenario.divide_hosts { "divided" } else { "not divided" };
+    let title =
+        format!("{} routers, hosts {divided}: part of the operations inside their aim", scenario.routers);
     let mut chart = ChartBuilder::on(&area)
         .caption(title, ("sans-serif", 20))
         .margin(12)
         .x_label_area_size(36)
         .y_label_area_size(52)
-        .build_cartesian_2d(0.0..day.seconds, 0.0..1.15)?;
+        .build_cartesian_2d(0.0..scenario.seconds, 0.0..1.15)?;
     chart.configure_mesh().x_desc("seconds").y_desc("part in aim").disable_x_mesh().draw()?;
-    let surges = day.surges.iter().map(|surge| (surge.at, surge.for_s, format!("more {}", surge.kind)));
-    let faults = day.faults.iter().map(|fault| (fault.at, fault.for_s, format!("{:?}", fault.what)));
-    for (place, (from, for_s, name)) in surges.chain(faults).enumerate() {
-        let till = (from + for_s.max(0.2)).min(day.seconds);
-        let band = Rectangle::new([(from, 0.0), (till, 1.15)], Palette99::pick(place + 3).mix(0.15).filled());
+    let surges =
+        scenario.surges.iter().map(|surge| (surge.at, surge.duration_s, format!("more {}", surge.kind)));
+    let faults =
+        scenario.faults.iter().map(|fault| (fault.at, fault.duration_s, format!("{:?}", fault.kind)));
+    for (index, (from, duration_s, name)) in surges.chain(faults).enumerate() {
+        let until = (from + duration_s.max(0.2)).min(scenario.seconds);
+        let band =
+            Rectangle::new([(from, 0.0), (until, 1.15)], Palette99::pick(index + 3).mix(0.15).filled());
         chart.draw_series([band])?;
-        let height = 1.13 - 0.035 * (place % 4) as f64;
+        let height = 1.13 - 0.035 * (index % 4) as f64;
         chart.draw_series([Text::new(name, (from, height), ("sans-serif", 12).into_font())])?;
     }
-    for (place, (kind, kept)) in played.kinds.iter().enumerate() {
-        let colour = Palette99::pick(place).to_rgba();
-        let at = |half: i64| arrowyard_types::Timestamp::from_micros(half * 500_000);
-        let point = |half: i64| {
-            let (asked, in_aim) = kept.between(at(half), at(half + 1));
-            (asked > 0).then(|| (half as f64 * 0.5 + 0.25, in_aim as f64 / asked as f64))
+    for (index, (kind, stats)) in result.stats_by_kind.iter().enumerate() {
+        let colour = Palette99::pick(index).to_rgba();
+        let at = |half_second: i64| arrowyard_types::Timestamp::from_micros(half_second * 500_000);
+        let point = |half_second: i64| {
+            let (total, within_target) = stats.count_between(at(half_second), at(half_second + 1));
+            (total > 0).then(|| (half_second as f64 * 0.5 + 0.25, within_target as f64 / total as f64))
         };
-        let points: Vec<(f64, f64)> = (0..(day.seconds * 2.0) as i64).filter_map(point).collect();
+        let points: Vec<(f64, f64)> = (0..(scenario.seconds * 2.0) as i64).filter_map(point).collect();
         let line = chart.draw_series(LineSeries::new(points, colour.stroke_width(2)))?;
         line.label(*kind).legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
     }
--- a/crates/arrowyard-emulator/src/clients.rs
+++ b/crates/arrowyard-emulator/src/clients.rs
@@ -1,5 +1,5 @@
-//! Clients: sessions at routers, operations of one statement or of a transaction, tries again after promises. They
-//! write down what they asked and what they were told.
+//! Simulated clients: sessions at routers, operations of one statement or one transaction, and retries of
+//! rejected operations. They record what they sent and what they received.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -11,203 +11,219 @@
 use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 
-use crate::history::{Asked, Fate, Fresh, Shared};
-use crate::host::{COSTLY, answer};
+use crate::history::{Freshness, SharedHistory, StatementRecord, WriteOutcome};
+use crate::host::{EXPENSIVE_PREFIX, parse_response};
 
-const AIM: TimeDelta = TimeDelta::from_millis(150);
+const LATENCY_TARGET: TimeDelta = TimeDelta::from_millis(150);
 const DEADLINE: TimeDelta = TimeDelta::from_millis(1000);
 
-/// What a user does at a time.
+/// A statement of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
     Assign(String),
     Define(String, bool),
     Begin(bool),
-    Read { run: bool },
-    Write { run: bool },
+    Read { use_prepared: bool },
+    Write { use_prepared: bool },
     Commit,
     Abort,
 }
 
 #[derive(Debug)]
 struct Operation {
-    number: u64,
+    id: u64,
     steps: Vec<Step>,
-    next: usize,
-    started: Timestamp,
-    since: Timestamp,
+    next_step: usize,
+    started_at: Timestamp,
+    transaction_started_at: Timestamp,
     tokens: Vec<String>,
-    inside: bool,
+    in_transaction: bool,
     commit_sent: bool,
-    tries: u32,
-    writes: bool,
+    attempts: u32,
+    has_writes: bool,
 }
 
 struct User {
     database: String,
     service: String,
-    fresh: Fresh,
+    freshness: Freshness,
     conn: Option<Conn>,
     open: bool,
     session: u64,
-    lines: LineDecoder,
+    decoder: LineDecoder,
     tag: Option<String>,
-    prepared: BTreeMap<bool, String>,
+    prepared_statements: BTreeMap<bool, String>,
     operation: Option<Operation>,
-    /// The statement under way: its id, its rows, its stamp or fault.
-    id: Option<String>,
+    /// The current statement: its id, rows, stamp and fault.
+    statement_id: Option<String>,
     rows: String,
     stamp: Option<String>,
     fault: Option<FaultCode>,
-    again: Option<(Vec<Step>, u32, Timestamp)>,
+    retry: Option<(Vec<Step>, u32, Timestamp)>,
 }
 
 #[derive(Clone, Debug)]
-enum Due {
+enum Timer {
     Dial(usize),
     Think(usize),
-    Late(usize, String),
+    ResponseTimeout(usize, String),
 }
 
-/// Some users on one machine.
+/// Simulated users on one machine.
 pub struct Clients {
-    fronts: Rc<RefCell<Vec<SocketAddrV4>>>,
+    router_addresses: Rc<RefCell<Vec<SocketAddrV4>>>,
     users: Vec<User>,
-    by_conn: BTreeMap<Conn, usize>,
-    timers: Timers<Due>,
-    history: Shared,
+    users_by_conn: BTreeMap<Conn, usize>,
+    timers: Timers<Timer>,
+    history: SharedHistory,
     rng: Rng,
-    think: TimeDelta,
-    until: Timestamp,
-    from: Timestamp,
-    /// What it asks for is found by more work than usual.
-    costly: bool,
+    think_time: TimeDelta,
+    load_end: Timestamp,
+    load_start: Timestamp,
+    /// Whether the statements take hosts more work.
+    expensive: bool,
 }
 
 impl Clients {
-    /// They ask for what takes hosts more work.
+    /// Makes the statements take hosts more work.
     #[must_use]
-    pub fn costly(mut self, costly: bool) -> Self {
-        self.costly = costly;
+    pub fn expensive(mut self, expensive: bool) -> Self {
+        self.expensive = expensive;
         self
     }
 
-    /// `users` of each of the databases; each rests about `think` between two operations.
+    /// Creates `users` for each of the databases, with a mean time of `think_time` between two operations.
     pub fn new(
-        fronts: Rc<RefCell<Vec<SocketAddrV4>>>,
-        databases: &[(String, String, Fresh)],
+        router_addresses: Rc<RefCell<Vec<SocketAddrV4>>>,
+        databases: &[(String, String, Freshness)],
         users: usize,
-        think: TimeDelta,
-        times: (Timestamp, Timestamp),
-        history: Shared,
+        think_time: TimeDelta,
+        interval: (Timestamp, Timestamp),
+        history: SharedHistory,
         seed: u64,
     ) -> Self {
-        let user = |(database, service, fresh): &(String, String, Fresh)| User {
+        let user = |(database, service, freshness): &(String, String, Freshness)| User {
             database: database.clone(),
             service: service.clone(),
-            fresh: *fresh,
+            freshness: *freshness,
             conn: None,
             open: false,
             session: 0,
-            lines: LineDecoder::default(),
+            decoder: LineDecoder::default(),
             tag: None,
-            prepared: BTreeMap::new(),
+            prepared_statements: BTreeMap::new(),
             operation: None,
-            id: None,
+            statement_id: None,
             rows: String::new(),
             stamp: None,
             fault: None,
-            again: None,
+            retry: None,
         };
         let users = (0..users).flat_map(|_| databases.iter().map(user)).collect();
-        let (from, until) = times;
+        let (load_start, load_end) = interval;
         Clients {
-            fronts,
+            router_addresses,
             users,
-            by_conn: BTreeMap::new(),
+            users_by_conn: BTreeMap::new(),
             timers: Timers::default(),
             history,
             rng: Rng::with_seed(seed),
-            think,
-            until,
-            from,
-            costly: false,
+            think_time,
+            load_end,
+            load_start,
+            expensive: false,
         }
     }
 
-    fn dial(&mut self, now: Timestamp, place: usize, commands: &mut Commands) {
-        let fronts = self.fronts.borrow().clone();
-        if fronts.is_empty() {
-            self.timers.set(now + TimeDelta::from_millis(200), Due::Dial(place));
+    fn connect(&mut self, now: Timestamp, user_index: usize, commands: &mut Commands) {
+        let router_addresses = self.router_addresses.borrow().clone();
+        if router_addresses.is_empty() {
+            self.timers.set(now + TimeDelta::from_millis(200), Timer::Dial(user_index));
             return;
         }
-        let conn = commands.dial(fronts[self.rng.usize(0..fronts.len())]);
-        self.by_conn.insert(conn, place);
-        let session = self.history.borrow_mut().number();
-        let user = &mut self.users[place];
+        let conn = commands.dial(router_addresses[self.rng.usize(0..router_addresses.len())]);
+        self.users_by_conn.insert(conn, user_index);
+        let session = self.history.borrow_mut().next_id();
+        let user = &mut self.users[user_index];
         (user.conn, user.open, user.session) = (Some(conn), false, session);
-        (user.lines, user.tag, user.prepared) = (LineDecoder::default(), None, BTreeMap::new());
-        (user.id, user.rows, user.stamp, user.fault) = (None, String::new(), None, None);
-        self.timers.set(now + TimeDelta::from_millis(2000), Due::Late(place, format!("open{}", session)));
+        (user.decoder, user.tag, user.prepared_statements) = (LineDecoder::default(), None, BTreeMap::new());
+        (user.statement_id, user.rows, user.stamp, user.fault) = (None, String::new(), None, None);
+        self.timers.set(
+            now + TimeDelta::from_millis(2000),
+            Timer::ResponseTimeout(user_index, format!("open{}", session)),
+        );
     }
 
-    /// The session is no more: what was under way has failed.
-    fn lose(&mut self, now: Timestamp, place: usize, commands: &mut Commands) {
-        let user = &mut self.users[place];
+    /// Handles the loss of the session: the current operation fails.
+    fn handle_session_loss(&mut self, now: Timestamp, user_index: usize, commands: &mut Commands) {
+        let user = &mut self.users[user_index];
         if let Some(conn) = user.conn.take() {
-            self.by_conn.remove(&conn);
+            self.users_by_conn.remove(&conn);
             commands.reset(conn);
         }
         if let Some(operation) = user.operation.take() {
-            self.settle(place, &operation, None);
-            let tries = !(operation.commit_sent || operation.writes && !operation.inside);
-            self.over(now, place, operation, false, tries);
+            self.record_outcomes(user_index, &operation, None);
+            let retryable = !(operation.commit_sent || operation.has_writes && !operation.in_transaction);
+            self.finish_operation(now, user_index, operation, false, retryable);
         }
-        let wait = TimeDelta::from_millis(30) * (1.0 + self.rng.f64());
-        self.timers.set(now + wait, Due::Dial(place));
+        let delay = TimeDelta::from_millis(30) * (1.0 + self.rng.f64());
+        self.timers.set(now + delay, Timer::Dial(user_index));
     }
 
-    /// What is known of an operation's writes: acknowledged, or kept by nobody, or unclear.
-    fn settle(&mut self, place: usize, operation: &Operation, fate: Option<Fate>) {
+    /// Records the outcome of the writes of an operation; `None` stands for unknown.
+    fn record_outcomes(&mut self, user_index: usize, operation: &Operation, outcome: Option<WriteOutcome>) {
         let mut history = self.history.borrow_mut();
-        let (service, session) = (self.users[place].service.clone(), self.users[place].session);
+        let (service, session) = (self.users[user_index].service.clone(), self.users[user_index].session);
         for token in &operation.tokens {
-            if let Some(Fate::Acknowledged { at, .. }) = &fate {
-                history.acknowledges(*at, &service, session, token);
+            if let Some(WriteOutcome::Acknowledged { at, .. }) = &outcome {
+                history.record_acknowledgement(*at, &service, session, token);
             }
-            history.fates.insert(token.clone(), fate.clone().unwrap_or(Fate::Unknown));
+            history.write_outcomes.insert(token.clone(), outcome.clone().unwrap_or(WriteOutcome::Unknown));
         }
     }
 
-    fn over(&mut self, now: Timestamp, place: usize, operation: Operation, served: bool, again: bool) {
-        let took = now - operation.started;
-        let room = took < DEADLINE - TimeDelta::from_millis(50);
-        let user = &mut self.users[place];
-        if !served && again && operation.tries < 2 && room {
+    fn finish_operation(
+        &mut self,
+        now: Timestamp,
+        user_index: usize,
+        operation: Operation,
+        served: bool,
+        retryable: bool,
+    ) {
+        let latency = now - operation.started_at;
+        let within_deadline = latency < DEADLINE - TimeDelta::from_millis(50);
+        let user = &mut self.users[user_index];
+        if !served && retryable && operation.attempts < 2 && within_deadline {
             let steps = operation.steps;
-            user.again = Some((steps, operation.tries + 1, operation.started));
-            self.timers.set(now + TimeDelta::from_millis(2), Due::Think(place));
+            user.retry = Some((steps, operation.attempts + 1, operation.started_at));
+            self.timers.set(now + TimeDelta::from_millis(2), Timer::Think(user_index));
             return;
         }
         let mut history = self.history.borrow_mut();
-        history.tally.asked += 1;
-        history.latencies.push(took);
-        match (served, took <= AIM) {
-            (true, true) => history.tally.served += 1,
-            (true, false) => history.tally.late += 1,
-            (false, _) if again => history.tally.refused += 1,
-            (false, _) => history.tally.failed += 1,
+        history.counts.total += 1;
+        history.latencies.push(latency);
+        match (served, latency <= LATENCY_TARGET) {
+            (true, true) => history.counts.served += 1,
+            (true, false) => history.counts.late += 1,
+            (false, _) if retryable => history.counts.rejected += 1,
+            (false, _) => history.counts.failed += 1,
         }
-        history.ends(operation.started, served);
-        let kind = user.fresh.name();
-        history.ends_of(kind, operation.started, took, served && took <= AIM, served);
+        history.record_operation(operation.started_at, served);
+        let kind = user.freshness.name();
+        history.record_operation_of_kind(
+            kind,
+            operation.started_at,
+            latency,
+            served && latency <= LATENCY_TARGET,
+            served,
+        );
         drop(history);
-        let rest = self.think * (0.5 + self.rng.f64());
-        self.timers.set(now + rest, Due::Think(place));
+        let pause = self.think_time * (0.5 + self.rng.f64());
+        self.timers.set(now + pause, Timer::Think(user_index));
     }
 
-    fn draw(&mut self, place: usize) -> Vec<Step> {
-        let fresh = self.users[place].fresh;
+    fn generate_steps(&mut self, user_index: usize) -> Vec<Step> {
+        let freshness = self.users[user_index].freshness;
         let mut steps = Vec::new();
         if self.rng.f64() < 0.06 {
             steps.push(Step::Assign(format!("v{}", self.rng.u32(0..1000))));
@@ -215,74 +231,75 @@
         if self.rng.f64() < 0.06 {
             steps.push(Step::Define(
                 format!("q{}", self.rng.u32(0..9)),
-                fresh == Fresh::Primary && self.rng.bool(),
+                freshness == Freshness::Primary && self.rng.bool(),
             ));
         }
-        let (writes, transactions) = match fresh {
-            Fresh::Primary => (0.35, 0.4),
-            Fresh::Bounded(_) => (0.0, 0.1),
-            Fresh::Own(_) => (0.2, 0.15),
+        let (write_ratio, transaction_ratio) = match freshness {
+            Freshness::Primary => (0.35, 0.4),
+            Freshness::Bounded(_) => (0.0, 0.1),
+            Freshness::Own(_) => (0.2, 0.15),
         };
-        let run = self.rng.f64() < 0.3;
-        if self.rng.f64() < transactions {
-            let reads = !matches!(fresh, Fresh::Primary) && self.rng.f64() < 0.7 || writes == 0.0;
-            steps.push(Step::Begin(reads));
+        let use_prepared = self.rng.f64() < 0.3;
+        if self.rng.f64() < transaction_ratio {
+            let read_only =
+                !matches!(freshness, Freshness::Primary) && self.rng.f64() < 0.7 || write_ratio == 0.0;
+            steps.push(Step::Begin(read_only));
             for _ in 0..self.rng.usize(1..5) {
-                let write = !reads && self.rng.f64() < writes;
-                steps.push(if write { Step::Write { run } } else { Step::Read { run } });
+                let is_write = !read_only && self.rng.f64() < write_ratio;
+                steps.push(if is_write { Step::Write { use_prepared } } else { Step::Read { use_prepared } });
             }
             steps.push(if self.rng.f64() < 0.1 { Step::Abort } else { Step::Commit });
-        } else if self.rng.f64() < writes {
-            steps.push(Step::Write { run });
+        } else if self.rng.f64() < write_ratio {
+            steps.push(Step::Write { use_prepared });
         } else {
-            steps.push(Step::Read { run });
+            steps.push(Step::Read { use_prepared });
         }
         steps
     }
 
-    fn begin(&mut self, now: Timestamp, place: usize, commands: &mut Commands) {
-        if now > self.until || self.users[place].operation.is_some() {
+    fn begin_operation(&mut self, now: Timestamp, user_index: usize, commands: &mut Commands) {
+        if now > self.load_end || self.users[user_index].operation.is_some() {
             return;
         }
-        if self.users[place].conn.is_none() || !self.users[place].open {
-            self.timers.set(now + TimeDelta::from_millis(20), Due::Think(place));
+        if self.users[user_index].conn.is_none() || !self.users[user_index].open {
+            self.timers.set(now + TimeDelta::from_millis(20), Timer::Think(user_index));
             return;
         }
-        let (steps, tries, started) = match self.users[place].again.take() {
-            Some(again) => again,
-            None => (self.draw(place), 0, now),
+        let (steps, attempts, started_at) = match self.users[user_index].retry.take() {
+            Some(retry) => retry,
+            None => (self.generate_steps(user_index), 0, now),
         };
-        let number = self.history.borrow_mut().number();
-        let inside = steps.iter().any(|step| matches!(step, Step::Begin(_)));
-        let writes = steps.iter().any(|step| matches!(step, Step::Write { .. }));
-        self.users[place].operation = Some(Operation {
-            number,
+        let id = self.history.borrow_mut().next_id();
+        let in_transaction = steps.iter().any(|step| matches!(step, Step::Begin(_)));
+        let has_writes = steps.iter().any(|step| matches!(step, Step::Write { .. }));
+        self.users[user_index].operation = Some(Operation {
+            id,
             steps,
-            next: 0,
-            started,
-            since: now,
+            next_step: 0,
+            started_at,
+            transaction_started_at: now,
             tokens: Vec::new(),
-            inside,
+            in_transaction,
             commit_sent: false,
-            tries,
-            writes,
+            attempts,
+            has_writes,
         });
-        self.step(now, place, commands);
+        self.send_step(now, user_index, commands);
     }
 
-    fn step(&mut self, now: Timestamp, place: usize, commands: &mut Commands) {
-        let id = format!("{:016x}", self.history.borrow_mut().number());
-        let letter = if self.costly { COSTLY } else { 't' };
-        let thing = format!("{letter}{}", self.rng.u32(0..200));
-        let user = &mut self.users[place];
+    fn send_step(&mut self, now: Timestamp, user_index: usize, commands: &mut Commands) {
+        let id = format!("{:016x}", self.history.borrow_mut().next_id());
+        let prefix = if self.expensive { EXPENSIVE_PREFIX } else { 't' };
+        let item = format!("{prefix}{}", self.rng.u32(0..200));
+        let user = &mut self.users[user_index];
         let (Some(conn), Some(operation)) = (user.conn, user.operation.as_mut()) else { return };
-        let step = operation.steps[operation.next].clone();
-        operation.next += 1;
-        let (mut shape, mut own) = (None, false);
-        let mut prepared = |write: bool, run: bool| {
-            let shape_of = user.prepared.get(&write).filter(|_| run).cloned();
-            shape.clone_from(&shape_of);
-            shape_of.map(|_| if write { "RUN w" } else { "RUN r" }).unwrap_or(if write {
+        let step = operation.steps[operation.next_step].clone();
+        operation.next_step += 1;
+        let (mut shape, mut session_only) = (None, false);
+        let mut statement_keyword = |is_write: bool, use_prepared: bool| {
+            let statement_name = user.prepared_statements.get(&is_write).filter(|_| use_prepared).cloned();
+            shape.clone_from(&statement_name);
+            statement_name.map(|_| if is_write { "RUN w" } else { "RUN r" }).unwrap_or(if is_write {
                 "WRITE"
             } else {
                 "READ"
@@ -290,72 +307,79 @@
         };
         let text = match &step {
             Step::Assign(value) => {
-                own = true;
+                session_only = true;
                 format!("ASSIGN tag {value}")
             }
-            Step::Define(name, write) => {
-                own = true;
+            Step::Define(name, is_write) => {
+                session_only = true;
                 format!(
                     "DEFINE {} {} {name}",
-                    if *write { "w" } else { "r" },
-                    if *write { "WRITE" } else { "READ" }
+                    if *is_write { "w" } else { "r" },
+                    if *is_write { "WRITE" } else { "READ" }
                 )
             }
-            Step::Begin(reads) => {
-                (own, operation.since) = (true, now);
-                if *reads { "BEGIN READ".to_string() } else { "BEGIN".to_string() }
+            Step::Begin(read_only) => {
+                (session_only, operation.transaction_started_at) = (true, now);
+                if *read_only { "BEGIN READ".to_string() } else { "BEGIN".to_string() }
             }
-            Step::Read { run } => format!("{} {thing}", prepared(false, *run)),
-            Step::Write { run } => {
+            Step::Read { use_prepared } => format!("{} {item}", statement_keyword(false, *use_prepared)),
+            Step::Write { use_prepared } => {
                 let token = format!("k{id}");
                 operation.tokens.push(token.clone());
-                format!("{} {thing} {token}", prepared(true, *run))
+                format!("{} {item} {token}", statement_keyword(true, *use_prepared))
             }
             Step::Commit => {
                 operation.commit_sent = true;
                 "COMMIT".to_string()
             }
             Step::Abort => {
-                own = true;
+                session_only = true;
                 "ABORT".to_string()
             }
         };
-        if !own {
-            if !operation.inside {
-                operation.since = now;
+        if !session_only {
+            if !operation.in_transaction {
+                operation.transaction_started_at = now;
             }
-            let asked = Asked {
+            let statement = StatementRecord {
                 at: now,
-                since: operation.since,
+                transaction_started_at: operation.transaction_started_at,
                 service: user.service.clone(),
                 session: user.session,
-                operation: operation.number,
+                operation: operation.id,
                 text: text.clone(),
                 shape,
                 tag: user.tag.clone(),
-                fresh: user.fresh,
-                inside: operation.inside,
+                freshness: user.freshness,
+                in_transaction: operation.in_transaction,
                 stamp: None,
                 rows: None,
             };
-            self.history.borrow_mut().asked.insert(id.clone(), asked);
+            self.history.borrow_mut().statements.insert(id.clone(), statement);
         }
-        (user.id, user.rows, user.stamp, user.fault) = (Some(id.clone()), String::new(), None, None);
+        (user.statement_id, user.rows, user.stamp, user.fault) =
+            (Some(id.clone()), String::new(), None, None);
         commands.write_line(conn, &["QUERY ", &id, " ", &text]);
-        self.timers.set(now + DEADLINE + TimeDelta::from_millis(100), Due::Late(place, id));
+        self.timers.set(now + DEADLINE + TimeDelta::from_millis(100), Timer::ResponseTimeout(user_index, id));
     }
 
-    /// A statement is answered.
-    fn answered(&mut self, now: Timestamp, place: usize, letter: &str, commands: &mut Commands) {
-        let user = &mut self.users[place];
-        let (Some(id), Some(operation)) = (user.id.take(), user.operation.as_mut()) else {
-            self.history.borrow_mut().breach("MIXED", now, "an answer to nothing".to_string());
-            return self.lose(now, place, commands);
+    /// Handles the end of the reply to a statement.
+    fn handle_reply(
+        &mut self,
+        now: Timestamp,
+        user_index: usize,
+        transaction_state: &str,
+        commands: &mut Commands,
+    ) {
+        let user = &mut self.users[user_index];
+        let (Some(id), Some(operation)) = (user.statement_id.take(), user.operation.as_mut()) else {
+            self.history.borrow_mut().record_violation("MIXED", now, "an answer to nothing".to_string());
+            return self.handle_session_loss(now, user_index, commands);
         };
-        let step = operation.steps[operation.next - 1].clone();
+        let step = operation.steps[operation.next_step - 1].clone();
         if let Some(code) = user.fault.take() {
-            // In a transaction that failed the client ends it before it goes on.
-            let promised = matches!(
+            // After a failed transaction the client ends the session.
+            let rejected = matches!(
                 code,
                 FaultCode::Saturated
                     | FaultCode::Reverted
@@ -364,15 +388,19 @@
                     | FaultCode::Misrouted
                     | FaultCode::Overload
             );
-            let reads = !operation.writes;
-            let again = promised || code == FaultCode::Failed && reads;
-            let operation = user.operation.take().expect("it was there");
+            let read_only = !operation.has_writes;
+            let retryable = rejected || code == FaultCode::Failed && read_only;
+            let operation = user.operation.take().expect("the operation is present");
             let service = user.service.clone();
-            let sure = promised || code.execution_status() == ExecutionStatus::NotRun;
-            self.settle(place, &operation, sure.then_some(Fate::Promised { at: now, service }));
-            self.over(now, place, operation, false, again);
-            if letter != "I" {
-                self.close(now, place, commands);
+            let not_executed = rejected || code.execution_status() == ExecutionStatus::NotRun;
+            self.record_outcomes(
+                user_index,
+                &operation,
+                not_executed.then_some(WriteOutcome::NotKept { at: now, service }),
+            );
+            self.finish_operation(now, user_index, operation, false, retryable);
+            if transaction_state != "I" {
+                self.close_session(now, user_index, commands);
             }
             return;
         }
@@ -380,54 +408,60 @@
         let rows = std::mem::take(&mut user.rows);
         match &step {
             Step::Assign(value) => user.tag = Some(value.clone()),
-            Step::Define(name, write) => drop(user.prepared.insert(*write, name.clone())),
+            Step::Define(name, is_write) => drop(user.prepared_statements.insert(*is_write, name.clone())),
             Step::Begin(_) | Step::Abort => {}
             Step::Read { .. } | Step::Write { .. } | Step::Commit => {
-                self.history.borrow_mut().succeeds(now, &id, &stamp, &rows);
+                self.history.borrow_mut().record_success(now, &id, &stamp, &rows);
             }
         }
-        let user = &mut self.users[place];
+        let user = &mut self.users[user_index];
         let Some(operation) = user.operation.as_mut() else { return };
-        if operation.next < operation.steps.len() {
-            return self.step(now, place, commands);
+        if operation.next_step < operation.steps.len() {
+            return self.send_step(now, user_index, commands);
         }
-        let operation = user.operation.take().expect("it was there");
+        let operation = user.operation.take().expect("the operation is present");
         let (service, session) = (user.service.clone(), user.session);
-        let fate = match step {
-            Step::Abort => Fate::Promised { at: now, service },
-            _ => Fate::Acknowledged { at: now, service, session },
+        let outcome = match step {
+            Step::Abort => WriteOutcome::NotKept { at: now, service },
+            _ => WriteOutcome::Acknowledged { at: now, service, session },
         };
-        self.settle(place, &operation, Some(fate));
-        self.over(now, place, operation, true, false);
-        if letter != "I" {
-            self.history.borrow_mut().breach("MIXED", now, format!("state {letter} after an operation"));
+        self.record_outcomes(user_index, &operation, Some(outcome));
+        self.finish_operation(now, user_index, operation, true, false);
+        if transaction_state != "I" {
+            self.history.borrow_mut().record_violation(
+                "MIXED",
+                now,
+                format!("state {transaction_state} after an operation"),
+            );
         }
     }
 
-    fn close(&mut self, now: Timestamp, place: usize, commands: &mut Commands) {
-        if let Some(conn) = self.users[place].conn.take() {
-            self.by_conn.remove(&conn);
+    fn close_session(&mut self, now: Timestamp, user_index: usize, commands: &mut Commands) {
+        if let Some(conn) = self.users[user_index].conn.take() {
+            self.users_by_conn.remove(&conn);
             commands.close(conn);
         }
-        self.users[place].open = false;
-        self.timers.set(now + TimeDelta::from_millis(10), Due::Dial(place));
+        self.users[user_index].open = false;
+        self.timers.set(now + TimeDelta::from_millis(10), Timer::Dial(user_index));
     }
 
-    fn line(&mut self, now: Timestamp, place: usize, line: &[u8], commands: &mut Commands) {
-        let user = &mut self.users[place];
-        match answer(line) {
+    fn handle_line(&mut self, now: Timestamp, user_index: usize, line: &[u8], commands: &mut Commands) {
+        let user = &mut self.users[user_index];
+        match parse_response(line) {
             Some(Response::Idle { state, .. }) if !user.open => {
                 user.open = state.letter() == "I";
-                let wait = self.think * self.rng.f64();
-                if self.users[place].operation.is_none() && self.users[place].again.is_none() {
-                    self.timers.set(now + wait, Due::Think(place));
+                let delay = self.think_time * self.rng.f64();
+                if self.users[user_index].operation.is_none() && self.users[user_index].retry.is_none() {
+                    self.timers.set(now + delay, Timer::Think(user_index));
                 }
             }
-            Some(Response::Idle { state, .. }) => self.answered(now, place, state.letter(), commands),
+            Some(Response::Idle { state, .. }) => {
+                self.handle_reply(now, user_index, state.letter(), commands)
+            }
             Some(Response::Row(row)) => user.rows.push_str(row),
             Some(Response::Settled(stamp)) => user.stamp = Some(stamp.to_string()),
             Some(Response::Fault { code, .. }) if user.open => user.fault = Some(code),
-            _ => self.lose(now, place, commands),
+            _ => self.handle_session_loss(now, user_index, commands),
         }
     }
 }
@@ -436,29 +470,29 @@
     fn handle(&mut self, now: Timestamp, event: Event<'_>, commands: &mut Commands) {
         match event {
             Event::Start => {
-                for place in 0..self.users.len() {
-                    let at = self.from + self.think * self.rng.f64();
-                    self.timers.set(at, Due::Dial(place));
+                for user_index in 0..self.users.len() {
+                    let at = self.load_start + self.think_time * self.rng.f64();
+                    self.timers.set(at, Timer::Dial(user_index));
                 }
             }
             Event::Connected { conn } => {
-                if let Some(place) = self.by_conn.get(&conn) {
-                    let user = &self.users[*place];
-                    let who = format!("u{}", user.session);
-                    commands.write_line(conn, &["OPEN ", &user.database, " ", &who]);
+                if let Some(user_index) = self.users_by_conn.get(&conn) {
+                    let user = &self.users[*user_index];
+                    let user_name = format!("u{}", user.session);
+                    commands.write_line(conn, &["OPEN ", &user.database, " ", &user_name]);
                 }
             }
             Event::Received { conn, bytes } => {
-                let Some(&place) = self.by_conn.get(&conn) else { return };
-                self.users[place].lines.put(bytes);
-                while self.by_conn.get(&conn) == Some(&place) {
-                    let Ok(Some(line)) = self.users[place].lines.take() else { break };
-                    self.line(now, place, &line, commands);
+                let Some(&user_index) = self.users_by_conn.get(&conn) else { return };
+                self.users[user_index].decoder.put(bytes);
+                while self.users_by_conn.get(&conn) == Some(&user_index) {
+                    let Ok(Some(line)) = self.users[user_index].decoder.take() else { break };
+                    self.handle_line(now, user_index, &line, commands);
                 }
             }
             Event::Closed { conn, .. } => {
-                if let Some(&place) = self.by_conn.get(&conn) {
-                    self.lose(now, place, commands);
+                if let Some(&user_index) = self.users_by_conn.get(&conn) {
+                    self.handle_session_loss(now, user_index, commands);
                 }
             }
             Event::TimerExpired
@@ -467,18 +501,19 @@
             | Event::DiskStatus { .. }
             | Event::Accepted { .. } => {}
         }
-        while let Some(due) = self.timers.take(now) {
-            match due {
-                Due::Dial(place) if self.users[place].conn.is_none() && now <= self.until => {
-                    self.dial(now, place, commands);
+        while let Some(timer) = self.timers.take(now) {
+            match timer {
+                Timer::Dial(user_index) if self.users[user_index].conn.is_none() && now <= self.load_end => {
+                    self.connect(now, user_index, commands);
                 }
-                Due::Dial(_) => {}
-                Due::Think(place) => self.begin(now, place, commands),
-                Due::Late(place, id) => {
-                    let user = &self.users[place];
-                    let opening = !user.open && user.conn.is_some() && id == format!("open{}", user.session);
-                    if opening || user.id.as_ref() == Some(&id) {
-                        self.lose(now, place, commands);
+                Timer::Dial(_) => {}
+                Timer::Think(user_index) => self.begin_operation(now, user_index, commands),
+                Timer::ResponseTimeout(user_index, id) => {
+                    let user = &self.users[user_index];
+                    let still_opening =
+                        !user.open && user.conn.is_some() && id == format!("open{}", user.session);
+                    if still_opening || user.statement_id.as_ref() == Some(&id) {
+                        self.handle_session_loss(now, user_index, commands);
                     }
                 }
             }
--- a/crates/arrowyard-emulator/src/departures.rs
+++ b/crates/arrowyard-emulator/src/departures.rs
@@ -1,36 +1,47 @@
-//! How long after the acknowledgement that it leaves a replica is still asked, while a control machine is in trouble: until
-//! the last router knows. Measured from outside, at the host.
+//! Measures how long a draining replica still receives requests after its drain was acknowledged, during a
+//! fault of a control machine. The measure is external, at the host.
 
 use arrowyard_types::TimeDelta;
 use fastrand::Rng;
 
-use crate::day::{Day, Fault, Trouble, play};
-use crate::failover::{Outages, measured};
+use crate::failover::{DurationSummary, summarize_runs};
+use crate::scenario::{Fault, FaultKind, Scenario, run_scenario};
 
-/// A replica is asked by every router some twenty times a second.
+/// Each router sends the replica about twenty requests per second.
 const ROUTERS: usize = 6;
 const USERS: usize = 12;
 const THINK_MS: i64 = 25;
-/// When the replica says that it leaves, in seconds: what happens to a control machine happens at most so much earlier.
-const LEAVES: f64 = 8.0;
-const EARLIER: f64 = 2.0;
+/// Start of the drain in seconds, and how much earlier the control fault starts at most.
+const DRAIN_AT_S: f64 = 8.0;
+const MAX_LEAD_S: f64 = 2.0;
 
-/// A day on which a replica leaves, and on which this happens to one control machine.
-fn day(trouble: Option<Trouble>, seed: u64) -> Day {
+/// Scenario with a draining replica and an optional fault of a control machine.
+fn scenario(fault_kind: Option<FaultKind>, seed: u64) -> Scenario {
     let mut rng = Rng::with_seed(seed ^ 0xdeb);
-    let leaves = Fault { at: LEAVES, for_s: 0.0, what: Trouble::ReleaseReplica, which: rng.usize(0..2) };
-    let at = LEAVES + 0.5 - EARLIER * rng.f64();
-    let strikes = |what| Fault { at, for_s: 3.0 + 2.0 * rng.f64(), what, which: rng.usize(0..6) };
-    let faults = [leaves].into_iter().chain(trouble.map(strikes)).collect();
-    let controls = if trouble == Some(Trouble::ReplaceControl) { 4 } else { 3 };
-    let day = Day { seed, controls, routers: ROUTERS, services: 1, users: USERS, ..Day::default() };
-    Day { seconds: 17.0, think_ms: THINK_MS, faults, ..day }
+    let drain = Fault {
+        at: DRAIN_AT_S,
+        duration_s: 0.0,
+        kind: FaultKind::ReleaseReplica,
+        target_index: rng.usize(0..2),
+    };
+    let at = DRAIN_AT_S + 0.5 - MAX_LEAD_S * rng.f64();
+    let control_fault =
+        |kind| Fault { at, duration_s: 3.0 + 2.0 * rng.f64(), kind, target_index: rng.usize(0..6) };
+    let faults = [drain].into_iter().chain(fault_kind.map(control_fault)).collect();
+    let controls = if fault_kind == Some(FaultKind::ReplaceControl) { 4 } else { 3 };
+    let scenario =
+        Scenario { seed, controls, routers: ROUTERS, services: 1, users: USERS, ..Scenario::default() };
+    Scenario { seconds: 17.0, think_ms: THINK_MS, faults, ..scenario }
 }
 
-/// Plays so many drawn cases of one trouble, or of none.
-pub fn last_questions(trouble: Option<Trouble>, cases: u64, from: u64) -> Outages {
-    measured(cases, from, |seed| {
-        let played = play(&day(trouble, seed));
-        (Some(played.asked_after_leaving.unwrap_or(TimeDelta::ZERO)), !played.breaches.is_empty())
+/// Measures `cases` generated scenarios of one fault, or of none.
+pub fn measure_requests_after_drain(
+    fault_kind: Option<FaultKind>,
+    cases: u64,
+    first_seed: u64,
+) -> DurationSummary {
+    summarize_runs(cases, first_seed, |seed| {
+        let result = run_scenario(&scenario(fault_kind, seed));
+        (Some(result.last_request_after_drain.unwrap_or(TimeDelta::ZERO)), !result.violations.is_empty())
     })
 }
--- a/crates/arrowyard-emulator/src/experiment.rs
+++ b/crates/arrowyard-emulator/src/experiment.rs
@@ -1,155 +1,169 @@
-//! Two builds, or two settings, on the same drawn days: what differs, day by day, and how sure that is.
+//! Paired comparison of two builds or two settings on the same generated scenarios, with confidence
+//! intervals.
 
 use std::fmt;
 use std::str::FromStr;
 
 use statrs::distribution::{ContinuousCDF, StudentsT};
 
-use crate::day::{Day, Played, drawn, play};
+use crate::scenario::{RunResult, Scenario, random_scenario, run_scenario};
 
-/// What one day came to, as a line: two builds are compared by what they print.
+/// Metrics of one run. Builds are compared by the printed form.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Outcome {
+pub struct RunMetrics {
     pub seed: u64,
-    /// Operations served inside their aim, late, refused or failed, as shares of those asked.
+    /// Shares of operations served within the latency target, served late, and rejected or failed.
     pub served: f64,
     pub late: f64,
-    pub lost: f64,
+    pub failed: f64,
     pub p50_ms: f64,
     pub p99_ms: f64,
-    pub broken: u64,
+    pub violations: u64,
 }
 
-/// The figures that are compared, by name.
-pub const FIGURES: [&str; 6] = ["served", "late", "lost", "p50 ms", "p99 ms", "broken"];
+/// Names of the compared metrics.
+pub const METRIC_NAMES: [&str; 6] = ["served", "late", "lost", "p50 ms", "p99 ms", "broken"];
 
-impl Outcome {
-    pub fn of(seed: u64, played: &Played) -> Self {
-        let tally = played.tally;
-        let share = |count: u64| count as f64 / tally.asked.max(1) as f64;
-        Outcome {
+impl RunMetrics {
+    pub fn new(seed: u64, result: &RunResult) -> Self {
+        let counts = result.counts;
+        let share = |count: u64| count as f64 / counts.total.max(1) as f64;
+        RunMetrics {
             seed,
-            served: share(tally.served),
-            late: share(tally.late),
-            lost: share(tally.refused + tally.failed),
-            p50_ms: played.p50_ms,
-            p99_ms: played.p99_ms,
-            broken: played.breaches.len() as u64,
+            served: share(counts.served),
+            late: share(counts.late),
+            failed: share(counts.rejected + counts.failed),
+            p50_ms: result.p50_ms,
+            p99_ms: result.p99_ms,
+            violations: result.violations.len() as u64,
         }
     }
 
-    pub fn figures(&self) -> [f64; 6] {
-        [self.served, self.late, self.lost, self.p50_ms, self.p99_ms, self.broken as f64]
+    pub fn values(&self) -> [f64; 6] {
+        [self.served, self.late, self.failed, self.p50_ms, self.p99_ms, self.violations as f64]
     }
 }
 
-impl fmt::Display for Outcome {
+impl fmt::Display for RunMetrics {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let [served, late, lost, p50, p99, broken] = self.figures();
-        write!(f, "{} {served:.6} {late:.6} {lost:.6} {p50:.3} {p99:.3} {broken}", self.seed)
+        let [served, late, failed, p50, p99, violations] = self.values();
+        write!(f, "{} {served:.6} {late:.6} {failed:.6} {p50:.3} {p99:.3} {violations}", self.seed)
     }
 }
 
-impl FromStr for Outcome {
+impl FromStr for RunMetrics {
     type Err = String;
 
     fn from_str(line: &str) -> Result<Self, String> {
-        let words: Vec<&str> = line.split_ascii_whitespace().collect();
-        let [seed, served, late, lost, p50_ms, p99_ms, broken] = words[..] else {
-            return Err(format!("not a day's outcome: {line}"));
+        let fields: Vec<&str> = line.split_ascii_whitespace().collect();
+        let [seed, served, late, failed, p50_ms, p99_ms, violations] = fields[..] else {
+            return Err(format!("invalid result line: {line}"));
         };
-        let number = |word: &str| {
-            let read = word.parse::<f64>().ok().filter(|number| number.is_finite());
-            read.ok_or_else(|| format!("not a number: {word}"))
+        let parse_number = |field: &str| {
+            let parsed = field.parse::<f64>().ok().filter(|value| value.is_finite());
+            parsed.ok_or_else(|| format!("invalid number: {field}"))
         };
-        let whole = |word: &str| word.parse::<u64>().map_err(|_| format!("not a whole number: {word}"));
-        Ok(Outcome {
-            seed: whole(seed)?,
-            served: number(served)?,
-            late: number(late)?,
-            lost: number(lost)?,
-            p50_ms: number(p50_ms)?,
-            p99_ms: number(p99_ms)?,
-            broken: whole(broken)?,
+        let parse_integer =
+            |field: &str| field.parse::<u64>().map_err(|_| format!("invalid integer: {field}"));
+        Ok(RunMetrics {
+            seed: parse_integer(seed)?,
+            served: parse_number(served)?,
+            late: parse_number(late)?,
+            failed: parse_number(failed)?,
+            p50_ms: parse_number(p50_ms)?,
+            p99_ms: parse_number(p99_ms)?,
+            violations: parse_integer(violations)?,
         })
     }
 }
 
-/// Changes a setting of a day, `name=value`, by the names that a day's file has.
+/// Applies the setting `name=value` to a scenario, with the names of the scenario files.
 ///
 /// # Errors
-/// When a day has no such setting, or not with such a value.
-pub fn with(day: &Day, setting: &str) -> Result<Day, String> {
-    let (name, value) = setting.split_once('=').ok_or_else(|| format!("not NAME=VALUE: {setting}"))?;
-    let mut day = day.clone();
-    let wrong = || format!("{name} cannot be {value}");
+/// If the setting or its value is invalid.
+pub fn apply_setting(scenario: &Scenario, setting: &str) -> Result<Scenario, String> {
+    let (name, value) =
+        setting.split_once('=').ok_or_else(|| format!("expected NAME=VALUE, got {setting}"))?;
+    let mut scenario = scenario.clone();
+    let invalid = || format!("invalid value {value} for {name}");
     match name {
-        "controls" => day.controls = value.parse().map_err(|_| wrong())?,
-        "routers" => day.routers = value.parse().map_err(|_| wrong())?,
-        "services" => day.services = value.parse().map_err(|_| wrong())?,
-        "users" => day.users = value.parse().map_err(|_| wrong())?,
-        "think-ms" => day.think_ms = value.parse().map_err(|_| wrong())?,
-        "limit" => day.limit = value.parse().map_err(|_| wrong())?,
-        "tolerance" => day.tolerance = value.parse().map_err(|_| wrong())?,
+        "controls" => scenario.controls = value.parse().map_err(|_| invalid())?,
+        "routers" => scenario.routers = value.parse().map_err(|_| invalid())?,
+        "services" => scenario.services = value.parse().map_err(|_| invalid())?,
+        "users" => scenario.users = value.parse().map_err(|_| invalid())?,
+        "think-ms" => scenario.think_ms = value.parse().map_err(|_| invalid())?,
+        "limit" => scenario.connection_limit = value.parse().map_err(|_| invalid())?,
+        "tolerance" => scenario.tolerance = value.parse().map_err(|_| invalid())?,
         _ => {
             let names = "controls, routers, services, users, think-ms, limit, tolerance";
-            return Err(format!("{name} is none of {names}"));
+            return Err(format!("unknown setting {name}; expected one of {names}"));
         }
     }
-    // Danger: a deployment without one of these cannot be laid down, and no day of it means anything.
-    let least = [day.controls, day.routers, day.services, day.limit as usize, day.think_ms.max(0) as usize];
-    if least.contains(&0) { Err(wrong()) } else { Ok(day) }
+    // A deployment without one of these cannot run.
+    let required = [
+        scenario.controls,
+        scenario.routers,
+        scenario.services,
+        scenario.connection_limit as usize,
+        scenario.think_ms.max(0) as usize,
+    ];
+    if required.contains(&0) { Err(invalid()) } else { Ok(scenario) }
 }
 
-/// Plays drawn days under settings; `each` is told of every one that is done.
+/// Runs generated scenarios with settings; `on_metrics` receives the metrics of each run.
 ///
 /// # Errors
-/// When a setting is none.
-pub fn outcomes(
-    days: std::ops::Range<u64>,
+/// If a setting is invalid.
+pub fn run_seeds(
+    seeds: std::ops::Range<u64>,
     settings: &[String],
-    mut each: impl FnMut(Outcome),
+    mut on_metrics: impl FnMut(RunMetrics),
 ) -> Result<(), String> {
-    for seed in days {
-        let day = settings.iter().try_fold(drawn(seed), |day, setting| with(&day, setting))?;
-        each(Outcome::of(seed, &play(&day)));
+    for seed in seeds {
+        let scenario = settings
+            .iter()
+            .try_fold(random_scenario(seed), |scenario, setting| apply_setting(&scenario, setting))?;
+        on_metrics(RunMetrics::new(seed, &run_scenario(&scenario)));
     }
     Ok(())
 }
 
-/// What a figure differs by, second less first, day by day.
+/// Difference of a metric, second minus first, over the pairs.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Difference {
     pub first: f64,
     pub second: f64,
     pub mean: f64,
-    /// Half of the interval in which the mean lies, 95 times of 100 (Student's t over the pairs).
-    pub within: f64,
+    /// Half the width of the 95% confidence interval of the mean difference (Student's t).
+    pub margin: f64,
 }
 
 /// # Errors
-/// When the two did not play the same days, or fewer than two.
-pub fn compare(first: &[Outcome], second: &[Outcome]) -> Result<[Difference; 6], String> {
-    let seeds = |outcomes: &[Outcome]| outcomes.iter().map(|one| one.seed).collect::<Vec<_>>();
+/// If the seeds of the two differ, or if there are fewer than two pairs.
+pub fn compare(first: &[RunMetrics], second: &[RunMetrics]) -> Result<[Difference; 6], String> {
+    let seeds = |runs: &[RunMetrics]| runs.iter().map(|metrics| metrics.seed).collect::<Vec<_>>();
     if seeds(first) != seeds(second) {
-        return Err("the two did not play the same days".to_string());
+        return Err("the two results have different seeds".to_string());
     }
-    let days = first.len() as f64;
-    let student = StudentsT::new(0.0, 1.0, days - 1.0).map_err(|_| "two days at least are needed")?;
-    Ok(std::array::from_fn(|figure| {
-        let of =
-            |outcomes: &[Outcome]| -> Vec<f64> { outcomes.iter().map(|one| one.figures()[figure]).collect() };
-        let (one, other) = (of(first), of(second));
-        let mean_of = |values: &[f64]| values.iter().sum::<f64>() / days;
-        let apart: Vec<f64> = one.iter().zip(&other).map(|(one, other)| other - one).collect();
-        let mean = mean_of(&apart);
-        let squares: f64 = apart.iter().map(|value| (value - mean).powi(2)).sum();
-        let error = (squares / (days - 1.0) / days).sqrt();
+    let pairs = first.len() as f64;
+    let distribution =
+        StudentsT::new(0.0, 1.0, pairs - 1.0).map_err(|_| "at least two scenarios are required")?;
+    Ok(std::array::from_fn(|metric| {
+        let values_of = |runs: &[RunMetrics]| -> Vec<f64> {
+            runs.iter().map(|metrics| metrics.values()[metric]).collect()
+        };
+        let (first_values, second_values) = (values_of(first), values_of(second));
+        let mean_of = |values: &[f64]| values.iter().sum::<f64>() / pairs;
+        let differences: Vec<f64> =
+            first_values.iter().zip(&second_values).map(|(first, second)| second - first).collect();
+        let mean = mean_of(&differences);
+        let sum_of_squares: f64 = differences.iter().map(|value| (value - mean).powi(2)).sum();
+        let standard_error = (sum_of_squares / (pairs - 1.0) / pairs).sqrt();
         Difference {
-            first: mean_of(&one),
-            second: mean_of(&other),
+            first: mean_of(&first_values),
+            second: mean_of(&second_values),
             mean,
-            within: student.inverse_cdf(0.975) * error,
+            margin: distribution.inverse_cdf(0.975) * standard_error,
         }
     }))
 }
--- a/crates/arrowyard-emulator/src/failover.rs
+++ b/crates/arrowyard-emulator/src/failover.rs
@@ -1,124 +1,145 @@
-//! How long a service is without a primary: drawn cases by what happened to it. Measured from outside: the longest time in
-//! which no write of the service was acknowledged, around the fault.
+//! Measures how long a service is without a primary, by cause, in generated scenarios. The measure is
+//! external: the longest interval around the fault without an acknowledged write of the service.
 
 use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
 use hdrhistogram::Histogram;
 
-use crate::day::{Day, Fault, Trouble, play};
+use crate::scenario::{Fault, FaultKind, Scenario, run_scenario};
 
-/// No day is longer, in milliseconds.
-const LONGEST: u64 = 100_000;
+/// Maximum recorded duration in milliseconds.
+const MAX_DURATION_MS: u64 = 100_000;
 
-/// A service that acknowledges nothing so long after the fault has not come back. Its clients ask for longer.
-const BACK: TimeDelta = TimeDelta::from_millis(10_000);
+/// A service without an acknowledged write after this time has not recovered. The load lasts longer.
+const RECOVERY_TIMEOUT: TimeDelta = TimeDelta::from_millis(10_000);
 
-/// What happens to a primary.
+/// Cause of a change of primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
     Crash,
-    Dark,
-    /// It is replaced in order.
-    Release,
-    /// One replica has received nothing for a while.
-    BehindDeafReplica,
-    /// One replica is lost five seconds before.
-    AfterReplica,
-    /// A control machine dies with it: in a third of all cases the one that replaces primaries.
-    WithControl,
-    /// The platform takes no call for two seconds.
-    WithoutPlatform,
+    PowerLoss,
+    /// A planned switchover.
+    Switchover,
+    /// One replica has not received anything for a while.
+    LaggingReplica,
+    /// One replica crashes five seconds earlier.
+    AfterReplicaCrash,
+    /// A control machine crashes at the same time; in a third of the cases it is the one that runs
+    /// promotions.
+    WithControlCrash,
+    /// The platform is unavailable for two seconds.
+    PlatformUnavailable,
 }
 
 impl Cause {
     pub const ALL: [Cause; 7] = [
         Cause::Crash,
-        Cause::Dark,
-        Cause::Release,
-        Cause::BehindDeafReplica,
-        Cause::AfterReplica,
-        Cause::WithControl,
-        Cause::WithoutPlatform,
+        Cause::PowerLoss,
+        Cause::Switchover,
+        Cause::LaggingReplica,
+        Cause::AfterReplicaCrash,
+        Cause::WithControlCrash,
+        Cause::PlatformUnavailable,
     ];
 
     pub fn name(self) -> &'static str {
         match self {
             Cause::Crash => "crash",
-            Cause::Dark => "dark",
-            Cause::Release => "release",
-            Cause::BehindDeafReplica => "behind a deaf replica",
-            Cause::AfterReplica => "after a replica",
-            Cause::WithControl => "with a control machine",
-            Cause::WithoutPlatform => "without the platform",
+            Cause::PowerLoss => "dark",
+            Cause::Switchover => "release",
+            Cause::LaggingReplica => "behind a deaf replica",
+            Cause::AfterReplicaCrash => "after a replica",
+            Cause::WithControlCrash => "with a control machine",
+            Cause::PlatformUnavailable => "without the platform",
         }
     }
 
-    /// A day on which it happens, and when.
-    pub fn day(self, seed: u64) -> (Day, Timestamp) {
+    /// Scenario with this cause, and the time of the fault.
+    pub fn scenario(self, seed: u64) -> (Scenario, Timestamp) {
         let mut rng = Rng::with_seed(seed ^ 0xfa11);
         let at = 11.0 + 1.2 * rng.f64();
-        let which = rng.usize(0..6);
-        let fault = |what, at, for_s| Fault { at, for_s, what, which };
-        let crash = fault(Trouble::CrashPrimary, at, 20.0);
+        let target_index = rng.usize(0..6);
+        let fault = |kind, at, duration_s| Fault { at, duration_s, kind, target_index };
+        let crash = fault(FaultKind::CrashPrimary, at, 20.0);
         let faults = match self {
             Cause::Crash => vec![crash],
-            Cause::Dark => vec![fault(Trouble::DarkPrimary, at, 20.0)],
-            Cause::Release => vec![fault(Trouble::ReleasePrimary, at, 0.0)],
-            // A commit needs one replica: the lost one is back some seconds later, or nothing would be acknowledged.
-            Cause::BehindDeafReplica => vec![fault(Trouble::DeafReplica, at - 3.0, 3.2), crash],
-            Cause::AfterReplica => vec![fault(Trouble::CrashReplica, at - 5.0, 6.0), crash],
-            Cause::WithControl => vec![crash, fault(Trouble::KillControl, at, 2.0)],
-            Cause::WithoutPlatform => vec![fault(Trouble::PlatformAway, at - 0.1, 2.1), crash],
+            Cause::PowerLoss => vec![fault(FaultKind::DarkPrimary, at, 20.0)],
+            Cause::Switchover => vec![fault(FaultKind::ReleasePrimary, at, 0.0)],
+            // A commit needs one replica, so the lost one returns after some seconds; otherwise nothing
+            // would be acknowledged.
+            Cause::LaggingReplica => vec![fault(FaultKind::DeafReplica, at - 3.0, 3.2), crash],
+            Cause::AfterReplicaCrash => vec![fault(FaultKind::CrashReplica, at - 5.0, 6.0), crash],
+            Cause::WithControlCrash => vec![crash, fault(FaultKind::KillControl, at, 2.0)],
+            Cause::PlatformUnavailable => vec![fault(FaultKind::PlatformAway, at - 0.1, 2.1), crash],
         };
-        let day =
-            Day { seed, controls: 3, routers: 3, services: 1, users: 8, seconds: 26.0, ..Day::default() };
-        (Day { think_ms: 40, faults, ..day }, Timestamp::from_micros((at * 1e6) as i64))
+        let scenario = Scenario {
+            seed,
+            controls: 3,
+            routers: 3,
+            services: 1,
+            users: 8,
+            seconds: 26.0,
+            ..Scenario::default()
+        };
+        (Scenario { think_ms: 40, faults, ..scenario }, Timestamp::from_micros((at * 1e6) as i64))
     }
 }
 
-/// Times without a primary, or without whatever else is measured, in milliseconds.
+/// Percentiles of a measured duration, in milliseconds.
 #[derive(Clone, Debug)]
-pub struct Outages {
+pub struct DurationSummary {
     pub cases: u64,
-    pub p50: u64,
-    pub p99: u64,
-    pub worst: u64,
-    /// Cases in which it did not come back.
-    pub never: u64,
-    /// Days on which a rule was broken.
-    pub broken: u64,
+    pub p50_ms: u64,
+    pub p99_ms: u64,
+    pub worst_ms: u64,
+    /// Cases that did not recover.
+    pub unrecovered: u64,
+    /// Runs with a violated invariant.
+    pub runs_with_violations: u64,
 }
 
-/// The longest pause between two of these moments that lasts into the time after `from`. Nothing if none came after `till`:
-/// whoever acknowledges one more at once and then none any more has not come back.
-pub fn longest_pause(acknowledged: &[Timestamp], from: Timestamp, till: Timestamp) -> Option<TimeDelta> {
-    acknowledged.last().filter(|last| **last > till)?;
+/// Longest gap between two consecutive acknowledgements that ends after `from`. `None` if none follows
+/// `until`: one acknowledgement shortly after the fault is not a recovery.
+pub fn longest_gap(acknowledged: &[Timestamp], from: Timestamp, until: Timestamp) -> Option<TimeDelta> {
+    acknowledged.last().filter(|last| **last > until)?;
     let pairs = acknowledged.windows(2).filter(|pair| pair[1] > from);
     pairs.map(|pair| pair[1] - pair[0]).max()
 }
 
-/// Plays so many drawn cases of one cause.
-pub fn outages(cause: Cause, cases: u64, from: u64) -> Outages {
-    measured(cases, from, |seed| {
-        let (day, at) = cause.day(seed);
-        let played = play(&day);
-        let pause = |writes: &Vec<Timestamp>| longest_pause(writes, at, at + BACK);
-        (played.writes.values().filter_map(pause).max(), !played.breaches.is_empty())
+/// Measures `cases` generated scenarios of one cause.
+pub fn measure_outages(cause: Cause, cases: u64, first_seed: u64) -> DurationSummary {
+    summarize_runs(cases, first_seed, |seed| {
+        let (scenario, at) = cause.scenario(seed);
+        let result = run_scenario(&scenario);
+        let gap = |writes: &Vec<Timestamp>| longest_gap(writes, at, at + RECOVERY_TIMEOUT);
+        (result.write_times.values().filter_map(gap).max(), !result.violations.is_empty())
     })
 }
 
-/// Plays cases that tell how long they lasted, if they ended at all, and whether a rule was broken.
-pub fn measured(cases: u64, from: u64, play: impl Fn(u64) -> (Option<TimeDelta>, bool)) -> Outages {
-    let mut times = Histogram::<u64>::new_with_max(LONGEST, 3).expect("three digits can be kept");
-    let (mut never, mut broken) = (0, 0);
-    for seed in from..from + cases {
-        let (pause, breaks) = play(seed);
-        broken += u64::from(breaks);
-        match pause {
-            Some(pause) => times.saturating_record((pause.micros() / 1000).max(0) as u64),
-            None => never += 1,
+/// Runs cases that return a duration, if there was a recovery, and whether an invariant was violated.
+pub fn summarize_runs(
+    cases: u64,
+    first_seed: u64,
+    run_case: impl Fn(u64) -> (Option<TimeDelta>, bool),
+) -> DurationSummary {
+    let mut histogram =
+        Histogram::<u64>::new_with_max(MAX_DURATION_MS, 3).expect("three significant digits are valid");
+    let (mut unrecovered, mut runs_with_violations) = (0, 0);
+    for seed in first_seed..first_seed + cases {
+        let (gap, has_violation) = run_case(seed);
+        runs_with_violations += u64::from(has_violation);
+        match gap {
+            Some(gap) => histogram.saturating_record((gap.micros() / 1000).max(0) as u64),
+            None => unrecovered += 1,
         }
     }
-    let part = |share| times.value_at_quantile(share);
-    Outages { cases, p50: part(0.5), p99: part(0.99), worst: times.max(), never, broken }
+    let percentile = |quantile| histogram.value_at_quantile(quantile);
+    DurationSummary {
+        cases,
+        p50_ms: percentile(0.5),
+        p99_ms: percentile(0.99),
+        worst_ms: histogram.max(),
+        unrecovered,
+        runs_with_violations,
+    }
 }
--- a/crates/arrowyard-emulator/src/history.rs
+++ b/crates/arrowyard-emulator/src/history.rs
@@ -1,4 +1,5 @@
-//! What clients, hosts, operator and platform saw, and the auditors that look for broken rules in it.
+//! History of a run as observed by clients, hosts, the operator and the platform, with auditors of the
+//! invariants.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -6,255 +7,281 @@
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
-use crate::shard::Shard;
+use crate::replication::ReplicationGroup;
 
-/// A broken rule: its name on the users' page, and what was seen.
+/// A violated invariant: its documented name, when it was violated, and a description.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Breach {
-    pub rule: &'static str,
+pub struct Violation {
+    pub invariant: &'static str,
     pub at: Timestamp,
-    pub what: String,
+    pub description: String,
 }
 
-/// How fresh the reads of a route must be.
+/// Required freshness of the reads of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Fresh {
+pub enum Freshness {
     Primary,
     Bounded(TimeDelta),
     Own(TimeDelta),
 }
 
-impl Fresh {
-    /// The kind of requests, as routes name it.
+impl Freshness {
+    /// Name of the kind of requests, as in the routes.
     #[must_use]
     pub fn name(self) -> &'static str {
         match self {
-            Fresh::Primary => "primary",
-            Fresh::Bounded(_) => "bounded",
-            Fresh::Own(_) => "own",
+            Freshness::Primary => "primary",
+            Freshness::Bounded(_) => "bounded",
+            Freshness::Own(_) => "own",
         }
     }
 }
 
-/// What a client asked with one id.
+/// A statement sent by a client.
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct StatementRecord {
     pub at: Timestamp,
-    /// Of its transaction's first byte.
-    pub since: Timestamp,
+    /// When the first byte of its transaction was sent.
+    pub transaction_started_at: Timestamp,
     pub service: String,
     pub session: u64,
     pub operation: u64,
     pub text: String,
-    /// For `RUN`: the shape that its name stands for.
+    /// For `RUN`: the shape of the named statement.
     pub shape: Option<String>,
-    /// The value of `tag` that was acknowledged to its session.
+    /// Last value of `tag` acknowledged to the session.
     pub tag: Option<String>,
-    pub fresh: Fresh,
-    pub inside: bool,
+    pub freshness: Freshness,
+    pub in_transaction: bool,
     pub stamp: Option<String>,
     pub rows: Option<String>,
 }
 
-/// What became of a write, as its client knows.
+/// Outcome of a write as known to its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Fate {
+pub enum WriteOutcome {
     Acknowledged {
         at: Timestamp,
         service: String,
         session: u64,
     },
-    /// The client was promised that nothing is kept.
-    Promised {
+    /// The client was told that the write is not kept.
+    NotKept {
         at: Timestamp,
         service: String,
     },
     Unknown,
 }
 
-/// Pace is looked at in windows of so many microseconds.
+/// Length of an aggregation window in microseconds.
 pub const WINDOW: i64 = 100_000;
 
-/// What became of one kind of requests.
+/// Statistics of one kind of requests.
 #[derive(Clone, Debug, Default)]
-pub struct Kept {
-    pub asked: u64,
-    pub in_aim: u64,
+pub struct KindStats {
+    pub total: u64,
+    pub within_target: u64,
     pub served: u64,
-    pub took: Vec<TimeDelta>,
-    /// By window in which operations began: how many, and how many of them inside their aim.
+    pub durations: Vec<TimeDelta>,
+    /// By window of the start time: operations, and operations within the latency target.
     pub windows: BTreeMap<i64, (u32, u32)>,
 }
 
-impl Kept {
-    /// Operations that began from one time to another, and those of them inside their aim.
+impl KindStats {
+    /// Counts the operations that started in an interval, and those within the latency target.
     #[must_use]
-    pub fn between(&self, from: Timestamp, until: Timestamp) -> (u64, u64) {
+    pub fn count_between(&self, from: Timestamp, until: Timestamp) -> (u64, u64) {
         let windows = self.windows.range(from.micros() / WINDOW..until.micros() / WINDOW);
-        windows.fold((0, 0), |sum, (_, (asked, kept))| (sum.0 + u64::from(*asked), sum.1 + u64::from(*kept)))
+        windows.fold((0, 0), |counts, (_, (total, within_target))| {
+            (counts.0 + u64::from(*total), counts.1 + u64::from(*within_target))
+        })
     }
 
-    /// Of the windows from one time to another: the share in which this part of the operations was inside its aim, and
-    /// the least part in ten windows together.
+    /// For the windows of an interval: the share with at least `ratio` of operations within the latency
+    /// target, and the lowest ratio over ten consecutive windows.
     #[must_use]
-    pub fn pace(&self, from: Timestamp, until: Timestamp, part: f64) -> (f64, f64) {
+    pub fn window_stats(&self, from: Timestamp, until: Timestamp, ratio: f64) -> (f64, f64) {
         let (from, until) = (from.micros() / WINDOW, until.micros() / WINDOW);
         let windows: Vec<(u32, u32)> = self.windows.range(from..until).map(|(_, window)| *window).collect();
-        let kept =
-            windows.iter().filter(|(asked, kept)| f64::from(*kept) >= f64::from(*asked) * part).count();
-        let part_of = |ten: &[(u32, u32)]| {
-            let (asked, kept) = ten.iter().fold((0, 0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-            f64::from(kept) / f64::from(asked.max(1))
+        let met = windows.iter().filter(|(total, met)| f64::from(*met) >= f64::from(*total) * ratio).count();
+        let ratio_of = |ten: &[(u32, u32)]| {
+            let (total, met) =
+                ten.iter().fold((0, 0), |counts, window| (counts.0 + window.0, counts.1 + window.1));
+            f64::from(met) / f64::from(total.max(1))
         };
-        let worst = windows.windows(10).map(part_of).fold(1.0, f64::min);
-        (kept as f64 / windows.len().max(1) as f64, worst)
+        let lowest = windows.windows(10).map(ratio_of).fold(1.0, f64::min);
+        (met as f64 / windows.len().max(1) as f64, lowest)
     }
 }
 
-/// How operations ended.
+/// Counts of operations by result.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tally {
-    pub asked: u64,
+pub struct OperationCounts {
+    pub total: u64,
     pub served: u64,
     pub late: u64,
-    pub refused: u64,
+    pub rejected: u64,
     pub failed: u64,
 }
 
-/// Everything that was seen.
+/// Everything observed during a run.
 #[derive(Debug, Default)]
 pub struct History {
-    pub asked: BTreeMap<String, Asked>,
-    pub fates: BTreeMap<String, Fate>,
-    /// Where each write stands in its service's log; and, by service and by session, how far the log was acknowledged
-    /// when: reads are held against it.
-    pub placed: BTreeMap<String, usize>,
-    acknowledged: BTreeMap<String, Vec<(Timestamp, usize)>>,
-    own: BTreeMap<u64, Vec<(Timestamp, usize)>>,
-    /// When every machine was back after a loss of power.
-    pub back: Option<Timestamp>,
-    pub breaches: Vec<Breach>,
-    pub tally: Tally,
-    /// By second of the day: asked and served.
-    pub seconds: BTreeMap<i64, (u64, u64)>,
-    pub runs: u64,
-    pub reset_over_cap: u64,
-    /// How long after the acknowledgement that it leaves a host was asked last.
-    pub asked_after_leaving: Option<TimeDelta>,
+    pub statements: BTreeMap<String, StatementRecord>,
+    pub write_outcomes: BTreeMap<String, WriteOutcome>,
+    /// Log index of each write; and, by service and by session, the acknowledged index over time, which
+    /// reads are checked against.
+    pub log_indexes: BTreeMap<String, usize>,
+    acknowledged_by_service: BTreeMap<String, Vec<(Timestamp, usize)>>,
+    acknowledged_by_session: BTreeMap<u64, Vec<(Timestamp, usize)>>,
+    /// When all machines were running again after a power loss.
+    pub power_restored_at: Option<Timestamp>,
+    pub violations: Vec<Violation>,
+    pub counts: OperationCounts,
+    /// By second: operations, and served operations.
+    pub counts_by_second: BTreeMap<i64, (u64, u64)>,
+    pub statements_run: u64,
+    pub connections_over_limit: u64,
+    /// Time between the acknowledgement of a drain and the last request that the host received.
+    pub last_request_after_drain: Option<TimeDelta>,
     pub latencies: Vec<TimeDelta>,
     /// By kind of requests.
-    pub kinds: BTreeMap<&'static str, Kept>,
-    /// The revision that was acknowledged last, and the one that was read back at the end.
-    pub in_place: u64,
-    pub read_back: Option<u64>,
-    /// Since when a sound change has waited for its acknowledgement.
-    pub unacknowledged: Option<Timestamp>,
+    pub stats_by_kind: BTreeMap<&'static str, KindStats>,
+    /// Last acknowledged revision, and the revision read back at the end.
+    pub acknowledged_revision: u64,
+    pub read_revision: Option<u64>,
+    /// When the pending change was first sent.
+    pub change_pending_since: Option<Timestamp>,
     /// When changes were acknowledged.
-    pub acks: Vec<Timestamp>,
-    last: u64,
+    pub change_times: Vec<Timestamp>,
+    last_id: u64,
 }
 
-/// One history, written by all stand-ins.
-pub type Shared = Rc<RefCell<History>>;
+/// A history shared by all simulated participants.
+pub type SharedHistory = Rc<RefCell<History>>;
 
 impl History {
-    pub fn number(&mut self) -> u64 {
-        self.last += 1;
-        self.last
+    pub fn next_id(&mut self) -> u64 {
+        self.last_id += 1;
+        self.last_id
     }
 
-    pub fn breach(&mut self, rule: &'static str, at: Timestamp, what: String) {
-        self.breaches.push(Breach { rule, at, what });
+    pub fn record_violation(&mut self, invariant: &'static str, at: Timestamp, description: String) {
+        self.violations.push(Violation { invariant, at, description });
     }
 
-    /// UNASKED, PINNED: a host runs a statement. `own` is whether it runs inside a transaction, and of which operation.
-    pub fn runs(
+    /// UNASKED, PINNED: a host executes a statement. `transaction_operation` is set within a
+    /// transaction and holds its operation, once known.
+    pub fn record_execution(
         &mut self,
         at: Timestamp,
         id: &str,
         text: &str,
         shape: Option<&str>,
         tag: Option<&str>,
-        inside: Option<Option<u64>>,
+        transaction_operation: Option<Option<u64>>,
     ) {
-        self.runs += 1;
-        let Some(asked) = self.asked.get(id).cloned() else {
-            return self.breach("UNASKED", at, format!("{id} was not asked: {text}"));
+        self.statements_run += 1;
+        let Some(statement) = self.statements.get(id).cloned() else {
+            return self.record_violation("UNASKED", at, format!("{id} was not asked: {text}"));
         };
-        let (word, rest) = arrowyard_protocol::split_word(text);
-        let same = if word == "RUN" {
-            let (_, of) = arrowyard_protocol::split_word(rest);
-            let (mine, asked_rest) = arrowyard_protocol::split_word(&asked.text);
-            mine == "RUN" && arrowyard_protocol::split_word(asked_rest).1 == of
+        let (keyword, arguments) = arrowyard_protocol::split_word(text);
+        let matches = if keyword == "RUN" {
+            let (_, item) = arrowyard_protocol::split_word(arguments);
+            let (expected_keyword, expected_arguments) = arrowyard_protocol::split_word(&statement.text);
+            expected_keyword == "RUN" && arrowyard_protocol::split_word(expected_arguments).1 == item
         } else {
-            asked.text == text
+            statement.text == text
         };
-        if !same {
-            self.breach("UNASKED", at, format!("{id}: {text} for {}", asked.text));
+        if !matches {
+            self.record_violation("UNASKED", at, format!("{id}: {text} for {}", statement.text));
         }
-        if shape.map(str::to_string) != asked.shape {
-            self.breach("PINNED", at, format!("{id} runs {shape:?} for {:?}", asked.shape));
+        if shape.map(str::to_string) != statement.shape {
+            self.record_violation("PINNED", at, format!("{id} runs {shape:?} for {:?}", statement.shape));
         }
-        if tag.map(str::to_string) != asked.tag {
-            self.breach("PINNED", at, format!("{id} runs under {tag:?} for {:?}", asked.tag));
+        if tag.map(str::to_string) != statement.tag {
+            self.record_violation("PINNED", at, format!("{id} runs under {tag:?} for {:?}", statement.tag));
         }
-        match inside {
-            Some(Some(operation)) if operation != asked.operation => {
-                self.breach("PINNED", at, format!("{id} runs in the transaction of operation {operation}"));
+        match transaction_operation {
+            Some(Some(operation)) if operation != statement.operation => {
+                self.record_violation(
+                    "PINNED",
+                    at,
+                    format!("{id} runs in the transaction of operation {operation}"),
+                );
+            }
+            None if statement.in_transaction => {
+                self.record_violation("PINNED", at, format!("{id} runs outside its transaction"))
             }
-            None if asked.inside => self.breach("PINNED", at, format!("{id} runs outside its transaction")),
             _ => {}
         }
     }
 
-    /// A write was acknowledged to a session.
-    pub fn acknowledges(&mut self, at: Timestamp, service: &str, session: u64, token: &str) {
-        let Some(&place) = self.placed.get(token) else { return };
-        let service = self.acknowledged.entry(service.to_string()).or_default();
-        for list in [service, self.own.entry(session).or_default()] {
-            let most = list.last().map_or(place, |(_, most)| place.max(*most));
-            list.push((at, most));
+    /// Records that a write was acknowledged to a session.
+    pub fn record_acknowledgement(&mut self, at: Timestamp, service: &str, session: u64, token: &str) {
+        let Some(&index) = self.log_indexes.get(token) else { return };
+        let service = self.acknowledged_by_service.entry(service.to_string()).or_default();
+        for timeline in [service, self.acknowledged_by_session.entry(session).or_default()] {
+            let highest = timeline.last().map_or(index, |(_, highest)| index.max(*highest));
+            timeline.push((at, highest));
         }
     }
 
-    /// When writes were acknowledged, by service.
-    pub fn acknowledged_at(&self) -> BTreeMap<String, Vec<Timestamp>> {
-        let times = |list: &Vec<(Timestamp, usize)>| list.iter().map(|(at, _)| *at).collect();
-        self.acknowledged.iter().map(|(service, list)| (service.clone(), times(list))).collect()
+    /// Times of acknowledged writes by service.
+    pub fn acknowledgement_times(&self) -> BTreeMap<String, Vec<Timestamp>> {
+        let times = |timeline: &Vec<(Timestamp, usize)>| timeline.iter().map(|(at, _)| *at).collect();
+        self.acknowledged_by_service
+            .iter()
+            .map(|(service, timeline)| (service.clone(), times(timeline)))
+            .collect()
     }
 
-    /// The writes of a service that were acknowledged.
-    pub fn acknowledged_of(&self, service: &str) -> Vec<String> {
-        let of = |fate: &Fate| matches!(fate, Fate::Acknowledged { service: of, .. } if of == service);
-        self.fates.iter().filter(|(_, fate)| of(fate)).map(|(token, _)| token.clone()).collect()
+    /// Acknowledged writes of a service.
+    pub fn acknowledged_writes(&self, service: &str) -> Vec<String> {
+        let is_acknowledged = |outcome: &WriteOutcome| matches!(outcome, WriteOutcome::Acknowledged { service: written, .. } if written == service);
+        self.write_outcomes
+            .iter()
+            .filter(|(_, outcome)| is_acknowledged(outcome))
+            .map(|(token, _)| token.clone())
+            .collect()
     }
 
-    /// STALE: a host runs a read with so many commits of a log of this length applied. What a promote cut back does not
-    /// count; that it was acknowledged is another rule's matter.
-    pub fn reads(&mut self, at: Timestamp, id: &str, applied: usize, log: usize, host: &str) {
-        let Some(asked) = self.asked.get(id) else { return };
-        let before = |list: Option<&Vec<(Timestamp, usize)>>, time: Timestamp| {
-            let list = list.map(Vec::as_slice).unwrap_or_default();
-            let place = list.partition_point(|(when, _)| *when < time);
-            place.checked_sub(1).map_or(0, |last| list[last].1)
+    /// STALE: a host with `applied` commits executes a read, where the log of the primary has `log`
+    /// commits. Commits truncated by a promotion are ignored here; the LOST invariant covers them.
+    pub fn record_read(&mut self, at: Timestamp, id: &str, applied: usize, log: usize, host: &str) {
+        let Some(statement) = self.statements.get(id) else { return };
+        let acknowledged_before = |timeline: Option<&Vec<(Timestamp, usize)>>, time: Timestamp| {
+            let timeline = timeline.map(Vec::as_slice).unwrap_or_default();
+            let count = timeline.partition_point(|(at, _)| *at < time);
+            count.checked_sub(1).map_or(0, |last| timeline[last].1)
         };
-        let all = self.acknowledged.get(&asked.service);
-        let wanted = match asked.fresh {
-            Fresh::Primary => before(all, asked.since),
-            Fresh::Bounded(bound) => before(all, asked.since - bound),
-            Fresh::Own(bound) => {
-                before(all, asked.since - bound).max(before(self.own.get(&asked.session), asked.since))
+        let service_timeline = self.acknowledged_by_service.get(&statement.service);
+        let required = match statement.freshness {
+            Freshness::Primary => acknowledged_before(service_timeline, statement.transaction_started_at),
+            Freshness::Bounded(bound) => {
+                acknowledged_before(service_timeline, statement.transaction_started_at - bound)
+            }
+            Freshness::Own(bound) => {
+                acknowledged_before(service_timeline, statement.transaction_started_at - bound).max(
+                    acknowledged_before(
+                        self.acknowledged_by_session.get(&statement.session),
+                        statement.transaction_started_at,
+                    ),
+                )
             }
         };
-        if wanted.min(log) > applied {
-            let what = format!("{id} ({:?}) runs at {host} with {applied} of {wanted} commits", asked.fresh);
-            self.breach("STALE", at, what);
+        if required.min(log) > applied {
+            let description = format!(
+                "{id} ({:?}) runs at {host} with {applied} of {required} commits",
+                statement.freshness
+            );
+            self.record_violation("STALE", at, description);
         }
     }
 
-    /// DRAIN: a host runs a single statement, or the first of a transaction, though it said long ago that it leaves, and
-    /// that was acknowledged.
-    pub fn arrives(
+    /// DRAIN: a host receives a single statement, or the first one of a transaction, later than `bound`
+    /// after its drain was acknowledged.
+    pub fn record_arrival(
         &mut self,
         at: Timestamp,
         id: &str,
@@ -262,62 +289,72 @@
         bound: TimeDelta,
         host: &str,
     ) {
-        let after = acknowledged.map(|when| at - when);
-        self.asked_after_leaving = self.asked_after_leaving.max(after);
-        if let Some(late) = acknowledged.filter(|when| at - *when > bound) {
-            let after = at - late;
-            self.breach("DRAIN", at, format!("{id} reaches {host} {} ms after that", after.micros() / 1000));
+        let elapsed = acknowledged.map(|when| at - when);
+        self.last_request_after_drain = self.last_request_after_drain.max(elapsed);
+        if let Some(drained_at) = acknowledged.filter(|when| at - *when > bound) {
+            let elapsed = at - drained_at;
+            self.record_violation(
+                "DRAIN",
+                at,
+                format!("{id} reaches {host} {} ms after that", elapsed.micros() / 1000),
+            );
         }
     }
 
-    /// RECOVER: less than a quarter is served once all machines are back for so long.
+    /// RECOVER: less than a quarter of the operations are served although all machines have run for
+    /// `after`.
     pub fn audit_recovery(&mut self, now: Timestamp, after: TimeDelta) {
-        let Some(back) = self.back else { return };
+        let Some(restored_at) = self.power_restored_at else { return };
         let second = |at: Timestamp| at.micros().div_euclid(1_000_000);
-        let sum = |seconds: &mut dyn Iterator<Item = &(u64, u64)>| {
-            seconds.fold((0, 0), |sum: (u64, u64), one| (sum.0 + one.0, sum.1 + one.1))
+        let totals = |seconds: &mut dyn Iterator<Item = &(u64, u64)>| {
+            seconds.fold((0, 0), |totals: (u64, u64), counts| (totals.0 + counts.0, totals.1 + counts.1))
         };
-        let (asked, served) = sum(&mut self.seconds.range(second(back + after) + 1..).map(|(_, one)| one));
-        let before = sum(&mut self.seconds.range(..second(back) - 1).map(|(_, one)| one));
-        if served * 4 < asked && before.1 * 4 >= before.0 {
-            self.breach("RECOVER", now, format!("{served} of {asked} were served"));
+        let (total, served) = totals(
+            &mut self.counts_by_second.range(second(restored_at + after) + 1..).map(|(_, counts)| counts),
+        );
+        let before_loss =
+            totals(&mut self.counts_by_second.range(..second(restored_at) - 1).map(|(_, counts)| counts));
+        if served * 4 < total && before_loss.1 * 4 >= before_loss.0 {
+            self.record_violation("RECOVER", now, format!("{served} of {total} were served"));
         }
     }
 
-    /// MIXED: a client gets a success.
-    pub fn succeeds(&mut self, at: Timestamp, id: &str, stamp: &str, rows: &str) {
-        let Some(asked) = self.asked.get(id) else { return };
-        if asked.stamp.as_deref() != Some(stamp) || asked.rows.as_deref() != Some(rows) {
-            let what =
-                format!("{id}: {stamp} {rows:?}, where the host said {:?} {:?}", asked.stamp, asked.rows);
-            self.breach("MIXED", at, what);
+    /// MIXED: a client receives a success.
+    pub fn record_success(&mut self, at: Timestamp, id: &str, stamp: &str, rows: &str) {
+        let Some(statement) = self.statements.get(id) else { return };
+        if statement.stamp.as_deref() != Some(stamp) || statement.rows.as_deref() != Some(rows) {
+            let description = format!(
+                "{id}: {stamp} {rows:?}, where the host said {:?} {:?}",
+                statement.stamp, statement.rows
+            );
+            self.record_violation("MIXED", at, description);
         }
     }
 
-    /// TWICE, REFUSED, LOST: what the logs hold at the end of a day.
-    pub fn audit_logs(&mut self, now: Timestamp, shards: &[Rc<RefCell<Shard>>]) {
+    /// TWICE, REFUSED, LOST: checks the logs at the end of a run.
+    pub fn audit_logs(&mut self, now: Timestamp, groups: &[Rc<RefCell<ReplicationGroup>>]) {
         let mut counts: BTreeMap<String, u32> = BTreeMap::new();
-        for shard in shards {
-            for token in shard.borrow().log().iter().flat_map(|commit| &commit.writes) {
+        for group in groups {
+            for token in group.borrow().log().iter().flat_map(|commit| &commit.writes) {
                 *counts.entry(token.clone()).or_default() += 1;
             }
         }
         for (token, count) in &counts {
             if *count > 1 {
-                self.breach("TWICE", now, format!("{token} is there {count} times"));
+                self.record_violation("TWICE", now, format!("{token} is there {count} times"));
             }
         }
-        for (token, fate) in self.fates.clone() {
-            match fate {
-                Fate::Acknowledged { at, service, .. } if !counts.contains_key(&token) => {
-                    self.breach(
+        for (token, outcome) in self.write_outcomes.clone() {
+            match outcome {
+                WriteOutcome::Acknowledged { at, service, .. } if !counts.contains_key(&token) => {
+                    self.record_violation(
                         "LOST",
                         at,
                         format!("{token} of {service} was acknowledged and is not there"),
                     );
                 }
-                Fate::Promised { at, service } if counts.contains_key(&token) => {
-                    self.breach(
+                WriteOutcome::NotKept { at, service } if counts.contains_key(&token) => {
+                    self.record_violation(
                         "REFUSED",
                         at,
                         format!("{token} of {service} is there though nothing was to be kept"),
@@ -328,38 +365,42 @@
         }
     }
 
-    /// CONFIG, LOST: what was read back at the end of a day.
+    /// CONFIG, ACKS: checks the configuration read back at the end of a run.
     pub fn audit_configuration(&mut self, now: Timestamp) {
-        if self.read_back.is_none_or(|revision| revision < self.in_place) {
-            let what = format!("{:?} was read back, {} was acknowledged", self.read_back, self.in_place);
-            self.breach("CONFIG", now, what);
+        if self.read_revision.is_none_or(|revision| revision < self.acknowledged_revision) {
+            let description = format!(
+                "{:?} was read back, {} was acknowledged",
+                self.read_revision, self.acknowledged_revision
+            );
+            self.record_violation("CONFIG", now, description);
         }
-        if let Some(since) = self.unacknowledged {
-            let what = format!("a sound change of {} ms was never acknowledged", since.micros() / 1000);
-            self.breach("ACKS", now, what);
+        if let Some(pending_since) = self.change_pending_since {
+            let description =
+                format!("a sound change of {} ms was never acknowledged", pending_since.micros() / 1000);
+            self.record_violation("ACKS", now, description);
         }
     }
 
-    /// An operation of a kind is over: when it began, when it ended, whether it was served inside its aim, and at all.
-    pub fn ends_of(
+    /// Records a finished operation in the statistics of its kind.
+    pub fn record_operation_of_kind(
         &mut self,
         kind: &'static str,
         started: Timestamp,
-        took: TimeDelta,
-        in_aim: bool,
+        duration: TimeDelta,
+        within_target: bool,
         served: bool,
     ) {
-        let kept = self.kinds.entry(kind).or_default();
-        (kept.asked, kept.served) = (kept.asked + 1, kept.served + u64::from(served));
-        kept.in_aim += u64::from(in_aim);
-        kept.took.push(took);
-        let window = kept.windows.entry(started.micros().div_euclid(WINDOW)).or_default();
-        (window.0, window.1) = (window.0 + 1, window.1 + u32::from(in_aim));
+        let stats = self.stats_by_kind.entry(kind).or_default();
+        (stats.total, stats.served) = (stats.total + 1, stats.served + u64::from(served));
+        stats.within_target += u64::from(within_target);
+        stats.durations.push(duration);
+        let window = stats.windows.entry(started.micros().div_euclid(WINDOW)).or_default();
+        (window.0, window.1) = (window.0 + 1, window.1 + u32::from(within_target));
     }
 
-    pub fn ends(&mut self, started: Timestamp, served: bool) {
+    pub fn record_operation(&mut self, started: Timestamp, served: bool) {
         let second = started.micros().div_euclid(1_000_000);
-        let entry = self.seconds.entry(second).or_default();
+        let entry = self.counts_by_second.entry(second).or_default();
         entry.0 += 1;
         entry.1 += u64::from(served);
     }
--- a/crates/arrowyard-emulator/src/lib.rs
+++ b/crates/arrowyard-emulator/src/lib.rs
@@ -1,6 +1,7 @@
-//! An emulator of the whole system in simulated time, in one process: the planes as they ship, database hosts, clients,
-//! the operator and the platform as stand-ins, and faults. What clients, hosts, operator and platform saw is written
-//! down in a [`History`], and its auditors look for broken rules; they do not look into the planes.
+//! Deterministic emulator of the whole system in simulated time, in one process: the shipped planes,
+//! simulated database hosts, clients, operator and platform, and injected faults. The simulated
+//! participants record what they observe in a [`History`], whose auditors check the invariants without
+//! access to the internal state of the planes.
 
 pub mod acknowledgements;
 mod calls;
@@ -8,8 +9,8 @@
 pub mod catch_up;
 pub mod chart;
 mod clients;
-mod day;
 pub mod departures;
+mod deployment;
 pub mod experiment;
 pub mod failover;
 mod history;
@@ -17,18 +18,20 @@
 pub mod models;
 mod operator;
 mod platform;
-mod shard;
+mod replication;
+mod scenario;
 pub mod shares;
-mod system;
-mod world;
+mod simulation;
 
-pub use calls::CallAnswer;
+pub use calls::CallReply;
 pub use clients::Clients;
-pub use day::{Day, Fault, Played, Trouble, drawn, play};
-pub use history::{Asked, Breach, Fate, Fresh, History, Kept, Shared, Tally};
+pub use deployment::{ControlAddresses, Deployment, DeploymentPlan, Surge};
+pub use history::{
+    Freshness, History, KindStats, OperationCounts, SharedHistory, StatementRecord, Violation, WriteOutcome,
+};
 pub use host::{DatabaseHost, HostFaults, HostPlan};
 pub use operator::Operator;
 pub use platform::Platform;
-pub use shard::Shard;
-pub use system::{Callable, Plan, Surge, System};
-pub use world::{Disk, DiskFault, MachineId, World};
+pub use replication::ReplicationGroup;
+pub use scenario::{Fault, FaultKind, RunResult, Scenario, random_scenario, run_scenario};
+pub use simulation::{Disk, DiskFault, MachineId, Simulation};
--- a/crates/arrowyard-emulator/src/models.rs
+++ b/crates/arrowyard-emulator/src/models.rs
@@ -1,39 +1,40 @@
-//! The decisions that must never go wrong, as they ship and not as copies, under a model checker: every order of events
-//! within the bounds of a scene. Variants that are wrong on purpose show that a scene would find what it is about.
+//! Model checking of the ledger and of promotion. The code under test is the code that ships; stateright
+//! explores every order of events within the bounds of a scenario. Mutations, which introduce a deliberate
+//! fault, show that a scenario detects the error that it is meant to detect.
 
 pub mod ledger;
 pub mod promotion;
 
 use stateright::{Checker, HasDiscoveries, Model};
 
-/// The name of the property by which a scene shows that something happens in it at all.
-const LIVES: &str = "lives";
+/// Name of the property that shows that the events of interest occur in a scenario.
+const PROGRESS: &str = "lives";
 
-/// What exploring a scene came to.
+/// Result of exploring a scenario.
 #[derive(Clone, Debug)]
-pub struct Checked {
-    pub states: usize,
-    /// Whether what the scene is about was seen to happen.
-    pub lives: bool,
-    /// Each property that does not hold, with the state in which it does not and the steps that lead there.
-    pub broken: Vec<(&'static str, String)>,
+pub struct CheckResult {
+    pub unique_states: usize,
+    /// Whether the events of interest occurred.
+    pub progressed: bool,
+    /// Each violated property, with the violating state and the actions that lead to it.
+    pub violations: Vec<(&'static str, String)>,
 }
 
-/// Explores a scene to its end; one that is flawed, up to the first thing that is wrong.
-fn explored<M>(scene: M, flawed: bool) -> Checked
+/// Explores a scenario exhaustively, or up to the first violation if the model is mutated.
+fn explore<M>(scenario: M, mutated: bool) -> CheckResult
 where
     M: Model + Send + Sync + 'static,
     M::State: Clone + std::fmt::Debug + std::hash::Hash + PartialEq + Send + Sync + 'static,
     M::Action: Clone + std::fmt::Debug + PartialEq + Send + Sync + 'static,
 {
-    let builder = scene.checker().threads(4);
-    let builder = if flawed { builder.finish_when(HasDiscoveries::AnyFailures) } else { builder };
+    let builder = scenario.checker().threads(4);
+    let builder = if mutated { builder.finish_when(HasDiscoveries::AnyFailures) } else { builder };
     let checker = builder.spawn_dfs().join();
-    let found = checker.discoveries();
-    let lives = found.contains_key(LIVES);
-    let broken = found.into_iter().filter(|(name, _)| *name != LIVES).map(|(name, path)| {
-        let way = format!("{:?}\n{:#?}", path.last_state(), path.clone().into_actions());
-        (name, way)
+    let discoveries = checker.discoveries();
+    let progressed = discoveries.contains_key(PROGRESS);
+    let violations = discoveries.into_iter().filter(|(name, _)| *name != PROGRESS).map(|(name, path)| {
+        let trace = format!("{:?}\n{:#?}", path.last_state(), path.clone().into_actions());
+        (name, trace)
     });
-    Checked { states: checker.unique_state_count(), lives, broken: broken.collect() }
+    CheckResult { unique_states: checker.unique_state_count(), progressed, violations: violations.collect() }
 }
--- a/crates/arrowyard-emulator/src/models/ledger.rs
+++ b/crates/arrowyard-emulator/src/models/ledger.rs
@@ -1,6 +1,6 @@
-//! The shipped ledger, not a copy of it, under a model checker: three voters, two that enter; words that come in any
-//! order, late, or never; time-outs at any moment; disks that are slow, crashes that lose what was not on disk, one disk
-//! lost. Explored to the end within the bounds of each scene. Variants that are wrong on purpose have to be caught.
+//! Model of the replicated ledger: three voters, two of which propose. Messages are reordered, delayed or
+//! lost; timeouts occur at any time; disks are slow; a crash loses what was not synced, and one disk may be
+//! lost. Each scenario is explore exhaustively, and each mutation must be detected.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{BuildHasher, Hash, Hasher};
@@ -14,39 +14,39 @@
 use rustc_hash::FxBuildHasher;
 use stateright::{Model, Property};
 
-use super::{Checked, LIVES, explored};
+use super::{CheckResult, PROGRESS, explore};
 
-/// What is wrong on purpose.
+/// A deliberate fault in the code under test.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Flaw {
-    /// What a voter says does not wait for its disk.
-    WordsBeforeDisk,
-    /// A voter whose disk was lost counts at once.
-    WipedVotes,
-    /// Nobody tells what it accepted before.
-    VotesHidden,
-    /// Promises are not on the disk that a start reads.
-    PromisesForgotten,
-    /// A read is answered from what is known here.
-    ReadsAskNobody,
+pub enum Mutation {
+    /// Messages are sent before the records they depend on are synced.
+    SendBeforeSync,
+    /// A voter that lost its disk votes at once.
+    WipedVoterCounts,
+    /// Promises omit the entry accepted earlier.
+    PromiseOmitsAccepted,
+    /// Promises are missing from the records that a restart reads.
+    PromisesNotPersisted,
+    /// Reads are served from local state without a quorum.
+    LocalRead,
 }
 
 #[derive(Clone, Debug)]
-struct Scene {
-    flaw: Option<Flaw>,
-    machines: usize,
-    /// Who enters what at the start.
+struct ModelScenario {
+    mutation: Option<Mutation>,
+    machine_count: usize,
+    /// Entries proposed initially, with the proposing machine.
     proposals: Vec<(usize, Entry)>,
-    /// What another one enters once a disk was lost.
-    after: Option<(usize, Entry)>,
-    /// Time-outs there may be, crashes, and disks that are lost in one.
-    wakes: u8,
+    /// Entry proposed after a disk was lost, with the proposing machine.
+    proposal_after_wipe: Option<(usize, Entry)>,
+    /// Bounds on timeouts, on crashes, and on crashes that lose the disk.
+    timeouts: u8,
     crashes: u8,
     wipes: u8,
-    /// Who may crash, and whether its disk is slow. The others' is there at once.
-    weak: Option<usize>,
-    slow: bool,
-    /// Who reads, at any moment.
+    /// The machine that may crash and whose disk may be slow. Other disks sync at once.
+    crashing_machine: Option<usize>,
+    slow_disk: bool,
+    /// The machine that issues a read.
     reader: Option<usize>,
 }
 
@@ -54,231 +54,244 @@
 struct Machine {
     ledger: ReplicatedLog,
     disk: Vec<Vec<u8>>,
-    /// Written and not yet on disk, in order.
+    /// Records written but not yet synced, in order.
     unsynced: Vec<(u64, Vec<u8>)>,
 }
 
 #[derive(Clone, Debug)]
-struct World {
+struct ModelState {
     machines: Vec<Machine>,
-    /// To whom, from whom, what.
-    net: BTreeSet<(usize, u32, Vec<u8>)>,
-    wakes: u8,
+    /// Messages in flight: receiver, sender, encoded frame.
+    messages: BTreeSet<(usize, u32, Vec<u8>)>,
+    timeouts: u8,
     crashes: u8,
     wipes: u8,
-    after: bool,
-    read: Option<(ProposalId, u64)>,
-    has_read: bool,
-    /// What was seen to be in each slot, and what all entries up to it lead to.
-    chosen: BTreeMap<u64, (Entry, Vec<u8>)>,
-    acknowledged: BTreeSet<u64>,
-    moot: Vec<Entry>,
+    proposal_after_wipe: bool,
+    pending_read: Option<(ProposalId, u64)>,
+    read_completed: bool,
+    /// Entry known to be chosen in each slot, and the snapshot of the state after it.
+    chosen_entries: BTreeMap<u64, (Entry, Vec<u8>)>,
+    acknowledged_slots: BTreeSet<u64>,
+    rejected_entries: Vec<Entry>,
     proposals: Vec<(usize, ProposalId, Entry)>,
-    broken: Option<&'static str>,
-    /// Steps so far. Each is further from the last than any pause or time-out of the ledger.
+    violation: Option<&'static str>,
+    /// Number of actions so far. One action advances time by more than any backoff or timeout of the
+    /// ledger.
     clock: i64,
 }
 
-/// Two worlds are the same that differ in time only.
-impl Hash for World {
+/// Excludes the clock: states that differ only in time are equal.
+impl Hash for ModelState {
     fn hash<H: Hasher>(&self, state: &mut H) {
-        (&self.machines, &self.net, self.wakes, self.crashes, self.wipes).hash(state);
-        (self.after, self.read, self.has_read, self.broken).hash(state);
-        (&self.chosen, &self.acknowledged, &self.moot, &self.proposals).hash(state);
+        (&self.machines, &self.messages, self.timeouts, self.crashes, self.wipes).hash(state);
+        (self.proposal_after_wipe, self.pending_read, self.read_completed, self.violation).hash(state);
+        (&self.chosen_entries, &self.acknowledged_slots, &self.rejected_entries, &self.proposals).hash(state);
     }
 }
 
-impl PartialEq for World {
-    fn eq(&self, other: &World) -> bool {
-        let hash = |world: &World| FxBuildHasher.hash_one(world);
+impl PartialEq for ModelState {
+    fn eq(&self, other: &ModelState) -> bool {
+        let hash = |state: &ModelState| FxBuildHasher.hash_one(state);
         hash(self) == hash(other)
     }
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Step {
+enum ModelAction {
     Deliver(usize, u32, Vec<u8>),
     Sync(usize),
-    Wake(usize),
+    Timeout(usize),
     Crash(usize, bool),
     Read(usize),
-    After,
-    /// One hears that another one has more entries, or who votes.
-    Beat(usize, usize),
+    ProposeAfterWipe,
+    /// A heartbeat: the first machine learns that the second one knows more entries, or the voters.
+    Heartbeat(usize, usize),
 }
 
-fn ip(machine: usize) -> u32 {
+fn machine_ip(machine: usize) -> u32 {
     machine as u32 + 1
 }
 
-fn change(revision: u64) -> Entry {
+fn configuration_entry(revision: u64) -> Entry {
     let body = format!("{{\"revision\":{revision},\"services\":[{{\"name\":\"s\"}}]}}").into_bytes();
     Entry { payload: Some(EntryPayload::Configuration(ConfigRevision { whole: true, base: 0, body })) }
 }
 
-fn is_taken(ledger: &ReplicatedLog, entry: &Entry) -> bool {
-    let Some(EntryPayload::Configuration(revised)) = &entry.payload else { return false };
+fn is_applied(ledger: &ReplicatedLog, entry: &Entry) -> bool {
+    let Some(EntryPayload::Configuration(change)) = &entry.payload else { return false };
     let revision = ledger.applied().configuration.revision;
-    ledger.applied().applied_change(revision) == Some(change_digest(revised))
+    ledger.applied().applied_change(revision) == Some(change_digest(change))
 }
 
-impl World {
-    fn now(&mut self) -> Timestamp {
+impl ModelState {
+    fn advance_clock(&mut self) -> Timestamp {
         self.clock += 1;
         Timestamp::from_micros(0) + TimeDelta::from_millis(10_000 * self.clock)
     }
 
-    fn act(
+    fn run_ledger(
         &mut self,
-        scene: &Scene,
+        scenario: &ModelScenario,
         machine: usize,
-        act: impl FnOnce(&mut ReplicatedLog, Timestamp, &mut Vec<Output>),
+        step: impl FnOnce(&mut ReplicatedLog, Timestamp, &mut Vec<Output>),
     ) {
-        let (now, mut out) = (self.now(), Vec::new());
-        act(&mut self.machines[machine].ledger, now, &mut out);
-        self.carry(scene, machine, out);
-        let waits = scene.slow && scene.weak == Some(machine);
-        if !waits && !self.machines[machine].unsynced.is_empty() {
-            self.sync(scene, machine);
+        let (now, mut outputs) = (self.advance_clock(), Vec::new());
+        step(&mut self.machines[machine].ledger, now, &mut outputs);
+        self.execute_outputs(scenario, machine, outputs);
+        let sync_delayed = scenario.slow_disk && scenario.crashing_machine == Some(machine);
+        if !sync_delayed && !self.machines[machine].unsynced.is_empty() {
+            self.sync(scenario, machine);
         }
-        self.look(machine);
+        self.check_entries(machine);
     }
 
-    fn propose(&mut self, scene: &Scene, machine: usize, entry: Entry) {
-        let ticket = self.machines[machine].ledger.next_proposal();
-        self.proposals.push((machine, ticket, entry.clone()));
-        let never = Timestamp::from_micros(i64::MAX / 2);
-        self.act(scene, machine, |ledger, now, out| {
-            ledger.propose_entry(now, entry, never, out);
+    fn propose(&mut self, scenario: &ModelScenario, machine: usize, entry: Entry) {
+        let proposal = self.machines[machine].ledger.next_proposal();
+        self.proposals.push((machine, proposal, entry.clone()));
+        let no_deadline = Timestamp::from_micros(i64::MAX / 2);
+        self.run_ledger(scenario, machine, |ledger, now, outputs| {
+            ledger.propose_entry(now, entry, no_deadline, outputs);
         });
     }
 
-    fn sync(&mut self, scene: &Scene, machine: usize) {
+    fn sync(&mut self, scenario: &ModelScenario, machine: usize) {
         let (ticket, record) = self.machines[machine].unsynced.remove(0);
         self.machines[machine].disk.push(record);
-        self.act(scene, machine, |ledger, now, out| ledger.record_stored(now, ticket, true, out));
+        self.run_ledger(scenario, machine, |ledger, now, outputs| {
+            ledger.record_stored(now, ticket, true, outputs)
+        });
     }
 
-    /// Words that change nothing any more are taken for lost: answers to a round that is over, and whatever belongs to
-    /// a slot that is known.
-    fn forget_stale_words(&mut self) {
+    /// Drops messages without effect: replies to an earlier ballot, and messages for a slot that is already
+    /// chosen.
+    fn drop_stale_messages(&mut self) {
         let machines = &self.machines;
-        self.net.retain(|(to, _, bytes)| {
+        self.messages.retain(|(to, _, bytes)| {
             let ledger = &machines[*to].ledger;
-            match Frame::decode(bytes.as_slice()).expect("a word").payload {
-                Some(Payload::Promise(word)) => ledger.is_current_ballot(word.slot, word.ballot),
-                Some(Payload::Accepted(word)) => ledger.is_current_ballot(word.slot, word.ballot),
-                Some(Payload::Prepare(word)) => word.slot > ledger.chosen(),
-                Some(Payload::Accept(word)) => word.slot > ledger.chosen(),
-                Some(Payload::Chosen(word)) => word.slot > ledger.chosen(),
+            match Frame::decode(bytes.as_slice()).expect("a frame that it encoded").payload {
+                Some(Payload::Promise(message)) => ledger.is_current_ballot(message.slot, message.ballot),
+                Some(Payload::Accepted(message)) => ledger.is_current_ballot(message.slot, message.ballot),
+                Some(Payload::Prepare(message)) => message.slot > ledger.chosen(),
+                Some(Payload::Accept(message)) => message.slot > ledger.chosen(),
+                Some(Payload::Chosen(message)) => message.slot > ledger.chosen(),
                 _ => true,
             }
         });
     }
 
-    fn carry(&mut self, scene: &Scene, machine: usize, out: Vec<Output>) {
-        for one in out {
-            match one {
-                Output::Send { to, payload: mut word } => {
-                    if let (Some(Flaw::VotesHidden), Payload::Promise(promise)) = (scene.flaw, &mut word) {
+    fn execute_outputs(&mut self, scenario: &ModelScenario, machine: usize, outputs: Vec<Output>) {
+        for output in outputs {
+            match output {
+                Output::Send { to, payload: mut message } => {
+                    if let (Some(Mutation::PromiseOmitsAccepted), Payload::Promise(promise)) =
+                        (scenario.mutation, &mut message)
+                    {
                         promise.accepted = None;
                     }
-                    let all = (0..scene.machines).filter(|&other| other != machine);
-                    let to: Vec<usize> = if to == 0 { all.collect() } else { vec![to as usize - 1] };
-                    if let Payload::Fetch(_) | Payload::LogEntries(_) = &word {
-                        // Catching up is one step: `Beat`, or any other word that begins it, may be as late as it likes.
+                    let others = (0..scenario.machine_count).filter(|&other| other != machine);
+                    let to: Vec<usize> = if to == 0 { others.collect() } else { vec![to as usize - 1] };
+                    if let Payload::Fetch(_) | Payload::LogEntries(_) = &message {
+                        // Catch-up is one action. The message that starts it may be delayed arbitrarily.
                         for other in to {
-                            self.act(scene, other, |ledger, now, out| {
-                                ledger.on_message(now, ip(machine), &word, out);
+                            self.run_ledger(scenario, other, |ledger, now, outputs| {
+                                ledger.on_message(now, machine_ip(machine), &message, outputs);
                             });
                         }
                         continue;
                     }
-                    let bytes = Frame { payload: Some(word) }.encode_to_vec();
-                    self.net.extend(to.into_iter().map(|to| (to, ip(machine), bytes.clone())));
+                    let bytes = Frame { payload: Some(message) }.encode_to_vec();
+                    self.messages.extend(to.into_iter().map(|to| (to, machine_ip(machine), bytes.clone())));
                 }
                 Output::Store { ticket, record } => {
                     self.machines[machine].unsynced.push((ticket, record));
-                    if scene.flaw == Some(Flaw::WordsBeforeDisk) {
-                        self.act(scene, machine, |ledger, now, out| {
-                            ledger.record_stored(now, ticket, true, out)
+                    if scenario.mutation == Some(Mutation::SendBeforeSync) {
+                        self.run_ledger(scenario, machine, |ledger, now, outputs| {
+                            ledger.record_stored(now, ticket, true, outputs)
                         });
                     }
                 }
                 Output::Chosen { .. } => {}
-                Output::Resolved { proposal, outcome } => self.answered(machine, proposal, outcome),
+                Output::Resolved { proposal, outcome } => self.record_outcome(machine, proposal, outcome),
             }
         }
     }
 
-    fn answered(&mut self, machine: usize, proposal: ProposalId, answer: ProposalOutcome) {
-        if answer == ProposalOutcome::Current {
-            let least = self.read.filter(|(ticket, _)| *ticket == proposal).map_or(0, |(_, least)| least);
-            self.has_read = true;
-            if self.machines[machine].ledger.chosen() < least {
-                self.broken = Some("a read lacks what was acknowledged before it");
+    fn record_outcome(&mut self, machine: usize, proposal: ProposalId, outcome: ProposalOutcome) {
+        if outcome == ProposalOutcome::Current {
+            let min_slot =
+                self.pending_read.filter(|(id, _)| *id == proposal).map_or(0, |(_, min_slot)| min_slot);
+            self.read_completed = true;
+            if self.machines[machine].ledger.chosen() < min_slot {
+                self.violation = Some("a read lacks what was acknowledged before it");
             }
         }
-        let of = |(by, ticket, _): &&(usize, ProposalId, Entry)| (*by, *ticket) == (machine, proposal);
-        let Some((_, _, entry)) = self.proposals.iter().find(of) else { return };
-        match answer {
+        let is_proposal =
+            |(proposer, id, _): &&(usize, ProposalId, Entry)| (*proposer, *id) == (machine, proposal);
+        let Some((_, _, entry)) = self.proposals.iter().find(is_proposal) else { return };
+        match outcome {
             ProposalOutcome::Committed(slot) => {
                 if self.machines[machine].ledger.entry(slot) != Some(entry) {
-                    self.broken = Some("what was answered as entered is something else");
+                    self.violation = Some("what was answered as entered is something else");
                 }
-                self.acknowledged.insert(slot);
+                self.acknowledged_slots.insert(slot);
             }
-            // As control answers it: whoever learned of the slots by a snapshot knows it by what was taken.
-            ProposalOutcome::Superseded if !is_taken(&self.machines[machine].ledger, entry) => {
-                self.moot.push(entry.clone())
+            // As in control: a machine that learned the slots from a snapshot checks the applied changes.
+            ProposalOutcome::Superseded if !is_applied(&self.machines[machine].ledger, entry) => {
+                self.rejected_entries.push(entry.clone())
             }
             _ => {}
         }
     }
 
-    /// What this machine knows beside what was seen to be known before.
-    fn look(&mut self, machine: usize) {
+    /// Compares the entries and the state of this machine with those seen earlier on any machine.
+    fn check_entries(&mut self, machine: usize) {
         let ledger = &self.machines[machine].ledger;
         for slot in 1..=ledger.chosen() {
             let Some(entry) = ledger.entry(slot) else { continue };
-            let (known, _) = self.chosen.entry(slot).or_insert_with(|| (entry.clone(), Vec::new()));
-            if known != entry {
-                self.broken = Some("two entries in one slot");
+            let (known_entry, _) =
+                self.chosen_entries.entry(slot).or_insert_with(|| (entry.clone(), Vec::new()));
+            if known_entry != entry {
+                self.violation = Some("two entries in one slot");
             }
-            if self.moot.contains(entry) {
-                self.broken = Some("what was refused is entered");
+            if self.rejected_entries.contains(entry) {
+                self.violation = Some("what was refused is entered");
             }
         }
-        let Some((_, seen)) = self.chosen.get_mut(&ledger.chosen()) else { return };
-        let whole = ledger.applied().snapshot().encode_to_vec();
-        if !seen.is_empty() && *seen != whole {
-            self.broken = Some("the same entries lead to two states");
+        let Some((_, known_snapshot)) = self.chosen_entries.get_mut(&ledger.chosen()) else { return };
+        let snapshot = ledger.applied().snapshot().encode_to_vec();
+        if !known_snapshot.is_empty() && *known_snapshot != snapshot {
+            self.violation = Some("the same entries lead to two states");
         }
-        *seen = whole;
+        *known_snapshot = snapshot;
     }
 
-    fn restart(&mut self, scene: &Scene, machine: usize, wiped: bool) {
-        self.net.retain(|(to, ..)| *to != machine);
-        let one = &mut self.machines[machine];
-        one.unsynced.clear();
+    fn restart(&mut self, scenario: &ModelScenario, machine: usize, wiped: bool) {
+        self.messages.retain(|(to, ..)| *to != machine);
+        let restarted = &mut self.machines[machine];
+        restarted.unsynced.clear();
         if wiped {
-            one.disk.clear();
+            restarted.disk.clear();
         }
-        let forgets = scene.flaw == Some(Flaw::PromisesForgotten);
-        let kept = |record: &&Vec<u8>| {
-            let kept = Record::decode(record.as_slice()).expect("what it wrote").kind;
-            !(forgets && matches!(kept, Some(RecordKind::Promised(_))))
+        let drops_promises = scenario.mutation == Some(Mutation::PromisesNotPersisted);
+        let retained = |record: &&Vec<u8>| {
+            let kind = Record::decode(record.as_slice()).expect("a record that it wrote").kind;
+            !(drops_promises && matches!(kind, Some(RecordKind::Promised(_))))
         };
-        let disk: Vec<Vec<u8>> = one.disk.iter().filter(kept).cloned().collect();
-        let founders: Vec<u32> = (0..3).map(ip).collect();
-        let votes = wiped && scene.flaw == Some(Flaw::WipedVotes);
-        let mut out = Vec::new();
+        let disk: Vec<Vec<u8>> = restarted.disk.iter().filter(retained).cloned().collect();
+        let initial_voters: Vec<u32> = (0..3).map(machine_ip).collect();
+        let keeps_vote = wiped && scenario.mutation == Some(Mutation::WipedVoterCounts);
+        let mut outputs = Vec::new();
         let incarnation = u64::from(self.crashes) + 100 * (machine as u64 + 1);
-        let ledger =
-            ReplicatedLog::open(ip(machine), incarnation, &disk, votes.then_some(&founders), &mut out);
-        self.machines[machine].ledger = ledger.expect("what it wrote itself");
-        self.carry(scene, machine, out);
-        self.look(machine);
+        let ledger = ReplicatedLog::open(
+            machine_ip(machine),
+            incarnation,
+            &disk,
+            keeps_vote.then_some(&initial_voters),
+            &mut outputs,
+        );
+        self.machines[machine].ledger = ledger.expect("records that it wrote");
+        self.execute_outputs(scenario, machine, outputs);
+        self.check_entries(machine);
     }
 
     fn all_vote(&self) -> bool {
@@ -286,200 +299,228 @@
     }
 }
 
-impl Model for Scene {
-    type State = World;
-    type Action = Step;
+impl Model for ModelScenario {
+    type State = ModelState;
+    type Action = ModelAction;
 
-    fn init_states(&self) -> Vec<World> {
-        let mut world = World {
+    fn init_states(&self) -> Vec<ModelState> {
+        let mut state = ModelState {
             machines: Vec::new(),
-            net: BTreeSet::new(),
-            wakes: self.wakes,
+            messages: BTreeSet::new(),
+            timeouts: self.timeouts,
             crashes: self.crashes,
             wipes: self.wipes,
-            after: self.after.is_some(),
-            read: None,
-            has_read: false,
-            chosen: BTreeMap::new(),
-            acknowledged: BTreeSet::new(),
-            moot: Vec::new(),
+            proposal_after_wipe: self.proposal_after_wipe.is_some(),
+            pending_read: None,
+            read_completed: false,
+            chosen_entries: BTreeMap::new(),
+            acknowledged_slots: BTreeSet::new(),
+            rejected_entries: Vec::new(),
             proposals: Vec::new(),
-            broken: None,
+            violation: None,
             clock: 0,
         };
-        let founders: Vec<u32> = (0..3).map(ip).collect();
-        for machine in 0..self.machines {
-            let mut out = Vec::new();
-            let ledger = ReplicatedLog::open(ip(machine), machine as u64 + 1, &[], Some(&founders), &mut out);
+        let initial_voters: Vec<u32> = (0..3).map(machine_ip).collect();
+        for machine in 0..self.machine_count {
+            let mut outputs = Vec::new();
+            let ledger = ReplicatedLog::open(
+                machine_ip(machine),
+                machine as u64 + 1,
+                &[],
+                Some(&initial_voters),
+                &mut outputs,
+            );
             let ledger = ledger.expect("an empty disk");
-            // The first configuration finds all machines with who votes on their disks.
-            let disk = out.into_iter().filter_map(|one| match one {
+            // Each machine starts with the initial voters on its disk.
+            let disk = outputs.into_iter().filter_map(|output| match output {
                 Output::Store { record, .. } => Some(record),
                 _ => None,
             });
-            world.machines.push(Machine { ledger, disk: disk.collect(), unsynced: Vec::new() });
+            state.machines.push(Machine { ledger, disk: disk.collect(), unsynced: Vec::new() });
         }
         for (machine, entry) in self.proposals.clone() {
-            world.propose(self, machine, entry);
+            state.propose(self, machine, entry);
         }
-        vec![world]
+        vec![state]
     }
 
-    fn actions(&self, world: &World, steps: &mut Vec<Step>) {
-        if world.broken.is_some() {
+    fn actions(&self, state: &ModelState, actions: &mut Vec<ModelAction>) {
+        if state.violation.is_some() {
             return;
         }
-        steps.extend(world.net.iter().cloned().map(|(to, from, word)| Step::Deliver(to, from, word)));
-        for (machine, one) in world.machines.iter().enumerate() {
-            if !one.unsynced.is_empty() {
-                steps.push(Step::Sync(machine));
+        actions.extend(
+            state.messages.iter().cloned().map(|(to, from, message)| ModelAction::Deliver(to, from, message)),
+        );
+        for (machine, current) in state.machines.iter().enumerate() {
+            if !current.unsynced.is_empty() {
+                actions.push(ModelAction::Sync(machine));
             }
-            if world.wakes > 0 && one.ledger.due().is_some_and(|at| at < Timestamp::from_micros(i64::MAX / 2))
+            if state.timeouts > 0
+                && current.ledger.due().is_some_and(|at| at < Timestamp::from_micros(i64::MAX / 2))
             {
-                steps.push(Step::Wake(machine));
+                actions.push(ModelAction::Timeout(machine));
             }
-            if world.crashes > 0 && self.weak == Some(machine) {
-                steps.push(Step::Crash(machine, false));
-                // Danger for the test, not the code: more is not borne than one disk, of one that voted with all others.
-                if world.wipes > 0 && world.all_vote() {
-                    steps.push(Step::Crash(machine, true));
+            if state.crashes > 0 && self.crashing_machine == Some(machine) {
+                actions.push(ModelAction::Crash(machine, false));
+                // At most one disk is lost, and only while all voters vote: more exceeds the tolerated
+                // faults.
+                if state.wipes > 0 && state.all_vote() {
+                    actions.push(ModelAction::Crash(machine, true));
                 }
             }
-            if world.after && world.wipes == 0 && machine == 0 {
-                steps.push(Step::After);
+            if state.proposal_after_wipe && state.wipes == 0 && machine == 0 {
+                actions.push(ModelAction::ProposeAfterWipe);
             }
-            if self.reader == Some(machine) && world.read.is_none() {
-                steps.push(Step::Read(machine));
+            if self.reader == Some(machine) && state.pending_read.is_none() {
+                actions.push(ModelAction::Read(machine));
             }
-            let behind = |other: &Machine| {
-                other.ledger.chosen() > one.ledger.chosen()
-                    || one.ledger.voters().is_empty() && !other.ledger.voters().is_empty()
+            let knows_more = |other: &Machine| {
+                other.ledger.chosen() > current.ledger.chosen()
+                    || current.ledger.voters().is_empty() && !other.ledger.voters().is_empty()
             };
-            let ahead = world.machines.iter().position(behind);
-            steps.extend(ahead.map(|other| Step::Beat(machine, other)));
+            let peer_ahead = state.machines.iter().position(knows_more);
+            actions.extend(peer_ahead.map(|other| ModelAction::Heartbeat(machine, other)));
         }
     }
 
-    fn next_state(&self, last: &World, step: Step) -> Option<World> {
-        let mut world = last.clone();
-        match step {
-            Step::Deliver(to, from, bytes) => {
-                let word = Frame::decode(bytes.as_slice()).ok()?.payload?;
-                world.net.remove(&(to, from, bytes));
-                world.act(self, to, |ledger, now, out| ledger.on_message(now, from, &word, out));
+    fn next_state(&self, previous: &ModelState, action: ModelAction) -> Option<ModelState> {
+        let mut state = previous.clone();
+        match action {
+            ModelAction::Deliver(to, from, bytes) => {
+                let message = Frame::decode(bytes.as_slice()).ok()?.payload?;
+                state.messages.remove(&(to, from, bytes));
+                state.run_ledger(self, to, |ledger, now, outputs| {
+                    ledger.on_message(now, from, &message, outputs)
+                });
             }
-            Step::Sync(machine) => world.sync(self, machine),
-            Step::Wake(machine) => {
-                world.wakes -= 1;
-                // A round that is given up, and after its pause the next one.
-                world.act(self, machine, |ledger, now, out| ledger.on_timer(now, out));
-                world.act(self, machine, |ledger, now, out| ledger.on_timer(now, out));
+            ModelAction::Sync(machine) => state.sync(self, machine),
+            ModelAction::Timeout(machine) => {
+                state.timeouts -= 1;
+                // The first timeout abandons the round, the second one starts the next round after its
+                // backoff.
+                state.run_ledger(self, machine, |ledger, now, outputs| ledger.on_timer(now, outputs));
+                state.run_ledger(self, machine, |ledger, now, outputs| ledger.on_timer(now, outputs));
             }
-            Step::Crash(machine, wiped) => {
-                world.crashes -= 1;
-                world.wipes -= u8::from(wiped);
-                world.restart(self, machine, wiped);
+            ModelAction::Crash(machine, wiped) => {
+                state.crashes -= 1;
+                state.wipes -= u8::from(wiped);
+                state.restart(self, machine, wiped);
             }
-            Step::Read(machine) => {
-                let least = world.acknowledged.last().copied().unwrap_or(0);
-                let ticket = world.machines[machine].ledger.next_proposal();
-                world.read = Some((ticket, least));
-                if self.flaw == Some(Flaw::ReadsAskNobody) {
-                    world.answered(machine, ticket, ProposalOutcome::Current);
+            ModelAction::Read(machine) => {
+                let min_slot = state.acknowledged_slots.last().copied().unwrap_or(0);
+                let proposal = state.machines[machine].ledger.next_proposal();
+                state.pending_read = Some((proposal, min_slot));
+                if self.mutation == Some(Mutation::LocalRead) {
+                    state.record_outcome(machine, proposal, ProposalOutcome::Current);
                 } else {
-                    let never = Timestamp::from_micros(i64::MAX / 2);
-                    world.act(self, machine, |ledger, now, out| {
-                        ledger.propose_read(now, never, out);
+                    let no_deadline = Timestamp::from_micros(i64::MAX / 2);
+                    state.run_ledger(self, machine, |ledger, now, outputs| {
+                        ledger.propose_read(now, no_deadline, outputs);
                     });
                 }
             }
-            Step::After => {
-                world.after = false;
-                let (machine, entry) = self.after.clone()?;
-                world.propose(self, machine, entry);
+            ModelAction::ProposeAfterWipe => {
+                state.proposal_after_wipe = false;
+                let (machine, entry) = self.proposal_after_wipe.clone()?;
+                state.propose(self, machine, entry);
             }
-            Step::Beat(to, of) => {
-                let chosen = world.machines[of].ledger.chosen();
-                world
-                    .act(self, to, |ledger, now, out| ledger.observe_peer_progress(now, ip(of), chosen, out));
+            ModelAction::Heartbeat(to, from) => {
+                let peer_chosen = state.machines[from].ledger.chosen();
+                state.run_ledger(self, to, |ledger, now, outputs| {
+                    ledger.observe_peer_progress(now, machine_ip(from), peer_chosen, outputs)
+                });
             }
         }
-        world.forget_stale_words();
-        Some(world)
+        state.drop_stale_messages();
+        Some(state)
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("agreed", |_: &Scene, world: &World| world.broken.is_none()),
-            // So that the other is not kept because nothing ever happens.
-            Property::sometimes(LIVES, |scene: &Scene, world: &World| {
-                let entered = !world.acknowledged.is_empty() || scene.proposals.is_empty();
-                let wiped_votes = scene.wipes == 0 || world.wipes == 0 && world.all_vote();
-                entered && wiped_votes && (world.has_read || scene.reader.is_none())
+            Property::always("agreed", |_: &ModelScenario, state: &ModelState| state.violation.is_none()),
+            // Fails if nothing is ever committed or read, in which case "agreed" would hold trivially.
+            Property::sometimes(PROGRESS, |scenario: &ModelScenario, state: &ModelState| {
+                let committed = !state.acknowledged_slots.is_empty() || scenario.proposals.is_empty();
+                let wiped_voter_votes = scenario.wipes == 0 || state.wipes == 0 && state.all_vote();
+                committed && wiped_voter_votes && (state.read_completed || scenario.reader.is_none())
             }),
         ]
     }
 }
 
-/// Whether the scenes are played as large as they are for a long run, an hour or so.
-fn long() -> bool {
+/// Whether the scenarios run in the large form, which takes about an hour.
+fn is_long_run() -> bool {
     std::env::var_os("ARROWYARD_LONG").is_some()
 }
 
-fn scene(name: &str, flaw: Option<Flaw>) -> Option<Scene> {
-    let proposals = vec![(0, change(1)), (1, change(2))];
-    let base = Scene {
-        flaw,
-        machines: 3,
+fn scenario(name: &str, mutation: Option<Mutation>) -> Option<ModelScenario> {
+    let proposals = vec![(0, configuration_entry(1)), (1, configuration_entry(2))];
+    let base = ModelScenario {
+        mutation,
+        machine_count: 3,
         proposals,
-        after: None,
-        wakes: 0,
+        proposal_after_wipe: None,
+        timeouts: 0,
         crashes: 0,
         wipes: 0,
-        weak: None,
-        slow: false,
+        crashing_machine: None,
+        slow_disk: false,
         reader: None,
     };
-    let seat = Voters { voters: vec![1, 2, 3, 4], before: vec![1, 2, 3] };
+    let new_voters = Voters { voters: vec![1, 2, 3, 4], before: vec![1, 2, 3] };
     Some(match name {
-        "two changes" => Scene { wakes: 1 + u8::from(long()), ..base },
-        "a crash" => Scene { wakes: u8::from(long()), crashes: 1, weak: Some(2), slow: true, ..base },
-        "a proposer that crashes" => Scene {
-            proposals: vec![(0, change(1))],
-            after: Some((0, change(2))),
+        "two changes" => ModelScenario { timeouts: 1 + u8::from(is_long_run()), ..base },
+        "a crash" => ModelScenario {
+            timeouts: u8::from(is_long_run()),
+            crashes: 1,
+            crashing_machine: Some(2),
+            slow_disk: true,
+            ..base
+        },
+        "a proposer that crashes" => ModelScenario {
+            proposals: vec![(0, configuration_entry(1))],
+            proposal_after_wipe: Some((0, configuration_entry(2))),
             crashes: 1,
-            weak: Some(0),
-            slow: true,
+            crashing_machine: Some(0),
+            slow_disk: true,
             ..base
         },
-        "a proposer that loses its disk" => Scene {
-            proposals: vec![(0, change(1))],
-            after: Some((1, change(2))),
+        "a proposer that loses its disk" => ModelScenario {
+            proposals: vec![(0, configuration_entry(1))],
+            proposal_after_wipe: Some((1, configuration_entry(2))),
             crashes: 1,
             wipes: 1,
-            weak: Some(0),
+            crashing_machine: Some(0),
             ..base
         },
-        "a lost disk" => Scene {
-            proposals: vec![(0, change(1))],
-            after: Some((1, change(2))),
+        "a lost disk" => ModelScenario {
+            proposals: vec![(0, configuration_entry(1))],
+            proposal_after_wipe: Some((1, configuration_entry(2))),
             crashes: 1,
             wipes: 1,
-            weak: Some(2),
+            crashing_machine: Some(2),
+            ..base
+        },
+        "a read" => ModelScenario {
+            proposals: vec![(0, configuration_entry(1))],
+            reader: Some(1),
+            timeouts: u8::from(is_long_run()),
             ..base
         },
-        "a read" => {
-            Scene { proposals: vec![(0, change(1))], reader: Some(1), wakes: u8::from(long()), ..base }
-        }
         "one more voter" => {
-            let seat = Entry { payload: Some(EntryPayload::Voters(seat)) };
-            Scene { machines: 4, proposals: vec![(0, seat)], wakes: u8::from(long()), ..base }
+            let new_voters = Entry { payload: Some(EntryPayload::Voters(new_voters)) };
+            ModelScenario {
+                machine_count: 4,
+                proposals: vec![(0, new_voters)],
+                timeouts: u8::from(is_long_run()),
+                ..base
+            }
         }
         _ => return None,
     })
 }
 
-pub const SCENES: [&str; 7] = [
+pub const SCENARIOS: [&str; 7] = [
     "two changes",
     "a crash",
     "a proposer that crashes",
@@ -489,7 +530,7 @@
     "one more voter",
 ];
 
-/// Explores a scene, with something wrong on purpose or with nothing; nothing where there is no such scene.
-pub fn check(name: &str, flaw: Option<Flaw>) -> Option<Checked> {
-    Some(explored(scene(name, flaw)?, flaw.is_some()))
+/// Explores the scenario `name`, with an optional mutation. Returns `None` if there is no such scenario.
+pub fn check(name: &str, mutation: Option<Mutation>) -> Option<CheckResult> {
+    Some(explore(scenario(name, mutation)?, mutation.is_some()))
 }
