--- a/crates/arrowyard-emulator/src/capacity.rs
+++ b/crates/arrowyard-emulator/src/capacity.rs
@@ -72,8 +72,8 @@
     changes: usize,
 ) -> DeploymentCost {
     let at = |seconds: f64| Timestamp::from_micros((seconds * 1e6) as i64);
-    let (from, seconds) = (10.0, 20.0);
-    let before = resident_bytes();
+    let (start, seconds) = (10.0, 20.0);
+    let memory_before = resident_bytes();
     let plan = DeploymentPlan {
         seed: 1,
         controls,
@@ -84,7 +84,7 @@
         load_start: at(4.0),
         load_end: at(60.0),
         changes: (0..changes)
-            .map(|change| at(from + 0.5 + change as f64 * seconds / changes as f64))
+            .map(|change| at(start + 0.5 + change as f64 * seconds / changes as f64))
             .collect(),
         connection_limit: 57,
         zones: 3,
@@ -95,12 +95,12 @@
         shares: String::new(),
     };
     let mut deployment = Deployment::new(plan);
-    deployment.simulation.run_until(at(from));
+    deployment.simulation.run_until(at(start));
     let (control_ids, router_ids) = (deployment.controls.clone(), deployment.routers.clone());
     let (control, router) = (total_usage(&deployment, &control_ids), total_usage(&deployment, &router_ids));
     let statements_before = deployment.history.borrow().statements_run;
-    deployment.simulation.run_until(at(from + seconds));
-    let memory = resident_bytes() - before;
+    deployment.simulation.run_until(at(start + seconds));
+    let memory = resident_bytes() - memory_before;
     let statements = deployment.history.borrow().statements_run - statements_before;
     DeploymentCost {
         controls,
--- a/crates/arrowyard-emulator/src/clients.rs
+++ b/crates/arrowyard-emulator/src/clients.rs
@@ -14,7 +14,9 @@
 use crate::history::{Freshness, SharedHistory, StatementRecord, WriteOutcome};
 use crate::host::{EXPENSIVE_PREFIX, parse_response};
 
+/// Latency target of an operation.
 const LATENCY_TARGET: TimeDelta = TimeDelta::from_millis(150);
+/// Deadline for retries of an operation and, with a margin, for the reply to each statement.
 const DEADLINE: TimeDelta = TimeDelta::from_millis(1000);
 
 /// A statement of an operation.
@@ -29,6 +31,7 @@
     Abort,
 }
 
+/// The current operation of a user.
 #[derive(Debug)]
 struct Operation {
     id: u64,
@@ -43,6 +46,7 @@
     has_writes: bool,
 }
 
+/// A user with its session.
 struct User {
     database: String,
     service: String,
@@ -135,6 +139,7 @@
         }
     }
 
+    /// Opens a connection to a random router.
     fn connect(&mut self, now: Timestamp, user_index: usize, commands: &mut Commands) {
         let router_addresses = self.router_addresses.borrow().clone();
         if router_addresses.is_empty() {
@@ -182,6 +187,7 @@
         }
     }
 
+    /// Schedules a retry of the operation, or records its result.
     fn finish_operation(
         &mut self,
         now: Timestamp,
@@ -222,6 +228,7 @@
         self.timers.set(now + pause, Timer::Think(user_index));
     }
 
+    /// Generates the statements of an operation.
     fn generate_steps(&mut self, user_index: usize) -> Vec<Step> {
         let freshness = self.users[user_index].freshness;
         let mut steps = Vec::new();
@@ -257,6 +264,7 @@
         steps
     }
 
+    /// Starts the next operation, or retries the last one.
     fn begin_operation(&mut self, now: Timestamp, user_index: usize, commands: &mut Commands) {
         if now > self.load_end || self.users[user_index].operation.is_some() {
             return;
@@ -287,6 +295,7 @@
         self.send_step(now, user_index, commands);
     }
 
+    /// Sends the next statement of the current operation.
     fn send_step(&mut self, now: Timestamp, user_index: usize, commands: &mut Commands) {
         let id = format!("{:016x}", self.history.borrow_mut().next_id());
         let prefix = if self.expensive { EXPENSIVE_PREFIX } else { 't' };
--- a/crates/arrowyard-emulator/src/deployment.rs
+++ b/crates/arrowyard-emulator/src/deployment.rs
@@ -101,8 +101,8 @@
 const READINESS_PORT: u16 = 8785;
 const INTERNAL_PORT: u16 = 7440;
 
-fn machine_ip(net: u8, number: usize) -> Ipv4Addr {
-    Ipv4Addr::new(10, net, (number / 200) as u8, (number % 200 + 1) as u8)
+fn machine_ip(subnet: u8, number: usize) -> Ipv4Addr {
+    Ipv4Addr::new(10, subnet, (number / 200) as u8, (number % 200 + 1) as u8)
 }
 
 fn zone_name(plan: &DeploymentPlan, number: usize) -> String {
@@ -258,6 +258,7 @@
         deployment
     }
 
+    /// Starts all machines of the plan, with the platform, the operator and the clients.
     fn start_machines(&mut self) {
         for number in 0..self.controls.len() {
             self.start_control(number, true);
@@ -353,6 +354,7 @@
         self.simulation.start(machine, Box::new(clients.expensive(surge.expensive)));
     }
 
+    /// Returns the next incarnation, from a generator seeded by the plan.
     fn next_incarnation(&mut self) -> u64 {
         self.incarnation_state = self
             .incarnation_state
@@ -410,6 +412,7 @@
         SocketAddrV4::new(machine_ip(0, number), CONTROL_PORT)
     }
 
+    /// Starts a router and adds its address to those that clients connect to.
     pub fn start_router(&mut self, number: usize) {
         let settings = machine_settings(&self.plan, true, number, false, &self.control_addresses.borrow());
         let incarnation = self.next_incarnation();
@@ -428,6 +431,7 @@
         self.router_addresses.borrow_mut().retain(|known| *known != router_address);
     }
 
+    /// Starts a host with the log that it has in its replication group.
     pub fn start_host(&mut self, host_index: usize) {
         let controls = self.control_addresses.clone();
         let seed = self.next_incarnation();
@@ -496,6 +500,7 @@
         }
     }
 
+    /// Stops a host by a crash of its process or by a power loss.
     pub fn stop_host(&mut self, host_index: usize, power_loss: bool) {
         let slot = &self.hosts[host_index];
         if let Some(host_log) = self.groups[slot.service].borrow_mut().host_logs.get_mut(&slot.id) {
--- a/crates/arrowyard-emulator/src/experiment.rs
+++ b/crates/arrowyard-emulator/src/experiment.rs
@@ -25,6 +25,7 @@
 pub const METRIC_NAMES: [&str; 6] = ["served", "late", "lost", "p50 ms", "p99 ms", "broken"];
 
 impl RunMetrics {
+    /// Derives the metrics of a run.
     pub fn new(seed: u64, result: &RunResult) -> Self {
         let counts = result.counts;
         let share = |count: u64| count as f64 / counts.total.max(1) as f64;
@@ -39,6 +40,7 @@
         }
     }
 
+    /// Values of the metrics in the order of [`METRIC_NAMES`].
     pub fn values(&self) -> [f64; 6] {
         [self.served, self.late, self.failed, self.p50_ms, self.p99_ms, self.violations as f64]
     }
--- a/crates/arrowyard-emulator/src/failover.rs
+++ b/crates/arrowyard-emulator/src/failover.rs
@@ -16,7 +16,9 @@
 /// Cause of a change of primary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Cause {
+    /// The process of the primary crashes.
     Crash,
+    /// The host of the primary loses power.
     PowerLoss,
     /// A planned switchover.
     Switchover,
@@ -32,6 +34,7 @@
 }
 
 impl Cause {
+    /// All causes, in the order of the output.
     pub const ALL: [Cause; 7] = [
         Cause::Crash,
         Cause::PowerLoss,
@@ -42,6 +45,7 @@
         Cause::PlatformUnavailable,
     ];
 
+    /// Name in the output.
     pub fn name(self) -> &'static str {
         match self {
             Cause::Crash => "crash",
--- a/crates/arrowyard-emulator/src/history.rs
+++ b/crates/arrowyard-emulator/src/history.rs
@@ -20,8 +20,11 @@
 /// Required freshness of the reads of a route.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Freshness {
+    /// Reads see all commits acknowledged before their transaction.
     Primary,
+    /// Reads may be stale by at most this time.
     Bounded(TimeDelta),
+    /// As `Bounded`, but reads also see the commits acknowledged to their session.
     Own(TimeDelta),
 }
 
@@ -60,16 +63,11 @@
 /// Outcome of a write as known to its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WriteOutcome {
-    Acknowledged {
-        at: Timestamp,
-        service: String,
-        session: u64,
-    },
+    /// The write was acknowledged to a session.
+    Acknowledged { at: Timestamp, service: String, session: u64 },
     /// The client was told that the write is not kept.
-    NotKept {
-        at: Timestamp,
-        service: String,
-    },
+    NotKept { at: Timestamp, service: String },
+    /// The client received no clear reply.
     Unknown,
 }
 
@@ -104,9 +102,9 @@
         let (from, until) = (from.micros() / WINDOW, until.micros() / WINDOW);
         let windows: Vec<(u32, u32)> = self.windows.range(from..until).map(|(_, window)| *window).collect();
         let met = windows.iter().filter(|(total, met)| f64::from(*met) >= f64::from(*total) * ratio).count();
-        let ratio_of = |ten: &[(u32, u32)]| {
+        let ratio_of = |ten_windows: &[(u32, u32)]| {
             let (total, met) =
-                ten.iter().fold((0, 0), |counts, window| (counts.0 + window.0, counts.1 + window.1));
+                ten_windows.iter().fold((0, 0), |counts, window| (counts.0 + window.0, counts.1 + window.1));
             f64::from(met) / f64::from(total.max(1))
         };
         let lowest = windows.windows(10).map(ratio_of).fold(1.0, f64::min);
@@ -161,11 +159,13 @@
 pub type SharedHistory = Rc<RefCell<History>>;
 
 impl History {
+    /// Returns a number unique within the run, for sessions, operations and statements.
     pub fn next_id(&mut self) -> u64 {
         self.last_id += 1;
         self.last_id
     }
 
+    /// Records the violation of an invariant.
     pub fn record_violation(&mut self, invariant: &'static str, at: Timestamp, description: String) {
         self.violations.push(Violation { invariant, at, description });
     }
@@ -398,6 +398,7 @@
         (window.0, window.1) = (window.0 + 1, window.1 + u32::from(within_target));
     }
 
+    /// Counts a finished operation in the second of its start.
     pub fn record_operation(&mut self, started: Timestamp, served: bool) {
         let second = started.micros().div_euclid(1_000_000);
         let entry = self.counts_by_second.entry(second).or_default();
--- a/crates/arrowyard-emulator/src/host.rs
+++ b/crates/arrowyard-emulator/src/host.rs
@@ -44,6 +44,7 @@
     pub draining: bool,
 }
 
+/// An open transaction and its uncommitted writes.
 #[derive(Clone, Debug, Default)]
 struct Transaction {
     read_only: bool,
@@ -53,6 +54,7 @@
     writes: Vec<String>,
 }
 
+/// A client session; `queue` holds statements that have not started.
 struct Session {
     decoder: LineDecoder,
     open: bool,
@@ -119,6 +121,7 @@
 }
 
 impl DatabaseHost {
+    /// Creates a host that joins its replication group as a running member.
     pub fn new(
         plan: HostPlan,
         group: Rc<RefCell<ReplicationGroup>>,
@@ -154,6 +157,7 @@
         }
     }
 
+    /// Sends a heartbeat to the assigned control machine, or to the next one.
     fn send_heartbeat(&mut self, now: Timestamp, commands: &mut Commands) {
         let control = self.assigned_control.unwrap_or_else(|| {
             let controls = self.controls.borrow();
@@ -232,6 +236,7 @@
         commands.write_line(conn, &["IDLE ", state.letter(), " ", &applied.to_string()]);
     }
 
+    /// Starts the queued statements of a session until one has to wait.
     fn run_next(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
         loop {
             let Some(session) = self.sessions.get_mut(&conn) else { return };
@@ -297,6 +302,7 @@
         (Position::parse(position).is_none_or(|required| applied < required), text)
     }
 
+    /// Executes a statement that takes no processing time.
     fn execute_immediately(&mut self, conn: Conn, id: &str, text: &str, commands: &mut Commands) {
         let (is_behind, text) = self.check_position(text);
         let is_primary = self.group.borrow().is_primary(&self.id);
@@ -515,9 +521,9 @@
         match event {
             Event::Start => {
                 // The first heartbeats of the initial hosts are spread over one period.
-                let first = now == Timestamp::from_micros(0);
+                let is_initial = now == Timestamp::from_micros(0);
                 let delay =
-                    if first { self.heartbeat_period * self.rng.f64() } else { FIRST_HEARTBEAT_DELAY };
+                    if is_initial { self.heartbeat_period * self.rng.f64() } else { FIRST_HEARTBEAT_DELAY };
                 self.timers.set(now + delay, Timer::Heartbeat);
             }
             Event::Accepted { conn, .. } => {
--- a/crates/arrowyard-emulator/src/models/ledger.rs
+++ b/crates/arrowyard-emulator/src/models/ledger.rs
@@ -1,6 +1,6 @@
 //! Model of the replicated ledger: three voters, two of which propose. Messages are reordered, delayed or
 //! lost; timeouts occur at any time; disks are slow; a crash loses what was not synced, and one disk may be
-//! lost. Each scenario is explore exhaustively, and each mutation must be detected.
+//! lost. Each scenario is explored exhaustively, and each mutation must be detected.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{BuildHasher, Hash, Hasher};
@@ -31,6 +31,7 @@
     LocalRead,
 }
 
+/// Initial proposals and bounds of a scenario.
 #[derive(Clone, Debug)]
 struct ModelScenario {
     mutation: Option<Mutation>,
@@ -50,6 +51,7 @@
     reader: Option<usize>,
 }
 
+/// A machine with its ledger and its disk.
 #[derive(Clone, Debug, Hash)]
 struct Machine {
     ledger: ReplicatedLog,
@@ -58,6 +60,7 @@
     unsynced: Vec<(u64, Vec<u8>)>,
 }
 
+/// State of the model.
 #[derive(Clone, Debug)]
 struct ModelState {
     machines: Vec<Machine>,
@@ -117,6 +120,7 @@
     Entry { payload: Some(EntryPayload::Configuration(ConfigRevision { whole: true, base: 0, body })) }
 }
 
+/// Whether the configuration change of an entry was applied.
 fn is_applied(ledger: &ReplicatedLog, entry: &Entry) -> bool {
     let Some(EntryPayload::Configuration(change)) = &entry.payload else { return false };
     let revision = ledger.applied().configuration.revision;
@@ -124,11 +128,13 @@
 }
 
 impl ModelState {
+    /// Advances the clock and returns the time of the next step.
     fn advance_clock(&mut self) -> Timestamp {
         self.clock += 1;
         Timestamp::from_micros(0) + TimeDelta::from_millis(10_000 * self.clock)
     }
 
+    /// Runs a step of a ledger and executes its outputs.
     fn run_ledger(
         &mut self,
         scenario: &ModelScenario,
@@ -145,6 +151,7 @@
         self.check_entries(machine);
     }
 
+    /// Proposes an entry on a machine.
     fn propose(&mut self, scenario: &ModelScenario, machine: usize, entry: Entry) {
         let proposal = self.machines[machine].ledger.next_proposal();
         self.proposals.push((machine, proposal, entry.clone()));
@@ -154,6 +161,7 @@
         });
     }
 
+    /// Completes the oldest unsynced write of a machine.
     fn sync(&mut self, scenario: &ModelScenario, machine: usize) {
         let (ticket, record) = self.machines[machine].unsynced.remove(0);
         self.machines[machine].disk.push(record);
@@ -179,6 +187,7 @@
         });
     }
 
+    /// Executes the outputs of a ledger: sends messages and writes records.
     fn execute_outputs(&mut self, scenario: &ModelScenario, machine: usize, outputs: Vec<Output>) {
         for output in outputs {
             match output {
@@ -216,6 +225,7 @@
         }
     }
 
+    /// Checks and records the outcome of a proposal or of the read.
     fn record_outcome(&mut self, machine: usize, proposal: ProposalId, outcome: ProposalOutcome) {
         if outcome == ProposalOutcome::Current {
             let min_slot =
@@ -265,6 +275,7 @@
         *known_snapshot = snapshot;
     }
 
+    /// Restarts a machine with the records on its disk.
     fn restart(&mut self, scenario: &ModelScenario, machine: usize, wiped: bool) {
         self.messages.retain(|(to, ..)| *to != machine);
         let restarted = &mut self.machines[machine];
@@ -294,6 +305,7 @@
         self.check_entries(machine);
     }
 
+    /// Whether all initial voters currently vote.
     fn all_vote(&self) -> bool {
         self.machines.iter().take(3).all(|machine| machine.ledger.votes())
     }
@@ -453,6 +465,7 @@
     std::env::var_os("ARROWYARD_LONG").is_some()
 }
 
+/// Returns the scenario `name`.
 fn scenario(name: &str, mutation: Option<Mutation>) -> Option<ModelScenario> {
     let proposals = vec![(0, configuration_entry(1)), (1, configuration_entry(2))];
     let base = ModelScenario {
@@ -520,6 +533,7 @@
     })
 }
 
+/// Names of the scenarios.
 pub const SCENARIOS: [&str; 7] = [
     "two changes",
     "a crash",
--- a/crates/arrowyard-emulator/src/models/promotion.rs
+++ b/crates/arrowyard-emulator/src/models/promotion.rs
@@ -33,6 +33,7 @@
     NoRelays,
 }
 
+/// Bounds on the events of a scenario.
 #[derive(Clone, Debug)]
 struct ModelScenario {
     mutation: Option<Mutation>,
@@ -52,6 +53,7 @@
     late_executions: u8,
 }
 
+/// A database host.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Server {
     up: bool,
@@ -67,6 +69,7 @@
     request_queue: VecDeque<PromotionRequest>,
 }
 
+/// State of the model; `budget` holds the remaining events.
 #[derive(Clone, Debug)]
 struct ModelState {
     servers: Vec<Server>,
@@ -152,11 +155,13 @@
 }
 
 impl ModelState {
+    /// Advances the clock and returns the time of the next step.
     fn advance_clock(&mut self) -> Timestamp {
         self.clock += 1;
         Timestamp::from_micros(0) + TimeDelta::from_millis(10_000 * self.clock)
     }
 
+    /// Index of the running primary.
     fn primary(&self) -> Option<usize> {
         self.servers.iter().position(|server| server.up && server.is_primary)
     }
@@ -209,6 +214,7 @@
         }
     }
 
+    /// Passes a reply to the promotion, changed by the mutation if it concerns replies.
     fn handle_reply(&mut self, reply: Reply) {
         let reply = match reply {
             Reply::NoResponse { host }
@@ -536,6 +542,7 @@
     }
 }
 
+/// Returns the scenario `name`.
 fn scenario(name: &str, mutation: Option<Mutation>) -> Option<ModelScenario> {
     let base = ModelScenario {
         mutation,
@@ -565,6 +572,7 @@
     })
 }
 
+/// Names of the scenarios.
 pub const SCENARIOS: [&str; 7] = [
     "a crash",
     "a replica before the primary",
--- a/crates/arrowyard-emulator/src/operator.rs
+++ b/crates/arrowyard-emulator/src/operator.rs
@@ -104,6 +104,7 @@
         }
     }
 
+    /// Sends the pending change to the next control machine.
     fn send_change(&mut self, now: Timestamp, commands: &mut Commands) {
         if self.pending_change.is_some() && self.change_call.is_none() {
             self.next_control += 1;
@@ -113,6 +114,7 @@
         }
     }
 
+    /// Schedules a retry of the pending change.
     fn change_failed(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
         if self.change_call.as_ref().is_some_and(|(change_call, _)| *change_call == conn) {
             self.change_call = None;
@@ -122,6 +124,7 @@
         }
     }
 
+    /// Handles the response to the pending change.
     fn handle_response(&mut self, now: Timestamp, status: u16) {
         let Some((path, _, body, _)) = self.pending_change.take() else { return };
         self.history.borrow_mut().change_pending_since = None;
--- a/crates/arrowyard-emulator/src/platform.rs
+++ b/crates/arrowyard-emulator/src/platform.rs
@@ -48,6 +48,7 @@
 const HANG_TIME: TimeDelta = TimeDelta::from_millis(6000);
 
 impl Platform {
+    /// Creates a platform that promotes a host `promotion_duration` after the request.
     pub fn new(
         groups: &[Rc<RefCell<ReplicationGroup>>],
         history: SharedHistory,
@@ -71,11 +72,13 @@
         }
     }
 
+    /// Sets whether lower fencing tokens are rejected.
     #[must_use]
     pub fn with_fencing(self, checks_fencing: bool) -> Self {
         Platform { checks_fencing, ..self }
     }
 
+    /// Validates a promotion request, schedules the promotion, and returns the HTTP status.
     fn handle_request(&mut self, now: Timestamp, promote_request: &PromoteRequest) -> u16 {
         let PromoteRequest { fence, service, host } = promote_request;
         let highest_fence = self.highest_fences.entry(service.clone()).or_default();
--- a/crates/arrowyard-emulator/src/replication.rs
+++ b/crates/arrowyard-emulator/src/replication.rs
@@ -51,6 +51,7 @@
 }
 
 impl ReplicationGroup {
+    /// Creates a group with empty logs; the first host is the primary.
     pub fn new(service: &str, ids: &[String], apply_lag: TimeDelta) -> Self {
         let host_log = HostLog {
             commits: Vec::new(),
@@ -143,6 +144,7 @@
         self.transfers.insert((now + self.latency, self.last_sequence), transfer);
     }
 
+    /// Whether a host is the primary.
     pub fn is_primary(&self, id: &str) -> bool {
         self.primary.as_deref() == Some(id)
     }
@@ -174,6 +176,7 @@
         })
     }
 
+    /// Makes a running host the primary in a new term and truncates the other logs to their common prefix.
     pub fn promote(&mut self, now: Timestamp, id: &str) {
         if self.is_primary(id) || !self.host_logs.get(id).is_some_and(|host_log| host_log.up) {
             return;
@@ -199,6 +202,7 @@
         others.iter().for_each(|other| self.send_log(now, other));
     }
 
+    /// Position of the commit `number` in a log.
     pub fn position(&self, number: usize, log: &[Commit]) -> Position {
         let term = log.get(number.wrapping_sub(1)).map_or(1, |commit| commit.term);
         Position { term, number: number as u64 }
--- a/crates/arrowyard-emulator/src/scenario.rs
+++ b/crates/arrowyard-emulator/src/scenario.rs
@@ -16,13 +16,17 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
+    /// The process of a control machine is killed.
     KillControl,
+    /// A control machine loses power.
     DarkControl,
+    /// A control machine loses power and disk.
     WipeControl,
     /// As many control machines as tolerated lose power and disk at once.
     WipeControls,
     /// A control machine is removed permanently and replaced by an empty one at another address.
     ReplaceControl,
+    /// A control machine is suspended and resumes later.
     FreezeControl,
     /// A control machine is partitioned from the other control machines, but not from routers and hosts.
     CutControl,
@@ -34,17 +38,27 @@
     RefuseDisk,
     /// The disk of a control machine hangs.
     HangDisk,
+    /// The process of a router is killed.
     KillRouter,
+    /// A router is terminated gracefully and restarted.
     RollRouter,
+    /// The process of a primary crashes.
     CrashPrimary,
+    /// A primary loses power.
     DarkPrimary,
+    /// The process of a replica crashes.
     CrashReplica,
+    /// A replica loses power.
     DarkReplica,
+    /// A replica receives nothing from its primary.
     DeafReplica,
     /// A replica receives nothing for a while, and then the primary crashes.
     DeafThenCrash,
+    /// A replica applies commits with a large delay.
     LateReplica,
+    /// A primary is drained and replaced.
     ReleasePrimary,
+    /// A replica is drained and replaced.
     ReleaseReplica,
     /// A primary is partitioned from control and from its replicas; routers reach it.
     CutPrimary,
@@ -54,16 +68,20 @@
     HideReplica,
     /// A service gets an additional replica, which receives from its primary at once.
     JoinReplica,
+    /// A primary loses some of its replies.
     LoseAnswers,
     /// A primary fails some of its statements.
     FailStatements,
+    /// A primary executes statements slowly.
     SlowHost,
+    /// The platform is unavailable.
     PlatformAway,
     /// All control machines and routers lose power.
     PowerOff,
 }
 
 impl FaultKind {
+    /// All kinds; the order determines generated scenarios.
     pub const ALL: [FaultKind; 31] = [
         FaultKind::KillControl,
         FaultKind::DarkControl,
@@ -159,7 +177,9 @@
     pub routers: usize,
     pub services: usize,
     pub users: usize,
+    /// Length of the run.
     pub seconds: f64,
+    /// Times of configuration changes, in seconds.
     #[serde(default)]
     pub changes: Vec<f64>,
     #[serde(default)]
@@ -429,6 +449,7 @@
     deployment.controls.iter().filter(|other| **other != machine).map(|other| (machine, *other)).collect()
 }
 
+/// Applies a step of the fault schedule and returns the steps that follow from it.
 fn apply_step(
     deployment: &mut Deployment,
     now: Timestamp,
--- a/crates/arrowyard-emulator/src/shares.rs
+++ b/crates/arrowyard-emulator/src/shares.rs
@@ -5,8 +5,9 @@
 use crate::deployment::Surge;
 use crate::scenario::{Fault, FaultKind, RunResult, Scenario, run_scenario};
 
-/// Start and end of the surge, in seconds.
+/// Start of the surge, in seconds.
 pub const SURGE_START_S: f64 = 6.0;
+/// End of the surge, in seconds.
 pub const SURGE_END_S: f64 = 13.0;
 /// Ratio of operations within the latency target above which a window counts as met.
 pub const TARGET_RATIO: f64 = 0.9;
--- a/crates/arrowyard-emulator/src/simulation.rs
+++ b/crates/arrowyard-emulator/src/simulation.rs
@@ -21,6 +21,7 @@
 /// Fault of a disk.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum DiskFault {
+    /// The disk works.
     #[default]
     None,
     /// Every write fails.
@@ -39,6 +40,7 @@
     failed: bool,
 }
 
+/// An event in the queue of the simulation.
 #[derive(Clone, Debug)]
 enum SimEvent {
     Start,
@@ -83,6 +85,7 @@
     written: bool,
 }
 
+/// A machine and its plane; without a plane it is not running.
 struct Machine {
     name: String,
     listen_addresses: Vec<SocketAddrV4>,
@@ -121,6 +124,7 @@
 }
 
 impl Simulation {
+    /// Creates an empty simulation; `seed` determines the latencies.
     pub fn new(seed: u64) -> Self {
         Simulation {
             now: Timestamp::from_micros(0),
@@ -166,10 +170,12 @@
         id
     }
 
+    /// Name of a machine.
     pub fn name(&self, id: MachineId) -> &str {
         &self.machines[id.0].name
     }
 
+    /// Whether the plane of a machine is running.
     pub fn is_up(&self, id: MachineId) -> bool {
         self.machines[id.0].plane.is_some()
     }
@@ -185,6 +191,7 @@
         (machine.bytes_sent, machine.write_count, machine.event_count, machine.plane_time)
     }
 
+    /// Starts a machine with a plane.
     pub fn start(&mut self, id: MachineId, plane: Box<dyn Plane>) {
         let machine = &mut self.machines[id.0];
         machine.plane = Some(plane);
@@ -208,6 +215,7 @@
         self.terminate(id, false);
     }
 
+    /// Stops a machine and closes its connections.
     fn terminate(&mut self, id: MachineId, notify_peers: bool) {
         let machine = &mut self.machines[id.0];
         machine.plane = None;
@@ -246,6 +254,7 @@
         }
     }
 
+    /// Delivers a process signal to a machine.
     pub fn signal(&mut self, id: MachineId, signal: Signal) {
         self.schedule(self.now, id, SimEvent::Signal(signal));
     }
@@ -254,6 +263,7 @@
         self.partitions.contains(&(a.min(b), a.max(b)))
     }
 
+    /// Partitions two machines from each other.
     pub fn partition(&mut self, a: MachineId, b: MachineId) {
         self.partitions.insert((a.min(b), a.max(b)));
     }
@@ -264,8 +274,8 @@
         self.partitions.remove(&(a.min(b), a.max(b)));
         let mut delayed: Vec<(MachineId, Conn)> = Vec::new();
         for ((machine, conn), endpoint) in &self.endpoints {
-            let between = |peer: MachineId| (*machine == a && peer == b) || (*machine == b && peer == a);
-            if !endpoint.delayed_bytes.is_empty() && endpoint.peer.is_some_and(|(peer, _)| between(peer)) {
+            let is_between = |peer: MachineId| (*machine == a && peer == b) || (*machine == b && peer == a);
+            if !endpoint.delayed_bytes.is_empty() && endpoint.peer.is_some_and(|(peer, _)| is_between(peer)) {
                 delayed.push((*machine, *conn));
             }
         }
@@ -284,6 +294,7 @@
         self.blocked_directions.insert((from, to));
     }
 
+    /// Unblocks one direction and delivers its delayed bytes.
     pub fn unblock(&mut self, from: MachineId, to: MachineId) {
         self.blocked_directions.remove(&(from, to));
         self.heal(from, to);
@@ -335,6 +346,7 @@
         true
     }
 
+    /// Schedules an event for the current process of a machine.
     fn schedule(&mut self, at: Timestamp, id: MachineId, event: SimEvent) {
         self.last_sequence += 1;
         let incarnation = self.machines[id.0].incarnation;
@@ -401,6 +413,7 @@
         self.schedule(reply_at, from, SimEvent::Connected { conn });
     }
 
+    /// Delivers an event to the plane of a machine.
     fn deliver(&mut self, id: MachineId, event: SimEvent) {
         let plane_event = match &event {
             SimEvent::Start => Event::Start,
@@ -455,6 +468,7 @@
         }
     }
 
+    /// Executes the commands that the plane has issued.
     fn execute_commands(&mut self, id: MachineId) {
         let machine = &mut self.machines[id.0];
         let (pending, bytes) =
--- a/crates/arrowyard-emulator/tests/control.rs
+++ b/crates/arrowyard-emulator/tests/control.rs
@@ -63,10 +63,10 @@
     }
 
     /// Sends a change of the current revision to the machines in turn until one acknowledges it.
-    fn commit_change(&mut self, first: usize) -> String {
+    fn commit_change(&mut self, first_control: usize) -> String {
         let request = change_request(self.revision + 1, self.revision, "");
-        for turn in 0..60 {
-            let control = self.deployment.existing_control(first + turn);
+        for attempt in 0..60 {
+            let control = self.deployment.existing_control(first_control + attempt);
             match self.call(control, &request).0 {
                 200 => {
                     self.revision += 1;
@@ -187,25 +187,25 @@
         assert_eq!(fleet.call(0, &drain_request("i-known", 1)).0, 200, "connected before the partition");
         fleet.isolate(0, direction);
         let mut newest = fleet.revision;
-        for turn in 0..20 {
+        for round in 0..20 {
             let calls = [
-                drain_request(&format!("i-drain{turn}"), 1),
-                leave_request(&format!("i-leave{turn}")),
+                drain_request(&format!("i-drain{round}"), 1),
+                leave_request(&format!("i-leave{round}")),
                 format_request("GET", "/Config.Read", "c", &[], ""),
             ];
             let replies = calls.map(|request| fleet.start_call(0, &request));
-            let change = fleet.start_call(0, &change_request(900 + turn, newest, "cut"));
+            let change = fleet.start_call(0, &change_request(900 + round, newest, "cut"));
             fleet.advance(100);
             let status = |reply: &CallReply| reply.borrow().as_ref().map_or(0, |(status, _)| *status);
-            assert!([0, 503].contains(&status(&change)), "{direction:?}, turn {turn}: {change:?}");
+            assert!([0, 503].contains(&status(&change)), "{direction:?}, round {round}: {change:?}");
             fleet.commit_change(1);
             newest = fleet.revision;
             fleet.advance(1000);
             for reply in &replies {
-                assert!([0, 503].contains(&status(reply)), "{direction:?}, turn {turn}: {reply:?}");
+                assert!([0, 503].contains(&status(reply)), "{direction:?}, round {round}: {reply:?}");
             }
             // Another change was committed meanwhile; a machine that knows it may reject this one.
-            assert!([0, 503, 412].contains(&status(&change)), "{direction:?}, turn {turn}: {change:?}");
+            assert!([0, 503, 412].contains(&status(&change)), "{direction:?}, round {round}: {change:?}");
         }
         assert!(
             fleet.status(0).contains("\"routers\":[]"),
@@ -248,8 +248,8 @@
     let mut fleet = Fleet::new(3, 1);
     assert_eq!(fleet.call(0, &drain_request("i-x", 7)).0, 200);
     fleet.advance(9000);
-    let late = drain_request("i-x", 6).replace("draining", "in_service");
-    let body = late.split("\r\n\r\n").nth(1).expect("a body").to_string();
+    let delayed = drain_request("i-x", 6).replace("draining", "in_service");
+    let body = delayed.split("\r\n\r\n").nth(1).expect("a body").to_string();
     fleet.call(0, &format_request("POST", "/Instances.Beat/i-x", "c", &[], &body));
     fleet.advance(500);
     for control in 0..3 {
@@ -261,9 +261,9 @@
 #[test]
 fn no_two_machines_execute_the_duty_at_once() {
     for direction in [Partition::Both, Partition::SendBlocked, Partition::ReceiveBlocked] {
-        for turn in 0..4 {
+        for round in 0..4 {
             let mut fleet = Fleet::new(3, 1);
-            fleet.advance(turn * 170);
+            fleet.advance(round * 170);
             let holder = fleet.holders().pop().expect("the duty is held");
             fleet.isolate(holder, direction);
             let mut other_holders = Vec::new();
@@ -272,12 +272,12 @@
                     fleet.heal(holder);
                 }
                 let holders = fleet.holders();
-                assert!(holders.len() <= 1, "{direction:?}, turn {turn}, step {step}: {holders:?}");
+                assert!(holders.len() <= 1, "{direction:?}, round {round}, step {step}: {holders:?}");
                 other_holders.extend(holders.into_iter().filter(|control| *control != holder));
                 fleet.advance(10);
             }
-            assert!(!other_holders.is_empty(), "{direction:?}, turn {turn}: no other machine took over");
-            assert_eq!(fleet.holders().len(), 1, "{direction:?}, turn {turn}");
+            assert!(!other_holders.is_empty(), "{direction:?}, round {round}: no other machine took over");
+            assert_eq!(fleet.holders().len(), 1, "{direction:?}, round {round}");
         }
     }
 }
@@ -285,9 +285,9 @@
 /// Point 1: a holder that resumes after a freeze executes nothing before its lease is confirmed.
 #[test]
 fn resumed_holder_executes_nothing_before_confirmation() {
-    for turn in 0..4 {
+    for round in 0..4 {
         let mut fleet = Fleet::new(3, 1);
-        fleet.advance(turn * 170);
+        fleet.advance(round * 170);
         let holder = fleet.holders().pop().expect("the duty is held");
         let machine = fleet.deployment.controls[holder];
         fleet.deployment.simulation.set_frozen(machine, true);
@@ -296,7 +296,7 @@
         fleet.deployment.simulation.set_frozen(machine, false);
         for step in 0..200 {
             let holders = fleet.holders();
-            assert!(!holders.contains(&holder), "turn {turn}, step {step}: {holders:?}");
+            assert!(!holders.contains(&holder), "round {round}, step {step}: {holders:?}");
             fleet.advance(5);
         }
         assert_eq!(fleet.holders().len(), 1);
@@ -441,9 +441,9 @@
         let mut fleet = Fleet::new(3, 1);
         let machine = fleet.deployment.controls[2];
         fleet.deployment.simulation.kill(machine);
-        for turn in 0..missed {
-            let request = change_request(fleet.revision + 1, fleet.revision, &format!("{turn}"));
-            let status = (0..10).map(|_| fleet.call(turn % 2, &request).0).find(|status| *status == 200);
+        for round in 0..missed {
+            let request = change_request(fleet.revision + 1, fleet.revision, &format!("{round}"));
+            let status = (0..10).map(|_| fleet.call(round % 2, &request).0).find(|status| *status == 200);
             assert_eq!(status, Some(200));
             fleet.revision += 1;
         }
@@ -521,7 +521,7 @@
 #[test]
 fn no_lower_fencing_token_is_sent_to_a_platform_that_does_not_check() {
     let mut promotions = 0;
-    for moment in 0..40 {
+    for case in 0..40 {
         let plan = DeploymentPlan { fence_checked: false, ..deployment_plan(3, 1) };
         let mut fleet = Fleet { deployment: Deployment::new(plan), revision: 3 };
         // Long latencies, so that the freeze hits messages in flight.
@@ -532,7 +532,7 @@
         fleet.deployment.stop_host(primary, false);
         // Without clients, control detects the loss only by missing heartbeats, after slightly more than 3
         // s.
-        fleet.advance(1800 + moment * 60);
+        fleet.advance(1800 + case * 60);
         let machine = fleet.deployment.controls[holder];
         fleet.deployment.simulation.set_frozen(machine, true);
         fleet.advance(9000);
@@ -541,7 +541,7 @@
         let violations = fleet.deployment.history.borrow().violations.clone();
         assert!(
             violations.iter().all(|violation| violation.invariant != "ONE"),
-            "moment {moment}: {violations:?}"
+            "case {case}: {violations:?}"
         );
         promotions += fleet.deployment.groups[0].borrow().promotions;
     }
@@ -591,9 +591,9 @@
             .map(|machine| fleet.deployment.simulation.resource_usage(*machine).0)
             .sum()
     };
-    let before = bytes_sent(&fleet);
+    let sent_before = bytes_sent(&fleet);
     (5..15).for_each(|revision| replace(&mut fleet, revision));
-    let bytes = bytes_sent(&fleet) - before;
+    let bytes = bytes_sent(&fleet) - sent_before;
     let body = configuration(5).len() as u64;
     assert!(bytes < 10 * body * 10, "{bytes} bytes for ten changes of {body}");
     for control in 0..3 {
@@ -608,21 +608,21 @@
 #[test]
 fn replica_that_joins_a_replaced_primary_does_not_acknowledge_its_commits() {
     let mut promotions = 0;
-    for moment in 0_u32..40 {
+    for case in 0_u32..40 {
         let fault = |at: f64, duration_s: f64, kind: FaultKind| Fault {
             at,
             duration_s,
             kind,
-            target_index: moment as usize,
+            target_index: case as usize,
         };
-        let join_at = 8.9 + 0.06 * f64::from(moment);
+        let join_at = 8.9 + 0.06 * f64::from(case);
         let mut faults =
             vec![fault(6.0, 8.0, FaultKind::CutPrimary), fault(join_at, 0.0, FaultKind::JoinReplica)];
-        if moment % 2 == 1 {
+        if case % 2 == 1 {
             faults.push(fault(join_at - 0.7, 3.0, FaultKind::KillControl));
         }
         let scenario =
-            Scenario { seed: 90 + u64::from(moment), seconds: 19.0, users: 4, faults, ..Scenario::default() };
+            Scenario { seed: 90 + u64::from(case), seconds: 19.0, users: 4, faults, ..Scenario::default() };
         let result = run_scenario(&scenario);
         assert!(result.violations.is_empty(), "joined at {join_at}: {:?}", result.violations);
         promotions += result.promotions;
@@ -635,23 +635,18 @@
 /// it before it is replaced.
 #[test]
 fn replica_that_joins_a_draining_primary_does_not_acknowledge_lost_commits() {
-    for moment in 0_u32..24 {
+    for case in 0_u32..24 {
         let fault =
             |at: f64, kind: FaultKind, target_index: usize| Fault { at, duration_s: 7.0, kind, target_index };
-        let join_at = 8.1 + 0.1 * f64::from(moment);
+        let join_at = 8.1 + 0.1 * f64::from(case);
         let faults = vec![
             fault(6.0, FaultKind::DeafReplica, 0),
             fault(6.0, FaultKind::DeafReplica, 1),
             fault(8.0, FaultKind::ReleasePrimary, 0),
             fault(join_at, FaultKind::JoinReplica, 0),
         ];
-        let scenario = Scenario {
-            seed: 190 + u64::from(moment),
-            seconds: 22.0,
-            users: 4,
-            faults,
-            ..Scenario::default()
-        };
+        let scenario =
+            Scenario { seed: 190 + u64::from(case), seconds: 22.0, users: 4, faults, ..Scenario::default() };
         let result = run_scenario(&scenario);
         assert!(result.violations.is_empty(), "joined at {join_at}: {:?}", result.violations);
     }
@@ -663,29 +658,24 @@
 #[test]
 fn commits_acknowledged_by_an_unreachable_replica_are_kept() {
     let mut promotions = 0;
-    for moment in 0_u32..16 {
-        let target_index = moment as usize;
+    for case in 0_u32..16 {
+        let target_index = case as usize;
         let fault = |at: f64, kind: FaultKind, target_index: usize| Fault {
             at,
             duration_s: 14.0,
             kind,
             target_index,
         };
-        let partition_at = 10.5 + 0.1 * f64::from(moment);
+        let partition_at = 10.5 + 0.1 * f64::from(case);
         let mut faults = vec![
             fault(6.0, FaultKind::HideReplica, target_index),
             fault(partition_at, FaultKind::HidePrimary, target_index),
         ];
-        if moment % 2 == 1 {
+        if case % 2 == 1 {
             faults.push(fault(partition_at - 0.8, FaultKind::DeafReplica, target_index + 1));
         }
-        let scenario = Scenario {
-            seed: 290 + u64::from(moment),
-            seconds: 26.0,
-            users: 8,
-            faults,
-            ..Scenario::default()
-        };
+        let scenario =
+            Scenario { seed: 290 + u64::from(case), seconds: 26.0, users: 8, faults, ..Scenario::default() };
         let result = run_scenario(&scenario);
         let violation = result.violations.first();
         assert!(
--- a/crates/arrowyard-emulator/tests/drawn.rs
+++ b/crates/arrowyard-emulator/tests/drawn.rs
@@ -34,9 +34,9 @@
 /// Runs are deterministic, so that a violation can be reproduced.
 #[test]
 fn runs_are_deterministic() {
-    let (first, again) = (run_scenario(&random_scenario(42)), run_scenario(&random_scenario(42)));
+    let (first, second) = (run_scenario(&random_scenario(42)), run_scenario(&random_scenario(42)));
     assert_eq!(
         (first.counts, first.statements_run, first.violations.len()),
-        (again.counts, again.statements_run, again.violations.len())
+        (second.counts, second.statements_run, second.violations.len())
     );
 }
--- a/crates/arrowyard-emulator/tests/experiment.rs
+++ b/crates/arrowyard-emulator/tests/experiment.rs
@@ -22,8 +22,8 @@
 #[test]
 fn paired_comparison_removes_the_variance_between_seeds() {
     let first: Vec<RunMetrics> = (0..8).map(|seed| metrics(seed, 0.5 + 0.05 * seed as f64)).collect();
-    let better = |run: &RunMetrics| metrics(run.seed, run.served + 0.01 + 0.001 * (run.seed % 2) as f64);
-    let second: Vec<RunMetrics> = first.iter().map(better).collect();
+    let improved = |run: &RunMetrics| metrics(run.seed, run.served + 0.01 + 0.001 * (run.seed % 2) as f64);
+    let second: Vec<RunMetrics> = first.iter().map(improved).collect();
     let served = compare(&first, &second).expect("the seeds match")[0];
     assert!((served.mean - 0.0105).abs() < 1e-9, "{served:?}");
     // Eight pairs, half 0.010 and half 0.011: t of 0.975 with seven degrees of freedom is 2.3646.
--- a/crates/arrowyard-emulator/tests/shares.rs
+++ b/crates/arrowyard-emulator/tests/shares.rs
@@ -91,12 +91,13 @@
     for (kind, duration_s) in [(FaultKind::ReleasePrimary, 4.0), (FaultKind::CrashPrimary, 3.0)] {
         let fault = Fault { at: 8.0, duration_s, kind, target_index: 0 };
         let surged = run_scenario(&Scenario { faults: vec![fault.clone()], ..surged_scenario(3) });
-        let calm = run_scenario(&Scenario { faults: vec![fault], surges: Vec::new(), ..surged_scenario(3) });
-        let (surged, calm) = (
+        let baseline =
+            run_scenario(&Scenario { faults: vec![fault], surges: Vec::new(), ..surged_scenario(3) });
+        let (surged, baseline) = (
             surge_stats_of(&surged, "primary").within_target,
-            surge_stats_of(&calm, "primary").within_target,
+            surge_stats_of(&baseline, "primary").within_target,
         );
-        assert!(surged >= calm - 0.08, "{kind:?}: {surged}, {calm} without a surge");
+        assert!(surged >= baseline - 0.08, "{kind:?}: {surged}, {baseline} without a surge");
     }
 }
 
