--- a/crates/arrowyard-daemon/tests/cells.rs
+++ b/crates/arrowyard-daemon/tests/cells.rs
@@ -35,6 +35,7 @@
     Runtime::new().expect("the runtime starts")
 }
 
+/// A client that gives each op an id of its own.
 struct OpClient {
     client: Client,
     next_id: u64,
@@ -80,20 +81,20 @@
     let router = start_router(&cluster, Some(OPERATOR_CONFIG));
     runtime().block_on(async {
         let mut client = OpClient::new(&router).await;
-        let mut served: BTreeMap<(String, bool), Vec<String>> = BTreeMap::new();
+        let mut served_hosts: BTreeMap<(String, bool), Vec<String>> = BTreeMap::new();
         for round in 0..60 {
             for tenant in ["ann", "bob"] {
                 let op_type = [0, 1, 2, 3][round % 4];
                 match client.execute(Some(tenant), op_type, None, false, 7).await {
                     Reply::Value(value) => {
                         let host = value.split(' ').next().unwrap_or_default().to_string();
-                        served.entry((tenant.to_string(), op_type == 2)).or_default().push(host);
+                        served_hosts.entry((tenant.to_string(), op_type == 2)).or_default().push(host);
                     }
                     other => panic!("{tenant} {op_type}: {other:?}"),
                 }
             }
         }
-        for ((tenant, is_write), hosts) in served {
+        for ((tenant, is_write), hosts) in served_hosts {
             let cell_prefix = format!("{}-", &tenant[..1]);
             // A bounded read goes to the primary while no replica of the cell is known to be fresh.
             let unexpected =
@@ -118,7 +119,7 @@
 fn overload_of_hanging_hosts_does_not_affect_another_cell() {
     let host = |name: &str| {
         let service_time = Duration::from_millis(5);
-        HostSpec { slots: 2, service_time, queue: 50, ..HostSpec::new(name, 7, name == "p-0") }
+        HostSpec { slots: 2, service_time, queue_capacity: 50, ..HostSpec::new(name, 7, name == "p-0") }
     };
     let cluster = Cluster::start(&["p-0", "a-0", "a-1", "b-0", "b-1"].map(host));
     let router = start_router(&cluster, Some(OPERATOR_CONFIG));
@@ -230,26 +231,32 @@
 
 /// The operator configuration at a step of the move of `ann` from group 7 to group 8, with the fence at
 /// `fence` in Unix milliseconds.
-fn move_config(epoch: u64, step: &str, fence: i64, cell: &str) -> String {
-    let (copied, switch, lease) =
-        (fence + 700, fence + 900, if epoch < 3 { fence - 100 } else { fence + 600_000 });
-    let target = match step {
+fn move_config(epoch: u64, step: &str, fence_ms: i64, cell: &str) -> String {
+    let (copied_through_ms, switch_at_ms, lease_until_ms) =
+        (fence_ms + 700, fence_ms + 900, if epoch < 3 { fence_ms - 100 } else { fence_ms + 600_000 });
+    let target_fields = match step {
         "SWITCHED" | "DONE" => {
-            format!("copied_through_ms: {copied} target_floor_ms: {} target_host: \"t-0\"", copied + 1)
+            format!(
+                "copied_through_ms: {copied_through_ms} target_floor_ms: {} target_host: \"t-0\"",
+                copied_through_ms + 1
+            )
         }
         _ => String::new(),
     };
-    let times =
-        if epoch < 3 { String::new() } else { format!("fence_at_ms: {fence} switch_at_ms: {switch}") };
+    let move_times = if epoch < 3 {
+        String::new()
+    } else {
+        format!("fence_at_ms: {fence_ms} switch_at_ms: {switch_at_ms}")
+    };
     let move_entry = format!(
-        "move {{ tenant: \"ann\" from: \"a\" to: \"b\" from_group: 7 to_group: 8 step: {step} {times} {target} memory_ms: 2000 }}"
+        "move {{ tenant: \"ann\" from: \"a\" to: \"b\" from_group: 7 to_group: 8 step: {step} {move_times} {target_fields} memory_ms: 2000 }}"
     );
     let move_entry = if step.is_empty() { String::new() } else { move_entry };
     format!(
         "epoch: {epoch}\ncells {{\n cell {{ name: \"a\" }}\n cell {{ name: \"b\" }}\n \
          tenant {{ name: \"ann\" cell: \"{cell}\" }}\n tenant {{ name: \"bob\" cell: \"b\" }}\n tenant {{ name: \"eve\" cell: \"b\" }}\n \
          tenant {{ name: \"cat\" cell: \"a\" }}\n \
-         lease {{ until_ms: {lease} skew_ms: 20 }}\n {move_entry}\n}}\n"
+         lease {{ until_ms: {lease_until_ms} skew_ms: 20 }}\n {move_entry}\n}}\n"
     )
 }
 
@@ -258,8 +265,8 @@
     let host =
         |name: &str| HostSpec::new(name, if name.starts_with('s') { 7 } else { 8 }, name.ends_with('0'));
     let cluster = Cluster::start(&["s-0", "s-1", "s-2", "t-0", "t-1", "t-2"].map(host));
-    let fence = unix_ms() + 1500;
-    let router = start_router(&cluster, Some(&move_config(1, "PLANNED", fence, "a")));
+    let fence_ms = unix_ms() + 1500;
+    let router = start_router(&cluster, Some(&move_config(1, "PLANNED", fence_ms, "a")));
     let (start, end) = (Duration::ZERO, Duration::from_millis(4200));
     let load = |tenant, group| TenantLoad {
         tenant,
@@ -270,16 +277,16 @@
         end,
         sessions: 9,
     };
-    let (mut fenced, mut copied) = (false, false);
+    let (mut is_fenced, mut is_copied) = (false, false);
     let result = run_load(router.address, &OP_TYPES, &[load("ann", 7), load("bob", 8)], 5, |_| {
-        if !fenced && unix_ms() > fence - 600 {
-            router.reload_operator_config(&move_config(3, "FENCED", fence, "a"));
-            fenced = true;
+        if !is_fenced && unix_ms() > fence_ms - 600 {
+            router.reload_operator_config(&move_config(3, "FENCED", fence_ms, "a"));
+            is_fenced = true;
         }
-        if !copied && unix_ms() > fence + 720 {
-            cluster.copy_records(7, 8, fence + 700);
-            router.reload_operator_config(&move_config(4, "SWITCHED", fence, "a"));
-            copied = true;
+        if !is_copied && unix_ms() > fence_ms + 720 {
+            cluster.copy_records(7, 8, fence_ms + 700);
+            router.reload_operator_config(&move_config(4, "SWITCHED", fence_ms, "a"));
+            is_copied = true;
         }
     });
     assert!(router.wait_for_log("stage=switched", Duration::ZERO), "{:#?}", router.log.lock());
@@ -294,10 +301,11 @@
         });
     let missing = result.acked_writes.iter().find(|id| !write_counts.contains_key(&format!("{id:016x}")));
     assert_eq!(missing, None, "an acknowledged write is missing at the target");
-    assert!(write_counts.values().all(|times| *times == 1));
+    assert!(write_counts.values().all(|count| *count == 1));
     // Writes addressed to the source group were applied at the target as well.
-    let at_target = cluster.ledger().applied.values().flatten().filter(|(host, _)| host == "t-0").count();
-    assert!(at_target > 100, "{at_target}");
+    let applied_at_target =
+        cluster.ledger().applied.values().flatten().filter(|(host, _)| host == "t-0").count();
+    assert!(applied_at_target > 100, "{applied_at_target}");
 }
 
 /// Moves `ann` from group 7 to 8 while `cat` stays in group 7 in the source cell. `inject_fault` is called
@@ -309,25 +317,25 @@
     let host =
         |name: &str| HostSpec::new(name, if name.starts_with('s') { 7 } else { 8 }, name.ends_with('0'));
     let cluster = Cluster::start(&["s-0", "s-1", "s-2", "t-0", "t-1"].map(host));
-    let fence = unix_ms() + 1200;
-    let router = start_router(&cluster, Some(&move_config(1, "PLANNED", fence, "a")));
+    let fence_ms = unix_ms() + 1200;
+    let router = start_router(&cluster, Some(&move_config(1, "PLANNED", fence_ms, "a")));
     let (start, end, mix) = (Duration::ZERO, Duration::from_millis(3800), vec![(2, 2), (1, 1)]);
     let load =
         |tenant| TenantLoad { tenant, group: 7, rate: 60.0, mix: mix.clone(), start, end, sessions: 9 };
     let loads: Vec<TenantLoad> = ["ann", "cat"].map(load).into_iter().chain(extra_load).collect();
-    let (mut fenced, mut copied) = (false, false);
+    let (mut is_fenced, mut is_copied) = (false, false);
     let result = run_load(router.address, &OP_TYPES, &loads, 5, |_| {
-        let since_fence = unix_ms() - fence;
-        if !fenced && since_fence > -600 {
-            router.reload_operator_config(&move_config(3, "FENCED", fence, "a"));
-            fenced = true;
+        let since_fence_ms = unix_ms() - fence_ms;
+        if !is_fenced && since_fence_ms > -600 {
+            router.reload_operator_config(&move_config(3, "FENCED", fence_ms, "a"));
+            is_fenced = true;
         }
-        if !copied && since_fence > 720 {
-            cluster.copy_records(7, 8, fence + 700);
-            router.reload_operator_config(&move_config(4, "SWITCHED", fence, "a"));
-            copied = true;
+        if !is_copied && since_fence_ms > 720 {
+            cluster.copy_records(7, 8, fence_ms + 700);
+            router.reload_operator_config(&move_config(4, "SWITCHED", fence_ms, "a"));
+            is_copied = true;
         }
-        inject_fault(&cluster, since_fence);
+        inject_fault(&cluster, since_fence_ms);
     });
     (cluster, router, result)
 }
@@ -347,11 +355,11 @@
 
 #[test]
 fn a_move_to_draining_hosts_rejects_writes_and_loses_none() {
-    let mut drained = false;
-    let (cluster, _router, result) = move_with_fault(None, |cluster, since_fence| {
-        if !drained && since_fence > 300 {
+    let mut is_drained = false;
+    let (cluster, _router, result) = move_with_fault(None, |cluster, since_fence_ms| {
+        if !is_drained && since_fence_ms > 300 {
             ["t-0", "t-1"].into_iter().for_each(|name| cluster.drain(name));
-            drained = true;
+            is_drained = true;
         }
     });
     let (ann, cat) = (result.tenant_stats("ann"), result.tenant_stats("cat"));
@@ -368,13 +376,13 @@
     // The target cell's own tenant saturates it from before the switch.
     let (start, end) = (Duration::from_millis(1600), Duration::from_millis(3800));
     let eve = TenantLoad { tenant: "eve", group: 8, rate: 600.0, mix: vec![(2, 1)], start, end, sessions: 9 };
-    let mut overloaded = false;
-    let (cluster, router, result) = move_with_fault(Some(eve), |cluster, since_fence| {
-        if !overloaded && since_fence > 300 {
+    let mut is_overloaded = false;
+    let (cluster, router, result) = move_with_fault(Some(eve), |cluster, since_fence_ms| {
+        if !is_overloaded && since_fence_ms > 300 {
             ["t-0", "t-1"]
                 .into_iter()
                 .for_each(|name| cluster.set_behavior(name, HostBehavior::RejectOverloaded));
-            overloaded = true;
+            is_overloaded = true;
         }
     });
     assert!(router.wait_for_log("stage=switched", Duration::ZERO), "{:#?}", router.log.lock());
@@ -402,12 +410,12 @@
             _ => None,
         });
         assert!(row.is_some_and(|value| value.starts_with("a-") || value.starts_with("p-")));
-        let shown = client.simple_query("SHOW cells").await.expect("the router reports its cells");
-        let shown = shown.iter().find_map(|message| match message {
+        let cells_reply = client.simple_query("SHOW cells").await.expect("the router reports its cells");
+        let cells_text = cells_reply.iter().find_map(|message| match message {
             tokio_postgres::SimpleQueryMessage::Row(row) => row.get("cells").map(str::to_string),
             _ => None,
         });
-        assert!(shown.is_some_and(|text| text.contains(r#""cell":"a""#) && text.contains(r#""taken":1"#)));
+        assert!(cells_text.is_some_and(|text| text.contains(r#""cell":"a""#) && text.contains(r#""taken":1"#)));
         drop(client);
         let _ = connection_task.await;
     });
--- a/crates/arrowyard-daemon/tests/command.rs
+++ b/crates/arrowyard-daemon/tests/command.rs
@@ -24,6 +24,7 @@
     }
 }
 
+/// Runs the program. Returns its exit code and its output.
 fn run(arguments: &[&str]) -> (Option<i32>, String) {
     let output = Command::new(env!("CARGO_BIN_EXE_arrowyard")).args(arguments).output();
     let Output { status, stdout, stderr } = output.expect("the program can be run");
--- a/crates/arrowyard-daemon/tests/helpers/mod.rs
+++ b/crates/arrowyard-daemon/tests/helpers/mod.rs
@@ -11,12 +11,13 @@
     Duration::from_millis(millis)
 }
 
-pub fn rig(config: RigConfig) -> Rig {
+/// Starts the routers of the configuration.
+pub fn start_rig(config: RigConfig) -> Rig {
     Rig::start(Path::new(env!("CARGO_BIN_EXE_arrowyard")), config).expect("the routers start")
 }
 
 /// One router without a fleet and without a list of hosts from the platform.
-pub fn single_router(with_stores: bool) -> RigConfig {
+pub fn single_router_config(with_stores: bool) -> RigConfig {
     RigConfig { without_membership: true, initial_host_list: false, with_stores, ..RigConfig::new(1) }
 }
 
@@ -43,8 +44,8 @@
     })
 }
 
-/// Whether router `index` logs `text` within `timeout_ms`.
-pub fn logged(rig: &Rig, index: usize, text: &str, timeout_ms: u64) -> bool {
+/// Waits for a log line of router `index` that contains `text`; whether there was one within the timeout.
+pub fn wait_for_log(rig: &Rig, index: usize, text: &str, timeout_ms: u64) -> bool {
     rig.process(index).is_some_and(|process| process.wait_for_log(text, ms(timeout_ms)))
 }
 
@@ -52,6 +53,6 @@
 pub fn assert_invariants(rig: &Rig, result: &LoadResult) {
     let ledger = rig.cluster.ledger();
     assert_eq!(result.tenant_stats("t").unanswered, 0);
-    assert!(ledger.applied.values().all(|times| times.len() == 1));
+    assert!(ledger.applied.values().all(|applications| applications.len() == 1));
     assert!(result.acked_writes.iter().all(|token| ledger.applied.contains_key(&format!("{token:016x}"))));
 }
--- a/crates/arrowyard-daemon/tests/leases.rs
+++ b/crates/arrowyard-daemon/tests/leases.rs
@@ -18,7 +18,7 @@
 const TERM_MS: u64 = 800;
 
 /// Starts `processes` routers, the first three of them voters, with a duty that runs every 20 ms.
-fn rig(processes: usize, recorder: &EffectRecorder, overrides: RigConfig) -> Rig {
+fn start_rig(processes: usize, recorder: &EffectRecorder, overrides: RigConfig) -> Rig {
     let duty = format!("duty {{ name: \"task\" at: \"{}\" every_ms: 20 takes_ms: 150 }}", recorder.address);
     let leases_fields = format!("term_ms: {TERM_MS} {duty} {}", overrides.leases_fields);
     let config = RigConfig {
@@ -32,21 +32,22 @@
     Rig::start(Path::new(env!("CARGO_BIN_EXE_arrowyard")), config).expect("the routers start")
 }
 
+/// A configuration for `start_rig`, which sets the number of processes.
 fn default_config() -> RigConfig {
     RigConfig::new(0)
 }
 
 /// Waits until the condition holds.
 fn wait_until(timeout_ms: u64, condition: &str, mut holds: impl FnMut() -> bool) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < ms(timeout_ms), "not within {timeout_ms} ms: {condition}");
+        assert!(started_at.elapsed() < ms(timeout_ms), "not within {timeout_ms} ms: {condition}");
         std::thread::sleep(ms(10));
     }
 }
 
 /// The router that shows itself as the lease holder.
-fn holder(rig: &Rig) -> Option<usize> {
+fn find_holder(rig: &Rig) -> Option<usize> {
     let holds = |index: &usize| {
         let leases = rig.show(*index, "leases").unwrap_or_default();
         leases["leases"][0]["held"] == true
@@ -54,13 +55,14 @@
     rig.running().into_iter().find(holds)
 }
 
+/// Waits until a router shows itself as the lease holder.
 fn wait_for_holder(rig: &Rig) -> usize {
-    let began = Instant::now();
+    let started_at = Instant::now();
     loop {
-        if let Some(holder_index) = holder(rig) {
+        if let Some(holder_index) = find_holder(rig) {
             return holder_index;
         }
-        if began.elapsed() >= ms(TERM_MS * 6) {
+        if started_at.elapsed() >= ms(TERM_MS * 6) {
             // Prints every router's view, to show why there is no holder.
             let view = |index: usize| format!("{index}: {}", rig.show(index, "leases").unwrap_or_default());
             let views: Vec<String> = rig.running().into_iter().map(view).collect();
@@ -99,6 +101,7 @@
     (effect.expect("an effect was found").received_us - since_us) / 1000
 }
 
+/// The highest epoch of an effect, also of rejected ones.
 fn newest_epoch(recorder: &EffectRecorder) -> u64 {
     recorder.effects().iter().map(|effect| effect.epoch).max().unwrap_or_default()
 }
@@ -106,7 +109,7 @@
 #[test]
 fn another_router_takes_over_after_a_kill_and_at_once_after_a_shutdown() {
     let recorder = EffectRecorder::start(ms(10));
-    let mut rig = rig(5, &recorder, default_config());
+    let mut rig = start_rig(5, &recorder, default_config());
     let first_holder = wait_for_holder(&rig);
     wait_until(3_000, "the holder acts", || recorder.effects().len() > 10);
     let epoch_before = newest_epoch(&recorder);
@@ -131,7 +134,7 @@
         "after a shutdown {takeover_ms} ms, released after {} us",
         released_us - requested_us
     );
-    assert_audit_passes(&recorder, false, released_us, "end");
+    assert_audit_passes(&recorder, false, released_us, "shutdown");
     let leases = rig
         .show((0..5).find(|index| *index != second_holder).expect("another router runs"), "leases")
         .expect("the router shows its leases");
@@ -141,7 +144,7 @@
 #[test]
 fn a_paused_holder_does_not_overwrite_effects_of_its_successor() {
     let recorder = EffectRecorder::start(ms(10));
-    let rig = rig(4, &recorder, default_config());
+    let rig = start_rig(4, &recorder, default_config());
     for round in 0..4 {
         let first_holder = wait_for_holder(&rig);
         let epoch_before = newest_epoch(&recorder);
@@ -151,7 +154,7 @@
         wait_for_newer_epoch(&recorder, paused_us, epoch_before);
         rig.process(first_holder).expect("the router runs").signal("CONT");
         std::thread::sleep(ms(300));
-        assert_audit_passes(&recorder, true, paused_us, "halt");
+        assert_audit_passes(&recorder, true, paused_us, "pause");
     }
 }
 
@@ -197,7 +200,7 @@
         Plan::new("parts", 5, 0).with_fault(0, 3_000, Fault::Partition(vec![0, 3], vec![1, 2, 4])),
     ];
     let recorder = EffectRecorder::start(ms(10));
-    let mut rig = rig(5, &recorder, default_config());
+    let mut rig = start_rig(5, &recorder, default_config());
     wait_for_holder(&rig);
     for plan in &plans {
         let start_us = rig.run_plan(plan, ms(TERM_MS * 2));
@@ -209,7 +212,7 @@
 #[test]
 fn voters_with_lost_old_or_damaged_votes_wait_before_voting_again() {
     let recorder = EffectRecorder::start(ms(10));
-    let mut rig = rig(5, &recorder, default_config());
+    let mut rig = start_rig(5, &recorder, default_config());
     let first_holder = wait_for_holder(&rig);
     let old_votes = std::fs::read(rig.vote_store_path(2).join("votes")).expect("votes are stored");
     // The holder changes, so that the epoch increases.
@@ -228,12 +231,12 @@
             _ => std::fs::write(&path, b"AYLV something else").expect("the file can be written"),
         }
         rig.start_process(index).expect("the router starts with any vote file");
-        let logged = |text: &str| {
+        let has_logged = |text: &str| {
             rig.process(index).is_some_and(|process| process.wait_for_log(text, ms(TERM_MS * 6)))
         };
-        assert!(logged("waits out the longest lease") && logged("voter votes"), "{state}");
+        assert!(has_logged("waits out the longest lease") && has_logged("voter votes"), "{state}");
         if state != "older" {
-            assert!(logged("asks the other voters"), "{state}");
+            assert!(has_logged("asks the other voters"), "{state}");
         }
         wait_for_holder(&rig);
         std::thread::sleep(ms(200));
@@ -245,33 +248,37 @@
 #[test]
 fn voters_restarted_together_grant_nothing_until_the_longest_lease_has_expired() {
     let recorder = EffectRecorder::start(ms(10));
-    let mut rig = rig(5, &recorder, default_config());
+    let mut rig = start_rig(5, &recorder, default_config());
     wait_for_holder(&rig);
     let start_us = monotonic_us();
     (0..3).for_each(|index| rig.kill(index));
     (0..3).for_each(|index| rig.start_process(index).expect("the routers start"));
-    let up_us = monotonic_us();
+    let restarted_us = monotonic_us();
     let first_held_us = |rig: &Rig| {
         let lines = rig.log_entries("lease is held");
-        lines.iter().filter_map(|(_, line)| line["mono_us"].as_i64()).filter(|at| *at > start_us).min()
+        lines
+            .iter()
+            .filter_map(|(_, line)| line["mono_us"].as_i64())
+            .filter(|mono_us| *mono_us > start_us)
+            .min()
     };
     wait_until(TERM_MS * 6, "a new holder", || first_held_us(&rig).is_some());
     let held_us = first_held_us(&rig).expect("the lease is held");
-    // Measured from the kill, since the first voter started before `up_us`.
+    // Measured from the kill, since the first voter started before `restarted_us`.
     assert!(
         held_us - start_us > (TERM_MS as i64) * 1000,
-        "{} us after the kill, up after {}",
+        "{} us after the kill, restarted after {}",
         held_us - start_us,
-        up_us - start_us
+        restarted_us - start_us
     );
     std::thread::sleep(ms(300));
-    assert_audit_passes(&recorder, false, start_us, "all voters");
+    assert_audit_passes(&recorder, false, start_us, "restart of all voters");
 }
 
 #[test]
 fn without_a_majority_there_is_no_holder_and_ops_are_served() {
     let recorder = EffectRecorder::start(ms(10));
-    let mut rig = rig(4, &recorder, default_config());
+    let mut rig = start_rig(4, &recorder, default_config());
     wait_for_holder(&rig);
     (1..3).for_each(|index| rig.kill(index));
     std::thread::sleep(ms(TERM_MS + 400));
@@ -293,20 +300,23 @@
     );
     assert!(result.tenant_stats("t").in_target_share() > 0.95 && result.tenant_stats("t").unanswered == 0);
     assert_eq!(recorder.effects().len(), effects_before, "there is no holder");
-    assert_eq!(holder(&rig), None);
+    assert_eq!(find_holder(&rig), None);
     (1..3).for_each(|index| rig.start_process(index).expect("the routers start"));
     wait_for_holder(&rig);
     let start_us = monotonic_us();
     std::thread::sleep(ms(200));
-    assert_audit_passes(&recorder, false, start_us, "majority back");
+    assert_audit_passes(&recorder, false, start_us, "majority restored");
 }
 
 #[test]
 fn clock_drift_beyond_the_bound_is_reported_and_drift_within_it_is_tolerated() {
     let recorder = EffectRecorder::start(ms(10));
     // 900 ppm fast and slow, within the drift bound.
-    let mut within_bound =
-        rig(4, &recorder, RigConfig { clock_drifts_ppm: vec![900, -900, 900, -900], ..default_config() });
+    let mut within_bound = start_rig(
+        4,
+        &recorder,
+        RigConfig { clock_drifts_ppm: vec![900, -900, 900, -900], ..default_config() },
+    );
     let start_us = monotonic_us();
     for _ in 0..2 {
         let first_holder = wait_for_holder(&within_bound);
@@ -321,7 +331,7 @@
     // 30 % too fast: reported after enough time.
     let recorder = EffectRecorder::start(ms(10));
     let beyond_bound =
-        rig(3, &recorder, RigConfig { clock_drifts_ppm: vec![0, 0, 300_000], ..default_config() });
+        start_rig(3, &recorder, RigConfig { clock_drifts_ppm: vec![0, 0, 300_000], ..default_config() });
     wait_for_holder(&beyond_bound);
     wait_until(15_000, "drift is reported", || {
         !beyond_bound.log_entries("run apart beyond the bound").is_empty()
@@ -380,7 +390,7 @@
     let cut_us = monotonic_us();
     rig.tcp_relays.set_cut(first_holder, Cut { to_hosts: true, from_hosts: true });
     wait_for_newer_epoch(&recorder, cut_us, epoch_before);
-    assert_ne!(holder(&rig), Some(first_holder));
+    assert_ne!(find_holder(&rig), Some(first_holder));
     assert_audit_passes(&recorder, false, cut_us, "no reachable hosts");
     let result = load_thread.join().expect("the load has been sent");
     assert_eq!(result.tenant_stats("t").unanswered, 0);
--- a/crates/arrowyard-daemon/tests/returns.rs
+++ b/crates/arrowyard-daemon/tests/returns.rs
@@ -10,7 +10,7 @@
 use arrowyard_testbed::load::LoadResult;
 use arrowyard_testbed::rig::{Rig, RigConfig, monotonic_us};
 use arrowyard_testbed::{Client, DiscoveryBehavior, Reply};
-use helpers::{assert_invariants, logged, ms, rig, single_router, spawn_ops};
+use helpers::{assert_invariants, ms, single_router_config, spawn_ops, start_rig, wait_for_log};
 use serde_json::Value;
 
 /// Sends ops to router `index` for `duration`.
@@ -20,7 +20,7 @@
 
 /// Waits until router 0 has stored its host list, and kills it.
 fn store_list_and_kill(rig: &mut Rig) {
-    assert!(logged(rig, 0, "the start is at Listed", 5_000), "discovery sends the list");
+    assert!(wait_for_log(rig, 0, "the start is at Listed", 5_000), "discovery sends the list");
     let began = std::time::Instant::now();
     while !rig.store_path(0).join("hosts.a").exists() {
         assert!(began.elapsed() < ms(5_000), "the list is stored");
@@ -32,7 +32,7 @@
 #[test]
 fn without_discovery_a_router_serves_only_if_it_has_a_stored_list() {
     for with_store in [true, false] {
-        let mut rig = rig(single_router(with_store));
+        let mut rig = start_rig(single_router_config(with_store));
         if with_store {
             store_list_and_kill(&mut rig);
         } else {
@@ -46,20 +46,21 @@
         if with_store {
             assert!(stats.in_target_share() > 0.9, "{stats:?}");
             assert!(
-                logged(&rig, 0, "a stored list is used", 100) && logged(&rig, 0, "service is full", 3_000)
+                wait_for_log(&rig, 0, "a stored list is used", 100)
+                    && wait_for_log(&rig, 0, "service is full", 3_000)
             );
         } else {
             assert_eq!(stats.in_target + stats.late, 0, "no host is known: {stats:?}");
         }
         // Once discovery is back, its list is used.
         rig.cluster.set_discovery_down(false);
-        assert!(with_store || logged(&rig, 0, "host is Ready", 15_000));
+        assert!(with_store || wait_for_log(&rig, 0, "host is Ready", 15_000));
     }
 }
 
 #[test]
 fn a_stored_primary_that_became_a_replica_gets_no_writes() {
-    let mut rig = rig(single_router(true));
+    let mut rig = start_rig(single_router_config(true));
     store_list_and_kill(&mut rig);
     rig.cluster.set_discovery_down(true);
     rig.cluster.switchover("r-0");
@@ -75,10 +76,10 @@
 
 #[test]
 fn a_stored_host_that_is_gone_costs_few_ops_and_a_draining_one_gets_none() {
-    let mut rig = rig(single_router(true));
-    assert!(logged(&rig, 0, "the start is at Listed", 5_000));
+    let mut rig = start_rig(single_router_config(true));
+    assert!(wait_for_log(&rig, 0, "the start is at Listed", 5_000));
     rig.cluster.drain("r-1");
-    assert!(logged(&rig, 0, "host is Draining", 3_000));
+    assert!(wait_for_log(&rig, 0, "host is Draining", 3_000));
     let store_path = rig.store_path(0);
     // Waits until the stored list shows the drain.
     let is_drain_stored = || {
@@ -112,13 +113,13 @@
 
 #[test]
 fn a_router_starts_with_a_damaged_store_and_logs_the_cause() {
-    let mut rig = rig(single_router(true));
+    let mut rig = start_rig(single_router_config(true));
     store_list_and_kill(&mut rig);
     let (first_file, second_file) = (rig.store_path(0).join("hosts.a"), rig.store_path(0).join("hosts.b"));
-    let valid = std::fs::read(&first_file).expect("the file exists");
+    let valid_bytes = std::fs::read(&first_file).expect("the file exists");
     let cases: Vec<(&str, Vec<u8>)> = vec![
-        ("Truncated", valid[..valid.len() - 3].to_vec()),
-        ("Garbled", [&valid[..40], &[valid[40] ^ 4], &valid[41..]].concat()),
+        ("Truncated", valid_bytes[..valid_bytes.len() - 3].to_vec()),
+        ("Garbled", [&valid_bytes[..40], &[valid_bytes[40] ^ 4], &valid_bytes[41..]].concat()),
         ("Empty", Vec::new()),
         ("Garbled", b"something else altogether".to_vec()),
     ];
@@ -126,7 +127,7 @@
         std::fs::write(&first_file, &bytes).expect("the file can be written");
         let _ = std::fs::remove_file(&second_file);
         rig.start_process(0).expect("the router starts");
-        assert!(logged(&rig, 0, cause, 1_000), "{cause}");
+        assert!(wait_for_log(&rig, 0, cause, 1_000), "{cause}");
         let result = run_ops(&rig, 0, ms(800), 9);
         assert!(result.tenant_stats("t").in_target > 10, "the list comes from discovery");
         rig.kill(0);
@@ -139,7 +140,7 @@
         arrowyard_store::Snapshot { deployment: 1, written_ms: 1, number: 9, ..Default::default() };
     std::fs::write(&second_file, arrowyard_store::encode(&foreign_list)).expect("the file can be written");
     rig.start_process(0).expect("the router starts");
-    assert!(logged(&rig, 0, "NoFile", 1_000) && logged(&rig, 0, "Foreign", 1_000));
+    assert!(wait_for_log(&rig, 0, "NoFile", 1_000) && wait_for_log(&rig, 0, "Foreign", 1_000));
     rig.kill(0);
     // A list whose timestamp is in the future.
     let future_list = arrowyard_store::Snapshot { written_ms: 4_000_000_000_000, ..foreign_list };
@@ -158,7 +159,7 @@
 
 #[test]
 fn a_valid_list_is_found_after_kills_during_writes() {
-    let mut rig = rig(single_router(true));
+    let mut rig = start_rig(single_router_config(true));
     store_list_and_kill(&mut rig);
     for round in 0..8 {
         rig.start_process(0).expect("the router starts");
@@ -179,9 +180,10 @@
 #[test]
 fn most_of_a_fleet_recovers_after_a_simultaneous_restart() {
     for with_stores in [true, false] {
-        let mut rig = rig(RigConfig { with_stores: true, initial_host_list: false, ..RigConfig::new(6) });
+        let mut rig =
+            start_rig(RigConfig { with_stores: true, initial_host_list: false, ..RigConfig::new(6) });
         assert!(rig.wait_for_agreement(ms(15_000)).is_some());
-        (0..6).for_each(|index| assert!(logged(&rig, index, "the start is at Listed", 5_000)));
+        (0..6).for_each(|index| assert!(wait_for_log(&rig, index, "the start is at Listed", 5_000)));
         std::thread::sleep(ms(400));
         (1..6).for_each(|index| rig.kill(index));
         if !with_stores {
@@ -192,13 +194,16 @@
         let began_us = monotonic_us();
         (1..6).for_each(|index| rig.start_process(index).expect("the router starts"));
         let results: Vec<LoadResult> = std::thread::scope(|scope| {
-            let loads: Vec<_> = (0..6)
+            let load_threads: Vec<_> = (0..6)
                 .map(|index| {
                     let rig = &rig;
                     scope.spawn(move || run_ops(rig, index, ms(5_000), 20 + index as u64))
                 })
                 .collect();
-            loads.into_iter().map(|load| load.join().expect("the load has been sent")).collect()
+            load_threads
+                .into_iter()
+                .map(|load_thread| load_thread.join().expect("the load has been sent"))
+                .collect()
         });
         for (index, result) in results.iter().enumerate() {
             assert_eq!(result.tenant_stats("t").unanswered, 0, "n{index}");
@@ -208,10 +213,13 @@
                 result.tenant_stats("t")
             );
         }
-        let twice = rig.cluster.ledger().applied.values().filter(|times| times.len() > 1).count();
-        assert_eq!(twice, 0);
+        let applied_twice = rig.cluster.ledger().applied.values().filter(|times| times.len() > 1).count();
+        assert_eq!(applied_twice, 0);
         (1..6).for_each(|index| {
-            assert!(logged(&rig, index, "service is full", 3_000), "n{index}, with stores: {with_stores}")
+            assert!(
+                wait_for_log(&rig, index, "service is full", 3_000),
+                "n{index}, with stores: {with_stores}"
+            )
         });
         assert!(monotonic_us() - began_us < 12_000_000);
         assert!(
@@ -224,9 +232,9 @@
 
 #[test]
 fn a_fleet_serves_after_kills_during_startup_and_a_simultaneous_pause() {
-    let mut rig = rig(RigConfig { with_stores: true, initial_host_list: false, ..RigConfig::new(4) });
+    let mut rig = start_rig(RigConfig { with_stores: true, initial_host_list: false, ..RigConfig::new(4) });
     assert!(rig.wait_for_agreement(ms(15_000)).is_some());
-    (0..4).for_each(|index| assert!(logged(&rig, index, "the start is at Listed", 5_000)));
+    (0..4).for_each(|index| assert!(wait_for_log(&rig, index, "the start is at Listed", 5_000)));
     for round in 0..10 {
         (1..4).for_each(|index| rig.kill(index));
         (1..4).for_each(|index| rig.start_process(index).expect("the router starts"));
@@ -234,13 +242,13 @@
         assert_eq!(result.tenant_stats("t").unanswered, 0, "round {round}");
     }
     // All are paused together with ops in flight, and resumed.
-    let paused_load = spawn_ops(&rig, 1, ms(2_500), 200);
+    let paused_load_thread = spawn_ops(&rig, 1, ms(2_500), 200);
     std::thread::sleep(ms(300));
     (0..4).for_each(|index| rig.process(index).expect("the router runs").signal("STOP"));
     std::thread::sleep(ms(2_000));
     (0..4).for_each(|index| rig.process(index).expect("the router runs").signal("CONT"));
     // Its clients timed out meanwhile; writes that ran all the same must be applied once.
-    let _ = paused_load.join();
+    let _ = paused_load_thread.join();
     for index in 0..4 {
         let result = run_ops(&rig, index, ms(1_500), 300 + index as u64);
         assert_invariants(&rig, &result);
@@ -251,11 +259,12 @@
 
 #[test]
 fn an_outdated_discovery_replica_does_not_reopen_a_draining_host() {
-    let mut rig = rig(RigConfig { returns_fields: "doubt_ms: 30000".to_string(), ..single_router(true) });
-    assert!(logged(&rig, 0, "the start is at Listed", 5_000));
+    let mut rig =
+        start_rig(RigConfig { returns_fields: "doubt_ms: 30000".to_string(), ..single_router_config(true) });
+    assert!(wait_for_log(&rig, 0, "the start is at Listed", 5_000));
     let old_list = rig.cluster.host_list();
     rig.cluster.drain("r-1");
-    assert!(logged(&rig, 0, "host is Draining", 3_000));
+    assert!(wait_for_log(&rig, 0, "host is Draining", 3_000));
     std::thread::sleep(ms(400));
     rig.kill(0);
     rig.cluster.set_discovery_behavior(DiscoveryBehavior::AlternateWith(old_list));
@@ -269,7 +278,7 @@
         assert!(result.tenant_stats("t").in_target_share() > 0.9, "{:?}", result.tenant_stats("t"));
         assert!(rig.cluster.discovery_call_times().len() > calls_before);
         if calls_before % 2 == 1 {
-            assert!(logged(&rig, 0, "is older than", 2_000), "the outdated replica was called");
+            assert!(wait_for_log(&rig, 0, "is older than", 2_000), "the outdated replica was called");
         }
         rig.kill(0);
         // Makes the next start call the other replica first.
@@ -286,7 +295,8 @@
 
 #[test]
 fn lists_of_a_discovery_that_lost_its_state_are_accepted_after_the_doubt_interval() {
-    let mut rig = rig(RigConfig { returns_fields: "doubt_ms: 1500".to_string(), ..single_router(true) });
+    let mut rig =
+        start_rig(RigConfig { returns_fields: "doubt_ms: 1500".to_string(), ..single_router_config(true) });
     store_list_and_kill(&mut rig);
     rig.cluster.remove_host("r-1");
     rig.cluster.reset_list_version();
@@ -298,21 +308,21 @@
         "the router serves from its stored list: {:?}",
         result.tenant_stats("t")
     );
-    assert!(logged(&rig, 0, "is older than", 3_000));
-    assert!(logged(&rig, 0, "discovery counts its lists anew", 15_000));
-    assert!(logged(&rig, 0, "the start is at", 100));
+    assert!(wait_for_log(&rig, 0, "is older than", 3_000));
+    assert!(wait_for_log(&rig, 0, "discovery counts its lists anew", 15_000));
+    assert!(wait_for_log(&rig, 0, "the start is at", 100));
 }
 
 #[test]
 fn a_failing_or_slow_discovery_does_not_affect_a_router_with_a_stored_list() {
-    let mut rig = rig(single_router(true));
+    let mut rig = start_rig(single_router_config(true));
     store_list_and_kill(&mut rig);
-    let slow = DiscoveryBehavior::SlowBody(20, ms(100));
+    let slow_body = DiscoveryBehavior::SlowBody(20, ms(100));
     for (round, behavior) in [
         DiscoveryBehavior::Unavailable,
         DiscoveryBehavior::HangAfterHeaders,
         DiscoveryBehavior::TruncateBody,
-        slow,
+        slow_body,
     ]
     .into_iter()
     .enumerate()
@@ -327,7 +337,7 @@
             result.tenant_stats("t")
         );
         rig.cluster.set_discovery_behavior(DiscoveryBehavior::Normal);
-        assert!(logged(&rig, 0, "the start is at Proven", 1_000), "{behavior:?}");
+        assert!(wait_for_log(&rig, 0, "the start is at Proven", 1_000), "{behavior:?}");
         rig.kill(0);
     }
 }
@@ -342,9 +352,9 @@
         configured_routers: 60,
         ..RigConfig::new(12)
     };
-    let mut rig = rig(RigConfig { returns_fields: "discovery_calls: 20".to_string(), ..config });
+    let mut rig = start_rig(RigConfig { returns_fields: "discovery_calls: 20".to_string(), ..config });
     (0..12).for_each(|index| {
-        assert!(logged(&rig, index, "the start is at Listed", 8_000), "n{index}");
+        assert!(wait_for_log(&rig, index, "the start is at Listed", 8_000), "n{index}");
     });
     std::thread::sleep(ms(600));
     (0..12).for_each(|index| rig.kill(index));
@@ -352,10 +362,13 @@
     (0..12).for_each(|index| rig.start_process(index).expect("the router starts"));
     let results: Vec<LoadResult> = std::thread::scope(|scope| {
         let rig = &rig;
-        let loads: Vec<_> = (0..12)
+        let load_threads: Vec<_> = (0..12)
             .map(|index| scope.spawn(move || run_ops(rig, index, ms(4_000), 80 + index as u64)))
             .collect();
-        loads.into_iter().map(|load| load.join().expect("the load has been sent")).collect()
+        load_threads
+            .into_iter()
+            .map(|load_thread| load_thread.join().expect("the load has been sent"))
+            .collect()
     });
     for (index, result) in results.iter().enumerate() {
         assert_eq!(result.tenant_stats("t").unanswered, 0, "n{index}");
@@ -387,9 +400,9 @@
 
 #[test]
 fn a_fleet_restarts_during_a_host_failure_and_a_primary_change() {
-    let mut rig = rig(RigConfig { with_stores: true, initial_host_list: false, ..RigConfig::new(6) });
+    let mut rig = start_rig(RigConfig { with_stores: true, initial_host_list: false, ..RigConfig::new(6) });
     assert!(rig.wait_for_agreement(ms(15_000)).is_some());
-    (0..6).for_each(|index| assert!(logged(&rig, index, "the start is at Listed", 5_000)));
+    (0..6).for_each(|index| assert!(wait_for_log(&rig, index, "the start is at Listed", 5_000)));
     std::thread::sleep(ms(400));
     (0..6).for_each(|index| rig.kill(index));
     (0..3).for_each(|index| drop(std::fs::remove_dir_all(rig.store_path(index))));
@@ -398,16 +411,19 @@
     (0..6).for_each(|index| rig.start_process(index).expect("the router starts"));
     let results: Vec<LoadResult> = std::thread::scope(|scope| {
         let rig = &rig;
-        let loads: Vec<_> = (0..6)
+        let load_threads: Vec<_> = (0..6)
             .map(|index| scope.spawn(move || run_ops(rig, index, ms(4_000), 120 + index as u64)))
             .collect();
-        loads.into_iter().map(|load| load.join().expect("the load has been sent")).collect()
+        load_threads
+            .into_iter()
+            .map(|load_thread| load_thread.join().expect("the load has been sent"))
+            .collect()
     });
     for (index, result) in results.iter().enumerate() {
         assert_invariants(&rig, result);
         assert!(result.tenant_stats("t").in_target_share() > 0.8, "n{index}: {:?}", result.tenant_stats("t"));
     }
-    (0..6).for_each(|index| assert!(logged(&rig, index, "service is full", 5_000), "n{index}"));
+    (0..6).for_each(|index| assert!(wait_for_log(&rig, index, "service is full", 5_000), "n{index}"));
     let ledger = rig.cluster.ledger();
     let at_old_primary = ledger.applied.values().flatten().filter(|(host, _)| host == "p-0").count();
     assert_eq!(at_old_primary, 0, "applied by a host that is no longer primary");
@@ -415,7 +431,7 @@
 
 #[test]
 fn a_stored_list_is_used_or_rejected_by_its_age() {
-    let mut rig = rig(single_router(true));
+    let mut rig = start_rig(single_router_config(true));
     store_list_and_kill(&mut rig);
     rig.cluster.set_discovery_down(true);
     let hours = 3_600_000;
@@ -449,13 +465,13 @@
 
 #[test]
 fn a_session_reads_its_own_write_after_the_router_was_killed() {
-    let mut rig = rig(single_router(true));
+    let mut rig = start_rig(single_router_config(true));
     store_list_and_kill(&mut rig);
     rig.start_process(0).expect("the router starts");
     // Replicas apply no writes from now on.
     rig.cluster.stall_replication("r-0");
     rig.cluster.stall_replication("r-1");
-    let send = |rig: &Rig, id: u64, op_type: &'static str, is_write: bool| {
+    let execute_op = |rig: &Rig, id: u64, op_type: &'static str, is_write: bool| {
         let request = OpRequest {
             id,
             op_type,
@@ -477,13 +493,13 @@
     };
     let acknowledged = (0..50)
         .map(|offset| 500 + offset)
-        .find(|&id| matches!(send(&rig, id, "turn-submit", true), Reply::Value(_)));
+        .find(|&id| matches!(execute_op(&rig, id, "turn-submit", true), Reply::Value(_)));
     let token = format!("{:016x}", acknowledged.expect("a write is acknowledged"));
     rig.kill(0);
     rig.start_process(0).expect("the router starts");
     let mut read_count = 0;
     for id in 0..20 {
-        match send(&rig, 900 + id, "own-turn", false) {
+        match execute_op(&rig, 900 + id, "own-turn", false) {
             Reply::Value(value) => {
                 assert!(value.contains(&token), "{value} does not contain {token}");
                 read_count += 1;
--- a/crates/arrowyard-daemon/tests/sockets.rs
+++ b/crates/arrowyard-daemon/tests/sockets.rs
@@ -14,16 +14,16 @@
 
 const PROGRAM: &str = env!("CARGO_BIN_EXE_arrowyard");
 
-fn message(type_byte: u8, body: &[u8]) -> Vec<u8> {
+fn encode_message(type_byte: u8, body: &[u8]) -> Vec<u8> {
     [&[type_byte][..], &(body.len() as u32 + 4).to_be_bytes(), body].concat()
 }
 
 fn read_message(stream: &mut TcpStream) -> Option<(u8, Vec<u8>)> {
-    let mut head = [0; 5];
-    stream.read_exact(&mut head).ok()?;
-    let mut body = vec![0; u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize - 4];
+    let mut header = [0; 5];
+    stream.read_exact(&mut header).ok()?;
+    let mut body = vec![0; u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize - 4];
     stream.read_exact(&mut body).ok()?;
-    Some((head[0], body))
+    Some((header[0], body))
 }
 
 /// The platform's configuration file of a router for the simulated hosts.
@@ -47,20 +47,21 @@
     Process::start(Path::new(PROGRAM), &test_config(cluster), None).expect("the router starts")
 }
 
-/// A connection without the startup packet.
-fn connect(router: &Process) -> TcpStream {
+/// A connection on which no startup packet has been sent.
+fn connect_without_startup(router: &Process) -> TcpStream {
     let stream = TcpStream::connect(router.address).unwrap();
     stream.set_read_timeout(Some(Duration::from_secs(10))).unwrap();
     stream
 }
 
-fn client(router: &Process) -> Client {
-    let mut stream = connect(router);
+/// A client that has completed the startup.
+fn connect_client(router: &Process) -> Client {
+    let mut stream = connect_without_startup(router);
     let startup = b"\0\x03\0\0user\0web\0database\0orders\0\0";
     stream.write_all(&(startup.len() as u32 + 4).to_be_bytes()).unwrap();
     stream.write_all(startup).unwrap();
     let mut client = Client { stream };
-    while client.read().0 != b'Z' {}
+    while client.read_message().0 != b'Z' {}
     client
 }
 
@@ -69,7 +70,9 @@
     Value(String),
     /// SQLSTATE code and detail.
     Error(String, String),
+    /// The statement was empty.
     Empty,
+    /// Without a result.
     Done,
 }
 
@@ -78,18 +81,19 @@
 }
 
 impl Client {
-    fn read(&mut self) -> (u8, Vec<u8>) {
+    fn read_message(&mut self) -> (u8, Vec<u8>) {
         read_message(&mut self.stream).expect("the router replies")
     }
 
-    fn write(&mut self, text: &str) {
-        self.stream.write_all(&message(b'Q', format!("{text}\0").as_bytes())).unwrap();
+    fn send_query(&mut self, statement: &str) {
+        self.stream.write_all(&encode_message(b'Q', format!("{statement}\0").as_bytes())).unwrap();
     }
 
-    fn reply(&mut self) -> Reply {
+    /// Reads up to ReadyForQuery.
+    fn read_reply(&mut self) -> Reply {
         let mut reply = Reply::Done;
         loop {
-            let (type_byte, body) = self.read();
+            let (type_byte, body) = self.read_message();
             match type_byte {
                 b'D' => {
                     // The value of a read is the host's name followed by its newest record.
@@ -101,7 +105,7 @@
                     let text = String::from_utf8(body).unwrap();
                     let field = |field_type| {
                         text.split('\0')
-                            .find_map(|f| f.strip_prefix(field_type))
+                            .find_map(|field| field.strip_prefix(field_type))
                             .unwrap_or_default()
                             .to_string()
                     };
@@ -114,8 +118,8 @@
     }
 
     fn execute(&mut self, op_type: &str, timeout_ms: u32) -> Reply {
-        self.write(&statement(op_type, timeout_ms));
-        self.reply()
+        self.send_query(&statement(op_type, timeout_ms));
+        self.read_reply()
     }
 }
 
@@ -148,21 +152,22 @@
     Reply::Error("53300".to_string(), retry_after.to_string())
 }
 
-fn host(name: &str, primary: bool) -> HostSpec {
+/// A host whose replication has no delay.
+fn host_spec(name: &str, primary: bool) -> HostSpec {
     HostSpec { lag: Duration::ZERO, ..HostSpec::new(name, 7, primary) }
 }
 
 /// A router with one host, the primary `one`.
-fn with_primary(behavior: HostBehavior) -> (Cluster, Process) {
-    let cluster = Cluster::start(&[host("one", true)]);
+fn start_with_primary(behavior: HostBehavior) -> (Cluster, Process) {
+    let cluster = Cluster::start(&[host_spec("one", true)]);
     cluster.set_behavior("one", behavior);
     let router = start_router(&cluster);
     (cluster, router)
 }
 
 /// A router with the primary `one` and the replica `two`.
-fn with_replica(behavior: HostBehavior) -> (Cluster, Process) {
-    let cluster = Cluster::start(&[host("one", true), host("two", false)]);
+fn start_with_replica(behavior: HostBehavior) -> (Cluster, Process) {
+    let cluster = Cluster::start(&[host_spec("one", true), host_spec("two", false)]);
     ["one", "two"].into_iter().for_each(|name| cluster.set_behavior(name, behavior));
     let router = start_router(&cluster);
     (cluster, router)
@@ -175,27 +180,27 @@
 
 #[test]
 fn reads_go_to_a_replica_and_writes_to_the_primary_unchanged() {
-    let (cluster, router) = with_replica(HostBehavior::Serve);
-    let mut client = client(&router);
+    let (cluster, router) = start_with_replica(HostBehavior::Serve);
+    let mut client = connect_client(&router);
     assert_eq!(client.execute("look", 1000), value("two"));
     assert_eq!(client.execute("put", 1000), value("one"));
     let (_, received) = cluster.received_statements("one")[0].clone();
-    let (head, rest) = received.split_once(",d=").unwrap();
+    let (header, rest) = received.split_once(",d=").unwrap();
     let (timeout, rest) = rest.split_once(',').unwrap();
     assert!((1..=1000).contains(&timeout.parse::<u32>().unwrap()), "{timeout}");
-    assert_eq!(format!("{head},d=1000,{rest}"), statement("put", 1000));
+    assert_eq!(format!("{header},d=1000,{rest}"), statement("put", 1000));
 }
 
 #[test]
 fn the_router_answers_session_commands_and_rejects_statements_without_a_comment() {
-    let (cluster, router) = with_primary(HostBehavior::Serve);
-    let mut client = client(&router);
-    client.write("");
-    assert_eq!(client.reply(), Reply::Empty);
-    client.write("SET statement_timeout = 5");
-    assert_eq!(client.reply(), Reply::Done);
-    client.write("SELECT now()");
-    assert_eq!(client.reply(), error("08P01"));
+    let (cluster, router) = start_with_primary(HostBehavior::Serve);
+    let mut client = connect_client(&router);
+    client.send_query("");
+    assert_eq!(client.read_reply(), Reply::Empty);
+    client.send_query("SET statement_timeout = 5");
+    assert_eq!(client.read_reply(), Reply::Done);
+    client.send_query("SELECT now()");
+    assert_eq!(client.read_reply(), error("08P01"));
     assert_eq!(client.execute("unheard", 1000), error("08P01"));
     assert_eq!(client.execute("put", 1000), value("one"));
     assert_eq!(received_count(&cluster, "one"), 1);
@@ -203,13 +208,13 @@
 
 #[test]
 fn pipelined_queries_in_small_pieces_are_answered_in_order() {
-    let (_cluster, router) = with_primary(HostBehavior::Serve);
-    let mut stream = connect(&router);
+    let (_cluster, router) = start_with_primary(HostBehavior::Serve);
+    let mut stream = connect_without_startup(&router);
     stream.write_all(&[0, 0, 0, 8, 4, 210, 22, 47]).unwrap();
     let mut response = [0];
     stream.read_exact(&mut response).unwrap();
     assert_eq!(response, *b"N", "encryption is not supported");
-    let query = |text: &str| message(b'Q', format!("{text}\0").as_bytes());
+    let query = |text: &str| encode_message(b'Q', format!("{text}\0").as_bytes());
     let startup = b"\0\0\0\x08\0\x03\0\0".to_vec();
     let without_token = statement("mark", 1000).replace("k=", "x=");
     let unknown_tenant = statement("put", 1000).replace("t=p", "t=stranger");
@@ -220,22 +225,22 @@
         sleep(Duration::from_millis(1));
     }
     let mut client = Client { stream };
-    let replies: Vec<_> = (0..6).map(|_| client.reply()).collect();
-    let (served, refused) = (|| value("one"), || error("08P01"));
-    assert_eq!(replies, [Reply::Done, Reply::Empty, served(), refused(), refused(), served()]);
+    let replies: Vec<_> = (0..6).map(|_| client.read_reply()).collect();
+    let (served, rejected) = (|| value("one"), || error("08P01"));
+    assert_eq!(replies, [Reply::Done, Reply::Empty, served(), rejected(), rejected(), served()]);
 }
 
 #[test]
 fn a_second_row_is_not_forwarded() {
-    let (cluster, router) = with_primary(HostBehavior::ReplyTwice);
-    assert_eq!(client(&router).execute("put", 1000), error("XX000"));
+    let (cluster, router) = start_with_primary(HostBehavior::ReplyTwice);
+    assert_eq!(connect_client(&router).execute("put", 1000), error("XX000"));
     assert_eq!(received_count(&cluster, "one"), 1);
 }
 
 #[test]
 fn a_value_above_the_client_message_limit_is_forwarded_whole() {
-    let (cluster, router) = with_primary(HostBehavior::ReplyLarge(400_000));
-    let mut client = client(&router);
+    let (cluster, router) = start_with_primary(HostBehavior::ReplyLarge(400_000));
+    let mut client = connect_client(&router);
     for _ in 0..3 {
         assert_eq!(client.execute("look", 1000), Reply::Value("x".repeat(400_000)));
     }
@@ -244,8 +249,8 @@
 
 #[test]
 fn messages_outside_a_command_are_not_taken_as_its_reply() {
-    let (cluster, router) = with_primary(HostBehavior::ReplyAndReject);
-    let mut client = client(&router);
+    let (cluster, router) = start_with_primary(HostBehavior::ReplyAndReject);
+    let mut client = connect_client(&router);
     assert_eq!(client.execute("put", 1000), value("one"));
     assert_eq!(received_count(&cluster, "one"), 1, "the write ran once");
     cluster.set_behavior("one", HostBehavior::ReadyBeforeReply);
@@ -259,48 +264,52 @@
     let missing = Command::new(PROGRAM).env_remove("RELAY_CONFIG").output().unwrap();
     assert_eq!(missing.status.code(), Some(2));
     assert_eq!(String::from_utf8(missing.stderr).unwrap().lines().count(), 1);
-    let (cluster, first) = with_primary(HostBehavior::Serve);
+    let (cluster, first) = start_with_primary(HostBehavior::Serve);
     let mut config = test_config(&cluster);
     config["listen"] = json!(first.address.to_string());
-    assert_eq!(client(&first).execute("put", 1000), value("one"));
+    assert_eq!(connect_client(&first).execute("put", 1000), value("one"));
     drop(first);
     let second = Process::start(Path::new(PROGRAM), &config, None).expect("the router restarts");
-    assert_eq!(client(&second).execute("put", 1000), value("one"));
+    assert_eq!(connect_client(&second).execute("put", 1000), value("one"));
 }
 
 #[test]
 fn a_client_that_violates_the_protocol_is_disconnected_and_others_are_served() {
-    let (_cluster, router) = with_primary(HostBehavior::Serve);
-    let mut violating = client(&router);
+    let (_cluster, router) = start_with_primary(HostBehavior::Serve);
+    let mut violating = connect_client(&router);
     violating.stream.write_all(b"Q\xff\xff\xff\xffSELECT").unwrap();
-    assert_eq!(violating.read().0, b'E');
+    assert_eq!(violating.read_message().0, b'E');
     assert!(read_message(&mut violating.stream).is_none());
-    assert_eq!(client(&router).execute("put", 1000), value("one"));
+    assert_eq!(connect_client(&router).execute("put", 1000), value("one"));
 }
 
 #[test]
 fn silent_connections_are_closed_for_active_ones() {
-    let (_cluster, router) = with_primary(HostBehavior::Serve);
-    let mut first = client(&router);
+    let (_cluster, router) = start_with_primary(HostBehavior::Serve);
+    let mut first = connect_client(&router);
     assert_eq!(first.execute("put", 1000), value("one"));
     // More than the router's 256 file descriptors.
     let silent: Vec<_> = (0..400).map(|_| TcpStream::connect(router.address).unwrap()).collect();
-    let (mut client, connected) = (client(&router), Instant::now());
+    let (mut client, connected_at) = (connect_client(&router), Instant::now());
     assert_eq!(client.execute("put", 1000), value("one"));
-    assert!(connected.elapsed() < Duration::from_secs(2), "{:?}", connected.elapsed());
+    assert!(connected_at.elapsed() < Duration::from_secs(2), "{:?}", connected_at.elapsed());
     drop(silent);
 }
 
 #[test]
 fn incomplete_messages_time_out_and_a_client_that_sent_an_op_may_stay_idle() {
-    let (_cluster, router) = with_primary(HostBehavior::Serve);
-    let (mut idle, mut silent, mut connected, mut slow) =
-        (client(&router), connect(&router), client(&router), client(&router));
+    let (_cluster, router) = start_with_primary(HostBehavior::Serve);
+    let (mut idle, mut silent, mut without_op, mut slow) = (
+        connect_client(&router),
+        connect_without_startup(&router),
+        connect_client(&router),
+        connect_client(&router),
+    );
     assert_eq!(idle.execute("put", 1000), value("one"));
-    let started = Instant::now();
+    let started_at = Instant::now();
     let slow_writer = slow.stream.try_clone().map(|mut stream| {
         spawn(move || {
-            let bytes = message(b'Q', &[b'x'; 1000]);
+            let bytes = encode_message(b'Q', &[b'x'; 1000]);
             bytes.chunks(1).all(|byte| {
                 sleep(Duration::from_millis(50));
                 stream.write_all(byte).is_ok()
@@ -308,33 +317,33 @@
         })
     });
     let is_closed = |stream: &mut TcpStream| matches!(stream.read(&mut [0]), Ok(0) | Err(_));
-    assert!(is_closed(&mut silent) && is_closed(&mut connected.stream) && is_closed(&mut slow.stream));
-    assert!(started.elapsed() < Duration::from_secs(3), "{:?}", started.elapsed());
+    assert!(is_closed(&mut silent) && is_closed(&mut without_op.stream) && is_closed(&mut slow.stream));
+    assert!(started_at.elapsed() < Duration::from_secs(3), "{:?}", started_at.elapsed());
     assert!(!slow_writer.unwrap().join().unwrap(), "the slow client was disconnected");
     assert_eq!(idle.execute("put", 1000), value("one"));
 }
 
 #[test]
 fn a_client_that_sends_at_once_is_served_when_idle_clients_fill_the_limit() {
-    let (_cluster, router) = with_primary(HostBehavior::Serve);
+    let (_cluster, router) = start_with_primary(HostBehavior::Serve);
     // More than the client limit of a router with 256 file descriptors.
     let connect_idle = || {
-        let mut client = client(&router);
-        client.write("");
-        assert_eq!(client.reply(), Reply::Empty);
+        let mut client = connect_client(&router);
+        client.send_query("");
+        assert_eq!(client.read_reply(), Reply::Empty);
         client
     };
     let idle_clients: Vec<Client> = (0..120).map(|_| connect_idle()).collect();
-    let query = message(b'Q', format!("{}\0", statement("put", 1000)).as_bytes());
+    let query = encode_message(b'Q', format!("{}\0", statement("put", 1000)).as_bytes());
     for _ in 0..20 {
-        let mut client = Client { stream: connect(&router) };
+        let mut client = Client { stream: connect_without_startup(&router) };
         client.stream.write_all(&[&b"\0\0\0\x08\0\x03\0\0"[..], &query].concat()).unwrap();
-        assert_eq!((client.reply(), client.reply()), (Reply::Done, value("one")));
+        assert_eq!((client.read_reply(), client.read_reply()), (Reply::Done, value("one")));
     }
     // Clients hold less than a third of the router's file descriptors.
     let is_open = |client: &&Client| {
         client.stream.set_nonblocking(true).unwrap();
-        client.stream.peek(&mut [0]).is_err_and(|e| e.kind() == std::io::ErrorKind::WouldBlock)
+        client.stream.peek(&mut [0]).is_err_and(|error| error.kind() == std::io::ErrorKind::WouldBlock)
     };
     let open_count = idle_clients.iter().filter(is_open).count();
     assert!((1..256 / 3).contains(&open_count), "{open_count}");
@@ -342,8 +351,8 @@
 
 #[test]
 fn a_write_whose_connection_breaks_is_not_retried() {
-    let (cluster, router) = with_replica(HostBehavior::DisconnectBeforeRun);
-    let mut client = client(&router);
+    let (cluster, router) = start_with_replica(HostBehavior::DisconnectBeforeRun);
+    let mut client = connect_client(&router);
     assert_eq!(client.execute("put", 1000), error("XX000"));
     assert_eq!(received_count(&cluster, "one"), 1);
     // A read is retried.
@@ -360,25 +369,25 @@
         ("mark", HostBehavior::DisconnectBeforeRun),
     ];
     for (op_type, behavior) in cases {
-        let (cluster, router) = with_primary(behavior);
-        let mut client = client(&router);
-        client.write(&statement(op_type, 1000));
+        let (cluster, router) = start_with_primary(behavior);
+        let mut client = connect_client(&router);
+        client.send_query(&statement(op_type, 1000));
         wait_until("the write is sent again", || received_count(&cluster, "one") > 1);
         cluster.set_behavior("one", HostBehavior::Serve);
-        assert_eq!(client.reply(), value("one"));
+        assert_eq!(client.read_reply(), value("one"));
     }
 }
 
 #[test]
 fn a_busy_reply_has_a_retry_delay() {
-    let (_cluster, router) = with_primary(HostBehavior::RejectOverloaded);
-    assert_eq!(client(&router).execute("put", 200), busy("700"));
+    let (_cluster, router) = start_with_primary(HostBehavior::RejectOverloaded);
+    assert_eq!(connect_client(&router).execute("put", 200), busy("700"));
 }
 
 #[test]
 fn a_complete_result_counts_when_its_connection_breaks() {
-    let (cluster, router) = with_primary(HostBehavior::ReplyAndDisconnect);
-    let mut client = client(&router);
+    let (cluster, router) = start_with_primary(HostBehavior::ReplyAndDisconnect);
+    let mut client = connect_client(&router);
     assert_eq!(client.execute("put", 1000), value("one"));
     assert_eq!(client.execute("put", 1000), value("one"));
     assert_eq!(received_count(&cluster, "one"), 2);
@@ -386,25 +395,25 @@
 
 #[test]
 fn a_disconnect_of_the_client_cancels_its_send() {
-    let (cluster, router) = with_primary(HostBehavior::Hang);
-    let mut client = client(&router);
-    client.write(&statement("put", 1500));
+    let (cluster, router) = start_with_primary(HostBehavior::Hang);
+    let mut client = connect_client(&router);
+    client.send_query(&statement("put", 1500));
     wait_until("the write is sent", || received_count(&cluster, "one") == 1);
-    let (number, _) = cluster.received_statements("one")[0];
-    assert!(!cluster.closed_connections("one").contains(&number));
+    let (connection_number, _) = cluster.received_statements("one")[0];
+    assert!(!cluster.closed_connections("one").contains(&connection_number));
     drop(client);
-    let disconnected = Instant::now();
-    wait_until("the send is cancelled", || cluster.closed_connections("one").contains(&number));
-    assert!(disconnected.elapsed() < Duration::from_millis(1000), "the send ended only at its deadline");
+    let disconnected_at = Instant::now();
+    wait_until("the send is cancelled", || cluster.closed_connections("one").contains(&connection_number));
+    assert!(disconnected_at.elapsed() < Duration::from_millis(1000), "the send ended only at its deadline");
 }
 
 #[test]
 fn idle_connections_to_an_unresponsive_host_are_closed() {
-    let (cluster, router) = with_primary(HostBehavior::Slow(Duration::from_millis(150)));
-    let (mut first, mut second) = (client(&router), client(&router));
-    first.write(&statement("put", 1500));
-    second.write(&statement("put", 1500).replace("id=9", "id=8"));
-    assert_eq!((first.reply(), second.reply()), (value("one"), value("one")));
+    let (cluster, router) = start_with_primary(HostBehavior::Slow(Duration::from_millis(150)));
+    let (mut first, mut second) = (connect_client(&router), connect_client(&router));
+    first.send_query(&statement("put", 1500));
+    second.send_query(&statement("put", 1500).replace("id=9", "id=8"));
+    assert_eq!((first.read_reply(), second.read_reply()), (value("one"), value("one")));
     cluster.set_behavior("one", HostBehavior::Hang);
     assert_eq!(first.execute("put", 300), error("XX000"));
     let connection_numbers: Vec<usize> =
@@ -421,8 +430,8 @@
 
 #[test]
 fn a_draining_host_gets_no_new_ops() {
-    let (cluster, router) = with_replica(HostBehavior::Serve);
-    let mut client = client(&router);
+    let (cluster, router) = start_with_replica(HostBehavior::Serve);
+    let mut client = connect_client(&router);
     assert_eq!(client.execute("look", 1000), value("two"));
     wait_until("the list is watched", || !cluster.discovery_requests(cluster.discovery_address).is_empty());
     let watch = format!("GET /catalog/members?watch=1&from={} HTTP/1.1", cluster.list_version());
@@ -436,8 +445,8 @@
 
 #[test]
 fn a_position_in_the_future_does_not_count_as_fresh() {
-    let (cluster, router) = with_replica(HostBehavior::Serve);
-    let mut client = client(&router);
+    let (cluster, router) = start_with_replica(HostBehavior::Serve);
+    let mut client = connect_client(&router);
     cluster.set_position_offset("two", 3_600_000);
     assert_eq!(client.execute("look", 1000), value("two"));
     cluster.set_position_offset("two", -3_600_000);
@@ -449,7 +458,7 @@
 
 #[test]
 fn a_silent_watch_is_reopened() {
-    let cluster = Cluster::start(&[host("one", true)]);
+    let cluster = Cluster::start(&[host_spec("one", true)]);
     cluster.silence_new_watches();
     let _router = start_router(&cluster);
     wait_until("the list is watched", || cluster.discovery_requests(cluster.discovery_address).len() == 1);
@@ -460,10 +469,10 @@
 
 #[test]
 fn sighup_applies_a_new_discovery_address_and_ignores_a_broken_file() {
-    let (cluster, router) = with_replica(HostBehavior::Serve);
+    let (cluster, router) = start_with_replica(HostBehavior::Serve);
     let (old, new, config) =
         (cluster.discovery_address, cluster.start_discovery(), test_config(&cluster).to_string());
-    let mut client = client(&router);
+    let mut client = connect_client(&router);
     wait_until("the list is watched", || cluster.discovery_requests(old).len() == 1);
     router.reload_platform_config(&config[..config.len() / 2]);
     assert_eq!(client.execute("look", 1000), value("two"));
@@ -478,25 +487,25 @@
 
 #[test]
 fn closed_client_connections_are_not_counted() {
-    let (_cluster, router) = with_primary(HostBehavior::Serve);
-    let mut first = client(&router);
+    let (_cluster, router) = start_with_primary(HostBehavior::Serve);
+    let mut first = connect_client(&router);
     assert_eq!(first.execute("put", 1000), value("one"));
     // More than the client limit, one after the other.
     for _ in 0..150 {
-        let mut client = client(&router);
-        client.write("");
-        assert_eq!(client.reply(), Reply::Empty);
+        let mut client = connect_client(&router);
+        client.send_query("");
+        assert_eq!(client.read_reply(), Reply::Empty);
     }
     assert_eq!(first.execute("put", 1000), value("one"));
 }
 
 #[test]
 fn a_shutdown_answers_admitted_ops() {
-    let (cluster, mut router) = with_primary(HostBehavior::Hang);
-    let (mut idle, mut client) = (client(&router), client(&router));
-    client.write(&statement("put", 1200));
+    let (cluster, mut router) = start_with_primary(HostBehavior::Hang);
+    let (mut idle, mut client) = (connect_client(&router), connect_client(&router));
+    client.send_query(&statement("put", 1200));
     wait_until("the write is sent", || received_count(&cluster, "one") == 1);
-    let reply = spawn(move || client.reply());
+    let reply = spawn(move || client.read_reply());
     assert!(router.terminate() == Some(0));
     assert_eq!(reply.join().unwrap(), error("XX000"));
     assert!(read_message(&mut idle.stream).is_none());
--- a/crates/arrowyard-flight-daemon/tests/streams.rs
+++ b/crates/arrowyard-flight-daemon/tests/streams.rs
@@ -15,7 +15,7 @@
 };
 use arrowyard_testbed::client::OpRequest;
 use arrowyard_testbed::flight::FlightClient;
-use arrowyard_testbed::flight::client::{first_value, reply};
+use arrowyard_testbed::flight::client::{first_value, reply_from_error};
 use arrowyard_testbed::router::platform_config;
 use arrowyard_testbed::{Client, Cluster, HostBehavior, HostSpec, Process, Reply};
 use futures::{StreamExt, TryStreamExt};
@@ -287,7 +287,7 @@
             Ok(batches) => batches.try_collect::<Vec<_>>().await.expect_err("no host serves the query"),
             Err(error) => error,
         };
-        assert!(matches!(reply(&error), Reply::Busy(Some(_))), "{error}");
+        assert!(matches!(reply_from_error(&error), Reply::Busy(Some(_))), "{error}");
         cluster.set_behavior("p-0", HostBehavior::Serve);
         let deadline = Instant::now() + Duration::from_secs(10);
         loop {
@@ -300,7 +300,10 @@
             match result {
                 Ok(batches) => break assert!(first_value(&batches).starts_with("p-0")),
                 Err(error) => {
-                    assert!(matches!(reply(&error), Reply::Busy(_)) && Instant::now() < deadline, "{error}")
+                    assert!(
+                        matches!(reply_from_error(&error), Reply::Busy(_)) && Instant::now() < deadline,
+                        "{error}"
+                    )
                 }
             }
         }
--- a/crates/arrowyard-testbed/src/bin/flood.rs
+++ b/crates/arrowyard-testbed/src/bin/flood.rs
@@ -57,15 +57,19 @@
     format!("epoch: 1\ncells {{\n{}{}{retry_budget}}}\n", cells.concat(), tenants.concat())
 }
 
+/// Sends the tenants' load to one router and returns the results; with trouble, it begins after a quarter of
+/// the time.
 fn run(args: &Args, with_cells: bool, with_trouble: bool) -> LoadResult {
-    let host = |name: &str, primary: bool| HostSpec {
+    let host_spec = |name: &str, primary: bool| HostSpec {
         service_time: Duration::from_millis(4),
         slots: 1,
-        queue: 64,
+        queue_capacity: 64,
         ..HostSpec::new(name, 7, primary)
     };
-    let mut hosts = vec![host("primary", true)];
-    hosts.extend(TENANTS.iter().flat_map(|name| (0..2).map(move |n| host(&format!("{name}-{n}"), false))));
+    let mut hosts = vec![host_spec("primary", true)];
+    hosts.extend(
+        TENANTS.iter().flat_map(|name| (0..2).map(move |index| host_spec(&format!("{name}-{index}"), false))),
+    );
     let cluster = Cluster::start(&hosts);
     let program = args.router.clone().unwrap_or_else(|| sibling_program("arrowyard"));
     let operator_config = operator_config();
@@ -91,12 +95,12 @@
         let rate = args.rate * (args.times - 1.0);
         loads.push(TenantLoad { rate, mix: vec![(0, 6), (3, 3)], start, end, ..loads[0].clone() });
     }
-    let mut has_begun = false;
+    let mut trouble_has_begun = false;
     run_load(router.address, &OP_TYPES, &loads, args.seed, |elapsed| {
-        if !with_trouble || has_begun || elapsed < start {
+        if !with_trouble || trouble_has_begun || elapsed < start {
             return;
         }
-        has_begun = true;
+        trouble_has_begun = true;
         for name in hosts.iter().map(|host| &host.name[..]).filter(|name| name.starts_with(TENANTS[0])) {
             match args.trouble {
                 Trouble::Flood => {}
@@ -132,8 +136,8 @@
     table.set_header(columns);
     for with_cells in [false, true] {
         let calm = run(&args, with_cells, false);
-        let trouble = run(&args, with_cells, true);
-        for (name, result) in [("calm", &calm), ("trouble", &trouble)] {
+        let with_trouble = run(&args, with_cells, true);
+        for (name, result) in [("calm", &calm), ("trouble", &with_trouble)] {
             for tenant in TENANTS {
                 let stats = result.tenant_stats(tenant);
                 let relative_to_calm = stats.in_target_share() / calm.tenant_stats(tenant).in_target_share();
--- a/crates/arrowyard-testbed/src/bin/leases.rs
+++ b/crates/arrowyard-testbed/src/bin/leases.rs
@@ -35,11 +35,11 @@
 
 /// Runs the plans, `jobs` at a time. The results are in the order of completion.
 fn run_all(program: &std::path::Path, plans: &[Plan], jobs: usize) -> Vec<Result<ScenarioResult, String>> {
-    let (next, results) = (AtomicU64::new(0), Mutex::new(Vec::new()));
+    let (next_index, results) = (AtomicU64::new(0), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..jobs {
             scope.spawn(|| {
-                while let Some(plan) = plans.get(next.fetch_add(1, Ordering::Relaxed) as usize) {
+                while let Some(plan) = plans.get(next_index.fetch_add(1, Ordering::Relaxed) as usize) {
                     let result = run(program, plan);
                     results.lock().expect("the lock is not poisoned").push(result);
                 }
@@ -57,17 +57,18 @@
         .filter(|effect| effect.received_us <= result.started_us)
         .map(|effect| effect.epoch)
         .max()?;
-    let next = result
+    let next_effect = result
         .effects
         .iter()
         .find(|effect| effect.accepted && effect.received_us > result.started_us && effect.epoch > epoch)?;
-    Some((next.received_us - result.started_us) / 1000)
+    Some((next_effect.received_us - result.started_us) / 1000)
 }
 
 fn main() {
     let args = Args::parse();
     let program = args.program.clone().unwrap_or_else(|| sibling_program("arrowyard"));
-    let plans: Vec<Plan> = (0..args.plans).map(|n| random_plan(args.seed + n, args.processes)).collect();
+    let plans: Vec<Plan> =
+        (0..args.plans).map(|index| random_plan(args.seed + index, args.processes)).collect();
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
     table.set_header(["plan", "plays", "wrong", "not run", "held", "p50 ms", "p99 ms", "worst ms"]);
@@ -82,7 +83,7 @@
             .iter()
             .filter_map(|result| duration_ms(result))
             .for_each(|ms| durations.saturating_record(ms.max(0) as u64));
-        let held =
+        let mean_held_share =
             completed.iter().map(|result| result.held_share()).sum::<f64>() / completed.len().max(1) as f64;
         for result in completed.iter().filter(|result| !result.violations.is_empty()) {
             println!("VIOLATION {:?}: {}", result.violations[0], result.plan.to_json());
@@ -91,16 +92,16 @@
             .iter()
             .filter_map(|result| result.as_ref().err())
             .for_each(|error| println!("NOT RUN {error}"));
-        let wrong = completed.iter().filter(|result| !result.violations.is_empty()).count();
-        let at = |quantile: f64| durations.value_at_quantile(quantile).to_string();
+        let violated_count = completed.iter().filter(|result| !result.violations.is_empty()).count();
+        let percentile_ms = |quantile: f64| durations.value_at_quantile(quantile).to_string();
         table.add_row([
             name.to_string(),
             completed.len().to_string(),
-            wrong.to_string(),
+            violated_count.to_string(),
             (results.len() - completed.len()).to_string(),
-            format!("{held:.3}"),
-            at(0.5),
-            at(0.99),
+            format!("{mean_held_share:.3}"),
+            percentile_ms(0.5),
+            percentile_ms(0.99),
             durations.max().to_string(),
         ]);
     };
@@ -109,10 +110,10 @@
     let all_processes: Vec<usize> = (0..args.processes).collect();
     for name in ["kill", "halt", "cut off", "end"] {
         let plans: Vec<Plan> = (0..args.plays)
-            .map(|n| {
+            .map(|index| {
                 // The fault affects each process in turn; runs in which it was not the holder have no
                 // takeover time.
-                let process = n as usize % args.processes;
+                let process = index as usize % args.processes;
                 let others: Vec<usize> =
                     all_processes.iter().copied().filter(|other| *other != process).collect();
                 let fault = match name {
@@ -122,7 +123,7 @@
                     _ => Fault::Shutdown(vec![process]),
                 };
                 Plan {
-                    seed: args.seed + n,
+                    seed: args.seed + index,
                     ..Plan::new(name, args.processes, 3_000).with_fault(0, 2_500, fault)
                 }
             })
--- a/crates/arrowyard-testbed/src/bin/lists.rs
+++ b/crates/arrowyard-testbed/src/bin/lists.rs
@@ -28,7 +28,7 @@
 /// Stats of ops that run for `duration` while `action` is executed.
 fn measure(process: &Process, args: &Args, seed: u64, duration: Duration, action: impl FnOnce()) -> OpStats {
     let (address, rate) = (process.address, args.rate);
-    let load = spawn(move || {
+    let load_thread = spawn(move || {
         let mix = vec![(0, 5), (2, 2), (3, 3)];
         let load = TenantLoad {
             tenant: "t",
@@ -43,7 +43,7 @@
     });
     sleep(duration / 4);
     action();
-    load.join().map(|result| result.tenant_stats("t")).unwrap_or_default()
+    load_thread.join().map(|result| result.tenant_stats("t")).unwrap_or_default()
 }
 
 fn main() -> Result<(), String> {
--- a/crates/arrowyard-testbed/src/bin/look.rs
+++ b/crates/arrowyard-testbed/src/bin/look.rs
@@ -28,10 +28,10 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     let hosts: Vec<HostSpec> = (0..4)
-        .map(|n| HostSpec {
+        .map(|index| HostSpec {
             service_time: Duration::from_millis(4),
             slots: 8,
-            ..HostSpec::new(&format!("host-{n}"), 7, n == 0)
+            ..HostSpec::new(&format!("host-{index}"), 7, index == 0)
         })
         .collect();
     let cluster = Cluster::start(&hosts);
@@ -56,17 +56,17 @@
         end: duration,
         sessions: 50,
     };
-    let (mut killed, mut failed_over, mut printed_second) = (false, false, u64::MAX);
+    let (mut is_killed, mut is_failed_over, mut printed_second) = (false, false, u64::MAX);
     let result = run_load(router.address, &OP_TYPES, &[load], 1, |elapsed| {
-        if !killed && elapsed >= kill_time {
+        if !is_killed && elapsed >= kill_time {
             println!("{:>4} s  host-0, the primary, is killed", elapsed.as_secs());
             cluster.kill("host-0");
-            killed = true;
+            is_killed = true;
         }
-        if !failed_over && elapsed >= failover_time {
+        if !is_failed_over && elapsed >= failover_time {
             println!("{:>4} s  host-1 becomes the primary", elapsed.as_secs());
             cluster.failover("host-1");
-            failed_over = true;
+            is_failed_over = true;
         }
         if elapsed.as_secs() != printed_second && elapsed.as_secs().is_multiple_of(5) {
             println!("{:>4} s", elapsed.as_secs());
@@ -111,17 +111,17 @@
     println!("\n{table}");
     // A clock tick is a hundredth of a second.
     let (ticks, memory_kb) = router.resource_usage();
-    let micros = ticks as f64 * 10_000.0 / total.sent.max(1) as f64;
+    let cpu_us_per_op = ticks as f64 * 10_000.0 / total.sent.max(1) as f64;
     println!(
-        "\nthe router used {micros:.0} us of CPU time per op and holds {memory_kb} KB of anonymous memory"
+        "\nthe router used {cpu_us_per_op:.0} us of CPU time per op and holds {memory_kb} KB of anonymous memory"
     );
     let ledger = cluster.ledger();
-    let twice = ledger.applied.values().filter(|times| times.len() > 1).count();
+    let applied_twice = ledger.applied.values().filter(|applications| applications.len() > 1).count();
     let stored: std::collections::HashSet<String> =
         cluster.records(7).into_iter().map(|record| record.write_id).collect();
-    let lost = result.acked_writes.iter().filter(|id| !stored.contains(&format!("{id:016x}"))).count();
-    println!("\nacknowledged writes: {}, applied twice: {twice}", result.acked_writes.len());
-    println!("acknowledged writes that the new primary had not applied before the failover: {lost}");
+    let lost_count = result.acked_writes.iter().filter(|id| !stored.contains(&format!("{id:016x}"))).count();
+    println!("\nacknowledged writes: {}, applied twice: {applied_twice}", result.acked_writes.len());
+    println!("acknowledged writes that the new primary had not applied before the failover: {lost_count}");
     // Writes lost by the failover are not the router's fault; missing replies and repeated writes are.
-    ExitCode::from(u8::from(total.unanswered > 0 || twice > 0))
+    ExitCode::from(u8::from(total.unanswered > 0 || applied_twice > 0))
 }
--- a/crates/arrowyard-testbed/src/bin/moves.rs
+++ b/crates/arrowyard-testbed/src/bin/moves.rs
@@ -31,6 +31,7 @@
     router: Option<PathBuf>,
 }
 
+/// The fault injected into a move.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum Fault {
     None,
@@ -59,21 +60,26 @@
 ];
 
 /// The operator configuration at a step of the move, with the fence at `fence` in Unix milliseconds.
-fn operator_config(epoch: u64, step: &str, fence: i64, floor: i64, host: &str) -> String {
-    let (copied, switch) = (fence + 640, fence + 900);
-    let lease = if epoch < 3 { fence - 100 } else { fence + 600_000 };
-    let times =
-        if epoch < 3 { String::new() } else { format!("fence_at_ms: {fence} switch_at_ms: {switch}") };
-    let target = if epoch < 4 {
+fn operator_config(epoch: u64, step: &str, fence_ms: i64, target_floor_ms: i64, target_host: &str) -> String {
+    let (copied_through_ms, switch_at_ms) = (fence_ms + 640, fence_ms + 900);
+    let lease_until_ms = if epoch < 3 { fence_ms - 100 } else { fence_ms + 600_000 };
+    let move_times = if epoch < 3 {
         String::new()
     } else {
-        format!("copied_through_ms: {copied} target_floor_ms: {floor} target_host: {host:?}")
+        format!("fence_at_ms: {fence_ms} switch_at_ms: {switch_at_ms}")
+    };
+    let target_fields = if epoch < 4 {
+        String::new()
+    } else {
+        format!(
+            "copied_through_ms: {copied_through_ms} target_floor_ms: {target_floor_ms} target_host: {target_host:?}"
+        )
     };
     format!(
         "epoch: {epoch}\ncells {{\n cell {{ name: \"a\" }}\n cell {{ name: \"b\" }}\n \
          tenant {{ name: \"ann\" cell: \"a\" }}\n tenant {{ name: \"bob\" cell: \"b\" }}\n \
-         lease {{ until_ms: {lease} skew_ms: 20 }}\n move {{ tenant: \"ann\" from: \"a\" to: \"b\" from_group: 7 \
-         to_group: 8 step: {step} {times} {target} memory_ms: 2000 }}\n}}\n"
+         lease {{ until_ms: {lease_until_ms} skew_ms: 20 }}\n move {{ tenant: \"ann\" from: \"a\" to: \"b\" from_group: 7 \
+         to_group: 8 step: {step} {move_times} {target_fields} memory_ms: 2000 }}\n}}\n"
     )
 }
 
@@ -102,9 +108,9 @@
         ..HostSpec::new(name, if name.starts_with('s') { 7 } else { 8 }, name.ends_with('0'))
     };
     let cluster = Cluster::start(&["s-0", "s-1", "s-2", "t-0", "t-1", "t-2"].map(spec));
-    let fence = unix_ms() + 1200;
+    let fence_ms = unix_ms() + 1200;
     let platform_config = platform_config(&cluster, &OP_TYPES, 512);
-    let mut config = operator_config(1, "PLANNED", fence, 0, "");
+    let mut config = operator_config(1, "PLANNED", fence_ms, 0, "");
     let router = Mutex::new(Some(
         Process::start(program, &platform_config, Some(&config)).expect("the router starts"),
     ));
@@ -115,7 +121,7 @@
         .map(|router| router.address)
         .expect("the router runs");
     let (start, end) = (Duration::ZERO, Duration::from_millis(4200));
-    let load = |tenant, group| TenantLoad {
+    let tenant_load = |tenant, group| TenantLoad {
         tenant,
         group,
         rate: 60.0,
@@ -124,9 +130,9 @@
         end,
         sessions: 9,
     };
-    let (fault_start, fault_duration) = (fence + rng.i64(-600..1100), rng.i64(150..500));
-    let config_delay = if fault == Fault::LateConfig { rng.i64(0..300) } else { -500 };
-    let (mut fenced, mut copied, mut fault_started, mut fault_ended) = (false, false, false, false);
+    let (fault_start_ms, fault_duration_ms) = (fence_ms + rng.i64(-600..1100), rng.i64(150..500));
+    let config_delay_ms = if fault == Fault::LateConfig { rng.i64(0..300) } else { -500 };
+    let (mut is_fenced, mut is_copied, mut fault_started, mut fault_ended) = (false, false, false, false);
     let reload = |config: &str| {
         router
             .lock()
@@ -134,21 +140,21 @@
             .iter()
             .for_each(|router| router.reload_operator_config(config))
     };
-    let result = run_load(address, &OP_TYPES, &[load("ann", 7), load("bob", 8)], seed, |_| {
-        let now = unix_ms();
-        if !fenced && now > fence + config_delay {
-            config = operator_config(3, "FENCED", fence, 0, "");
+    let result = run_load(address, &OP_TYPES, &[tenant_load("ann", 7), tenant_load("bob", 8)], seed, |_| {
+        let now_ms = unix_ms();
+        if !is_fenced && now_ms > fence_ms + config_delay_ms {
+            config = operator_config(3, "FENCED", fence_ms, 0, "");
             reload(&config);
-            fenced = true;
+            is_fenced = true;
         }
-        if !copied && now > fence + 660 {
-            let floor = cluster.copy_records(7, 8, fence + 640);
+        if !is_copied && now_ms > fence_ms + 660 {
+            let target_floor_ms = cluster.copy_records(7, 8, fence_ms + 640);
             let primary = if fault_ended && fault == Fault::TargetFailover { "t-1" } else { "t-0" };
-            config = operator_config(4, "SWITCHED", fence, floor, primary);
+            config = operator_config(4, "SWITCHED", fence_ms, target_floor_ms, primary);
             reload(&config);
-            copied = true;
+            is_copied = true;
         }
-        if !fault_started && now > fault_start {
+        if !fault_started && now_ms > fault_start_ms {
             fault_started = true;
             match fault {
                 Fault::None | Fault::LateConfig => {}
@@ -168,16 +174,16 @@
                 }
             }
         }
-        if fault_started && !fault_ended && now > fault_start + fault_duration {
+        if fault_started && !fault_ended && now_ms > fault_start_ms + fault_duration_ms {
             fault_ended = true;
             match fault {
                 Fault::SourceFailover => cluster.failover("s-1"),
                 Fault::TargetFailover => {
                     cluster.failover("t-1");
-                    if copied {
+                    if is_copied {
                         // The failover may have lost copied records: copies again, as an operator has to.
-                        let floor = cluster.copy_records(7, 8, fence + 640);
-                        config = operator_config(5, "SWITCHED", fence, floor, "t-1");
+                        let target_floor_ms = cluster.copy_records(7, 8, fence_ms + 640);
+                        config = operator_config(5, "SWITCHED", fence_ms, target_floor_ms, "t-1");
                         reload(&config);
                     }
                 }
@@ -186,18 +192,24 @@
             }
         }
     });
-    let mut target: HashMap<String, u64> = HashMap::new();
-    cluster.records(8).into_iter().for_each(|record| *target.entry(record.write_id).or_default() += 1);
+    let mut target_write_counts: HashMap<String, u64> = HashMap::new();
+    cluster
+        .records(8)
+        .into_iter()
+        .for_each(|record| *target_write_counts.entry(record.write_id).or_default() += 1);
     let lost_by_failover = |write_id: &str| {
         // A new primary without the newest records loses them, whatever the router does.
         let applied = cluster.ledger().applied.get(write_id).cloned().unwrap_or_default();
         let killed_hosts = [("s-0", Fault::SourceFailover), ("t-0", Fault::TargetFailover)];
         let killed = killed_hosts.iter().find(|(_, cause)| *cause == fault).map(|(host, _)| *host);
-        applied.iter().any(|(host, position)| Some(host.as_str()) == killed && *position > fault_start - 100)
+        applied
+            .iter()
+            .any(|(host, position)| Some(host.as_str()) == killed && *position > fault_start_ms - 100)
     };
-    let acked = result.acked_writes.iter().map(|id| format!("{id:016x}"));
-    let missing = acked.filter(|id| !target.contains_key(id) && !lost_by_failover(id)).count() as u64;
-    let doubled = target.values().filter(|times| **times > 1).count() as u64;
+    let acked_ids = result.acked_writes.iter().map(|id| format!("{id:016x}"));
+    let missing =
+        acked_ids.filter(|id| !target_write_counts.contains_key(id) && !lost_by_failover(id)).count() as u64;
+    let doubled = target_write_counts.values().filter(|count| **count > 1).count() as u64;
     let switched = router
         .lock()
         .expect("the lock is not poisoned")
@@ -206,7 +218,7 @@
     // The gap between the last acknowledged write before the fence and the next one.
     let mut ack_times: Vec<i64> = result.write_ack_times.get("ann").cloned().unwrap_or_default();
     ack_times.sort_unstable();
-    let first_after_fence = ack_times.iter().position(|time| *time > fence);
+    let first_after_fence = ack_times.iter().position(|time| *time > fence_ms);
     let write_gap_ms =
         first_after_fence.filter(|index| *index > 0).map(|index| ack_times[index] - ack_times[index - 1]);
     let mut stats = OpStats::default();
@@ -227,12 +239,12 @@
 fn main() -> ExitCode {
     let args = Args::parse();
     let program = args.router.clone().unwrap_or_else(|| sibling_program("arrowyard"));
-    let (next, totals) = (AtomicU64::new(0), Mutex::new(HashMap::<Fault, MoveStats>::new()));
+    let (next_number, totals) = (AtomicU64::new(0), Mutex::new(HashMap::<Fault, MoveStats>::new()));
     std::thread::scope(|scope| {
         for _ in 0..args.lanes {
             scope.spawn(|| {
                 loop {
-                    let number = next.fetch_add(1, Ordering::Relaxed);
+                    let number = next_number.fetch_add(1, Ordering::Relaxed);
                     if number >= args.moves {
                         return;
                     }
@@ -276,10 +288,10 @@
     rows.sort_by_key(|(fault, _)| **fault);
     let mut violations = 0;
     for (fault, stats) in rows {
-        let mut gaps = stats.write_gaps_ms.clone();
-        gaps.sort_unstable();
+        let mut write_gaps = stats.write_gaps_ms.clone();
+        write_gaps.sort_unstable();
         let quantile = |share: f64| {
-            gaps.get(((gaps.len() as f64 - 1.0).max(0.0) * share) as usize).copied().unwrap_or(-1)
+            write_gaps.get(((write_gaps.len() as f64 - 1.0).max(0.0) * share) as usize).copied().unwrap_or(-1)
         };
         violations += stats.missing + stats.doubled + stats.unanswered;
         table.add_row([
--- a/crates/arrowyard-testbed/src/bin/returns.rs
+++ b/crates/arrowyard-testbed/src/bin/returns.rs
@@ -36,7 +36,7 @@
 /// Sends ops to the processes for `duration`.
 fn send_ops(rig: &Rig, processes: &[usize], duration: Duration, rate: f64, seed: u64) -> Vec<LoadResult> {
     std::thread::scope(|scope| {
-        let loads: Vec<_> = processes
+        let load_threads: Vec<_> = processes
             .iter()
             .filter_map(|&process| Some((process, rig.process(process)?.address)))
             .map(|(process, address)| {
@@ -49,7 +49,7 @@
                 })
             })
             .collect();
-        loads.into_iter().filter_map(|load| load.join().ok()).collect()
+        load_threads.into_iter().filter_map(|load_thread| load_thread.join().ok()).collect()
     })
 }
 
@@ -87,24 +87,24 @@
             };
             let config = RigConfig { seed: args.seed, configured_routers, returns_fields, ..config };
             let mut rig = Rig::start(&sibling_program("arrowyard"), config)?;
-            let all: Vec<usize> = (0..count).collect();
-            let _ = send_ops(&rig, &all, Duration::from_secs(2), args.rate, args.seed);
+            let all_processes: Vec<usize> = (0..count).collect();
+            let _ = send_ops(&rig, &all_processes, Duration::from_secs(2), args.rate, args.seed);
             killed.iter().for_each(|&process| rig.kill(process));
             if !keep_stores {
                 killed.iter().for_each(|&process| drop(std::fs::remove_dir_all(rig.store_path(process))));
             }
-            let calls = rig.cluster.discovery_call_times().len();
+            let calls_before = rig.cluster.discovery_call_times().len();
             rig.cluster.set_discovery_down(outage_seconds > 0);
             killed.iter().try_for_each(|&process| rig.start_process(process))?;
             let began = Instant::now();
             let results = std::thread::scope(|scope| {
-                let load =
+                let load_thread =
                     scope.spawn(|| send_ops(&rig, &killed, Duration::from_secs(9), args.rate, args.seed + 1));
                 if outage_seconds > 0 && outage_seconds < 9 {
                     std::thread::sleep(Duration::from_secs(outage_seconds).saturating_sub(began.elapsed()));
                     rig.cluster.set_discovery_down(false);
                 }
-                load.join().unwrap_or_default()
+                load_thread.join().unwrap_or_default()
             });
             let mut startup_times_ms: Vec<u64> =
                 killed.iter().filter_map(|&process| rig.startup_times_ms()[process]).collect();
@@ -114,7 +114,7 @@
                 (in_target, sent) = (in_target + stats.in_target, sent + stats.sent);
                 (busy, unanswered) = (busy + stats.busy, unanswered + stats.unanswered);
             }
-            let twice = rig.cluster.ledger().applied.values().filter(|times| times.len() > 1).count();
+            let applied_twice = rig.cluster.ledger().applied.values().filter(|times| times.len() > 1).count();
             let to_text = |ms: Option<&u64>| ms.map_or("-".to_string(), ToString::to_string);
             table.add_row([
                 count.to_string(),
@@ -127,9 +127,9 @@
                 format!("{:.3}", in_target as f64 / (sent as f64).max(1.0)),
                 busy.to_string(),
                 unanswered.to_string(),
-                (rig.cluster.discovery_call_times().len() - calls).to_string(),
-                max_within_100_ms(&rig.cluster.discovery_call_times()[calls..]).to_string(),
-                twice.to_string(),
+                (rig.cluster.discovery_call_times().len() - calls_before).to_string(),
+                max_within_100_ms(&rig.cluster.discovery_call_times()[calls_before..]).to_string(),
+                applied_twice.to_string(),
             ]);
         }
     }
--- a/crates/arrowyard-testbed/src/bin/rig.rs
+++ b/crates/arrowyard-testbed/src/bin/rig.rs
@@ -94,9 +94,10 @@
                         _ => false,
                     })
                 };
-                let loaded: Vec<_> = (0..count).filter(|process| !is_stopped(process)).take(3).collect();
+                let loaded_processes: Vec<_> =
+                    (0..count).filter(|process| !is_stopped(process)).take(3).collect();
                 let rate = args.rate;
-                let loads: Vec<_> = loaded
+                let load_threads: Vec<_> = loaded_processes
                     .iter()
                     .filter_map(|&process| rig.process(process))
                     .map(|process| {
@@ -122,10 +123,10 @@
                 } else {
                     20
                 })) {
-                    Some(took) => agreement_times.push(took.as_secs_f64()),
+                    Some(elapsed) => agreement_times.push(elapsed.as_secs_f64()),
                     None => not_agreed += 1,
                 }
-                for result in loads.into_iter().filter_map(|load| load.join().ok()) {
+                for result in load_threads.into_iter().filter_map(|load| load.join().ok()) {
                     let stats = result.tenant_stats("t");
                     (in_target, busy, sent) =
                         (in_target + stats.in_target, busy + stats.busy, sent + stats.sent);
@@ -170,14 +171,14 @@
                                     && change.mono_us < end_us
                             })
                         };
-                        let took = |dead_only: bool| {
+                        let detection_time = |dead_only: bool| {
                             first_change(dead_only).map(|change| (change.mono_us - start_us) as f64 / 1e6)
                         };
-                        match took(false) {
-                            Some(took) => detection_times.push(took),
+                        match detection_time(false) {
+                            Some(elapsed) => detection_times.push(elapsed),
                             None => undetected += 1,
                         }
-                        death_times.extend(took(true));
+                        death_times.extend(detection_time(true));
                     }
                 }
                 // Rumors about the former incarnation may arrive for a second after the restart.
--- a/crates/arrowyard-testbed/src/bin/streams.rs
+++ b/crates/arrowyard-testbed/src/bin/streams.rs
@@ -139,7 +139,7 @@
     })
 }
 
-fn small(args: &Args, runtime: &Runtime) -> Result<Table, String> {
+fn measure_small_results(args: &Args, runtime: &Runtime) -> Result<Table, String> {
     let cluster = start_cluster(false, 1, 0);
     let router = start_router(args, &cluster, false, "")?;
     let flight_address = router.flight_address.ok_or("the router does not serve Flight SQL")?;
@@ -207,7 +207,7 @@
     Ok((bytes, began.elapsed().as_secs_f64()))
 }
 
-fn wide(args: &Args, runtime: &Runtime) -> Result<Table, String> {
+fn measure_large_results(args: &Args, runtime: &Runtime) -> Result<Table, String> {
     let mut table = Table::new();
     table.set_header([
         "batch",
@@ -221,15 +221,17 @@
         let router = start_router(args, &cluster, true, "held_bytes: 0")?;
         let ids = AtomicU64::new(1);
         let measured = runtime.block_on(async {
-            let mut client = FlightClient::connect(router.address).await.map_err(|e| e.to_string())?;
+            let mut client =
+                FlightClient::connect(router.address).await.map_err(|error| error.to_string())?;
             let (ticks_before, _) = router.resource_usage();
             let (bytes, seconds) =
-                read_results(&mut client, &ids, args.seconds).await.map_err(|e| e.to_string())?;
+                read_results(&mut client, &ids, args.seconds).await.map_err(|error| error.to_string())?;
             let (ticks_after, _) = router.resource_usage();
             let mut direct_client =
-                FlightClient::connect(cluster.address("r-0")).await.map_err(|e| e.to_string())?;
-            let (direct_bytes, direct_seconds) =
-                read_results(&mut direct_client, &ids, args.seconds).await.map_err(|e| e.to_string())?;
+                FlightClient::connect(cluster.address("r-0")).await.map_err(|error| error.to_string())?;
+            let (direct_bytes, direct_seconds) = read_results(&mut direct_client, &ids, args.seconds)
+                .await
+                .map_err(|error| error.to_string())?;
             // A clock tick is a hundredth of a second.
             let bytes_per_cpu_second = bytes as f64 / ((ticks_after - ticks_before).max(1) as f64 / 100.0);
             Ok::<_, String>((
@@ -252,7 +254,7 @@
     Ok(table)
 }
 
-fn readers(args: &Args, runtime: &Runtime, count: usize) -> Result<Table, String> {
+fn measure_slow_readers(args: &Args, runtime: &Runtime, count: usize) -> Result<Table, String> {
     let mut table = Table::new();
     table.set_header(["slow readers", "streams started", "router's anonymous memory, KB", "per reader, KB"]);
     // Enough hosts to serve all readers at once.
@@ -289,7 +291,7 @@
     Ok(table)
 }
 
-fn cuts(args: &Args, runtime: &Runtime) -> Result<Table, String> {
+fn measure_interrupted_results(args: &Args, runtime: &Runtime) -> Result<Table, String> {
     let mut table = Table::new();
     table.set_header(["results", "requested", "interrupted", "complete", "reported as interrupted", "other"]);
     for (name, flight_fields) in
@@ -298,20 +300,21 @@
         let cluster = start_cluster(true, 6, 1024);
         let router = start_router(args, &cluster, true, flight_fields)?;
         let mut rng = Rng::with_seed(args.seed);
-        let (mut requested, mut complete, mut reported, mut other) = (0, 0, 0, 0);
+        let (mut requested, mut complete, mut reported, mut other_outcomes) = (0, 0, 0, 0);
         runtime.block_on(async {
-            let mut client = FlightClient::connect(router.address).await.map_err(|e| e.to_string())?;
+            let mut client =
+                FlightClient::connect(router.address).await.map_err(|error| error.to_string())?;
             let deadline = Instant::now() + Duration::from_secs_f64(args.seconds);
             while Instant::now() < deadline {
                 // One of the two replicas disconnects after a random number of batches.
                 ["r-0", "r-1"].into_iter().for_each(|name| cluster.set_behavior(name, HostBehavior::Serve));
-                let name = ["r-0", "r-1"][rng.usize(0..2)];
-                cluster.set_behavior(name, HostBehavior::DisconnectAfterBatches(rng.usize(0..7)));
+                let failing_host = ["r-0", "r-1"][rng.usize(0..2)];
+                cluster.set_behavior(failing_host, HostBehavior::DisconnectAfterBatches(rng.usize(0..7)));
                 requested += 1;
                 match client.query(&request(0, requested).statement()).await {
                     Ok(batches) if batches.len() == 6 => complete += 1,
                     Err(FlightError::Tonic(status)) if status.code() == tonic::Code::Aborted => reported += 1,
-                    _ => other += 1,
+                    _ => other_outcomes += 1,
                 }
             }
             Ok::<_, String>(())
@@ -326,13 +329,13 @@
             interrupted.to_string(),
             complete.to_string(),
             reported.to_string(),
-            other.to_string(),
+            other_outcomes.to_string(),
         ]);
     }
     Ok(table)
 }
 
-fn core(args: &Args, runtime: &Runtime, programs: [&PathBuf; 2]) -> Result<Table, String> {
+fn compare_programs(args: &Args, runtime: &Runtime, programs: [&PathBuf; 2]) -> Result<Table, String> {
     let mut table = Table::new();
     table.set_header([
         "program",
@@ -378,11 +381,11 @@
     let args = Args::parse();
     let runtime = Runtime::new().expect("the runtime starts");
     let table = match args.measurement {
-        Measurement::Small => small(&args, &runtime),
-        Measurement::Wide => wide(&args, &runtime),
-        Measurement::Readers { count } => readers(&args, &runtime, count),
-        Measurement::Cuts => cuts(&args, &runtime),
-        Measurement::Core { ref old, ref new } => core(&args, &runtime, [old, new]),
+        Measurement::Small => measure_small_results(&args, &runtime),
+        Measurement::Wide => measure_large_results(&args, &runtime),
+        Measurement::Readers { count } => measure_slow_readers(&args, &runtime, count),
+        Measurement::Cuts => measure_interrupted_results(&args, &runtime),
+        Measurement::Core { ref old, ref new } => compare_programs(&args, &runtime, [old, new]),
     };
     match table {
         Ok(table) => {
--- a/crates/arrowyard-testbed/src/cluster.rs
+++ b/crates/arrowyard-testbed/src/cluster.rs
@@ -21,6 +21,7 @@
 /// How a host handles commands.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum HostBehavior {
+    /// Executes commands and replies.
     Serve,
     /// Executes each command after this delay.
     Slow(Duration),
@@ -58,7 +59,9 @@
 #[derive(Clone, Debug)]
 pub struct HostSpec {
     pub name: String,
+    /// Number of its replication group.
     pub group: i64,
+    /// Whether it starts as the group's primary.
     pub primary: bool,
     /// Delay with which a replica applies writes.
     pub lag: Duration,
@@ -67,7 +70,7 @@
     /// Number of commands executed at once.
     pub slots: usize,
     /// Number of commands that may wait for a slot; further ones are rejected.
-    pub queue: usize,
+    pub queue_capacity: usize,
     /// Whether it serves Arrow Flight SQL instead of PostgreSQL's protocol.
     pub flight: bool,
     /// Number and size in bytes of the batches of a Flight SQL result.
@@ -87,7 +90,7 @@
             lag,
             service_time,
             slots: 1024,
-            queue: 1024,
+            queue_capacity: 1024,
             flight,
             batches,
             batch_bytes,
@@ -98,6 +101,7 @@
 /// A write stored by a group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Record {
+    /// Time of the commit in Unix milliseconds. Writes of one millisecond share a position.
     pub position: i64,
     /// The write's idempotency token, or its op id if it has none.
     pub write_id: String,
@@ -117,23 +121,28 @@
     pub spec: HostSpec,
     pub address: SocketAddr,
     pub behavior: HostBehavior,
+    /// Its listed start time in Unix milliseconds.
     pub started_ms: i64,
+    /// Its listed health.
     pub health: &'static str,
     /// Position at which replication has stopped.
     pub stalled_at: Option<i64>,
-    pub running: usize,
-    pub queued: usize,
+    /// Number of commands that hold an execution slot.
+    pub running_commands: usize,
+    /// Number of commands that wait for an execution slot.
+    pub queued_commands: usize,
     /// Number of commands received.
-    pub commands: u64,
+    pub received_commands: u64,
+    /// Its accept loop and its connections.
     pub tasks: Vec<AbortHandle>,
     /// Version of discovery's list in which the host last changed.
     pub changed_version: u64,
     /// Milliseconds by which its reported positions are ahead of the clock.
     pub position_offset_ms: i64,
     /// Number of accepted connections, which are numbered from 0.
-    pub accepted: usize,
+    pub accepted_connections: usize,
     /// The first statements received, each with its connection's number.
-    pub received: Vec<(usize, String)>,
+    pub received_statements: Vec<(usize, String)>,
     /// Numbers of closed connections.
     pub closed_connections: Vec<usize>,
     /// When its drain began.
@@ -141,7 +150,7 @@
     /// Number of commands received after the drain's grace period.
     pub late_commands: u64,
     #[cfg(feature = "flight")]
-    pub aborts: Vec<std::sync::Arc<crate::flight::host::ConnectionAbort>>,
+    pub connection_aborts: Vec<std::sync::Arc<crate::flight::host::ConnectionAbort>>,
 }
 
 /// Time after the start of a drain in which commands may still arrive, in milliseconds: the grace period
@@ -202,11 +211,12 @@
 pub struct Cluster {
     state: Arc<Mutex<State>>,
     list_versions: watch::Sender<u64>,
+    /// Address of discovery's first listener.
     pub discovery_address: SocketAddr,
     runtime: Option<Runtime>,
 }
 
-/// Handle of the shared state.
+/// The state shared with the hosts' and discovery's tasks.
 pub(crate) type Shared = Arc<Mutex<State>>;
 
 pub(crate) fn lock(state: &Shared) -> MutexGuard<'_, State> {
@@ -254,8 +264,10 @@
             state.list_version += 1;
             state.groups.entry(spec.group).or_default();
             let (behavior, health, stalled_at, tasks) = (HostBehavior::Serve, "SERVING", None, Vec::new());
-            let (running, queued, commands, changed_version) = (0, 0, 0, state.list_version);
-            let (position_offset_ms, accepted, received, closed_connections) = Default::default();
+            let (running_commands, queued_commands, received_commands, changed_version) =
+                (0, 0, 0, state.list_version);
+            let (position_offset_ms, accepted_connections, received_statements, closed_connections) =
+                Default::default();
             let (drain_started_ms, late_commands) = (None, 0);
             let host = HostState {
                 spec,
@@ -264,19 +276,19 @@
                 started_ms,
                 health,
                 stalled_at,
-                running,
-                queued,
-                commands,
+                running_commands,
+                queued_commands,
+                received_commands,
                 tasks,
                 changed_version,
                 position_offset_ms,
-                accepted,
-                received,
+                accepted_connections,
+                received_statements,
                 closed_connections,
                 drain_started_ms,
                 late_commands,
                 #[cfg(feature = "flight")]
-                aborts: Vec::new(),
+                connection_aborts: Vec::new(),
             };
             state.hosts.insert(name.clone(), host);
         }
@@ -316,14 +328,14 @@
         lock(&self.state).hosts.get_mut(name).expect("the host exists").stalled_at = Some(unix_ms());
     }
 
-    /// Kills the host's process: connections are closed and new ones refused.
+    /// Kills the host: its connections are closed and new ones refused.
     pub fn kill(&self, name: &str) {
         let tasks = {
             let mut state = lock(&self.state);
             let host = state.hosts.get_mut(name).expect("the host exists");
-            (host.running, host.queued) = (0, 0);
+            (host.running_commands, host.queued_commands) = (0, 0);
             #[cfg(feature = "flight")]
-            std::mem::take(&mut host.aborts).iter().for_each(|connection| connection.abort());
+            std::mem::take(&mut host.connection_aborts).iter().for_each(|connection| connection.abort());
             std::mem::take(&mut host.tasks)
         };
         tasks.iter().for_each(AbortHandle::abort);
@@ -379,19 +391,20 @@
         self.change_host(name, |host| host.spec.primary = true);
     }
 
-    /// Copies the records of one group with positions up to `through` to another group, except those
+    /// Copies the records of one group with positions up to `through_position` to another group, except those
     /// already there. Returns the target's position from which on it holds them.
-    pub fn copy_records(&self, from: i64, to: i64, through: i64) -> i64 {
+    pub fn copy_records(&self, source_group: i64, target_group: i64, through_position: i64) -> i64 {
         let mut state = lock(&self.state);
-        let source = state.groups.get(&from).map(|group| group.records.clone()).unwrap_or_default();
+        let source_records =
+            state.groups.get(&source_group).map(|group| group.records.clone()).unwrap_or_default();
         let now = unix_ms();
-        let target = state.groups.entry(to).or_default();
-        let stored: std::collections::HashSet<String> =
+        let target = state.groups.entry(target_group).or_default();
+        let stored_ids: std::collections::HashSet<String> =
             target.records.iter().map(|record| record.write_id.clone()).collect();
-        let copied = source
+        let copied_records = source_records
             .into_iter()
-            .filter(|record| record.position <= through && !stored.contains(&record.write_id));
-        target.records.extend(copied.map(|record| Record { position: now, ..record }));
+            .filter(|record| record.position <= through_position && !stored_ids.contains(&record.write_id));
+        target.records.extend(copied_records.map(|record| Record { position: now, ..record }));
         now
     }
 
@@ -417,10 +430,10 @@
             let mut state = lock(&self.state);
             state.list_version += 1;
             let version = state.list_version;
-            for (_, extra) in
+            for (_, extra_host) in
                 state.extra_hosts.iter_mut().enumerate().filter(|(index, _)| index % every == from % every)
             {
-                *extra = (version, if extra.1 == "SERVING" { "DRAINING" } else { "SERVING" });
+                *extra_host = (version, if extra_host.1 == "SERVING" { "DRAINING" } else { "SERVING" });
             }
             state.extra_hosts.resize(count, (version, "SERVING"));
         }
@@ -455,7 +468,7 @@
         state
             .discovery_requests
             .iter()
-            .filter(|(to, _)| *to == address)
+            .filter(|(listener, _)| *listener == address)
             .map(|(_, request)| request.clone())
             .collect()
     }
@@ -493,7 +506,7 @@
 
     /// Statements received by the host, each with the number of its connection.
     pub fn received_statements(&self, name: &str) -> Vec<(usize, String)> {
-        lock(&self.state).hosts[name].received.clone()
+        lock(&self.state).hosts[name].received_statements.clone()
     }
 
     /// Numbers of the host's closed connections.
--- a/crates/arrowyard-testbed/src/discovery.rs
+++ b/crates/arrowyard-testbed/src/discovery.rs
@@ -24,8 +24,9 @@
 
 /// Snapshot of the list for the listener at this address; with `since`, only what changed after that version.
 pub(crate) fn list_snapshot(state: &State, listener: Option<SocketAddr>, since: Option<u64>) -> ListSnapshot {
-    let changed = state.hosts.values().filter(|host| since.is_none_or(|since| host.changed_version > since));
-    let rows = changed.map(|host| {
+    let changed_hosts =
+        state.hosts.values().filter(|host| since.is_none_or(|since| host.changed_version > since));
+    let rows = changed_hosts.map(|host| {
         json!({"host": host.spec.name, "dial": host.address.to_string(), "site": "a", "class": "m",
             "block": host.spec.group, "health": host.health, "share": 1.0, "born_ms": host.started_ms,
             "mode": if host.spec.primary { "read-write" } else { "read-only" }})
@@ -44,6 +45,7 @@
 }
 
 impl ListSnapshot {
+    /// The list as discovery sends it.
     pub(crate) fn into_json(self) -> Value {
         let ListSnapshot { since, version, mut rows, extra_hosts, advertised_addresses } = self;
         for row in &mut rows {
@@ -68,6 +70,7 @@
 /// How discovery responds to requests.
 #[derive(Clone, Debug, Default)]
 pub enum DiscoveryBehavior {
+    /// Responds with the current list.
     #[default]
     Normal,
     /// Responds with status 503.
@@ -87,6 +90,7 @@
 pub(crate) struct ListenerState {
     /// By a host's address: the address that is listed in its place.
     pub advertised_addresses: HashMap<String, String>,
+    /// Whether it closes connections and watches.
     pub cut: bool,
 }
 
@@ -106,6 +110,7 @@
     address
 }
 
+/// Responds to the request of a connection as discovery's behavior requires.
 async fn handle_request(
     state: Shared,
     mut list_versions: watch::Receiver<u64>,
@@ -164,14 +169,15 @@
         let headers = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
         return stream.write_all([headers, body].concat().as_bytes()).await.ok();
     }
-    let from = request_line.split("from=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
+    let from_version =
+        request_line.split("from=").nth(1).and_then(|rest| rest.split(' ').next()?.parse().ok());
     stream.write_all(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await.ok()?;
     if lock(&state).new_watches_silent {
         // Waits until the router closes the connection.
         let _ = stream.read_line(&mut header_line).await;
         return None;
     }
-    let (mut sent_version, mut first): (Option<u64>, bool) = (from, true);
+    let (mut sent_version, mut is_first): (Option<u64>, bool) = (from_version, true);
     loop {
         let (snapshot, version) = {
             let state = lock(&state);
@@ -180,11 +186,11 @@
             }
             (list_snapshot(&state, Some(listener), sent_version), state.list_version)
         };
-        if first || sent_version != Some(version) {
-            let text = snapshot.into_json().to_string();
-            let chunk = format!("{:x}\r\n{text}\n\r\n", text.len() + 1);
+        if is_first || sent_version != Some(version) {
+            let list_json = snapshot.into_json().to_string();
+            let chunk = format!("{:x}\r\n{list_json}\n\r\n", list_json.len() + 1);
             stream.write_all(chunk.as_bytes()).await.ok()?;
-            (sent_version, first) = (Some(version), false);
+            (sent_version, is_first) = (Some(version), false);
         }
         match timeout(Duration::from_secs(2), list_versions.changed()).await {
             Ok(changed) => changed.ok()?,
--- a/crates/arrowyard-testbed/src/effect_recorder.rs
+++ b/crates/arrowyard-testbed/src/effect_recorder.rs
@@ -15,13 +15,14 @@
 use crate::accept::accept;
 use crate::rig::monotonic_us;
 
-/// An accepted or rejected effect.
+/// An accepted or rejected effect. Times are those of the machine's monotonic clock in microseconds.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Effect {
     pub lease: String,
     pub epoch: u64,
     pub holder: String,
     pub received_us: i64,
+    /// Equal to `received_us` if the effect was rejected.
     pub completed_us: i64,
     pub accepted: bool,
 }
@@ -38,14 +39,15 @@
 /// The recorder and its listener, which runs until this is dropped.
 pub struct EffectRecorder {
     state: Arc<Mutex<State>>,
+    /// Address of its listener.
     pub address: SocketAddr,
     runtime: Option<Runtime>,
 }
 
 impl EffectRecorder {
-    /// Starts a recorder in which each effect takes `duration`.
+    /// Starts a recorder in which each effect takes `effect_duration`.
     #[must_use]
-    pub fn start(duration: Duration) -> EffectRecorder {
+    pub fn start(effect_duration: Duration) -> EffectRecorder {
         let runtime = Builder::new_multi_thread().worker_threads(1).enable_all().build();
         let runtime = runtime.expect("the runtime starts");
         let listener = runtime.block_on(TcpListener::bind("127.0.0.1:0")).expect("loopback has a free port");
@@ -55,7 +57,7 @@
         runtime.spawn(async move {
             loop {
                 let stream = accept(&listener).await;
-                tokio::spawn(handle_effect(shared.clone(), stream, duration));
+                tokio::spawn(handle_effect(shared.clone(), stream, effect_duration));
             }
         });
         EffectRecorder { state, address, runtime: Some(runtime) }
@@ -81,15 +83,16 @@
     }
 }
 
-async fn handle_effect(state: Arc<Mutex<State>>, stream: TcpStream, duration: Duration) -> Option<()> {
+/// Records the effect of a connection and responds. A malformed request is not recorded.
+async fn handle_effect(state: Arc<Mutex<State>>, stream: TcpStream, effect_duration: Duration) -> Option<()> {
     let mut stream = BufReader::new(stream);
     let mut headers = HashMap::new();
     loop {
-        let mut line = String::new();
-        if stream.read_line(&mut line).await.ok()? <= 2 {
+        let mut header_line = String::new();
+        if stream.read_line(&mut header_line).await.ok()? <= 2 {
             break;
         }
-        if let Some((name, value)) = line.split_once(':') {
+        if let Some((name, value)) = header_line.split_once(':') {
             headers.insert(name.to_ascii_lowercase(), value.trim().to_string());
         }
     }
@@ -99,16 +102,16 @@
     let (index, accepted) = {
         let mut state = state.lock().expect("the lock is not poisoned");
         let newest = state.newest.get(&lease).cloned().unwrap_or((epoch, holder.clone()));
-        let stale = epoch < newest.0 || epoch == newest.0 && holder != newest.1;
-        let accepted = state.ignores_epochs || !stale;
-        if !stale {
+        let is_stale = epoch < newest.0 || epoch == newest.0 && holder != newest.1;
+        let accepted = state.ignores_epochs || !is_stale;
+        if !is_stale {
             state.newest.insert(lease.clone(), (epoch, holder.clone()));
         }
         state.effects.push(Effect { lease, epoch, holder, received_us, completed_us: received_us, accepted });
         (state.effects.len() - 1, accepted)
     };
     if accepted {
-        tokio::time::sleep(duration).await;
+        tokio::time::sleep(effect_duration).await;
         state.lock().expect("the lock is not poisoned").effects[index].completed_us = monotonic_us();
     }
     let status = if accepted { "200 OK" } else { "409 Conflict" };
@@ -135,23 +138,23 @@
     let accepted: Vec<&Effect> = effects.iter().filter(|effect| effect.accepted).collect();
     for (index, first) in accepted.iter().enumerate() {
         for second in accepted[index + 1..].iter().filter(|second| second.lease == first.lease) {
-            let (first, second) =
+            let (earlier, later) =
                 if first.received_us <= second.received_us { (*first, *second) } else { (*second, *first) };
-            let pair = || (first.clone(), second.clone());
-            if second.epoch < first.epoch {
-                let (first, second) = pair();
-                violations.push(Violation::StaleEpoch(first, second));
+            let cloned_pair = || (earlier.clone(), later.clone());
+            if later.epoch < earlier.epoch {
+                let (earlier, later) = cloned_pair();
+                violations.push(Violation::StaleEpoch(earlier, later));
             }
-            if first.holder == second.holder {
+            if earlier.holder == later.holder {
                 continue;
             }
-            if first.epoch == second.epoch {
-                let (first, second) = pair();
-                violations.push(Violation::SharedEpoch(first, second));
+            if earlier.epoch == later.epoch {
+                let (earlier, later) = cloned_pair();
+                violations.push(Violation::SharedEpoch(earlier, later));
             }
-            if !allow_overlap && second.received_us < first.completed_us {
-                let (first, second) = pair();
-                violations.push(Violation::Overlap(first, second));
+            if !allow_overlap && later.received_us < earlier.completed_us {
+                let (earlier, later) = cloned_pair();
+                violations.push(Violation::Overlap(earlier, later));
             }
         }
     }
--- a/crates/arrowyard-testbed/src/flight/client.rs
+++ b/crates/arrowyard-testbed/src/flight/client.rs
@@ -14,14 +14,15 @@
 
 use crate::client::{OpRequest, Reply};
 
-/// A connection to a router.
+/// A connection to a router over Flight SQL.
 pub struct FlightClient {
+    /// The client of the `arrow-flight` crate.
     pub inner: FlightSqlServiceClient<Channel>,
 }
 
 /// The reply that corresponds to a failed call.
 #[must_use]
-pub fn reply(error: &FlightError) -> Reply {
+pub fn reply_from_error(error: &FlightError) -> Reply {
     let FlightError::Tonic(status) = error else { return Reply::Error(error.to_string()) };
     if status.code() == Code::Unavailable && status.message().starts_with("busy") {
         let retry_delay = status.get_details_retry_info().and_then(|info| info.retry_delay);
@@ -43,9 +44,10 @@
     ///
     /// # Errors
     /// The router cannot be reached.
-    pub async fn connect_with_window(router: SocketAddr, window: u32) -> io::Result<FlightClient> {
+    pub async fn connect_with_window(router: SocketAddr, window_bytes: u32) -> io::Result<FlightClient> {
         let endpoint = Endpoint::from_shared(format!("http://{router}")).map_err(io::Error::other)?;
-        let endpoint = endpoint.initial_stream_window_size(window).initial_connection_window_size(window);
+        let endpoint =
+            endpoint.initial_stream_window_size(window_bytes).initial_connection_window_size(window_bytes);
         let channel = endpoint.connect().await.map_err(io::Error::other)?;
         Ok(FlightClient { inner: FlightSqlServiceClient::new(channel) })
     }
@@ -66,12 +68,12 @@
         if request.is_write {
             return match self.inner.execute_update(request.statement(), None).await {
                 Ok(count) => Reply::Value(count.to_string()),
-                Err(error) => reply(&error),
+                Err(error) => reply_from_error(&error),
             };
         }
         match self.query(&request.statement()).await {
             Ok(batches) => Reply::Value(first_value(&batches)),
-            Err(error) => reply(&error),
+            Err(error) => reply_from_error(&error),
         }
     }
 }
--- a/crates/arrowyard-testbed/src/flight/host.rs
+++ b/crates/arrowyard-testbed/src/flight/host.rs
@@ -100,7 +100,7 @@
     }
 }
 
-/// Serves until the host is killed.
+/// Accepts connections and serves them until the host is killed.
 pub(crate) fn serve(state: Shared, name: String, listener: TcpListener) {
     let (shared, host_name) = (state.clone(), name.clone());
     let host = FlightHost { state, name };
@@ -113,18 +113,18 @@
             let number = {
                 let mut locked = lock(&shared);
                 let host = locked.hosts.get_mut(&host_name).expect("the host exists");
-                host.aborts.push(abort.clone());
-                host.accepted += 1;
-                host.accepted - 1
+                host.connection_aborts.push(abort.clone());
+                host.accepted_connections += 1;
+                host.accepted_connections - 1
             };
             Some((Ok::<_, io::Error>(HostStream { stream, number, abort }), (listener, shared, host_name)))
         },
     );
     let service = FlightServiceServer::new(host).max_encoding_message_size(usize::MAX);
-    let serving = tokio::spawn(async move {
+    let server_task = tokio::spawn(async move {
         let _ = Server::builder().add_service(service).serve_with_incoming(incoming).await;
     });
-    lock(&shared).hosts.get_mut(&host_name).expect("the host exists").tasks.push(serving.abort_handle());
+    lock(&shared).hosts.get_mut(&host_name).expect("the host exists").tasks.push(server_task.abort_handle());
 }
 
 /// The Flight SQL service of one host.
@@ -151,14 +151,15 @@
 }
 
 impl FlightHost {
-    fn add_metadata<T>(&self, response: &mut Response<T>, result: &CommandResult, text: &str) {
+    /// Adds the host's role, its position and the op's id to the response.
+    fn add_metadata<T>(&self, response: &mut Response<T>, result: &CommandResult, statement: &str) {
         let metadata = response.metadata_mut();
         let role = if result.is_primary { "primary" } else { "replica" };
         metadata.insert("arrowyard-role", role.parse().expect("the role is ASCII"));
         if let Some(position) = result.position {
             metadata.insert("arrowyard-position", position.into());
         }
-        if let Some(id) = comment_field(text, "id").and_then(|id| id.parse().ok()) {
+        if let Some(id) = comment_field(statement, "id").and_then(|id| id.parse().ok()) {
             metadata.insert("arrowyard-id", id);
         }
     }
@@ -167,13 +168,14 @@
     /// also affects the response.
     async fn handle_statement(
         &self,
-        text: &str,
+        statement: &str,
         connection: &ConnectionInfo,
     ) -> Result<(CommandResult, HostBehavior), Status> {
         let FlightHost { state, name } = self;
-        if let Some(host) = lock(state).hosts.get_mut(name).filter(|host| host.received.len() < MAX_RECORDED)
+        if let Some(host) =
+            lock(state).hosts.get_mut(name).filter(|host| host.received_statements.len() < MAX_RECORDED)
         {
-            host.received.push((connection.number, text.to_string()));
+            host.received_statements.push((connection.number, statement.to_string()));
         }
         let (behavior, service_time) =
             receive_command(state, name).ok_or_else(|| Status::unknown("the host does not exist"))?;
@@ -195,7 +197,7 @@
         if !(service_time + delay).is_zero() {
             sleep(service_time + delay).await;
         }
-        let result = execute(state, name, text);
+        let result = execute(state, name, statement);
         drop(slot);
         if result.value.is_none() {
             return Err(not_executed("miss"));
@@ -208,18 +210,18 @@
 }
 
 /// A batch with one value in one binary column.
-fn batch(value: &[u8]) -> RecordBatch {
+fn single_value_batch(value: &[u8]) -> RecordBatch {
     let schema = Arc::new(Schema::new(vec![Field::new("payload", DataType::Binary, false)]));
     let column: ArrayRef = Arc::new(BinaryArray::from_iter_values([value]));
     RecordBatch::try_new(schema, vec![column]).expect("the column matches the schema")
 }
 
-fn connection_of<T>(request: &Request<T>) -> ConnectionInfo {
+fn connection_info<T>(request: &Request<T>) -> ConnectionInfo {
     request.extensions().get::<ConnectionInfo>().expect("each call has connection info").clone()
 }
 
-fn decode_command(any: &[u8]) -> Result<Command, Status> {
-    let any = Any::decode(any).map_err(|error| Status::invalid_argument(error.to_string()))?;
+fn decode_command(encoded: &[u8]) -> Result<Command, Status> {
+    let any = Any::decode(encoded).map_err(|error| Status::invalid_argument(error.to_string()))?;
     Command::try_from(any).map_err(|error| Status::invalid_argument(error.to_string()))
 }
 
@@ -275,10 +277,10 @@
         let Command::TicketStatementQuery(ticket) = decode_command(&request.get_ref().ticket)? else {
             return unimplemented();
         };
-        let text = String::from_utf8(ticket.statement_handle.to_vec())
+        let statement = String::from_utf8(ticket.statement_handle.to_vec())
             .map_err(|_| Status::internal("the statement is not UTF-8"))?;
-        let connection = connection_of(&request);
-        let (result, behavior) = self.handle_statement(&text, &connection).await?;
+        let connection = connection_info(&request);
+        let (result, behavior) = self.handle_statement(&statement, &connection).await?;
         let (batches, batch_bytes) = {
             let spec = &lock(&self.state).hosts[&self.name].spec;
             (spec.batches, spec.batch_bytes)
@@ -286,9 +288,9 @@
         let value = result.value.clone().unwrap_or_default().into_bytes();
         let batch_values = (0..batches).map(move |number| {
             let value = if number == 0 { value.clone() } else { vec![number as u8; batch_bytes] };
-            Ok::<_, FlightError>(batch(&value))
+            Ok::<_, FlightError>(single_value_batch(&value))
         });
-        let schema = batch(b"").schema();
+        let schema = single_value_batch(b"").schema();
         let response_stream = FlightDataEncoderBuilder::new()
             .with_schema(schema)
             .with_max_flight_data_size(usize::MAX)
@@ -319,7 +321,7 @@
         let mut response = Response::new(response_stream);
         // A mislabeled response carries the id of another op.
         let labeled_text =
-            if behavior == HostBehavior::MislabelReply { "/* id=ffffffffffffffff */" } else { &text };
+            if behavior == HostBehavior::MislabelReply { "/* id=ffffffffffffffff */" } else { &statement };
         self.add_metadata(&mut response, &result, labeled_text);
         Ok(response)
     }
@@ -328,7 +330,7 @@
         &self,
         request: Request<Streaming<FlightData>>,
     ) -> Result<Response<ResponseStream<PutResult>>, Status> {
-        let connection = connection_of(&request);
+        let connection = connection_info(&request);
         let descriptor = request.into_inner().message().await?.and_then(|data| data.flight_descriptor);
         let descriptor =
             descriptor.ok_or_else(|| Status::invalid_argument("the first message has no command"))?;
--- a/crates/arrowyard-testbed/src/lease_scenario.rs
+++ b/crates/arrowyard-testbed/src/lease_scenario.rs
@@ -137,9 +137,9 @@
     let began = Instant::now();
     while recovery_ms.is_none() && began.elapsed() < Duration::from_millis(TERM_MS * 12) {
         std::thread::sleep(Duration::from_millis(5));
-        let first =
+        let first_effect =
             recorder.effects().into_iter().find(|effect| effect.accepted && effect.received_us > healed_us);
-        recovery_ms = first.map(|effect| (effect.received_us - healed_us) / 1000);
+        recovery_ms = first_effect.map(|effect| (effect.received_us - healed_us) / 1000);
     }
     std::thread::sleep(Duration::from_millis(200));
     let effects = recorder.effects();
--- a/crates/arrowyard-testbed/src/load.rs
+++ b/crates/arrowyard-testbed/src/load.rs
@@ -19,6 +19,7 @@
 #[derive(Clone, Debug)]
 pub struct TenantLoad {
     pub tenant: &'static str,
+    /// Number of the group that the ops address.
     pub group: i64,
     /// Mean number of ops per second.
     pub rate: f64,
@@ -39,7 +40,9 @@
     pub in_target: u64,
     /// Acknowledged after the latency target.
     pub late: u64,
+    /// Rejected with a retry delay, or on connecting.
     pub busy: u64,
+    /// Failed with an error.
     pub errored: u64,
     /// Without a reply in time: the router violated its guarantee or was killed.
     pub unanswered: u64,
@@ -113,6 +116,7 @@
     }
 }
 
+/// State shared by the tasks of a run.
 struct LoadRun {
     router: SocketAddr,
     op_types: Vec<OpType>,
@@ -157,24 +161,24 @@
             std::io::Result::Ok((client, reply))
         });
         let reply = reply.await;
-        let took = began.elapsed();
+        let elapsed = began.elapsed();
         let mut result = self.result.lock().expect("the lock is not poisoned");
         let stats = result.stats.entry((tenant, op_type.name)).or_default();
         stats.sent += 1;
-        let micros = (took.as_micros() as u64).max(1);
+        let elapsed_us = (elapsed.as_micros() as u64).max(1);
         match reply {
             Ok(Ok((client, reply))) => {
                 match &reply {
                     Reply::Value(_) => {
-                        let in_target = took <= Duration::from_millis(op_type.target_ms.into());
+                        let in_target = elapsed <= Duration::from_millis(op_type.target_ms.into());
                         *(if in_target { &mut stats.in_target } else { &mut stats.late }) += 1;
-                        let _ = stats.latency.record(micros);
+                        let _ = stats.latency.record(elapsed_us);
                     }
                     Reply::Busy(_) => stats.busy += 1,
                     Reply::Error(_) => stats.errored += 1,
                 }
                 if !matches!(reply, Reply::Value(_)) {
-                    let _ = stats.failure_latency.record(micros);
+                    let _ = stats.failure_latency.record(elapsed_us);
                 } else if is_write {
                     result.acked_writes.push(id);
                     result.write_ack_times.entry(tenant).or_default().push(unix_ms());
@@ -206,11 +210,11 @@
     for (index, load) in loads.iter().cloned().enumerate() {
         let (run, mut rng) = (run.clone(), Rng::with_seed(seed ^ (index as u64) << 32));
         load_tasks.push(runtime.spawn(async move {
-            let mut next_op = load.start;
+            let mut next_op_offset = load.start;
             let mut op_tasks = Vec::new();
             let total_weight: u32 = load.mix.iter().map(|(_, weight)| weight).sum();
-            while next_op < load.end {
-                sleep_until((start + next_op).into()).await;
+            while next_op_offset < load.end {
+                sleep_until((start + next_op_offset).into()).await;
                 let mut draw = rng.u32(0..total_weight);
                 let op_type = load.mix.iter().find(|(_, weight)| {
                     let chosen = draw < *weight;
@@ -227,7 +231,7 @@
                     op_tasks.retain(|task| !task.is_finished());
                 }
                 // Poisson arrivals.
-                next_op += Duration::from_secs_f64(-rng.f64().max(1e-12).ln() / load.rate);
+                next_op_offset += Duration::from_secs_f64(-rng.f64().max(1e-12).ln() / load.rate);
             }
             for task in op_tasks {
                 let _ = task.await;
--- a/crates/arrowyard-testbed/src/plan.rs
+++ b/crates/arrowyard-testbed/src/plan.rs
@@ -42,7 +42,7 @@
     /// Flips one bit in this share of all datagrams.
     #[serde(rename = "garble")]
     Corruption(f64),
-    /// Delays all datagrams by `ms` plus a random time of up to `ms`, which reorders them.
+    /// Delays each datagram by `ms` plus a random time of up to `ms`, which reorders them.
     Delay { ms: u64 },
 }
 
@@ -59,8 +59,11 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
     pub name: String,
+    /// Seed of the random choices of a run.
     pub seed: u64,
+    /// Size of the fleet.
     pub processes: usize,
+    /// Duration of a simulated run.
     pub span_ms: u64,
     #[serde(rename = "acts")]
     pub faults: Vec<PlannedFault>,
@@ -113,67 +116,77 @@
     #[must_use]
     pub fn named(name: &str, processes: usize) -> Option<Plan> {
         let count = processes;
-        let all: ProcessSet = (0..count).collect();
+        let all_processes: ProcessSet = (0..count).collect();
         let all_except =
             |excluded: usize| -> ProcessSet { (0..count).filter(|&other| other != excluded).collect() };
         let (first_half, second_half): (ProcessSet, ProcessSet) =
             ((0..count / 2).collect(), (count / 2..count).collect());
         let every_third: ProcessSet = (0..count / 3).map(|index| index * 3 + 1).collect();
         let first_70_percent: ProcessSet = (0..count * 7 / 10).collect();
-        let plan = |span_ms| Plan::new(name, processes, span_ms);
+        let empty_plan = |span_ms| Plan::new(name, processes, span_ms);
         // All processes know each other by then.
         let start_ms = 8_000;
         Some(match name {
-            "calm" => plan(60_000),
-            "crash" => plan(30_000).with_fault(start_ms, 12_000, Fault::Kill(vec![1])),
-            "halt-0.5" => plan(20_000).with_fault(start_ms, 500, Fault::Pause(vec![1])),
-            "halt-3" => plan(20_000).with_fault(start_ms, 3_000, Fault::Pause(vec![1])),
-            "halt-30" => plan(60_000).with_fault(start_ms, 30_000, Fault::Pause(vec![1])),
-            "halt-third" => plan(20_000).with_fault(start_ms, 3_000, Fault::Pause(every_third)),
-            "loss-30" => plan(40_000).with_fault(start_ms, 30_000, Fault::PacketLoss(0.3)),
-            "loss-10" => plan(620_000).with_fault(start_ms, 600_000, Fault::PacketLoss(0.1)),
-            "one-side" => plan(40_000).with_fault(start_ms, 25_000, Fault::OneWayPartition(vec![0], vec![1])),
-            "one-to-all" => {
-                plan(40_000).with_fault(start_ms, 20_000, Fault::OneWayPartition(vec![1], all_except(1)))
+            "calm" => empty_plan(60_000),
+            "crash" => empty_plan(30_000).with_fault(start_ms, 12_000, Fault::Kill(vec![1])),
+            "halt-0.5" => empty_plan(20_000).with_fault(start_ms, 500, Fault::Pause(vec![1])),
+            "halt-3" => empty_plan(20_000).with_fault(start_ms, 3_000, Fault::Pause(vec![1])),
+            "halt-30" => empty_plan(60_000).with_fault(start_ms, 30_000, Fault::Pause(vec![1])),
+            "halt-third" => empty_plan(20_000).with_fault(start_ms, 3_000, Fault::Pause(every_third)),
+            "loss-30" => empty_plan(40_000).with_fault(start_ms, 30_000, Fault::PacketLoss(0.3)),
+            "loss-10" => empty_plan(620_000).with_fault(start_ms, 600_000, Fault::PacketLoss(0.1)),
+            "one-side" => {
+                empty_plan(40_000).with_fault(start_ms, 25_000, Fault::OneWayPartition(vec![0], vec![1]))
             }
-            "all-to-one" => {
-                plan(40_000).with_fault(start_ms, 20_000, Fault::OneWayPartition(all_except(1), vec![1]))
-            }
-            "ring" => (0..count).fold(plan(40_000), |plan, sender| {
+            "one-to-all" => empty_plan(40_000).with_fault(
+                start_ms,
+                20_000,
+                Fault::OneWayPartition(vec![1], all_except(1)),
+            ),
+            "all-to-one" => empty_plan(40_000).with_fault(
+                start_ms,
+                20_000,
+                Fault::OneWayPartition(all_except(1), vec![1]),
+            ),
+            "ring" => (0..count).fold(empty_plan(40_000), |plan, sender| {
                 plan.with_fault(
                     start_ms,
                     25_000,
                     Fault::OneWayPartition(vec![sender], vec![(sender + 1) % count]),
                 )
             }),
-            "halves" => plan(40_000).with_fault(start_ms, 15_000, Fault::Partition(first_half, second_half)),
-            "one-off" => plan(40_000).with_fault(start_ms, 15_000, Fault::Partition(vec![1], all_except(1))),
-            "roving" => (0..4).fold(plan(50_000), |plan, round| {
+            "halves" => {
+                empty_plan(40_000).with_fault(start_ms, 15_000, Fault::Partition(first_half, second_half))
+            }
+            "one-off" => {
+                empty_plan(40_000).with_fault(start_ms, 15_000, Fault::Partition(vec![1], all_except(1)))
+            }
+            "roving" => (0..4).fold(empty_plan(50_000), |plan, round| {
                 plan.with_fault(
                     start_ms + round * 6_000,
                     6_000,
                     Fault::Partition(vec![round as usize % count], all_except(round as usize % count)),
                 )
             }),
-            "flapping" => (0..6).fold(plan(50_000), |plan, round| {
+            "flapping" => (0..6).fold(empty_plan(50_000), |plan, round| {
                 plan.with_fault(
                     start_ms + round * 4_000,
                     2_000,
                     Fault::Partition(first_half.clone(), second_half.clone()),
                 )
             }),
-            "roll" => (0..10).fold(plan(50_000), |plan, round| {
+            "roll" => (0..10).fold(empty_plan(50_000), |plan, round| {
                 let batch: ProcessSet = (0..count).filter(|process| process % 10 == round).collect();
                 plan.with_fault(start_ms + round as u64 * 3_000, 1_000, Fault::Shutdown(batch))
             }),
-            "herd" => plan(30_000).with_fault(start_ms, 2_000, Fault::Kill(first_70_percent)),
-            "unheard" => plan(25_000).with_fault(start_ms, 12_000, Fault::SilentShutdown(vec![1])),
-            "rough" => plan(40_000)
+            "herd" => empty_plan(30_000).with_fault(start_ms, 2_000, Fault::Kill(first_70_percent)),
+            "unheard" => empty_plan(25_000).with_fault(start_ms, 12_000, Fault::SilentShutdown(vec![1])),
+            "rough" => empty_plan(40_000)
                 .with_fault(start_ms, 25_000, Fault::PacketLoss(0.1))
                 .with_fault(start_ms, 25_000, Fault::Duplication(0.2))
                 .with_fault(start_ms, 25_000, Fault::Corruption(0.05))
                 .with_fault(start_ms, 25_000, Fault::Delay { ms: 40 }),
-            "quiet" => plan(15_000).with_fault(start_ms, 1_000, Fault::Pause(all)),
+            "quiet" => empty_plan(15_000).with_fault(start_ms, 1_000, Fault::Pause(all_processes)),
             _ => return None,
         })
     }
--- a/crates/arrowyard-testbed/src/protocol_client.rs
+++ b/crates/arrowyard-testbed/src/protocol_client.rs
@@ -7,10 +7,14 @@
 
 /// A client that executes ops over one protocol.
 pub trait ProtocolClient: Sized + Send + 'static {
+    /// Connects to a router.
+    ///
     /// # Errors
     /// The router cannot be reached or rejects the connection.
     fn connect(router: SocketAddr) -> impl Future<Output = io::Result<Self>> + Send;
 
+    /// Executes an op and returns its reply.
+    ///
     /// # Errors
     /// There was no reply, or more than one.
     fn execute(&mut self, request: &OpRequest<'_>) -> impl Future<Output = io::Result<Reply>> + Send;
--- a/crates/arrowyard-testbed/src/rig.rs
+++ b/crates/arrowyard-testbed/src/rig.rs
@@ -28,6 +28,7 @@
     /// Index of the process whose standing changed.
     pub member: usize,
     pub incarnation: u64,
+    /// The member's new standing as it is logged, such as `Alive` or `Dead`.
     pub standing: String,
 }
 
@@ -42,12 +43,14 @@
 /// Configuration of a fleet.
 #[derive(Clone, Debug)]
 pub struct RigConfig {
+    /// Number of processes.
     pub processes: usize,
     pub seed: u64,
     /// Additional fields of `peers` in the operator configuration.
     pub peers_fields: String,
     /// Additional fields of `returns` in the operator configuration.
     pub returns_fields: String,
+    /// Whether the processes run without membership.
     pub without_membership: bool,
     /// Number of routers in the platform's configuration.
     pub configured_routers: usize,
@@ -93,6 +96,7 @@
 
 /// A running fleet. Its processes and files are removed on drop.
 pub struct Rig {
+    /// The hosts and discovery.
     pub cluster: Cluster,
     /// Relays of membership datagrams.
     pub peer_relays: UdpRelays,
@@ -108,7 +112,7 @@
     processes: Vec<Option<Process>>,
     /// By process: time of the last start.
     started_us: Vec<i64>,
-    /// By process: log lines of earlier runs, with the process's index.
+    /// By process: log lines of earlier runs, each with the process's index.
     logs: Vec<Vec<(usize, String)>>,
     /// By process: the vote file at the start of the plan.
     old_votes: Vec<Option<Vec<u8>>>,
@@ -139,16 +143,16 @@
     let mut directories = mounts.lines().filter_map(|line| {
         let mut fields = line.split(' ').skip(1);
         let (directory, file_system, options) = (fields.next()?, fields.next()?, fields.next()?);
-        let suitable = file_system == "tmpfs"
+        let is_suitable = file_system == "tmpfs"
             && options.split(',').any(|option| option == "rw")
             && !directory.starts_with("/sys");
-        suitable.then(|| PathBuf::from(directory))
+        is_suitable.then(|| PathBuf::from(directory))
     });
     let is_writable = |directory: &PathBuf| {
-        let probe = directory.join(format!("arrowyard-probe-{}", std::process::id()));
-        let written = std::fs::write(&probe, [0; 4096]).is_ok();
-        drop(std::fs::remove_file(&probe));
-        written
+        let probe_path = directory.join(format!("arrowyard-probe-{}", std::process::id()));
+        let is_written = std::fs::write(&probe_path, [0; 4096]).is_ok();
+        drop(std::fs::remove_file(&probe_path));
+        is_written
     };
     directories.find(is_writable).unwrap_or_else(std::env::temp_dir)
 }
@@ -160,15 +164,15 @@
     /// # Errors
     /// A process did not start; the error contains its log.
     pub fn start(program: &Path, config: RigConfig) -> Result<Rig, String> {
-        let host = |name: &str| HostSpec { slots: 64, ..HostSpec::new(name, 7, name == "p-0") };
-        let cluster = Cluster::start(&["p-0", "r-0", "r-1"].map(host));
+        let host_spec = |name: &str| HostSpec { slots: 64, ..HostSpec::new(name, 7, name == "p-0") };
+        let cluster = Cluster::start(&["p-0", "r-0", "r-1"].map(host_spec));
         let runtime = Builder::new_multi_thread().worker_threads(2).enable_all().build();
         let runtime = runtime.map_err(|error| error.to_string())?;
         let peer_relays = runtime.block_on(UdpRelays::start(config.processes, config.seed));
         let lease_relays = runtime.block_on(UdpRelays::start(config.processes, config.seed + 1));
-        let count = config.processes;
+        let process_count = config.processes;
         let tcp_relays = TcpRelays::new(runtime.handle().clone());
-        let discovery_addresses = (0..count).map(|process| {
+        let discovery_addresses = (0..process_count).map(|process| {
             if !config.use_tcp_relays {
                 return cluster.discovery_address;
             }
@@ -189,15 +193,15 @@
                 std::process::id(),
                 NEXT_RIG.fetch_add(1, Ordering::Relaxed)
             )),
-            processes: (0..count).map(|_| None).collect(),
-            started_us: vec![0; count],
-            logs: vec![Vec::new(); count],
-            old_votes: vec![None; count],
+            processes: (0..process_count).map(|_| None).collect(),
+            started_us: vec![0; process_count],
+            logs: vec![Vec::new(); process_count],
+            old_votes: vec![None; process_count],
             runtime: Some(runtime),
             config,
         };
         (0..rig.config.voters).try_for_each(|process| rig.init_voter(process))?;
-        (0..count).try_for_each(|process| rig.start_process(process))?;
+        (0..process_count).try_for_each(|process| rig.start_process(process))?;
         Ok(rig)
     }
 
@@ -259,15 +263,15 @@
 
     /// Creates a voter's vote store with the command for operators.
     fn init_voter(&self, process: usize) -> Result<(), String> {
-        let to_text = |error: std::io::Error| error.to_string();
-        std::fs::create_dir_all(&self.directory).map_err(to_text)?;
+        let error_text = |error: std::io::Error| error.to_string();
+        std::fs::create_dir_all(&self.directory).map_err(error_text)?;
         let config_path = self.directory.join(format!("book{process}.txtpb"));
-        std::fs::write(&config_path, self.operator_config(process)).map_err(to_text)?;
+        std::fs::write(&config_path, self.operator_config(process)).map_err(error_text)?;
         let output = Command::new(&self.program)
             .args(["leases", "init", "--name", &format!("n{process}"), "--book"])
             .arg(config_path)
             .output()
-            .map_err(to_text)?;
+            .map_err(error_text)?;
         if output.status.success() {
             Ok(())
         } else {
@@ -297,12 +301,12 @@
         platform_config["settings"]["balancers"] = json!(self.config.configured_routers);
         self.started_us[process] = monotonic_us();
         let drift_ppm = self.config.clock_drifts_ppm.get(process).copied().unwrap_or_default();
-        let variables = [("ARROWYARD_TEST_CLOCK_PPM", drift_ppm.to_string())];
+        let environment = [("ARROWYARD_TEST_CLOCK_PPM", drift_ppm.to_string())];
         let router = Process::start_with_env(
             &self.program,
             &platform_config,
             Some(&self.operator_config(process)),
-            &variables,
+            &environment,
         )?;
         let log = router.log.lock().expect("the lock is not poisoned").clone();
         let logged_address = |prefix: &str| {
@@ -317,6 +321,7 @@
         Ok(())
     }
 
+    /// Keeps the log of a process and drops the process, which kills it if it still runs.
     fn save_log(&mut self, process: usize) {
         if let Some(router) = self.processes[process].take() {
             let lines = router.log.lock().expect("the lock is not poisoned").clone();
@@ -355,7 +360,7 @@
         (0..self.processes.len()).filter(|&process| self.processes[process].is_some()).collect()
     }
 
-    /// A process's view of the fleet, `None` if it does not reply.
+    /// A process's view of the other members, `None` if it does not reply.
     #[must_use]
     pub fn view(&self, process: usize) -> Option<Value> {
         self.show(process, "peers")
@@ -407,35 +412,35 @@
         None
     }
 
-    /// Runs the plan, with the first fault at once, and waits for `after` once the last one has ended.
+    /// Runs the plan, with the first fault at once, and waits for `settle_time` once the last one has ended.
     /// Returns the time at which the first fault began.
-    pub fn run_plan(&mut self, plan: &Plan, after: Duration) -> i64 {
+    pub fn run_plan(&mut self, plan: &Plan, settle_time: Duration) -> i64 {
         let first_ms = plan.faults.iter().map(|planned| planned.at_ms).min().unwrap_or_default();
         let began = Instant::now();
-        let began_us = monotonic_us();
+        let start_us = monotonic_us();
         self.old_votes = (0..self.processes.len())
             .map(|process| std::fs::read(self.vote_store_path(process).join("votes")).ok())
             .collect();
         let mut last_ms = 0;
         for (at_ms, index, starts) in plan.steps() {
-            let at = Duration::from_millis(at_ms - first_ms);
+            let step_offset = Duration::from_millis(at_ms - first_ms);
             last_ms = at_ms - first_ms;
-            std::thread::sleep(at.saturating_sub(began.elapsed()));
+            std::thread::sleep(step_offset.saturating_sub(began.elapsed()));
             self.apply_step(index, &plan.faults[index].fault, starts);
         }
-        let end = Duration::from_millis(last_ms) + after;
+        let end = Duration::from_millis(last_ms) + settle_time;
         std::thread::sleep(end.saturating_sub(began.elapsed()));
-        began_us
+        start_us
     }
 
-    fn signal(&self, processes: &[usize], name: &str) {
+    fn signal(&self, processes: &[usize], signal_name: &str) {
         processes
             .iter()
             .filter_map(|&process| self.processes[process].as_ref())
-            .for_each(|router| router.signal(name));
+            .for_each(|router| router.signal(signal_name));
     }
 
-    /// Starts or ends a fault.
+    /// Starts the fault of this index in the plan, or ends it.
     fn apply_step(&mut self, index: usize, fault: &Fault, starts: bool) {
         let pairs = |from: &[usize], to: &[usize]| -> Vec<(usize, usize)> {
             from.iter().flat_map(|&sender| to.iter().map(move |&receiver| (sender, receiver))).collect()
--- a/crates/arrowyard-testbed/src/router.rs
+++ b/crates/arrowyard-testbed/src/router.rs
@@ -15,9 +15,11 @@
 /// An op type of the platform's configuration.
 #[derive(Clone, Copy, Debug)]
 pub struct OpType {
+    /// Name, as the op's statement contains it.
     pub name: &'static str,
     /// Latency target.
     pub target_ms: u32,
+    /// Timeout of each op.
     pub timeout_ms: u32,
     /// `read_like`, `idempotency_key` or `non_idempotent`.
     pub effect: &'static str,
@@ -45,7 +47,8 @@
     OpType { name: "standings", target_ms: 120, timeout_ms: 600, effect: "read_like", read_level: "loose" },
 ];
 
-/// The platform's configuration file for a router in front of the cluster.
+/// The platform's configuration file for a router in front of the cluster, with at most `sockets` file
+/// descriptors.
 pub fn platform_config(cluster: &Cluster, op_types: &[OpType], sockets: u32) -> Value {
     let grades: Vec<Value> = op_types
         .iter()
@@ -112,17 +115,17 @@
         program: &Path,
         platform_config: &Value,
         operator_config: Option<&str>,
-        variables: &[(&str, String)],
+        environment: &[(&str, String)],
     ) -> Result<Process, String> {
-        static NEXT_NUMBER: AtomicU32 = AtomicU32::new(0);
-        let number = NEXT_NUMBER.fetch_add(1, Ordering::Relaxed);
+        static NEXT_DIRECTORY: AtomicU32 = AtomicU32::new(0);
+        let number = NEXT_DIRECTORY.fetch_add(1, Ordering::Relaxed);
         let directory = std::env::temp_dir().join(format!("arrowyard-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&directory).map_err(|error| error.to_string())?;
         let (platform_path, operator_path) = (directory.join("config.json"), directory.join("book.txtpb"));
         std::fs::write(&platform_path, platform_config.to_string()).map_err(|error| error.to_string())?;
         let mut command = Command::new(program);
         command.arg("run").env("RELAY_CONFIG", &platform_path).stderr(Stdio::piped());
-        command.envs(variables.iter().map(|(name, value)| (name, value)));
+        command.envs(environment.iter().map(|(name, value)| (name, value)));
         if let Some(operator_config) = operator_config {
             std::fs::write(&operator_path, operator_config).map_err(|error| error.to_string())?;
             command.arg("--book").arg(&operator_path);
@@ -178,8 +181,8 @@
 
     /// Sends the signal of this name.
     pub fn signal(&self, name: &str) {
-        let kill = format!("kill -{name} {}", self.child.id());
-        let status = Command::new("sh").args(["-c", &kill]).status();
+        let kill_command = format!("kill -{name} {}", self.child.id());
+        let status = Command::new("sh").args(["-c", &kill_command]).status();
         assert!(status.is_ok_and(|status| status.success()));
     }
 
@@ -199,11 +202,12 @@
 
     /// User and system time in clock ticks, and anonymous memory in KB.
     pub fn resource_usage(&self) -> (u64, u64) {
-        let read = |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id()));
-        let stat = read("stat").unwrap_or_default();
+        let read_proc_file =
+            |name: &str| std::fs::read_to_string(format!("/proc/{}/{name}", self.child.id()));
+        let stat = read_proc_file("stat").unwrap_or_default();
         let fields: Vec<&str> = stat.rsplit(')').next().unwrap_or_default().split_whitespace().collect();
         let ticks = [11, 12].iter().filter_map(|&index| fields.get(index)?.parse::<u64>().ok()).sum();
-        let status = read("status").unwrap_or_default();
+        let status = read_proc_file("status").unwrap_or_default();
         let anonymous_kb = status
             .lines()
             .find_map(|line| line.strip_prefix("RssAnon:")?.split_whitespace().next()?.parse().ok());
--- a/crates/arrowyard-testbed/src/tcp_relay.rs
+++ b/crates/arrowyard-testbed/src/tcp_relay.rs
@@ -18,7 +18,9 @@
 /// The directions between a process and all hosts that are cut.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cut {
+    /// Bytes from the process to the hosts are held back.
     pub to_hosts: bool,
+    /// Bytes from the hosts to the process are held back.
     pub from_hosts: bool,
 }
 
@@ -69,6 +71,7 @@
     }
 }
 
+/// Relays a connection of a process to the host until both directions are closed.
 async fn relay(cuts: Cuts, process: usize, host: SocketAddr, stream: TcpStream) -> Option<()> {
     // If the host is down, the process's connection is closed.
     let host_stream = TcpStream::connect(host).await.ok()?;
@@ -82,6 +85,7 @@
     Some(())
 }
 
+/// Copies bytes in one direction while it is not cut, and closes it after the last one.
 async fn copy(
     cuts: Cuts,
     process: usize,
--- a/crates/arrowyard-testbed/src/udp_relay.rs
+++ b/crates/arrowyard-testbed/src/udp_relay.rs
@@ -40,6 +40,7 @@
     /// By sender and receiver.
     endpoints: HashMap<(usize, usize), Endpoint>,
     rng: Rng,
+    /// Number of datagrams and bytes sent.
     datagrams: u64,
     bytes: u64,
     /// The first datagrams with sender and receiver, for replay.
@@ -154,8 +155,8 @@
                     .cuts
                     .iter()
                     .any(|(_, pairs)| pairs.contains(&(from, to)) || pairs.contains(&(to, from)));
-                let refuses = process_addresses[to].is_none() && process_addresses[from].is_some() && !cut;
-                if refuses {
+                let is_refused = process_addresses[to].is_none() && process_addresses[from].is_some() && !cut;
+                if is_refused {
                     if let Some((_, task)) = endpoint.open.take() {
                         task.abort();
                     }
@@ -182,11 +183,11 @@
     /// Forwards what process `from` sends to this socket to process `to`.
     fn open(&self, from: usize, to: usize, socket: UdpSocket) {
         let socket = Arc::new(socket);
-        let (relays, receiver) = (self.clone(), socket.clone());
+        let (relays, receive_socket) = (self.clone(), socket.clone());
         let task = self.runtime.spawn(async move {
             let mut buffer = vec![0; 4096];
             loop {
-                match receiver.recv_from(&mut buffer).await {
+                match receive_socket.recv_from(&mut buffer).await {
                     Ok((length, _)) => relays.forward(from, to, buffer[..length].to_vec()),
                     // An earlier datagram from this socket was refused.
                     Err(_) => sleep(Duration::from_millis(1)).await,
@@ -201,6 +202,7 @@
         }
     }
 
+    /// Forwards a datagram to its receiver, subject to the faults in effect.
     fn forward(&self, from: usize, to: usize, mut bytes: Vec<u8>) {
         let mut state = lock(&self.state);
         let state = &mut *state;
