--- a/crates/arrowyard-daemon/tests/cells.rs
+++ b/crates/arrowyard-daemon/tests/cells.rs
@@ -230,7 +230,7 @@
 }
 
 /// The operator configuration at a step of the move of `ann` from group 7 to group 8, with the fence at
-/// `fence` in Unix milliseconds.
+/// `fence_ms` in Unix milliseconds.
 fn move_config(epoch: u64, step: &str, fence_ms: i64, cell: &str) -> String {
     let (copied_through_ms, switch_at_ms, lease_until_ms) =
         (fence_ms + 700, fence_ms + 900, if epoch < 3 { fence_ms - 100 } else { fence_ms + 600_000 });
--- a/crates/arrowyard-daemon/tests/leases.rs
+++ b/crates/arrowyard-daemon/tests/leases.rs
@@ -162,7 +162,7 @@
 fn the_audit_finds_stale_effects_if_the_recorder_does_not_check_epochs() {
     // Guards against an audit that never fails: an effect of an older epoch arrives after one of a newer
     // epoch.
-    let effect = |holder: &str, epoch, received_us| Effect {
+    let new_effect = |holder: &str, epoch, received_us| Effect {
         lease: "task".to_string(),
         epoch,
         holder: holder.to_string(),
@@ -182,7 +182,7 @@
     send_effect("x", 1);
     let violations = audit(&recorder.effects(), true);
     assert_eq!(violations.len(), 1, "{violations:?}");
-    assert_eq!(audit(&[effect("y", 2, 0), effect("x", 1, 10)], true).len(), 1);
+    assert_eq!(audit(&[new_effect("y", 2, 0), new_effect("x", 1, 10)], true).len(), 1);
 }
 
 #[test]
--- a/crates/arrowyard-daemon/tests/peers.rs
+++ b/crates/arrowyard-daemon/tests/peers.rs
@@ -122,9 +122,9 @@
 
 /// Waits until the condition holds.
 fn wait_until(timeout_ms: u64, condition: &str, mut holds: impl FnMut() -> bool) {
-    let began = Instant::now();
+    let started_at = Instant::now();
     while !holds() {
-        assert!(began.elapsed() < ms(timeout_ms), "not within {timeout_ms} ms: {condition}");
+        assert!(started_at.elapsed() < ms(timeout_ms), "not within {timeout_ms} ms: {condition}");
         std::thread::sleep(ms(20));
     }
 }
@@ -349,11 +349,11 @@
         refused: true,
         ..Rumor::default()
     };
-    let began = Instant::now();
+    let started_at = Instant::now();
     let recorded = rig.peer_relays.recorded();
     let mut sent = 0_u64;
     // Thousands of datagrams per second, bounded in number and time.
-    while began.elapsed() < ms(2_500) && sent < 20_000 {
+    while started_at.elapsed() < ms(2_500) && sent < 20_000 {
         let bytes = match sent % 5 {
             0 => encode(&valid_datagram(sent)),
             1 => encode(&Datagram { fleet_hash: hash_name("other"), ..valid_datagram(sent) }),
--- a/crates/arrowyard-daemon/tests/returns.rs
+++ b/crates/arrowyard-daemon/tests/returns.rs
@@ -21,9 +21,9 @@
 /// Waits until router 0 has stored its host list, and kills it.
 fn store_list_and_kill(rig: &mut Rig) {
     assert!(wait_for_log(rig, 0, "the start is at Listed", 5_000), "discovery sends the list");
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     while !rig.store_path(0).join("hosts.a").exists() {
-        assert!(began.elapsed() < ms(5_000), "the list is stored");
+        assert!(started_at.elapsed() < ms(5_000), "the list is stored");
         std::thread::sleep(ms(20));
     }
     rig.kill(0);
@@ -91,9 +91,9 @@
             serde_json::from_slice(&output.expect("the command runs").stdout).unwrap_or_default();
         list["hosts"].as_array().is_some_and(|hosts| hosts.iter().any(|host| host["draining"] == true))
     };
-    let began = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     while !is_drain_stored() {
-        assert!(began.elapsed() < ms(5_000), "the drain is stored");
+        assert!(started_at.elapsed() < ms(5_000), "the drain is stored");
         std::thread::sleep(ms(50));
     }
     rig.kill(0);
--- a/crates/arrowyard-testbed/src/bin/flood.rs
+++ b/crates/arrowyard-testbed/src/bin/flood.rs
@@ -122,11 +122,11 @@
     table.load_style(presets::NOTHING);
     let columns = [
         "cells",
-        "day",
+        "run",
         "tenant",
         "sent",
         "in target",
-        "of calm",
+        "relative to calm",
         "busy",
         "errored",
         "unanswered",
@@ -135,12 +135,13 @@
     ];
     table.set_header(columns);
     for with_cells in [false, true] {
-        let calm = run(&args, with_cells, false);
-        let with_trouble = run(&args, with_cells, true);
-        for (name, result) in [("calm", &calm), ("trouble", &with_trouble)] {
+        let calm_result = run(&args, with_cells, false);
+        let trouble_result = run(&args, with_cells, true);
+        for (name, result) in [("calm", &calm_result), ("trouble", &trouble_result)] {
             for tenant in TENANTS {
                 let stats = result.tenant_stats(tenant);
-                let relative_to_calm = stats.in_target_share() / calm.tenant_stats(tenant).in_target_share();
+                let relative_to_calm =
+                    stats.in_target_share() / calm_result.tenant_stats(tenant).in_target_share();
                 let ms =
                     |quantile| format!("{:.1}", stats.latency.value_at_quantile(quantile) as f64 / 1000.0);
                 table.add_row([
--- a/crates/arrowyard-testbed/src/bin/leases.rs
+++ b/crates/arrowyard-testbed/src/bin/leases.rs
@@ -71,7 +71,7 @@
         (0..args.plans).map(|index| random_plan(args.seed + index, args.processes)).collect();
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
-    table.set_header(["plan", "plays", "wrong", "not run", "held", "p50 ms", "p99 ms", "worst ms"]);
+    table.set_header(["plan", "runs", "violations", "not run", "held", "p50 ms", "p99 ms", "max ms"]);
     let mut add_row = |name: &str,
                        results: &[Result<ScenarioResult, String>],
                        duration_ms: &dyn Fn(&ScenarioResult) -> Option<i64>| {
--- a/crates/arrowyard-testbed/src/bin/lists.rs
+++ b/crates/arrowyard-testbed/src/bin/lists.rs
@@ -51,25 +51,25 @@
     let program = args.program.clone().unwrap_or_else(|| sibling_program("arrowyard"));
     let mut table = Table::new();
     table.load_style(presets::ASCII_MARKDOWN);
-    table.set_header(["hosts", "meanwhile", "p50 ms", "p99 ms", "worst ms", "good", "unanswered"]);
+    table.set_header(["hosts", "change", "p50 ms", "p99 ms", "max ms", "in target", "unanswered"]);
     for &count in &args.hosts {
         let host = |name: &str| HostSpec { slots: 256, ..HostSpec::new(name, 7, name == "p-0") };
         let cluster = Cluster::start(&["p-0", "r-0", "r-1"].map(host));
         let mut platform_config = platform_config(&cluster, &OP_TYPES, 2048);
         platform_config.as_object_mut().expect("the configuration is an object").remove("known");
         let process = Process::start(&program, &platform_config, None)?;
-        let began = Instant::now();
+        let started_at = Instant::now();
         while !process.wait_for_log("host is Ready", Duration::from_millis(10)) {
-            if began.elapsed() > Duration::from_secs(10) {
+            if started_at.elapsed() > Duration::from_secs(10) {
                 return Err("the router received no host list".to_string());
             }
         }
         let duration = Duration::from_secs(3);
-        let mut add_row = |action: &str, stats: &OpStats| {
+        let mut add_row = |change: &str, stats: &OpStats| {
             let ms = |us: u64| format!("{:.1}", us as f64 / 1000.0);
             table.add_row([
                 count.to_string(),
-                action.to_string(),
+                change.to_string(),
                 ms(stats.latency.value_at_quantile(0.5)),
                 ms(stats.latency.value_at_quantile(0.99)),
                 ms(stats.latency.max()),
@@ -78,7 +78,7 @@
             ]);
         };
         let _ = measure(&process, &args, 1, duration, || {});
-        add_row("nothing", &measure(&process, &args, 2, duration, || {}));
+        add_row("none", &measure(&process, &args, 2, duration, || {}));
         add_row(
             "all hosts are added",
             &measure(&process, &args, 3, duration, || cluster.list_extra_hosts(count, 0, usize::MAX)),
--- a/crates/arrowyard-testbed/src/bin/moves.rs
+++ b/crates/arrowyard-testbed/src/bin/moves.rs
@@ -281,7 +281,7 @@
         "busy share",
         "write gap p50 ms",
         "p99",
-        "most",
+        "max",
     ]);
     let totals = totals.into_inner().expect("the lock is not poisoned");
     let mut rows: Vec<_> = totals.iter().collect();
--- a/crates/arrowyard-testbed/src/bin/returns.rs
+++ b/crates/arrowyard-testbed/src/bin/returns.rs
@@ -27,7 +27,7 @@
     returns_fields: String,
 }
 
-/// The maximum number of these times, in milliseconds, within 100 ms.
+/// Maximum number of `times`, given in milliseconds, that lie within 100 ms.
 fn max_within_100_ms(times: &[i64]) -> usize {
     let count_from = |from: i64| times.iter().filter(|time| (from..from + 100).contains(*time)).count();
     times.iter().map(|&from| count_from(from)).max().unwrap_or_default()
@@ -63,20 +63,20 @@
         "stores",
         "discovery",
         "full service p50 ms",
-        "worst",
+        "max",
         "never",
         "in target in 9 s",
         "busy",
         "unanswered",
         "discovery calls",
-        "most in 100 ms",
+        "max in 100 ms",
         "applied twice",
     ]);
     for &count in &args.processes {
-        for (tenths, keep_stores, outage_seconds) in
+        for (killed_tenths, keep_stores, outage_seconds) in
             [(7, true, 0), (7, false, 0), (10, true, 0), (10, false, 0), (10, true, 30), (10, false, 3)]
         {
-            let killed: Vec<usize> = (0..count * tenths / 10).collect();
+            let killed: Vec<usize> = (0..count * killed_tenths / 10).collect();
             let configured_routers = args.configured_routers.unwrap_or(count);
             let returns_fields = args.returns_fields.clone();
             let config = RigConfig {
@@ -96,12 +96,14 @@
             let calls_before = rig.cluster.discovery_call_times().len();
             rig.cluster.set_discovery_down(outage_seconds > 0);
             killed.iter().try_for_each(|&process| rig.start_process(process))?;
-            let began = Instant::now();
+            let started_at = Instant::now();
             let results = std::thread::scope(|scope| {
                 let load_thread =
                     scope.spawn(|| send_ops(&rig, &killed, Duration::from_secs(9), args.rate, args.seed + 1));
                 if outage_seconds > 0 && outage_seconds < 9 {
-                    std::thread::sleep(Duration::from_secs(outage_seconds).saturating_sub(began.elapsed()));
+                    std::thread::sleep(
+                        Duration::from_secs(outage_seconds).saturating_sub(started_at.elapsed()),
+                    );
                     rig.cluster.set_discovery_down(false);
                 }
                 load_thread.join().unwrap_or_default()
@@ -114,13 +116,18 @@
                 (in_target, sent) = (in_target + stats.in_target, sent + stats.sent);
                 (busy, unanswered) = (busy + stats.busy, unanswered + stats.unanswered);
             }
-            let applied_twice = rig.cluster.ledger().applied.values().filter(|times| times.len() > 1).count();
+            let applied_twice =
+                rig.cluster.ledger().applied.values().filter(|applications| applications.len() > 1).count();
             let to_text = |ms: Option<&u64>| ms.map_or("-".to_string(), ToString::to_string);
             table.add_row([
                 count.to_string(),
-                format!("{tenths} in 10"),
+                format!("{killed_tenths} in 10"),
                 if keep_stores { "kept" } else { "lost" }.to_string(),
-                if outage_seconds == 0 { "there".to_string() } else { format!("away {outage_seconds} s") },
+                if outage_seconds == 0 {
+                    "available".to_string()
+                } else {
+                    format!("unavailable {outage_seconds} s")
+                },
                 to_text(startup_times_ms.get(startup_times_ms.len() / 2)),
                 to_text(startup_times_ms.last()),
                 (killed.len() - startup_times_ms.len()).to_string(),
--- a/crates/arrowyard-testbed/src/bin/rig.rs
+++ b/crates/arrowyard-testbed/src/bin/rig.rs
@@ -44,7 +44,7 @@
         "plan",
         "detected p50 s",
         "p99",
-        "worst",
+        "max",
         "not detected",
         "dead p99",
         "false deaths",
@@ -126,7 +126,7 @@
                     Some(elapsed) => agreement_times.push(elapsed.as_secs_f64()),
                     None => not_agreed += 1,
                 }
-                for result in load_threads.into_iter().filter_map(|load| load.join().ok()) {
+                for result in load_threads.into_iter().filter_map(|load_thread| load_thread.join().ok()) {
                     let stats = result.tenant_stats("t");
                     (in_target, busy, sent) =
                         (in_target + stats.in_target, busy + stats.busy, sent + stats.sent);
--- a/crates/arrowyard-testbed/src/bin/streams.rs
+++ b/crates/arrowyard-testbed/src/bin/streams.rs
@@ -64,6 +64,7 @@
     },
 ];
 
+/// A read of this op type.
 fn request(op_type: usize, id: u64) -> OpRequest<'static> {
     let (timeout_ms, tenant, token, is_retry, is_write) =
         (OP_TYPES[op_type].timeout_ms, None, None, false, false);
@@ -161,15 +162,16 @@
             run_closed_loop::<Client>(runtime, router.address, 16, args.seconds, &ids)
         };
         let (ticks_after, _) = router.resource_usage();
-        let (rate, cpu_per_op) =
+        let (ops_per_second, ticks_per_op) =
             (served as f64 / args.seconds, (ticks_after - ticks_before) as f64 / served.max(1) as f64);
-        let (baseline_rate, baseline_cpu) = *baseline.get_or_insert((rate, cpu_per_op));
+        let (baseline_ops_per_second, baseline_ticks_per_op) =
+            *baseline.get_or_insert((ops_per_second, ticks_per_op));
         table.add_row([
             name.into(),
             served.to_string(),
             not_served.to_string(),
-            format!("{:.2}", rate / baseline_rate),
-            format!("{:.2}", cpu_per_op / baseline_cpu),
+            format!("{:.2}", ops_per_second / baseline_ops_per_second),
+            format!("{:.2}", ticks_per_op / baseline_ticks_per_op),
         ]);
     }
     Ok(table)
@@ -181,8 +183,8 @@
     ids: &AtomicU64,
     seconds: f64,
 ) -> Result<(u64, f64), FlightError> {
-    let (began, mut bytes) = (Instant::now(), 0);
-    while began.elapsed().as_secs_f64() < seconds {
+    let (started_at, mut bytes) = (Instant::now(), 0);
+    while started_at.elapsed().as_secs_f64() < seconds {
         let statement = request(1, ids.fetch_add(1, Ordering::Relaxed)).statement();
         let info = client.inner.execute(statement, None).await?;
         let ticket = info
@@ -204,7 +206,7 @@
             bytes += (data.data_header.len() + data.data_body.len()) as u64;
         }
     }
-    Ok((bytes, began.elapsed().as_secs_f64()))
+    Ok((bytes, started_at.elapsed().as_secs_f64()))
 }
 
 fn measure_large_results(args: &Args, runtime: &Runtime) -> Result<Table, String> {
@@ -239,15 +241,15 @@
                 direct_bytes as f64 / direct_seconds,
             ))
         });
-        let (measured, direct) = measured.map_err(|error| {
+        let (measured, direct_bytes_per_second) = measured.map_err(|error| {
             let log = router.log.lock().expect("the lock is not poisoned").join("\n");
             format!("batches of {batch_bytes} bytes: {error}\n{log}")
         })?;
-        let baseline_value = *baseline.get_or_insert(measured.1);
+        let baseline_bytes_per_cpu_second = *baseline.get_or_insert(measured.1);
         table.add_row([
             format!("{} KB", batch_bytes >> 10),
-            format!("{:.2}", measured.0 / direct),
-            format!("{:.1}", measured.1 / baseline_value),
+            format!("{:.2}", measured.0 / direct_bytes_per_second),
+            format!("{:.1}", measured.1 / baseline_bytes_per_cpu_second),
             format!("{:.2}", measured.1 / 1e9),
         ]);
     }
@@ -353,9 +355,9 @@
         let index = (round % 2) ^ (round / 2 % 2);
         let cluster = start_cluster(false, 1, 0);
         let config = platform_config(&cluster, &OP_TYPES, 512);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let router = Process::start(programs[index], &config, None)?;
-        startup_seconds[index] += began.elapsed().as_secs_f64();
+        startup_seconds[index] += started_at.elapsed().as_secs_f64();
         std::thread::sleep(Duration::from_millis(300));
         let (ticks_before, memory_kb) = router.resource_usage();
         let (served, _) =
@@ -364,12 +366,12 @@
         total_ticks[index] += router.resource_usage().0 - ticks_before;
         idle_kb[index] = memory_kb;
     }
-    let cpu_per_op = |index: usize| total_ticks[index] as f64 / total_ops[index].max(1) as f64;
+    let ticks_per_op = |index: usize| total_ticks[index] as f64 / total_ops[index].max(1) as f64;
     for (index, name) in ["first", "second"].into_iter().enumerate() {
         table.add_row([
             name.into(),
             ROUNDS.to_string(),
-            format!("{:.3}", cpu_per_op(index) / cpu_per_op(0)),
+            format!("{:.3}", ticks_per_op(index) / ticks_per_op(0)),
             idle_kb[index].to_string(),
             format!("{:.2}", startup_seconds[index] / startup_seconds[0]),
         ]);
--- a/crates/arrowyard-testbed/src/lease_scenario.rs
+++ b/crates/arrowyard-testbed/src/lease_scenario.rs
@@ -124,9 +124,9 @@
         ..RigConfig::new(plan.processes)
     };
     let mut rig = Rig::start(program, RigConfig { seed: plan.seed, ..config })?;
-    let began = Instant::now();
+    let started_at = Instant::now();
     while recorder.effects().len() < 5 {
-        if began.elapsed() > Duration::from_millis(TERM_MS * 10) {
+        if started_at.elapsed() > Duration::from_millis(TERM_MS * 10) {
             return Err(format!("no process acquired the lease before the plan's start: {}", plan.to_json()));
         }
         std::thread::sleep(Duration::from_millis(5));
@@ -134,8 +134,8 @@
     let started_us = rig.run_plan(plan, Duration::ZERO);
     let healed_us = monotonic_us();
     let mut recovery_ms = None;
-    let began = Instant::now();
-    while recovery_ms.is_none() && began.elapsed() < Duration::from_millis(TERM_MS * 12) {
+    let started_at = Instant::now();
+    while recovery_ms.is_none() && started_at.elapsed() < Duration::from_millis(TERM_MS * 12) {
         std::thread::sleep(Duration::from_millis(5));
         let first_effect =
             recorder.effects().into_iter().find(|effect| effect.accepted && effect.received_us > healed_us);
--- a/crates/arrowyard-testbed/src/load.rs
+++ b/crates/arrowyard-testbed/src/load.rs
@@ -140,7 +140,7 @@
             session,
             is_write,
         };
-        let began = Instant::now();
+        let started_at = Instant::now();
         // The op's timeout and an allowance for the network.
         let reply_timeout = Duration::from_millis(u64::from(op_type.timeout_ms) + 150);
         let reply = timeout(reply_timeout, async {
@@ -161,7 +161,7 @@
             std::io::Result::Ok((client, reply))
         });
         let reply = reply.await;
-        let elapsed = began.elapsed();
+        let elapsed = started_at.elapsed();
         let mut result = self.result.lock().expect("the lock is not poisoned");
         let stats = result.stats.entry((tenant, op_type.name)).or_default();
         stats.sent += 1;
--- a/crates/arrowyard-testbed/src/rig.rs
+++ b/crates/arrowyard-testbed/src/rig.rs
@@ -402,10 +402,10 @@
     /// Waits until all processes agree on the fleet. Returns how long it took, `None` on timeout.
     #[must_use]
     pub fn wait_for_agreement(&self, timeout: Duration) -> Option<Duration> {
-        let began = Instant::now();
-        while began.elapsed() < timeout {
+        let started_at = Instant::now();
+        while started_at.elapsed() < timeout {
             if self.is_agreed() {
-                return Some(began.elapsed());
+                return Some(started_at.elapsed());
             }
             std::thread::sleep(Duration::from_millis(25));
         }
@@ -416,7 +416,7 @@
     /// Returns the time at which the first fault began.
     pub fn run_plan(&mut self, plan: &Plan, settle_time: Duration) -> i64 {
         let first_ms = plan.faults.iter().map(|planned| planned.at_ms).min().unwrap_or_default();
-        let began = Instant::now();
+        let started_at = Instant::now();
         let start_us = monotonic_us();
         self.old_votes = (0..self.processes.len())
             .map(|process| std::fs::read(self.vote_store_path(process).join("votes")).ok())
@@ -425,11 +425,11 @@
         for (at_ms, index, starts) in plan.steps() {
             let step_offset = Duration::from_millis(at_ms - first_ms);
             last_ms = at_ms - first_ms;
-            std::thread::sleep(step_offset.saturating_sub(began.elapsed()));
+            std::thread::sleep(step_offset.saturating_sub(started_at.elapsed()));
             self.apply_step(index, &plan.faults[index].fault, starts);
         }
         let end = Duration::from_millis(last_ms) + settle_time;
-        std::thread::sleep(end.saturating_sub(began.elapsed()));
+        std::thread::sleep(end.saturating_sub(started_at.elapsed()));
         start_us
     }
 
