--- a/crates/arrowyard-core/src/leases.rs
+++ b/crates/arrowyard-core/src/leases.rs
@@ -32,7 +32,7 @@
     Show(oneshot::Sender<String>),
     /// Whether this router is eligible to hold leases, that is, serves ops.
     SetEligible(bool),
-    /// Releases all leases before the router ends; answered once that is done.
+    /// Releases all leases before the router ends; the channel resolves once that is done.
     ReleaseAll(oneshot::Sender<()>),
     /// Writing the snapshot with this number ended; true if it succeeded.
     VotesStored(u64, bool),
@@ -222,7 +222,7 @@
             let wake_at = self.next_wake();
             tokio::select! {
                 biased;
-                // Timers go first, so that datagrams queued during a halt of the process are not taken as
+                // Timers go first, so that datagrams queued while the process was stopped are not treated as
                 // current.
                 () = sleep_until(wake_at) => self.tick(),
                 command = self.commands.recv() => match command {
@@ -296,11 +296,7 @@
                     // Beyond the bound two routers may hold one lease. Logged once for each voter.
                     if self.drifts.insert(voter, ppm).is_none() {
                         let voter = &self.voters[usize::from(voter.0)].0;
-                        tracing::error!(
-                            voter,
-                            ppm,
-                            "a voter's clock and this one run apart beyond the bound"
-                        );
+                        tracing::error!(voter, ppm, "the clock of a voter drifts beyond the bound");
                     }
                 }
                 let rng = &mut self.rng;
@@ -397,7 +393,7 @@
                     tracing::warn!(mono_us, lease = name(lease), epoch = epoch.0, "lease expired");
                 }
                 Event::Released { lease, epoch } => {
-                    tracing::info!(mono_us, lease = name(lease), epoch = epoch.0, "lease is given back");
+                    tracing::info!(mono_us, lease = name(lease), epoch = epoch.0, "lease is released");
                 }
             }
         }
--- a/crates/arrowyard-daemon/tests/cells.rs
+++ b/crates/arrowyard-daemon/tests/cells.rs
@@ -154,12 +154,12 @@
         );
         assert!(router.wait_for_log("no cell is named \"c\"", timeout));
         router.reload_operator_config(&OPERATOR_CONFIG.replace("\"bob\"", "\"eve\""));
-        assert!(router.wait_for_log("refused whole", timeout));
+        assert!(router.wait_for_log("rejected the operator's file", timeout));
         assert!(matches!(client.execute(Some("eve"), 3, None, false, 7).await, Reply::Error(_)));
         router.reload_operator_config(
             &OPERATOR_CONFIG.replace("epoch: 1", "epoch: 3").replace("\"bob\"", "\"eve\""),
         );
-        assert!(router.wait_for_log("the operator's file holds epoch=3", timeout));
+        assert!(router.wait_for_log("applied the operator's file epoch=3", timeout));
         assert!(matches!(client.execute(Some("eve"), 3, None, false, 7).await, Reply::Value(_)));
         assert!(matches!(client.execute(Some("bob"), 3, None, false, 7).await, Reply::Error(_)));
     });
@@ -211,7 +211,7 @@
     }
     let timeout = Duration::from_secs(10);
     assert!(
-        router.wait_for_log("the release there is not judged yet cell=b by=a", timeout),
+        router.wait_for_log("the release in the preceding cell has no verdict yet cell=b by=a", timeout),
         "{:#?}",
         router.log.lock()
     );
@@ -222,9 +222,13 @@
     let mut results =
         (0..8).map(|seed| run_load(router.address, &OP_TYPES, &[load("ann"), load("bob")], seed, |_| {}));
     let result =
-        results.find(|_| router.wait_for_log("the release is judged Bad cell=a", Duration::from_millis(100)));
+        results.find(|_| router.wait_for_log("release verdict: Bad cell=a", Duration::from_millis(100)));
     let result = result.expect("a failing canary is classified as bad");
-    assert!(router.wait_for_log("the release there is bad cell=b by=a", timeout), "{:#?}", router.log.lock());
+    assert!(
+        router.wait_for_log("the release in the preceding cell has failed cell=b by=a", timeout),
+        "{:#?}",
+        router.log.lock()
+    );
     let bob = result.tenant_stats("bob");
     assert!(bob.in_target_share() > 0.9, "{} of {}", bob.in_target, bob.sent);
 }
--- a/crates/arrowyard-daemon/tests/returns.rs
+++ b/crates/arrowyard-daemon/tests/returns.rs
@@ -309,7 +309,7 @@
         result.tenant_stats("t")
     );
     assert!(wait_for_log(&rig, 0, "is older than", 3_000));
-    assert!(wait_for_log(&rig, 0, "discovery counts its lists anew", 15_000));
+    assert!(wait_for_log(&rig, 0, "discovery restarted its list versions", 15_000));
     assert!(wait_for_log(&rig, 0, "the start is at", 100));
 }
 
--- a/crates/arrowyard-testbed/src/bin/moves.rs
+++ b/crates/arrowyard-testbed/src/bin/moves.rs
@@ -59,7 +59,7 @@
     Fault::LateConfig,
 ];
 
-/// The operator configuration at a step of the move, with the fence at `fence` in Unix milliseconds.
+/// The operator configuration at a step of the move, with the fence at `fence_ms` in Unix milliseconds.
 fn operator_config(epoch: u64, step: &str, fence_ms: i64, target_floor_ms: i64, target_host: &str) -> String {
     let (copied_through_ms, switch_at_ms) = (fence_ms + 640, fence_ms + 900);
     let lease_until_ms = if epoch < 3 { fence_ms - 100 } else { fence_ms + 600_000 };
