--- a/crates/arrowyard-testbed/src/bin/streams.rs
+++ b/crates/arrowyard-testbed/src/bin/streams.rs
@@ -64,6 +64,7 @@
     },
 ];
 
+/// A read of this op type.
 fn request(op_type: usize, id: u64) -> OpRequest<'static> {
     let (timeout_ms, tenant, token, is_retry, is_write) =
         (OP_TYPES[op_type].timeout_ms, None, None, false, false);
@@ -139,7 +140,7 @@
     })
 }
 
-fn small(args: &Args, runtime: &Runtime) -> Result<Table, String> {
+fn measure_small_results(args: &Args, runtime: &Runtime) -> Result<Table, String> {
     let cluster = start_cluster(false, 1, 0);
     let router = start_router(args, &cluster, false, "")?;
     let flight_address = router.flight_address.ok_or("the router does not serve Flight SQL")?;
@@ -161,15 +162,16 @@
             run_closed_loop::<Client>(runtime, router.address, 16, args.seconds, &ids)
         };
         let (ticks_after, _) = router.resource_usage();
-        let (rate, cpu_per_op) =
+        let (ops_per_second, ticks_per_op) =
             (served as f64 / args.seconds, (ticks_after - ticks_before) as f64 / served.max(1) as f64);
-        let (baseline_rate, baseline_cpu) = *baseline.get_or_insert((rate, cpu_per_op));
+        let (baseline_ops_per_second, baseline_ticks_per_op) =
+            *baseline.get_or_insert((ops_per_second, ticks_per_op));
         table.add_row([
             name.into(),
             served.to_string(),
             not_served.to_string(),
-            format!("{:.2}", rate / baseline_rate),
-            format!("{:.2}", cpu_per_op / baseline_cpu),
+            format!("{:.2}", ops_per_second / baseline_ops_per_second),
+            format!("{:.2}", ticks_per_op / baseline_ticks_per_op),
         ]);
     }
     Ok(table)
@@ -181,8 +183,8 @@
     ids: &AtomicU64,
     seconds: f64,
 ) -> Result<(u64, f64), FlightError> {
-    let (began, mut bytes) = (Instant::now(), 0);
-    while began.elapsed().as_secs_f64() < seconds {
+    let (started_at, mut bytes) = (Instant::now(), 0);
+    while started_at.elapsed().as_secs_f64() < seconds {
         let statement = request(1, ids.fetch_add(1, Ordering::Relaxed)).statement();
         let info = client.inner.execute(statement, None).await?;
         let ticket = info
@@ -204,10 +206,10 @@
             bytes += (data.data_header.len() + data.data_body.len()) as u64;
         }
     }
-    Ok((bytes, began.elapsed().as_secs_f64()))
+    Ok((bytes, started_at.elapsed().as_secs_f64()))
 }
 
-fn wide(args: &Args, runtime: &Runtime) -> Result<Table, String> {
+fn measure_large_results(args: &Args, runtime: &Runtime) -> Result<Table, String> {
     let mut table = Table::new();
     table.set_header([
         "batch",
@@ -221,15 +223,17 @@
         let router = start_router(args, &cluster, true, "held_bytes: 0")?;
         let ids = AtomicU64::new(1);
         let measured = runtime.block_on(async {
-            let mut client = FlightClient::connect(router.address).await.map_err(|e| e.to_string())?;
+            let mut client =
+                FlightClient::connect(router.address).await.map_err(|error| error.to_string())?;
             let (ticks_before, _) = router.resource_usage();
             let (bytes, seconds) =
-                read_results(&mut client, &ids, args.seconds).await.map_err(|e| e.to_string())?;
+                read_results(&mut client, &ids, args.seconds).await.map_err(|error| error.to_string())?;
             let (ticks_after, _) = router.resource_usage();
             let mut direct_client =
-                FlightClient::connect(cluster.address("r-0")).await.map_err(|e| e.to_string())?;
-            let (direct_bytes, direct_seconds) =
-                read_results(&mut direct_client, &ids, args.seconds).await.map_err(|e| e.to_string())?;
+                FlightClient::connect(cluster.address("r-0")).await.map_err(|error| error.to_string())?;
+            let (direct_bytes, direct_seconds) = read_results(&mut direct_client, &ids, args.seconds)
+                .await
+                .map_err(|error| error.to_string())?;
             // A clock tick is a hundredth of a second.
             let bytes_per_cpu_second = bytes as f64 / ((ticks_after - ticks_before).max(1) as f64 / 100.0);
             Ok::<_, String>((
@@ -237,22 +241,22 @@
                 direct_bytes as f64 / direct_seconds,
             ))
         });
-        let (measured, direct) = measured.map_err(|error| {
+        let (measured, direct_bytes_per_second) = measured.map_err(|error| {
             let log = router.log.lock().expect("the lock is not poisoned").join("\n");
             format!("batches of {batch_bytes} bytes: {error}\n{log}")
         })?;
-        let baseline_value = *baseline.get_or_insert(measured.1);
+        let baseline_bytes_per_cpu_second = *baseline.get_or_insert(measured.1);
         table.add_row([
             format!("{} KB", batch_bytes >> 10),
-            format!("{:.2}", measured.0 / direct),
-            format!("{:.1}", measured.1 / baseline_value),
+            format!("{:.2}", measured.0 / direct_bytes_per_second),
+            format!("{:.1}", measured.1 / baseline_bytes_per_cpu_second),
             format!("{:.2}", measured.1 / 1e9),
         ]);
     }
     Ok(table)
 }
 
-fn readers(args: &Args, runtime: &Runtime, count: usize) -> Result<Table, String> {
+fn measure_slow_readers(args: &Args, runtime: &Runtime, count: usize) -> Result<Table, String> {
     let mut table = Table::new();
     table.set_header(["slow readers", "streams started", "router's anonymous memory, KB", "per reader, KB"]);
     // Enough hosts to serve all readers at once.
@@ -289,7 +293,7 @@
     Ok(table)
 }
 
-fn cuts(args: &Args, runtime: &Runtime) -> Result<Table, String> {
+fn measure_interrupted_results(args: &Args, runtime: &Runtime) -> Result<Table, String> {
     let mut table = Table::new();
     table.set_header(["results", "requested", "interrupted", "complete", "reported as interrupted", "other"]);
     for (name, flight_fields) in
@@ -298,20 +302,21 @@
         let cluster = start_cluster(true, 6, 1024);
         let router = start_router(args, &cluster, true, flight_fields)?;
         let mut rng = Rng::with_seed(args.seed);
-        let (mut requested, mut complete, mut reported, mut other) = (0, 0, 0, 0);
+        let (mut requested, mut complete, mut reported, mut other_outcomes) = (0, 0, 0, 0);
         runtime.block_on(async {
-            let mut client = FlightClient::connect(router.address).await.map_err(|e| e.to_string())?;
+            let mut client =
+                FlightClient::connect(router.address).await.map_err(|error| error.to_string())?;
             let deadline = Instant::now() + Duration::from_secs_f64(args.seconds);
             while Instant::now() < deadline {
                 // One of the two replicas disconnects after a random number of batches.
                 ["r-0", "r-1"].into_iter().for_each(|name| cluster.set_behavior(name, HostBehavior::Serve));
-                let name = ["r-0", "r-1"][rng.usize(0..2)];
-                cluster.set_behavior(name, HostBehavior::DisconnectAfterBatches(rng.usize(0..7)));
+                let failing_host = ["r-0", "r-1"][rng.usize(0..2)];
+                cluster.set_behavior(failing_host, HostBehavior::DisconnectAfterBatches(rng.usize(0..7)));
                 requested += 1;
                 match client.query(&request(0, requested).statement()).await {
                     Ok(batches) if batches.len() == 6 => complete += 1,
                     Err(FlightError::Tonic(status)) if status.code() == tonic::Code::Aborted => reported += 1,
-                    _ => other += 1,
+                    _ => other_outcomes += 1,
                 }
             }
             Ok::<_, String>(())
@@ -326,13 +331,13 @@
             interrupted.to_string(),
             complete.to_string(),
             reported.to_string(),
-            other.to_string(),
+            other_outcomes.to_string(),
         ]);
     }
     Ok(table)
 }
 
-fn core(args: &Args, runtime: &Runtime, programs: [&PathBuf; 2]) -> Result<Table, String> {
+fn compare_programs(args: &Args, runtime: &Runtime, programs: [&PathBuf; 2]) -> Result<Table, String> {
     let mut table = Table::new();
     table.set_header([
         "program",
@@ -350,9 +355,9 @@
         let index = (round % 2) ^ (round / 2 % 2);
         let cluster = start_cluster(false, 1, 0);
         let config = platform_config(&cluster, &OP_TYPES, 512);
-        let began = Instant::now();
+        let started_at = Instant::now();
         let router = Process::start(programs[index], &config, None)?;
-        startup_seconds[index] += began.elapsed().as_secs_f64();
+        startup_seconds[index] += started_at.elapsed().as_secs_f64();
         std::thread::sleep(Duration::from_millis(300));
         let (ticks_before, memory_kb) = router.resource_usage();
         let (served, _) =
@@ -361,12 +366,12 @@
         total_ticks[index] += router.resource_usage().0 - ticks_before;
         idle_kb[index] = memory_kb;
     }
-    let cpu_per_op = |index: usize| total_ticks[index] as f64 / total_ops[index].max(1) as f64;
+    let ticks_per_op = |index: usize| total_ticks[index] as f64 / total_ops[index].max(1) as f64;
     for (index, name) in ["first", "second"].into_iter().enumerate() {
         table.add_row([
             name.into(),
             ROUNDS.to_string(),
-            format!("{:.3}", cpu_per_op(index) / cpu_per_op(0)),
+            format!("{:.3}", ticks_per_op(index) / ticks_per_op(0)),
             idle_kb[index].to_string(),
             format!("{:.2}", startup_seconds[index] / startup_seconds[0]),
         ]);
@@ -378,11 +383,11 @@
     let args = Args::parse();
     let runtime = Runtime::new().expect("the runtime starts");
     let table = match args.measurement {
-        Measurement::Small => small(&args, &runtime),
-        Measurement::Wide => wide(&args, &runtime),
-        Measurement::Readers { count } => readers(&args, &runtime, count),
-        Measurement::Cuts => cuts(&args, &runtime),
-        Measurement::Core { ref old, ref new } => core(&args, &runtime, [old, new]),
+        Measurement::Small => measure_small_results(&args, &runtime),
+        Measurement::Wide => measure_large_results(&args, &runtime),
+        Measurement::Readers { count } => measure_slow_readers(&args, &runtime, count),
+        Measurement::Cuts => measure_interrupted_results(&args, &runtime),
+        Measurement::Core { ref old, ref new } => compare_programs(&args, &runtime, [old, new]),
     };
     match table {
         Ok(table) => {
--- a/crates/arrowyard-testbed/src/tcp_relay.rs
+++ b/crates/arrowyard-testbed/src/tcp_relay.rs
@@ -13,10 +13,14 @@
 use tokio::runtime::Handle;
 use tokio::time::sleep;
 
+use crate::accept::accept;
+
 /// The directions between a process and all hosts that are cut.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Cut {
+    /// Bytes from the process to the hosts are held back.
     pub to_hosts: bool,
+    /// Bytes from the hosts to the process are held back.
     pub from_hosts: bool,
 }
 
@@ -52,7 +56,8 @@
         let cuts = self.cuts.clone();
         self.runtime.spawn(async move {
             let listener = TcpListener::from_std(listener).expect("the listener is valid");
-            while let Ok((stream, _)) = listener.accept().await {
+            loop {
+                let stream = accept(&listener).await;
                 tokio::spawn(relay(cuts.clone(), process, host, stream));
             }
         });
@@ -66,6 +71,7 @@
     }
 }
 
+/// Relays a connection of a process to the host until both directions are closed.
 async fn relay(cuts: Cuts, process: usize, host: SocketAddr, stream: TcpStream) -> Option<()> {
     // If the host is down, the process's connection is closed.
     let host_stream = TcpStream::connect(host).await.ok()?;
@@ -79,6 +85,7 @@
     Some(())
 }
 
+/// Copies bytes in one direction while it is not cut, and closes it after the last one.
 async fn copy(
     cuts: Cuts,
     process: usize,
