--- a/crates/arrowyard-core/src/leases.rs
+++ b/crates/arrowyard-core/src/leases.rs
@@ -442,7 +442,7 @@
         match command {
             LeasesCommand::Show(client) => drop(client.send(self.report())),
             LeasesCommand::SetEligible(eligible) => {
-                tracing::info!(mono_us = mono_us(), eligible, "eligibility for leases changed");
+                tracing::info!(mono_us = mono_us(), fit = eligible, "eligibility for leases changed");
                 if self.release_waiter.is_none() {
                     self.calls_stopped = !eligible;
                 }
--- a/crates/arrowyard-core/src/peers.rs
+++ b/crates/arrowyard-core/src/peers.rs
@@ -272,7 +272,7 @@
                     tracing::info!(mono_us, life = incarnation, "raised the incarnation of this router")
                 }
                 Event::DuplicateName { yields } => {
-                    tracing::error!(mono_us, yields, "another process uses this router's name");
+                    tracing::error!(mono_us, gives_way = yields, "another process uses this router's name");
                 }
                 Event::Partition { reachable, total } => {
                     tracing::warn!(
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -852,12 +852,12 @@
             repeats = counters.retries,
             cold = counters.cold_sends,
             probes = counters.probes,
-            connections_started =
+            dials =
                 connections_started - std::mem::replace(&mut self.logged_connections, connections_started),
-            list_entries = counters.list_entries,
+            listed = counters.list_entries,
             open_ops = self.op_table.open_ops(),
-            open_connections = self.context.transport.open_connections(),
-            "counters"
+            links = self.context.transport.open_connections(),
+            "tally"
         );
     }
 }
