--- a/crates/arrowyard-background-tasks/src/budget.rs
+++ b/crates/arrowyard-background-tasks/src/budget.rs
@@ -2,7 +2,7 @@
 
 use arrowyard_types::Timestamp;
 
-/// A token bucket that allows debt, since the cost of a turn is known only after it.
+/// A token bucket that allows debt, since the cost of a task's turn is known only after it.
 #[derive(Clone, Debug)]
 pub struct TokenBucket {
     level: f64,
@@ -21,8 +21,8 @@
     /// The current level; negative while in debt.
     pub fn level(&mut self, now: Timestamp) -> f64 {
         // A clock that goes backwards does not change the level.
-        let passed = (now - self.refilled_at).as_secs_f64().max(0.0);
-        self.level = (self.level + passed * self.rate).min(self.capacity);
+        let elapsed_s = (now - self.refilled_at).as_secs_f64().max(0.0);
+        self.level = (self.level + elapsed_s * self.rate).min(self.capacity);
         self.refilled_at = self.refilled_at.max(now);
         self.level
     }
--- a/crates/arrowyard-startup/src/list_version.rs
+++ b/crates/arrowyard-startup/src/list_version.rs
@@ -1,7 +1,6 @@
-//! Decides which host lists of discovery are accepted. Several discovery instances may answer at one
-//! address, and a stale one lists hosts that have gone or are draining. Lists carry increasing version
-//! numbers, so an older list is ignored. A discovery that lost its state restarts its numbering, and its
-//! lists must be accepted eventually.
+//! Decides which host lists of discovery are accepted, by their version numbers. Several discovery instances
+//! may answer at one address, and lists of a stale one are ignored. An instance that lost its state restarts
+//! its version numbers, and its lists must be accepted eventually.
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
@@ -19,15 +18,15 @@
 #[derive(Clone, Debug)]
 pub struct ListVersionTracker {
     /// The version of the list that was accepted last.
-    accepted: Option<i64>,
-    /// When a list of that version or a newer one was last received.
-    last_current_at: Timestamp,
+    accepted_version: Option<i64>,
+    /// When a list was last accepted.
+    last_accepted_at: Timestamp,
     /// Consecutive older lists with versions that do not decrease, and the version of the latest.
     older_count: u32,
     last_older_version: i64,
     /// Older lists are accepted after only older ones have been received for this long.
     rollback_delay: TimeDelta,
-    /// Discovery moved to another address, where versions may differ.
+    /// Whether discovery moved to another address, where versions may differ, since the last accepted list.
     address_changed: bool,
 }
 
@@ -36,12 +35,16 @@
 const MIN_OLDER_LISTS: u32 = 2;
 
 impl ListVersionTracker {
-    /// `held` is the version of the list that the router starts with, if any.
+    /// `initial_version` is the version of the list that the router starts with, if any.
     #[must_use]
-    pub fn new(now: Timestamp, held: Option<i64>, rollback_delay: TimeDelta) -> ListVersionTracker {
+    pub fn new(
+        now: Timestamp,
+        initial_version: Option<i64>,
+        rollback_delay: TimeDelta,
+    ) -> ListVersionTracker {
         ListVersionTracker {
-            accepted: held,
-            last_current_at: now,
+            accepted_version: initial_version,
+            last_accepted_at: now,
             older_count: 0,
             last_older_version: i64::MIN,
             rollback_delay,
@@ -49,19 +52,21 @@
         }
     }
 
-    /// Discovery is reached at another address from now on, so the next whole list is accepted whatever its
+    /// Discovery is reached at another address from now on, so the next full list is accepted whatever its
     /// version.
     pub fn address_changed(&mut self) {
         self.address_changed = true;
     }
 
-    /// Decides on a received list of this version; `whole` is false for a list of changes.
-    pub fn evaluate(&mut self, now: Timestamp, version: i64, whole: bool) -> ListDecision {
-        let Some(accepted) = self.accepted else { return self.accept(now, version, ListDecision::Accept) };
-        if version >= accepted {
+    /// Decides on a received list of this version; `is_full` is false for a list of changes.
+    pub fn evaluate(&mut self, now: Timestamp, version: i64, is_full: bool) -> ListDecision {
+        let Some(accepted_version) = self.accepted_version else {
+            return self.accept(now, version, ListDecision::Accept);
+        };
+        if version >= accepted_version {
             return self.accept(now, version, ListDecision::Accept);
         }
-        if !whole {
+        if !is_full {
             // Changes relative to an older list do not apply to the accepted one.
             return ListDecision::Ignore;
         }
@@ -71,14 +76,14 @@
         // Two stale instances send versions that go up and down; an instance that lost its state counts up.
         self.older_count = if version >= self.last_older_version { self.older_count + 1 } else { 1 };
         self.last_older_version = version;
-        if self.older_count >= MIN_OLDER_LISTS && now - self.last_current_at >= self.rollback_delay {
+        if self.older_count >= MIN_OLDER_LISTS && now - self.last_accepted_at >= self.rollback_delay {
             return self.accept(now, version, ListDecision::Reset);
         }
         ListDecision::Ignore
     }
 
     fn accept(&mut self, now: Timestamp, version: i64, decision: ListDecision) -> ListDecision {
-        (self.accepted, self.last_current_at, self.older_count, self.last_older_version) =
+        (self.accepted_version, self.last_accepted_at, self.older_count, self.last_older_version) =
             (Some(version), now, 0, i64::MIN);
         self.address_changed = false;
         decision
@@ -87,6 +92,6 @@
     /// The version of the list that was accepted last.
     #[must_use]
     pub fn accepted_version(&self) -> Option<i64> {
-        self.accepted
+        self.accepted_version
     }
 }
--- a/crates/arrowyard-startup/src/pacing.rs
+++ b/crates/arrowyard-startup/src/pacing.rs
@@ -1,6 +1,5 @@
-//! Paces the calls of a router to discovery when many routers start at once. Discovery sustains a bounded
-//! rate of calls from the whole fleet; each router knows the size of the fleet and draws its call time from
-//! the window that all calls need.
+//! Paces the calls of a router to discovery when many routers start at once. Discovery sustains a limited
+//! rate of calls; each router draws the time of its call from the window that calls of all routers need.
 
 use arrowyard_types::TimeDelta;
 use fastrand::Rng;
@@ -13,8 +12,9 @@
     /// The maximum delay of the first call of a router that knows no host, since all its operations wait for
     /// it.
     pub max_first_wait: TimeDelta,
-    /// The longest and the shortest backoff after failed calls.
+    /// The longest backoff after failed calls.
     pub max_backoff: TimeDelta,
+    /// The shortest backoff after failed calls.
     pub min_backoff: TimeDelta,
 }
 
@@ -34,6 +34,7 @@
 #[derive(Clone, Debug)]
 pub struct CallPacer {
     config: PacingConfig,
+    /// The number of routers in the fleet.
     routers: f64,
     /// Consecutive failed calls.
     failures: u32,
@@ -61,20 +62,19 @@
         TimeDelta::from_micros((self.routers / self.config.max_calls_per_s.max(1e-3) * 1e6) as i64)
     }
 
-    /// The delay before the next call; `listed`: a list is in use meanwhile. The delay is drawn from a whole
-    /// window (full jitter), which doubles with each consecutive failure. Otherwise a fleet that starts at
-    /// once would call at the same moment, and retry at the same moment, until discovery is overloaded by
-    /// calls whose callers have given up.
-    pub fn next_wait(&mut self, listed: bool) -> TimeDelta {
+    /// The delay before the next call; `has_list` tells whether a list is in use meanwhile. The delay is drawn
+    /// from a window that doubles with each consecutive failure (full jitter), so that a fleet that starts at
+    /// once does not overload discovery.
+    pub fn next_wait(&mut self, has_list: bool) -> TimeDelta {
         let window = self.window();
         if self.failures == 0 {
-            let window = if listed { window } else { window.min(self.config.max_first_wait) };
+            let window = if has_list { window } else { window.min(self.config.max_first_wait) };
             return window * self.rng.f64();
         }
-        let doubled =
+        let backoff_window =
             window.max(self.config.min_backoff) * f64::from(1_u32 << self.failures.min(MAX_DOUBLINGS));
-        // Never zero, since refusals may return immediately.
-        self.config.min_backoff + doubled.min(self.config.max_backoff) * self.rng.f64()
+        // Never zero, since a refused connection may fail immediately.
+        self.config.min_backoff + backoff_window.min(self.config.max_backoff) * self.rng.f64()
     }
 
     /// Whether the last call failed.
--- a/crates/arrowyard-startup/src/stage.rs
+++ b/crates/arrowyard-startup/src/stage.rs
@@ -16,7 +16,7 @@
     Listed,
     /// Each requested group has acknowledged a read and, if writes were requested, a write.
     Proven,
-    /// Nearly all operations have been acknowledged in the required number of windows.
+    /// The required share of operations has been acknowledged in the required number of windows.
     Full,
 }
 
@@ -26,6 +26,7 @@
     /// Service is full once this share of the finished operations is acknowledged in each of
     /// `required_windows` consecutive windows.
     pub min_acked_share: f64,
+    /// The minimum length of a window.
     pub window: TimeDelta,
     pub required_windows: u32,
     /// A window with fewer finished operations is extended.
@@ -49,10 +50,11 @@
 /// The result of a completed start.
 #[derive(Clone, Debug, PartialEq)]
 pub struct StartupReport {
-    /// From the start to the beginning of the served windows.
+    /// From the start to the first window of the run with full service, or to the timeout.
     pub took: TimeDelta,
-    /// The stage that took longest to reach, and how long.
+    /// The stage that took longest to reach from the previous one.
     pub longest_stage: Stage,
+    /// How long the start took to reach that stage from the previous one.
     pub longest_wait: TimeDelta,
     /// False if the start ended by timeout.
     pub is_full_service: bool,
@@ -73,28 +75,28 @@
     started_at: Timestamp,
     stage: Stage,
     /// When each stage was reached.
-    reached: BTreeMap<Stage, Timestamp>,
+    reached_at: BTreeMap<Stage, Timestamp>,
     groups: BTreeMap<GroupId, GroupStats>,
     window_start: Timestamp,
     acked: u32,
     failed: u32,
+    /// Consecutive windows in which enough operations were acknowledged, and when the first of them began.
     served_windows: u32,
-    /// When the current run of served windows began.
     served_since: Option<Timestamp>,
     is_over: bool,
 }
 
 impl StartupTracker {
-    /// Begins a start; `listed`: an unconfirmed list is available already.
+    /// Begins a start; `has_list` tells whether an unconfirmed list is available already.
     #[must_use]
-    pub fn start(now: Timestamp, config: StartupConfig, listed: bool) -> StartupTracker {
-        let stage = if listed { Stage::Unconfirmed } else { Stage::NoHosts };
-        let reached = BTreeMap::from([(Stage::NoHosts, now), (stage, now)]);
+    pub fn start(now: Timestamp, config: StartupConfig, has_list: bool) -> StartupTracker {
+        let stage = if has_list { Stage::Unconfirmed } else { Stage::NoHosts };
+        let reached_at = BTreeMap::from([(Stage::NoHosts, now), (stage, now)]);
         StartupTracker {
             config,
             started_at: now,
             stage,
-            reached,
+            reached_at,
             groups: BTreeMap::new(),
             window_start: now,
             acked: 0,
@@ -120,7 +122,7 @@
     fn reach(&mut self, now: Timestamp, stage: Stage) {
         if stage > self.stage {
             self.stage = stage;
-            self.reached.insert(stage, now);
+            self.reached_at.insert(stage, now);
         }
     }
 
@@ -135,27 +137,28 @@
     }
 
     /// A client requested an operation.
-    pub fn op_received(&mut self, group: GroupId, write: bool) {
+    pub fn op_received(&mut self, group: GroupId, is_write: bool) {
         if self.is_over {
             return;
         }
         let group = self.groups.entry(group).or_default();
-        (group.requested, group.write_requested) = (true, group.write_requested || write);
+        (group.requested, group.write_requested) = (true, group.write_requested || is_write);
     }
 
     /// An operation was acknowledged.
-    pub fn op_acked(&mut self, now: Timestamp, group: GroupId, write: bool) {
+    pub fn op_acked(&mut self, now: Timestamp, group: GroupId, is_write: bool) {
         if self.is_over {
             return;
         }
         self.acked += 1;
         let stats = self.groups.entry(group).or_default();
-        (stats.read_acked, stats.write_acked) = (stats.read_acked || !write, stats.write_acked || write);
-        let proven = |stats: &GroupStats| {
+        (stats.read_acked, stats.write_acked) =
+            (stats.read_acked || !is_write, stats.write_acked || is_write);
+        let is_proven = |stats: &GroupStats| {
             !stats.requested || stats.write_acked || stats.read_acked && !stats.write_requested
         };
-        if self.stage >= Stage::Unconfirmed && self.groups.values().all(proven) {
-            // Also without discovery, since hosts that respond are proven to exist.
+        if self.stage >= Stage::Unconfirmed && self.groups.values().all(is_proven) {
+            // Does not require a list from discovery, since hosts that respond are proven to exist.
             self.reach(now, Stage::Proven);
         }
     }
@@ -174,44 +177,40 @@
         if now - self.window_start >= self.config.window
             && (finished >= self.config.min_window_ops || finished == 0)
         {
-            let served = f64::from(self.acked) >= f64::from(finished) * self.config.min_acked_share;
+            let is_served = f64::from(self.acked) >= f64::from(finished) * self.config.min_acked_share;
             if finished == 0 {
                 // No operation finished: neither served nor failed.
-            } else if served && self.stage >= Stage::Proven {
+            } else if is_served && self.stage >= Stage::Proven {
                 // The window may have begun before anything could be served.
-                let proven = self.reached.get(&Stage::Proven).copied().unwrap_or(now);
-                self.served_since = self.served_since.or(Some(self.window_start.max(proven)));
+                let proven_at = self.reached_at.get(&Stage::Proven).copied().unwrap_or(now);
+                self.served_since = self.served_since.or(Some(self.window_start.max(proven_at)));
                 self.served_windows += 1;
             } else {
                 (self.served_since, self.served_windows) = (None, 0);
             }
             (self.window_start, self.acked, self.failed) = (now, 0, 0);
         }
-        let full = self.served_windows >= self.config.required_windows;
-        if !full && now - self.started_at < self.config.timeout {
+        let is_full_service = self.served_windows >= self.config.required_windows;
+        if !is_full_service && now - self.started_at < self.config.timeout {
             return None;
         }
         self.is_over = true;
-        let end = if full { self.served_since.unwrap_or(now) } else { now };
-        if full {
-            self.reach(end, Stage::Full);
+        let ended_at = if is_full_service { self.served_since.unwrap_or(now) } else { now };
+        if is_full_service {
+            self.reach(ended_at, Stage::Full);
         }
         // The duration of each stage, counted from the previous one.
-        let mut before = self.started_at;
+        let mut previous_at = self.started_at;
         let mut longest = (TimeDelta::ZERO, self.stage);
-        for (&stage, &at) in &self.reached {
-            longest = longest.max((at - before, stage));
-            before = before.max(at);
+        for (&stage, &at) in &self.reached_at {
+            longest = longest.max((at - previous_at, stage));
+            previous_at = previous_at.max(at);
         }
-        if !full {
-            longest = longest.max((now - before, Stage::Full));
+        if !is_full_service {
+            longest = longest.max((now - previous_at, Stage::Full));
         }
-        Some(StartupReport {
-            took: end - self.started_at,
-            longest_stage: longest.1,
-            longest_wait: longest.0,
-            is_full_service: full,
-        })
+        let (longest_wait, longest_stage) = longest;
+        Some(StartupReport { took: ended_at - self.started_at, longest_stage, longest_wait, is_full_service })
     }
 
     /// When a rejected client should retry. During a start the delay is jittered, so that the clients of a
@@ -219,20 +218,20 @@
     #[must_use]
     pub fn retry_after(
         &self,
-        requested: Option<TimeDelta>,
-        max: TimeDelta,
+        min_delay: Option<TimeDelta>,
+        max_delay: TimeDelta,
         rng: &mut Rng,
     ) -> Option<TimeDelta> {
         if self.is_over {
-            return requested;
+            return min_delay;
         }
-        Some(jittered_retry_after(requested, max, rng))
+        Some(jittered_retry_after(min_delay, max_delay, rng))
     }
 }
 
-/// A delay drawn uniformly between `requested` and `max`, the maximum that a client accepts.
+/// A delay drawn uniformly between `min_delay` and `max_delay`, the maximum that a client accepts.
 #[must_use]
-pub fn jittered_retry_after(requested: Option<TimeDelta>, max: TimeDelta, rng: &mut Rng) -> TimeDelta {
-    let from = requested.unwrap_or_default().min(max);
-    from + (max - from) * rng.f64()
+pub fn jittered_retry_after(min_delay: Option<TimeDelta>, max_delay: TimeDelta, rng: &mut Rng) -> TimeDelta {
+    let shortest = min_delay.unwrap_or_default().min(max_delay);
+    shortest + (max_delay - shortest) * rng.f64()
 }
--- a/crates/arrowyard-startup/src/trust.rs
+++ b/crates/arrowyard-startup/src/trust.rs
@@ -29,6 +29,7 @@
 pub struct StartupSettings {
     /// The directory of the stored list; `None` stores nothing.
     pub store: Option<PathBuf>,
+    /// How the stored list is trusted.
     pub trust: Trust,
     /// The minimum time between two writes of the list.
     pub save_interval: TimeDelta,
@@ -54,21 +55,23 @@
 }
 
 /// The usable hosts of a list that was written `age` ago. Roles are not restored, since the primary may have
-/// changed. Hosts that were draining, and hosts in `known`, the platform's own list, are left out.
+/// changed. Hosts that were draining, and hosts in `platform_hosts`, the platform's own list, are left
+/// out.
 #[must_use]
 pub fn discount_hosts(
     stored: &Snapshot,
     age: TimeDelta,
     trust: Trust,
-    known: &[String],
+    platform_hosts: &[String],
 ) -> Vec<DiscountedHost> {
     let confidence = confidence(age, trust.host_lifetime);
     if confidence < trust.min_confidence {
         return Vec::new();
     }
-    let is_usable = |host: &&Host| !host.draining && !host.dial.is_empty() && !known.contains(&host.name);
+    let is_usable =
+        |host: &&Host| !host.draining && !host.dial.is_empty() && !platform_hosts.contains(&host.name);
     let discounted = |host: &Host| DiscountedHost {
-        // The start time of a host does not change, unlike its role.
+        // Unlike its role, the start time of a host does not change, so it is kept.
         host: Host { was_primary: false, size: host.size * confidence, ..host.clone() },
         confidence,
     };
--- a/crates/arrowyard-startup/tests/discovery.rs
+++ b/crates/arrowyard-startup/tests/discovery.rs
@@ -65,39 +65,48 @@
 
 #[test]
 fn a_fleet_that_starts_at_once_keeps_the_rate_limit_of_discovery() {
-    let pace = PacingConfig { max_calls_per_s: 100.0, ..PacingConfig::default() };
-    for (routers, listed) in [(300, true), (1000, true), (300, false), (1, false)] {
+    let config = PacingConfig { max_calls_per_s: 100.0, ..PacingConfig::default() };
+    for (routers, has_list) in [(300, true), (1000, true), (300, false), (1, false)] {
         let mut waits: Vec<i64> = (0..routers)
-            .map(|seed| CallPacer::new(pace, f64::from(routers), seed as u64 + 1).next_wait(listed).micros())
+            .map(|seed| {
+                CallPacer::new(config, f64::from(routers), seed as u64 + 1).next_wait(has_list).micros()
+            })
             .collect();
         waits.sort_unstable();
-        let window = if listed { f64::from(routers) / 100.0 } else { (f64::from(routers) / 100.0).min(1.0) };
-        assert!(*waits.last().expect("one") as f64 <= window * 1e6);
+        let window =
+            if has_list { f64::from(routers) / 100.0 } else { (f64::from(routers) / 100.0).min(1.0) };
+        assert!(*waits.last().expect("there is at least one router") as f64 <= window * 1e6);
         // The busiest second: random draws exceed the mean rate, and the maximum first wait may exceed it
         // further.
-        let in_a_second =
+        let calls_in_second_from =
             |from: i64| waits.iter().filter(|at| (from..from + 1_000_000).contains(*at)).count();
-        let worst = waits.iter().map(|&from| in_a_second(from)).max().unwrap_or_default();
-        let most = if listed { 150 } else { routers as usize };
-        assert!(worst <= most, "{routers} routers, listed {listed}: {worst} calls in one second");
+        let busiest = waits.iter().map(|&from| calls_in_second_from(from)).max().unwrap_or_default();
+        let max_calls = if has_list { 150 } else { routers as usize };
+        assert!(
+            busiest <= max_calls,
+            "{routers} routers, list in use {has_list}: {busiest} calls in one second"
+        );
     }
 }
 
 #[test]
 fn failed_calls_back_off_and_are_never_retried_immediately() {
-    let pace = PacingConfig::default();
-    let mut pacer = CallPacer::new(pace, 300.0, 7);
-    let mean =
+    let config = PacingConfig::default();
+    let mut pacer = CallPacer::new(config, 300.0, 7);
+    let mean_wait =
         |pacer: &mut CallPacer| (0..400).map(|_| pacer.next_wait(true).as_secs_f64()).sum::<f64>() / 400.0;
-    let mut before = 0.0;
+    let mut previous_mean = 0.0;
     for _ in 0..2 {
         pacer.record_failure();
-        let now = mean(&mut pacer);
-        assert!(now > before * 1.5 && pacer.next_wait(true) >= pace.min_backoff, "{now} after {before}");
-        before = now;
+        let mean = mean_wait(&mut pacer);
+        assert!(
+            mean > previous_mean * 1.5 && pacer.next_wait(true) >= config.min_backoff,
+            "{mean} after {previous_mean}"
+        );
+        previous_mean = mean;
     }
     (0..40).for_each(|_| pacer.record_failure());
-    assert!(mean(&mut pacer) < 6.0, "the maximum backoff limits the wait");
+    assert!(mean_wait(&mut pacer) < 6.0, "the maximum backoff limits the wait");
     assert!(pacer.is_failing());
     pacer.record_success();
     assert!(!pacer.is_failing() && pacer.next_wait(true) <= pacer.window());
@@ -109,32 +118,38 @@
 /// The expected decision, computed from the complete history.
 fn expected_decision(
     history: &[(Arrival, ListDecision)],
-    start: i64,
-    arrival: Arrival,
+    initial_version: i64,
+    (version, arrived_at): Arrival,
     rollback_delay: i64,
 ) -> ListDecision {
-    let taken = history.iter().rposition(|(_, decision)| *decision != ListDecision::Ignore);
-    let (held, heard) = taken.map_or((start, 0), |at| history[at].0);
-    if arrival.0 >= held {
+    let last_accepted = history.iter().rposition(|(_, decision)| *decision != ListDecision::Ignore);
+    let (accepted_version, accepted_at) =
+        last_accepted.map_or((initial_version, 0), |index| history[index].0);
+    if version >= accepted_version {
         return ListDecision::Accept;
     }
-    let since = &history[taken.map_or(0, |at| at + 1)..];
-    let rises = since.last().is_some_and(|((version, _), _)| arrival.0 >= *version);
-    if rises && arrival.1 - heard >= rollback_delay { ListDecision::Reset } else { ListDecision::Ignore }
+    let ignored = &history[last_accepted.map_or(0, |index| index + 1)..];
+    let is_not_decreasing =
+        ignored.last().is_some_and(|((ignored_version, _), _)| version >= *ignored_version);
+    if is_not_decreasing && arrived_at - accepted_at >= rollback_delay {
+        ListDecision::Reset
+    } else {
+        ListDecision::Ignore
+    }
 }
 
 proptest! {
     #[test]
     fn decisions_match_the_reference_model(
-        arrival in proptest::collection::vec((0_i64..12, 1_i64..900), 1..60),
-        start in 0_i64..12,
+        arrivals in proptest::collection::vec((0_i64..12, 1_i64..900), 1..60),
+        initial_version in 0_i64..12,
     ) {
-        let mut tracker = ListVersionTracker::new(at(0), Some(start), ms(1_000));
+        let mut tracker = ListVersionTracker::new(at(0), Some(initial_version), ms(1_000));
         let (mut now, mut history) = (0, Vec::new());
-        for (version, after) in arrival {
-            now += after;
+        for (version, delay) in arrivals {
+            now += delay;
             let decision = tracker.evaluate(at(now), version, true);
-            prop_assert_eq!(decision, expected_decision(&history, start, (version, now), 1_000));
+            prop_assert_eq!(decision, expected_decision(&history, initial_version, (version, now), 1_000));
             history.push(((version, now), decision));
         }
     }
--- a/crates/arrowyard-store/src/disk.rs
+++ b/crates/arrowyard-store/src/disk.rs
@@ -33,8 +33,8 @@
             return Err(io::Error::from(io::ErrorKind::IsADirectory));
         }
         let mut bytes = Vec::new();
-        // The file may grow while it is read, so the read is limited. One byte more tells a file that is too
-        // long.
+        // The file may grow while it is read, so the read is limited. One extra byte shows that the file is
+        // too long.
         File::open(path)?.take(max_bytes as u64 + 1).read_to_end(&mut bytes)?;
         Ok((bytes, metadata.len()))
     }
--- a/crates/arrowyard-store/src/generations.rs
+++ b/crates/arrowyard-store/src/generations.rs
@@ -10,10 +10,11 @@
 /// The snapshots of one deployment in a directory.
 pub struct Store<D: Disk> {
     pub disk: D,
+    /// The directory of the files.
     pub folder: PathBuf,
     /// The expected deployment; `None` accepts any, for inspection.
     pub deployment: Option<u64>,
-    /// The accepted clock skew.
+    /// A snapshot written further in the future than this is rejected.
     pub max_clock_skew_ms: u64,
 }
 
--- a/crates/arrowyard-store/src/lib.rs
+++ b/crates/arrowyard-store/src/lib.rs
@@ -1,7 +1,6 @@
 //! On-disk snapshots of the host list that a router last knew. Two generations are kept, each written to a
 //! temporary file, synced and renamed, so that a router that is killed at any moment finds a valid one. Each
-//! kind of damage is reported separately, and none prevents a start. Writes block and belong on a thread of
-//! their own.
+//! kind of damage is reported separately, and none prevents a start. Writes block the calling thread.
 
 mod disk;
 mod format;
--- a/crates/arrowyard-store/tests/store.rs
+++ b/crates/arrowyard-store/tests/store.rs
@@ -25,41 +25,41 @@
 
 #[test]
 fn each_kind_of_damage_is_reported_separately() {
-    let good = encode(&snapshot(4, 3));
-    assert_eq!(decode(&good, Some(7), NOW, 500), GenerationState::Valid(snapshot(4, 3)));
+    let valid_file = encode(&snapshot(4, 3));
+    assert_eq!(decode(&valid_file, Some(7), NOW, 500), GenerationState::Valid(snapshot(4, 3)));
     assert_eq!(decode(&[], Some(7), NOW, 500), GenerationState::Empty);
-    for cut in 1..good.len() {
-        assert_eq!(decode(&good[..cut], Some(7), NOW, 500), GenerationState::Truncated, "{cut}");
+    for cut in 1..valid_file.len() {
+        assert_eq!(decode(&valid_file[..cut], Some(7), NOW, 500), GenerationState::Truncated, "{cut}");
     }
-    for byte in 0..good.len() {
+    for byte in 0..valid_file.len() {
         for bit in 0..8 {
-            let mut bad = good.clone();
-            bad[byte] ^= 1 << bit;
-            let found = decode(&bad, Some(7), NOW, 500);
+            let mut damaged = valid_file.clone();
+            damaged[byte] ^= 1 << bit;
+            let state = decode(&damaged, Some(7), NOW, 500);
             assert!(
-                matches!(found, GenerationState::Garbled | GenerationState::Truncated),
-                "byte {byte}, bit {bit}: {found:?}"
+                matches!(state, GenerationState::Garbled | GenerationState::Truncated),
+                "byte {byte}, bit {bit}: {state:?}"
             );
         }
     }
-    assert_eq!(decode(&[&good[..], b"x"].concat(), Some(7), NOW, 500), GenerationState::Garbled);
+    assert_eq!(decode(&[&valid_file[..], b"x"].concat(), Some(7), NOW, 500), GenerationState::Garbled);
     assert_eq!(
         decode(&vec![0; MAX_FILE_BYTES + 1], Some(7), NOW, 500),
         GenerationState::Huge(MAX_FILE_BYTES as u64 + 1)
     );
-    assert_eq!(decode(&good, Some(8), NOW, 500), GenerationState::Foreign);
+    assert_eq!(decode(&valid_file, Some(8), NOW, 500), GenerationState::Foreign);
     assert_eq!(
-        decode(&good, Some(7), NOW - 1500, 500),
+        decode(&valid_file, Some(7), NOW - 1500, 500),
         GenerationState::Valid(snapshot(4, 3)),
         "within the accepted clock skew"
     );
-    assert_eq!(decode(&good, Some(7), NOW - 1501, 500), GenerationState::Future(501));
+    assert_eq!(decode(&valid_file, Some(7), NOW - 1501, 500), GenerationState::Future(501));
     let decode_versions = |format_version: u16, min_reader_version: u16| {
-        let mut bytes = good.clone();
+        let mut bytes = valid_file.clone();
         bytes[4..6].copy_from_slice(&format_version.to_le_bytes());
         bytes[6..8].copy_from_slice(&min_reader_version.to_le_bytes());
-        let check = crc32c::crc32c_append(crc32c::crc32c(&bytes[..12]), &bytes[16..]);
-        bytes[12..16].copy_from_slice(&check.to_le_bytes());
+        let checksum = crc32c::crc32c_append(crc32c::crc32c(&bytes[..12]), &bytes[16..]);
+        bytes[12..16].copy_from_slice(&checksum.to_le_bytes());
         decode(&bytes, Some(7), NOW, 500)
     };
     assert_eq!(decode_versions(9, 9), GenerationState::Newer(9));
@@ -81,10 +81,11 @@
 }
 
 impl FailingDisk {
+    /// Counts a step; false if it fails.
     fn step(&self) -> bool {
-        let left = self.steps_left.get();
-        self.steps_left.set(left.saturating_sub(1));
-        left > 0
+        let steps_left = self.steps_left.get();
+        self.steps_left.set(steps_left.saturating_sub(1));
+        steps_left > 0
     }
 }
 
@@ -106,8 +107,8 @@
         if !self.step() {
             return Err(io::ErrorKind::BrokenPipe.into());
         }
-        let moved = self.files.borrow_mut().remove(from).ok_or(io::ErrorKind::NotFound)?;
-        self.files.borrow_mut().insert(to.to_path_buf(), moved);
+        let bytes = self.files.borrow_mut().remove(from).ok_or(io::ErrorKind::NotFound)?;
+        self.files.borrow_mut().insert(to.to_path_buf(), bytes);
         Ok(())
     }
 }
@@ -118,8 +119,8 @@
     disk.steps_left.set(usize::MAX);
     let store = Store { disk, folder: "s".into(), deployment: Some(7), max_clock_skew_ms: 500 };
     let mut rng = fastrand::Rng::with_seed(9);
-    let mut last = 0;
-    for turn in 0..500 {
+    let mut last_number = 0;
+    for attempt in 0..500 {
         let hosts = rng.usize(..40);
         // Fails at any step, or not at all.
         store.disk.steps_left.set(rng.usize(..4));
@@ -128,19 +129,19 @@
         store.disk.steps_left.set(usize::MAX);
         let loaded = store.load(NOW);
         let Some((_, newest)) = loaded.newest() else {
-            assert_eq!(last, 0, "turn {turn}: no valid generation is left: {loaded:?}");
+            assert_eq!(last_number, 0, "attempt {attempt}: no valid generation is left: {loaded:?}");
             continue;
         };
         // The new snapshot after success; the old or the new one after an error.
-        let expected = if saved { last + 1..=last + 1 } else { last..=last + 1 };
+        let expected = if saved { last_number + 1..=last_number + 1 } else { last_number..=last_number + 1 };
         assert!(
             expected.contains(&newest.number),
-            "turn {turn}: {} after {last}, saved {saved}",
+            "attempt {attempt}: {} after {last_number}, saved {saved}",
             newest.number
         );
-        last = newest.number;
+        last_number = newest.number;
     }
-    assert!(last > 100);
+    assert!(last_number > 100);
 }
 
 /// A temporary directory that is removed on drop.
@@ -162,7 +163,7 @@
 
 #[test]
 fn generations_alternate_on_a_real_disk_and_a_directory_is_reported() {
-    let folder = TempDirectory::new("turns");
+    let folder = TempDirectory::new("generations");
     let store =
         Store { disk: SystemDisk, folder: folder.0.clone(), deployment: Some(7), max_clock_skew_ms: 500 };
     assert!(store.load(NOW).newest().is_none());
@@ -176,36 +177,40 @@
     let mode = std::fs::metadata(folder.0.join("hosts.a")).expect("the file exists").permissions().mode();
     assert_eq!(mode & 0o777, 0o600, "readable by its owner only");
     // The newer generation is damaged: the older one is used, and the damaged one is replaced next.
-    let (newest, _) =
-        store.load(NOW).newest().map(|(kept, one)| (kept, one.number)).expect("one generation is valid");
-    let broken = folder.0.join(if newest == arrowyard_store::Generation::A { "hosts.a" } else { "hosts.b" });
-    std::fs::write(&broken, b"AYST").expect("the file is written");
-    assert_eq!(store.load(NOW).newest().map(|(_, one)| one.number), Some(3));
+    let (newest, _) = store
+        .load(NOW)
+        .newest()
+        .map(|(generation, snapshot)| (generation, snapshot.number))
+        .expect("one generation is valid");
+    let damaged_path =
+        folder.0.join(if newest == arrowyard_store::Generation::A { "hosts.a" } else { "hosts.b" });
+    std::fs::write(&damaged_path, b"AYST").expect("the file is written");
+    assert_eq!(store.load(NOW).newest().map(|(_, snapshot)| snapshot.number), Some(3));
     assert_eq!(store.load(NOW).next_generation().0, newest);
-    std::fs::remove_file(&broken).expect("the file exists");
-    std::fs::create_dir(&broken).expect("the directory is created");
-    assert!(store.load(NOW).generations.iter().any(|(_, found)| *found == GenerationState::NoFile));
+    std::fs::remove_file(&damaged_path).expect("the file exists");
+    std::fs::create_dir(&damaged_path).expect("the directory is created");
+    assert!(store.load(NOW).generations.iter().any(|(_, state)| *state == GenerationState::NoFile));
     assert!(store.save(snapshot(0, 1), NOW).is_err(), "a directory is not replaced");
     assert_eq!(
-        store.load(NOW).newest().map(|(_, one)| one.number),
+        store.load(NOW).newest().map(|(_, snapshot)| snapshot.number),
         Some(3),
         "the other generation is unchanged"
     );
-    let nowhere = Store {
+    let store_without_directory = Store {
         disk: SystemDisk,
         folder: folder.0.join("none"),
         deployment: Some(7),
         max_clock_skew_ms: 500,
     };
-    assert!(nowhere.save(snapshot(0, 1), NOW).is_err());
+    assert!(store_without_directory.save(snapshot(0, 1), NOW).is_err());
 }
 
 proptest! {
     #[test]
     fn arbitrary_bytes_do_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = decode(&bytes, Some(7), NOW, 500);
-        let mut marked = b"AYST".to_vec();
-        marked.extend(bytes);
-        let _ = decode(&marked, Some(7), NOW, 500);
+        let mut with_magic = b"AYST".to_vec();
+        with_magic.extend(bytes);
+        let _ = decode(&with_magic, Some(7), NOW, 500);
     }
 }
