--- a/crates/arrowyard-operator-config/build.rs
+++ b/crates/arrowyard-operator-config/build.rs
@@ -7,10 +7,10 @@
 use prost::Message;
 
 fn main() -> Result<(), Box<dyn Error>> {
-    let root = PathBuf::from(env::var("CARGO_MANIFEST_DIR")?).join("../../proto");
-    println!("cargo::rerun-if-changed={}", root.display());
-    let files = protox::compile([root.join("yardbook.proto")], [&root])?;
-    fs::write(PathBuf::from(env::var("OUT_DIR")?).join("yardbook.bin"), files.encode_to_vec())?;
-    prost_build::Config::new().compile_fds(files)?;
+    let proto_folder = PathBuf::from(env::var("CARGO_MANIFEST_DIR")?).join("../../proto");
+    println!("cargo::rerun-if-changed={}", proto_folder.display());
+    let descriptors = protox::compile([proto_folder.join("yardbook.proto")], [&proto_folder])?;
+    fs::write(PathBuf::from(env::var("OUT_DIR")?).join("yardbook.bin"), descriptors.encode_to_vec())?;
+    prost_build::Config::new().compile_fds(descriptors)?;
     Ok(())
 }
--- a/crates/arrowyard-operator-config/examples/size.rs
+++ b/crates/arrowyard-operator-config/examples/size.rs
@@ -1,5 +1,5 @@
-//! Benchmark of cells by the number of tenants: parsing and applying a file, assigning hosts, and looking up
-//! the cells of ops. Run it with `cargo run --release -p arrowyard-operator-config --example size`.
+//! Benchmark of cells for two sizes: parsing a file, applying its layout, and looking up the cells of tenants
+//! and hosts. Run it with `cargo run --release -p arrowyard-operator-config --example size`.
 
 use std::fmt::Write;
 use std::hint::black_box;
@@ -57,10 +57,10 @@
     let (layout, convert_seconds) = timed(|| cell_layout(&config).expect("the file has cells"));
     let (mut assignment, assignment_seconds) = timed(|| CellAssignment::new(&layout));
     // Measured on copies, since memory that was freed before may be reused.
-    let before = process_memory();
+    let bytes_before = process_memory();
     let copies: Vec<(Layout, CellAssignment)> =
         (0..8).map(|_| (layout.clone(), assignment.clone())).collect();
-    let copy_bytes = process_memory().saturating_sub(before) / copies.len();
+    let copy_bytes = process_memory().saturating_sub(bytes_before) / copies.len();
     drop(copies);
     let (index, index_seconds) = timed(|| CellIndex::new(&layout));
     let names: Vec<String> = (0..tenants).map(|n| format!("tenant-{}", n * 31 % tenants)).collect();
@@ -80,7 +80,7 @@
         max_op_timeout: TimeDelta::ZERO,
         max_clock_skew: TimeDelta::ZERO,
     };
-    let mut admission = Cells::new(
+    let mut cell_admission = Cells::new(
         Timestamp::DISTANT_PAST,
         layout.clone(),
         Capacity { ops: 1000, bytes: 1 << 20, probes: 8 },
@@ -88,7 +88,8 @@
     );
     let mut next_layout = Layout { epoch: 2, ..layout.clone() };
     next_layout.cells[0].weight = 2.0;
-    let (result, replace_seconds) = timed(|| admission.replace_layout(Timestamp::DISTANT_PAST, next_layout));
+    let (result, replace_seconds) =
+        timed(|| cell_admission.replace_layout(Timestamp::DISTANT_PAST, next_layout));
     assert_eq!(result, Ok(()));
     println!(
         "{tenants:>7} tenants {cells:>5} cells {hosts:>6} hosts: parse {:.3} s, apply {:.3} s, replace on the \
--- a/crates/arrowyard-operator-config/src/layout.rs
+++ b/crates/arrowyard-operator-config/src/layout.rs
@@ -1,4 +1,4 @@
-//! Converts a validated configuration to the settings types of the packages that use them.
+//! Converts a validated configuration to the settings types of the crates that use it.
 
 use arrowyard_cells::layout::{
     Cell, ConcurrencyLimitConfig, Layout, Lease, NetworkRule, RetryBudgetConfig, RolloutConfig,
@@ -20,7 +20,7 @@
     TimeDelta::from_millis(millis.unwrap_or(default_millis).into())
 }
 
-fn cell(section: &schema::Cell) -> Cell {
+fn convert_cell(section: &schema::Cell) -> Cell {
     let concurrency_limit = section.pace.map(|pace| ConcurrencyLimitConfig {
         initial: pace.first.unwrap_or(32).into(),
         min: pace.least.unwrap_or(4).into(),
@@ -42,15 +42,15 @@
 /// which validation rejects, are left out.
 pub fn cell_layout(config: &schema::Yardbook) -> Option<Layout> {
     let section = config.cells.as_ref()?;
-    let ids: std::collections::HashMap<&str, CellId> =
+    let cell_ids: std::collections::HashMap<&str, CellId> =
         section.cell.iter().map(schema::Cell::name).zip((0..).map(CellId)).collect();
-    let id = |name: &str| ids.get(name).copied();
+    let cell_id = |name: &str| cell_ids.get(name).copied();
     let network_rule = |row: &schema::Net| {
         let parse_all =
             |texts: &[String]| texts.iter().filter_map(|text| text.parse().ok()).collect::<Vec<IpNet>>();
         let prefix = row.prefix.as_ref().and_then(|prefix| prefix.parse().ok());
         let included = prefix.map_or_else(|| parse_all(&row.within), |prefix| vec![prefix]);
-        Some(NetworkRule { included, excluded: parse_all(&row.without), cell: id(row.cell())? })
+        Some(NetworkRule { included, excluded: parse_all(&row.without), cell: cell_id(row.cell())? })
     };
     let move_config = |row: &schema::Move| {
         let step = match row.step() {
@@ -64,8 +64,8 @@
         };
         Some(MoveConfig {
             tenant: row.tenant().into(),
-            from: id(row.from())?,
-            to: id(row.to())?,
+            from: cell_id(row.from())?,
+            to: cell_id(row.to())?,
             groups: row.from_group.zip(row.to_group).map(|(from, to)| (GroupId(from), GroupId(to))),
             client_group: row.named_group.or(row.from_group).map(GroupId),
             step,
@@ -77,15 +77,15 @@
             token_retention: time_delta_or(row.memory_ms, 0),
         })
     };
-    let tenants = section.tenant.iter().filter_map(|row| Some((row.name().into(), id(row.cell())?)));
+    let tenants = section.tenant.iter().filter_map(|row| Some((row.name().into(), cell_id(row.cell())?)));
     let rollout = section.release.as_ref().map(|release| RolloutConfig {
-        order: release.order.iter().filter_map(|name| id(name)).collect(),
+        order: release.order.iter().filter_map(|name| cell_id(name)).collect(),
         error_rate_ratio: release.worse.unwrap_or(3.0),
         error_probability: release.wrong.unwrap_or(0.001),
     });
     Some(Layout {
         epoch: config.epoch(),
-        cells: section.cell.iter().map(cell).collect(),
+        cells: section.cell.iter().map(convert_cell).collect(),
         tenants: tenants.collect(),
         networks: section.net.iter().filter_map(network_rule).collect(),
         cells_per_hashed_tenant: section.rest.map(|rest| rest.each.unwrap_or(1) as usize),
@@ -114,7 +114,7 @@
         section.via.iter().filter_map(|via| Some((via.name().to_string(), via.at().parse().ok()?)));
     let membership_config = MembershipConfig {
         fleet: section.fleet().to_string(),
-        seeds: section.seed.iter().filter_map(|at| at.parse().ok()).collect(),
+        seeds: section.seed.iter().filter_map(|address| address.parse().ok()).collect(),
         allowed_networks: section.allow.iter().filter_map(|net| net.parse().ok()).collect(),
         address_overrides: address_overrides.collect(),
         lost_after: time_delta_or(section.lost_after_ms, (defaults.lost_after.micros() / 1000) as u32),
@@ -123,7 +123,7 @@
     };
     Some(PeerSettings {
         listen: section.listen().parse().ok()?,
-        advertise: section.advertise.as_ref().and_then(|at| at.parse().ok()),
+        advertise: section.advertise.as_ref().and_then(|address| address.parse().ok()),
         config: membership_config,
         count_members: section.shares.unwrap_or(false),
         relay_app_messages: section.news.unwrap_or(false),
@@ -159,14 +159,14 @@
         .collect();
     // Sorted, so that all routers assign the same ids to voters whatever the order in their files.
     voters.sort();
-    let duty = |duty: &schema::Duty| {
+    let convert_duty = |row: &schema::Duty| {
         Some(Duty {
-            name: duty.name().to_string(),
-            address: duty.at().parse().ok()?,
-            path: duty.path.clone().unwrap_or_else(|| "/".to_string()),
-            interval: time_delta_or(duty.every_ms, 1000),
-            max_duration: time_delta_or(duty.takes_ms, 200),
-            rank: duty.rank(),
+            name: row.name().to_string(),
+            address: row.at().parse().ok()?,
+            path: row.path.clone().unwrap_or_else(|| "/".to_string()),
+            interval: time_delta_or(row.every_ms, 1000),
+            max_duration: time_delta_or(row.takes_ms, 200),
+            rank: row.rank(),
         })
     };
     Some(LeaseSettings {
@@ -180,6 +180,6 @@
             ..defaults
         },
         voters,
-        duties: section.duty.iter().filter_map(duty).collect(),
+        duties: section.duty.iter().filter_map(convert_duty).collect(),
     })
 }
--- a/crates/arrowyard-operator-config/src/lib.rs
+++ b/crates/arrowyard-operator-config/src/lib.rs
@@ -28,6 +28,7 @@
 /// One error in a file.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ConfigError {
+    /// Where the field is in the file, or its nearest enclosing field if it is missing.
     pub position: Position,
     /// The field's path, as in `cells.cell[1].weight`; empty if the error belongs to no field.
     pub field: String,
@@ -45,7 +46,7 @@
     }
 }
 
-/// The maximum size of a file.
+/// The maximum size of a file, in bytes.
 pub const MAX_FILE_BYTES: u64 = 64 * 1024 * 1024;
 
 fn root_descriptor() -> MessageDescriptor {
@@ -57,7 +58,7 @@
 /// Parses and validates the text of a file.
 ///
 /// # Errors
-/// All errors found, sorted by position.
+/// The errors found, sorted by position. Values are validated only if the text can be parsed.
 pub fn parse(text: &str) -> Result<Yardbook, Vec<ConfigError>> {
     let root_descriptor = root_descriptor();
     let (positions, mut errors) = scan::scan(text, &root_descriptor);
--- a/crates/arrowyard-operator-config/src/positions.rs
+++ b/crates/arrowyard-operator-config/src/positions.rs
@@ -15,11 +15,15 @@
 }
 
 impl Position {
+    /// The position of a byte offset; an offset within a character is that of the character's start.
     pub fn at_offset(text: &str, offset: usize) -> Position {
         let offset = (0..=offset.min(text.len())).rev().find(|&at| text.is_char_boundary(at)).unwrap_or(0);
-        let before = &text[..offset];
-        let line_start = before.rfind('\n').map_or(0, |end| end + 1);
-        Position { line: before.matches('\n').count() + 1, column: before[line_start..].chars().count() + 1 }
+        let text_before = &text[..offset];
+        let line_start = text_before.rfind('\n').map_or(0, |line_end| line_end + 1);
+        Position {
+            line: text_before.matches('\n').count() + 1,
+            column: text_before[line_start..].chars().count() + 1,
+        }
     }
 }
 
@@ -37,14 +41,14 @@
                 return position;
             }
             match path.rfind('.') {
-                Some(end) => path = &path[..end],
+                Some(parent_end) => path = &path[..parent_end],
                 None => return Position { line: 1, column: 1 },
             }
         }
     }
 }
 
-/// Converts an error of the parser, with its position.
+/// Converts an error of the text format parser.
 pub fn parse_error(text: &str, error: &ParseError) -> ConfigError {
     let offset = error.labels().and_then(|mut labels| labels.next()).map_or(0, |label| label.offset());
     let help = error.help().map_or(String::new(), |help| format!("; {help}"));
--- a/crates/arrowyard-operator-config/src/scan.rs
+++ b/crates/arrowyard-operator-config/src/scan.rs
@@ -1,5 +1,5 @@
-//! Scans the text along the schema: records the position of each field and finds unknown names, repeated
-//! fields and values of the wrong kind. The parser library stops at the first error and keeps no positions.
+//! Scans the text by the schema: records the position of each field and finds unknown names, repeated fields
+//! and values of the wrong kind. The parser library stops at the first error and keeps no positions.
 
 use std::collections::HashMap;
 
@@ -13,7 +13,7 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Token<'a> {
-    Word(&'a str),
+    Identifier(&'a str),
     Number(&'a str),
     String,
     Symbol(char),
@@ -24,12 +24,13 @@
     /// The byte offset of the next character.
     offset: usize,
     line: usize,
+    /// The byte offset of the current line.
     line_start: usize,
     positions: FieldPositions,
     errors: Vec<ConfigError>,
 }
 
-/// The rest of the text cannot be scanned; the error is recorded.
+/// Returned when the rest of the text cannot be scanned; the error is in `Scanner::errors`.
 struct Unscannable;
 
 /// Scans a text; returns the positions of its fields and the errors found.
@@ -96,43 +97,43 @@
     /// The next token; `None` at the end of the text.
     fn next_token(&mut self) -> Result<Option<Token<'a>>, Unscannable> {
         let Some(first) = self.peek() else { return Ok(None) };
-        let rest = &self.text[self.offset..];
-        let run_len = |extra: &str| {
-            let is_in_run = |c: char| c.is_ascii_alphanumeric() || extra.contains(c);
-            rest.find(|c| !is_in_run(c)).unwrap_or(rest.len())
+        let remaining = &self.text[self.offset..];
+        let run_length = |extra_chars: &str| {
+            let is_in_run = |c: char| c.is_ascii_alphanumeric() || extra_chars.contains(c);
+            remaining.find(|c| !is_in_run(c)).unwrap_or(remaining.len())
         };
         let token = match first {
             '"' | '\'' => {
                 let mut escaped = false;
-                let end = rest[1..].find(|c| {
+                let end = remaining[1..].find(|c| {
                     let is_end = c == '\n' || c == first && !escaped;
                     escaped = c == '\\' && !escaped;
                     is_end
                 });
-                match end.filter(|&end| !rest[1 + end..].starts_with('\n')) {
+                match end.filter(|&end| !remaining[1 + end..].starts_with('\n')) {
                     Some(end) => self.offset += end + 2,
                     None => return self.fail("", "the string is not terminated on its line".to_string()),
                 }
                 return Ok(Some(Token::String));
             }
-            c if c.is_ascii_alphabetic() || c == '_' => Token::Word(&rest[..run_len("_")]),
+            c if c.is_ascii_alphabetic() || c == '_' => Token::Identifier(&remaining[..run_length("_")]),
             c if c.is_ascii_digit() || c == '.' => {
                 // An exponent may have a sign.
-                let mut end = run_len("_.");
-                if rest[..end].ends_with(['e', 'E']) && rest[end..].starts_with(['+', '-']) {
-                    end += 1 + rest[end + 1..]
+                let mut end = run_length("_.");
+                if remaining[..end].ends_with(['e', 'E']) && remaining[end..].starts_with(['+', '-']) {
+                    end += 1 + remaining[end + 1..]
                         .find(|c: char| !c.is_ascii_digit())
-                        .unwrap_or(rest.len() - end - 1);
+                        .unwrap_or(remaining.len() - end - 1);
                 }
-                Token::Number(&rest[..end])
+                Token::Number(&remaining[..end])
             }
             c => {
                 self.offset += c.len_utf8();
                 return Ok(Some(Token::Symbol(c)));
             }
         };
-        if let Token::Word(word) | Token::Number(word) = token {
-            self.offset += word.len();
+        if let Token::Identifier(token_text) | Token::Number(token_text) = token {
+            self.offset += token_text.len();
         }
         Ok(Some(token))
     }
@@ -140,20 +141,20 @@
     /// Scans the fields up to the end of the message: its closing bracket, or the end of the text.
     fn scan_message(
         &mut self,
-        kind: &MessageDescriptor,
+        descriptor: &MessageDescriptor,
         path: &str,
-        close: Option<char>,
+        closing_bracket: Option<char>,
         depth: usize,
     ) -> Result<(), Unscannable> {
         if depth > MAX_DEPTH {
             return self.fail(path, format!("messages nest deeper than {MAX_DEPTH}"));
         }
-        let mut seen: HashMap<String, usize> = HashMap::new();
+        let mut element_counts: HashMap<String, usize> = HashMap::new();
         loop {
-            match (self.peek(), close) {
+            match (self.peek(), closing_bracket) {
                 (None, None) => return Ok(()),
-                (None, Some(close)) => return self.fail(path, format!("the file ends before '{close}'")),
-                (Some(next), Some(close)) if next == close => {
+                (None, Some(bracket)) => return self.fail(path, format!("the file ends before '{bracket}'")),
+                (Some(next), Some(bracket)) if next == bracket => {
                     self.offset += 1;
                     return Ok(());
                 }
@@ -161,24 +162,24 @@
             }
             let position = self.position();
             let name = match self.next_token()? {
-                Some(Token::Word(name)) => name,
+                Some(Token::Identifier(name)) => name,
                 _ => {
                     self.push_error(position, path, "expected a field name".to_string());
                     return Err(Unscannable);
                 }
             };
             let field_path = if path.is_empty() { name.to_string() } else { format!("{path}.{name}") };
-            let Some(field) = kind.get_field_by_name(name) else {
+            let Some(field) = descriptor.get_field_by_name(name) else {
                 self.push_error(
                     position,
                     &field_path,
-                    unknown_name("field", name, kind.fields().map(|f| f.name().to_string())),
+                    unknown_name("field", name, descriptor.fields().map(|f| f.name().to_string())),
                 );
                 self.skip_value(depth)?;
                 continue;
             };
-            let colon = self.accept(':');
-            let count = seen.entry(name.to_string()).or_default();
+            let has_colon = self.accept(':');
+            let element_count = element_counts.entry(name.to_string()).or_default();
             if self.accept('[') {
                 if !field.is_list() {
                     let message = "the field is not repeated; remove [ ]".to_string();
@@ -187,10 +188,10 @@
                 if !self.accept(']') {
                     loop {
                         let position = self.position();
-                        let element_path = format!("{field_path}[{count}]");
+                        let element_path = format!("{field_path}[{element_count}]");
                         self.positions.0.insert(element_path.clone(), position);
-                        *count += 1;
-                        self.scan_value(&field, &element_path, colon, depth)?;
+                        *element_count += 1;
+                        self.scan_value(&field, &element_path, has_colon, depth)?;
                         if self.accept(']') {
                             break;
                         }
@@ -200,50 +201,54 @@
                     }
                 }
             } else {
-                let element_path =
-                    if field.is_list() { format!("{field_path}[{count}]") } else { field_path.clone() };
-                *count += 1;
-                if *count > 1 && !field.is_list() {
-                    let first = self.positions.nearest(&element_path);
-                    let message = format!("the field is set twice, first in line {}; remove one", first.line);
+                let element_path = if field.is_list() {
+                    format!("{field_path}[{element_count}]")
+                } else {
+                    field_path.clone()
+                };
+                *element_count += 1;
+                if *element_count > 1 && !field.is_list() {
+                    let first_position = self.positions.nearest(&element_path);
+                    let message =
+                        format!("the field is set twice, first in line {}; remove one", first_position.line);
                     self.push_error(position, &field_path, message);
                 } else {
                     self.positions.0.insert(element_path.clone(), position);
                 }
-                self.scan_value(&field, &element_path, colon, depth)?;
+                self.scan_value(&field, &element_path, has_colon, depth)?;
             }
             let _ = self.accept(',') || self.accept(';');
         }
     }
 
-    /// Scans the value of a field and checks its kind.
+    /// Scans the value of a field and checks that it fits the field's type.
     fn scan_value(
         &mut self,
         field: &FieldDescriptor,
         path: &str,
-        colon: bool,
+        has_colon: bool,
         depth: usize,
     ) -> Result<(), Unscannable> {
         self.skip_space();
         let position = self.position();
-        if let Kind::Message(kind) = field.kind() {
-            let close = match self.peek() {
+        if let Kind::Message(descriptor) = field.kind() {
+            let closing_bracket = match self.peek() {
                 Some('{') => '}',
                 Some('<') => '>',
                 _ => return self.fail(path, "expected '{'".to_string()),
             };
             self.offset += 1;
-            return self.scan_message(&kind, path, Some(close), depth + 1);
+            return self.scan_message(&descriptor, path, Some(closing_bracket), depth + 1);
         }
-        if !colon {
+        if !has_colon {
             return self.fail(path, "expected ':' after the field name".to_string());
         }
-        let minus = self.accept('-');
+        let has_minus = self.accept('-');
         let Some(token) = self.next_token()? else {
             return self.fail(path, "the file ends before the value".to_string());
         };
         let expected = match (field.kind(), token) {
-            (Kind::String, Token::String) if !minus => {
+            (Kind::String, Token::String) if !has_minus => {
                 // Adjacent strings are concatenated.
                 while matches!(self.peek(), Some('"' | '\'')) {
                     self.next_token()?;
@@ -251,7 +256,9 @@
                 return Ok(());
             }
             (Kind::String, _) => "a quoted string".to_string(),
-            (Kind::Bool, Token::Word("true" | "false" | "True" | "False" | "t" | "f")) if !minus => {
+            (Kind::Bool, Token::Identifier("true" | "false" | "True" | "False" | "t" | "f"))
+                if !has_minus =>
+            {
                 return Ok(());
             }
             (Kind::Bool, _) => "true or false".to_string(),
@@ -261,24 +268,32 @@
                 return Ok(());
             }
             (Kind::Double, _) => "a number".to_string(),
-            (Kind::Uint32, Token::Number(number)) if !minus && number.parse::<u32>().is_ok() => return Ok(()),
+            (Kind::Uint32, Token::Number(number)) if !has_minus && number.parse::<u32>().is_ok() => {
+                return Ok(());
+            }
             (Kind::Uint32, _) => format!("a whole number from 0 to {}", u32::MAX),
-            (Kind::Uint64, Token::Number(number)) if !minus && number.parse::<u64>().is_ok() => return Ok(()),
+            (Kind::Uint64, Token::Number(number)) if !has_minus && number.parse::<u64>().is_ok() => {
+                return Ok(());
+            }
             (Kind::Uint64, _) => format!("a whole number from 0 to {}", u64::MAX),
             (Kind::Int64, Token::Number(number)) if number.parse::<i64>().is_ok() => return Ok(()),
             (Kind::Int64, _) => "a whole number".to_string(),
-            (Kind::Enum(kind), Token::Word(word)) => {
-                if !minus && kind.get_value_by_name(word).is_some() {
+            (Kind::Enum(enum_descriptor), Token::Identifier(name)) => {
+                if !has_minus && enum_descriptor.get_value_by_name(name).is_some() {
                     return Ok(());
                 }
-                let message =
-                    unknown_name("value", word, kind.values().map(|value| value.name().to_string()));
+                let message = unknown_name(
+                    "value",
+                    name,
+                    enum_descriptor.values().map(|value| value.name().to_string()),
+                );
                 self.push_error(position, path, message);
                 return Ok(());
             }
-            (Kind::Enum(kind), _) => {
-                let words: Vec<String> = kind.values().map(|value| value.name().to_string()).collect();
-                format!("one of {}", words.join(", "))
+            (Kind::Enum(enum_descriptor), _) => {
+                let value_names: Vec<String> =
+                    enum_descriptor.values().map(|value| value.name().to_string()).collect();
+                format!("one of {}", value_names.join(", "))
             }
             _ => return Ok(()),
         };
@@ -320,17 +335,17 @@
     }
 }
 
-/// The message for an unknown name: suggests the nearest known one, else lists all of them.
-fn unknown_name(kind: &str, name: &str, known: impl Iterator<Item = String>) -> String {
-    let known: Vec<String> = known.collect();
-    let nearest = known.iter().map(|other| (edit_distance(name, other), other)).min();
+/// The error message for an unknown name: suggests the nearest known name, or lists all known names.
+fn unknown_name(kind: &str, name: &str, known_names: impl Iterator<Item = String>) -> String {
+    let known_names: Vec<String> = known_names.collect();
+    let nearest = known_names.iter().map(|known| (edit_distance(name, known), known)).min();
     match nearest.filter(|(distance, _)| *distance <= 2.max(name.len() / 3)) {
-        Some((_, other)) => format!("unknown {kind}; did you mean {other}?"),
-        None => format!("unknown {kind}; known: {}", known.join(", ")),
+        Some((_, known)) => format!("unknown {kind}; did you mean {known}?"),
+        None => format!("unknown {kind}; known: {}", known_names.join(", ")),
     }
 }
 
-/// The Levenshtein distance of two words, in bytes.
+/// The Levenshtein distance of two names, in bytes.
 fn edit_distance(first: &str, second: &str) -> usize {
     let mut row: Vec<usize> = (0..=second.len()).collect();
     for (i, a) in first.bytes().enumerate() {
--- a/crates/arrowyard-operator-config/src/validate.rs
+++ b/crates/arrowyard-operator-config/src/validate.rs
@@ -25,7 +25,7 @@
     errors: Vec<ConfigError>,
 }
 
-/// All errors in the configuration.
+/// Validates a configuration and returns all errors found.
 pub fn validate(config: &Yardbook, positions: &FieldPositions) -> Vec<ConfigError> {
     let mut validator = Validator { positions, errors: Vec::new() };
     if config.epoch == Some(0) {
@@ -74,7 +74,7 @@
         min: T,
         max: T,
     ) {
-        // Also rejects NaN.
+        // Written so that NaN is rejected.
         if let Some(number) = value.filter(|number| !(*number >= min && *number <= max)) {
             self.push_error(field, format!("{number} is out of range, {min} to {max}"));
         }
@@ -150,13 +150,13 @@
             let message = format!("{} voters; there must be 3, 5 or 7", leases.voter.len());
             self.push_error("leases.voter", message);
         }
-        let mut names = HashMap::new();
+        let mut voter_indexes = HashMap::new();
         for (index, voter) in leases.voter.iter().enumerate() {
             let path = format!("leases.voter[{index}]");
             self.check_name(&format!("{path}.name"), voter.name.as_deref());
             self.check_address(&format!("{path}.at"), voter.at.as_deref(), true);
-            if let Some(first) = names.insert(voter.name(), index) {
-                let line = self.positions.nearest(&format!("leases.voter[{first}]")).line;
+            if let Some(first_index) = voter_indexes.insert(voter.name(), index) {
+                let line = self.positions.nearest(&format!("leases.voter[{first_index}]")).line;
                 self.push_error(
                     &path,
                     format!("{:?} is also in line {line}: it would vote twice", voter.name()),
@@ -169,7 +169,7 @@
         self.check_range("leases.term_ms", leases.term_ms, 300, 3_600_000);
         self.check_range("leases.drift_ppm", leases.drift_ppm, 1, 100_000);
         let term = leases.term_ms.unwrap_or(3000);
-        let mut names = HashMap::new();
+        let mut duty_indexes = HashMap::new();
         for (index, duty) in leases.duty.iter().enumerate() {
             let path = format!("leases.duty[{index}]");
             self.check_name(&format!("{path}.name"), duty.name.as_deref());
@@ -188,8 +188,8 @@
                 let message = "must begin with / and contain no spaces".to_string();
                 self.push_error(&format!("{path}.path"), message);
             }
-            if let Some(first) = names.insert(duty.name(), index) {
-                let line = self.positions.nearest(&format!("leases.duty[{first}]")).line;
+            if let Some(first_index) = duty_indexes.insert(duty.name(), index) {
+                let line = self.positions.nearest(&format!("leases.duty[{first_index}]")).line;
                 self.push_error(&path, format!("{:?} is also in line {line}", duty.name()));
             }
         }
@@ -199,8 +199,8 @@
         self.check_name("peers.fleet", peers.fleet.as_deref());
         self.check_address("peers.listen", peers.listen.as_deref(), true);
         self.check_address("peers.advertise", peers.advertise.as_deref(), false);
-        let listen = peers.listen.as_deref().and_then(|at| at.parse::<SocketAddr>().ok());
-        if peers.advertise.is_none() && listen.is_some_and(|at| at.ip().is_unspecified()) {
+        let listen = peers.listen.as_deref().and_then(|address| address.parse::<SocketAddr>().ok());
+        if peers.advertise.is_none() && listen.is_some_and(|address| address.ip().is_unspecified()) {
             let message = "listen is not an address that other routers can reach, so advertise is required";
             self.push_error("peers.advertise", message.to_string());
         }
@@ -211,20 +211,21 @@
             peers.allow.iter().enumerate().map(|(index, net)| (format!("peers.allow[{index}]"), net));
         self.check_prefixes(prefixes.collect());
         let allowed: Vec<IpNet> = peers.allow.iter().filter_map(|net| net.parse().ok()).collect();
-        let own_address = peers.advertise.as_deref().and_then(|at| at.parse::<SocketAddr>().ok()).or(listen);
+        let own_address =
+            peers.advertise.as_deref().and_then(|address| address.parse::<SocketAddr>().ok()).or(listen);
         if let Some(own_address) = own_address.filter(|own_address| {
             !allowed.is_empty() && !allowed.iter().any(|net| net.contains(&own_address.ip()))
         }) {
             let message = format!("{own_address}, the address of this router, is in none of these networks");
             self.push_error("peers.allow", message);
         }
-        let mut names = HashMap::new();
+        let mut via_indexes = HashMap::new();
         for (index, via) in peers.via.iter().enumerate() {
             let path = format!("peers.via[{index}]");
             self.check_name(&format!("{path}.name"), via.name.as_deref());
             self.check_address(&format!("{path}.at"), via.at.as_deref(), true);
-            if let Some(first) = names.insert(via.name(), index) {
-                let line = self.positions.nearest(&format!("peers.via[{first}]")).line;
+            if let Some(first_index) = via_indexes.insert(via.name(), index) {
+                let line = self.positions.nearest(&format!("peers.via[{first_index}]")).line;
                 self.push_error(&path, format!("{:?} is also in line {line}", via.name()));
             }
         }
@@ -248,12 +249,12 @@
             self.push_error("cells", format!("{} cells; at most {MAX_CELLS} are allowed", cells.cell.len()));
         }
         self.check_range("cells.call_back_ms", cells.call_back_ms, 1, 60_000);
-        let mut names: HashMap<&str, usize> = HashMap::new();
+        let mut cell_indexes: HashMap<&str, usize> = HashMap::new();
         for (index, cell) in cells.cell.iter().enumerate() {
             let path = format!("cells.cell[{index}]");
             self.check_cell(&path, cell);
-            if let Some(first) = names.insert(cell.name(), index) {
-                let line = self.positions.nearest(&format!("cells.cell[{first}]")).line;
+            if let Some(first_index) = cell_indexes.insert(cell.name(), index) {
+                let line = self.positions.nearest(&format!("cells.cell[{first_index}]")).line;
                 self.push_error(
                     &format!("{path}.name"),
                     format!("{:?} is also the name of the cell in line {line}", cell.name()),
@@ -261,9 +262,9 @@
             }
         }
         self.check_hosts(&cells.cell);
-        self.check_tenants(cells, &names);
+        self.check_tenants(cells, &cell_indexes);
         for (index, net) in cells.net.iter().enumerate() {
-            self.check_net(&format!("cells.net[{index}]"), net, &names);
+            self.check_net(&format!("cells.net[{index}]"), net, &cell_indexes);
         }
         self.check_overlaps(&cells.net);
         if let Some(Rest { each }) = cells.rest {
@@ -279,7 +280,7 @@
             self.check_range("cells.repeats.window_ms", window_ms, 100, 3_600_000);
         }
         if let Some(release) = &cells.release {
-            self.check_release(release, &names);
+            self.check_release(release, &cell_indexes);
         }
         if let Some(Lease { until_ms, skew_ms }) = cells.lease {
             self.check_timestamp("cells.lease.until_ms", until_ms);
@@ -288,7 +289,7 @@
             }
             self.check_range("cells.lease.skew_ms", skew_ms, 0, 60_000);
         }
-        self.check_moves(cells, &names);
+        self.check_moves(cells, &cell_indexes);
     }
 
     fn check_cell(&mut self, path: &str, cell: &Cell) {
@@ -313,48 +314,53 @@
                 self.push_error(&field, "* is allowed only at the end".to_string());
             }
         }
-        let mut groups = HashMap::new();
+        let mut group_indexes = HashMap::new();
         for (index, group) in cell.group.iter().enumerate() {
-            if let Some(first) = groups.insert(group, index) {
+            if let Some(first_index) = group_indexes.insert(group, index) {
                 self.push_error(
                     &format!("{path}.group[{index}]"),
-                    format!("{group} is also row {first} of the cell"),
+                    format!("{group} is also row {first_index} of the cell"),
                 );
             }
         }
     }
 
-    /// Two cells may share a host, but a cell must not name one twice.
+    /// Rejects a host that is named twice in one cell; several cells may name the same host.
     fn check_hosts(&mut self, cells: &[Cell]) {
         for (index, cell) in cells.iter().enumerate() {
-            let mut seen = HashMap::new();
+            let mut host_indexes = HashMap::new();
             for (host_index, host) in cell.host.iter().enumerate() {
-                if let Some(first) = seen.insert(host, host_index) {
-                    let message = format!("{host:?} is also row {first} of the cell");
+                if let Some(first_index) = host_indexes.insert(host, host_index) {
+                    let message = format!("{host:?} is also row {first_index} of the cell");
                     self.push_error(&format!("cells.cell[{index}].host[{host_index}]"), message);
                 }
             }
         }
     }
 
-    fn check_cell_reference(&mut self, field: &str, value: Option<&str>, names: &HashMap<&str, usize>) {
+    fn check_cell_reference(
+        &mut self,
+        field: &str,
+        value: Option<&str>,
+        cell_indexes: &HashMap<&str, usize>,
+    ) {
         self.check_name(field, value);
-        if let Some(name) = value.filter(|name| !name.is_empty() && !names.contains_key(name)) {
+        if let Some(name) = value.filter(|name| !name.is_empty() && !cell_indexes.contains_key(name)) {
             self.push_error(field, format!("no cell is named {name:?}"));
         }
     }
 
-    fn check_tenants(&mut self, cells: &Cells, names: &HashMap<&str, usize>) {
-        let mut seen: HashMap<&str, usize> = HashMap::new();
+    fn check_tenants(&mut self, cells: &Cells, cell_indexes: &HashMap<&str, usize>) {
+        let mut tenant_indexes: HashMap<&str, usize> = HashMap::new();
         for (index, Tenant { name, cell }) in cells.tenant.iter().enumerate() {
             let path = format!("cells.tenant[{index}]");
             self.check_name(&format!("{path}.name"), name.as_deref());
-            self.check_cell_reference(&format!("{path}.cell"), cell.as_deref(), names);
+            self.check_cell_reference(&format!("{path}.cell"), cell.as_deref(), cell_indexes);
             let name = name.as_deref().unwrap_or_default();
-            if let Some(first) = seen.insert(name, index) {
+            if let Some(first_index) = tenant_indexes.insert(name, index) {
                 let (line, other_cell) = (
-                    self.positions.nearest(&format!("cells.tenant[{first}]")).line,
-                    cells.tenant[first].cell(),
+                    self.positions.nearest(&format!("cells.tenant[{first_index}]")).line,
+                    cells.tenant[first_index].cell(),
                 );
                 let message =
                     format!("line {line} already assigns tenant {name:?} to {other_cell:?}; remove one row");
@@ -363,8 +369,8 @@
         }
     }
 
-    fn check_net(&mut self, path: &str, net: &Net, names: &HashMap<&str, usize>) {
-        self.check_cell_reference(&format!("{path}.cell"), net.cell.as_deref(), names);
+    fn check_net(&mut self, path: &str, net: &Net, cell_indexes: &HashMap<&str, usize>) {
+        self.check_cell_reference(&format!("{path}.cell"), net.cell.as_deref(), cell_indexes);
         if net.prefix.is_some() != net.within.is_empty() {
             self.push_error(path, "must have either prefix or within".to_string());
         }
@@ -412,13 +418,13 @@
     /// Rejects equal prefixes in two rows, and overlapping sets. A prefix within another one is valid, since
     /// the longest match applies; sets have no such order.
     fn check_overlaps(&mut self, nets: &[Net]) {
-        let mut seen: HashMap<IpNet, usize> = HashMap::new();
+        let mut prefix_indexes: HashMap<IpNet, usize> = HashMap::new();
         for (index, net) in nets.iter().enumerate() {
             let Some(prefix) = net.prefix.as_ref().and_then(|prefix| prefix.parse::<IpNet>().ok()) else {
                 continue;
             };
-            if let Some(first) = seen.insert(prefix, index) {
-                let line = self.positions.nearest(&format!("cells.net[{first}]")).line;
+            if let Some(first_index) = prefix_indexes.insert(prefix, index) {
+                let line = self.positions.nearest(&format!("cells.net[{first_index}]")).line;
                 self.push_error(
                     &format!("cells.net[{index}].prefix"),
                     format!("{prefix} is also in line {line}"),
@@ -444,13 +450,13 @@
         }
     }
 
-    fn check_release(&mut self, release: &Release, names: &HashMap<&str, usize>) {
-        let mut seen = HashMap::new();
+    fn check_release(&mut self, release: &Release, cell_indexes: &HashMap<&str, usize>) {
+        let mut order_indexes = HashMap::new();
         for (index, name) in release.order.iter().enumerate() {
             let field = format!("cells.release.order[{index}]");
-            self.check_cell_reference(&field, Some(name), names);
-            if let Some(first) = seen.insert(name, index) {
-                self.push_error(&field, format!("{name:?} is also row {first}"));
+            self.check_cell_reference(&field, Some(name), cell_indexes);
+            if let Some(first_index) = order_indexes.insert(name, index) {
+                self.push_error(&field, format!("{name:?} is also row {first_index}"));
             }
         }
         if release.order.len() < 2 {
@@ -465,18 +471,18 @@
         self.check_range(field, value, 31_536_000_000, MAX_TIMESTAMP_MS);
     }
 
-    fn check_moves(&mut self, cells: &Cells, names: &HashMap<&str, usize>) {
-        let mut seen: HashMap<&str, usize> = HashMap::new();
+    fn check_moves(&mut self, cells: &Cells, cell_indexes: &HashMap<&str, usize>) {
+        let mut moved_tenants: HashMap<&str, usize> = HashMap::new();
         for (index, tenant_move) in cells.r#move.iter().enumerate() {
             let path = format!("cells.move[{index}]");
             self.check_name(&format!("{path}.tenant"), tenant_move.tenant.as_deref());
-            self.check_cell_reference(&format!("{path}.from"), tenant_move.from.as_deref(), names);
-            self.check_cell_reference(&format!("{path}.to"), tenant_move.to.as_deref(), names);
+            self.check_cell_reference(&format!("{path}.from"), tenant_move.from.as_deref(), cell_indexes);
+            self.check_cell_reference(&format!("{path}.to"), tenant_move.to.as_deref(), cell_indexes);
             if tenant_move.from == tenant_move.to {
                 self.push_error(&path, "from and to are the same cell".to_string());
             }
-            if let Some(first) = seen.insert(tenant_move.tenant(), index) {
-                let line = self.positions.nearest(&format!("cells.move[{first}]")).line;
+            if let Some(first_index) = moved_tenants.insert(tenant_move.tenant(), index) {
+                let line = self.positions.nearest(&format!("cells.move[{first_index}]")).line;
                 let message = format!(
                     "tenant {:?} already has a move in line {line}; complete that one first",
                     tenant_move.tenant()
@@ -507,15 +513,15 @@
 
     fn check_move_step(&mut self, path: &str, tenant_move: &Move, cells: &Cells) {
         let field = |name: &str| format!("{path}.{name}");
-        let mut required = Vec::new();
+        let mut required_fields = Vec::new();
         match tenant_move.step() {
             Step::Unknown => {
                 let message = "must be one of PLANNED, COPYING, FENCED, SWITCHED, DONE, CANCELLED";
                 self.push_error(&field("step"), message.to_string());
             }
             Step::Planned | Step::Copying | Step::Cancelled => {}
-            Step::Fenced => required.extend([("fence_at_ms", tenant_move.fence_at_ms)]),
-            Step::Switched | Step::Done => required.extend([
+            Step::Fenced => required_fields.extend([("fence_at_ms", tenant_move.fence_at_ms)]),
+            Step::Switched | Step::Done => required_fields.extend([
                 ("fence_at_ms", tenant_move.fence_at_ms),
                 ("copied_through_ms", tenant_move.copied_through_ms),
                 ("target_floor_ms", tenant_move.target_floor_ms),
@@ -524,8 +530,8 @@
         if tenant_move.from_group.is_some() != tenant_move.to_group.is_some() {
             self.push_error(path, "from_group and to_group must be set together".to_string());
         }
-        let Some((from, to)) = tenant_move.from_group.zip(tenant_move.to_group) else { return };
-        if from == to {
+        let Some((from_group, to_group)) = tenant_move.from_group.zip(tenant_move.to_group) else { return };
+        if from_group == to_group {
             self.push_error(
                 &field("to_group"),
                 "is the same as from_group; omit both if the group does not change".to_string(),
@@ -535,7 +541,7 @@
             let message = "the target's primary that holds the copy is required at step Switched";
             self.push_error(&field("target_host"), message.to_string());
         }
-        for (name, value) in required {
+        for (name, value) in required_fields {
             if value.is_none() {
                 self.push_error(&field(name), format!("is required at step {:?}", tenant_move.step()));
             }
@@ -551,15 +557,16 @@
         if tenant_move.memory_ms.is_none() {
             self.push_error(&field("memory_ms"), "is required where the group changes".to_string());
         }
-        if let Some((fence, switch)) = tenant_move.fence_at_ms.zip(tenant_move.switch_at_ms)
-            && switch < fence
+        if let Some((fence_at, switch_at)) = tenant_move.fence_at_ms.zip(tenant_move.switch_at_ms)
+            && switch_at < fence_at
         {
             self.push_error(&field("switch_at_ms"), "is before fence_at_ms".to_string());
         }
-        if let Some((copied, floor)) = tenant_move.copied_through_ms.zip(tenant_move.target_floor_ms)
-            && floor < copied
+        if let Some((copied_through, target_floor)) =
+            tenant_move.copied_through_ms.zip(tenant_move.target_floor_ms)
+            && target_floor < copied_through
         {
-            // The target cannot hold the copy before the source wrote it: the fields are probably swapped.
+            // The target cannot have the copy before the source wrote it; the fields are probably swapped.
             self.push_error(&field("target_floor_ms"), "is before copied_through_ms".to_string());
         }
         let is_before_switch = tenant_move.step() == Step::Fenced
@@ -573,7 +580,8 @@
     }
 }
 
-/// The index of a row that is a set, with its included and excluded networks.
+/// The index, the included and the excluded networks of a row that defines a set; `None` for a row with one
+/// prefix.
 fn network_set((index, net): (usize, &Net)) -> Option<(usize, Vec<IpNet>, Vec<IpNet>)> {
     let parse_all =
         |texts: &[String]| texts.iter().filter_map(|text| text.parse().ok()).collect::<Vec<IpNet>>();
--- a/crates/arrowyard-operator-config/tests/errors.rs
+++ b/crates/arrowyard-operator-config/tests/errors.rs
@@ -1,4 +1,4 @@
-//! Invalid files: each error is found at its position, and none hides another.
+//! Invalid files: all errors are reported, each with its position.
 
 use arrowyard_operator_config::{ConfigError, parse};
 use proptest::prelude::*;
@@ -9,13 +9,13 @@
 
 /// Asserts that an error with this position, field and part of the message is found.
 fn assert_error(text: &str, line: usize, column: usize, field: &str, message: &str) {
-    let found = errors(text);
-    let is_found = found.iter().any(|error| {
+    let found_errors = errors(text);
+    let is_found = found_errors.iter().any(|error| {
         (error.position.line, error.position.column) == (line, column)
             && error.field == field
             && error.message.contains(message)
     });
-    assert!(is_found, "{text}\n{found:#?}");
+    assert!(is_found, "{text}\n{found_errors:#?}");
 }
 
 const VALID: &str = r#"
@@ -62,8 +62,8 @@
 
 #[test]
 fn contradictory_rows_are_rejected() {
-    let head = "epoch: 1 cells { cell { name: \"a\" } cell { name: \"b\" }";
-    let with_rows = |rest: &str| format!("{head}\n{rest}\n}}");
+    let two_cells = "epoch: 1 cells { cell { name: \"a\" } cell { name: \"b\" }";
+    let with_rows = |rows: &str| format!("{two_cells}\n{rows}\n}}");
     assert_error(
         &with_rows("net { prefix: \"10.1.0.1/16\" cell: \"a\" }"),
         2,
@@ -92,8 +92,8 @@
                   move { tenant: \"t\" from: \"a\" to: \"b\" from_group: 1 to_group: 2 step: FENCED }";
     assert_error(&with_rows(fenced_move), 3, 1, "cells.move[0].fence_at_ms", "at step Fenced");
     assert_error(&with_rows(fenced_move), 3, 1, "cells.move[0].memory_ms", "where the group changes");
-    let in_seconds = fenced_move.replace("1767225600000", "1767225600");
-    assert_error(&with_rows(&in_seconds), 2, 40, "cells.lease.until_ms", "out of range");
+    let time_in_seconds = fenced_move.replace("1767225600000", "1767225600");
+    assert_error(&with_rows(&time_in_seconds), 2, 40, "cells.lease.until_ms", "out of range");
 }
 
 #[test]
