--- a/crates/arrowyard-core/src/admission.rs
+++ b/crates/arrowyard-core/src/admission.rs
@@ -24,10 +24,10 @@
     tenants: HashMap<String, TenantId>,
     next_op: Cell<u64>,
     open_ops: Rc<Cell<usize>>,
-    /// Bytes of open ops.
-    bytes: Rc<Cell<usize>>,
+    /// The total bytes of open ops.
+    open_bytes: Rc<Cell<usize>>,
     /// The client-chosen ids of open ops.
-    ids: Rc<RefCell<HashSet<u64>>>,
+    open_ids: Rc<RefCell<HashSet<u64>>>,
     limits: Rc<Limits>,
     /// Whether cells are configured; they need the origin of each op.
     has_cells: bool,
@@ -41,6 +41,7 @@
 #[derive(Debug)]
 pub struct AdmittedOp {
     pub request: OpRequest,
+    /// Present if cells are configured.
     pub origin: Option<Box<OpOrigin>>,
     pub slot: OpSlot,
 }
@@ -48,33 +49,34 @@
 /// An op's share of the admission limits; dropping it releases them and the op's client-chosen id.
 #[derive(Debug)]
 pub struct OpSlot {
-    _open: UsageGuard,
-    _bytes: UsageGuard,
+    _op_guard: UsageGuard,
+    _byte_guard: UsageGuard,
     id: u64,
-    ids: Rc<RefCell<HashSet<u64>>>,
+    open_ids: Rc<RefCell<HashSet<u64>>>,
 }
 
 impl Drop for OpSlot {
     fn drop(&mut self) {
-        self.ids.borrow_mut().remove(&self.id);
+        self.open_ids.borrow_mut().remove(&self.id);
     }
 }
 
 /// The `name` of each row of a list in the settings, in order.
-fn names<'a>(settings: &'a Map<String, Value>, list: &str) -> Vec<&'a str> {
+fn row_names<'a>(settings: &'a Map<String, Value>, list: &str) -> Vec<&'a str> {
     let rows = settings.get(list).and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
     rows.iter().map(|row| row.get("name").and_then(Value::as_str).unwrap_or_default()).collect()
 }
 
 impl AdmissionController {
+    /// Creates a controller for the op types and tenants of the settings.
     pub fn new(
         settings: &Map<String, Value>,
         router_settings: &RouterSettings,
         limits: Rc<Limits>,
         has_cells: bool,
     ) -> Self {
-        let rows = names(settings, "grades").into_iter().zip(OpType::rows(router_settings));
-        let tenants = names(settings, "parties").into_iter().enumerate();
+        let rows = row_names(settings, "grades").into_iter().zip(OpType::rows(router_settings));
+        let tenants = row_names(settings, "parties").into_iter().enumerate();
         AdmissionController {
             op_types: (0..)
                 .zip(rows)
@@ -83,8 +85,8 @@
             tenants: tenants.map(|(index, name)| (name.to_string(), TenantId(index as u32))).collect(),
             next_op: Cell::new(0),
             open_ops: Rc::default(),
-            bytes: Rc::default(),
-            ids: Rc::default(),
+            open_bytes: Rc::default(),
+            open_ids: Rc::default(),
             limits,
             has_cells,
             in_fleet: false,
@@ -92,11 +94,12 @@
         }
     }
 
+    /// Whether cells are configured.
     pub fn has_cells(&self) -> bool {
         self.has_cells
     }
 
-    /// Admits a request that arrived at `arrived`.
+    /// Admits a request that arrived at `arrived_at`.
     ///
     /// # Errors
     /// `Reply::Refused` if the request is invalid, `Reply::Busy` if the ops or bytes in flight reach the
@@ -104,15 +107,15 @@
     pub fn admit<A>(
         &self,
         client_request: ClientRequest<'_>,
-        arrived: Timestamp,
+        arrived_at: Timestamp,
     ) -> Result<AdmittedOp, Reply<A>> {
         let Some((op_type, op_type_config)) = self.op_types.get(client_request.op_type) else {
             return Err(Reply::Refused("its op type is not known"));
         };
         let tenant = match client_request.tenant {
             Some(name) if !self.tenants.is_empty() => {
-                let known = self.tenants.get(name).copied();
-                Some(known.ok_or(Reply::Refused("its tenant is not known"))?)
+                let tenant_id = self.tenants.get(name).copied();
+                Some(tenant_id.ok_or(Reply::Refused("its tenant is not known"))?)
             }
             _ => None,
         };
@@ -123,26 +126,26 @@
         let uses_session = matches!(op_type_config.consistency, Consistency::Session | Consistency::Write);
         let bytes = client_request.bytes;
         if self.open_ops.get() >= self.limits.max_ops
-            || self.bytes.get() + bytes > self.limits.max_statement_bytes
+            || self.open_bytes.get() + bytes > self.limits.max_statement_bytes
         {
             return Err(Reply::Busy(None));
         }
         // Hosts reject one or both of two ops with the same id.
-        if !self.ids.borrow_mut().insert(client_request.id) {
+        if !self.open_ids.borrow_mut().insert(client_request.id) {
             return Err(Reply::Refused("an op of this id is open"));
         }
         let slot = OpSlot {
-            _open: UsageGuard::one(&self.open_ops),
-            _bytes: UsageGuard::add(&self.bytes, bytes),
+            _op_guard: UsageGuard::one(&self.open_ops),
+            _byte_guard: UsageGuard::add(&self.open_bytes, bytes),
             id: client_request.id,
-            ids: self.ids.clone(),
+            open_ids: self.open_ids.clone(),
         };
         let op = OpId(self.next_op.get());
         self.next_op.set(op.0 + 1);
         let commit_time = |millis: i64| Timestamp::from_micros(millis.saturating_mul(1000));
         let token_age = client_request.last_commit_ms.map(|last_commit_ms| match last_commit_ms {
             0 => TimeDelta::ZERO,
-            last_commit_ms => (arrived - commit_time(last_commit_ms)).max(TimeDelta::from_micros(1)),
+            last_commit_ms => (arrived_at - commit_time(last_commit_ms)).max(TimeDelta::from_micros(1)),
         });
         let request = OpRequest {
             op,
@@ -155,7 +158,7 @@
             token_age,
             min_position: None,
             pinned_host: None,
-            deadline: arrived + TimeDelta::from_millis(client_request.timeout_ms.into()),
+            deadline: arrived_at + TimeDelta::from_millis(client_request.timeout_ms.into()),
         };
         let origin = self.has_cells.then(|| {
             let (tenant, address) = (client_request.tenant.map(Box::from), client_request.address);
@@ -206,11 +209,11 @@
 
     #[test]
     fn resolves_names_and_times() {
-        let arrived = Timestamp::from_micros(5_000_000);
+        let arrived_at = Timestamp::from_micros(5_000_000);
         let client_request =
             ClientRequest { last_commit_ms: Some(4900), is_retry: true, ..client_request(1, 0) };
         let AdmittedOp { request, .. } =
-            controller().admit::<()>(client_request, arrived).expect("the limits are not reached");
+            controller().admit::<()>(client_request, arrived_at).expect("the limits are not reached");
         let expected = OpRequest {
             op: OpId(0),
             op_type: OpTypeId(0),
@@ -231,7 +234,7 @@
     fn ops_beyond_the_op_or_byte_limit_get_busy_replies() {
         let (controller, now) = (controller(), Timestamp::from_micros(0));
         let admit =
-            |id, length| controller.admit(client_request(id, length), now).map(|admitted| admitted.slot);
+            |id, bytes| controller.admit(client_request(id, bytes), now).map(|admitted| admitted.slot);
         let (first, second) = (admit(1, 100), admit(2, 100));
         assert!(first.is_ok() && second.is_ok());
         assert_eq!(admit(3, 100).err(), Some(Rejection::Busy(None)));
--- a/crates/arrowyard-core/src/cell_scheduler.rs
+++ b/crates/arrowyard-core/src/cell_scheduler.rs
@@ -1,6 +1,5 @@
-//! Cells in the route task: assigns each op to its cell, schedules messages fairly over the cells, and
-//! keeps the ops that wait for a tenant move. The decisions are those of `arrowyard-cells` and the decision
-//! module.
+//! Cells in the route task: assigns each op to its cell, schedules messages fairly over the cells, and keeps
+//! the ops that wait for a tenant move. The decisions are made by `arrowyard-cells`.
 
 use std::collections::HashMap;
 use std::net::IpAddr;
@@ -17,11 +16,12 @@
 };
 use serde_json::{Value, json};
 
-/// The properties of an op that cells need beyond its `OpRequest`.
+/// The properties of an op, besides its `OpRequest`, that cells need.
 #[derive(Clone, Debug)]
 pub struct OpOrigin {
     pub tenant: Option<Box<str>>,
     pub address: Option<IpAddr>,
+    /// Bytes that the request occupies while it is in flight.
     pub bytes: u64,
     /// The idempotency token, if hosts deduplicate ops of this type.
     pub token: Option<u64>,
@@ -31,7 +31,9 @@
 struct PermittedOp {
     permit: AdmissionPermit,
     op_type: usize,
+    /// Whether the op has been executed, by the sends that ended.
     write_outcome: WriteOutcome,
+    /// The position of an acknowledged write.
     position: Option<Timestamp>,
 }
 
@@ -41,7 +43,9 @@
     Dispatch(OpRequest, T),
     /// The op waits, for example for a tenant move.
     Queued,
+    /// The op is rejected and may be retried, after this delay if one is given.
     Busy(Option<TimeDelta>, T),
+    /// The op is rejected for this reason; a retry does not help.
     Error(RejectReason, T),
 }
 
@@ -69,6 +73,7 @@
 pub const RELEASE_WINDOW_FACTOR: f64 = 10.0;
 
 impl<M, T> CellScheduler<M, T> {
+    /// Creates a scheduler for the cells of the layout.
     pub fn new(
         now: Timestamp,
         layout: Layout,
@@ -89,10 +94,12 @@
         CellScheduler { cells, queue, permitted, queued, reported_budgets, op_types }
     }
 
+    /// The current layout.
     pub fn layout(&self) -> &Layout {
         self.cells.layout()
     }
 
+    /// The cells by host.
     pub fn index(&self) -> &CellIndex {
         self.cells.index()
     }
@@ -150,6 +157,7 @@
         self.queue.pop()
     }
 
+    /// The number of queued messages.
     pub fn queue_len(&self) -> usize {
         self.queue.len()
     }
@@ -157,8 +165,8 @@
     /// The cell's remaining retries, if they differ from what was reported to the decision module.
     pub fn retry_budget_update(&mut self, now: Timestamp, cell: CellId) -> Option<RouterEvent> {
         let retries = self.cells.remaining_retries(now, cell);
-        let reported = self.reported_budgets.insert(cell, retries).unwrap_or(None);
-        (reported != retries).then_some(RouterEvent::RetryBudget { cell, retries })
+        let previously_reported = self.reported_budgets.insert(cell, retries).unwrap_or(None);
+        (previously_reported != retries).then_some(RouterEvent::RetryBudget { cell, retries })
     }
 
     /// The cell of an admitted op.
@@ -173,7 +181,7 @@
         if let Some(Some(retries)) =
             self.reported_budgets.get_mut(&permitted_op.permit.cell).filter(|_| send.0 > 0)
         {
-            // The decision module counts down its own copy in the same way.
+            // The decision module also decrements its copy of the budget with each retry.
             *retries = retries.saturating_sub(1);
         }
     }
@@ -196,7 +204,7 @@
             Outcome::Cancelled => (WriteOutcome::Unknown, SendOutcome::NotExecuted),
             _ => (WriteOutcome::Unknown, SendOutcome::Failed),
         };
-        // A rejection by an overloaded host indicates load as a timeout does, though the op never ran.
+        // Rejection by an overloaded host counts as a failure, since it indicates load like a timeout.
         let send_outcome = if outcome == Outcome::Overloaded { SendOutcome::Failed } else { send_outcome };
         permitted_op.write_outcome = permitted_op.write_outcome.max(write_outcome);
         if write_outcome == WriteOutcome::Acked && op_type.consistency == Consistency::Write {
@@ -210,7 +218,7 @@
         );
     }
 
-    /// The op is answered and has no send in flight: releases its permit.
+    /// Releases the permit of an op that is answered and has no send in flight.
     pub fn op_closed(&mut self, now: Timestamp, op: OpId) {
         if let Some(permitted_op) = self.permitted.remove(&op) {
             self.cells.release(now, permitted_op.permit, permitted_op.write_outcome, permitted_op.position);
@@ -227,9 +235,9 @@
 
     /// Retries the admission of queued ops that are due, or of all if the cells' state changed.
     pub fn tick(&mut self, now: Timestamp) -> Vec<Placement<T>> {
-        let changed = self.cells.tick(now);
+        let has_changed = self.cells.tick(now);
         let (due, remaining) =
-            self.queued.drain(..).partition(|queued_op| changed || now >= queued_op.retry_at);
+            self.queued.drain(..).partition(|queued_op| has_changed || now >= queued_op.retry_at);
         self.queued = remaining;
         let due: Vec<QueuedOp<T>> = due;
         let readmit = |QueuedOp { request, origin, permit, payload, .. }: QueuedOp<T>| {
@@ -239,6 +247,7 @@
         due.into_iter().map(readmit).collect()
     }
 
+    /// The events since the last call.
     pub fn take_events(&mut self) -> Vec<CellEvent> {
         self.cells.take_events()
     }
@@ -258,6 +267,7 @@
         self.cells.try_start_probe(now, cell)
     }
 
+    /// Ends a probe that `try_start_probe` allowed.
     pub fn end_probe(&mut self, cell: CellId) {
         self.cells.end_probe(cell);
     }
@@ -267,6 +277,7 @@
         self.cells.groups_awaiting_positions().to_vec()
     }
 
+    /// Sets the hosts of a group, with their names.
     pub fn set_group_hosts(&mut self, group: GroupId, hosts: &[(HostId, &str)]) {
         self.cells.set_group_hosts(group, hosts);
     }
@@ -278,10 +289,13 @@
         }
     }
 
-    pub fn host_restarted(&mut self, cell: CellId, at: Timestamp, within: TimeDelta) {
-        self.cells.host_restarted(cell, at, within);
+    /// Records that a host of the cell started at `started_at`. Starts within `release_window` of the
+    /// previous one belong to the same release.
+    pub fn host_restarted(&mut self, cell: CellId, started_at: Timestamp, release_window: TimeDelta) {
+        self.cells.host_restarted(cell, started_at, release_window);
     }
 
+    /// The fraction of its size with which a recently started host of the cell is used.
     pub fn restarted_host_trust(&mut self, cell: CellId) -> f64 {
         self.cells.restarted_host_trust(cell)
     }
--- a/crates/arrowyard-core/src/client_request.rs
+++ b/crates/arrowyard-core/src/client_request.rs
@@ -7,8 +7,11 @@
 pub struct ClientRequest<'a> {
     /// The op's id, unique among open ops.
     pub id: u64,
+    /// The name of the op type.
     pub op_type: &'a str,
+    /// The name of the tenant, if the client gives one.
     pub tenant: Option<&'a str>,
+    /// The group of hosts that hold the data of the op.
     pub group: i64,
     /// How long the client waits for the reply, in milliseconds.
     pub timeout_ms: u32,
@@ -22,6 +25,6 @@
     pub session: Option<u64>,
     /// The client's address, if it is known.
     pub address: Option<IpAddr>,
-    /// Memory that the request takes while it is in flight.
+    /// Bytes that the request occupies while it is in flight.
     pub bytes: usize,
 }
--- a/crates/arrowyard-core/src/clock.rs
+++ b/crates/arrowyard-core/src/clock.rs
@@ -9,7 +9,8 @@
 use arrowyard_types::{TimeDelta, Timestamp};
 use tokio::time::{Instant, sleep};
 
-/// The largest forward step of the system clock that is followed; a larger one is not a normal correction.
+/// The largest forward step of the system clock that is followed, since a larger one is not a normal
+/// correction.
 const MAX_FORWARD_STEP: TimeDelta = TimeDelta::from_millis(1000);
 /// Smaller differences are not steps, since two readings of one clock may differ by this.
 const MIN_FORWARD_STEP: TimeDelta = TimeDelta::from_micros(500);
@@ -17,40 +18,47 @@
 /// A clock whose copies show the same time.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    started: Instant,
-    /// The Unix time at `started`.
-    unix: Timestamp,
+    started_at: Instant,
+    /// The Unix time at `started_at`.
+    unix_at_start: Timestamp,
     /// The sum of the forward steps that were followed, in microseconds. Never freed, since copies of the
     /// clock live on other threads.
-    stepped_us: &'static AtomicI64,
+    total_step_us: &'static AtomicI64,
 }
 
 impl Clock {
     /// Starts a clock at the current system time.
     pub fn start() -> Self {
-        Clock { started: Instant::now(), unix: system_time(), stepped_us: Box::leak(Box::default()) }
+        Clock {
+            started_at: Instant::now(),
+            unix_at_start: system_time(),
+            total_step_us: Box::leak(Box::default()),
+        }
     }
 
+    /// The current time.
     pub fn now(&self) -> Timestamp {
-        self.unix + self.stepped() + TimeDelta::from_micros(self.started.elapsed().as_micros() as i64)
+        self.unix_at_start
+            + self.total_step()
+            + TimeDelta::from_micros(self.started_at.elapsed().as_micros() as i64)
     }
 
     /// The instant at which this clock shows the time; an instant that has passed for past times.
     pub fn instant_at(&self, time: Timestamp) -> Instant {
-        self.started + duration(time - self.unix - self.stepped())
+        self.started_at + duration(time - self.unix_at_start - self.total_step())
     }
 
-    fn stepped(&self) -> TimeDelta {
-        TimeDelta::from_micros(self.stepped_us.load(Relaxed))
+    fn total_step(&self) -> TimeDelta {
+        TimeDelta::from_micros(self.total_step_us.load(Relaxed))
     }
 
-    /// Follows a small forward step of the system clock and returns its size. Hosts' clocks step as well; a
-    /// router that stays behind would reject their positions as in the future and send all reads to the
+    /// Follows a small forward step of the system clock and returns its size. Otherwise the positions of
+    /// hosts whose clocks also step would appear to be in the future, and all reads would go to the
     /// primaries.
     pub fn apply_forward_step(&self, system_now: Timestamp) -> Option<TimeDelta> {
         let step = system_now - self.now();
         (MIN_FORWARD_STEP < step && step <= MAX_FORWARD_STEP).then(|| {
-            self.stepped_us.fetch_add(step.micros(), Relaxed);
+            self.total_step_us.fetch_add(step.micros(), Relaxed);
             step
         })
     }
@@ -58,8 +66,8 @@
 
 /// The system clock, which may be set at any time.
 fn system_time() -> Timestamp {
-    let unix = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    Timestamp::from_micros(unix.as_micros() as i64)
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    Timestamp::from_micros(since_epoch.as_micros() as i64)
 }
 
 /// Converts to a `Duration` for timers; negative values become zero.
@@ -79,6 +87,7 @@
 }
 
 impl StallDetector {
+    /// Creates a detector that records a tick per `interval`.
     pub fn new(clock: Clock, interval: Duration) -> Rc<Self> {
         let now = clock.now();
         Rc::new(StallDetector { clock, interval, last_tick: Cell::new(now), previous_tick: Cell::new(now) })
--- a/crates/arrowyard-core/src/count.rs
+++ b/crates/arrowyard-core/src/count.rs
@@ -1,4 +1,4 @@
-//! Counters of resources in use.
+//! Guards that count resources while they are in use.
 
 use std::cell::Cell;
 use std::rc::Rc;
--- a/crates/arrowyard-core/src/discovery.rs
+++ b/crates/arrowyard-core/src/discovery.rs
@@ -36,14 +36,14 @@
 }
 
 impl ReconnectPolicy {
-    /// The delay before the next call. A fetch while calls succeed is urgent, since a change is expected.
-    fn next_delay(&mut self, is_new_watch: bool) -> TimeDelta {
-        let urgent = !is_new_watch && !self.call_pacer.is_failing();
-        if urgent { TimeDelta::ZERO } else { self.call_pacer.next_wait(self.has_list) }
+    /// The delay before the next call. A fetch is urgent, since a change is expected, unless calls fail.
+    fn next_delay(&mut self, is_watch: bool) -> TimeDelta {
+        let is_urgent = !is_watch && !self.call_pacer.is_failing();
+        if is_urgent { TimeDelta::ZERO } else { self.call_pacer.next_wait(self.has_list) }
     }
 }
 
-/// A running call, aborted when this is dropped.
+/// The task of a call; dropping it aborts the call.
 struct RunningCall(JoinHandle<()>);
 
 impl Drop for RunningCall {
@@ -54,12 +54,13 @@
 
 /// The task that calls discovery.
 pub struct Discovery<T: HostTransport> {
+    /// The address of discovery.
     pub address: SocketAddr,
     /// The version of the last accepted list.
     pub version: Rc<Cell<Option<i64>>>,
     pub messages: mpsc::Sender<RouteMessage<T>>,
     pub limits: Rc<Limits>,
-    /// If configured.
+    /// Paces calls and checks list versions, if configured. The same policy is shared by all calls.
     pub reconnect: Option<Rc<RefCell<ReconnectPolicy>>>,
 }
 
@@ -82,16 +83,15 @@
                 DiscoveryCommand::Watch(true) => watch = Some(self.start_call(true, None)),
                 DiscoveryCommand::Watch(false) => drop(watch.take()),
                 DiscoveryCommand::SetAddress(address) if address == self.address => {}
-                // The old address may stop sending updates at any time. The watch moves at once and
-                // continues after the last version; with pacing, the old watch stays until the new call
-                // starts.
+                // The old address may stop sending updates, so the watch moves at once and continues after
+                // the last version. With pacing, the old watch stays until the new call starts.
                 DiscoveryCommand::SetAddress(address) => {
                     self.address = address;
                     self.reconnect
                         .iter()
                         .for_each(|policy| policy.borrow_mut().list_versions.address_changed());
-                    if let Some(old) = watch.take() {
-                        watch = Some(self.start_call(true, Some(old)));
+                    if let Some(old_watch) = watch.take() {
+                        watch = Some(self.start_call(true, Some(old_watch)));
                     }
                 }
                 DiscoveryCommand::Fetch => drop(spawn_local(self.clone().call(false, TimeDelta::ZERO, None))),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Starts a watch that replaces the old one when its call begins.
+    /// Starts a call; with pacing, the old call stays until the new one begins after its delay.
     fn start_call(&self, is_watch: bool, old_call: Option<RunningCall>) -> RunningCall {
         let delay =
             self.reconnect.as_ref().map_or(TimeDelta::ZERO, |policy| policy.borrow_mut().next_delay(true));
@@ -112,6 +112,7 @@
         RunningCall(spawn_local(self.clone().call(is_watch, delay, old_call)))
     }
 
+    /// Makes one call after its delay, and reports its failure.
     async fn call(self, is_watch: bool, delay: TimeDelta, old_call: Option<RunningCall>) {
         let delay = match &self.reconnect {
             Some(policy) if !is_watch => policy.borrow_mut().next_delay(false),
@@ -130,7 +131,7 @@
         }
     }
 
-    /// Makes one call. A watch returns only with an error.
+    /// Fetches the list, or watches it. A watch returns only with an error.
     async fn fetch_list(&self, is_watch: bool) -> Result<(), String> {
         let path = match self.version.get().filter(|_| is_watch) {
             Some(version) => format!("/catalog/members?watch=1&from={version}"),
@@ -138,29 +139,33 @@
             None => "/catalog/members".to_string(),
         };
         let mut deadline = Instant::now() + self.limits.list_fetch_timeout;
-        let timed_out = |_| "no response in time".to_string();
+        let to_timeout_error = |_| "no response in time".to_string();
         let to_text = |e: std::io::Error| e.to_string();
         let mut stream = timeout_at(deadline, TcpStream::connect(self.address))
             .await
-            .map_err(timed_out)?
+            .map_err(to_timeout_error)?
             .map_err(to_text)?;
-        stream.write_all(http::get(&path, &self.address.to_string()).as_bytes()).await.map_err(to_text)?;
-        let (mut received, mut body_bytes, mut body) = (BytesMut::new(), BytesMut::new(), None);
+        stream
+            .write_all(http::get_request(&path, &self.address.to_string()).as_bytes())
+            .await
+            .map_err(to_text)?;
+        let (mut received, mut body_bytes, mut body_or_status) = (BytesMut::new(), BytesMut::new(), None);
         loop {
             received.reserve(self.limits.read_chunk_bytes);
             let read_bytes = timeout_at(deadline, stream.read_buf(&mut received))
                 .await
-                .map_err(timed_out)?
+                .map_err(to_timeout_error)?
                 .map_err(to_text)?;
             if is_watch {
                 deadline = Instant::now() + self.limits.watch_idle_timeout;
             }
-            if body.is_none() {
+            if body_or_status.is_none() {
                 let head = http::take_head(&mut received, self.limits.max_http_head_bytes)?;
-                body = head.map(|head| if head.status == 200 { Ok(head.body) } else { Err(head.status) });
+                body_or_status =
+                    head.map(|head| if head.status == 200 { Ok(head.body) } else { Err(head.status) });
             }
-            if let Some(body) = &mut body {
-                let body = body.as_mut().map_err(|status| format!("status {status}"))?;
+            if let Some(body_or_status) = &mut body_or_status {
+                let body = body_or_status.as_mut().map_err(|status| format!("status {status}"))?;
                 body.take(&mut received, &mut body_bytes, self.limits.max_http_head_bytes)?;
                 while is_watch
                     && let Some(line) = http::take_line(&mut body_bytes, self.limits.max_list_line_bytes)?
@@ -197,7 +202,7 @@
         };
         // Lists of different calls may arrive out of order; an older one must not replace a newer one.
         let accepted = match &self.reconnect {
-            Some(policy) => self.is_accepted(&mut policy.borrow_mut(), &list)?,
+            Some(policy) => self.evaluate_version(&mut policy.borrow_mut(), &list)?,
             None => list.is_full || self.version.get().is_none_or(|version| list.version >= version),
         };
         if accepted {
@@ -207,8 +212,11 @@
         Ok(())
     }
 
-    /// Whether the list is to be applied, when pacing is configured.
-    fn is_accepted(&self, policy: &mut ReconnectPolicy, list: &HostList) -> Result<bool, String> {
+    /// Whether the list is to be applied, by its version; records the success of the call if it is.
+    ///
+    /// # Errors
+    /// The list is older than the accepted one.
+    fn evaluate_version(&self, policy: &mut ReconnectPolicy, list: &HostList) -> Result<bool, String> {
         let accepted_version = policy.list_versions.accepted_version().unwrap_or_default();
         match policy.list_versions.evaluate(policy.clock.now(), list.version, list.is_full) {
             ListDecision::Accept => {}
--- a/crates/arrowyard-core/src/drain.rs
+++ b/crates/arrowyard-core/src/drain.rs
@@ -14,6 +14,7 @@
 /// The stage of the shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Stage {
+    /// No shutdown was requested.
     Serving,
     /// A termination signal was received; connections are still accepted, since clients may not know of it
     /// yet. Leases are released.
@@ -24,7 +25,9 @@
 
 /// The graceful shutdown of a router.
 pub struct Drain {
+    /// Announces the stage to the other tasks.
     pub stage: watch::Sender<Stage>,
+    /// The number of open client connections.
     pub clients: Rc<Cell<usize>>,
     pub limits: Rc<Limits>,
 }
@@ -38,7 +41,8 @@
 }
 
 impl Drain {
-    /// Drains after a termination signal. Returns once either no client is left or `drain_timeout` is over.
+    /// Waits for a termination signal and drains. Returns once no client is connected or `drain_timeout` has
+    /// passed.
     pub async fn run(&self, (mut terminate, mut interrupt): (Signal, Signal)) {
         tokio::select! {
             _ = terminate.recv() => tracing::info!(clients = self.clients.get(), "SIGTERM: draining"),
--- a/crates/arrowyard-core/src/hints.rs
+++ b/crates/arrowyard-core/src/hints.rs
@@ -1,13 +1,14 @@
-//! Hints from other routers that a host is draining. They make a router whose watch of the host list is
-//! stale fetch the list, and, while the list is unavailable, close few of the hinted hosts. No I/O.
+//! Hints from other routers that a host is draining. A router whose host list does not confirm a hint fetches
+//! the list and, while the list is unavailable, closes some of the hinted hosts. No I/O.
 
 use std::collections::BTreeMap;
 
 use arrowyard_types::{PeerId, TimeDelta, Timestamp};
 use smallvec::SmallVec;
 
-/// The message type and length of a hint; messages of the decision module have another length.
+/// The first byte of a hint.
 const MESSAGE_TYPE: u8 = 2;
+/// The length of a hint; messages of the decision module have another length.
 const HINT_BYTES: usize = 5;
 /// Upper limit for hinted hosts, and for hosts that are announced.
 const MAX_HOSTS: usize = 64;
@@ -31,7 +32,7 @@
 const MAX_REPORTERS: usize = 4;
 /// How many routers must report a host before it is closed without the list.
 const MIN_REPORTERS: usize = 2;
-/// At most one ready host in this number is closed because of hints.
+/// At most one ready host in this many is closed because of hints.
 const CLOSED_HOSTS_DIVISOR: usize = 4;
 
 /// How often a host that is no longer ready is announced. Each announcement goes to randomly chosen routers;
@@ -41,55 +42,56 @@
 /// Reports of other routers on one host.
 #[derive(Debug)]
 struct Hint {
-    due: Timestamp,
+    /// Until when this router's host list may confirm the hint.
+    due_at: Timestamp,
     reporters: SmallVec<[PeerId; MAX_REPORTERS]>,
     /// When the list was fetched because of this hint.
     fetched_at: Option<Timestamp>,
 }
 
-/// Hints on draining hosts that the own host list has not confirmed.
+/// Hints on draining hosts that this router's host list has not confirmed.
 #[derive(Debug)]
 pub struct Hints {
     hosts: BTreeMap<u32, Hint>,
     confirmation_timeout: TimeDelta,
     /// The minimum interval between two fetches because of hints.
     fetch_interval: TimeDelta,
-    fetched_at: Timestamp,
-    /// Hosts closed because of hints since the last list.
-    closed: usize,
-    /// Hosts that the own list no longer has as ready: the time of the next announcement and how many are
-    /// left.
+    last_fetch_at: Timestamp,
+    /// The number of hosts closed because of hints since the last list.
+    closed_count: usize,
+    /// Hosts that are no longer ready in this router's list: the time of the next announcement, and how many
+    /// announcements remain.
     announcements: BTreeMap<u32, (Timestamp, u8)>,
 }
 
 impl Hints {
-    /// `confirmation_timeout` is how long the own watch may take to confirm a hint, `fetch_interval` the
-    /// minimum interval between two fetches.
+    /// `confirmation_timeout` is how long the watch of the host list may take to confirm a hint,
+    /// `fetch_interval` the minimum interval between two fetches.
     #[must_use]
     pub fn new(confirmation_timeout: TimeDelta, fetch_interval: TimeDelta) -> Hints {
         Hints {
             hosts: BTreeMap::new(),
             confirmation_timeout,
             fetch_interval,
-            fetched_at: Timestamp::DISTANT_PAST,
-            closed: 0,
+            last_fetch_at: Timestamp::DISTANT_PAST,
+            closed_count: 0,
             announcements: BTreeMap::new(),
         }
     }
 
-    /// The own list no longer has the host as ready: schedules its announcements.
+    /// Schedules the announcements of a host that is no longer ready in this router's list.
     pub fn host_not_ready(&mut self, now: Timestamp, address_hash: u32) {
         if self.announcements.len() < MAX_HOSTS || self.announcements.contains_key(&address_hash) {
             self.announcements.insert(address_hash, (now, ANNOUNCEMENTS));
         }
     }
 
-    /// Hosts to announce now.
+    /// Returns the hosts to announce now, and schedules their next announcements.
     pub fn take_announcements(&mut self, now: Timestamp) -> SmallVec<[u32; 4]> {
-        let due = self.announcements.iter_mut().filter(|(_, (at, _))| *at <= now);
+        let due = self.announcements.iter_mut().filter(|(_, (next_at, _))| *next_at <= now);
         let announced: SmallVec<[u32; 4]> = due
-            .map(|(&address_hash, (at, remaining))| {
-                (*at, *remaining) = (now + self.confirmation_timeout, *remaining - 1);
+            .map(|(&address_hash, (next_at, remaining))| {
+                (*next_at, *remaining) = (now + self.confirmation_timeout, *remaining - 1);
                 address_hash
             })
             .collect();
@@ -104,49 +106,51 @@
             return;
         }
         let new_hint =
-            Hint { due: now + self.confirmation_timeout, reporters: SmallVec::new(), fetched_at: None };
+            Hint { due_at: now + self.confirmation_timeout, reporters: SmallVec::new(), fetched_at: None };
         let hint = self.hosts.entry(address_hash).or_insert(new_hint);
         if hint.reporters.len() < MAX_REPORTERS && !hint.reporters.contains(&reporter) {
             hint.reporters.push(reporter);
         }
     }
 
-    /// A list arrived; it takes precedence over hints.
+    /// A list arrived: removes the hints for which it was fetched.
     pub fn list_received(&mut self) {
         self.hosts.retain(|_, hint| hint.fetched_at.is_none());
-        self.closed = 0;
+        self.closed_count = 0;
     }
 
-    /// Whether to fetch the list now: a hinted host is still ready in the own list after the confirmation
-    /// timeout. It and the minimum interval keep the routers from all fetching at once when a host drains.
+    /// Whether to fetch the list now: a hinted host is still ready in this router's list after the
+    /// confirmation timeout. The timeout and the minimum interval prevent that all routers fetch when a host
+    /// drains.
     pub fn should_fetch(&mut self, now: Timestamp, is_ready: impl Fn(u32) -> bool) -> bool {
-        let mut unconfirmed = false;
+        let mut has_unconfirmed = false;
         self.hosts.retain(|address_hash, hint| {
-            let due = hint.due <= now && hint.fetched_at.is_none();
-            let ready = !due || is_ready(*address_hash);
-            unconfirmed |= due && ready;
-            ready
+            let is_due = hint.due_at <= now && hint.fetched_at.is_none();
+            let keep = !is_due || is_ready(*address_hash);
+            has_unconfirmed |= is_due && keep;
+            keep
         });
-        let fetch = unconfirmed && now - self.fetched_at >= self.fetch_interval;
-        if fetch {
-            self.fetched_at = now;
-            let due = self.hosts.values_mut().filter(|hint| hint.due <= now && hint.fetched_at.is_none());
-            due.for_each(|hint| hint.fetched_at = Some(now));
+        let should_fetch = has_unconfirmed && now - self.last_fetch_at >= self.fetch_interval;
+        if should_fetch {
+            self.last_fetch_at = now;
+            let due_hints =
+                self.hosts.values_mut().filter(|hint| hint.due_at <= now && hint.fetched_at.is_none());
+            due_hints.for_each(|hint| hint.fetched_at = Some(now));
         }
-        fetch
+        should_fetch
     }
 
-    /// Hosts to close because of hints: the list was fetched because of them and did not arrive, and at
-    /// least `MIN_REPORTERS` routers reported them. At most a quarter of the ready hosts are closed until a
-    /// list arrives, so that faulty routers cannot close all hosts of another one.
+    /// Hosts to close because of hints: the list was fetched because of them and did not arrive, and at least
+    /// `MIN_REPORTERS` routers reported them. At most one in `CLOSED_HOSTS_DIVISOR` ready hosts is closed
+    /// until a list arrives, so that faulty routers cannot close all hosts of another one.
     pub fn hosts_to_close(
         &mut self,
         now: Timestamp,
-        ready: usize,
+        ready_count: usize,
         is_ready: impl Fn(u32) -> bool,
     ) -> SmallVec<[u32; 4]> {
         let mut closed = SmallVec::new();
-        let Hints { hosts, closed: closed_count, fetch_interval, .. } = self;
+        let Hints { hosts, closed_count, fetch_interval, .. } = self;
         hosts.retain(|address_hash, hint| {
             let Some(fetched_at) =
                 hint.fetched_at.filter(|fetched_at| now - *fetched_at >= *fetch_interval * 0.5)
@@ -157,7 +161,7 @@
                 return false;
             }
             if hint.reporters.len() < MIN_REPORTERS
-                || (*closed_count + 1) * CLOSED_HOSTS_DIVISOR > ready.max(CLOSED_HOSTS_DIVISOR)
+                || (*closed_count + 1) * CLOSED_HOSTS_DIVISOR > ready_count.max(CLOSED_HOSTS_DIVISOR)
             {
                 return true;
             }
@@ -211,7 +215,7 @@
         assert_eq!(
             hints.hosts_to_close(at(1200), 8, |address_hash| address_hash != 0).to_vec(),
             [1, 2],
-            "host 0 is not ready in the own list"
+            "host 0 is not ready in this router's list"
         );
         assert!(
             hints.hosts_to_close(at(1300), 6, |_| true).is_empty(),
--- a/crates/arrowyard-core/src/host_registry.rs
+++ b/crates/arrowyard-core/src/host_registry.rs
@@ -17,7 +17,7 @@
 use crate::host_list::{HostList, HostListEntry};
 use crate::limits::Limits;
 
-/// The membership of a host in a group without cells.
+/// The memberships of a host of the group if no cells are configured.
 fn group_membership(group: GroupId) -> GroupMemberships {
     [GroupMembership { group, primary_only: false }].into()
 }
@@ -28,22 +28,25 @@
     addresses: Vec<Option<SocketAddr>>,
     entries: Vec<HostEntry>,
     zones: HashMap<String, ZoneId>,
-    /// By host: its name, its group in the lists, and its size before it is scaled by trust.
+    /// By host, from the lists: its name, its group, and its size before it is scaled by trust.
     listed_values: Vec<(String, GroupId, f64)>,
-    /// The group ids that stand for a list's group within a cell. They count up from `i64::MIN`, which lists
-    /// do not use.
+    /// The group ids that represent a list's group within a cell. They are assigned upwards from `i64::MIN`,
+    /// a range that lists do not use.
     cell_groups: HashMap<(GroupId, CellId), GroupId>,
     /// Address hashes of hosts that are no longer ready, since the last `take_not_ready`.
     not_ready: Vec<u32>,
     /// Removed hosts with the time of removal, oldest first.
     removed: VecDeque<(Instant, String)>,
-    /// By host: the number of the last sliced full list that contains it; and the number of the current one.
+    /// By host: the number of the last full list that contains it. Only full lists that are applied in slices
+    /// have a number.
     last_list_number: Vec<u64>,
+    /// The number of the list that is being applied.
     list_number: u64,
     limits: Rc<Limits>,
 }
 
 impl HostRegistry {
+    /// Creates an empty registry; the zones are taken from the settings.
     pub fn new(settings: &Map<String, Value>, limits: Rc<Limits>) -> Self {
         let sites = settings.get("dcs").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
         let sites = sites.iter().filter_map(Value::as_str).enumerate();
@@ -70,10 +73,10 @@
         self.addresses.get(host.0 as usize).copied().flatten()
     }
 
-    /// Applies a list and returns the event for the decision module; a saved list is the last one before
-    /// this start.
-    pub fn apply_list(&mut self, list: &HostList, saved: bool) -> RouterEvent {
-        let kind = match (saved, list.is_full) {
+    /// Applies a list and returns the event for the decision module. `is_saved` marks the list that was saved
+    /// before this start.
+    pub fn apply_list(&mut self, list: &HostList, is_saved: bool) -> RouterEvent {
+        let kind = match (is_saved, list.is_full) {
             (true, _) => ListKind::Saved,
             (false, true) => ListKind::Full,
             (false, false) => ListKind::Incremental,
@@ -121,8 +124,8 @@
 
     /// The group id that represents the group within the cell.
     pub fn cell_group(&mut self, group: GroupId, cell: CellId) -> GroupId {
-        let next = GroupId(i64::MIN + self.cell_groups.len() as i64);
-        *self.cell_groups.entry((group, cell)).or_insert(next)
+        let next_id = GroupId(i64::MIN + self.cell_groups.len() as i64);
+        *self.cell_groups.entry((group, cell)).or_insert(next_id)
     }
 
     /// Sets the memberships of the entries: full members in the host's own cells, primary only in the
@@ -158,14 +161,14 @@
     /// The hosts that are not removed, in the form of the store.
     pub fn stored_hosts(&self) -> Vec<Host> {
         let present = self.entries.iter().filter(|entry| entry.availability != Availability::Gone);
-        let zone =
+        let zone_name =
             |id: ZoneId| self.zones.iter().find(|(_, zone)| **zone == id).map(|(name, _)| name.clone());
-        let host = |entry: &HostEntry| {
+        let to_stored = |entry: &HostEntry| {
             let (name, group, size) = &self.listed_values[entry.host.0 as usize];
             Host {
                 name: name.clone(),
-                dial: self.address(entry.host).map(|dial| dial.to_string()).unwrap_or_default(),
-                site: zone(entry.zone).unwrap_or_default(),
+                dial: self.address(entry.host).map(|address| address.to_string()).unwrap_or_default(),
+                site: zone_name(entry.zone).unwrap_or_default(),
                 group: group.0,
                 size: *size,
                 born_ms: entry.started_at.map_or(0.0, |at| at.micros() as f64 / 1000.0),
@@ -173,7 +176,7 @@
                 was_primary: entry.is_primary,
             }
         };
-        present.map(host).collect()
+        present.map(to_stored).collect()
     }
 
     /// Address hashes of hosts that are no longer ready, since the last call.
@@ -195,10 +198,10 @@
 
     /// Marks a ready host as draining because of hints; returns its entry.
     pub fn mark_draining(&mut self, address_hash: u32) -> Option<HostEntry> {
-        let ready = |entry: &&mut HostEntry| {
+        let is_match = |entry: &&mut HostEntry| {
             entry.address_hash == address_hash && entry.availability == Availability::Ready
         };
-        let entry = self.entries.iter_mut().find(ready)?;
+        let entry = self.entries.iter_mut().find(is_match)?;
         entry.availability = Availability::Draining;
         Some(entry.clone())
     }
@@ -213,7 +216,8 @@
             .collect()
     }
 
-    /// The cell that probes of the host count for: the first that it is a full member of, else the first.
+    /// The cell to whose limits probes of the host count: the first one of which the host is a full member,
+    /// or else its first one.
     pub fn probe_cell(&self, host: HostId, index: &CellIndex) -> Option<CellId> {
         let (name, group, _) = self.listed_values.get(host.0 as usize)?;
         let mut cells = index.cells_for_host(*group, name);
@@ -228,7 +232,7 @@
         started_at.is_some_and(|started_at| now - started_at < period)
     }
 
-    /// Updates the entry of a host from a list; an unknown host gets an id.
+    /// Updates the entry of a host from a list; a host that is not known gets an id.
     fn update_entry(&mut self, list_entry: &HostListEntry) -> HostEntry {
         let known_id = self.ids.get(&list_entry.host).copied();
         let host = known_id.or_else(|| self.reusable_id()).unwrap_or(HostId(self.addresses.len() as u32));
@@ -279,10 +283,10 @@
             tracing::info!(host = list_entry.host, dial = ?address, "host is {:?}", list_entry.availability);
         }
         entry.availability = list_entry.availability;
-        let host_values = &mut self.listed_values[index];
-        host_values.1 = list_entry.group.map_or(host_values.1, GroupId);
-        host_values.2 = list_entry.size.unwrap_or(host_values.2);
-        (entry.memberships, entry.size) = (group_membership(host_values.1), host_values.2);
+        let (_, group, size) = &mut self.listed_values[index];
+        *group = list_entry.group.map_or(*group, GroupId);
+        *size = list_entry.size.unwrap_or(*size);
+        (entry.memberships, entry.size) = (group_membership(*group), *size);
         entry.zone =
             list_entry.site.as_ref().and_then(|site| self.zones.get(site).copied()).unwrap_or(entry.zone);
         entry.is_primary = list_entry
--- a/crates/arrowyard-core/src/http.rs
+++ b/crates/arrowyard-core/src/http.rs
@@ -1,9 +1,9 @@
-//! A minimal HTTP/1.1 client for discovery: one GET per connection; bodies with a length, chunked or until
-//! the end.
+//! A minimal HTTP/1.1 client for discovery: one GET request per connection; a body is chunked, has a length
+//! or extends to the end of the stream.
 
 use bytes::{Buf, BytesMut};
 
-/// The head of a response.
+/// The parsed head (status line and header fields) of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head {
     pub status: u16,
@@ -13,19 +13,23 @@
 /// The state of a body being read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Body {
+    /// Remaining bytes of a body with a length.
     Length(usize),
+    /// The body extends to the end of the stream.
     ToEnd,
-    /// Bytes left of the current chunk.
+    /// Remaining bytes of the current chunk.
     Chunk(usize),
     /// The line end after a chunk.
     ChunkEnd,
+    /// The line with the size of the next chunk.
     ChunkSize,
+    /// The lines after the last chunk.
     Trailer,
     Complete,
 }
 
-/// A GET request.
-pub fn get(path: &str, authority: &str) -> String {
+/// The text of a GET request.
+pub fn get_request(path: &str, authority: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nHost: {authority}\r\nAccept: application/json\r\n\r\n")
 }
 
@@ -35,8 +39,8 @@
     match received.iter().position(|&byte| byte == b'\n') {
         Some(end) if end <= max_bytes => {
             let mut line = received.split_to(end + 1);
-            let ended = line.strip_suffix(b"\r\n").map_or(end, <[u8]>::len);
-            line.truncate(ended);
+            let text_length = line.strip_suffix(b"\r\n").map_or(end, <[u8]>::len);
+            line.truncate(text_length);
             Ok(Some(line))
         }
         None if received.len() <= max_bytes => Ok(None),
@@ -72,7 +76,8 @@
 }
 
 impl Body {
-    /// Moves received bytes of the body into `data`; returns if more are needed. `max_bytes` limits lines.
+    /// Moves received bytes of the body into `data` until the body is complete or more bytes are needed.
+    /// `max_bytes` is the maximum length of a line.
     pub fn take(
         &mut self,
         received: &mut BytesMut,
@@ -89,17 +94,17 @@
                     data.unsplit(received.split());
                     return Ok(());
                 }
-                Body::Length(left) | Body::Chunk(left) => {
+                Body::Length(remaining) | Body::Chunk(remaining) => {
                     if received.is_empty() {
                         return Ok(());
                     }
-                    let available = left.min(received.len());
+                    let available = remaining.min(received.len());
                     data.extend_from_slice(&received[..available]);
                     received.advance(available);
                     *self = match *self {
-                        Body::Length(_) => Body::Length(left - available),
-                        _ if left == available => Body::ChunkEnd,
-                        _ => Body::Chunk(left - available),
+                        Body::Length(_) => Body::Length(remaining - available),
+                        _ if remaining == available => Body::ChunkEnd,
+                        _ => Body::Chunk(remaining - available),
                     };
                 }
                 Body::ChunkEnd => match take_line(received, 1)? {
@@ -130,10 +135,10 @@
     const CHUNKED: &[u8] = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4;x=1\r\n{\"a\"\r\n4\r\n:1}\n\r\n1\r\n\n\r\n0\r\n\r\n";
 
     /// The lines of a response received in two pieces, and whether it is complete.
-    fn lines(bytes: &[u8], cut: usize) -> Result<(Vec<String>, bool), String> {
+    fn read_lines(bytes: &[u8], split_at: usize) -> Result<(Vec<String>, bool), String> {
         let (mut received, mut data, mut body) = (BytesMut::new(), BytesMut::new(), None);
         let mut lines = Vec::new();
-        for piece in [&bytes[..cut], &bytes[cut..]] {
+        for piece in [&bytes[..split_at], &bytes[split_at..]] {
             received.extend_from_slice(piece);
             if body.is_none() {
                 body = take_head(&mut received, 100)?.map(|head| head.body);
@@ -150,9 +155,9 @@
 
     #[test]
     fn a_chunked_response_is_read_however_it_is_split() {
-        for cut in 0..CHUNKED.len() {
+        for split_at in 0..CHUNKED.len() {
             let expected = (vec![r#"{"a":1}"#.to_string(), String::new()], true);
-            assert_eq!(lines(CHUNKED, cut), Ok(expected), "cut at {cut}");
+            assert_eq!(read_lines(CHUNKED, split_at), Ok(expected), "split at {split_at}");
         }
     }
 
@@ -171,7 +176,7 @@
             format!("{chunked}{long_line}"),
         ];
         for text in invalid {
-            assert!(lines(text.as_bytes(), 0).is_err(), "{text}");
+            assert!(read_lines(text.as_bytes(), 0).is_err(), "{text}");
         }
     }
 }
--- a/crates/arrowyard-core/src/leases.rs
+++ b/crates/arrowyard-core/src/leases.rs
@@ -29,6 +29,7 @@
 
 /// Commands to the lease task.
 pub enum LeasesCommand {
+    /// Requests the report for `SHOW leases`.
     Show(oneshot::Sender<String>),
     /// Whether this router is eligible to hold leases, that is, serves ops.
     SetEligible(bool),
@@ -42,16 +43,17 @@
 
 /// Capacity of the command channel.
 const COMMAND_QUEUE: usize = 256;
-/// Datagrams read before yielding, and candidates whose addresses a voter remembers.
+/// Datagrams read before yielding.
 const MAX_DATAGRAMS_PER_TURN: usize = 32;
+/// Candidates whose addresses a voter remembers.
 const MAX_CANDIDATES: usize = 4096;
 /// How long the startup waits for the disk.
 const DISK_TIMEOUT: Duration = Duration::from_millis(500);
 /// The status by which a receiver rejects a call with an outdated epoch.
 const STALE_EPOCH_STATUS: u16 = 409;
 
-/// The clock for leases. It continues while the machine is suspended; otherwise a holder could believe that
-/// it holds a lease that the voters have granted to another one.
+/// The clock for leases. It also advances while the machine is suspended; otherwise a suspended holder could
+/// continue to use a lease that the voters have granted to another router.
 #[derive(Clone, Copy, Debug)]
 struct LeaseClock {
     /// An artificial drift for tests, in parts per million.
@@ -70,9 +72,9 @@
 
     fn now(self) -> Timestamp {
         let now = clock_gettime(ClockId::Boottime);
-        let us = now.tv_sec * 1_000_000 + now.tv_nsec / 1000;
+        let micros = now.tv_sec * 1_000_000 + now.tv_nsec / 1000;
         Timestamp::from_micros(
-            us + us / 1_000_000 * self.drift_ppm + us % 1_000_000 * self.drift_ppm / 1_000_000,
+            micros + micros / 1_000_000 * self.drift_ppm + micros % 1_000_000 * self.drift_ppm / 1_000_000,
         )
     }
 }
@@ -81,7 +83,7 @@
 struct DutyState {
     duty: Duty,
     lease: LeaseId,
-    /// When the next call starts, and whether one is in progress.
+    /// When the next call is due.
     next_call_at: Timestamp,
     call_in_progress: bool,
     calls: u64,
@@ -110,18 +112,19 @@
     commands: mpsc::Receiver<LeasesCommand>,
     /// Sends results of spawned tasks back to this task.
     own_commands: mpsc::Sender<LeasesCommand>,
-    /// Datagrams that could not be decoded.
-    dropped: u64,
-    /// Writes of votes that ended.
-    writes: Rc<Cell<u64>>,
+    /// The number of datagrams that could not be decoded.
+    malformed_datagrams: u64,
+    /// The number of writes of votes that ended.
+    finished_writes: Rc<Cell<u64>>,
     /// The voter's stage that was logged last.
     logged_stage: &'static str,
     /// Voters whose clocks drift beyond the bound, in parts per million.
     drifts: HashMap<VoterId, i64>,
-    /// Whether no further call starts, whether the router is eligible, and who waits for the release of all
-    /// leases.
+    /// Whether no further call starts.
     calls_stopped: bool,
+    /// Whether this router may hold leases.
     is_eligible: bool,
+    /// Receives a notice once all leases are released.
     release_waiter: Option<oneshot::Sender<()>>,
 }
 
@@ -129,8 +132,8 @@
     folder.join("votes")
 }
 
-/// The voter's stored snapshot; `None` if there is none or it is unusable, in which case its grants are
-/// unknown.
+/// The voter's stored snapshot; `None` if there is none or it is unusable, so that the voter does not know
+/// its earlier votes.
 async fn load_votes(folder: PathBuf, group: u64, name: String) -> Option<VoterSnapshot> {
     let read_task = spawn_blocking(move || {
         let _ = std::fs::create_dir_all(&folder);
@@ -160,7 +163,7 @@
     ) -> Result<(Self, mpsc::Sender<LeasesCommand>), String> {
         let LeaseSettings { fleet, listen, voters, store, config, duties } = settings;
         let socket = UdpSocket::bind(listen).await.map_err(|e| format!("{listen}: {e}"))?;
-        let local = socket.local_addr().map_err(|e| e.to_string())?;
+        let local_address = socket.local_addr().map_err(|e| e.to_string())?;
         let names: Vec<String> = voters.iter().map(|(name, _)| name.clone()).collect();
         let group = message::group_id(&fleet, &names, config.term, config.drift_ppm);
         let clock = LeaseClock::start();
@@ -187,7 +190,12 @@
         let duties = duties.into_iter().map(start_duty).collect();
         let (own_commands, commands) = mpsc::channel(COMMAND_QUEUE);
         let is_voter = own_voter_id.is_some();
-        tracing::info!(fleet, votes = is_voter, candidate = format!("{:016x}", id.0), "leases at {local}");
+        tracing::info!(
+            fleet,
+            votes = is_voter,
+            candidate = format!("{:016x}", id.0),
+            "leases at {local_address}"
+        );
         let task = LeasesTask {
             clock_monitor: ClockMonitor::new(config.voter_count, config.drift_ppm),
             candidate,
@@ -204,8 +212,8 @@
             rng,
             commands,
             own_commands: own_commands.clone(),
-            dropped: 0,
-            writes: Rc::default(),
+            malformed_datagrams: 0,
+            finished_writes: Rc::default(),
             logged_stage: "",
             drifts: HashMap::new(),
             calls_stopped: false,
@@ -261,6 +269,7 @@
         Instant::now() + duration(wait)
     }
 
+    /// Runs due timers of the candidate and the voter, and due calls.
     fn tick(&mut self) {
         let (now, rng) = (self.clock.now(), &mut self.rng);
         self.candidate.tick(now, || rng.f64());
@@ -271,14 +280,15 @@
     fn handle_datagram(&mut self, received: std::io::Result<(usize, SocketAddr)>, buffer: &[u8]) {
         let Ok((length, from)) = received else { return };
         let Ok(message) = message::decode(&buffer[..length], self.group) else {
-            self.dropped += 1;
+            self.malformed_datagrams += 1;
             return;
         };
         if let Message::Request { from: id, .. } | Message::Release { from: id, .. } = &message {
             if self.candidates.len() >= MAX_CANDIDATES && !self.candidates.contains_key(id) {
                 // Bounds memory against forged candidates by removing the one that was silent for longest.
-                let oldest = self.candidates.iter().min_by_key(|(_, (_, at))| *at).map(|(id, _)| *id);
-                if let Some(id) = oldest {
+                let longest_silent =
+                    self.candidates.iter().min_by_key(|(_, (_, contact_at))| *contact_at).map(|(id, _)| *id);
+                if let Some(id) = longest_silent {
                     self.candidates.remove(&id);
                 }
             }
@@ -308,8 +318,8 @@
 
     /// Sends messages, stores votes and logs events.
     fn flush(&mut self) {
-        // Each round delivers messages of this router to itself: a candidate's request, the voter's response
-        // and so on.
+        // This router may be candidate and voter. Each round delivers messages between the two, which may
+        // result in further messages.
         for _ in 0..4 {
             let mut outgoing = std::mem::take(&mut self.candidate.outbox);
             if let Some(voter) = &mut self.voter {
@@ -356,25 +366,25 @@
 
     /// Stores votes before they are sent, on a separate thread, so that no op waits for the disk.
     fn store_votes(&self, number: u64, bytes: Vec<u8>) {
-        let (Some(folder), own_commands, writes) =
-            (self.store.clone(), self.own_commands.clone(), self.writes.clone())
+        let (Some(folder), own_commands, finished_writes) =
+            (self.store.clone(), self.own_commands.clone(), self.finished_writes.clone())
         else {
             return;
         };
         drop(spawn_local(async move {
-            let written = spawn_blocking(move || {
+            let write_task = spawn_blocking(move || {
                 let temporary_path = folder.join("votes.next");
                 SystemDisk.write(&temporary_path, &bytes)?;
                 SystemDisk.replace(&temporary_path, &votes_path(&folder))
             });
-            let written = written.await.map_err(std::io::Error::other).and_then(|result| result);
-            if let Err(error) = &written {
+            let result = write_task.await.map_err(std::io::Error::other).and_then(|result| result);
+            if let Err(error) = &result {
                 tracing::warn!("votes could not be stored and are not sent: {error}");
                 // Limits the rate of failing writes.
                 tokio::time::sleep(Duration::from_millis(200)).await;
             }
-            writes.set(writes.get() + 1);
-            let _ = own_commands.send(LeasesCommand::VotesStored(number, written.is_ok())).await;
+            finished_writes.set(finished_writes.get() + 1);
+            let _ = own_commands.send(LeasesCommand::VotesStored(number, result.is_ok())).await;
         }));
     }
 
@@ -410,7 +420,7 @@
         }
     }
 
-    /// Starts the calls that are due and fit into their leases.
+    /// Starts the calls that are due and whose maximum duration fits into the remaining time of their leases.
     fn start_due_calls(&mut self, now: Timestamp) {
         if self.calls_stopped {
             return;
@@ -447,14 +457,14 @@
                     self.calls_stopped = !eligible;
                 }
                 self.is_eligible = eligible;
-                self.release_if_idle();
+                self.release_if_no_call();
             }
             LeasesCommand::ReleaseAll(done) => {
                 (self.calls_stopped, self.release_waiter) = (true, Some(done));
-                self.release_if_idle();
+                self.release_if_no_call();
             }
-            LeasesCommand::VotesStored(number, done) => {
-                self.voter.iter_mut().for_each(|voter| voter.write_finished(number, done));
+            LeasesCommand::VotesStored(number, succeeded) => {
+                self.voter.iter_mut().for_each(|voter| voter.write_finished(number, succeeded));
             }
             LeasesCommand::CallEnded(index, result) => {
                 let Some(state) = self.duties.get_mut(index) else { return };
@@ -473,15 +483,14 @@
                         tracing::warn!(lease = state.duty.name, "a duty call failed: {failure:?}");
                     }
                 }
-                self.release_if_idle();
+                self.release_if_no_call();
             }
         }
     }
 
-    /// Releases leases once no call is in progress. A started call may continue at its receiver after it is
-    /// cancelled here and would overlap with the next holder's call. A call's time limit is at most half of a
-    /// term.
-    fn release_if_idle(&mut self) {
+    /// Applies a change of eligibility or a release once no call is in progress. A call that is cancelled
+    /// here may continue at its receiver and would overlap with a call of the next holder.
+    fn release_if_no_call(&mut self) {
         if self.duties.iter().any(|state| state.call_in_progress) {
             return;
         }
@@ -490,12 +499,12 @@
         if let Some(done) = self.release_waiter.take() {
             self.candidate.release_all();
             self.flush();
-            // The requester may be gone.
+            // The receiver may have been dropped.
             let _ = done.send(());
         }
     }
 
-    /// For `SHOW leases`.
+    /// The report for `SHOW leases`.
     fn report(&self) -> String {
         let now = self.clock.now();
         let ms = |span: TimeDelta| span.micros() / 1000;
@@ -517,7 +526,7 @@
             "voter": self.voter.as_ref().map(|_| self.logged_stage), "life": self.voter.as_ref().map(Voter::incarnation),
             "voters": self.voters.iter().map(|(name, _)| name).collect::<Vec<_>>(),
             "leases": rows.collect::<Vec<_>>(), "votes": votes.collect::<Vec<_>>(),
-            "writes": self.writes.get(), "dropped": self.dropped,
+            "writes": self.finished_writes.get(), "dropped": self.malformed_datagrams,
             "drifts_ppm": drifts.collect::<HashMap<_, _>>()})
         .to_string()
     }
@@ -543,7 +552,7 @@
     );
     stream.write_all(request.as_bytes()).await.map_err(to_text)?;
     let mut received = Vec::new();
-    while received.len() < 1024 && !received.windows(2).any(|two| two == b"\r\n") {
+    while received.len() < 1024 && !received.windows(2).any(|pair| pair == b"\r\n") {
         if stream.read_buf(&mut received).await.map_err(to_text)? == 0 {
             return Err("the connection closed before the response was complete".to_string());
         }
--- a/crates/arrowyard-core/src/limits.rs
+++ b/crates/arrowyard-core/src/limits.rs
@@ -8,7 +8,7 @@
 use crate::clock::duration;
 use crate::router_config::RouterConfig;
 
-/// Limits of one router.
+/// The limits of one router.
 #[derive(Clone, Copy, Debug)]
 pub struct Limits {
     /// Client connections; beyond this number the longest idle one is closed for a new one.
@@ -17,20 +17,23 @@
     pub max_rejected_connections: usize,
     /// Connections to all database hosts together.
     pub max_host_connections: usize,
-    /// Ops in flight, and the bytes of their statements.
+    /// Ops in flight.
     pub max_ops: usize,
+    /// Bytes of the statements of ops in flight.
     pub max_statement_bytes: usize,
-    /// Capacity of the channels to the route stage and to discovery.
+    /// Capacity of the channels to the route task and to discovery.
     pub queue_capacity: usize,
-    /// Bytes of one message from a client, and from a database host.
+    /// Bytes of one message from a client.
     pub max_client_message_bytes: usize,
+    /// Bytes of one message from a database host.
     pub max_host_message_bytes: usize,
     /// Bytes of a host's message that is not a row.
     pub max_control_message_bytes: usize,
     /// Total bytes of answers larger than `max_client_message_bytes`.
     pub max_large_answer_bytes: usize,
-    /// Bytes of one line of discovery's answer, and of an HTTP head.
+    /// Bytes of one line of discovery's response.
     pub max_list_line_bytes: usize,
+    /// Bytes of the status line and header fields of discovery's response.
     pub max_http_head_bytes: usize,
     /// Bytes to reserve for one read of a socket.
     pub read_chunk_bytes: usize,
@@ -42,23 +45,25 @@
     pub connect_timeout: Duration,
     /// How long a connection to a host may stay idle; shorter than the host's own limit.
     pub host_idle_timeout: Duration,
-    /// How long to wait for the end marker after a complete answer.
+    /// How long to wait for the host's ready message after a complete answer.
     pub ready_timeout: Duration,
-    /// How long a client may take until its first op and for each message, and how long to read an answer.
+    /// How long a client may take until its first op, and for each message.
     pub client_message_timeout: Duration,
+    /// How long a client may take to read an answer.
     pub client_write_timeout: Duration,
-    /// How long input is still read from a client whose connection is being closed.
+    /// How long input is read from a client after its connection is shut down for writing.
     pub linger_timeout: Duration,
-    /// How long discovery may take for a full list, and how long a watch may stay silent; it sends a line
-    /// every 2 s.
+    /// How long discovery may take for a full list.
     pub list_fetch_timeout: Duration,
+    /// How long a watch may receive nothing; discovery sends a line every 2 s.
     pub watch_idle_timeout: Duration,
-    /// How long a draining router accepts connections, and how long its last ops may take.
+    /// How long a draining router accepts connections.
     pub drain_accept_period: Duration,
+    /// How long the last ops of a draining router may take.
     pub drain_timeout: Duration,
     /// How long the id of a removed host is kept; longer than any send to it can last.
     pub removed_host_retention: Duration,
-    /// The pause before a retry.
+    /// The pause between attempts in loops that poll or retry, such as reading an invalid file again.
     pub retry_pause: Duration,
     /// How far a reported position may lie ahead of this router's clock.
     pub max_position_lead: TimeDelta,
@@ -80,8 +85,9 @@
     pub list_store_deadline: Duration,
 }
 
-/// The largest value in a statement; each byte takes two in text form, and the statement adds some overhead.
+/// The size of the largest value in a statement; in text form each byte takes two.
 const MAX_VALUE_BYTES: usize = 64 * 1024;
+/// Bytes of a statement besides its values.
 const STATEMENT_OVERHEAD_BYTES: usize = 8 * 1024;
 
 impl Limits {
--- a/crates/arrowyard-core/src/logger.rs
+++ b/crates/arrowyard-core/src/logger.rs
@@ -37,8 +37,8 @@
 impl LogConfig {
     /// For a router without an operator's file: the level is `ARROWYARD_LOG`, or `info`.
     pub fn from_env(name: &str, max_lines_per_second: u32) -> Self {
-        let parsed = std::env::var("ARROWYARD_LOG").ok().and_then(|level| level.parse().ok());
-        let level = parsed.unwrap_or(LevelFilter::INFO);
+        let configured_level = std::env::var("ARROWYARD_LOG").ok().and_then(|level| level.parse().ok());
+        let level = configured_level.unwrap_or(LevelFilter::INFO);
         LogConfig { name: name.to_string(), format: LogFormat::Text, level, max_lines_per_second }
     }
 }
@@ -51,11 +51,14 @@
     let _ = tracing::subscriber::set_global_default(subscriber);
 }
 
-/// Limits the lines per second.
+/// Limits the number of log lines per second.
 #[derive(Default)]
 struct LineRateLimit {
+    /// The Unix time of the current second.
     second: AtomicU64,
+    /// Lines in the current second, including dropped ones.
     lines: AtomicU32,
+    /// Lines dropped since the last written one.
     dropped: AtomicU32,
 }
 
@@ -73,13 +76,13 @@
     }
 }
 
-/// The layer that writes the lines.
+/// The layer that writes log lines.
 struct LineLayer {
     config: LogConfig,
     rate_limit: LineRateLimit,
 }
 
-/// The message and the fields of an event, in order.
+/// The message of an event, and its fields in the order in which they were recorded.
 #[derive(Default)]
 struct EventRecord {
     message: String,
--- a/crates/arrowyard-core/src/messages.rs
+++ b/crates/arrowyard-core/src/messages.rs
@@ -17,9 +17,11 @@
 pub enum RouteMessage<T: HostTransport> {
     /// An admitted op, with its origin if cells are configured, its payload and the channel for the reply.
     OpAdmitted(OpRequest, Option<Box<OpOrigin>>, Rc<T::Payload>, oneshot::Sender<Reply<T::Answer>>),
+    /// The client of an op disconnected before the final reply.
     ClientDisconnected(OpId),
     /// An answer began; it is passed to the client while the send continues.
     AnswerBegun(OpId, T::Answer),
+    /// A send of an op to a host ended.
     SendEnded(OpId, SendIndex, HostId, EndedSend<T::Answer>),
     /// A probe ended; with the cell that it counts for, if cells are configured.
     ProbeEnded(HostId, Option<CellId>, Outcome, HostStatus),
@@ -35,9 +37,10 @@
     RouterCountChanged(f64),
     /// A message from another router.
     PeerMessage(PeerId, Vec<u8>),
-    /// Writing the list ended; true if it failed.
+    /// Writing the host list to the store ended; true if it failed.
     ListSaved(bool),
-    /// Requests the numbers of ops received and acknowledged since the start, as a liveness check.
+    /// Checks that the route task responds; requests the numbers of ops received and acknowledged since the
+    /// start.
     CheckLiveness(oneshot::Sender<(u64, u64)>),
     /// An event from discovery.
     Discovery(DiscoveryEvent),
@@ -46,7 +49,9 @@
 /// Events from discovery.
 #[derive(Debug)]
 pub enum DiscoveryEvent {
+    /// A new list, or changes of the list.
     List(HostList),
+    /// A watch or a fetch failed.
     Failed,
 }
 
--- a/crates/arrowyard-core/src/op_table.rs
+++ b/crates/arrowyard-core/src/op_table.rs
@@ -25,19 +25,23 @@
     Ended,
 }
 
-/// Counts since they were last logged.
+/// Counts of ops, sends and other load since they were last logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpCounters {
     pub acked: u32,
     pub busy: u32,
     pub errored: u32,
+    /// Ops whose client disconnected before the final reply.
     pub disconnected: u32,
+    /// All sends, including retries.
     pub sends: u32,
+    /// Sends that ended without an answer.
     pub lost_sends: u32,
-    /// Load besides first sends: retries, sends to cold hosts, probes and entries of host lists.
     pub retries: u32,
+    /// Sends to recently started hosts.
     pub cold_sends: u32,
     pub probes: u32,
+    /// Entries of received host lists.
     pub list_entries: u32,
 }
 
@@ -45,7 +49,7 @@
 pub struct OpTable<P, A> {
     ops: HashMap<OpId, OpEntry<P, A>>,
     pub counters: OpCounters,
-    /// Ops that were removed, collected if cells are configured.
+    /// Ops that were removed from the table, for the cells; `None` if no cells are configured.
     pub closed_ops: Option<Vec<OpId>>,
 }
 
@@ -61,6 +65,7 @@
         self.ops.insert(op, OpEntry { payload, client: Some(client), sends: Vec::new() });
     }
 
+    /// The number of ops that are not answered or have a send in flight.
     pub fn open_ops(&self) -> usize {
         self.ops.len()
     }
@@ -84,9 +89,9 @@
     pub fn cancel_send(&mut self, op: OpId, send: SendIndex) {
         let Some(state) = self.send_state(op, send) else { return };
         match std::mem::replace(state, SendState::Cancelled) {
-            // The send may have ended already, so nobody may be listening.
+            // The send may have ended already, so its receiver may be gone.
             SendState::InFlight(cancel) => drop(cancel.send(())),
-            other => *state = other,
+            previous => *state = previous,
         }
     }
 
@@ -94,9 +99,9 @@
         self.ops.get_mut(&op)?.sends.get_mut(send.0 as usize)
     }
 
-    /// Records the end of a send and completes the op with the first acknowledged answer. Returns whether
-    /// the op is answered, or `None` if the end was recorded before: the decision module must see each end
-    /// once.
+    /// Records the end of a send and completes the op with the first acknowledged answer. Returns whether the
+    /// op is answered, or `None` if the send is unknown or ended before: the decision module must see each
+    /// end once.
     pub fn end_send(
         &mut self,
         op: OpId,
@@ -145,12 +150,12 @@
     }
 
     fn remove_if_done(&mut self, op: OpId) {
-        let done = |op_entry: &OpEntry<P, A>| {
+        let is_done = |op_entry: &OpEntry<P, A>| {
             op_entry.client.is_none() && op_entry.sends.iter().all(|state| matches!(state, SendState::Ended))
         };
-        if self.ops.get(&op).is_some_and(done) {
+        if self.ops.get(&op).is_some_and(is_done) {
             self.ops.remove(&op);
-            self.closed_ops.iter_mut().for_each(|closed| closed.push(op));
+            self.closed_ops.iter_mut().for_each(|closed_ops| closed_ops.push(op));
         }
     }
 }
@@ -211,7 +216,7 @@
             let (mut table, mut reply) = table_with_one_op();
             let (mut started, mut ended, mut first_reply) = (Vec::new(), Vec::new(), None);
             for (step, send) in steps {
-                let known = started.contains(&send) && !ended.contains(&send);
+                let is_in_flight = started.contains(&send) && !ended.contains(&send);
                 match step {
                     0 => match table.start_send(OP) {
                         Some((SendIndex(send), ..)) => {
@@ -225,12 +230,12 @@
                             1 => (Outcome::Acked, Some(())),
                             _ => (Outcome::TimedOut, None),
                         };
-                        if known && step == 1 {
+                        if is_in_flight && step == 1 {
                             first_reply.get_or_insert(Some(Reply::Acked(())));
                         }
                         let is_answered = table.end_send(OP, SendIndex(send), outcome, answer);
-                        prop_assert_eq!(is_answered, known.then_some(first_reply.is_some()));
-                        ended.extend(known.then_some(send));
+                        prop_assert_eq!(is_answered, is_in_flight.then_some(first_reply.is_some()));
+                        ended.extend(is_in_flight.then_some(send));
                     }
                     3 => {
                         table.complete(OP, Reply::Errored);
--- a/crates/arrowyard-core/src/peers.rs
+++ b/crates/arrowyard-core/src/peers.rs
@@ -25,24 +25,29 @@
 pub enum PeersCommand {
     /// Sends a message of the decision module to all members.
     Broadcast(Vec<u8>),
+    /// Requests the report for `SHOW peers`.
     Show(oneshot::Sender<String>),
     /// Announces that the router leaves; the channel resolves once that was sent.
     Leave(oneshot::Sender<()>),
-    /// The machine of this member refused a datagram to this incarnation of it.
+    /// The machine of the member with this name and incarnation refused a datagram to its port.
     PortRefused(Rc<str>, u64),
     /// Ops received and acknowledged since the start; `None` if the route task did not respond in time.
     ServiceReport(Option<(u64, u64)>),
 }
 
-/// Capacity of the command channel, datagrams read before yielding, and concurrent port checks.
+/// Capacity of the command channel.
 const COMMAND_QUEUE: usize = 256;
+/// Datagrams read before yielding.
 const MAX_DATAGRAMS_PER_TURN: usize = 16;
+/// Concurrent port checks.
 const MAX_PORT_CHECKS: usize = 32;
-/// Timeouts of a port check and of a liveness check of the route task.
+/// Timeout of a port check.
 const PORT_CHECK_TIMEOUT: Duration = Duration::from_millis(150);
+/// Timeout of a liveness check of the route task.
 const LIVENESS_TIMEOUT: Duration = Duration::from_secs(2);
-/// A router is idle if it received this many ops since it last acknowledged one, for this long.
+/// A router is idle only if it received at least this many ops since it last acknowledged one.
 const MIN_UNSERVED_OPS: u64 = 8;
+/// How long a router must acknowledge none of these ops to be idle.
 const UNSERVED_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Microseconds of the machine's monotonic clock, which is the same for all processes, so that their logs
@@ -55,26 +60,26 @@
 
 /// Detects a router that acknowledges no ops.
 struct ServiceMonitor {
-    /// Ops acknowledged and received at the last acknowledgement.
+    /// Ops acknowledged and received since the start, as of the last report with a new acknowledgement.
     acked: u64,
     received: u64,
-    /// When the last acknowledgement was seen.
-    since: Instant,
+    /// When a report last showed no lack of acknowledgements.
+    last_served_at: Instant,
 }
 
 impl ServiceMonitor {
-    /// Whether no op is served: many were received since the last acknowledgement, or the route task does not
-    /// respond.
+    /// Whether no ops are served: many were received since the last acknowledgement, or the route task does
+    /// not respond (`None`).
     fn update(&mut self, report: Option<(u64, u64)>) -> bool {
         let Some((received, acked)) = report else { return true };
         if acked > self.acked || received < self.received + MIN_UNSERVED_OPS {
             if acked > self.acked {
                 (self.acked, self.received) = (acked, received);
             }
-            self.since = Instant::now();
+            self.last_served_at = Instant::now();
             return false;
         }
-        self.since.elapsed() >= UNSERVED_TIMEOUT
+        self.last_served_at.elapsed() >= UNSERVED_TIMEOUT
     }
 }
 
@@ -97,8 +102,9 @@
     port_checks: Rc<std::cell::Cell<usize>>,
     last_liveness_check: Instant,
     service_monitor: ServiceMonitor,
-    /// Commands to the lease task, and the idle state last reported to it.
+    /// Commands to the lease task, if leases are configured.
     leases: Option<mpsc::Sender<leases::LeasesCommand>>,
+    /// The idle state last reported to the lease task.
     idle: bool,
     /// Failed sends and receives on the socket.
     socket_errors: u64,
@@ -120,18 +126,18 @@
     ) -> Result<(Self, mpsc::Sender<PeersCommand>), String> {
         let socket =
             UdpSocket::bind(settings.listen).await.map_err(|e| format!("{}: {e}", settings.listen))?;
-        let local = socket.local_addr().map_err(|e| e.to_string())?;
-        let address = settings.advertise.unwrap_or(local);
+        let local_address = socket.local_addr().map_err(|e| e.to_string())?;
+        let address = settings.advertise.unwrap_or(local_address);
         let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
         let incarnation = since_epoch.as_millis() as u64;
-        // Ordered by start time; random bits distinguish two starts in one millisecond.
+        // Nonces are ordered by start time; random bits distinguish two starts in one millisecond.
         let nonce = incarnation << 20 | fastrand::u64(..1 << 20);
         let local_member = LocalMember { name: name.into(), address, incarnation, nonce };
         let fleet = settings.config.fleet.clone();
         let (own_commands, commands) = mpsc::channel(COMMAND_QUEUE);
         let membership =
             Membership::new(clock.now(), settings.config, local_member, configured_routers, seed ^ nonce);
-        tracing::info!(fleet, at = %address, life = incarnation, "member of a fleet, datagrams at {local}");
+        tracing::info!(fleet, at = %address, life = incarnation, "member of a fleet, datagrams at {local_address}");
         let started_at = Instant::now();
         let task = PeersTask {
             membership,
@@ -145,7 +151,7 @@
             router_count: configured_routers,
             port_checks: Rc::default(),
             last_liveness_check: started_at,
-            service_monitor: ServiceMonitor { acked: 0, received: 0, since: started_at },
+            service_monitor: ServiceMonitor { acked: 0, received: 0, last_served_at: started_at },
             leases,
             idle: false,
             socket_errors: 0,
@@ -186,7 +192,7 @@
     fn handle_datagram(&mut self, received: io::Result<(usize, SocketAddr)>, buffer: &[u8]) {
         match received {
             Ok((length, from)) => self.membership.receive(self.clock.now(), from, &buffer[..length]),
-            // An error for an earlier datagram; the system does not say which one.
+            // The error concerns an earlier datagram; the system does not report which one.
             Err(_) => self.socket_errors += 1,
         }
     }
@@ -201,7 +207,7 @@
             PeersCommand::Show(client) => drop(client.send(self.report().to_string())),
             PeersCommand::Leave(done) => {
                 self.membership.leave(now);
-                // The requester may be gone.
+                // The receiver may have been dropped.
                 let _ = done.send(());
             }
             PeersCommand::PortRefused(name, incarnation) => self.membership.port_refused(&name, incarnation),
@@ -237,6 +243,7 @@
         }));
     }
 
+    /// Executes the actions and handles the events of the membership protocol.
     async fn execute_actions(&mut self) {
         for action in std::mem::take(&mut self.membership.actions) {
             match action {
@@ -305,18 +312,18 @@
         let _ = self.messages.try_send(RouteMessage::PeerMessage(from, bytes));
     }
 
-    /// Checks whether the machine refuses datagrams to the port.
+    /// Sends a datagram to a member and reports if its machine refuses it.
     fn check_port(&self, to: SocketAddr, name: Rc<str>, incarnation: u64, bytes: Vec<u8>) {
         if self.port_checks.get() >= MAX_PORT_CHECKS {
             return;
         }
         self.port_checks.set(self.port_checks.get() + 1);
         let (port_checks, own_commands) = (self.port_checks.clone(), self.own_commands.clone());
-        let unspecified: SocketAddr =
+        let unspecified_address: SocketAddr =
             if to.is_ipv4() { ([0, 0, 0, 0], 0).into() } else { ([0_u16; 8], 0).into() };
         drop(spawn_local(async move {
-            let refused = async {
-                let socket = UdpSocket::bind(unspecified).await.ok()?;
+            let port_check = async {
+                let socket = UdpSocket::bind(unspecified_address).await.ok()?;
                 socket.connect(to).await.ok()?;
                 socket.send(&bytes).await.ok()?;
                 match timeout(PORT_CHECK_TIMEOUT, socket.recv(&mut [0; 64])).await.ok()? {
@@ -324,7 +331,7 @@
                     _ => None,
                 }
             };
-            if refused.await.is_some() {
+            if port_check.await.is_some() {
                 let _ = own_commands.try_send(PeersCommand::PortRefused(name, incarnation));
             }
             port_checks.set(port_checks.get() - 1);
@@ -391,7 +398,7 @@
 
     #[tokio::test(start_paused = true)]
     async fn a_router_that_acknowledges_none_of_many_ops_is_idle() {
-        let mut service_monitor = ServiceMonitor { acked: 0, received: 0, since: Instant::now() };
+        let mut service_monitor = ServiceMonitor { acked: 0, received: 0, last_served_at: Instant::now() };
         assert!(!service_monitor.update(Some((5, 0))), "too few ops to decide");
         tokio::time::advance(UNSERVED_TIMEOUT).await;
         assert!(!service_monitor.update(Some((MIN_UNSERVED_OPS - 1, 0))));
--- a/crates/arrowyard-core/src/pool.rs
+++ b/crates/arrowyard-core/src/pool.rs
@@ -11,13 +11,13 @@
 use crate::count::UsageGuard;
 use crate::limits::Limits;
 
-/// One connection to a host, as the pool sees it.
+/// A connection that the pool can keep for reuse.
 pub trait PooledConnection: Sized {
-    /// Connects and authenticates.
+    /// Connects and authenticates. `usage` counts the connection while it is open, `large_answer_bytes` the
+    /// bytes of large answers on all connections.
     ///
     /// # Errors
-    /// The outcome of a send that was not written. `large_answer_bytes` counts the bytes of large answers on all
-    /// connections.
+    /// The outcome of the send for which the connection was needed.
     fn connect(
         address: SocketAddr,
         usage: UsageGuard,
@@ -25,42 +25,54 @@
         limits: Rc<Limits>,
     ) -> impl Future<Output = Result<Self, Outcome>>;
 
+    /// The host's address.
     fn address(&self) -> SocketAddr;
 
+    /// When the connection was last marked as idle.
     fn idle_since(&self) -> Instant;
 
-    /// Whether it was not idle for too long and has received nothing since, not even the end of the stream.
+    /// Whether the connection can be used again: it is not idle for too long and has received neither data
+    /// nor the end of the stream since.
     fn is_reusable(&self) -> bool;
 
-    /// Marks it as idle and frees the memory of its last answer.
+    /// Marks the connection as idle and frees the memory of its last answer.
     fn mark_idle(&mut self);
 }
 
-/// The connection pool.
+/// The idle connections to all hosts, and counts of connections.
 pub struct ConnectionPool<C> {
     idle: RefCell<BTreeMap<HostId, Vec<C>>>,
     /// When each host last completed a command.
     last_completed: RefCell<BTreeMap<HostId, Instant>>,
-    open: Rc<Cell<usize>>,
-    started: Cell<u64>,
+    open_count: Rc<Cell<usize>>,
+    started_count: Cell<u64>,
     /// Bytes of large answers on all connections.
     large_answer_bytes: Rc<Cell<usize>>,
     limits: Rc<Limits>,
 }
 
 impl<C: PooledConnection> ConnectionPool<C> {
+    /// Creates an empty pool.
     pub fn new(limits: Rc<Limits>) -> Rc<Self> {
-        let (idle, last_completed, open, started, large_answer_bytes) = Default::default();
-        Rc::new(ConnectionPool { idle, last_completed, open, started, large_answer_bytes, limits })
+        let (idle, last_completed, open_count, started_count, large_answer_bytes) = Default::default();
+        Rc::new(ConnectionPool {
+            idle,
+            last_completed,
+            open_count,
+            started_count,
+            large_answer_bytes,
+            limits,
+        })
     }
 
+    /// The number of open connections, idle or in use.
     pub fn open_connections(&self) -> usize {
-        self.open.get()
+        self.open_count.get()
     }
 
     /// The number of connections started since the pool was created.
     pub fn connections_started(&self) -> u64 {
-        self.started.get()
+        self.started_count.get()
     }
 
     /// The most recently used idle connection to the host, else a new one.
@@ -73,12 +85,17 @@
                 return Ok(connection);
             }
         }
-        if self.open.get() >= self.limits.max_host_connections && !self.close_oldest() {
+        if self.open_count.get() >= self.limits.max_host_connections && !self.close_longest_idle() {
             return Err(Outcome::ConnectFailed);
         }
-        self.started.set(self.started.get() + 1);
-        C::connect(address, UsageGuard::one(&self.open), self.large_answer_bytes.clone(), self.limits.clone())
-            .await
+        self.started_count.set(self.started_count.get() + 1);
+        C::connect(
+            address,
+            UsageGuard::one(&self.open_count),
+            self.large_answer_bytes.clone(),
+            self.limits.clone(),
+        )
+        .await
     }
 
     /// Returns a connection to the pool.
@@ -93,22 +110,23 @@
         self.idle.borrow_mut().remove(&host);
     }
 
-    /// A send that started at `since` was not answered. If the host completed no command since, its idle
-    /// connections are closed: those to an unreachable machine stay open, and each send over them would time
-    /// out and might have run.
-    pub fn send_timed_out(&self, host: HostId, since: Instant) {
-        if self.last_completed.borrow().get(&host).is_none_or(|last_completed| *last_completed < since) {
+    /// A send that started at `started_at` was not answered. If the host completed no command since, its idle
+    /// connections are closed: connections to an unreachable machine stay open, and each send over them would
+    /// time out and might have run.
+    pub fn send_timed_out(&self, host: HostId, started_at: Instant) {
+        if self.last_completed.borrow().get(&host).is_none_or(|last_completed| *last_completed < started_at) {
             self.close_idle(host);
         }
     }
 
-    fn close_oldest(&self) -> bool {
+    /// Closes the connection that is idle for longest; false if there is none.
+    fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        let oldest = idle
+        let host_connections = idle
             .values_mut()
             .filter(|connections| !connections.is_empty())
             .min_by_key(|connections| connections[0].idle_since());
-        oldest.map(|connections| connections.remove(0)).is_some()
+        host_connections.map(|connections| connections.remove(0)).is_some()
     }
 
     /// Closes connections that were idle for too long, before the host does: a send on a connection
@@ -125,7 +143,7 @@
     /// A connection that is always reusable.
     struct FakeConnection {
         address: SocketAddr,
-        since: Instant,
+        idle_since: Instant,
         _usage: UsageGuard,
     }
 
@@ -136,7 +154,7 @@
             _: Rc<Cell<usize>>,
             _: Rc<Limits>,
         ) -> Result<Self, Outcome> {
-            Ok(FakeConnection { address, since: Instant::now(), _usage: usage })
+            Ok(FakeConnection { address, idle_since: Instant::now(), _usage: usage })
         }
 
         fn address(&self) -> SocketAddr {
@@ -144,7 +162,7 @@
         }
 
         fn idle_since(&self) -> Instant {
-            self.since
+            self.idle_since
         }
 
         fn is_reusable(&self) -> bool {
@@ -152,7 +170,7 @@
         }
 
         fn mark_idle(&mut self) {
-            self.since = Instant::now();
+            self.idle_since = Instant::now();
         }
     }
 
--- a/crates/arrowyard-core/src/reload.rs
+++ b/crates/arrowyard-core/src/reload.rs
@@ -19,6 +19,7 @@
 
 /// The task that handles SIGHUP.
 pub struct ReloadTask<T: HostTransport> {
+    /// Commands to discovery.
     pub discovery: mpsc::Sender<DiscoveryCommand>,
     pub limits: Rc<Limits>,
     /// How the operator's file is read, if there is one, and the channel to the route task.
@@ -44,7 +45,7 @@
         }
     }
 
-    /// Applies a new operator's file completely; an invalid one is rejected and nothing changes.
+    /// Reads the operator's file and sends its layout to the route task; an invalid file changes nothing.
     async fn reload_layout(&self) {
         let Some((load_layout, messages)) = &self.layout_source else { return };
         // Reading and checking a large file on the core's thread would delay every op.
@@ -59,7 +60,8 @@
         }
     }
 
-    /// Reads the file several times if it is invalid, since it may be read while it is being replaced.
+    /// Loads the configuration file, repeatedly if it is invalid, since it may be in the course of being
+    /// replaced.
     async fn read_config(&self) -> Result<RouterConfig, String> {
         let mut config = RouterConfig::load();
         for _ in 1..self.limits.max_file_reads {
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -1,5 +1,5 @@
-//! The route task, which owns the decision module: converts messages to events of the decision module and
-//! executes its actions in order.
+//! The route task: converts messages to events of the decision module and executes the actions that the
+//! module returns, in order.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, HashSet};
@@ -37,6 +37,7 @@
     pub transport: Rc<T>,
     pub clock: Clock,
     pub limits: Rc<Limits>,
+    /// Commands to discovery.
     pub discovery: mpsc::Sender<DiscoveryCommand>,
     /// Sends results of spawned tasks back to the route task.
     pub messages: mpsc::Sender<RouteMessage<T>>,
@@ -80,7 +81,7 @@
     context: RouteContext<T>,
     cells: Option<CellScheduler<RouteMessage<T>, QueuedPayload<T>>>,
     last_cell_tick: Instant,
-    /// Hosts being probed for their position because a tenant moves to them.
+    /// Hosts with a position probe in progress because a tenant moves to them.
     position_probes: HashSet<HostId>,
     last_position_probes: Instant,
     /// The maximum retry delay sent to clients; `None` if none may be sent.
@@ -89,6 +90,7 @@
     cold_period: TimeDelta,
     router: Router,
     op_table: OpTable<T::Payload, T::Answer>,
+    /// The due time, sequence number and id of each timer; the sequence number orders timers of equal time.
     timers: BinaryHeap<Reverse<(Timestamp, u64, TimerId)>>,
     timer_sequence: u64,
     tasks: Scheduler<Task>,
@@ -99,16 +101,18 @@
     /// Hosts that other routers report as draining.
     hints: Hints,
     startup: OptionalStartup,
-    /// By op type: whether it writes, and whether it reads its session's own writes.
+    /// By op type: whether it writes.
     is_write: Vec<bool>,
+    /// By op type: whether it reads its session's own writes.
     reads_own_writes: Vec<bool>,
-    /// After a restart: the minimum position for session reads. A session may have written through this
-    /// router before it ended; all writes acknowledged then were committed before the start.
+    /// The minimum position for session reads, if startup is tracked. A session may have written through this
+    /// router before a restart; all writes that were acknowledged then were committed before the start.
     min_position: Option<Timestamp>,
     /// Groups that ops requested, up to a limit; their entries of a long list are applied first.
     requested_groups: HashSet<i64>,
-    /// Ops received since the start, and ops acknowledged until the counters were last logged.
+    /// Ops received since the start.
     received_ops: u64,
+    /// Ops acknowledged from the start until the counters were last logged.
     acked_ops: u64,
 }
 
@@ -136,7 +140,7 @@
         let is_write = op_types.iter().map(|op_type| op_type.consistency == Consistency::Write).collect();
         let reads_own_writes =
             op_types.iter().map(|op_type| op_type.consistency == Consistency::Session).collect();
-        // Acknowledged positions were at most this far ahead of this router's clock.
+        // Positions were accepted only up to this far ahead of this router's clock.
         let min_position = startup.is_some().then_some(now + context.limits.max_position_lead);
         let router = Router::start(now, seed, settings, &mut actions);
         let mut op_table = OpTable::default();
@@ -242,6 +246,7 @@
         }
     }
 
+    /// Passes an event to the decision module and executes its actions.
     fn handle_event(&mut self, event: RouterEvent, actions: &mut Vec<Action>) {
         let now = self.context.clock.now();
         tracing::trace!(at = now.micros(), "{event:?}");
@@ -267,7 +272,7 @@
     }
 
     /// The next event if cells are configured: a message that concerns no cell, a timer that is due, or the
-    /// message of the next cell. `None` once the channel is closed.
+    /// message of the next cell. `Some(None)` if there is no event now, `None` once the channel is closed.
     async fn next_cell_event(
         &mut self,
         inbox: &mut mpsc::Receiver<RouteMessage<T>>,
@@ -300,7 +305,7 @@
         }
     }
 
-    /// Queues the message of an op in its cell; other messages are handled at once.
+    /// Queues the message of an op in its cell; any other message is converted to its event at once.
     fn enqueue_message(&mut self, message: RouteMessage<T>) -> Option<RouterEvent> {
         let now = self.context.clock.now();
         let cells = self.cells.as_mut()?;
@@ -323,6 +328,7 @@
         immediate_message.and_then(|message| self.event_for(message))
     }
 
+    /// Queues an admitted op for its cell, or sends the reply of a rejected one.
     fn apply_placement(&mut self, placement: Placement<QueuedPayload<T>>) {
         let Some(cells) = &mut self.cells else { return };
         match placement {
@@ -367,7 +373,8 @@
         self.probe_target_hosts();
     }
 
-    /// Logs the events of the cells; after a release verdict, hosts are sent to the decision module again.
+    /// Logs the events of the cells. A release verdict changes the trust in hosts, so all hosts are then sent
+    /// to the decision module again.
     fn log_cell_events(&mut self) {
         let Some(cells) = &mut self.cells else { return };
         let cell_events = cells.take_events();
@@ -428,19 +435,19 @@
         }
     }
 
-    /// Applies a list and returns its event. `saved` is true for the last list before this start, `None` for
-    /// a slice.
-    fn apply_list(&mut self, list: &HostList, saved: Option<bool>) -> RouterEvent {
-        let event = self.context.hosts.apply_list(list, saved == Some(true));
+    /// Applies a list and returns its event. `is_saved` is true for the list that was saved before this
+    /// start, false for a list of discovery, and `None` for a slice of one.
+    fn apply_list(&mut self, list: &HostList, is_saved: Option<bool>) -> RouterEvent {
+        let event = self.context.hosts.apply_list(list, is_saved == Some(true));
         self.op_table.counters.list_entries += list.entries.len() as u32;
         let not_ready = self.context.hosts.take_not_ready();
-        if saved != Some(true) {
+        if is_saved != Some(true) {
             self.hints.list_received();
         }
-        if let Some(startup) = self.startup.as_mut().filter(|_| saved == Some(false)) {
+        if let Some(startup) = self.startup.as_mut().filter(|_| is_saved == Some(false)) {
             startup.list_received(self.context.clock.now(), list.version);
         }
-        if saved != Some(true) {
+        if is_saved != Some(true) {
             let now = self.context.clock.now();
             not_ready.into_iter().for_each(|address_hash| self.hints.host_not_ready(now, address_hash));
             self.announce_not_ready(now);
@@ -453,6 +460,7 @@
         }
     }
 
+    /// Sets the cells of the entries, if cells are configured.
     fn assign_cells(&mut self, mut entries: Vec<HostEntry>) -> Vec<HostEntry> {
         let Some(cells) = &mut self.cells else { return entries };
         let (now, release_window) = (self.context.clock.now(), self.cold_period * RELEASE_WINDOW_FACTOR);
@@ -475,6 +483,7 @@
         actions.into_iter().for_each(|action| self.execute(now, action));
     }
 
+    /// Applies a layout that was reloaded from the operator's file.
     fn replace_layout(&mut self, layout: Layout) {
         let (now, epoch) = (self.context.clock.now(), layout.epoch);
         let Some(cells) = &mut self.cells else {
@@ -544,9 +553,9 @@
 
     /// Announces hosts that are no longer ready to other routers.
     fn announce_not_ready(&mut self, now: Timestamp) {
-        let announced = self.hints.take_announcements(now);
+        let address_hashes = self.hints.take_announcements(now);
         let Some(peers) = &self.context.peers else { return };
-        announced.into_iter().for_each(|address_hash| {
+        address_hashes.into_iter().for_each(|address_hash| {
             drop(peers.try_send(PeersCommand::Broadcast(encode_hint(address_hash))))
         });
     }
@@ -603,14 +612,14 @@
         TurnOutcome::More
     }
 
-    /// The next timer that is due, after a turn of a background task that is due.
+    /// Runs a turn of a background task that is due, and returns the event of the next timer that is due.
     fn due_event(&mut self, has_waiting_ops: bool) -> Option<RouterEvent> {
         let now = self.context.clock.now();
         if self.tasks.next_at().is_some_and(|at| at <= now) {
             self.run_task(now, has_waiting_ops);
         }
-        let due = self.timers.peek().is_some_and(|Reverse((at, ..))| *at <= now);
-        let timer = due.then(|| self.timers.pop()).flatten();
+        let is_due = self.timers.peek().is_some_and(|Reverse((at, ..))| *at <= now);
+        let timer = is_due.then(|| self.timers.pop()).flatten();
         timer.map(|Reverse((_, _, timer_id))| RouterEvent::TimerFired { timer: timer_id })
     }
 
@@ -632,7 +641,7 @@
                 self.op_table.insert(request.op, payload, client);
                 Some(RouterEvent::OpRequested(request))
             }
-            // The decision module is informed when the send ends; until then it loads its host.
+            // The decision module is informed only when the send ends, since it loads its host until then.
             RouteMessage::AnswerBegun(op, answer) => {
                 self.op_table.begin_answer(op, answer);
                 None
@@ -641,8 +650,8 @@
                 self.op_table.client_disconnected(op).then_some(RouterEvent::ClientCancelled { op })
             }
             RouteMessage::SendEnded(op, send, host, EndedSend { outcome, elapsed, status, answer }) => {
-                let finished = self.op_table.end_send(op, send, outcome, answer)?;
-                if let Some(startup) = self.startup.as_mut().filter(|_| finished) {
+                let is_answered = self.op_table.end_send(op, send, outcome, answer)?;
+                if let Some(startup) = self.startup.as_mut().filter(|_| is_answered) {
                     startup.op_finished(self.context.clock.now(), op, outcome == Outcome::Acked);
                 }
                 let status = self.without_future_position(status);
@@ -661,7 +670,7 @@
                     host,
                     outcome,
                     elapsed,
-                    op_finished: finished,
+                    op_finished: is_answered,
                     status,
                 }))
             }
@@ -742,8 +751,8 @@
         }
     }
 
-    /// The host's status without a position in the future. Positions never decrease, so a corrupted one in
-    /// the future would make stale data look fresh permanently.
+    /// The host's status without a position in the future. Recorded positions never decrease, so a wrong one
+    /// in the future would make stale data look fresh permanently.
     fn without_future_position(&self, status: HostStatus) -> HostStatus {
         let latest = self.context.clock.now() + self.context.limits.max_position_lead;
         let position = status.position.filter(|&position| position <= latest);
@@ -753,6 +762,7 @@
         HostStatus { position, ..status }
     }
 
+    /// Executes an action of the decision module.
     fn execute(&mut self, now: Timestamp, action: Action) {
         let RouteContext { hosts: host_registry, transport, clock, discovery, messages, .. } = &self.context;
         tracing::trace!(at = now.micros(), "{action:?}");
@@ -775,7 +785,7 @@
                         }
                         None => EndedSend::unsent(),
                     };
-                    // The route task ends only with the router.
+                    // Fails only if the route task has ended with the router.
                     let _ = messages.send(RouteMessage::SendEnded(op, send, host, ended_send)).await;
                 }));
             }
@@ -812,8 +822,8 @@
                     let (outcome, status) = match (address, rejected_delay) {
                         (Some(address), None) => transport.probe(host, address).await,
                         (_, rejected_delay) => {
-                            // The decision module retries at once, so a rejected probe takes as long as a
-                            // lost one.
+                            // The decision module retries a probe at once, so a rejected probe ends only
+                            // after the time of a lost one.
                             sleep_until(Instant::now() + rejected_delay.unwrap_or_default()).await;
                             (Outcome::NotSent, HostStatus::default())
                         }
@@ -838,6 +848,7 @@
         }
     }
 
+    /// Logs the counters since the last call; operators sum the fields of this line.
     fn log_counters(&mut self) {
         let counters = std::mem::take(&mut self.op_table.counters);
         self.acked_ops += u64::from(counters.acked);
--- a/crates/arrowyard-core/src/send.rs
+++ b/crates/arrowyard-core/src/send.rs
@@ -53,8 +53,8 @@
     clock: Clock,
     on_answer_begun: impl AsyncFn(T::Answer),
 ) -> EndedSend<T::Answer> {
-    let (started, progress) = (clock.now(), Progress::default());
-    if started >= request.deadline || request.cancelled.try_recv() != Err(TryRecvError::Empty) {
+    let (started_at, progress) = (clock.now(), Progress::default());
+    if started_at >= request.deadline || request.cancelled.try_recv() != Err(TryRecvError::Empty) {
         return EndedSend::unsent();
     }
     let SendRequest { host, address, payload, deadline, mut cancelled } = request;
@@ -63,7 +63,7 @@
         tokio::select! {
             biased;
             result = &mut exchange => break result,
-            // An answer begins only while the exchange is polled just before this, so no waker is needed.
+            // An answer begins only while the exchange is polled, just before this, so no waker is needed.
             answer = poll_fn(|_| progress.take_begun_answer().map_or(Poll::Pending, Poll::Ready)) => on_answer_begun(answer).await,
             _ = &mut cancelled => break (Outcome::Cancelled, HostStatus::default(), None),
             () = sleep_until(clock.instant_at(deadline)) => break (Outcome::TimedOut, HostStatus::default(), None),
@@ -72,17 +72,17 @@
     if let Some(answer) = progress.take_begun_answer() {
         on_answer_begun(answer).await;
     }
-    let written = progress.is_written();
+    let is_written = progress.is_written();
     let outcome = match outcome {
-        Outcome::Cancelled if !written => Outcome::NotSent,
-        Outcome::TimedOut if !written => Outcome::ConnectFailed,
+        Outcome::Cancelled if !is_written => Outcome::NotSent,
+        Outcome::TimedOut if !is_written => Outcome::ConnectFailed,
         Outcome::TimedOut if progress.is_client_blocked() => Outcome::Cancelled,
         outcome => outcome,
     };
     if outcome == Outcome::TimedOut {
-        transport.send_timed_out(host, clock.instant_at(started));
+        transport.send_timed_out(host, clock.instant_at(started_at));
     }
-    EndedSend { outcome, elapsed: clock.now() - started, status, answer }
+    EndedSend { outcome, elapsed: clock.now() - started_at, status, answer }
 }
 
 #[cfg(test)]
--- a/crates/arrowyard-core/src/startup.rs
+++ b/crates/arrowyard-core/src/startup.rs
@@ -27,21 +27,22 @@
 const MAX_CLOCK_SKEW_MS: u64 = 1000;
 
 fn unix_ms() -> u64 {
-    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since| since.as_millis() as u64)
+    SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |since_epoch| since_epoch.as_millis() as u64)
 }
 
-/// A fingerprint of the deployment that a store belongs to: sites, op types and the hosts' domain settings.
-/// Tunable numbers are left out, since a changed latency target does not make another deployment.
+/// A hash that identifies the deployment of a store: sites, names of op types, and domain settings. Tunable
+/// numbers such as latency targets are left out, since they may change within one deployment.
 #[must_use]
 pub fn deployment_fingerprint(settings: &Map<String, Value>) -> u64 {
-    let names = settings.get("grades").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
-    let names: Vec<&Value> = names.iter().filter_map(|row| row.get("name")).collect();
+    let op_type_rows =
+        settings.get("grades").and_then(Value::as_array).map(Vec::as_slice).unwrap_or_default();
+    let names: Vec<&Value> = op_type_rows.iter().filter_map(|row| row.get("name")).collect();
     let text = format!("{:?} {names:?} {:?}", settings.get("dcs"), settings.get("domain"));
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-fn host_store(folder: &Path, deployment: u64) -> Store<SystemDisk> {
+fn open_store(folder: &Path, deployment: u64) -> Store<SystemDisk> {
     Store {
         disk: SystemDisk,
         folder: folder.to_path_buf(),
@@ -50,11 +51,8 @@
     }
 }
 
-/// The list to start with: the platform's list, extended by stored hosts that are discounted by age. Errors
-/// of the store are logged and ignored.
-///
-/// Also returns the version of the stored list if it is used; lists of discovery with a lower version are
-/// older.
+/// Returns the list to start with, which is the platform's list extended by stored hosts that are discounted
+/// by age, and the version of the stored list if it is used. Errors of the store are logged and ignored.
 pub async fn load_stored_list(
     settings: &StartupSettings,
     deployment: u64,
@@ -65,7 +63,7 @@
     let load_task = spawn_blocking(move || {
         // Creates the folder for the first snapshot.
         let _ = std::fs::create_dir_all(&folder);
-        host_store(&folder, deployment).load(now)
+        open_store(&folder, deployment).load(now)
     });
     let Ok(Ok(loaded)) = timeout(DISK_TIMEOUT, load_task).await else {
         tracing::warn!("the store did not respond in time; starting without it");
@@ -82,10 +80,10 @@
         return (platform_list, None);
     };
     let age = TimeDelta::from_millis(now.saturating_sub(stored.written_ms) as i64);
-    let names: Vec<String> =
+    let platform_hosts: Vec<String> =
         platform_list.iter().flat_map(|list| &list.entries).map(|entry| entry.host.clone()).collect();
-    let discounted = discount_hosts(stored, age, settings.trust, &names);
-    let confidence = discounted.first().map_or(0.0, |first| first.confidence);
+    let discounted = discount_hosts(stored, age, settings.trust, &platform_hosts);
+    let confidence = discounted.first().map_or(0.0, |discounted_host| discounted_host.confidence);
     let age_s = age.as_secs_f64();
     tracing::info!(
         age_s,
@@ -108,7 +106,7 @@
     (Some(list), (confidence > 0.0).then_some(stored.version))
 }
 
-/// Tracks the startup stages and stores the host list for the next start.
+/// Tracks the startup stages, and stores the host list for the next start.
 pub struct RouterStartup {
     tracker: StartupTracker,
     settings: StartupSettings,
@@ -119,14 +117,18 @@
     ops: HashMap<OpId, (GroupId, bool)>,
     /// The stage that was logged last.
     logged_stage: Stage,
-    /// Whether the list changed since it was last saved, when that was, and whether a write is in progress.
+    /// Whether the list changed since it was last saved.
     is_changed: bool,
+    /// When the list was last saved.
     saved_at: Timestamp,
+    /// Whether a write is in progress.
     is_saving: bool,
+    /// The version of the latest list of discovery.
     version: i64,
 }
 
 impl RouterStartup {
+    /// Begins to track a start; `has_list` tells whether a list is available already.
     #[must_use]
     pub fn new(
         now: Timestamp,
@@ -209,7 +211,8 @@
         }
     }
 
-    /// Whether to write the list now; once true, it stays false until `save_finished` is called.
+    /// Whether to write the list now. After it returned true, it returns false until `save_finished` is
+    /// called.
     pub fn should_save(&mut self, now: Timestamp) -> bool {
         let is_due = self.settings.store.is_some()
             && self.is_changed
@@ -246,7 +249,7 @@
         };
         let deployment = self.deployment;
         drop(spawn_local(async move {
-            let result = spawn_blocking(move || host_store(&folder, deployment).save(snapshot, now)).await;
+            let result = spawn_blocking(move || open_store(&folder, deployment).save(snapshot, now)).await;
             let failed = match result {
                 Ok(Ok(_)) => false,
                 Ok(Err(error)) => {
--- a/crates/arrowyard-core/src/submission.rs
+++ b/crates/arrowyard-core/src/submission.rs
@@ -17,7 +17,7 @@
 /// An op from another thread. `P` is the payload, `R` the answer in a form that is `Send`.
 struct Submission<P, R> {
     payload: P,
-    arrived: Timestamp,
+    arrived_at: Timestamp,
     client: oneshot::Sender<Reply<R>>,
 }
 
@@ -25,6 +25,7 @@
 pub struct RetainedResources {
     /// Resolves once the front end is done with the answer or dropped it.
     pub done: oneshot::Receiver<()>,
+    /// Dropped after `done` resolves.
     pub resources: Box<dyn Any>,
 }
 
@@ -40,10 +41,12 @@
     }
 }
 
-/// Why there is no reply: the router stopped, or the queue is full and the op did not run.
+/// Why there is no reply.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitError {
+    /// The router ended; the op may have run.
     Stopped,
+    /// The queue is full; the op did not run.
     Full,
 }
 
@@ -51,11 +54,11 @@
     /// Submits an op and waits for its final reply; dropping the future cancels the op.
     ///
     /// # Errors
-    /// `Full` at once if the queue is full, so that clients are not held past their deadline; `Stopped` if
+    /// `Full` at once if the queue is full, so that clients do not wait beyond their deadlines; `Stopped` if
     /// the router ended.
     pub async fn submit(&self, payload: P) -> Result<Reply<R>, SubmitError> {
         let (client, reply) = oneshot::channel();
-        let submission = Submission { payload, arrived: self.clock.now(), client };
+        let submission = Submission { payload, arrived_at: self.clock.now(), client };
         self.submissions.try_send(submission).map_err(|error| match error {
             mpsc::error::TrySendError::Full(_) => SubmitError::Full,
             mpsc::error::TrySendError::Closed(_) => SubmitError::Stopped,
@@ -71,7 +74,7 @@
     messages: mpsc::Sender<RouteMessage<T>>,
 }
 
-/// Creates a channel for `capacity` ops that were not admitted yet.
+/// Creates a channel that holds up to `capacity` ops until they are admitted.
 pub fn channel<T: HostTransport, P, R>(
     capacity: usize,
     clock: Clock,
@@ -93,9 +96,9 @@
         split_answer: impl Fn(T::Answer) -> (R, Option<RetainedResources>) + 'static,
     ) {
         let split_answer = Rc::new(split_answer);
-        while let Some(Submission { payload, arrived, mut client }) = self.submissions.recv().await {
+        while let Some(Submission { payload, arrived_at, mut client }) = self.submissions.recv().await {
             let AdmittedOp { request, origin, slot } =
-                match self.controller.admit(to_request(&payload), arrived) {
+                match self.controller.admit(to_request(&payload), arrived_at) {
                     Ok(admitted) => admitted,
                     Err(reply) => {
                         // The front end may have dropped the op.
@@ -159,7 +162,7 @@
     use crate::limits::Limits;
     use crate::transport::{ExchangeResult, Progress};
 
-    /// An unused transport; the test replies in place of the route task.
+    /// A transport that is never called: the test replies instead of the route task.
     struct UnusedTransport;
 
     impl HostTransport for UnusedTransport {
@@ -252,8 +255,8 @@
                     _ => panic!("unexpected message"),
                 }
             };
-            for pending in pending {
-                let (id, reply) = pending.await.expect("the task completes");
+            for submission in pending {
+                let (id, reply) = submission.await.expect("the task completes");
                 assert_eq!(reply, Ok(Reply::Acked(id * 2)));
             }
             disconnected
--- a/crates/arrowyard-core/src/transport.rs
+++ b/crates/arrowyard-core/src/transport.rs
@@ -9,7 +9,7 @@
 
 use crate::clock::Clock;
 
-/// One send: its outcome, the status that the host reported, and the answer if it is complete.
+/// The result of one send: its outcome, the status that the host reported, and the answer if it is complete.
 pub type ExchangeResult<A> = (Outcome, HostStatus, Option<A>);
 
 /// Progress of a send, reported by its transport.
@@ -30,12 +30,13 @@
 }
 
 impl<A> Progress<A> {
-    /// The payload is written completely: before this call the op cannot have run, after it the op may have
-    /// run.
+    /// Marks the payload as completely written. Before this call the op cannot have run; after it, the op may
+    /// have run.
     pub fn mark_written(&self) {
         self.written.set(true);
     }
 
+    /// Whether the payload is completely written.
     pub fn is_written(&self) -> bool {
         self.written.get()
     }
@@ -46,9 +47,9 @@
         self.begun_answer.set(Some(answer));
     }
 
-    /// Whether the send waits for its client, so that a slow client is not counted as a slow host.
-    pub fn set_client_blocked(&self, by_client: bool) {
-        self.client_blocked.set(by_client);
+    /// Sets whether the send waits for its client, so that a slow client is not counted as a slow host.
+    pub fn set_client_blocked(&self, is_blocked: bool) {
+        self.client_blocked.set(is_blocked);
     }
 
     pub(crate) fn is_client_blocked(&self) -> bool {
@@ -64,8 +65,9 @@
 /// Carries sends and probes to hosts over one protocol. It makes no routing decisions; the core enforces
 /// deadlines by dropping the returned future.
 pub trait HostTransport: 'static {
-    /// The request and the answer of the front end; both are opaque to the core.
+    /// The content of a request; opaque to the core.
     type Payload: 'static;
+    /// The content of a host's answer; opaque to the core.
     type Answer: 'static;
 
     /// Sends the payload once and reports its progress. Dropping the future cancels the send.
@@ -79,11 +81,11 @@
         progress: &Progress<Self::Answer>,
     ) -> impl Future<Output = ExchangeResult<Self::Answer>>;
 
-    /// Asks the host for its status.
+    /// Requests the host's status.
     fn probe(&self, host: HostId, address: SocketAddr) -> impl Future<Output = (Outcome, HostStatus)>;
 
-    /// A send that started at `since` was written completely and got no answer in time.
-    fn send_timed_out(&self, host: HostId, since: Instant);
+    /// Called if a send that started at `started_at` was written completely and got no answer in time.
+    fn send_timed_out(&self, host: HostId, started_at: Instant);
 
     /// Closes the idle connections to the host.
     fn close_idle(&self, host: HostId);
