--- a/crates/arrowyard-adapter/src/router.rs
+++ b/crates/arrowyard-adapter/src/router.rs
@@ -5,7 +5,7 @@
 
 use arrowyard::Router;
 use arrowyard_platform_settings::{
-    address_hash, micros_from_millis, router_settings, time_delta_from_millis, timestamp_from_millis,
+    micros_from_millis, name_hash, router_settings, time_delta_from_millis, timestamp_from_millis,
 };
 use arrowyard_types::*;
 use serde_json::{Map, Value};
@@ -144,7 +144,7 @@
             }]
             .into(),
             host: self.hosts.id_or_insert(fields.text(3)?),
-            address_hash: address_hash(fields.text(3)?),
+            name_hash: name_hash(fields.text(3)?),
             is_primary: fields.f64_or_none(4)? == Some(1.0),
             started_at: fields.f64_or_none(5)?.filter(|&millis| millis > 0.0).map(timestamp_from_millis),
             size: fields.f64_or_none(6)?.unwrap_or(1.0),
--- a/crates/arrowyard-core/src/hints.rs
+++ b/crates/arrowyard-core/src/hints.rs
@@ -13,13 +13,13 @@
 /// Upper limit for hinted hosts, and for hosts that are announced.
 const MAX_HOSTS: usize = 64;
 
-/// Encodes a hint that the host with this address hash is draining.
+/// Encodes a hint that the host with this name hash is draining.
 #[must_use]
-pub fn encode_hint(address_hash: u32) -> Vec<u8> {
-    [&[MESSAGE_TYPE][..], &address_hash.to_le_bytes()].concat()
+pub fn encode_hint(name_hash: u32) -> Vec<u8> {
+    [&[MESSAGE_TYPE][..], &name_hash.to_le_bytes()].concat()
 }
 
-/// The address hash in a hint; `None` if the message is not a hint.
+/// The name hash in a hint; `None` if the message is not a hint.
 #[must_use]
 pub fn decode_hint(bytes: &[u8]) -> Option<u32> {
     match bytes {
@@ -80,9 +80,9 @@
     }
 
     /// Schedules the announcements of a host that is no longer ready in this router's list.
-    pub fn host_not_ready(&mut self, now: Timestamp, address_hash: u32) {
-        if self.announcements.len() < MAX_HOSTS || self.announcements.contains_key(&address_hash) {
-            self.announcements.insert(address_hash, (now, ANNOUNCEMENTS));
+    pub fn host_not_ready(&mut self, now: Timestamp, name_hash: u32) {
+        if self.announcements.len() < MAX_HOSTS || self.announcements.contains_key(&name_hash) {
+            self.announcements.insert(name_hash, (now, ANNOUNCEMENTS));
         }
     }
 
@@ -90,9 +90,9 @@
     pub fn take_announcements(&mut self, now: Timestamp) -> SmallVec<[u32; 4]> {
         let due = self.announcements.iter_mut().filter(|(_, (next_at, _))| *next_at <= now);
         let announced: SmallVec<[u32; 4]> = due
-            .map(|(&address_hash, (next_at, remaining))| {
+            .map(|(&name_hash, (next_at, remaining))| {
                 (*next_at, *remaining) = (now + self.confirmation_timeout, *remaining - 1);
-                address_hash
+                name_hash
             })
             .collect();
         self.announcements.retain(|_, (_, remaining)| *remaining > 0);
@@ -100,14 +100,14 @@
     }
 
     /// Records that another router reports the host as draining.
-    pub fn record_hint(&mut self, now: Timestamp, address_hash: u32, reporter: PeerId) {
+    pub fn record_hint(&mut self, now: Timestamp, name_hash: u32, reporter: PeerId) {
         // Bounds memory against a router that reports thousands of hosts.
-        if self.hosts.len() >= MAX_HOSTS && !self.hosts.contains_key(&address_hash) {
+        if self.hosts.len() >= MAX_HOSTS && !self.hosts.contains_key(&name_hash) {
             return;
         }
         let new_hint =
             Hint { due_at: now + self.confirmation_timeout, reporters: SmallVec::new(), fetched_at: None };
-        let hint = self.hosts.entry(address_hash).or_insert(new_hint);
+        let hint = self.hosts.entry(name_hash).or_insert(new_hint);
         if hint.reporters.len() < MAX_REPORTERS && !hint.reporters.contains(&reporter) {
             hint.reporters.push(reporter);
         }
@@ -124,9 +124,9 @@
     /// drains.
     pub fn should_fetch(&mut self, now: Timestamp, is_ready: impl Fn(u32) -> bool) -> bool {
         let mut has_unconfirmed = false;
-        self.hosts.retain(|address_hash, hint| {
+        self.hosts.retain(|name_hash, hint| {
             let is_due = hint.due_at <= now && hint.fetched_at.is_none();
-            let keep = !is_due || is_ready(*address_hash);
+            let keep = !is_due || is_ready(*name_hash);
             has_unconfirmed |= is_due && keep;
             keep
         });
@@ -151,13 +151,13 @@
     ) -> SmallVec<[u32; 4]> {
         let mut closed = SmallVec::new();
         let Hints { hosts, closed_count, fetch_interval, .. } = self;
-        hosts.retain(|address_hash, hint| {
+        hosts.retain(|name_hash, hint| {
             let Some(fetched_at) =
                 hint.fetched_at.filter(|fetched_at| now - *fetched_at >= *fetch_interval * 0.5)
             else {
                 return true;
             };
-            if !is_ready(*address_hash) || now - fetched_at >= *fetch_interval * 20.0 {
+            if !is_ready(*name_hash) || now - fetched_at >= *fetch_interval * 20.0 {
                 return false;
             }
             if hint.reporters.len() < MIN_REPORTERS
@@ -166,7 +166,7 @@
                 return true;
             }
             *closed_count += 1;
-            closed.push(*address_hash);
+            closed.push(*name_hash);
             false
         });
         closed
@@ -189,11 +189,11 @@
         assert!(!hints.should_fetch(at(399), |_| true), "the watch may still confirm it");
         assert!(!hints.should_fetch(at(400), |_| false), "the watch confirmed it");
         assert!(!hints.should_fetch(at(900), |_| true), "it was fetched already");
-        for address_hash in 0..1000 {
-            hints.record_hint(at(1000), address_hash, reporter);
+        for name_hash in 0..1000 {
+            hints.record_hint(at(1000), name_hash, reporter);
         }
         assert_eq!(hints.hosts.len(), MAX_HOSTS);
-        assert!(hints.should_fetch(at(1400), |address_hash| address_hash == 9));
+        assert!(hints.should_fetch(at(1400), |name_hash| name_hash == 9));
         hints.list_received();
         hints.record_hint(at(1500), 9, reporter);
         assert!(!hints.should_fetch(at(2000), |_| true), "the minimum interval has not passed");
@@ -204,16 +204,16 @@
     #[test]
     fn two_reports_close_at_most_a_quarter_of_the_hosts_while_the_list_is_unavailable() {
         let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
-        for address_hash in 0..8 {
-            hints.record_hint(at(0), address_hash, PeerId(1));
-            hints.record_hint(at(0), address_hash, PeerId(1));
+        for name_hash in 0..8 {
+            hints.record_hint(at(0), name_hash, PeerId(1));
+            hints.record_hint(at(0), name_hash, PeerId(1));
         }
         assert!(hints.should_fetch(at(500), |_| true));
         assert!(hints.hosts_to_close(at(1100), 8, |_| true).is_empty(), "one router reported twice");
-        (0..8).for_each(|address_hash| hints.record_hint(at(1100), address_hash, PeerId(2)));
+        (0..8).for_each(|name_hash| hints.record_hint(at(1100), name_hash, PeerId(2)));
         assert!(hints.hosts_to_close(at(900), 8, |_| true).is_empty(), "the list may still arrive");
         assert_eq!(
-            hints.hosts_to_close(at(1200), 8, |address_hash| address_hash != 0).to_vec(),
+            hints.hosts_to_close(at(1200), 8, |name_hash| name_hash != 0).to_vec(),
             [1, 2],
             "host 0 is not ready in this router's list"
         );
--- a/crates/arrowyard-core/src/host_registry.rs
+++ b/crates/arrowyard-core/src/host_registry.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 
 use arrowyard_cells::index::CellIndex;
-use arrowyard_platform_settings::{address_hash, timestamp_from_millis};
+use arrowyard_platform_settings::{name_hash, timestamp_from_millis};
 use arrowyard_store::Host;
 use arrowyard_types::{
     Availability, CellId, GroupId, GroupMembership, GroupMemberships, HostEntry, HostId, ListKind,
@@ -33,7 +33,7 @@
     /// The group ids that represent a list's group within a cell. They are assigned upwards from `i64::MIN`,
     /// a range that lists do not use.
     cell_groups: HashMap<(GroupId, CellId), GroupId>,
-    /// Address hashes of hosts that are no longer ready, since the last `take_not_ready`.
+    /// Name hashes of hosts that are no longer ready, since the last `take_not_ready`.
     not_ready: Vec<u32>,
     /// Removed hosts with the time of removal, oldest first.
     removed: VecDeque<(Instant, String)>,
@@ -179,16 +179,16 @@
         present.map(to_stored).collect()
     }
 
-    /// Address hashes of hosts that are no longer ready, since the last call.
+    /// Name hashes of hosts that are no longer ready, since the last call.
     pub fn take_not_ready(&mut self) -> Vec<u32> {
         std::mem::take(&mut self.not_ready)
     }
 
-    /// Whether the host with this address hash is ready.
-    pub fn is_ready(&self, address_hash: u32) -> bool {
+    /// Whether the host with this name hash is ready.
+    pub fn is_ready(&self, name_hash: u32) -> bool {
         self.entries
             .iter()
-            .any(|entry| entry.address_hash == address_hash && entry.availability == Availability::Ready)
+            .any(|entry| entry.name_hash == name_hash && entry.availability == Availability::Ready)
     }
 
     /// The number of ready hosts.
@@ -197,9 +197,9 @@
     }
 
     /// Marks a ready host as draining because of hints; returns its entry.
-    pub fn mark_draining(&mut self, address_hash: u32) -> Option<HostEntry> {
+    pub fn mark_draining(&mut self, name_hash: u32) -> Option<HostEntry> {
         let is_match = |entry: &&mut HostEntry| {
-            entry.address_hash == address_hash && entry.availability == Availability::Ready
+            entry.name_hash == name_hash && entry.availability == Availability::Ready
         };
         let entry = self.entries.iter_mut().find(is_match)?;
         entry.availability = Availability::Draining;
@@ -241,10 +241,10 @@
             self.ids.insert(list_entry.host.clone(), host);
             let (memberships, zone, availability) =
                 (group_membership(GroupId(0)), ZoneId(0), list_entry.availability);
-            let address_hash = address_hash(&list_entry.host);
+            let name_hash = name_hash(&list_entry.host);
             let new_entry = HostEntry {
                 host,
-                address_hash,
+                name_hash,
                 availability,
                 memberships,
                 zone,
@@ -276,7 +276,7 @@
             && list_entry.availability != Availability::Ready
             && known_id.is_some()
         {
-            self.not_ready.push(entry.address_hash);
+            self.not_ready.push(entry.name_hash);
         }
         if entry.availability != list_entry.availability || known_id.is_none() {
             let address = self.addresses[index];
@@ -312,7 +312,7 @@
             let list = HostList::from_json(&serde_json::json!({"seq": 1, "hosts": [list_entry]}))
                 .expect("the list is valid");
             match registry.apply_list(&list, false) {
-                RouterEvent::HostList { entries, .. } => (entries[0].host.0, entries[0].address_hash),
+                RouterEvent::HostList { entries, .. } => (entries[0].host.0, entries[0].name_hash),
                 other => panic!("{other:?}"),
             }
         };
@@ -321,7 +321,7 @@
         assert_eq!(update_host("b", "SERVING").0, 1);
         assert_eq!(update_host("c", "SERVING").0, 2, "sends to a may be in flight");
         tokio::time::advance(limits.removed_host_retention).await;
-        assert_eq!(update_host("d", "SERVING"), (0, address_hash("d")));
+        assert_eq!(update_host("d", "SERVING"), (0, name_hash("d")));
         assert_eq!(update_host("e", "SERVING").0, 3, "b is back");
         assert_eq!(update_host("a", "SERVING").0, 4, "a removed host gets a new id");
     }
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -449,7 +449,7 @@
         }
         if is_saved != Some(true) {
             let now = self.context.clock.now();
-            not_ready.into_iter().for_each(|address_hash| self.hints.host_not_ready(now, address_hash));
+            not_ready.into_iter().for_each(|name_hash| self.hints.host_not_ready(now, name_hash));
             self.announce_not_ready(now);
         }
         match event {
@@ -523,7 +523,7 @@
                 TurnOutcome::Done
             }
             Task::ProcessHints => {
-                if self.hints.should_fetch(now, |address_hash| self.context.hosts.is_ready(address_hash)) {
+                if self.hints.should_fetch(now, |name_hash| self.context.hosts.is_ready(name_hash)) {
                     tracing::info!("other routers report a draining host; fetching the host list");
                     send_command(&self.context.discovery, DiscoveryCommand::Fetch);
                 }
@@ -553,22 +553,22 @@
 
     /// Announces hosts that are no longer ready to other routers.
     fn announce_not_ready(&mut self, now: Timestamp) {
-        let address_hashes = self.hints.take_announcements(now);
+        let name_hashes = self.hints.take_announcements(now);
         let Some(peers) = &self.context.peers else { return };
-        address_hashes.into_iter().for_each(|address_hash| {
-            drop(peers.try_send(PeersCommand::Broadcast(encode_hint(address_hash))))
-        });
+        name_hashes
+            .into_iter()
+            .for_each(|name_hash| drop(peers.try_send(PeersCommand::Broadcast(encode_hint(name_hash)))));
     }
 
     /// Closes hosts that other routers report as draining, while the list is unavailable.
     fn close_hinted_hosts(&mut self, now: Timestamp) {
         let RouteContext { hosts: host_registry, .. } = &self.context;
-        let address_hashes = self.hints.hosts_to_close(now, host_registry.ready_count(), |address_hash| {
-            host_registry.is_ready(address_hash)
-        });
-        let entries: Vec<HostEntry> = address_hashes
+        let name_hashes = self
+            .hints
+            .hosts_to_close(now, host_registry.ready_count(), |name_hash| host_registry.is_ready(name_hash));
+        let entries: Vec<HostEntry> = name_hashes
             .into_iter()
-            .filter_map(|address_hash| self.context.hosts.mark_draining(address_hash))
+            .filter_map(|name_hash| self.context.hosts.mark_draining(name_hash))
             .collect();
         if entries.is_empty() {
             return;
@@ -710,8 +710,8 @@
                 Some(RouterEvent::RouterCount { routers })
             }
             RouteMessage::PeerMessage(from, mut bytes) => {
-                if let Some(address_hash) = decode_hint(&bytes) {
-                    self.hints.record_hint(self.context.clock.now(), address_hash, from);
+                if let Some(name_hash) = decode_hint(&bytes) {
+                    self.hints.record_hint(self.context.clock.now(), name_hash, from);
                     return None;
                 }
                 // Another router's report must not make a host primary, or writes could go to a replica.
--- a/crates/arrowyard-core/tests/hints.rs
+++ b/crates/arrowyard-core/tests/hints.rs
@@ -20,6 +20,6 @@
     assert_eq!(announced(&mut hints, 1_200), [7, 9]);
     assert_eq!(announced(&mut hints, 1_600), [9], "four times each");
     assert!(announced(&mut hints, 9_000).is_empty());
-    (0..1000).for_each(|address_hash| hints.host_not_ready(at(9_000), address_hash));
+    (0..1000).for_each(|name_hash| hints.host_not_ready(at(9_000), name_hash));
     assert!(announced(&mut hints, 9_000).len() <= 64, "the number of announced hosts is limited");
 }
--- a/crates/arrowyard-fleet/src/world.rs
+++ b/crates/arrowyard-fleet/src/world.rs
@@ -247,7 +247,7 @@
         let group = self.hosts[at].group;
         HostEntry {
             host: HostId(at as u32),
-            address_hash: at as u32,
+            name_hash: at as u32,
             availability,
             memberships: [GroupMembership { group: GroupId(group as i64), primary_only: false }].into(),
             zone: ZoneId(0),
--- a/crates/arrowyard-platform-settings/src/lib.rs
+++ b/crates/arrowyard-platform-settings/src/lib.rs
@@ -104,7 +104,7 @@
 }
 
 /// The hash of a host's name that all routers use for the host (FNV-1a).
-pub fn address_hash(name: &str) -> u32 {
+pub fn name_hash(name: &str) -> u32 {
     name.bytes().fold(0x811c_9dc5, |hash, byte| (hash ^ u32::from(byte)).wrapping_mul(0x0100_0193))
 }
 
--- a/crates/arrowyard-pooler/src/decision.rs
+++ b/crates/arrowyard-pooler/src/decision.rs
@@ -149,7 +149,7 @@
         };
         HostEntry {
             host: id,
-            address_hash: id.0,
+            name_hash: id.0,
             availability,
             memberships: [GroupMembership { group: self.groups.id(&host.service), primary_only: false }]
                 .into_iter()
--- a/crates/arrowyard-types/src/interface.rs
+++ b/crates/arrowyard-types/src/interface.rs
@@ -79,8 +79,9 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostEntry {
     pub host: HostId,
-    /// Names the host in messages between routers; a `HostId` is local to one router.
-    pub address_hash: u32,
+    /// A hash of the host's name, which identifies the host in messages between routers; a `HostId` is local
+    /// to one router.
+    pub name_hash: u32,
     pub availability: Availability,
     pub memberships: GroupMemberships,
     pub zone: ZoneId,
--- a/examples/lists.rs
+++ b/examples/lists.rs
@@ -11,7 +11,7 @@
 fn entry(host: u32) -> HostEntry {
     HostEntry {
         host: HostId(host),
-        address_hash: host,
+        name_hash: host,
         availability: Availability::Ready,
         memberships: [GroupMembership { group: GroupId(i64::from(host / 3)), primary_only: false }].into(),
         zone: ZoneId(0),
--- a/src/health.rs
+++ b/src/health.rs
@@ -106,22 +106,21 @@
 
     pub fn apply_entry(&mut self, now: Timestamp, entry: HostEntry, debt: f64, settings: &RouterSettings) {
         // The id now names another host, which must not inherit the old one's position, role and health.
-        let is_new_host = self.listed && self.view.address_hash != entry.address_hash;
+        let is_new_host = self.listed && self.view.name_hash != entry.name_hash;
         *self = if is_new_host { Host::new(settings) } else { std::mem::take(self) };
         // Keeps the newest start: an entry without one must not make a cold host look warm.
         let started = entry.started_at.max(self.started_at);
         if self.listed && started != self.started_at {
             // A restarted host is a replica, whatever the list says, and its health record does not apply.
-            let HostView { zone, size, address_hash, position, role_at, in_flight, ack_rate, .. } = self.view;
+            let HostView { zone, size, name_hash, position, role_at, in_flight, ack_rate, .. } = self.view;
             let fresh = HostView { role: Some(Role::Replica), ..Host::new(settings).view };
-            self.view =
-                HostView { zone, size, address_hash, position, role_at, in_flight, ack_rate, ..fresh };
+            self.view = HostView { zone, size, name_hash, position, role_at, in_flight, ack_rate, ..fresh };
             (self.evidence, self.unanswered_weight, self.unanswered_sends) = (0.0, 0.0, 0);
         }
         (self.listed, self.started_at) = (true, started);
         let view = &mut self.view;
-        (view.zone, view.size, view.address_hash, view.listed_primary) =
-            (entry.zone, entry.size.max(0.01), entry.address_hash, entry.is_primary);
+        (view.zone, view.size, view.name_hash, view.listed_primary) =
+            (entry.zone, entry.size.max(0.01), entry.name_hash, entry.is_primary);
         let is_gone = entry.availability == Availability::Gone;
         let removal_binds = self.draining || !settings.flag("removal_not_binding");
         self.draining = entry.availability == Availability::Draining || is_gone && removal_binds;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -127,7 +127,7 @@
             }
             RouterEvent::PeerMessage { bytes, .. } => {
                 if let Some((hash, status)) = decode_host_status(&bytes, self.now) {
-                    let matching = self.host_ids().filter(|&host| self.view(host).address_hash == hash);
+                    let matching = self.host_ids().filter(|&host| self.view(host).name_hash == hash);
                     matching.for_each(|host| queues.hosts.push(host, HostEvent::Reported(status)));
                 }
                 self.retry_waiting(queues);
--- a/src/probing.rs
+++ b/src/probing.rs
@@ -57,7 +57,7 @@
         let is_newer = view.broadcast_probe && status.position > Some(view.position);
         if is_newer && self.now - self.last_broadcast_at >= gap {
             self.last_broadcast_at = self.now;
-            let bytes = encode_host_status(view.address_hash, status);
+            let bytes = encode_host_status(view.name_hash, status);
             queues.actions.push(Action::SendPeerMessage { to: None, bytes });
         }
     }
--- a/src/queues.rs
+++ b/src/queues.rs
@@ -61,11 +61,11 @@
     pub actions: Vec<Action>,
 }
 
-/// Encodes address hash, position in milliseconds (low 32 bits) and role, little-endian, for other routers.
-pub fn encode_host_status(address_hash: u32, status: &HostStatus) -> Vec<u8> {
+/// Encodes name hash, position in milliseconds (low 32 bits) and role, little-endian, for other routers.
+pub fn encode_host_status(name_hash: u32, status: &HostStatus) -> Vec<u8> {
     let millis = status.position.unwrap_or_default().micros().div_euclid(1000) as u32;
     let role = status.role.map_or(0, |role| if role == Role::Primary { 1 } else { 2 });
-    [&address_hash.to_le_bytes()[..], &millis.to_le_bytes(), &[role]].concat()
+    [&name_hash.to_le_bytes()[..], &millis.to_le_bytes(), &[role]].concat()
 }
 
 /// Clears the role in another router's message if it is primary. The rest is safe to use unverified: the
@@ -76,7 +76,7 @@
     }
 }
 
-/// Decodes address hash and status; none if the message is malformed. Positions are not in the future, so
+/// Decodes name hash and status; none if the message is malformed. Positions are not in the future, so
 /// that their low 32 bits suffice.
 pub fn decode_host_status(bytes: &[u8], now: Timestamp) -> Option<(u32, HostStatus)> {
     let [t0, t1, t2, t3, p0, p1, p2, p3, role] = *<&[u8; 9]>::try_from(bytes).ok()?;
--- a/src/state.rs
+++ b/src/state.rs
@@ -15,8 +15,8 @@
     pub zone: ZoneId,
     /// Capacity relative to other hosts.
     pub size: f64,
-    /// Names the host in messages between routers.
-    pub address_hash: u32,
+    /// A hash of the host's name, which identifies the host in messages between routers.
+    pub name_hash: u32,
     /// Listed and not draining.
     pub available: bool,
     pub listed_primary: bool,
--- a/tests/helpers/mod.rs
+++ b/tests/helpers/mod.rs
@@ -62,7 +62,7 @@
     let group = GroupId(i64::from(host / 4));
     HostEntry {
         host: HostId(host),
-        address_hash: host,
+        name_hash: host,
         availability,
         memberships: [GroupMembership { group, primary_only: false }].into(),
         zone: ZoneId(host % 2),
--- a/tests/routing.rs
+++ b/tests/routing.rs
@@ -61,7 +61,7 @@
 fn host_id_reused_for_another_address_resets_its_state() {
     let mut harness = Harness::with_known_primary(settings(true, false, false));
     harness.list_hosts(vec![entry(1, Availability::Gone, false, None)]);
-    harness.list_hosts(vec![HostEntry { address_hash: 99, ..entry(1, Availability::Ready, false, None) }]);
+    harness.list_hosts(vec![HostEntry { name_hash: 99, ..entry(1, Availability::Ready, false, None) }]);
     let hosts: Vec<_> = (10..30)
         .map(|op| {
             let op = harness.request(op, BOUNDED, None);
