--- a/crates/arrowyard-core/src/hints.rs
+++ b/crates/arrowyard-core/src/hints.rs
@@ -1,24 +1,25 @@
-//! Hints from other routers that a host is draining. They make a router whose watch of the host list is
-//! stale fetch the list, and, while the list is unavailable, close few of the hinted hosts. No I/O.
+//! Hints from other routers that a host is draining. A router whose host list does not confirm a hint fetches
+//! the list and, while the list is unavailable, closes some of the hinted hosts. No I/O.
 
 use std::collections::BTreeMap;
 
 use arrowyard_types::{PeerId, TimeDelta, Timestamp};
 use smallvec::SmallVec;
 
-/// The message type and length of a hint; messages of the decision module have another length.
+/// The first byte of a hint.
 const MESSAGE_TYPE: u8 = 2;
+/// The length of a hint; messages of the decision module have another length.
 const HINT_BYTES: usize = 5;
 /// Upper limit for hinted hosts, and for hosts that are announced.
 const MAX_HOSTS: usize = 64;
 
-/// Encodes a hint that the host with this address hash is draining.
+/// Encodes a hint that the host with this name hash is draining.
 #[must_use]
-pub fn encode_hint(address_hash: u32) -> Vec<u8> {
-    [&[MESSAGE_TYPE][..], &address_hash.to_le_bytes()].concat()
+pub fn encode_hint(name_hash: u32) -> Vec<u8> {
+    [&[MESSAGE_TYPE][..], &name_hash.to_le_bytes()].concat()
 }
 
-/// The address hash in a hint; `None` if the message is not a hint.
+/// The name hash in a hint; `None` if the message is not a hint.
 #[must_use]
 pub fn decode_hint(bytes: &[u8]) -> Option<u32> {
     match bytes {
@@ -31,7 +32,7 @@
 const MAX_REPORTERS: usize = 4;
 /// How many routers must report a host before it is closed without the list.
 const MIN_REPORTERS: usize = 2;
-/// At most one ready host in this number is closed because of hints.
+/// At most one ready host in this many is closed because of hints.
 const CLOSED_HOSTS_DIVISOR: usize = 4;
 
 /// How often a host that is no longer ready is announced. Each announcement goes to randomly chosen routers;
@@ -41,56 +42,57 @@
 /// Reports of other routers on one host.
 #[derive(Debug)]
 struct Hint {
-    due: Timestamp,
+    /// Until when this router's host list may confirm the hint.
+    due_at: Timestamp,
     reporters: SmallVec<[PeerId; MAX_REPORTERS]>,
     /// When the list was fetched because of this hint.
     fetched_at: Option<Timestamp>,
 }
 
-/// Hints on draining hosts that the own host list has not confirmed.
+/// Hints on draining hosts that this router's host list has not confirmed.
 #[derive(Debug)]
 pub struct Hints {
     hosts: BTreeMap<u32, Hint>,
     confirmation_timeout: TimeDelta,
     /// The minimum interval between two fetches because of hints.
     fetch_interval: TimeDelta,
-    fetched_at: Timestamp,
-    /// Hosts closed because of hints since the last list.
-    closed: usize,
-    /// Hosts that the own list no longer has as ready: the time of the next announcement and how many are
-    /// left.
+    last_fetch_at: Timestamp,
+    /// The number of hosts closed because of hints since the last list.
+    closed_count: usize,
+    /// Hosts that are no longer ready in this router's list: the time of the next announcement, and how many
+    /// announcements remain.
     announcements: BTreeMap<u32, (Timestamp, u8)>,
 }
 
 impl Hints {
-    /// `confirmation_timeout` is how long the own watch may take to confirm a hint, `fetch_interval` the
-    /// minimum interval between two fetches.
+    /// `confirmation_timeout` is how long the watch of the host list may take to confirm a hint,
+    /// `fetch_interval` the minimum interval between two fetches.
     #[must_use]
     pub fn new(confirmation_timeout: TimeDelta, fetch_interval: TimeDelta) -> Hints {
         Hints {
             hosts: BTreeMap::new(),
             confirmation_timeout,
             fetch_interval,
-            fetched_at: Timestamp::DISTANT_PAST,
-            closed: 0,
+            last_fetch_at: Timestamp::DISTANT_PAST,
+            closed_count: 0,
             announcements: BTreeMap::new(),
         }
     }
 
-    /// The own list no longer has the host as ready: schedules its announcements.
-    pub fn host_not_ready(&mut self, now: Timestamp, address_hash: u32) {
-        if self.announcements.len() < MAX_HOSTS || self.announcements.contains_key(&address_hash) {
-            self.announcements.insert(address_hash, (now, ANNOUNCEMENTS));
+    /// Schedules the announcements of a host that is no longer ready in this router's list.
+    pub fn host_not_ready(&mut self, now: Timestamp, name_hash: u32) {
+        if self.announcements.len() < MAX_HOSTS || self.announcements.contains_key(&name_hash) {
+            self.announcements.insert(name_hash, (now, ANNOUNCEMENTS));
         }
     }
 
-    /// Hosts to announce now.
+    /// Returns the hosts to announce now, and schedules their next announcements.
     pub fn take_announcements(&mut self, now: Timestamp) -> SmallVec<[u32; 4]> {
-        let due = self.announcements.iter_mut().filter(|(_, (at, _))| *at <= now);
+        let due = self.announcements.iter_mut().filter(|(_, (next_at, _))| *next_at <= now);
         let announced: SmallVec<[u32; 4]> = due
-            .map(|(&address_hash, (at, remaining))| {
-                (*at, *remaining) = (now + self.confirmation_timeout, *remaining - 1);
-                address_hash
+            .map(|(&name_hash, (next_at, remaining))| {
+                (*next_at, *remaining) = (now + self.confirmation_timeout, *remaining - 1);
+                name_hash
             })
             .collect();
         self.announcements.retain(|_, (_, remaining)| *remaining > 0);
@@ -98,71 +100,73 @@
     }
 
     /// Records that another router reports the host as draining.
-    pub fn record_hint(&mut self, now: Timestamp, address_hash: u32, reporter: PeerId) {
+    pub fn record_hint(&mut self, now: Timestamp, name_hash: u32, reporter: PeerId) {
         // Bounds memory against a router that reports thousands of hosts.
-        if self.hosts.len() >= MAX_HOSTS && !self.hosts.contains_key(&address_hash) {
+        if self.hosts.len() >= MAX_HOSTS && !self.hosts.contains_key(&name_hash) {
             return;
         }
         let new_hint =
-            Hint { due: now + self.confirmation_timeout, reporters: SmallVec::new(), fetched_at: None };
-        let hint = self.hosts.entry(address_hash).or_insert(new_hint);
+            Hint { due_at: now + self.confirmation_timeout, reporters: SmallVec::new(), fetched_at: None };
+        let hint = self.hosts.entry(name_hash).or_insert(new_hint);
         if hint.reporters.len() < MAX_REPORTERS && !hint.reporters.contains(&reporter) {
             hint.reporters.push(reporter);
         }
     }
 
-    /// A list arrived; it takes precedence over hints.
+    /// A list arrived: removes the hints for which it was fetched.
     pub fn list_received(&mut self) {
         self.hosts.retain(|_, hint| hint.fetched_at.is_none());
-        self.closed = 0;
+        self.closed_count = 0;
     }
 
-    /// Whether to fetch the list now: a hinted host is still ready in the own list after the confirmation
-    /// timeout. It and the minimum interval keep the routers from all fetching at once when a host drains.
+    /// Whether to fetch the list now: a hinted host is still ready in this router's list after the
+    /// confirmation timeout. The timeout and the minimum interval prevent that all routers fetch when a host
+    /// drains.
     pub fn should_fetch(&mut self, now: Timestamp, is_ready: impl Fn(u32) -> bool) -> bool {
-        let mut unconfirmed = false;
-        self.hosts.retain(|address_hash, hint| {
-            let due = hint.due <= now && hint.fetched_at.is_none();
-            let ready = !due || is_ready(*address_hash);
-            unconfirmed |= due && ready;
-            ready
+        let mut has_unconfirmed = false;
+        self.hosts.retain(|name_hash, hint| {
+            let is_due = hint.due_at <= now && hint.fetched_at.is_none();
+            let keep = !is_due || is_ready(*name_hash);
+            has_unconfirmed |= is_due && keep;
+            keep
         });
-        let fetch = unconfirmed && now - self.fetched_at >= self.fetch_interval;
-        if fetch {
-            self.fetched_at = now;
-            let due = self.hosts.values_mut().filter(|hint| hint.due <= now && hint.fetched_at.is_none());
-            due.for_each(|hint| hint.fetched_at = Some(now));
+        let should_fetch = has_unconfirmed && now - self.last_fetch_at >= self.fetch_interval;
+        if should_fetch {
+            self.last_fetch_at = now;
+            let due_hints =
+                self.hosts.values_mut().filter(|hint| hint.due_at <= now && hint.fetched_at.is_none());
+            due_hints.for_each(|hint| hint.fetched_at = Some(now));
         }
-        fetch
+        should_fetch
     }
 
-    /// Hosts to close because of hints: the list was fetched because of them and did not arrive, and at
-    /// least `MIN_REPORTERS` routers reported them. At most a quarter of the ready hosts are closed until a
-    /// list arrives, so that faulty routers cannot close all hosts of another one.
+    /// Hosts to close because of hints: the list was fetched because of them and did not arrive, and at least
+    /// `MIN_REPORTERS` routers reported them. At most one in `CLOSED_HOSTS_DIVISOR` ready hosts is closed
+    /// until a list arrives, so that faulty routers cannot close all hosts of another one.
     pub fn hosts_to_close(
         &mut self,
         now: Timestamp,
-        ready: usize,
+        ready_count: usize,
         is_ready: impl Fn(u32) -> bool,
     ) -> SmallVec<[u32; 4]> {
         let mut closed = SmallVec::new();
-        let Hints { hosts, closed: closed_count, fetch_interval, .. } = self;
-        hosts.retain(|address_hash, hint| {
+        let Hints { hosts, closed_count, fetch_interval, .. } = self;
+        hosts.retain(|name_hash, hint| {
             let Some(fetched_at) =
                 hint.fetched_at.filter(|fetched_at| now - *fetched_at >= *fetch_interval * 0.5)
             else {
                 return true;
             };
-            if !is_ready(*address_hash) || now - fetched_at >= *fetch_interval * 20.0 {
+            if !is_ready(*name_hash) || now - fetched_at >= *fetch_interval * 20.0 {
                 return false;
             }
             if hint.reporters.len() < MIN_REPORTERS
-                || (*closed_count + 1) * CLOSED_HOSTS_DIVISOR > ready.max(CLOSED_HOSTS_DIVISOR)
+                || (*closed_count + 1) * CLOSED_HOSTS_DIVISOR > ready_count.max(CLOSED_HOSTS_DIVISOR)
             {
                 return true;
             }
             *closed_count += 1;
-            closed.push(*address_hash);
+            closed.push(*name_hash);
             false
         });
         closed
@@ -185,11 +189,11 @@
         assert!(!hints.should_fetch(at(399), |_| true), "the watch may still confirm it");
         assert!(!hints.should_fetch(at(400), |_| false), "the watch confirmed it");
         assert!(!hints.should_fetch(at(900), |_| true), "it was fetched already");
-        for address_hash in 0..1000 {
-            hints.record_hint(at(1000), address_hash, reporter);
+        for name_hash in 0..1000 {
+            hints.record_hint(at(1000), name_hash, reporter);
         }
         assert_eq!(hints.hosts.len(), MAX_HOSTS);
-        assert!(hints.should_fetch(at(1400), |address_hash| address_hash == 9));
+        assert!(hints.should_fetch(at(1400), |name_hash| name_hash == 9));
         hints.list_received();
         hints.record_hint(at(1500), 9, reporter);
         assert!(!hints.should_fetch(at(2000), |_| true), "the minimum interval has not passed");
@@ -200,18 +204,18 @@
     #[test]
     fn two_reports_close_at_most_a_quarter_of_the_hosts_while_the_list_is_unavailable() {
         let mut hints = Hints::new(TimeDelta::from_millis(400), TimeDelta::from_millis(1000));
-        for address_hash in 0..8 {
-            hints.record_hint(at(0), address_hash, PeerId(1));
-            hints.record_hint(at(0), address_hash, PeerId(1));
+        for name_hash in 0..8 {
+            hints.record_hint(at(0), name_hash, PeerId(1));
+            hints.record_hint(at(0), name_hash, PeerId(1));
         }
         assert!(hints.should_fetch(at(500), |_| true));
         assert!(hints.hosts_to_close(at(1100), 8, |_| true).is_empty(), "one router reported twice");
-        (0..8).for_each(|address_hash| hints.record_hint(at(1100), address_hash, PeerId(2)));
+        (0..8).for_each(|name_hash| hints.record_hint(at(1100), name_hash, PeerId(2)));
         assert!(hints.hosts_to_close(at(900), 8, |_| true).is_empty(), "the list may still arrive");
         assert_eq!(
-            hints.hosts_to_close(at(1200), 8, |address_hash| address_hash != 0).to_vec(),
+            hints.hosts_to_close(at(1200), 8, |name_hash| name_hash != 0).to_vec(),
             [1, 2],
-            "host 0 is not ready in the own list"
+            "host 0 is not ready in this router's list"
         );
         assert!(
             hints.hosts_to_close(at(1300), 6, |_| true).is_empty(),
--- a/crates/arrowyard-fleet/src/simulation.rs
+++ b/crates/arrowyard-fleet/src/simulation.rs
@@ -261,7 +261,7 @@
         let group = self.hosts[index].group;
         HostEntry {
             host: HostId(index as u32),
-            address_hash: index as u32,
+            name_hash: index as u32,
             availability,
             memberships: [GroupMembership { group: GroupId(group as i64), primary_only: false }].into(),
             zone: ZoneId(0),
