--- a/crates/arrowyard-background-tasks/src/lib.rs
+++ b/crates/arrowyard-background-tasks/src/lib.rs
@@ -26,6 +26,7 @@
 /// The configuration of one task.
 #[derive(Clone, Copy, Debug)]
 pub struct TaskConfig {
+    /// The name in statistics.
     pub name: &'static str,
     pub priority: Priority,
     /// The time from the end of a turn until the task is due again; `None` for a task that runs only on
@@ -100,9 +101,11 @@
 /// The result of a turn.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TurnOutcome {
+    /// The work is done until the task is due again.
     Done,
     /// Part of the work is done; the task is due again immediately.
     More,
+    /// The task is retried after a backoff.
     Failed,
 }
 
--- a/crates/arrowyard-core/src/admission.rs
+++ b/crates/arrowyard-core/src/admission.rs
@@ -31,9 +31,10 @@
     limits: Rc<Limits>,
     /// Whether cells are configured; they need the origin of each op.
     has_cells: bool,
-    /// Whether the router belongs to a fleet.
+    /// Whether the router belongs to a fleet, so that front ends answer `SHOW peers`.
     pub in_fleet: bool,
-    /// Commands to the lease task, if leases are configured.
+    /// Commands to the lease task, by which front ends answer `SHOW leases`; `None` if no leases are
+    /// configured.
     pub leases: Option<mpsc::Sender<crate::leases::LeasesCommand>>,
 }
 
--- a/crates/arrowyard-core/src/discovery.rs
+++ b/crates/arrowyard-core/src/discovery.rs
@@ -58,6 +58,7 @@
     pub address: SocketAddr,
     /// The version of the last accepted list.
     pub version: Rc<Cell<Option<i64>>>,
+    /// Events for the route task.
     pub messages: mpsc::Sender<RouteMessage<T>>,
     pub limits: Rc<Limits>,
     /// Paces calls and checks list versions, if configured. The same policy is shared by all calls.
@@ -160,9 +161,9 @@
                 deadline = Instant::now() + self.limits.watch_idle_timeout;
             }
             if body_or_status.is_none() {
-                let head = http::take_head(&mut received, self.limits.max_http_head_bytes)?;
-                body_or_status =
-                    head.map(|head| if head.status == 200 { Ok(head.body) } else { Err(head.status) });
+                let response_head = http::take_response_head(&mut received, self.limits.max_http_head_bytes)?;
+                body_or_status = response_head
+                    .map(|head| if head.status == 200 { Ok(head.body) } else { Err(head.status) });
             }
             if let Some(body_or_status) = &mut body_or_status {
                 let body = body_or_status.as_mut().map_err(|status| format!("status {status}"))?;
--- a/crates/arrowyard-core/src/hints.rs
+++ b/crates/arrowyard-core/src/hints.rs
@@ -88,8 +88,8 @@
 
     /// Returns the hosts to announce now, and schedules their next announcements.
     pub fn take_announcements(&mut self, now: Timestamp) -> SmallVec<[u32; 4]> {
-        let due = self.announcements.iter_mut().filter(|(_, (next_at, _))| *next_at <= now);
-        let announced: SmallVec<[u32; 4]> = due
+        let due_announcements = self.announcements.iter_mut().filter(|(_, (next_at, _))| *next_at <= now);
+        let announced: SmallVec<[u32; 4]> = due_announcements
             .map(|(&name_hash, (next_at, remaining))| {
                 (*next_at, *remaining) = (now + self.confirmation_timeout, *remaining - 1);
                 name_hash
--- a/crates/arrowyard-core/src/host_list.rs
+++ b/crates/arrowyard-core/src/host_list.rs
@@ -15,7 +15,8 @@
     pub entries: Vec<HostListEntry>,
 }
 
-/// One host in the list; an entry for a removed host may omit most fields.
+/// One host in the list. A field that is `None` keeps its earlier value; an entry for a removed host may omit
+/// most fields.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HostListEntry {
     /// The host's name.
--- a/crates/arrowyard-core/src/http.rs
+++ b/crates/arrowyard-core/src/http.rs
@@ -5,7 +5,7 @@
 
 /// The parsed head (status line and header fields) of a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Head {
+pub struct ResponseHead {
     pub status: u16,
     pub body: Body,
 }
@@ -49,7 +49,7 @@
 }
 
 /// Removes the head of a response from the received bytes, once it is complete.
-pub fn take_head(received: &mut BytesMut, max_bytes: usize) -> Result<Option<Head>, String> {
+pub fn take_response_head(received: &mut BytesMut, max_bytes: usize) -> Result<Option<ResponseHead>, String> {
     let Some(end) = received.windows(4).position(|bytes| bytes == b"\r\n\r\n") else {
         return if received.len() <= max_bytes {
             Ok(None)
@@ -57,8 +57,8 @@
             Err("http: the response head is too long".to_string())
         };
     };
-    let head = received.split_to(end + 4);
-    let text = std::str::from_utf8(&head[..end]).map_err(|_| "http: the response head is not UTF-8")?;
+    let head_bytes = received.split_to(end + 4);
+    let text = std::str::from_utf8(&head_bytes[..end]).map_err(|_| "http: the response head is not UTF-8")?;
     let mut lines = text.split("\r\n");
     let status_line = lines.next().unwrap_or_default();
     let status = status_line.strip_prefix("HTTP/1.").and_then(|rest| rest.split(' ').nth(1));
@@ -72,7 +72,7 @@
             body = Body::Length(value.parse().map_err(|_| "http: Content-Length is not a number")?);
         }
     }
-    Ok(Some(Head { status, body }))
+    Ok(Some(ResponseHead { status, body }))
 }
 
 impl Body {
@@ -141,7 +141,7 @@
         for piece in [&bytes[..split_at], &bytes[split_at..]] {
             received.extend_from_slice(piece);
             if body.is_none() {
-                body = take_head(&mut received, 100)?.map(|head| head.body);
+                body = take_response_head(&mut received, 100)?.map(|response_head| response_head.body);
             }
             if let Some(body) = &mut body {
                 body.take(&mut received, &mut data, 100)?;
--- a/crates/arrowyard-core/src/leases.rs
+++ b/crates/arrowyard-core/src/leases.rs
@@ -459,8 +459,8 @@
                 self.is_eligible = eligible;
                 self.release_if_no_call();
             }
-            LeasesCommand::ReleaseAll(done) => {
-                (self.calls_stopped, self.release_waiter) = (true, Some(done));
+            LeasesCommand::ReleaseAll(release_waiter) => {
+                (self.calls_stopped, self.release_waiter) = (true, Some(release_waiter));
                 self.release_if_no_call();
             }
             LeasesCommand::VotesStored(number, succeeded) => {
@@ -496,11 +496,11 @@
         }
         let (now, rng) = (self.clock.now(), &mut self.rng);
         self.candidate.set_eligible(now, self.is_eligible, || rng.f64());
-        if let Some(done) = self.release_waiter.take() {
+        if let Some(release_waiter) = self.release_waiter.take() {
             self.candidate.release_all();
             self.flush();
             // The receiver may have been dropped.
-            let _ = done.send(());
+            let _ = release_waiter.send(());
         }
     }
 
--- a/crates/arrowyard-core/src/op_table.rs
+++ b/crates/arrowyard-core/src/op_table.rs
@@ -28,8 +28,11 @@
 /// Counts of ops, sends and other load since they were last logged.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct OpCounters {
+    /// Ops answered by a host.
     pub acked: u32,
+    /// Ops that got a busy reply.
     pub busy: u32,
+    /// Ops that failed or were refused.
     pub errored: u32,
     /// Ops whose client disconnected before the final reply.
     pub disconnected: u32,
@@ -37,6 +40,7 @@
     pub sends: u32,
     /// Sends that ended without an answer.
     pub lost_sends: u32,
+    /// Sends of an op after its first one.
     pub retries: u32,
     /// Sends to recently started hosts.
     pub cold_sends: u32,
--- a/crates/arrowyard-core/src/peers.rs
+++ b/crates/arrowyard-core/src/peers.rs
@@ -205,10 +205,10 @@
             }
             PeersCommand::Broadcast(_) => {}
             PeersCommand::Show(client) => drop(client.send(self.report().to_string())),
-            PeersCommand::Leave(done) => {
+            PeersCommand::Leave(leave_waiter) => {
                 self.membership.leave(now);
                 // The receiver may have been dropped.
-                let _ = done.send(());
+                let _ = leave_waiter.send(());
             }
             PeersCommand::PortRefused(name, incarnation) => self.membership.port_refused(&name, incarnation),
             PeersCommand::ServiceReport(report) => {
@@ -371,7 +371,7 @@
                 "sure": row.confirmed_locally, "serves": !row.idle, "fell": row.suspicion_count})
         });
         let counts = self.membership.counts;
-        let counts: HashMap<&str, u64> = HashMap::from([
+        let datagrams: HashMap<&str, u64> = HashMap::from([
             ("sent", counts.sent),
             ("sent_bytes", counts.sent_bytes),
             ("taken", counts.received),
@@ -388,7 +388,8 @@
         ]);
         json!({"name": &*name, "life": incarnation, "mono_us": mono_us(), "reach": reachable, "whole": total,
             "doubts": suspects_itself, "health": health_score, "doubled": duplicate_name, "routers": router_count,
-            "held": self.membership.tracked_entries(), "peers": rows.collect::<Vec<_>>(), "datagrams": counts})
+            "held": self.membership.tracked_entries(), "peers": rows.collect::<Vec<_>>(),
+            "datagrams": datagrams})
     }
 }
 
--- a/crates/arrowyard-core/src/route.rs
+++ b/crates/arrowyard-core/src/route.rs
@@ -34,6 +34,7 @@
 /// The parts of the router that the route task depends on.
 pub struct RouteContext<T: HostTransport> {
     pub hosts: HostRegistry,
+    /// Carries sends and probes to hosts.
     pub transport: Rc<T>,
     pub clock: Clock,
     pub limits: Rc<Limits>,
--- a/crates/arrowyard-core/src/send.rs
+++ b/crates/arrowyard-core/src/send.rs
@@ -27,8 +27,11 @@
 #[derive(Debug)]
 pub struct EndedSend<A> {
     pub outcome: Outcome,
+    /// The time from the start of the send to its end.
     pub elapsed: TimeDelta,
+    /// The status that the host reported.
     pub status: HostStatus,
+    /// The answer, if it is complete and was not passed on when it began.
     pub answer: Option<A>,
 }
 
--- a/crates/arrowyard-operator-config/src/scan.rs
+++ b/crates/arrowyard-operator-config/src/scan.rs
@@ -65,8 +65,8 @@
 
     /// Skips white space and comments.
     fn skip_space(&mut self) {
-        while let Some(next) = self.text[self.offset..].chars().next() {
-            match next {
+        while let Some(next_char) = self.text[self.offset..].chars().next() {
+            match next_char {
                 '\n' => {
                     self.offset += 1;
                     (self.line, self.line_start) = (self.line + 1, self.offset);
@@ -75,7 +75,7 @@
                     self.offset +=
                         self.text[self.offset..].find('\n').unwrap_or(self.text.len() - self.offset)
                 }
-                next if next.is_whitespace() => self.offset += next.len_utf8(),
+                space if space.is_whitespace() => self.offset += space.len_utf8(),
                 _ => return,
             }
         }
@@ -89,9 +89,9 @@
 
     /// Consumes the character if it is the next one.
     fn accept(&mut self, expected: char) -> bool {
-        let found = self.peek() == Some(expected);
-        self.offset += if found { expected.len_utf8() } else { 0 };
-        found
+        let is_next = self.peek() == Some(expected);
+        self.offset += if is_next { expected.len_utf8() } else { 0 };
+        is_next
     }
 
     /// The next token; `None` at the end of the text.
@@ -154,7 +154,7 @@
             match (self.peek(), closing_bracket) {
                 (None, None) => return Ok(()),
                 (None, Some(bracket)) => return self.fail(path, format!("the file ends before '{bracket}'")),
-                (Some(next), Some(bracket)) if next == bracket => {
+                (Some(next_char), Some(bracket)) if next_char == bracket => {
                     self.offset += 1;
                     return Ok(());
                 }
--- a/crates/arrowyard-startup/src/stage.rs
+++ b/crates/arrowyard-startup/src/stage.rs
@@ -28,6 +28,7 @@
     pub min_acked_share: f64,
     /// The minimum length of a window.
     pub window: TimeDelta,
+    /// The number of consecutive windows with the required share.
     pub required_windows: u32,
     /// A window with fewer finished operations is extended.
     pub min_window_ops: u32,
