--- a/crates/arrowyard-daemon/src/router_service.rs
+++ b/crates/arrowyard-daemon/src/router_service.rs
@@ -51,11 +51,15 @@
 
 /// The tasks of a running router, and the handles by which frontends submit ops.
 pub struct RouterService<B: HostTransport> {
+    /// Admits or rejects ops.
     pub admission: Rc<AdmissionController>,
+    /// The channel to the route task.
     pub messages: mpsc::Sender<RouteMessage<B>>,
-    /// Number of client connections of all frontends.
+    /// The number of client connections of all frontends.
     pub client_connections: Rc<Cell<usize>>,
+    /// The stage of the shutdown.
     pub stage: watch::Receiver<Stage>,
+    /// Determines the arrival time of ops, which may be before a stall of the thread.
     pub stall_detector: Rc<StallDetector>,
     pub clock: Clock,
     pub limits: Rc<Limits>,
--- a/crates/arrowyard-daemon/src/serve.rs
+++ b/crates/arrowyard-daemon/src/serve.rs
@@ -25,15 +25,15 @@
 /// # Errors
 /// Listening on the address fails.
 pub async fn listen(
-    service: &RouterService<PgBackend>,
-    listen: SocketAddr,
-    discovery: SocketAddr,
+    router: &RouterService<PgBackend>,
+    listen_address: SocketAddr,
+    discovery_address: SocketAddr,
 ) -> Result<(), String> {
-    let listener = TcpListener::bind(listen).await.map_err(|error| format!("{listen}: {error}"))?;
+    let listener =
+        TcpListener::bind(listen_address).await.map_err(|error| format!("{listen_address}: {error}"))?;
     let address = listener.local_addr().map_err(|error| error.to_string())?;
-    tracing::info!("serving at {address}, discovery at {discovery}");
-    let RouterService { admission, messages, client_connections, stage, stall_detector, limits, .. } =
-        service;
+    tracing::info!("serving at {address}, discovery at {discovery_address}");
+    let RouterService { admission, messages, client_connections, stage, stall_detector, limits, .. } = router;
     let frontend = Frontend {
         admission: admission.clone(),
         messages: messages.clone(),
@@ -58,10 +58,10 @@
                 .to_string(),
         );
     }
-    let service =
+    let router =
         RouterService::start(&router_config, operator_file, operator_config.as_ref(), backend).await?;
-    listen(&service, router_config.listen, router_config.discovery).await?;
-    service.run(std::future::pending()).await
+    listen(&router, router_config.listen, router_config.discovery).await?;
+    router.run(std::future::pending()).await
 }
 
 /// Runs the router until it is told to stop, with the operator's file if a path is given.
--- a/crates/arrowyard-flight-daemon/examples/standings.rs
+++ b/crates/arrowyard-flight-daemon/examples/standings.rs
@@ -28,8 +28,8 @@
 
 #[tokio::main(flavor = "current_thread")]
 async fn main() -> Result<(), Box<dyn std::error::Error>> {
-    let router = std::env::args().nth(1).ok_or("usage: standings ROUTER_ADDRESS")?;
-    let channel = Endpoint::from_shared(format!("http://{router}"))?.connect().await?;
+    let router_address = std::env::args().nth(1).ok_or("usage: standings ROUTER_ADDRESS")?;
+    let channel = Endpoint::from_shared(format!("http://{router_address}"))?.connect().await?;
     let mut client = FlightSqlServiceClient::new(channel);
     // Sets the op's fields for all calls; a routing comment in the statement could set them too.
     for (name, value) in [("op-type", "standings"), ("group", "7"), ("timeout-ms", "600")] {
--- a/crates/arrowyard-flight-daemon/src/main.rs
+++ b/crates/arrowyard-flight-daemon/src/main.rs
@@ -49,17 +49,17 @@
 }
 
 /// Starts the Flight SQL front end and returns its address, with a future that resolves if its server fails.
-async fn listen<B, ToPayload, SplitAnswer>(
+async fn listen<B, ToPayload, SplitResponse>(
     router: &RouterService<B>,
     listen_address: SocketAddr,
     limits: FlightLimits,
     to_payload: ToPayload,
-    split_answer: SplitAnswer,
-) -> Result<(SocketAddr, impl Future<Output = String> + use<B, ToPayload, SplitAnswer>), String>
+    split_response: SplitResponse,
+) -> Result<(SocketAddr, impl Future<Output = String> + use<B, ToPayload, SplitResponse>), String>
 where
     B: HostTransport,
     ToPayload: Fn(OpPayload) -> B::Payload + 'static,
-    SplitAnswer: Fn(B::Answer) -> (ClientResponse, Option<RetainedResources>) + 'static,
+    SplitResponse: Fn(B::Answer) -> (ClientResponse, Option<RetainedResources>) + 'static,
 {
     let listener =
         TcpListener::bind(listen_address).await.map_err(|error| format!("{listen_address}: {error}"))?;
@@ -73,7 +73,7 @@
     drop(spawn_local(intake.run(
         |payload| client_request(&payload.statement, payload.client_address),
         to_payload,
-        split_answer,
+        split_response,
     )));
     let (state, own_requests, requests) = front_end_state::channel(limits.queue_capacity);
     let (new_connections, new_connection_receiver) = mpsc::channel(16);
@@ -83,8 +83,9 @@
         new_connection_receiver,
     )));
     let (socket_sender, accepted_sockets) = mpsc::channel(16);
-    let (clients, stage) = (router.client_connections.clone(), router.stage.clone());
-    let acceptor = Acceptor { clients, new_connections, stage: stage.clone(), limits: router.limits.clone() };
+    let (client_connections, stage) = (router.client_connections.clone(), router.stage.clone());
+    let acceptor =
+        Acceptor { client_connections, new_connections, stage: stage.clone(), limits: router.limits.clone() };
     drop(spawn_local(acceptor.run(listener, socket_sender)));
     let front_end = FlightFrontEnd {
         submitter,
@@ -95,19 +96,19 @@
     };
     tracing::info!("Flight SQL at {address}");
     let server = spawn_local(serve_flight(front_end, limits, stage.clone(), accepted_sockets));
-    let server_failed = async move {
+    let server_failure = async move {
         match server.await {
             // The server stops when the router drains, which ends the process.
             Ok(Ok(())) => std::future::pending().await,
             result => format!("the Flight SQL server failed: {result:?}"),
         }
     };
-    Ok((address, server_failed))
+    Ok((address, server_failure))
 }
 
 async fn run(
     router_config: RouterConfig,
-    config_path: Option<PathBuf>,
+    operator_file: Option<PathBuf>,
     operator_config: Option<Yardbook>,
 ) -> Result<(), String> {
     let flight = operator_config.as_ref().and_then(|config| config.flight.clone());
@@ -117,20 +118,20 @@
         let backend =
             |limits: &Rc<Limits>| Rc::new(FlightBackend::new(limits.clone(), flight_limits(limits, &flight)));
         let router =
-            RouterService::start(&router_config, config_path, operator_config.as_ref(), backend).await?;
+            RouterService::start(&router_config, operator_file, operator_config.as_ref(), backend).await?;
         let limits = flight_limits(&router.limits, &flight);
-        let (address, server_failed) =
+        let (address, server_failure) =
             listen(&router, listen_address, limits, |payload| payload, split_flight_response).await?;
         tracing::info!("serving at {address}, discovery at {}", router_config.discovery);
-        return router.run(server_failed).await;
+        return router.run(server_failure).await;
     }
     let router =
-        RouterService::start(&router_config, config_path, operator_config.as_ref(), serve::backend).await?;
+        RouterService::start(&router_config, operator_file, operator_config.as_ref(), serve::backend).await?;
     let limits = flight_limits(&router.limits, &flight);
-    let (_, server_failed) =
+    let (_, server_failure) =
         listen(&router, listen_address, limits, |payload| payload.statement, split_pg_response).await?;
     serve::listen(&router, router_config.listen, router_config.discovery).await?;
-    router.run(server_failed).await
+    router.run(server_failure).await
 }
 
 fn main() -> ExitCode {
--- a/crates/arrowyard-flight-daemon/tests/helpers/mod.rs
+++ b/crates/arrowyard-flight-daemon/tests/helpers/mod.rs
@@ -32,7 +32,7 @@
 
 /// Indices of `OP_TYPES`.
 pub const VIEW: usize = 0;
-pub const OWN: usize = 1;
+pub const OWN_READ: usize = 1;
 pub const SUBMIT: usize = 2;
 pub const STANDINGS: usize = 3;
 pub const BUY: usize = 4;
@@ -42,18 +42,18 @@
 }
 
 /// The hosts of group 7: a primary `p-0` and the given number of replicas `r-0`, `r-1` and so on.
-pub fn specs(replicas: usize, flight: bool) -> Vec<HostSpec> {
+pub fn host_specs(replicas: usize, flight: bool) -> Vec<HostSpec> {
     let names = ["p-0".to_string()].into_iter().chain((0..replicas).map(|number| format!("r-{number}")));
     names.map(|name| HostSpec { flight, ..HostSpec::new(&name, 7, name == "p-0") }).collect()
 }
 
 /// Starts the router with further fields in the `flight` section of the operator's file.
-pub fn start(cluster: &Cluster, flight_hosts: bool, flight_fields: &str) -> Process {
-    start_with(cluster, flight_hosts, flight_fields, "")
+pub fn start_router(cluster: &Cluster, flight_hosts: bool, flight_fields: &str) -> Process {
+    start_router_with_sections(cluster, flight_hosts, flight_fields, "")
 }
 
 /// Starts the router with a limit on sockets, which also limits its ops.
-pub fn start_with_sockets(cluster: &Cluster, flight_fields: &str, sockets: u32) -> Process {
+pub fn start_router_with_sockets(cluster: &Cluster, flight_fields: &str, sockets: u32) -> Process {
     let config =
         format!("epoch: 1\nflight {{ listen: \"127.0.0.1:0\" hosts: FLIGHT_SQL {flight_fields} }}\n");
     let program = Path::new(env!("CARGO_BIN_EXE_arrowyard-flight"));
@@ -62,7 +62,12 @@
 }
 
 /// Starts the router with further fields of the `flight` section and further sections of the operator's file.
-pub fn start_with(cluster: &Cluster, flight_hosts: bool, flight_fields: &str, sections: &str) -> Process {
+pub fn start_router_with_sections(
+    cluster: &Cluster,
+    flight_hosts: bool,
+    flight_fields: &str,
+    sections: &str,
+) -> Process {
     let hosts = if flight_hosts { "FLIGHT_SQL" } else { "POSTGRESQL" };
     let config = format!(
         "epoch: 1\nflight {{ listen: \"127.0.0.1:0\" hosts: {hosts} {flight_fields} }}\n{sections}\n"
@@ -73,10 +78,10 @@
 }
 
 /// A request of the given op type for group 7.
-pub fn ask(op_type: usize, id: u64, session: u64) -> OpRequest<'static> {
-    let row = OP_TYPES[op_type];
-    let (timeout_ms, is_write) = (row.timeout_ms, row.read_level == "update");
+pub fn op_request(op_type: usize, id: u64, session: u64) -> OpRequest<'static> {
+    let op_type_config = OP_TYPES[op_type];
+    let (timeout_ms, is_write) = (op_type_config.timeout_ms, op_type_config.read_level == "update");
     let token = (op_type == SUBMIT).then_some(id);
-    let (op_type, tenant, group, is_retry) = (row.name, None, 7, false);
+    let (op_type, tenant, group, is_retry) = (op_type_config.name, None, 7, false);
     OpRequest { id, op_type, tenant, group, timeout_ms, token, is_retry, session, is_write }
 }
--- a/crates/arrowyard-flight-daemon/tests/safety.rs
+++ b/crates/arrowyard-flight-daemon/tests/safety.rs
@@ -12,7 +12,9 @@
 use arrowyard_testbed::flight::FlightClient;
 use arrowyard_testbed::{Client, Cluster, HostBehavior, ProtocolClient, Reply};
 use fastrand::Rng;
-use helpers::{BUY, OP_TYPES, OWN, STANDINGS, SUBMIT, VIEW, ask, runtime, specs, start};
+use helpers::{
+    BUY, OP_TYPES, OWN_READ, STANDINGS, SUBMIT, VIEW, host_specs, op_request, runtime, start_router,
+};
 use tokio::time::{sleep, timeout};
 
 /// The replies to one client.
@@ -29,7 +31,7 @@
 async fn run_client<C: ProtocolClient>(
     router: SocketAddr,
     session: u64,
-    ids: Arc<AtomicU64>,
+    next_op_id: Arc<AtomicU64>,
     seed: u64,
     deadline: Instant,
 ) -> Replies {
@@ -44,14 +46,14 @@
     while Instant::now() < deadline {
         let op_type = match retry_token {
             Some(_) => SUBMIT,
-            None => [VIEW, OWN, OWN, SUBMIT, SUBMIT, BUY, STANDINGS][rng.usize(0..7)],
+            None => [VIEW, OWN_READ, OWN_READ, SUBMIT, SUBMIT, BUY, STANDINGS][rng.usize(0..7)],
         };
-        let id = ids.fetch_add(1, Ordering::Relaxed);
+        let id = next_op_id.fetch_add(1, Ordering::Relaxed);
         let token = retry_token.take();
-        let mut request = ask(op_type, id, session);
+        let mut request = op_request(op_type, id, session);
         request.is_retry = token.is_some();
         request.token = token.or(request.token);
-        let turn = request.token.unwrap_or(id);
+        let write_id = request.token.unwrap_or(id);
         let sent_at = Instant::now();
         let reply_timeout = Duration::from_millis(u64::from(OP_TYPES[op_type].timeout_ms) + 200);
         let pending_reply = timeout(reply_timeout, async {
@@ -70,31 +72,32 @@
                     failure.err()
                 ));
                 client = None;
-                may_have_run.push((sent_at, turn));
+                may_have_run.push((sent_at, write_id));
                 continue;
             }
         };
         replies.answered += 1;
         match (op_type, reply) {
             (SUBMIT | BUY, Reply::Value(_)) => {
-                replies.acked.push(turn);
-                last_acked = Some(turn);
+                replies.acked.push(write_id);
+                last_acked = Some(write_id);
                 acked_at = Instant::now();
-                may_have_run
-                    .retain(|(sent_at, other_turn)| sent_at.elapsed() < max_run_time && *other_turn != turn);
+                may_have_run.retain(|(sent_at, other_write_id)| {
+                    sent_at.elapsed() < max_run_time && *other_write_id != write_id
+                });
             }
             // A busy reply to a retry says nothing about the first attempt, which may have run.
-            (SUBMIT | BUY, Reply::Busy(_)) if token.is_none() => replies.busy.push(turn),
+            (SUBMIT | BUY, Reply::Busy(_)) if token.is_none() => replies.busy.push(write_id),
             (SUBMIT | BUY, _) => {
-                may_have_run.push((sent_at, turn));
-                retry_token = (op_type == SUBMIT && token.is_none() && rng.bool()).then_some(turn);
+                may_have_run.push((sent_at, write_id));
+                retry_token = (op_type == SUBMIT && token.is_none() && rng.bool()).then_some(write_id);
             }
-            (OWN, Reply::Value(value)) => {
-                let shown = value.split(' ').nth(1).unwrap_or_default();
-                let is_shown = |turn: &u64| shown == format!("{turn:016x}");
+            (OWN_READ, Reply::Value(value)) => {
+                let shown_write = value.split(' ').nth(1).unwrap_or_default();
+                let is_shown = |write_id: &u64| shown_write == format!("{write_id:016x}");
                 let is_allowed =
-                    last_acked.iter().chain(may_have_run.iter().map(|(_, turn)| turn)).any(is_shown);
-                if !(is_allowed || last_acked.is_none() && shown == "-") {
+                    last_acked.iter().chain(may_have_run.iter().map(|(_, write_id)| write_id)).any(is_shown);
+                if !(is_allowed || last_acked.is_none() && shown_write == "-") {
                     replies.violations
                         .push(format!("a read of own writes shows {value} {:?} after the last ack; acked: {last_acked:016x?}, may have run: {may_have_run:x?}", acked_at.elapsed()));
                 }
@@ -161,15 +164,17 @@
 
 /// Runs clients against hosts with injected faults, and checks the replies and the ledger.
 fn run_suite<C: ProtocolClient>(flight_hosts: bool, flight_clients: bool, seed: u64) {
-    let cluster = Cluster::start(&specs(3, flight_hosts));
-    let router = start(&cluster, flight_hosts, "");
+    let cluster = Cluster::start(&host_specs(3, flight_hosts));
+    let router = start_router(&cluster, flight_hosts, "");
     let router_address =
         if flight_clients { router.flight_address.expect("a Flight SQL address") } else { router.address };
-    let ids = Arc::new(AtomicU64::new(1));
+    let next_op_id = Arc::new(AtomicU64::new(1));
     let deadline = Instant::now() + Duration::from_millis(3500);
     let runtime = runtime();
     let clients: Vec<_> = (1..=8)
-        .map(|session| runtime.spawn(run_client::<C>(router_address, session, ids.clone(), seed, deadline)))
+        .map(|session| {
+            runtime.spawn(run_client::<C>(router_address, session, next_op_id.clone(), seed, deadline))
+        })
         .collect();
     inject_faults(&cluster, seed, deadline - Duration::from_millis(500));
     let replies: Vec<Replies> = runtime.block_on(async {
@@ -181,16 +186,16 @@
     let acked: Vec<u64> = replies.iter().flat_map(|replies| replies.acked.clone()).collect();
     assert!(answered > 300 && acked.len() > 50, "{answered} answered, {} writes acked", acked.len());
     let ledger = cluster.ledger();
-    let logged: HashSet<String> = cluster.records(7).into_iter().map(|record| record.write_id).collect();
-    for turn in &acked {
-        assert!(logged.contains(&format!("{turn:016x}")), "seed {seed}: an acked write is lost");
+    let recorded: HashSet<String> = cluster.records(7).into_iter().map(|record| record.write_id).collect();
+    for write_id in &acked {
+        assert!(recorded.contains(&format!("{write_id:016x}")), "seed {seed}: an acked write is lost");
     }
-    for (turn, places) in &ledger.applied {
-        assert_eq!(places.len(), 1, "seed {seed}: {turn} ran {places:?}");
+    for (write_id, applications) in &ledger.applied {
+        assert_eq!(applications.len(), 1, "seed {seed}: {write_id} ran {applications:?}");
     }
-    for turn in replies.iter().flat_map(|replies| &replies.busy) {
-        let applied = ledger.applied.contains_key(&format!("{turn:016x}"));
-        assert!(!applied, "seed {seed}: {turn:016x} got a busy reply, but ran");
+    for write_id in replies.iter().flat_map(|replies| &replies.busy) {
+        let applied = ledger.applied.contains_key(&format!("{write_id:016x}"));
+        assert!(!applied, "seed {seed}: {write_id:016x} got a busy reply, but ran");
     }
     for name in ["p-0", "r-0", "r-1", "r-2"] {
         assert_eq!(
--- a/crates/arrowyard-flight-daemon/tests/streams.rs
+++ b/crates/arrowyard-flight-daemon/tests/streams.rs
@@ -19,13 +19,16 @@
 use arrowyard_testbed::router::platform_config;
 use arrowyard_testbed::{Client, Cluster, HostBehavior, HostSpec, Process, Reply};
 use futures::{StreamExt, TryStreamExt};
-use helpers::{BUY, OWN, STANDINGS, SUBMIT, VIEW, ask, runtime, specs, start, start_with};
+use helpers::{
+    BUY, OWN_READ, STANDINGS, SUBMIT, VIEW, host_specs, op_request, runtime, start_router,
+    start_router_with_sections,
+};
 use tonic::Code;
 
-/// Starts hosts that answer with this number of batches of this size.
+/// Starts a primary and a replica that return results of this many batches of this size.
 fn start_hosts(batches: usize, batch_bytes: usize) -> Cluster {
     let specs: Vec<HostSpec> =
-        specs(1, true).into_iter().map(|spec| HostSpec { batches, batch_bytes, ..spec }).collect();
+        host_specs(1, true).into_iter().map(|spec| HostSpec { batches, batch_bytes, ..spec }).collect();
     Cluster::start(&specs)
 }
 
@@ -54,17 +57,18 @@
 
 #[test]
 fn buffered_and_streamed_results_are_complete() {
-    for (settings, batches, bytes) in
+    for (settings, batches, batch_bytes) in
         [("held_bytes: 1000000", 5, 1000), ("held_bytes: 2000", 40, 5000), ("held_bytes: 0", 3, 10)]
     {
-        let cluster = start_hosts(batches, bytes);
-        let router = start(&cluster, true, settings);
+        let cluster = start_hosts(batches, batch_bytes);
+        let router = start_router(&cluster, true, settings);
         runtime().block_on(async {
             let mut client = connect(&router).await;
-            let result = client.query(&ask(STANDINGS, 1, 5).statement()).await.expect("the call succeeds");
+            let result =
+                client.query(&op_request(STANDINGS, 1, 5).statement()).await.expect("the call succeeds");
             assert_eq!(result.iter().map(RecordBatch::num_rows).sum::<usize>(), batches);
-            let last = result.last().expect("a batch").column(0).as_binary::<i32>().value(0).to_vec();
-            assert_eq!(last, vec![(batches - 1) as u8; bytes]);
+            let last_value = result.last().expect("a batch").column(0).as_binary::<i32>().value(0).to_vec();
+            assert_eq!(last_value, vec![(batches - 1) as u8; batch_bytes]);
             assert_eq!(cluster.ledger().commands.values().sum::<u64>(), 1);
         });
     }
@@ -76,12 +80,15 @@
     for sent_batches in [1, 3, 6] {
         for is_buffered in [true, false] {
             let cluster = start_hosts(6, 1000);
-            let router =
-                start(&cluster, true, if is_buffered { "held_bytes: 1000000" } else { "held_bytes: 0" });
+            let router = start_router(
+                &cluster,
+                true,
+                if is_buffered { "held_bytes: 1000000" } else { "held_bytes: 0" },
+            );
             runtime().block_on(async {
                 let mut client = connect(&router).await;
                 cluster.set_behavior("r-0", HostBehavior::DisconnectAfterBatches(sent_batches));
-                let result = client.query(&ask(STANDINGS, 1, 5).statement()).await;
+                let result = client.query(&op_request(STANDINGS, 1, 5).statement()).await;
                 if is_buffered {
                     let batches = result.expect("another host serves the query");
                     assert_eq!(batches.len(), 6);
@@ -101,43 +108,49 @@
 
 #[test]
 fn writes_run_once_and_own_reads_are_consistent_when_the_primary_fails() {
-    let cluster = Cluster::start(&specs(2, true));
-    let router = start(&cluster, true, "");
+    let cluster = Cluster::start(&host_specs(2, true));
+    let router = start_router(&cluster, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
-        assert!(matches!(client.execute(&ask(SUBMIT, 1, 5)).await, Reply::Value(_)));
+        assert!(matches!(client.execute(&op_request(SUBMIT, 1, 5)).await, Reply::Value(_)));
         // An update whose response is lost after it ran is retried with a token, and not without one.
         cluster.set_behavior("p-0", HostBehavior::DisconnectAfterRun);
-        let bought = client.execute(&ask(BUY, 2, 5)).await;
-        assert!(matches!(&bought, Reply::Error(reason) if reason.contains("may have run")), "{bought:?}");
-        let submitting = tokio::spawn({
+        let buy_reply = client.execute(&op_request(BUY, 2, 5)).await;
+        assert!(
+            matches!(&buy_reply, Reply::Error(reason) if reason.contains("may have run")),
+            "{buy_reply:?}"
+        );
+        let submit_task = tokio::spawn({
             let mut client = connect(&router).await;
-            async move { client.execute(&ask(SUBMIT, 3, 5)).await }
+            async move { client.execute(&op_request(SUBMIT, 3, 5)).await }
         });
         while !cluster.ledger().applied.contains_key("0000000000000003") {
             tokio::task::yield_now().await;
         }
         cluster.set_behavior("p-0", HostBehavior::Serve);
-        let submitted = submitting.await.expect("the task ends");
-        assert!(matches!(submitted, Reply::Value(_)), "{submitted:?}");
-        for turn in ["0000000000000001", "0000000000000002", "0000000000000003"] {
-            assert_eq!(cluster.ledger().applied[turn].len(), 1, "{turn}");
+        let submit_reply = submit_task.await.expect("the task ends");
+        assert!(matches!(submit_reply, Reply::Value(_)), "{submit_reply:?}");
+        for write_id in ["0000000000000001", "0000000000000002", "0000000000000003"] {
+            assert_eq!(cluster.ledger().applied[write_id].len(), 1, "{write_id}");
         }
         // The primary crashes during a read of own writes; the new one has all writes.
         cluster.set_behavior("p-0", HostBehavior::DisconnectAfterBatches(0));
-        let reading = tokio::spawn({
+        let read_task = tokio::spawn({
             let mut client = connect(&router).await;
-            async move { client.execute(&ask(OWN, 4, 5)).await }
+            async move { client.execute(&op_request(OWN_READ, 4, 5)).await }
         });
         cluster.kill("p-0");
         cluster.switchover("r-0");
-        let read = reading.await.expect("the task ends");
-        assert!(!matches!(&read, Reply::Value(value) if !value.ends_with("0000000000000003")), "{read:?}");
+        let read_reply = read_task.await.expect("the task ends");
+        assert!(
+            !matches!(&read_reply, Reply::Value(value) if !value.ends_with("0000000000000003")),
+            "{read_reply:?}"
+        );
         let deadline = Instant::now() + Duration::from_secs(10);
         let mut id = 10;
         loop {
             id += 1;
-            match client.execute(&ask(OWN, id, 5)).await {
+            match client.execute(&op_request(OWN_READ, id, 5)).await {
                 Reply::Value(value) => {
                     assert!(value.ends_with("0000000000000003"), "{value}");
                     break;
@@ -150,17 +163,17 @@
 
 #[test]
 fn malformed_and_swapped_results_are_rejected() {
-    for act in [HostBehavior::ReplyGarbage, HostBehavior::ReplyTwice, HostBehavior::MislabelReply] {
-        let cluster = Cluster::start(&specs(0, true));
-        let router = start(&cluster, true, "");
+    for behavior in [HostBehavior::ReplyGarbage, HostBehavior::ReplyTwice, HostBehavior::MislabelReply] {
+        let cluster = Cluster::start(&host_specs(0, true));
+        let router = start_router(&cluster, true, "");
         runtime().block_on(async {
             let mut client = connect(&router).await;
-            cluster.set_behavior("p-0", act);
-            let read = client.execute(&ask(STANDINGS, 1, 5)).await;
-            assert!(!matches!(read, Reply::Value(_)), "{act:?}: {read:?}");
-            if act != HostBehavior::ReplyTwice {
-                let write = client.execute(&ask(BUY, 2, 5)).await;
-                assert!(matches!(&write, Reply::Error(_)), "{act:?}: {write:?}");
+            cluster.set_behavior("p-0", behavior);
+            let read_reply = client.execute(&op_request(STANDINGS, 1, 5)).await;
+            assert!(!matches!(read_reply, Reply::Value(_)), "{behavior:?}: {read_reply:?}");
+            if behavior != HostBehavior::ReplyTwice {
+                let write_reply = client.execute(&op_request(BUY, 2, 5)).await;
+                assert!(matches!(&write_reply, Reply::Error(_)), "{behavior:?}: {write_reply:?}");
                 assert_eq!(
                     cluster.ledger().applied["0000000000000002"].len(),
                     1,
@@ -168,40 +181,40 @@
                 );
             }
             cluster.set_behavior("p-0", HostBehavior::Serve);
-            assert!(matches!(client.execute(&ask(STANDINGS, 3, 5)).await, Reply::Value(_)));
+            assert!(matches!(client.execute(&op_request(STANDINGS, 3, 5)).await, Reply::Value(_)));
         });
     }
 }
 
 #[test]
 fn tokens_and_sessions_apply_across_both_protocols() {
-    let cluster = Cluster::start(&specs(2, false));
-    let router = start(&cluster, false, "");
+    let cluster = Cluster::start(&host_specs(2, false));
+    let router = start_router(&cluster, false, "");
     runtime().block_on(async {
-        let (mut flight, mut pg) = (
+        let (mut flight_client, mut pg_client) = (
             connect(&router).await,
             Client::connect(router.address).await.expect("the router accepts clients"),
         );
-        for turn in 1..40_u64 {
+        for round in 1..40_u64 {
             let (flight_request, mut pg_request) =
-                (ask(SUBMIT, turn * 2, turn), ask(SUBMIT, turn * 2 + 1, turn));
+                (op_request(SUBMIT, round * 2, round), op_request(SUBMIT, round * 2 + 1, round));
             pg_request.token = flight_request.token;
             let statement = pg_request.statement();
             let (flight_reply, pg_reply) =
-                tokio::join!(flight.execute(&flight_request), pg.execute(&statement));
+                tokio::join!(flight_client.execute(&flight_request), pg_client.execute(&statement));
             assert!(matches!(flight_reply, Reply::Value(_)), "{flight_reply:?}");
             assert!(matches!(pg_reply, Ok(Reply::Value(_))), "{pg_reply:?}");
-            let expected = format!("{:016x}", turn * 2);
-            assert_eq!(cluster.ledger().applied[&expected].len(), 1);
-            let own_read = ask(OWN, turn * 2 + 1000, turn);
-            let Ok(Reply::Value(pg_reply)) = pg.execute(&own_read.statement()).await else {
+            let expected_write = format!("{:016x}", round * 2);
+            assert_eq!(cluster.ledger().applied[&expected_write].len(), 1);
+            let own_read = op_request(OWN_READ, round * 2 + 1000, round);
+            let Ok(Reply::Value(pg_reply)) = pg_client.execute(&own_read.statement()).await else {
                 panic!("the call failed")
             };
-            let Reply::Value(flight_reply) = flight.execute(&own_read).await else {
+            let Reply::Value(flight_reply) = flight_client.execute(&own_read).await else {
                 panic!("the call failed")
             };
             assert!(
-                pg_reply.ends_with(&expected) && flight_reply.ends_with(&expected),
+                pg_reply.ends_with(&expected_write) && flight_reply.ends_with(&expected_write),
                 "{pg_reply}, {flight_reply}"
             );
         }
@@ -210,16 +223,17 @@
 
 #[test]
 fn the_staleness_bound_holds_with_lagging_replicas_and_counts_from_the_redemption() {
-    let mut host_specs = specs(2, true);
+    let mut host_specs = host_specs(2, true);
     host_specs.iter_mut().filter(|spec| !spec.primary).for_each(|spec| spec.lag = Duration::from_millis(350));
     let cluster = Cluster::start(&host_specs);
-    let router = start(&cluster, true, "");
+    let router = start_router(&cluster, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
-        assert!(matches!(client.execute(&ask(SUBMIT, 1, 5)).await, Reply::Value(_)));
-        // The ticket is redeemed 400 ms later, when a copy that was fresh at the planning is too old.
-        let ticket = plan(&mut client, &ask(VIEW, 2, 5)).await;
-        assert!(matches!(client.execute(&ask(SUBMIT, 3, 5)).await, Reply::Value(_)));
+        assert!(matches!(client.execute(&op_request(SUBMIT, 1, 5)).await, Reply::Value(_)));
+        // The ticket is redeemed 400 ms later, when a replica that was recent enough at the planning is too
+        // stale.
+        let ticket = plan(&mut client, &op_request(VIEW, 2, 5)).await;
+        assert!(matches!(client.execute(&op_request(SUBMIT, 3, 5)).await, Reply::Value(_)));
         tokio::time::sleep(Duration::from_millis(400)).await;
         let batches: Vec<RecordBatch> = client
             .inner
@@ -231,8 +245,8 @@
             .expect("a complete result");
         assert!(first_value(&batches).ends_with("0000000000000003"), "{}", first_value(&batches));
         for id in 4..20 {
-            assert!(matches!(client.execute(&ask(SUBMIT, 100 + id, 6)).await, Reply::Value(_)));
-            let Reply::Value(value) = client.execute(&ask(VIEW, id, 6)).await else {
+            assert!(matches!(client.execute(&op_request(SUBMIT, 100 + id, 6)).await, Reply::Value(_)));
+            let Reply::Value(value) = client.execute(&op_request(VIEW, id, 6)).await else {
                 panic!("the call failed")
             };
             assert!(
@@ -245,11 +259,11 @@
 
 #[test]
 fn tickets_are_valid_once_and_until_they_expire() {
-    let cluster = Cluster::start(&specs(0, true));
-    let router = start(&cluster, true, "ticket_ms: 300");
+    let cluster = Cluster::start(&host_specs(0, true));
+    let router = start_router(&cluster, true, "ticket_ms: 300");
     runtime().block_on(async {
         let mut client = connect(&router).await;
-        let ticket = plan(&mut client, &ask(STANDINGS, 1, 5)).await;
+        let ticket = plan(&mut client, &op_request(STANDINGS, 1, 5)).await;
         let redeem =
             async |client: &mut FlightClient, ticket: Ticket| -> Result<Vec<RecordBatch>, FlightError> {
                 client.inner.do_get(ticket).await?.try_collect().await
@@ -259,14 +273,17 @@
             code(&redeem(&mut client, ticket.clone()).await.expect_err("already redeemed")),
             Code::FailedPrecondition
         );
-        let expired = plan(&mut client, &ask(STANDINGS, 2, 5)).await;
+        let expired_ticket = plan(&mut client, &op_request(STANDINGS, 2, 5)).await;
         tokio::time::sleep(Duration::from_millis(310)).await;
-        assert_eq!(code(&redeem(&mut client, expired).await.expect_err("expired")), Code::FailedPrecondition);
-        let mut changed = ticket.ticket.to_vec();
-        let last = changed.len() - 1;
-        changed[last] ^= 1;
         assert_eq!(
-            code(&redeem(&mut client, Ticket { ticket: changed.into() }).await.expect_err("changed")),
+            code(&redeem(&mut client, expired_ticket).await.expect_err("expired")),
+            Code::FailedPrecondition
+        );
+        let mut changed_ticket = ticket.ticket.to_vec();
+        let last_index = changed_ticket.len() - 1;
+        changed_ticket[last_index] ^= 1;
+        assert_eq!(
+            code(&redeem(&mut client, Ticket { ticket: changed_ticket.into() }).await.expect_err("changed")),
             Code::InvalidArgument
         );
         assert_eq!(
@@ -279,12 +296,12 @@
 
 #[test]
 fn a_ticket_is_valid_again_after_a_busy_reply() {
-    let cluster = Cluster::start(&specs(0, true));
-    let router = start(&cluster, true, "");
+    let cluster = Cluster::start(&host_specs(0, true));
+    let router = start_router(&cluster, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
         cluster.set_behavior("p-0", HostBehavior::RejectOverloaded);
-        let ticket = plan(&mut client, &ask(VIEW, 3, 5)).await;
+        let ticket = plan(&mut client, &op_request(VIEW, 3, 5)).await;
         let error = match client.inner.do_get(ticket.clone()).await {
             Ok(batches) => batches.try_collect::<Vec<_>>().await.expect_err("no host serves the query"),
             Err(error) => error,
@@ -314,8 +331,8 @@
 
 #[test]
 fn prepared_statements_are_created_bound_executed_and_closed() {
-    let cluster = Cluster::start(&specs(0, false));
-    let router = start(&cluster, false, "handles: 2");
+    let cluster = Cluster::start(&host_specs(0, false));
+    let router = start_router(&cluster, false, "handles: 2");
     runtime().block_on(async {
         let mut client = connect(&router).await.inner;
         for (name, value) in
@@ -323,14 +340,15 @@
         {
             client.set_header(name, value);
         }
-        let text = "SELECT payload FROM entries WHERE ref = $1".to_string();
-        let mut prepared = client.prepare(text.clone(), None).await.expect("preparing succeeds");
-        assert_eq!(prepared.parameter_schema().expect("a parameter schema").fields().len(), 1);
-        let key: ArrayRef = std::sync::Arc::new(StringArray::from(vec!["it's"]));
-        prepared
-            .set_parameters(RecordBatch::try_from_iter([("$1", key)]).expect("one column"))
+        let statement_text = "SELECT payload FROM entries WHERE ref = $1".to_string();
+        let mut prepared_statement =
+            client.prepare(statement_text.clone(), None).await.expect("preparing succeeds");
+        assert_eq!(prepared_statement.parameter_schema().expect("a parameter schema").fields().len(), 1);
+        let parameter: ArrayRef = std::sync::Arc::new(StringArray::from(vec!["it's"]));
+        prepared_statement
+            .set_parameters(RecordBatch::try_from_iter([("$1", parameter)]).expect("one column"))
             .expect("valid parameters");
-        let info = prepared.execute().await.expect("planning succeeds");
+        let info = prepared_statement.execute().await.expect("planning succeeds");
         let ticket = info.endpoint[0].ticket.clone().expect("the plan has a ticket");
         let batches: Vec<RecordBatch> = client
             .do_get(ticket)
@@ -345,25 +363,26 @@
             "{:?}",
             cluster.received_statements("p-0")
         );
-        let second = client.prepare(text.clone(), None).await.expect("below the limit of 2");
-        let Err(error) = client.prepare(text.clone(), None).await else {
+        let second_statement =
+            client.prepare(statement_text.clone(), None).await.expect("below the limit of 2");
+        let Err(error) = client.prepare(statement_text.clone(), None).await else {
             panic!("the limit of 2 is exceeded")
         };
         assert!(error.to_string().contains("more than are kept"), "{error}");
-        second.close().await.expect("closing succeeds");
-        assert!(client.prepare(text, None).await.is_ok());
+        second_statement.close().await.expect("closing succeeds");
+        assert!(client.prepare(statement_text, None).await.is_ok());
     });
 }
 
 #[test]
 fn unsupported_calls_are_rejected_and_server_metadata_is_returned() {
-    let cluster = Cluster::start(&specs(0, true));
-    let router = start(&cluster, true, "");
+    let cluster = Cluster::start(&host_specs(0, true));
+    let router = start_router(&cluster, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await.inner;
         let error = client.begin_transaction().await.expect_err("unsupported");
         assert!(error.to_string().contains("no transactions are offered"), "{error}");
-        let result = client.execute(ask(VIEW, 1, 5).statement(), Some(vec![1].into())).await;
+        let result = client.execute(op_request(VIEW, 1, 5).statement(), Some(vec![1].into())).await;
         assert_eq!(code(&result.expect_err("no transactions")), Code::Unimplemented);
         async fn fetch_all(
             client: &mut FlightSqlServiceClient<tonic::transport::Channel>,
@@ -419,26 +438,26 @@
 fn a_slow_reader_uses_bounded_memory_and_is_interrupted_at_the_deadline() {
     // 400 batches of 64 KiB, read one at a time, while the host drains.
     let cluster = start_hosts(400, 64 * 1024);
-    let router = start(&cluster, true, "held_bytes: 0");
+    let router = start_router(&cluster, true, "held_bytes: 0");
     runtime().block_on(async {
-        let slow = FlightClient::connect_with_window(flight_address(&router), 128 * 1024).await;
-        let mut slow = slow.expect("the router accepts clients");
-        let ticket = plan(&mut slow, &ask(STANDINGS, 1, 5)).await;
-        let mut stream = slow.inner.do_get(ticket).await.expect("the stream starts");
+        let slow_client = FlightClient::connect_with_window(flight_address(&router), 128 * 1024).await;
+        let mut slow_client = slow_client.expect("the router accepts clients");
+        let ticket = plan(&mut slow_client, &op_request(STANDINGS, 1, 5)).await;
+        let mut stream = slow_client.inner.do_get(ticket).await.expect("the stream starts");
         assert!(stream.next().await.expect("a batch").is_ok());
         cluster.drain("r-0");
         let (_, memory_before) = router.resource_usage();
         let started = Instant::now();
         let mut batches = 1;
-        let end = loop {
+        let last_item = loop {
             tokio::time::sleep(Duration::from_millis(50)).await;
             match stream.next().await {
                 Some(Ok(_)) => batches += 1,
-                end => break end,
+                item => break item,
             }
         };
         // The op's deadline is 900 ms: the result is interrupted then, and the client gets an error.
-        let error = end.expect("the stream ends with an error").expect_err("the result is incomplete");
+        let error = last_item.expect("the stream ends with an error").expect_err("the result is incomplete");
         assert_eq!(code(&error), Code::Aborted);
         assert!(
             batches < 400 && started.elapsed() < Duration::from_millis(2500),
@@ -451,23 +470,24 @@
             "{memory_before} to {memory_after} KB for a result of 25 MB"
         );
         // Other clients are served by the other host; the draining one gets nothing new.
-        let mut other = connect(&router).await;
-        assert!(
-            matches!(other.execute(&ask(VIEW, 2, 5)).await, Reply::Value(value) if value.starts_with("p-0"))
-        );
+        let mut other_client = connect(&router).await;
+        assert!(matches!(
+            other_client.execute(&op_request(VIEW, 2, 5)).await,
+            Reply::Value(value) if value.starts_with("p-0")
+        ));
     });
 }
 
 #[test]
 fn a_hanging_call_does_not_block_other_calls_on_its_connection() {
-    let cluster = Cluster::start(&specs(1, true));
-    let router = start(&cluster, true, "calls: 600");
+    let cluster = Cluster::start(&host_specs(1, true));
+    let router = start_router(&cluster, true, "calls: 600");
     runtime().block_on(async {
         let client = connect(&router).await;
         cluster.set_behavior("r-0", HostBehavior::Hang);
-        let hanging = tokio::spawn({
+        let hanging_call = tokio::spawn({
             let mut client = FlightClient { inner: client.inner.clone() };
-            async move { client.execute(&ask(STANDINGS, 1, 5)).await }
+            async move { client.execute(&op_request(STANDINGS, 1, 5)).await }
         });
         while cluster.received_statements("r-0").is_empty() {
             tokio::time::sleep(Duration::from_millis(1)).await;
@@ -476,7 +496,7 @@
         let calls: Vec<_> = (10..510_u64)
             .map(|id| {
                 let mut client = FlightClient { inner: client.inner.clone() };
-                tokio::spawn(async move { client.execute(&ask(STANDINGS, id, id)).await })
+                tokio::spawn(async move { client.execute(&op_request(STANDINGS, id, id)).await })
             })
             .collect();
         // The decision module limits how many ops run at once, but each call gets a reply.
@@ -496,18 +516,18 @@
             assert!(connections.len() <= 6, "{name}: {} connections", connections.len());
         }
         let started = Instant::now();
-        let reply = hanging.await.expect("the task ends");
+        let reply = hanging_call.await.expect("the task ends");
         assert!(started.elapsed() < Duration::from_millis(1200), "{reply:?} after {:?}", started.elapsed());
     });
 }
 
 #[test]
 fn a_connection_that_cancels_too_many_calls_is_closed_and_others_are_served() {
-    let cluster = Cluster::start(&specs(0, true));
-    let router = start(&cluster, true, "");
+    let cluster = Cluster::start(&host_specs(0, true));
+    let router = start_router(&cluster, true, "");
     runtime().block_on(async {
         let client = connect(&router).await;
-        let mut other = connect(&router).await;
+        let mut other_client = connect(&router).await;
         cluster.set_behavior("p-0", HostBehavior::Hang);
         // The rounds differ in length, since the time that a call takes to reach the host depends on the
         // machine.
@@ -517,7 +537,7 @@
                 .map(|_| {
                     id += 1;
                     let mut client = FlightClient { inner: client.inner.clone() };
-                    tokio::spawn(async move { client.execute(&ask(STANDINGS, id, id)).await })
+                    tokio::spawn(async move { client.execute(&op_request(STANDINGS, id, id)).await })
                 })
                 .collect();
             tokio::time::sleep(Duration::from_millis(1 << (id % 5))).await;
@@ -526,7 +546,7 @@
         cluster.set_behavior("p-0", HostBehavior::Serve);
         let deadline = Instant::now() + Duration::from_secs(10);
         let mut id = 1_000_000;
-        while !matches!(other.execute(&ask(STANDINGS, id, 5)).await, Reply::Value(_)) {
+        while !matches!(other_client.execute(&op_request(STANDINGS, id, 5)).await, Reply::Value(_)) {
             id += 1;
             assert!(Instant::now() < deadline, "the other client is not served");
         }
@@ -536,33 +556,33 @@
 
 #[test]
 fn rejected_calls_do_not_count_as_cancelled() {
-    let cluster = Cluster::start(&specs(0, true));
-    let router = start(&cluster, true, "");
+    let cluster = Cluster::start(&host_specs(0, true));
+    let router = start_router(&cluster, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
         // More calls per second than a client may cancel.
         for _ in 0..400 {
-            let result = client.inner.execute(ask(VIEW, 1, 5).statement(), Some(vec![1].into())).await;
+            let result = client.inner.execute(op_request(VIEW, 1, 5).statement(), Some(vec![1].into())).await;
             assert_eq!(code(&result.expect_err("no transactions")), Code::Unimplemented);
         }
-        assert!(matches!(client.execute(&ask(STANDINGS, 2, 5)).await, Reply::Value(_)));
+        assert!(matches!(client.execute(&op_request(STANDINGS, 2, 5)).await, Reply::Value(_)));
     });
 }
 
 #[test]
 fn streams_survive_a_new_discovery_address_and_complete_during_shutdown() {
     let cluster = start_hosts(30, 10_000);
-    let mut router = start(&cluster, true, "held_bytes: 0");
-    let (old, new) = (cluster.discovery_address, cluster.start_discovery());
-    let file = platform_config(&cluster, &helpers::OP_TYPES, 512).to_string();
+    let mut router = start_router(&cluster, true, "held_bytes: 0");
+    let (old_address, new_address) = (cluster.discovery_address, cluster.start_discovery());
+    let config = platform_config(&cluster, &helpers::OP_TYPES, 512).to_string();
     runtime().block_on(async {
         let mut client = connect(&router).await;
-        let ticket = plan(&mut client, &ask(STANDINGS, 1, 5)).await;
+        let ticket = plan(&mut client, &op_request(STANDINGS, 1, 5)).await;
         let mut stream = client.inner.do_get(ticket).await.expect("the stream starts");
         assert!(stream.next().await.expect("a batch").is_ok());
         // Discovery moves to another address.
-        router.reload_platform_config(&file.replace(&old.to_string(), &new.to_string()));
-        while cluster.discovery_requests(new).is_empty() {
+        router.reload_platform_config(&config.replace(&old_address.to_string(), &new_address.to_string()));
+        while cluster.discovery_requests(new_address).is_empty() {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
         assert!(stream.next().await.expect("a batch").is_ok());
@@ -583,11 +603,12 @@
     use arrow_flight::sql::{CommandStatementUpdate, ProstMessageExt};
     use arrow_flight::{FlightData, FlightDescriptor};
     use prost::Message;
-    let cluster = Cluster::start(&specs(0, true));
-    let router = start(&cluster, true, "");
+    let cluster = Cluster::start(&host_specs(0, true));
+    let router = start_router(&cluster, true, "");
     runtime().block_on(async {
         let mut client = connect(&router).await;
-        let command = CommandStatementUpdate { query: ask(BUY, 1, 5).statement(), transaction_id: None };
+        let command =
+            CommandStatementUpdate { query: op_request(BUY, 1, 5).statement(), transaction_id: None };
         let descriptor = FlightDescriptor::new_cmd(command.as_any().encode_to_vec());
         let data = FlightData { flight_descriptor: Some(descriptor), ..FlightData::default() };
         // The command is sent completely, but the stream does not end before the client disconnects.
@@ -598,42 +619,46 @@
         });
         tokio::time::sleep(Duration::from_millis(100)).await;
         call.abort();
-        assert!(matches!(client.execute(&ask(BUY, 2, 5)).await, Reply::Value(_)));
+        assert!(matches!(client.execute(&op_request(BUY, 2, 5)).await, Reply::Value(_)));
         assert_eq!(cluster.ledger().applied.keys().collect::<Vec<_>>(), ["0000000000000002"]);
     });
 }
 
 #[test]
 fn cells_apply_to_flight_sql() {
-    let mut host_specs = specs(0, true);
+    let mut host_specs = host_specs(0, true);
     host_specs.extend(["a-0", "b-0"].map(|name| HostSpec { flight: true, ..HostSpec::new(name, 7, false) }));
     let cluster = Cluster::start(&host_specs);
     let cells = r#"cells { cell { name: "a" host: "a-*" } cell { name: "b" host: "b-*" }
         tenant { name: "ann" cell: "a" } tenant { name: "bob" cell: "b" } repeats { share: 0.0 least: 3 window_ms: 60000 } }"#;
-    let router = start_with(&cluster, true, "held_bytes: 0", cells);
+    let router = start_router_with_sections(&cluster, true, "held_bytes: 0", cells);
     runtime().block_on(async {
         let mut client = connect(&router).await;
-        let request_of = |tenant, id, is_retry| OpRequest { tenant, is_retry, ..ask(STANDINGS, id, 5) };
+        let tenant_request =
+            |tenant, id, is_retry| OpRequest { tenant, is_retry, ..op_request(STANDINGS, id, 5) };
         for id in 0..20 {
             for (tenant, cell_host) in [("ann", "a-0"), ("bob", "b-0")] {
                 let reply = client
-                    .execute(&request_of(Some(tenant), id * 10 + u64::from(cell_host == "a-0"), false))
+                    .execute(&tenant_request(Some(tenant), id * 10 + u64::from(cell_host == "a-0"), false))
                     .await;
                 let Reply::Value(value) = reply else { panic!("{reply:?}") };
                 assert!(value.starts_with(cell_host) || value.starts_with("p-0"), "{tenant}: {value}");
             }
         }
-        let unknown = client.execute(&request_of(Some("eve"), 500, false)).await;
-        assert!(matches!(&unknown, Reply::Error(reason) if reason.contains("no cell")), "{unknown:?}");
+        let unknown_tenant_reply = client.execute(&tenant_request(Some("eve"), 500, false)).await;
+        assert!(
+            matches!(&unknown_tenant_reply, Reply::Error(reason) if reason.contains("no cell")),
+            "{unknown_tenant_reply:?}"
+        );
         // Retries use the budget of their own cell only.
-        let mut busy = 0;
+        let mut busy_replies = 0;
         for id in 600..606 {
-            busy += usize::from(matches!(
-                client.execute(&request_of(Some("ann"), id, true)).await,
+            busy_replies += usize::from(matches!(
+                client.execute(&tenant_request(Some("ann"), id, true)).await,
                 Reply::Busy(Some(_))
             ));
         }
-        assert_eq!(busy, 3);
-        assert!(matches!(client.execute(&request_of(Some("bob"), 700, true)).await, Reply::Value(_)));
+        assert_eq!(busy_replies, 3);
+        assert!(matches!(client.execute(&tenant_request(Some("bob"), 700, true)).await, Reply::Value(_)));
     });
 }
--- a/crates/arrowyard-flight-daemon/tests/unprocessed_calls.rs
+++ b/crates/arrowyard-flight-daemon/tests/unprocessed_calls.rs
@@ -11,7 +11,7 @@
 use arrow_flight::{PutResult, Result as ActionResult};
 use arrowyard_testbed::flight::FlightClient;
 use arrowyard_testbed::{Cluster, Process, Reply};
-use helpers::{BUY, ask, runtime, specs, start};
+use helpers::{BUY, host_specs, op_request, runtime, start_router};
 use prost::Message;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
@@ -167,16 +167,16 @@
 /// Sends updates one after the other and returns their replies, and connection and stream of each update
 /// that the host received.
 fn send_updates(behaviors: &[Behavior], updates: u64) -> (Vec<Reply>, Vec<(usize, u32)>) {
-    let cluster = Cluster::start(&specs(0, true));
+    let cluster = Cluster::start(&host_specs(0, true));
     let runtime = runtime();
     let (host, address) = runtime.block_on(FrameHost::start(behaviors));
     cluster.replace_address("p-0", address);
-    let router: Process = start(&cluster, true, "");
+    let router: Process = start_router(&cluster, true, "");
     runtime.block_on(async {
         let mut client = FlightClient::connect(router.address).await.expect("the router accepts clients");
         let mut replies = Vec::new();
         for id in 1..=updates {
-            replies.push(client.execute(&ask(BUY, id, 5)).await);
+            replies.push(client.execute(&op_request(BUY, id, 5)).await);
         }
         let received = host.updates.lock().expect("not poisoned").clone();
         (replies, received)
@@ -184,12 +184,12 @@
 }
 
 /// HTTP/2 error codes.
-const REFUSED: u32 = 7;
+const REFUSED_STREAM: u32 = 7;
 const CANCEL: u32 = 8;
 
 #[test]
 fn refused_updates_are_resent() {
-    for behavior in [Behavior::Reset(REFUSED), Behavior::GoAway(0)] {
+    for behavior in [Behavior::Reset(REFUSED_STREAM), Behavior::GoAway(0)] {
         assert_eq!(send_update(&[behavior]), (Reply::Value("1".to_string()), 2), "{behavior:?}");
     }
 }
@@ -209,7 +209,7 @@
 
 #[test]
 fn updates_refused_by_all_sends_get_a_busy_reply() {
-    let (reply, received) = send_update(&[Behavior::Reset(REFUSED); 50]);
+    let (reply, received) = send_update(&[Behavior::Reset(REFUSED_STREAM); 50]);
     assert!(matches!(reply, Reply::Busy(_)), "{reply:?}");
     assert!((2..=6).contains(&received), "{received}");
 }
--- a/crates/arrowyard-front-flight/src/listen.rs
+++ b/crates/arrowyard-front-flight/src/listen.rs
@@ -102,7 +102,7 @@
 /// Accepts client connections.
 pub struct Acceptor {
     /// The number of client connections of all protocols.
-    pub clients: Rc<Cell<usize>>,
+    pub client_connections: Rc<Cell<usize>>,
     /// The channel to the state task, which assigns connection ids.
     pub new_connections: mpsc::Sender<NewConnection>,
     pub stage: watch::Receiver<Stage>,
@@ -128,7 +128,7 @@
                 }
             };
             let (usage, (closed_sender, closed_receiver)) =
-                (UsageGuard::one(&self.clients), oneshot::channel());
+                (UsageGuard::one(&self.client_connections), oneshot::channel());
             let ((close_sender, close_request), (id_sender, assigned_id)) =
                 (oneshot::channel(), oneshot::channel());
             if self
--- a/crates/arrowyard-front-pg/src/frontend.rs
+++ b/crates/arrowyard-front-pg/src/frontend.rs
@@ -63,9 +63,11 @@
     pub admission: Rc<AdmissionController>,
     /// The channel to the route task.
     pub messages: mpsc::Sender<RouteMessage<PgBackend>>,
-    /// The number of client connections.
+    /// The number of client connections of all frontends.
     pub client_connections: Rc<Cell<usize>>,
+    /// Connections that wait for input.
     pub idle_connections: IdleConnections,
+    /// The stage of the shutdown.
     pub stage: watch::Receiver<Stage>,
     /// Determines the arrival time of ops, which may be before a stall of the thread.
     pub stall_detector: Rc<StallDetector>,
@@ -82,24 +84,24 @@
 impl IdleConnections {
     /// Adds a connection to the list and returns a receiver that resolves when the connection has to close.
     /// Entries of connections that no longer wait are removed at four times `max_connections` entries.
-    fn wait(&self, count_guard: &CountGuard, max_connections: usize) -> oneshot::Receiver<()> {
+    fn register(&self, count_guard: &CountGuard, max_connections: usize) -> oneshot::Receiver<()> {
         let (close_sender, close_receiver) = oneshot::channel();
-        let mut waiting = self.0.borrow_mut();
-        if waiting.len() >= max_connections * 4 {
-            waiting.retain(|(close_sender, _)| !close_sender.is_closed());
+        let mut idle = self.0.borrow_mut();
+        if idle.len() >= max_connections * 4 {
+            idle.retain(|(close_sender, _)| !close_sender.is_closed());
         }
-        waiting.push_back((close_sender, count_guard.clone()));
+        idle.push_back((close_sender, count_guard.clone()));
         close_receiver
     }
 
-    /// Closes the longest idle connection and returns whether there was one. Its slot is freed at once,
-    /// before its task runs.
+    /// Closes the longest idle connection and returns whether there was one. It no longer counts as open
+    /// from then on, even before its task runs.
     fn close_oldest(&self) -> bool {
-        let mut waiting = self.0.borrow_mut();
-        let mut entries = std::iter::from_fn(|| waiting.pop_front());
-        let closed_slot = entries
+        let mut idle = self.0.borrow_mut();
+        let mut oldest_first = std::iter::from_fn(|| idle.pop_front());
+        let closed_guard = oldest_first
             .find_map(|(close_sender, count_guard)| close_sender.send(()).is_ok().then_some(count_guard));
-        closed_slot.is_some_and(|count_guard| count_guard.take().is_some())
+        closed_guard.is_some_and(|count_guard| count_guard.take().is_some())
     }
 }
 
@@ -257,7 +259,7 @@
             (self.received, self.out) = (BytesMut::new(), BytesMut::new());
         }
         let close_receiver =
-            frontend.idle_connections.wait(&self.count_guard, frontend.limits.max_client_connections);
+            frontend.idle_connections.register(&self.count_guard, frontend.limits.max_client_connections);
         let result = tokio::select! {
             biased;
             read = self.read() => read,
@@ -283,33 +285,45 @@
             "SET" | "RESET" => put_command_complete(&mut self.out, &keyword),
             "DISCARD" => put_command_complete(&mut self.out, "DISCARD ALL"),
             "SHOW" if self.frontend.admission.has_cells() && command.eq_ignore_ascii_case("show cells") => {
-                let (report_sender, report) = oneshot::channel();
+                let (report_sender, report_receiver) = oneshot::channel();
                 self.frontend
                     .messages
                     .send(RouteMessage::ShowCells(report_sender))
                     .await
                     .map_err(|_| ConnectionEnded)?;
-                put_single_value(&mut self.out, "cells", &report.await.map_err(|_| ConnectionEnded)?);
+                put_single_value(
+                    &mut self.out,
+                    "cells",
+                    &report_receiver.await.map_err(|_| ConnectionEnded)?,
+                );
             }
             "SHOW" if self.frontend.admission.in_fleet && command.eq_ignore_ascii_case("show peers") => {
-                let (report_sender, report) = oneshot::channel();
+                let (report_sender, report_receiver) = oneshot::channel();
                 self.frontend
                     .messages
                     .send(RouteMessage::ShowPeers(report_sender))
                     .await
                     .map_err(|_| ConnectionEnded)?;
-                put_single_value(&mut self.out, "peers", &report.await.map_err(|_| ConnectionEnded)?);
+                put_single_value(
+                    &mut self.out,
+                    "peers",
+                    &report_receiver.await.map_err(|_| ConnectionEnded)?,
+                );
             }
             "SHOW"
                 if self.frontend.admission.leases.is_some()
                     && command.eq_ignore_ascii_case("show leases") =>
             {
-                let (report_sender, report) = oneshot::channel();
+                let (report_sender, report_receiver) = oneshot::channel();
                 if let Some(leases) = &self.frontend.admission.leases {
                     let sending = leases.send(leases::LeasesCommand::Show(report_sender));
                     sending.await.map_err(|_| ConnectionEnded)?;
                 }
-                put_single_value(&mut self.out, "leases", &report.await.map_err(|_| ConnectionEnded)?);
+                put_single_value(
+                    &mut self.out,
+                    "leases",
+                    &report_receiver.await.map_err(|_| ConnectionEnded)?,
+                );
             }
             _ if !self.frontend.evict_idle() => {
                 reply::put_too_many_clients(&mut self.out);
@@ -380,7 +394,7 @@
         let _ = self.stream.shutdown().await;
         let (frontend, linger_timeout) = (self.frontend.clone(), self.frontend.limits.linger_timeout);
         let close_receiver =
-            frontend.idle_connections.wait(&self.count_guard, frontend.limits.max_client_connections);
+            frontend.idle_connections.register(&self.count_guard, frontend.limits.max_client_connections);
         let discard_input = async {
             while self.read().await.is_ok() {
                 self.received.clear();
--- a/crates/arrowyard-front-pg/src/host_connection.rs
+++ b/crates/arrowyard-front-pg/src/host_connection.rs
@@ -44,9 +44,11 @@
 /// A host's reply to one command.
 #[derive(Debug, Default, PartialEq)]
 pub struct HostReply {
+    /// The result, if it was received completely.
     pub response: Option<PgResponse>,
     /// SQLSTATE code of an error response.
     pub error_code: Option<String>,
+    /// What the host reported about its role, position and load.
     pub status: HostStatus,
     /// Whether the host sent ReadyForQuery.
     pub ready: bool,
@@ -336,12 +338,12 @@
         for last_bytes in [&b""[..], b"noise"] {
             let listener = std::net::TcpListener::bind("127.0.0.1:0").expect("loopback has a free port");
             let address = listener.local_addr().expect("the listener is bound");
-            let (write_signal, wait_for_signal) = std::sync::mpsc::channel();
+            let (signal_sender, signal_receiver) = std::sync::mpsc::channel();
             let host = std::thread::spawn(move || {
                 let (mut stream, _) = listener.accept()?;
                 let mut out = BytesMut::new();
                 put_startup_response(&mut out);
-                let _ = (stream.read(&mut [0; 64])?, stream.write_all(&out)?, wait_for_signal.recv());
+                let _ = (stream.read(&mut [0; 64])?, stream.write_all(&out)?, signal_receiver.recv());
                 stream.write_all(last_bytes)
             });
             let limits = Rc::new(Limits::for_test(serde_json::json!({})).2);
@@ -351,7 +353,7 @@
                     .expect("the host accepts the connection");
             assert!(connection.is_reusable());
             // Blocks the runtime, so that its readiness does not change.
-            write_signal.send(()).expect("the host waits");
+            signal_sender.send(()).expect("the host waits");
             host.join().expect("the host thread ends").expect("the host has written");
             assert!(!connection.is_reusable(), "{last_bytes:?}");
         }
