--- a/crates/arrowyard-leases/src/candidate.rs
+++ b/crates/arrowyard-leases/src/candidate.rs
@@ -11,12 +11,12 @@
 use crate::fencing::Permit;
 use crate::{Destination, LeaseEpoch, Message, Verdict};
 
-/// The responses to a round: one bit per voter.
+/// The responses to a round. `granted` and `refused` have one bit per voter.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 struct Votes {
     granted: u8,
     refused: u8,
-    /// Grants including duplicates.
+    /// The number of grants, including duplicates.
     #[cfg(any(test, feature = "flaws"))]
     count: u8,
 }
@@ -32,7 +32,8 @@
         }
     }
 
-    fn won(self, config: &LeaseConfig) -> bool {
+    /// Whether a majority of all voters granted the lease.
+    fn is_won(self, config: &LeaseConfig) -> bool {
         #[cfg(any(test, feature = "flaws"))]
         match config.flaw {
             Some(Flaw::CountDuplicateGrants) => return usize::from(self.count) >= config.majority(),
@@ -62,12 +63,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum State {
     Idle,
-    Requesting { epoch: Epoch, attempts: u8, round: Round },
-    Holding { epoch: Epoch, end: Timestamp, last_round: u64, round: Option<Round> },
+    Requesting {
+        epoch: Epoch,
+        attempts: u8,
+        round: Round,
+    },
+    Holding {
+        epoch: Epoch,
+        end: Timestamp,
+        /// The round in which the lease was last acquired or renewed.
+        last_round: u64,
+        /// The open round of a renewal.
+        round: Option<Round>,
+    },
 }
 
+/// The state of one lease at this candidate.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Task {
+    /// Whether this candidate competes for the lease.
     wanted: bool,
     /// Lower ranks request earlier.
     rank: u32,
@@ -75,11 +89,13 @@
     /// The newest epoch known of this lease.
     newest_known: Epoch,
     /// The time of the next request or retry.
-    next: Timestamp,
+    next_request_at: Timestamp,
+    /// The number of consecutive conflicts with other candidates, for the backoff.
     conflicts: u8,
-    /// The epoch whose release was reported last.
+    /// The epoch whose release notifications are ignored: one was handled, or it was this candidate's own
+    /// release.
     released_epoch: Option<Epoch>,
-    /// Its current key in `Candidate::due`.
+    /// The time of the entry in `Candidate::due`.
     scheduled_at: Option<Timestamp>,
 }
 
@@ -88,8 +104,8 @@
     fn due(&self) -> Option<Timestamp> {
         match self.state {
             State::Idle if !self.wanted => None,
-            State::Holding { end, .. } => Some(self.next.min(end)),
-            _ => Some(self.next),
+            State::Holding { end, .. } => Some(self.next_request_at.min(end)),
+            _ => Some(self.next_request_at),
         }
     }
 }
@@ -100,29 +116,23 @@
 /// A change of ownership, for the log and for the code that runs the task.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    Acquired {
-        lease: LeaseId,
-        epoch: Epoch,
-    },
+    /// A majority granted the lease.
+    Acquired { lease: LeaseId, epoch: Epoch },
     /// The lease ended before it was renewed.
-    Expired {
-        lease: LeaseId,
-        epoch: Epoch,
-    },
+    Expired { lease: LeaseId, epoch: Epoch },
     /// This candidate released the lease.
-    Released {
-        lease: LeaseId,
-        epoch: Epoch,
-    },
+    Released { lease: LeaseId, epoch: Epoch },
 }
 
 /// The state of a lease as this candidate knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LeaseStatus {
     pub lease: LeaseId,
+    /// Whether this candidate competes for the lease.
     pub wanted: bool,
     /// How long this candidate still holds the lease, if it does.
     pub remaining: Option<TimeDelta>,
+    /// The epoch under which it holds the lease, or else the newest known one.
     pub epoch: Epoch,
 }
 
@@ -131,10 +141,12 @@
 pub struct Candidate {
     config: LeaseConfig,
     me: CandidateId,
+    /// The number of the latest round.
     round: u64,
     tasks: BTreeMap<LeaseId, Task>,
     /// Tasks by the time at which they are due, so that a tick does not scan thousands of leases.
     due: BTreeSet<(Timestamp, LeaseId)>,
+    /// See [`Candidate::set_eligible`].
     ineligible: bool,
     /// Messages to send; drained by the caller.
     pub outbox: Vec<(Destination, Message)>,
@@ -165,8 +177,8 @@
         if due == task.scheduled_at {
             return;
         }
-        if let Some(old) = std::mem::replace(&mut task.scheduled_at, due) {
-            self.due.remove(&(old, lease));
+        if let Some(previous) = std::mem::replace(&mut task.scheduled_at, due) {
+            self.due.remove(&(previous, lease));
         }
         if let Some(due) = due {
             self.due.insert((due, lease));
@@ -181,27 +193,27 @@
 
     /// Starts to compete for this lease. Lower ranks request earlier; `draw` is uniform in 0..1.
     pub fn request(&mut self, now: Timestamp, lease: LeaseId, rank: u32, draw: f64) {
-        let next = now + self.config.contention_window * (f64::from(rank) + draw);
+        let request_at = now + self.config.contention_window * (f64::from(rank) + draw);
         let (state, newest_known) = (State::Idle, Epoch::default());
         let rank = if self.ineligible { rank.saturating_add(INELIGIBLE_RANK_PENALTY) } else { rank };
-        let next = if self.ineligible {
-            next + self.config.contention_window * f64::from(INELIGIBLE_RANK_PENALTY)
+        let request_at = if self.ineligible {
+            request_at + self.config.contention_window * f64::from(INELIGIBLE_RANK_PENALTY)
         } else {
-            next
+            request_at
         };
-        let new = Task {
+        let new_task = Task {
             wanted: true,
             rank,
             state,
             newest_known,
-            next,
+            next_request_at: request_at,
             conflicts: 0,
             released_epoch: None,
             scheduled_at: None,
         };
-        let task = self.tasks.entry(lease).or_insert(new);
+        let task = self.tasks.entry(lease).or_insert(new_task);
         (task.wanted, task.rank) = (true, rank);
-        task.next = task.next.min(next);
+        task.next_request_at = task.next_request_at.min(request_at);
         self.reschedule(lease);
     }
 
@@ -231,10 +243,11 @@
             if let Some(task) = self.tasks.get_mut(&lease) {
                 (task.wanted, task.rank) = (true, rank);
                 if task.state == State::Idle {
-                    // Later than the notifications of the release to the others, and their first rounds.
+                    // Leaves time for the others' notifications of the release and their first rounds.
                     let wait = if eligible { TimeDelta::ZERO } else { self.config.retry_interval * 2.0 };
-                    task.next = now + wait + self.config.contention_window * (f64::from(rank) + draw());
-                    // Ignores the notification of its own release.
+                    task.next_request_at =
+                        now + wait + self.config.contention_window * (f64::from(rank) + draw());
+                    // The notification of its own release is ignored.
                     task.released_epoch = Some(task.newest_known);
                 }
             }
@@ -311,25 +324,25 @@
             {
                 task.state = State::Idle;
                 task.newest_known = task.newest_known.max(epoch);
-                task.next = now + config.contention_window * (f64::from(task.rank) + draw());
+                task.next_request_at = now + config.contention_window * (f64::from(task.rank) + draw());
                 self.events.push(Event::Expired { lease, epoch });
             }
             let has_open_round = matches!(task.state, State::Holding { round: Some(_), .. });
             let joins_early = matches!(task.state, State::Holding { .. }) && !has_open_round;
             match task.state {
-                _ if now < task.next && !joins_early => {}
+                _ if now < task.next_request_at && !joins_early => {}
                 State::Idle if !task.wanted => {}
                 State::Idle => requests.push((lease, task.newest_known.next())),
                 State::Requesting { epoch, attempts, round } => {
                     // With one voter unreachable, two candidates can split the others, and neither gets a
                     // majority.
-                    let shared = round.votes.granted != 0 && round.votes.refused != 0;
-                    if attempts >= config.max_attempts || shared {
+                    let is_split = round.votes.granted != 0 && round.votes.refused != 0;
+                    if attempts >= config.max_attempts || is_split {
                         // Grants without a majority block the other candidates.
                         releases.entry(round.number).or_default().push(LeaseEpoch { lease, epoch });
                         task.state = State::Idle;
                         task.conflicts = task.conflicts.saturating_add(1);
-                        task.next = now + conflict_backoff(&config, task, draw());
+                        task.next_request_at = now + conflict_backoff(&config, task, draw());
                     } else {
                         requests.push((lease, epoch));
                     }
@@ -350,7 +363,7 @@
         for (lease, epoch) in batch {
             let Some(task) = self.tasks.get_mut(lease) else { continue };
             let round = Round { number, requested_at: now, votes: Votes::default() };
-            task.next = now + self.config.retry_interval;
+            task.next_request_at = now + self.config.retry_interval;
             task.state = match task.state {
                 State::Idle => State::Requesting { epoch: *epoch, attempts: 1, round },
                 State::Requesting { attempts, .. } => {
@@ -373,7 +386,7 @@
     pub fn handle_message(&mut self, now: Timestamp, message: &Message, mut draw: impl FnMut() -> f64) {
         match message {
             Message::Response { from, round, verdicts, .. } if from.0 < self.config.voter_count => {
-                // One draw for all, so that leases refused together are requested together.
+                // One random draw for all leases, so that leases refused together are requested together.
                 let draw = draw();
                 let mut releases = Vec::new();
                 for (lease, verdict) in verdicts {
@@ -386,14 +399,13 @@
             }
             Message::Available { lease, epoch, .. } => {
                 let Some(task) = self.tasks.get_mut(lease).filter(|task| task.wanted) else { return };
-                // A candidate in backoff after a conflict ignores the hint, and a hint counts once per
-                // epoch. Otherwise two candidates that collided would release, be notified and collide again
-                // without end.
-                let new = *epoch >= task.newest_known && task.released_epoch != Some(*epoch);
+                // A candidate in backoff after a conflict ignores notifications, and one counts per epoch.
+                // Otherwise two candidates that collided would be notified and collide again without end.
+                let is_new = *epoch >= task.newest_known && task.released_epoch != Some(*epoch);
                 task.newest_known = task.newest_known.max(*epoch);
-                if task.state == State::Idle && task.conflicts == 0 && new {
-                    (task.next, task.released_epoch) = (now, Some(*epoch));
-                } else if new && matches!(task.state, State::Requesting { .. }) {
+                if task.state == State::Idle && task.conflicts == 0 && is_new {
+                    (task.next_request_at, task.released_epoch) = (now, Some(*epoch));
+                } else if is_new && matches!(task.state, State::Requesting { .. }) {
                     // Responses in flight may still report the lease as held for a whole term.
                     task.released_epoch = Some(*epoch);
                 }
@@ -408,7 +420,7 @@
         &mut self,
         now: Timestamp,
         voter: VoterId,
-        number: u64,
+        round_number: u64,
         lease: LeaseId,
         verdict: Verdict,
         draw: f64,
@@ -424,42 +436,42 @@
             State::Holding { epoch, round: Some(round), .. } => (epoch, round),
             _ => return None,
         };
-        if round.number != number {
+        if round.number != round_number {
             return None;
         }
         round.votes.add(voter, verdict == Verdict::Granted(epoch));
         let end = round.requested_at + config.usable_term();
         #[cfg(any(test, feature = "flaws"))]
         let end = if config.flaw == Some(Flaw::CountFromReceipt) { now + config.usable_term() } else { end };
-        let won = round.votes.won(&config) && now < end;
-        let renew = round.requested_at + config.term * (f64::from(config.renew_percent) / 100.0);
+        let is_won = round.votes.is_won(&config) && now < end;
+        let renew_at = round.requested_at + config.term * (f64::from(config.renew_percent) / 100.0);
         match &mut task.state {
-            State::Requesting { round: open, .. } if won => {
-                *open = round;
-                task.state = State::Holding { epoch, end, last_round: number, round: None };
+            State::Requesting { round: open_round, .. } if is_won => {
+                *open_round = round;
+                task.state = State::Holding { epoch, end, last_round: round_number, round: None };
                 task.newest_known = task.newest_known.max(epoch);
-                (task.next, task.conflicts) = (renew, 0);
+                (task.next_request_at, task.conflicts) = (renew_at, 0);
                 self.events.push(Event::Acquired { lease, epoch });
             }
-            State::Requesting { round: open, .. } => {
-                *open = round;
+            State::Requesting { round: open_round, .. } => {
+                *open_round = round;
                 let lost = round.votes.is_lost(&config);
                 if lost {
                     // A majority is out of reach. The grants are released, or two competing candidates would
                     // block each other for a whole term.
                     let granted = round.votes.granted != 0;
                     task.state = State::Idle;
-                    task.next = now
+                    task.next_request_at = now
                         + match verdict {
                             // Not a conflict: a request with the next epoch may succeed.
                             Verdict::StaleEpoch(_) => config.contention_window * (0.1 * draw),
-                            // Released, but not all voters have received the release.
+                            // The lease was released, but this voter has not received the release.
                             Verdict::Held { epoch, .. } if !granted && task.released_epoch == Some(epoch) => {
                                 task.conflicts = task.conflicts.saturating_add(1);
                                 conflict_backoff(&config, task, draw)
                             }
                             Verdict::Held { remaining, .. } if !granted => {
-                                // Regularly held: the conflict is over, and a hint counts again.
+                                // Another candidate holds the lease: the conflict is over.
                                 task.conflicts = 0;
                                 remaining + config.contention_window * (f64::from(task.rank) + draw)
                             }
@@ -471,12 +483,12 @@
                     return granted.then_some(LeaseEpoch { lease, epoch });
                 }
             }
-            State::Holding { end: until, last_round, round: open, .. } => {
-                if won {
-                    (*until, *last_round, *open) = ((*until).max(end), number, None);
-                    task.next = renew;
+            State::Holding { end: current_end, last_round, round: open_round, .. } => {
+                if is_won {
+                    (*current_end, *last_round, *open_round) = ((*current_end).max(end), round_number, None);
+                    task.next_request_at = renew_at;
                 } else {
-                    *open = Some(round);
+                    *open_round = Some(round);
                 }
             }
             State::Idle => {}
@@ -510,7 +522,7 @@
         }
     }
 
-    /// The state of all leases that were ever requested.
+    /// The states of all leases that this candidate has ever requested.
     pub fn statuses(&self, now: Timestamp) -> impl Iterator<Item = LeaseStatus> {
         self.tasks.iter().map(move |(&lease, task)| {
             let remaining = match task.state {
--- a/crates/arrowyard-leases/src/config.rs
+++ b/crates/arrowyard-leases/src/config.rs
@@ -23,6 +23,7 @@
 pub struct Epoch(pub u64);
 
 impl Epoch {
+    /// The following epoch.
     #[must_use]
     pub fn next(self) -> Epoch {
         Epoch(self.0.saturating_add(1))
@@ -40,6 +41,7 @@
 /// a fleet.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
+    /// The number of voters, reachable or not.
     pub voter_count: u8,
     /// The duration of a grant by the voter's clock.
     pub term: TimeDelta,
@@ -51,14 +53,15 @@
     pub retry_interval: TimeDelta,
     /// After this many rounds without a majority, a candidate releases the grants that it got.
     pub max_attempts: u8,
-    /// Candidates delay their requests by their rank and a random share of this window, which doubles with
-    /// each conflict.
+    /// A candidate delays its request by its rank times this window, plus a random part of the window.
     pub contention_window: TimeDelta,
+    /// The random part doubles with each conflict, up to this.
     pub max_contention_window: TimeDelta,
     /// The maximum number of leases that a voter tracks.
     pub max_leases: usize,
     /// The maximum number of leases in one message, so that it fits into a datagram.
     pub max_batch_leases: usize,
+    /// The protocol violation that a test injects.
     #[cfg(any(test, feature = "flaws"))]
     pub flaw: Option<Flaw>,
 }
@@ -91,9 +94,9 @@
         usize::from(self.voter_count) / 2 + 1
     }
 
-    /// How long a holder may act by its own clock, counted from before it sent its request. A voter's fast
-    /// clock ends the grant after term / (1 + drift) of true time, of which the holder's slow clock shows (1
-    /// - drift).
+    /// How long a holder may act by its own clock, counted from before it sent its request. The grant of a
+    /// voter with a fast clock lasts for term / (1 + drift) of real time, and a slow holder's clock advances
+    /// by that times (1 - drift).
     #[must_use]
     pub fn usable_term(&self) -> TimeDelta {
         #[cfg(any(test, feature = "flaws"))]
@@ -109,7 +112,9 @@
 /// A singleton task: an HTTP call that the holder of the lease makes periodically.
 #[derive(Clone, Debug)]
 pub struct Duty {
+    /// Also the name of the lease.
     pub name: String,
+    /// The address and path of the HTTP call.
     pub address: SocketAddr,
     pub path: String,
     pub interval: TimeDelta,
@@ -122,7 +127,9 @@
 /// How a router takes part in the lease protocol, from the operator's configuration file.
 #[derive(Clone, Debug)]
 pub struct LeaseSettings {
+    /// The name of the fleet.
     pub fleet: String,
+    /// The address on which this router receives lease messages.
     pub listen: SocketAddr,
     /// The voters' names in sorted order, and their addresses as seen from this router.
     pub voters: Vec<(String, SocketAddr)>,
--- a/crates/arrowyard-leases/src/drift.rs
+++ b/crates/arrowyard-leases/src/drift.rs
@@ -1,6 +1,6 @@
 //! Detects voter clocks that exceed the drift bound. A response shows the voter's clock at some moment
 //! between request and receipt, so two responses far apart bound its rate relative to the local clock.
-//! Beyond the bound, two candidates may hold one lease at the same time, and the drift must be reported.
+//! Beyond the bound, two candidates may hold one lease at the same time, so the drift is reported.
 
 use std::collections::VecDeque;
 
@@ -9,8 +9,8 @@
 use crate::Message;
 use crate::config::VoterId;
 
-/// One response: when it was requested and received by the local clock, and the remote clock that it
-/// carried.
+/// A response: when its request was sent and when it was received, by the local clock, and the voter's clock
+/// that it carries.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Sample {
     sent_at: Timestamp,
@@ -21,6 +21,7 @@
 /// Compares the clock of one voter with the local one.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DriftEstimator {
+    /// The earlier response with which the next ones are compared.
     baseline: Option<Sample>,
 }
 
@@ -28,19 +29,19 @@
 #[derive(Clone, Debug)]
 pub struct ClockMonitor {
     bound_ppm: u32,
-    drifts: Vec<DriftEstimator>,
-    /// The latest rounds, and when each request was sent.
+    estimators: Vec<DriftEstimator>,
+    /// The numbers of the latest rounds, and when each request was sent.
     sent_rounds: VecDeque<(u64, Timestamp)>,
 }
 
-/// Rounds whose send time is remembered.
+/// The maximum number of rounds whose send time is kept.
 const MAX_TRACKED_ROUNDS: usize = 32;
 
 impl ClockMonitor {
     #[must_use]
     pub fn new(voters: u8, bound_ppm: u32) -> ClockMonitor {
-        let drifts = vec![DriftEstimator::default(); usize::from(voters)];
-        ClockMonitor { bound_ppm, drifts, sent_rounds: VecDeque::new() }
+        let estimators = vec![DriftEstimator::default(); usize::from(voters)];
+        ClockMonitor { bound_ppm, estimators, sent_rounds: VecDeque::new() }
     }
 
     /// Records a message that was sent or received. Returns the voter and its drift in parts per million if
@@ -58,16 +59,17 @@
             }
             Message::Response { from, round, clock, .. } => {
                 let sent_at = self.sent_rounds.iter().find(|(number, _)| number == round)?.1;
-                let drift = self.drifts.get_mut(usize::from(from.0))?;
-                Some(*from).zip(drift.add_sample(sent_at, now, *clock, self.bound_ppm))
+                let estimator = self.estimators.get_mut(usize::from(from.0))?;
+                Some(*from).zip(estimator.add_sample(sent_at, now, *clock, self.bound_ppm))
             }
             _ => None,
         }
     }
 }
 
-/// Samples closer together than the first are too imprecise; a baseline older than the second is replaced.
+/// Samples closer to the baseline than this are too imprecise.
 const MIN_BASELINE: TimeDelta = TimeDelta::from_millis(5_000);
+/// A baseline older than this is replaced.
 const MAX_BASELINE: TimeDelta = TimeDelta::from_millis(600_000);
 
 impl DriftEstimator {
@@ -81,25 +83,26 @@
         bound_ppm: u32,
     ) -> Option<i64> {
         let sample = Sample { sent_at, received_at, remote_clock };
-        let first = *self.baseline.get_or_insert(sample);
-        let min_interval_us = (sent_at - first.received_at).micros();
-        let max_interval_us = (received_at - first.sent_at).micros();
-        let remote_us = (remote_clock - first.remote_clock).micros();
-        if sent_at - first.received_at < MIN_BASELINE {
+        let baseline = *self.baseline.get_or_insert(sample);
+        let min_interval_us = (sent_at - baseline.received_at).micros();
+        let max_interval_us = (received_at - baseline.sent_at).micros();
+        let remote_us = (remote_clock - baseline.remote_clock).micros();
+        if sent_at - baseline.received_at < MIN_BASELINE {
             return None;
         }
-        if received_at - first.sent_at > MAX_BASELINE {
+        if received_at - baseline.sent_at > MAX_BASELINE {
             self.baseline = Some(sample);
         }
-        let ppm =
+        let drift_ppm =
             |remote_us: i64, local_us: i64| ((remote_us - local_us) as f64 / local_us as f64 * 1e6) as i64;
-        // The longest possible local interval gives the lowest rate of the remote clock, the shortest one
+        // The longest possible local interval gives the lowest drift of the remote clock, the shortest one
         // the highest.
-        let (slowest, fastest) = (ppm(remote_us, max_interval_us), ppm(remote_us, min_interval_us));
-        let bound = 2 * i64::from(bound_ppm);
-        if slowest > bound {
-            return Some(slowest);
+        let (lowest_ppm, highest_ppm) =
+            (drift_ppm(remote_us, max_interval_us), drift_ppm(remote_us, min_interval_us));
+        let max_drift_ppm = 2 * i64::from(bound_ppm);
+        if lowest_ppm > max_drift_ppm {
+            return Some(lowest_ppm);
         }
-        (fastest < -bound).then_some(fastest)
+        (highest_ppm < -max_drift_ppm).then_some(highest_ppm)
     }
 }
--- a/crates/arrowyard-leases/src/fencing.rs
+++ b/crates/arrowyard-leases/src/fencing.rs
@@ -31,27 +31,28 @@
     }
 }
 
-/// An effect was rejected: another was accepted under this newer epoch.
+/// An effect was rejected; carries the newest epoch under which an effect of its lease was accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct StaleEpoch(pub Epoch);
 
-/// The receiver's check of fencing tokens: the newest epoch of each lease under which an effect was
-/// accepted.
+/// The receiver's check of fencing tokens: rejects effects under older epochs than those accepted before.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct FencingGuard {
-    newest: BTreeMap<LeaseId, (Epoch, CandidateId)>,
+    /// The epoch and the holder of the newest accepted effect of each lease.
+    newest_effects: BTreeMap<LeaseId, (Epoch, CandidateId)>,
 }
 
 impl FencingGuard {
     /// Accepts or rejects an effect. Two holders under one epoch are possible only if more voters lost their
-    /// votes than the protocol tolerates; then the first one is accepted.
+    /// votes than the protocol tolerates; then only effects of the first one are accepted.
     ///
     /// # Errors
     /// An effect was accepted under a newer epoch, or under this one from another holder.
     pub fn admit(&mut self, lease: LeaseId, epoch: Epoch, holder: CandidateId) -> Result<(), StaleEpoch> {
-        let newest = self.newest.entry(lease).or_insert((epoch, holder));
-        if epoch < newest.0 || epoch == newest.0 && holder != newest.1 {
-            return Err(StaleEpoch(newest.0));
+        let newest = self.newest_effects.entry(lease).or_insert((epoch, holder));
+        let (newest_epoch, newest_holder) = *newest;
+        if epoch < newest_epoch || epoch == newest_epoch && holder != newest_holder {
+            return Err(StaleEpoch(newest_epoch));
         }
         *newest = (epoch, holder);
         Ok(())
@@ -60,6 +61,6 @@
     /// The newest epoch of this lease under which an effect was accepted.
     #[must_use]
     pub fn newest_epoch(&self, lease: LeaseId) -> Option<Epoch> {
-        self.newest.get(&lease).map(|(epoch, _)| *epoch)
+        self.newest_effects.get(&lease).map(|(epoch, _)| *epoch)
     }
 }
--- a/crates/arrowyard-leases/src/lib.rs
+++ b/crates/arrowyard-leases/src/lib.rs
@@ -40,17 +40,15 @@
 /// A voter's decision on one requested lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Verdict {
+    /// The candidate got the lease under this epoch.
     Granted(Epoch),
-    /// Another candidate holds it for at most `remaining`.
-    Held {
-        epoch: Epoch,
-        remaining: TimeDelta,
-    },
+    /// Another candidate holds the lease for at most `remaining`.
+    Held { epoch: Epoch, remaining: TimeDelta },
     /// The requested epoch was granted before; carries the newest epoch that the voter knows.
     StaleEpoch(Epoch),
-    /// The voter is in its startup wait, or recovers lost votes.
+    /// The voter is in its startup wait or recovers lost votes, and grants nothing.
     Abstained,
-    /// The voter already tracks its maximum of leases.
+    /// The voter already tracks the maximum number of leases.
     AtCapacity,
 }
 
@@ -59,20 +57,38 @@
 pub enum Message {
     /// A candidate requests or renews these leases in one round.
     Request { from: CandidateId, round: u64, leases: Vec<LeaseEpoch> },
-    /// A candidate releases these leases and performs nothing under them any more. `held`: it held them,
-    /// rather than failed to get a majority; only then does the voter notify a waiting candidate.
-    Release { from: CandidateId, round: u64, held: bool, leases: Vec<LeaseEpoch> },
+    /// A candidate releases these leases and performs no further effects under them.
+    Release {
+        from: CandidateId,
+        round: u64,
+        /// Whether the candidate held the leases, rather than failed to get a majority. Only then does the
+        /// voter notify a waiting candidate.
+        held: bool,
+        leases: Vec<LeaseEpoch>,
+    },
     /// A voter's decisions on a request, and its clock at that moment.
     Response { from: VoterId, round: u64, clock: Timestamp, verdicts: Vec<(LeaseId, Verdict)> },
-    /// A lease was released: a hint for a candidate that was refused it.
+    /// Notifies a candidate that was refused the lease that it was released.
     Available { from: VoterId, lease: LeaseId, epoch: Epoch },
-    /// A voter that starts asks the others what they know. `nonce` is drawn at random at each start and
-    /// distinguishes two starts with the same incarnation.
-    RecoveryRequest { from: VoterId, incarnation: u64, nonce: u64 },
-    /// Answers a recovery request. `requested_by`: the incarnation that asked. `highest`: the newest epoch
-    /// of any lease that this voter has granted. `last_known`: the latest incarnation of the asking voter
-    /// known before this request. `is_complete`: this voter has lost none of its own votes.
-    RecoveryResponse { from: VoterId, requested_by: u64, highest: Epoch, last_known: u64, is_complete: bool },
+    /// A voter that starts requests the highest epochs and its last incarnation from the other voters.
+    RecoveryRequest {
+        from: VoterId,
+        incarnation: u64,
+        /// Drawn at random at each start; distinguishes two starts with the same incarnation.
+        nonce: u64,
+    },
+    /// The response to a recovery request.
+    RecoveryResponse {
+        from: VoterId,
+        /// The incarnation in the request.
+        requested_by: u64,
+        /// The highest epoch of any lease that the responding voter has granted.
+        highest: Epoch,
+        /// The latest incarnation of the requesting voter that was known before the request.
+        last_known: u64,
+        /// Whether the responding voter has lost none of its own votes.
+        is_complete: bool,
+    },
 }
 
 /// The recipient of a message.
--- a/crates/arrowyard-leases/src/message.rs
+++ b/crates/arrowyard-leases/src/message.rs
@@ -14,8 +14,9 @@
 pub const MAX_DATAGRAM_BYTES: usize = 1200;
 const CHECKSUM_BYTES: usize = 4;
 
+/// A lease in a message, with the voter's decision in a response.
 #[derive(Clone, PartialEq, prost::Message)]
-struct Row {
+struct LeaseRow {
     #[prost(fixed64, tag = "1")]
     lease: u64,
     #[prost(uint64, tag = "2")]
@@ -23,10 +24,12 @@
     /// In a response: 1 granted, 2 held, 3 stale epoch, 4 abstained, 5 at capacity.
     #[prost(uint32, tag = "3")]
     verdict: u32,
+    /// In a response about a held lease: the remaining time.
     #[prost(uint64, tag = "4")]
     left_us: u64,
 }
 
+/// The encoded form of all kinds of messages; fields that a kind does not use have their defaults.
 #[derive(Clone, PartialEq, prost::Message)]
 struct Datagram {
     #[prost(uint32, tag = "1")]
@@ -37,29 +40,33 @@
     /// 1 request, 2 release, 3 response, 4 available, 5 recovery request, 6 recovery response.
     #[prost(uint32, tag = "3")]
     kind: u32,
+    /// In a recovery request: the nonce.
     #[prost(fixed64, tag = "4")]
     candidate: u64,
     #[prost(uint32, tag = "5")]
     voter: u32,
+    /// In a recovery response: `requested_by`.
     #[prost(uint64, tag = "6")]
     round: u64,
     #[prost(int64, tag = "7")]
     clock_us: i64,
+    /// In a recovery response: `last_known`.
     #[prost(uint64, tag = "8")]
     incarnation: u64,
     #[prost(uint64, tag = "9")]
     highest_epoch: u64,
     /// In a recovery response: `is_complete`; in a release: `held`.
     #[prost(bool, tag = "10")]
-    whole: bool,
+    is_complete_or_held: bool,
     #[prost(message, repeated, tag = "11")]
-    rows: Vec<Row>,
+    rows: Vec<LeaseRow>,
 }
 
 /// Why a datagram is dropped.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DecodeError {
     TooLarge,
+    /// Its checksum does not match, or its contents are invalid.
     Garbled,
     /// Of a later format version.
     Newer,
@@ -75,12 +82,16 @@
     crate::lease_id(&text).0
 }
 
-fn decode_leases(rows: &[Row]) -> Vec<LeaseEpoch> {
+fn decode_leases(rows: &[LeaseRow]) -> Vec<LeaseEpoch> {
     rows.iter().map(|row| LeaseEpoch { lease: LeaseId(row.lease), epoch: Epoch(row.epoch) }).collect()
 }
 
-fn lease_rows(leases: &[LeaseEpoch]) -> Vec<Row> {
-    let row = |one: &LeaseEpoch| Row { lease: one.lease.0, epoch: one.epoch.0, ..Row::default() };
+fn lease_rows(leases: &[LeaseEpoch]) -> Vec<LeaseRow> {
+    let row = |requested: &LeaseEpoch| LeaseRow {
+        lease: requested.lease.0,
+        epoch: requested.epoch.0,
+        ..LeaseRow::default()
+    };
     leases.iter().map(row).collect()
 }
 
@@ -91,7 +102,7 @@
     match message {
         Message::Request { from, round, leases } | Message::Release { from, round, leases, .. } => {
             datagram.kind = if matches!(message, Message::Request { .. }) { 1 } else { 2 };
-            datagram.whole = matches!(message, Message::Release { held: true, .. });
+            datagram.is_complete_or_held = matches!(message, Message::Release { held: true, .. });
             (datagram.candidate, datagram.round, datagram.rows) = (from.0, *round, lease_rows(leases));
         }
         Message::Response { from, round, clock, verdicts } => {
@@ -108,7 +119,7 @@
                         Verdict::AtCapacity => (5, Epoch(0), TimeDelta::ZERO),
                     };
                     let left_us = remaining.micros().max(0) as u64;
-                    Row { lease: lease.0, epoch: epoch.0, verdict: kind, left_us }
+                    LeaseRow { lease: lease.0, epoch: epoch.0, verdict: kind, left_us }
                 })
                 .collect();
         }
@@ -123,7 +134,7 @@
         Message::RecoveryResponse { from, requested_by, highest, last_known, is_complete } => {
             (datagram.kind, datagram.voter, datagram.incarnation, datagram.round) =
                 (6, from.0.into(), *last_known, *requested_by);
-            (datagram.highest_epoch, datagram.whole) = (highest.0, *is_complete);
+            (datagram.highest_epoch, datagram.is_complete_or_held) = (highest.0, *is_complete);
         }
     }
     let body = datagram.encode_to_vec();
@@ -132,7 +143,7 @@
     bytes
 }
 
-/// Decodes a datagram of this group.
+/// Decodes and checks a datagram of this group.
 ///
 /// # Errors
 /// The datagram is too large, damaged, of a later format version, or of another group.
@@ -140,8 +151,8 @@
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return Err(DecodeError::TooLarge);
     }
-    let (check, body) = bytes.split_first_chunk::<CHECKSUM_BYTES>().ok_or(DecodeError::Garbled)?;
-    if crc32c::crc32c(body) != u32::from_le_bytes(*check) {
+    let (stored_checksum, body) = bytes.split_first_chunk::<CHECKSUM_BYTES>().ok_or(DecodeError::Garbled)?;
+    if crc32c::crc32c(body) != u32::from_le_bytes(*stored_checksum) {
         return Err(DecodeError::Garbled);
     }
     let datagram = Datagram::decode(body).map_err(|_| DecodeError::Garbled)?;
@@ -156,9 +167,14 @@
     let round = datagram.round;
     Ok(match datagram.kind {
         1 => Message::Request { from, round, leases: decode_leases(&datagram.rows) },
-        2 => Message::Release { from, round, held: datagram.whole, leases: decode_leases(&datagram.rows) },
+        2 => Message::Release {
+            from,
+            round,
+            held: datagram.is_complete_or_held,
+            leases: decode_leases(&datagram.rows),
+        },
         3 => {
-            let verdict = |row: &Row| {
+            let verdict = |row: &LeaseRow| {
                 let epoch = Epoch(row.epoch);
                 let remaining = TimeDelta::from_micros(i64::try_from(row.left_us).unwrap_or(i64::MAX));
                 let verdict = match row.verdict {
@@ -195,7 +211,7 @@
                 requested_by: round,
                 highest,
                 last_known: datagram.incarnation,
-                is_complete: datagram.whole,
+                is_complete: datagram.is_complete_or_held,
             }
         }
         _ => return Err(DecodeError::Garbled),
--- a/crates/arrowyard-leases/src/storage.rs
+++ b/crates/arrowyard-leases/src/storage.rs
@@ -56,12 +56,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LoadError {
     Truncated,
+    /// Its magic bytes or checksum do not match, or its contents are invalid.
     Garbled,
+    /// Of a later format version.
     Newer,
     /// Of another fleet, voter set or voter.
     Foreign,
 }
 
+/// The checksum of everything but the checksum field.
 fn checksum(bytes: &[u8]) -> u32 {
     crc32c::crc32c_append(crc32c::crc32c(&bytes[..6]), &bytes[HEADER_BYTES..])
 }
@@ -102,14 +105,14 @@
 /// # Errors
 /// The file is damaged, of a later format version, or of another voter or group.
 pub fn decode(bytes: &[u8], group: u64, voter: &str) -> Result<VoterSnapshot, LoadError> {
-    let Some((head, body)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
+    let Some((header, body)) = bytes.split_first_chunk::<HEADER_BYTES>() else {
         return Err(LoadError::Truncated);
     };
-    let stored_checksum = u32::from_le_bytes([head[6], head[7], head[8], head[9]]);
-    if head[..4] != MAGIC || checksum(bytes) != stored_checksum {
+    let stored_checksum = u32::from_le_bytes([header[6], header[7], header[8], header[9]]);
+    if header[..4] != MAGIC || checksum(bytes) != stored_checksum {
         return Err(LoadError::Garbled);
     }
-    if u16::from_le_bytes([head[4], head[5]]) > FORMAT_VERSION {
+    if u16::from_le_bytes([header[4], header[5]]) > FORMAT_VERSION {
         return Err(LoadError::Newer);
     }
     let file = VoterFile::decode(body).map_err(|_| LoadError::Garbled)?;
--- a/crates/arrowyard-leases/src/voter.rs
+++ b/crates/arrowyard-leases/src/voter.rs
@@ -19,12 +19,13 @@
     pub holder: CandidateId,
     /// The holder's round of the latest grant or release.
     pub round: u64,
+    /// When the grant ends, by the voter's clock.
     pub until: Timestamp,
     /// The latest candidates that were refused the lease, in the order of their requests.
     waiters: SmallVec<[CandidateId; MAX_WAITERS]>,
 }
 
-/// Candidates remembered per lease for the notification of its release.
+/// The maximum number of candidates remembered per lease for the notification of its release.
 const MAX_WAITERS: usize = 4;
 
 /// The durable state of a voter, written before any message that depends on it is sent.
@@ -34,8 +35,9 @@
     pub incarnation: u64,
     /// Epochs up to this one are not granted again, whatever the lease.
     pub epoch_floor: Epoch,
-    /// No vote is missing.
+    /// Whether no vote is missing.
     pub is_complete: bool,
+    /// The newest grant of each lease.
     pub votes: Vec<(LeaseId, Epoch, CandidateId)>,
     /// The latest known incarnation of each other voter, with the nonce of its start.
     pub incarnations: Vec<(VoterId, u64, u64)>,
@@ -46,7 +48,7 @@
 pub enum Stage {
     /// Abstains until this time, since a grant from before the start may still be held.
     Waiting(Timestamp),
-    /// Has lost votes and asks the others; these have responded.
+    /// Has lost votes and requests the epochs of the others; carries the voters that have responded.
     Recovering(BTreeSet<VoterId>),
     /// Grants and refuses requests.
     Voting,
@@ -62,25 +64,26 @@
     incarnation: u64,
     epoch_floor: Epoch,
     votes: BTreeMap<LeaseId, Vote>,
+    /// The latest known incarnation of each other voter, with the nonce of its start.
     incarnations: BTreeMap<VoterId, (u64, u64)>,
     start_nonce: u64,
     /// Messages to send, each with the number of the snapshot that must be durable before.
     pending: VecDeque<(u64, Destination, Message)>,
-    /// The number of the current snapshot, and of the newest durable one.
+    /// The number of the current snapshot; incremented with each change of the durable state.
     snapshot_number: u64,
+    /// The number of the newest durable snapshot.
     durable_number: u64,
-    writing: bool,
+    is_writing: bool,
     /// When the next recovery request is sent.
     next_recovery_request_at: Timestamp,
 }
 
 impl Voter {
-    /// Starts a voter from its snapshot, or from none if that was missing or unusable: then its votes are
+    /// Starts a voter from its snapshot, or from none if that is missing or unusable: then its votes are
     /// lost. `nonce` is drawn at random at each start.
     ///
-    /// A grant from before the start may still be held, so the voter abstains for a full term. That includes
-    /// the holder that it remembers: the snapshot may be an older copy, in which the current holder is
-    /// missing.
+    /// A grant from before the start may still be held, so the voter abstains for a full term. It grants
+    /// nothing even to the holder in the snapshot, which may be an older copy without the current holder.
     #[must_use]
     pub fn start(
         now: Timestamp,
@@ -94,13 +97,13 @@
         let vote = |(lease, epoch, holder): (LeaseId, Epoch, CandidateId)| {
             (lease, Vote { epoch, holder, round: 0, until: now, waiters: SmallVec::new() })
         };
-        let wait = now + config.term;
+        let wait_end = now + config.term;
         #[cfg(any(test, feature = "flaws"))]
-        let wait = if config.flaw == Some(Flaw::NoStartupWait) { now } else { wait };
+        let wait_end = if config.flaw == Some(Flaw::NoStartupWait) { now } else { wait_end };
         let mut voter = Voter {
             config,
             me,
-            stage: Stage::Waiting(wait),
+            stage: Stage::Waiting(wait_end),
             is_complete,
             incarnation: snapshot.incarnation + 1,
             epoch_floor: snapshot.epoch_floor,
@@ -114,14 +117,14 @@
             pending: VecDeque::new(),
             snapshot_number: 1,
             durable_number: 0,
-            writing: false,
+            is_writing: false,
             next_recovery_request_at: now,
         };
         voter.tick(now);
         voter
     }
 
-    /// The current stage.
+    /// How far the voter has come since its start.
     #[must_use]
     pub fn stage(&self) -> &Stage {
         &self.stage
@@ -148,9 +151,9 @@
         }
     }
 
-    fn others(&self) -> impl Iterator<Item = VoterId> + use<> {
+    fn other_voters(&self) -> impl Iterator<Item = VoterId> + use<> {
         let me = self.me;
-        (0..self.config.voter_count).map(VoterId).filter(move |one| *one != me)
+        (0..self.config.voter_count).map(VoterId).filter(move |voter| *voter != me)
     }
 
     /// Advances the stage and repeats recovery requests.
@@ -177,7 +180,7 @@
                 incarnation: self.incarnation,
                 nonce: self.start_nonce,
             };
-            self.others().for_each(|one| self.enqueue(Destination::Voter(one), message.clone()));
+            self.other_voters().for_each(|voter| self.enqueue(Destination::Voter(voter), message.clone()));
         }
     }
 
@@ -207,20 +210,21 @@
                 self.handle_release(now, *from, *round, *held, leases)
             }
             Message::RecoveryRequest { from, incarnation, nonce } if *from != self.me => {
-                let (mut known, known_nonce) = self.incarnations.get(from).copied().unwrap_or_default();
-                if *incarnation > known {
+                let (mut known_incarnation, known_nonce) =
+                    self.incarnations.get(from).copied().unwrap_or_default();
+                if *incarnation > known_incarnation {
                     self.incarnations.insert(*from, (*incarnation, *nonce));
                     self.snapshot_number += 1;
-                } else if *incarnation == known && *nonce == known_nonce {
-                    // A repeated request of the same start.
-                    known -= 1;
+                } else if *incarnation == known_incarnation && *nonce == known_nonce {
+                    // A repeated request of the same start must not look like one with an older snapshot.
+                    known_incarnation -= 1;
                 }
-                let (highest, is_complete) = (self.highest(), self.is_complete);
+                let (highest, is_complete) = (self.highest_epoch(), self.is_complete);
                 let message = Message::RecoveryResponse {
                     from: self.me,
                     requested_by: *incarnation,
                     highest,
-                    last_known: known,
+                    last_known: known_incarnation,
                     is_complete,
                 };
                 self.enqueue(Destination::Voter(*from), message);
@@ -232,7 +236,8 @@
         }
     }
 
-    fn highest(&self) -> Epoch {
+    /// The highest epoch of any lease that this voter may have granted.
+    fn highest_epoch(&self) -> Epoch {
         self.votes.values().map(|vote| vote.epoch).max().unwrap_or_default().max(self.epoch_floor)
     }
 
@@ -286,8 +291,8 @@
             return Some(Verdict::Granted(requested.epoch));
         }
         if now < vote.until && vote.holder != from {
-            // The latest request stands last.
-            vote.waiters.retain(|one| *one != from);
+            // The waiters are in the order of their latest requests.
+            vote.waiters.retain(|waiter| *waiter != from);
             if vote.waiters.len() == MAX_WAITERS {
                 vote.waiters.remove(0);
             }
@@ -321,14 +326,13 @@
             }
             (vote.round, vote.until) = (round, vote.until.min(now));
             let epoch = vote.epoch;
-            // A release after a collision is not announced, or a third candidate would join the collision.
+            // A release after a conflict is not notified, or a third candidate would join the conflict.
             if !held {
                 continue;
             }
             let waiters = std::mem::take(&mut vote.waiters);
-            // Notifies only the candidate whose request came last, so that waiting candidates do not all
-            // request at once. It is the least likely to have stopped meanwhile; the others retry by
-            // themselves.
+            // Notifies only the candidate whose request came last, which is the least likely to have stopped.
+            // If all were notified, they would request at the same time; the others retry by themselves.
             if let Some(last) = waiters.last() {
                 let message = Message::Available { from: self.me, lease: requested.lease, epoch };
                 self.enqueue(Destination::Candidate(*last), message);
@@ -378,10 +382,10 @@
 
     /// The snapshot to write and its number; `None` if it is durable or a write is in progress.
     pub fn start_write(&mut self) -> Option<(u64, VoterSnapshot)> {
-        if self.writing || self.durable_number == self.snapshot_number {
+        if self.is_writing || self.durable_number == self.snapshot_number {
             return None;
         }
-        self.writing = true;
+        self.is_writing = true;
         let votes = self.votes.iter().map(|(lease, vote)| (*lease, vote.epoch, vote.holder)).collect();
         let incarnations = self
             .incarnations
@@ -398,18 +402,18 @@
         Some((self.snapshot_number, snapshot))
     }
 
-    /// Reports the end of a write. After a failure its messages stay queued, and the snapshot is written
-    /// again.
-    pub fn write_finished(&mut self, number: u64, done: bool) {
-        self.writing = false;
-        if done {
+    /// Reports the end of a write. After a failure the messages that wait for it stay queued, and
+    /// [`Voter::start_write`] returns the snapshot again.
+    pub fn write_finished(&mut self, number: u64, succeeded: bool) {
+        self.is_writing = false;
+        if succeeded {
             self.durable_number = self.durable_number.max(number);
         }
     }
 
-    /// The messages that may be sent now.
+    /// Removes and returns the messages whose snapshots are durable, so that they may be sent.
     pub fn take_outgoing(&mut self) -> Vec<(Destination, Message)> {
-        let ready = self.pending.iter().take_while(|(after, ..)| *after <= self.durable_number).count();
+        let ready = self.pending.iter().take_while(|(required, ..)| *required <= self.durable_number).count();
         self.pending.drain(..ready).map(|(_, to, message)| (to, message)).collect()
     }
 
@@ -421,5 +425,5 @@
     }
 }
 
-/// Maximum number of messages that wait for the disk.
+/// Maximum number of messages that wait for a durable snapshot.
 const MAX_PENDING_MESSAGES: usize = 1024;
--- a/crates/arrowyard-leases/tests/model_check.rs
+++ b/crates/arrowyard-leases/tests/model_check.rs
@@ -23,10 +23,11 @@
 #[derive(Clone, Debug)]
 struct Scenario {
     config: LeaseConfig,
-    /// The number of ticks, the rate of each clock in percent, and the possible crashes, each at most once.
     ticks: u8,
+    /// The rate of each clock in percent.
     voter_clocks: [i64; 3],
     candidate_clocks: [i64; 2],
+    /// The possible crashes, each at most once: the voter, and the store with which it restarts.
     crashes: Vec<(usize, Store)>,
     /// The tick at which crashes happen; `None` for any.
     crash_at: Option<u8>,
@@ -73,12 +74,15 @@
 struct SystemState {
     tick: u8,
     voters: Vec<Voter>,
+    /// The newest snapshot that each voter has stored, and its first one.
     disks: Vec<VoterSnapshot>,
     initial_disks: Vec<VoterSnapshot>,
     candidates: Vec<Candidate>,
     in_flight: BTreeSet<(Destination, Message)>,
     delayed: BTreeSet<(Destination, Message)>,
+    /// The numbers of faults and of duplicates that may still happen.
     faults: u8,
+    /// By the index of the scenario's crashes: whether it has happened.
     crashes: Vec<bool>,
     duplicates: u8,
     /// Effects that were started and have not arrived, and the state of the receiver.
@@ -95,30 +99,32 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 enum Step {
     Tick,
-    /// A candidate runs, and its messages have these fates; until then it is paused.
+    /// A candidate runs its timers, and its messages have these fates. Without this step it is paused.
     RunCandidate(usize, [Fate; 3]),
     Deliver(Destination, Message),
     Duplicate(Destination, Message),
+    /// The index of the scenario's crash, the voter, and its store.
     Crash(usize, usize, Store),
     Release(usize, [Fate; 3]),
     StartEffect(usize),
     DeliverEffect(usize, Epoch),
 }
 
-/// The fate of a message to a voter. Voting voters do not communicate with each other, so only the order at
-/// each voter matters: a delayed message arrives before or after any other.
+/// The fate of a message to a voter. Voting voters do not communicate with each other, so only the order of
+/// arrival at each voter matters; a delayed message arrives before or after any other one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 enum Fate {
     Lost,
-    /// The message arrives, and the response is lost.
-    Received,
+    /// The message arrives, and its response is lost.
+    ResponseLost,
     Delivered,
     /// The response is delayed.
     ResponseDelayed,
     Delayed,
 }
 
-const FATES: [Fate; 5] = [Fate::Lost, Fate::Received, Fate::Delivered, Fate::ResponseDelayed, Fate::Delayed];
+const FATES: [Fate; 5] =
+    [Fate::Lost, Fate::ResponseLost, Fate::Delivered, Fate::ResponseDelayed, Fate::Delayed];
 
 /// All fates of three messages with at most this many faults.
 fn fates(faults: u8) -> Vec<[Fate; 3]> {
@@ -136,29 +142,29 @@
 const LEASE_NAME: &str = "task";
 
 impl Scenario {
-    fn voter_now(&self, tick: u8, of: usize) -> Timestamp {
-        Timestamp::from_micros(1_000_000 + i64::from(tick) * 10 * self.voter_clocks[of])
+    fn voter_now(&self, tick: u8, voter: usize) -> Timestamp {
+        Timestamp::from_micros(1_000_000 + i64::from(tick) * 10 * self.voter_clocks[voter])
     }
 
-    fn candidate_now(&self, tick: u8, of: usize) -> Timestamp {
-        Timestamp::from_micros(2_000_000 + i64::from(tick) * 10 * self.candidate_clocks[of])
+    fn candidate_now(&self, tick: u8, candidate: usize) -> Timestamp {
+        Timestamp::from_micros(2_000_000 + i64::from(tick) * 10 * self.candidate_clocks[candidate])
     }
 
-    fn write_and_take_outgoing(&self, state: &mut SystemState, of: usize) -> Vec<(Destination, Message)> {
-        if let Some((number, snapshot)) = state.voters[of].start_write() {
-            state.disks[of] = snapshot;
-            state.voters[of].write_finished(number, true);
+    fn write_and_take_outgoing(&self, state: &mut SystemState, voter: usize) -> Vec<(Destination, Message)> {
+        if let Some((number, snapshot)) = state.voters[voter].start_write() {
+            state.disks[voter] = snapshot;
+            state.voters[voter].write_finished(number, true);
         }
-        state.voters[of].take_outgoing()
+        state.voters[voter].take_outgoing()
     }
 
-    fn write_and_send(&self, state: &mut SystemState, of: usize) {
-        let sends = self.write_and_take_outgoing(state, of);
-        state.in_flight.extend(sends);
+    fn write_and_send(&self, state: &mut SystemState, voter: usize) {
+        let outgoing = self.write_and_take_outgoing(state, voter);
+        state.in_flight.extend(outgoing);
     }
 
-    fn permit(&self, state: &SystemState, of: usize) -> Option<Permit> {
-        state.candidates[of].permit(self.candidate_now(state.tick, of), lease_id(LEASE_NAME))
+    fn permit(&self, state: &SystemState, candidate: usize) -> Option<Permit> {
+        state.candidates[candidate].permit(self.candidate_now(state.tick, candidate), lease_id(LEASE_NAME))
     }
 
     /// Treats responses to closed rounds as lost, since they change nothing but the known epoch.
@@ -173,25 +179,25 @@
     }
 
     /// Sends the messages of a candidate, each with the fate of its voter.
-    fn send_messages(&self, state: &mut SystemState, of: usize, fates: [Fate; 3]) {
-        state.candidates[of].events.clear();
-        for (to, message) in std::mem::take(&mut state.candidates[of].outbox) {
+    fn send_messages(&self, state: &mut SystemState, candidate: usize, fates: [Fate; 3]) {
+        state.candidates[candidate].events.clear();
+        for (to, message) in std::mem::take(&mut state.candidates[candidate].outbox) {
             let Destination::Voter(voter) = to else { continue };
-            let at = usize::from(voter.0);
-            state.faults -= u8::from(fates[at] != Fate::Delivered);
-            match fates[at] {
+            let voter_index = usize::from(voter.0);
+            state.faults -= u8::from(fates[voter_index] != Fate::Delivered);
+            match fates[voter_index] {
                 Fate::Lost => {}
                 Fate::Delayed => {
                     state.delayed.insert((to, message));
                 }
                 fate => {
-                    let now = self.voter_now(state.tick, at);
-                    state.voters[at].handle_message(now, &message);
-                    for (to, answer) in self.write_and_take_outgoing(state, at) {
+                    let now = self.voter_now(state.tick, voter_index);
+                    state.voters[voter_index].handle_message(now, &message);
+                    for (to, response) in self.write_and_take_outgoing(state, voter_index) {
                         match fate {
-                            Fate::Delivered => self.deliver(state, to, &answer),
+                            Fate::Delivered => self.deliver(state, to, &response),
                             Fate::ResponseDelayed => {
-                                state.delayed.insert((to, answer));
+                                state.delayed.insert((to, response));
                             }
                             _ => {}
                         }
@@ -204,18 +210,18 @@
     fn deliver(&self, state: &mut SystemState, to: Destination, message: &Message) {
         match to {
             Destination::Voter(voter) => {
-                let of = usize::from(voter.0);
-                let now = self.voter_now(state.tick, of);
-                state.voters[of].handle_message(now, message);
-                self.write_and_send(state, of);
+                let index = usize::from(voter.0);
+                let now = self.voter_now(state.tick, index);
+                state.voters[index].handle_message(now, message);
+                self.write_and_send(state, index);
             }
             Destination::Candidate(id) => {
-                let of = id.0 as usize;
-                let now = self.candidate_now(state.tick, of);
-                state.candidates[of].handle_message(now, message, || 1.0);
-                // Releases after a failed round arrive in time; Fate::Received of the response covers their
-                // loss.
-                self.send_messages(state, of, [Fate::Delivered; 3]);
+                let index = id.0 as usize;
+                let now = self.candidate_now(state.tick, index);
+                state.candidates[index].handle_message(now, message, || 1.0);
+                // Releases after a failed round arrive in time. A lost release is covered by the fate
+                // in which the response is lost.
+                self.send_messages(state, index, [Fate::Delivered; 3]);
             }
         }
     }
@@ -228,12 +234,12 @@
     fn init_states(&self) -> Vec<SystemState> {
         let config = self.config;
         // The voters are past their startup wait.
-        let long_ago = |of: usize| self.voter_now(0, of) - TimeDelta::from_millis(1000);
+        let started_at = |index: usize| self.voter_now(0, index) - TimeDelta::from_millis(1000);
         let snapshot = VoterSnapshot { is_complete: true, ..VoterSnapshot::default() };
-        let voters = (0..3_u8).map(|of| {
-            let me = arrowyard_leases::VoterId(of);
-            let mut voter = Voter::start(long_ago(of.into()), config, me, Some(snapshot.clone()), 1);
-            voter.tick(self.voter_now(0, of.into()));
+        let voters = (0..3_u8).map(|index| {
+            let id = arrowyard_leases::VoterId(index);
+            let mut voter = Voter::start(started_at(index.into()), config, id, Some(snapshot.clone()), 1);
+            voter.tick(self.voter_now(0, index.into()));
             if let Some((number, _)) = voter.start_write() {
                 voter.write_finished(number, true);
             }
@@ -243,10 +249,10 @@
         });
         let voters: Vec<Voter> = voters.collect();
         let snapshot = VoterSnapshot { incarnation: 1, ..snapshot };
-        let candidates = (0..2).map(|of| {
-            let mut one = Candidate::new(config, CandidateId(of));
-            one.request(self.candidate_now(0, of as usize), lease_id(LEASE_NAME), 0, 0.0);
-            one
+        let candidates = (0..2).map(|index| {
+            let mut candidate = Candidate::new(config, CandidateId(index));
+            candidate.request(self.candidate_now(0, index as usize), lease_id(LEASE_NAME), 0, 0.0);
+            candidate
         });
         vec![SystemState {
             tick: 0,
@@ -272,21 +278,21 @@
         if state.tick < self.ticks {
             steps.push(Step::Tick);
         }
-        for (of, one) in state.candidates.iter().enumerate() {
-            if one.next_at().is_some_and(|at| at <= self.candidate_now(state.tick, of)) {
-                steps.extend(fates(state.faults).into_iter().map(|fates| Step::RunCandidate(of, fates)));
+        for (index, candidate) in state.candidates.iter().enumerate() {
+            if candidate.next_at().is_some_and(|at| at <= self.candidate_now(state.tick, index)) {
+                steps.extend(fates(state.faults).into_iter().map(|fates| Step::RunCandidate(index, fates)));
             }
-            let holds = self.permit(state, of);
-            if self.releases && holds.is_some() {
-                steps.extend(fates(state.faults).into_iter().map(|fates| Step::Release(of, fates)));
+            let permit = self.permit(state, index);
+            if self.releases && permit.is_some() {
+                steps.extend(fates(state.faults).into_iter().map(|fates| Step::Release(index, fates)));
             }
-            if let Some(permit) = holds.filter(|_| self.delayed_effects)
-                && !state.pending_effects.contains(&(of, permit.epoch))
+            if let Some(permit) = permit.filter(|_| self.delayed_effects)
+                && !state.pending_effects.contains(&(index, permit.epoch))
             {
-                steps.push(Step::StartEffect(of));
+                steps.push(Step::StartEffect(index));
             }
         }
-        steps.extend(state.pending_effects.iter().map(|&(of, epoch)| Step::DeliverEffect(of, epoch)));
+        steps.extend(state.pending_effects.iter().map(|&(index, epoch)| Step::DeliverEffect(index, epoch)));
         for (to, message) in &state.in_flight {
             steps.push(Step::Deliver(*to, message.clone()));
         }
@@ -296,61 +302,62 @@
                 steps.push(Step::Duplicate(*to, message.clone()));
             }
         }
-        for (at, &(of, store)) in self.crashes.iter().enumerate() {
-            if !state.crashes[at] && self.crash_at.is_none_or(|tick| tick == state.tick) {
-                steps.push(Step::Crash(at, of, store));
+        for (crash, &(voter, store)) in self.crashes.iter().enumerate() {
+            if !state.crashes[crash] && self.crash_at.is_none_or(|tick| tick == state.tick) {
+                steps.push(Step::Crash(crash, voter, store));
             }
         }
     }
 
-    fn next_state(&self, before: &SystemState, step: Step) -> Option<SystemState> {
-        let mut state = before.clone();
+    fn next_state(&self, previous: &SystemState, step: Step) -> Option<SystemState> {
+        let mut state = previous.clone();
         match step {
             Step::Tick => {
                 state.tick += 1;
                 state.in_flight.clear();
-                for of in 0..3 {
-                    state.voters[of].tick(self.voter_now(state.tick, of));
-                    self.write_and_send(&mut state, of);
+                for index in 0..3 {
+                    state.voters[index].tick(self.voter_now(state.tick, index));
+                    self.write_and_send(&mut state, index);
                 }
             }
-            Step::RunCandidate(of, fates) => {
-                let now = self.candidate_now(state.tick, of);
-                state.candidates[of].tick(now, || 1.0);
-                self.send_messages(&mut state, of, fates);
+            Step::RunCandidate(index, fates) => {
+                let now = self.candidate_now(state.tick, index);
+                state.candidates[index].tick(now, || 1.0);
+                self.send_messages(&mut state, index, fates);
             }
             Step::Deliver(to, message) => {
-                let of = (to, message.clone());
-                let _ = state.in_flight.remove(&of) || state.delayed.remove(&of);
+                let addressed = (to, message.clone());
+                let _ = state.in_flight.remove(&addressed) || state.delayed.remove(&addressed);
                 self.deliver(&mut state, to, &message);
             }
             Step::Duplicate(to, message) => {
                 state.duplicates -= 1;
                 self.deliver(&mut state, to, &message);
             }
-            Step::Crash(at, of, store) => {
-                state.crashes[at] = true;
+            Step::Crash(crash, index, store) => {
+                state.crashes[crash] = true;
                 let snapshot = match store {
-                    Store::Current => Some(state.disks[of].clone()),
+                    Store::Current => Some(state.disks[index].clone()),
                     Store::Lost => None,
-                    Store::Older => Some(state.initial_disks[of].clone()),
+                    Store::Older => Some(state.initial_disks[index].clone()),
                 };
-                let me = arrowyard_leases::VoterId(of as u8);
-                state.voters[of] = Voter::start(self.voter_now(state.tick, of), self.config, me, snapshot, 2);
-                self.write_and_send(&mut state, of);
+                let id = arrowyard_leases::VoterId(index as u8);
+                state.voters[index] =
+                    Voter::start(self.voter_now(state.tick, index), self.config, id, snapshot, 2);
+                self.write_and_send(&mut state, index);
             }
-            Step::Release(of, fates) => {
-                state.candidates[of].release(lease_id(LEASE_NAME));
-                self.send_messages(&mut state, of, fates);
+            Step::Release(index, fates) => {
+                state.candidates[index].release(lease_id(LEASE_NAME));
+                self.send_messages(&mut state, index, fates);
             }
-            Step::StartEffect(of) => {
-                let permit = self.permit(&state, of)?;
-                state.pending_effects.insert((of, permit.epoch));
+            Step::StartEffect(index) => {
+                let permit = self.permit(&state, index)?;
+                state.pending_effects.insert((index, permit.epoch));
             }
-            Step::DeliverEffect(of, epoch) => {
-                state.pending_effects.remove(&(of, epoch));
+            Step::DeliverEffect(index, epoch) => {
+                state.pending_effects.remove(&(index, epoch));
                 let accepted =
-                    state.fencing_guard.admit(lease_id(LEASE_NAME), epoch, CandidateId(of as u64)).is_ok();
+                    state.fencing_guard.admit(lease_id(LEASE_NAME), epoch, CandidateId(index as u64)).is_ok();
                 if accepted || self.config.flaw == Some(Flaw::SkipFencingCheck) {
                     state.epoch_regressed |= state.last_effect_epoch.is_some_and(|newest| epoch < newest);
                     state.last_effect_epoch = Some(epoch);
@@ -358,11 +365,12 @@
             }
         }
         Scenario::drop_stale_responses(&mut state);
-        for of in 0..2 {
-            let Some(permit) = self.permit(&state, of) else { continue };
-            let reused = state.latest_holder.is_some_and(|(epoch, by)| by != of && permit.epoch <= epoch);
+        for index in 0..2 {
+            let Some(permit) = self.permit(&state, index) else { continue };
+            let reused =
+                state.latest_holder.is_some_and(|(epoch, holder)| holder != index && permit.epoch <= epoch);
             state.epoch_reused |= reused;
-            state.latest_holder = state.latest_holder.max(Some((permit.epoch, of)));
+            state.latest_holder = state.latest_holder.max(Some((permit.epoch, index)));
         }
         Some(state)
     }
@@ -372,7 +380,7 @@
             Property::always(
                 "at most one candidate holds the lease",
                 |scenario: &Scenario, state: &SystemState| {
-                    (0..2).filter(|&of| scenario.permit(state, of).is_some()).count() < 2
+                    (0..2).filter(|&candidate| scenario.permit(state, candidate).is_some()).count() < 2
                 },
             ),
             Property::always(
@@ -382,8 +390,8 @@
             Property::always(
                 "each holder has a higher epoch than all previous holders",
                 |scenario: &Scenario, state: &SystemState| {
-                    // An older store that no other voter reports is outside this guarantee; the fencing
-                    // check remains.
+                    // An older store that no other voter detects is outside this guarantee; the fencing
+                    // check still rejects effects.
                     !state.epoch_reused || scenario.crashes.iter().any(|(_, store)| *store == Store::Older)
                 },
             ),
@@ -398,20 +406,17 @@
 
 /// Returns the number of unique states and the violated properties.
 fn check(scenario: Scenario) -> (usize, Vec<&'static str>) {
-    let flawed = scenario.config.flaw.is_some();
+    let has_flaw = scenario.config.flaw.is_some();
     let builder = scenario.checker().threads(4);
     // A faulty variant need not be explored to the end.
-    let builder = if flawed { builder.finish_when(HasDiscoveries::AnyFailures) } else { builder };
+    let builder = if has_flaw { builder.finish_when(HasDiscoveries::AnyFailures) } else { builder };
     let checker = builder.spawn_bfs().join();
-    let found = checker.discoveries();
+    let discoveries = checker.discoveries();
     const REACHABLE: &str = "every candidate can hold the lease";
-    assert!(
-        found.contains_key(REACHABLE) || flawed,
-        "no scenario step lets the second candidate hold the lease"
-    );
-    let mut broken: Vec<&'static str> = found.into_keys().filter(|name| *name != REACHABLE).collect();
-    broken.sort_unstable();
-    (checker.unique_state_count(), broken)
+    assert!(discoveries.contains_key(REACHABLE) || has_flaw, "the second candidate never holds the lease");
+    let mut violated: Vec<&'static str> = discoveries.into_keys().filter(|name| *name != REACHABLE).collect();
+    violated.sort_unstable();
+    (checker.unique_state_count(), violated)
 }
 
 /// The scenarios by name.
@@ -455,10 +460,10 @@
         "voter restores an older store",
     ];
     for name in names {
-        let began = std::time::Instant::now();
-        let (states, broken) = check(scenario(name, None));
-        println!("{name}: {states} states in {:?}", began.elapsed());
-        assert!(broken.is_empty() && states > 200, "{name}: violated {broken:?} in {states} states");
+        let started_at = std::time::Instant::now();
+        let (states, violated) = check(scenario(name, None));
+        println!("{name}: {states} states in {:?}", started_at.elapsed());
+        assert!(violated.is_empty() && states > 200, "{name}: violated {violated:?} in {states} states");
     }
 }
 
@@ -476,8 +481,8 @@
         (Flaw::NoRecovery, "voter loses its store"),
     ];
     for (flaw, name) in cases {
-        let (states, broken) = check(scenario(name, Some(flaw)));
-        println!("{flaw:?} in {name}: {broken:?}, {states} states");
-        assert!(!broken.is_empty(), "{flaw:?} is not detected in {name}, {states} states");
+        let (states, violated) = check(scenario(name, Some(flaw)));
+        println!("{flaw:?} in {name}: {violated:?}, {states} states");
+        assert!(!violated.is_empty(), "{flaw:?} is not detected in {name}, {states} states");
     }
 }
--- a/crates/arrowyard-leases/tests/protocol.rs
+++ b/crates/arrowyard-leases/tests/protocol.rs
@@ -22,9 +22,9 @@
 const TERM: i64 = 3000;
 
 /// A voter that is past its startup wait at time 0.
-fn voter(of: u8) -> Voter {
+fn voter(index: u8) -> Voter {
     let snapshot = VoterSnapshot { is_complete: true, ..VoterSnapshot::default() };
-    let mut voter = Voter::start(at(-TERM), LeaseConfig::default(), VoterId(of), Some(snapshot), 1);
+    let mut voter = Voter::start(at(-TERM), LeaseConfig::default(), VoterId(index), Some(snapshot), 1);
     voter.tick(at(0));
     write_and_take_outgoing(&mut voter);
     voter
@@ -37,14 +37,15 @@
     voter.take_outgoing()
 }
 
-/// A request or release, and whether it was granted, for the reference model.
+/// A request or release that the voter handled, and whether it was granted.
 #[derive(Clone, Debug)]
 struct HistoryEntry {
+    /// In milliseconds, as all times here.
     now: i64,
-    who: u64,
+    candidate: u64,
     round: u64,
     epoch: u64,
-    free: bool,
+    is_release: bool,
     granted: bool,
 }
 
@@ -52,34 +53,36 @@
 fn expected_response(
     history: &[HistoryEntry],
     now: i64,
-    who: u64,
+    candidate: u64,
     round: u64,
     epoch: u64,
 ) -> Option<&'static str> {
-    let newest = history.iter().filter(|one| one.granted).map(|one| one.epoch).max();
-    let Some(newest) = newest else { return Some(if epoch == 0 { "old" } else { "granted" }) };
-    let first =
-        history.iter().position(|one| one.granted && one.epoch == newest).expect("the epoch was granted");
-    let holder = history[first].who;
+    let newest = history.iter().filter(|entry| entry.granted).map(|entry| entry.epoch).max();
+    let Some(newest) = newest else { return Some(if epoch == 0 { "stale epoch" } else { "granted" }) };
+    let first_grant = history
+        .iter()
+        .position(|entry| entry.granted && entry.epoch == newest)
+        .expect("the epoch was granted");
+    let holder = history[first_grant].candidate;
     // Replays the rounds of the newest grant in order.
-    let (mut last, mut until) = (history[first].round, history[first].now + TERM);
-    for one in &history[first + 1..] {
-        if one.who != holder || one.epoch != newest || one.round < last {
+    let (mut last_round, mut held_until) = (history[first_grant].round, history[first_grant].now + TERM);
+    for entry in &history[first_grant + 1..] {
+        if entry.candidate != holder || entry.epoch != newest || entry.round < last_round {
             continue;
         }
-        if one.free {
-            (last, until) = (one.round, until.min(one.now));
-        } else if one.round > last {
-            (last, until) = (one.round, one.now + TERM);
+        if entry.is_release {
+            (last_round, held_until) = (entry.round, held_until.min(entry.now));
+        } else if entry.round > last_round {
+            (last_round, held_until) = (entry.round, entry.now + TERM);
         }
     }
-    if who == holder && epoch == newest {
-        return (round >= last).then_some("granted");
+    if candidate == holder && epoch == newest {
+        return (round >= last_round).then_some("granted");
     }
-    if now < until && who != holder {
+    if now < held_until && candidate != holder {
         return Some("held");
     }
-    Some(if epoch <= newest { "old" } else { "granted" })
+    Some(if epoch <= newest { "stale epoch" } else { "granted" })
 }
 
 proptest! {
@@ -90,40 +93,40 @@
     ) {
         let mut voter = voter(0);
         let (mut now, mut history): (i64, Vec<HistoryEntry>) = (1, Vec::new());
-        let id = lease_id("a");
-        for (after, who, round, epoch, kind) in steps {
-            now += after;
-            let wants = vec![LeaseEpoch { lease: id, epoch: Epoch(epoch) }];
-            let (from, free) = (CandidateId(who), kind == 0);
-            let message = if free { Message::Release { from, round, held: round % 2 == 0, leases: wants } } else { Message::Request { from, round, leases: wants } };
-            let expected = expected_response(&history, now, who, round, epoch).filter(|_| !free);
+        let lease = lease_id("a");
+        for (elapsed_ms, candidate, round, epoch, kind) in steps {
+            now += elapsed_ms;
+            let leases = vec![LeaseEpoch { lease, epoch: Epoch(epoch) }];
+            let (from, is_release) = (CandidateId(candidate), kind == 0);
+            let message = if is_release { Message::Release { from, round, held: round % 2 == 0, leases } } else { Message::Request { from, round, leases } };
+            let expected = expected_response(&history, now, candidate, round, epoch).filter(|_| !is_release);
             voter.handle_message(at(now), &message);
             let response = write_and_take_outgoing(&mut voter).into_iter().find_map(|(_, message)| match message {
                 Message::Response { verdicts, .. } => Some(match verdicts[0].1 {
                     Verdict::Granted(_) => "granted",
                     Verdict::Held { .. } => "held",
-                    Verdict::StaleEpoch(_) => "old",
-                    _ => "else",
+                    Verdict::StaleEpoch(_) => "stale epoch",
+                    _ => "other",
                 }),
                 _ => None,
             });
             prop_assert_eq!(response, expected, "{:?} after {:?}", message, history);
-            history.push(HistoryEntry { now, who, round, epoch, free, granted: response == Some("granted") });
+            history.push(HistoryEntry { now, candidate, round, epoch, is_release, granted: response == Some("granted") });
         }
     }
 
     #[test]
     fn damaged_datagrams_are_dropped_and_valid_ones_round_trip(
-        round in any::<u64>(), epoch in any::<u64>(), at in 0_usize..200, bit in 0_u8..8, cut in 0_usize..200,
+        round in any::<u64>(), epoch in any::<u64>(), position in 0_usize..200, bit in 0_u8..8, length in 0_usize..200,
     ) {
-        let wants = vec![LeaseEpoch { lease: lease_id("a"), epoch: Epoch(epoch) }; 3];
+        let leases = vec![LeaseEpoch { lease: lease_id("a"), epoch: Epoch(epoch) }; 3];
         let verdicts = vec![
             (lease_id("a"), Verdict::Held { epoch: Epoch(epoch), remaining: ms(7) }),
             (lease_id("b"), Verdict::Granted(Epoch(1))),
         ];
         let messages = [
-            Message::Request { from: CandidateId(round), round, leases: wants.clone() },
-            Message::Release { from: CandidateId(round), round, held: true, leases: wants },
+            Message::Request { from: CandidateId(round), round, leases: leases.clone() },
+            Message::Release { from: CandidateId(round), round, held: true, leases },
             Message::Response { from: VoterId(2), round, clock: Timestamp::from_micros(-5), verdicts },
             Message::Available { from: VoterId(1), lease: lease_id("a"), epoch: Epoch(epoch) },
             Message::RecoveryRequest { from: VoterId(1), incarnation: round, nonce: epoch },
@@ -134,41 +137,41 @@
             prop_assert_eq!(decode(&bytes, 7), Ok(message.clone()));
             prop_assert_eq!(decode(&bytes, 8), Err(DecodeError::Foreign));
             let mut broken = bytes.clone();
-            let place = at % bytes.len();
-            broken[place] ^= 1 << bit;
+            let position = position % bytes.len();
+            broken[position] ^= 1 << bit;
             prop_assert_eq!(decode(&broken, 7), Err(DecodeError::Garbled));
-            prop_assert!(decode(&bytes[..cut % bytes.len()], 7).is_err());
+            prop_assert!(decode(&bytes[..length % bytes.len()], 7).is_err());
         }
     }
 
     #[test]
     fn damaged_voter_files_are_rejected(
-        life in any::<u64>(), floor in any::<u64>(), at in 0_usize..300, bit in 0_u8..8, cut in 0_usize..300,
+        incarnation in any::<u64>(), epoch_floor in any::<u64>(), position in 0_usize..300, bit in 0_u8..8, length in 0_usize..300,
     ) {
         let snapshot = VoterSnapshot {
-            incarnation: life,
-            epoch_floor: Epoch(floor),
+            incarnation,
+            epoch_floor: Epoch(epoch_floor),
             is_complete: true,
             votes: vec![(lease_id("a"), Epoch(3), CandidateId(9)), (lease_id("b"), Epoch(4), CandidateId(8))],
-            incarnations: vec![(VoterId(1), life, floor)],
+            incarnations: vec![(VoterId(1), incarnation, epoch_floor)],
         };
         let bytes = storage::encode(&snapshot, 7, "n0");
         prop_assert_eq!(storage::decode(&bytes, 7, "n0"), Ok(snapshot));
         prop_assert_eq!(storage::decode(&bytes, 8, "n0"), Err(storage::LoadError::Foreign));
         prop_assert_eq!(storage::decode(&bytes, 7, "n1"), Err(storage::LoadError::Foreign), "file of another voter");
         let mut broken = bytes.clone();
-        let place = at % bytes.len();
-        broken[place] ^= 1 << bit;
+        let position = position % bytes.len();
+        broken[position] ^= 1 << bit;
         prop_assert!(storage::decode(&broken, 7, "n0").is_err());
-        prop_assert!(storage::decode(&bytes[..cut % bytes.len()], 7, "n0").is_err());
+        prop_assert!(storage::decode(&bytes[..length % bytes.len()], 7, "n0").is_err());
     }
 }
 
 #[test]
 fn no_message_is_sent_before_its_snapshot_is_durable() {
     let mut voter = voter(0);
-    let wants = vec![LeaseEpoch { lease: lease_id("a"), epoch: Epoch(1) }];
-    voter.handle_message(at(1), &Message::Request { from: CandidateId(1), round: 1, leases: wants.clone() });
+    let leases = vec![LeaseEpoch { lease: lease_id("a"), epoch: Epoch(1) }];
+    voter.handle_message(at(1), &Message::Request { from: CandidateId(1), round: 1, leases: leases.clone() });
     assert!(voter.take_outgoing().is_empty());
     let (number, snapshot) = voter.start_write().expect("the snapshot has changed");
     assert_eq!(snapshot.votes, [(lease_id("a"), Epoch(1), CandidateId(1))]);
@@ -176,7 +179,7 @@
     voter.write_finished(number, false);
     assert!(voter.take_outgoing().is_empty(), "the write failed");
     // A renewal does not change the snapshot, but must wait for the grant to be durable.
-    voter.handle_message(at(2), &Message::Request { from: CandidateId(1), round: 2, leases: wants });
+    voter.handle_message(at(2), &Message::Request { from: CandidateId(1), round: 2, leases });
     assert!(voter.take_outgoing().is_empty());
     let (number, _) = voter.start_write().expect("the failed write is repeated");
     voter.write_finished(number, true);
@@ -188,20 +191,20 @@
 fn a_voter_without_votes_recovers_from_a_majority_of_others_after_its_wait() {
     let config = LeaseConfig { voter_count: 5, ..LeaseConfig::default() };
     let mut voter = Voter::start(at(0), config, VoterId(0), None, 3);
-    let respond = |voter: &mut Voter, now: i64, from: u8, highest: u64, whole: bool| {
-        let asked = voter.incarnation();
+    let respond = |voter: &mut Voter, now: i64, from: u8, highest: u64, is_complete: bool| {
+        let requested_by = voter.incarnation();
         let message = Message::RecoveryResponse {
             from: VoterId(from),
-            requested_by: asked,
+            requested_by,
             highest: Epoch(highest),
             last_known: 0,
-            is_complete: whole,
+            is_complete,
         };
         voter.handle_message(at(now), &message);
     };
     (1..5).for_each(|from| respond(&mut voter, 10, from, 9, true));
     assert!(matches!(voter.stage(), Stage::Waiting(_)), "responses during the wait do not count");
-    let early = voter.incarnation();
+    let first_incarnation = voter.incarnation();
     voter.tick(at(TERM));
     for from in 1..5 {
         // Sent before the wait was over, and delayed.
@@ -210,7 +213,7 @@
             at(TERM),
             &Message::RecoveryResponse {
                 from,
-                requested_by: early,
+                requested_by: first_incarnation,
                 highest,
                 last_known: 0,
                 is_complete: true,
@@ -231,66 +234,72 @@
     );
     respond(&mut voter, TERM, 4, 7, true);
     assert_eq!(*voter.stage(), Stage::Voting);
-    let ask = |epoch| Message::Request {
+    let request = |epoch| Message::Request {
         from: CandidateId(1),
         round: epoch,
         leases: vec![LeaseEpoch { lease: lease_id("a"), epoch: Epoch(epoch) }],
     };
-    let mut response = |epoch| {
-        voter.handle_message(at(TERM + 1), &ask(epoch));
+    let mut verdict = |epoch| {
+        voter.handle_message(at(TERM + 1), &request(epoch));
         write_and_take_outgoing(&mut voter).into_iter().find_map(|(_, message)| match message {
             Message::Response { verdicts, .. } => Some(verdicts[0].1),
             _ => None,
         })
     };
-    assert_eq!(response(9), Some(Verdict::StaleEpoch(Epoch(9))));
-    assert_eq!(response(10), Some(Verdict::Granted(Epoch(10))));
+    assert_eq!(verdict(9), Some(Verdict::StaleEpoch(Epoch(9))));
+    assert_eq!(verdict(10), Some(Verdict::Granted(Epoch(10))));
 }
 
 #[test]
 fn an_older_snapshot_is_detected_by_its_incarnation_and_a_repeated_request_is_not() {
-    let (mut other, mut one) = (voter(1), voter(0));
-    let learn = |incarnation, start| Message::RecoveryRequest { from: VoterId(0), incarnation, nonce: start };
-    let known = |other: &mut Voter, message: &Message| {
-        other.handle_message(at(1), message);
-        let response = write_and_take_outgoing(other).into_iter().find_map(|(_, message)| match message {
-            Message::RecoveryResponse { last_known, .. } => Some((last_known, message)),
-            _ => None,
-        });
+    let (mut other_voter, mut voter) = (voter(1), voter(0));
+    let recovery_request =
+        |incarnation, nonce| Message::RecoveryRequest { from: VoterId(0), incarnation, nonce };
+    let last_known = |other_voter: &mut Voter, message: &Message| {
+        other_voter.handle_message(at(1), message);
+        let response =
+            write_and_take_outgoing(other_voter).into_iter().find_map(|(_, message)| match message {
+                Message::RecoveryResponse { last_known, .. } => Some((last_known, message)),
+                _ => None,
+            });
         response.expect("the voter responds")
     };
-    assert_eq!(known(&mut other, &learn(4, 70)).0, 0);
-    assert_eq!(known(&mut other, &learn(4, 70)).0, 3, "a repeated request of the same start");
-    assert_eq!(known(&mut other, &learn(5, 71)).0, 4);
-    // An older store was restored: the incarnation repeats.
-    assert_eq!(known(&mut other, &learn(4, 72)).0, 5);
-    let (incarnation, message) = known(&mut other, &learn(5, 73));
+    assert_eq!(last_known(&mut other_voter, &recovery_request(4, 70)).0, 0);
+    assert_eq!(
+        last_known(&mut other_voter, &recovery_request(4, 70)).0,
+        3,
+        "a repeated request of the same start"
+    );
+    assert_eq!(last_known(&mut other_voter, &recovery_request(5, 71)).0, 4);
+    // An older snapshot was restored: the incarnation repeats.
+    assert_eq!(last_known(&mut other_voter, &recovery_request(4, 72)).0, 5);
+    let (incarnation, message) = last_known(&mut other_voter, &recovery_request(5, 73));
     assert_eq!(incarnation, 5);
-    one.handle_message(at(2), &message);
-    assert!(matches!(one.stage(), Stage::Recovering(_)), "the voter stops voting");
-    assert_eq!(one.incarnation(), 6);
+    voter.handle_message(at(2), &message);
+    assert!(matches!(voter.stage(), Stage::Recovering(_)), "the voter stops voting");
+    assert_eq!(voter.incarnation(), 6);
 }
 
 /// Delivers all messages between voters and a candidate immediately. Returns the number of messages from the
 /// candidate.
-fn settle(voters: &mut [Voter], one: &mut Candidate, now: i64) -> usize {
+fn deliver_all(voters: &mut [Voter], candidate: &mut Candidate, now: i64) -> usize {
     let mut messages = 0;
     loop {
-        let out = std::mem::take(&mut one.outbox);
-        if out.is_empty() {
+        let outgoing = std::mem::take(&mut candidate.outbox);
+        if outgoing.is_empty() {
             return messages;
         }
-        messages += out.len();
-        for (to, message) in out {
-            let Destination::Voter(VoterId(of)) = to else { continue };
-            let voter = &mut voters[usize::from(of)];
+        messages += outgoing.len();
+        for (to, message) in outgoing {
+            let Destination::Voter(VoterId(index)) = to else { continue };
+            let voter = &mut voters[usize::from(index)];
             voter.handle_message(at(now), &message);
-            for (_, answer) in write_and_take_outgoing(voter) {
+            for (_, response) in write_and_take_outgoing(voter) {
                 assert!(
-                    encode(&answer, 1).len() <= MAX_DATAGRAM_BYTES
+                    encode(&response, 1).len() <= MAX_DATAGRAM_BYTES
                         && encode(&message, 1).len() <= MAX_DATAGRAM_BYTES
                 );
-                one.handle_message(at(now), &answer, || 0.5);
+                candidate.handle_message(at(now), &response, || 0.5);
             }
         }
     }
@@ -300,24 +309,24 @@
 fn ten_thousand_leases_share_messages_and_are_released_at_once() {
     let config = LeaseConfig::default();
     let mut voters: Vec<Voter> = (0..3).map(voter).collect();
-    let mut one = Candidate::new(config, CandidateId(5));
+    let mut candidate = Candidate::new(config, CandidateId(5));
     let leases: Vec<LeaseId> = (0..10_000).map(|n| lease_id(&format!("task-{n}"))).collect();
-    leases.iter().for_each(|&lease| one.request(at(0), lease, 0, 0.0));
-    one.tick(at(0), || 0.5);
-    let first = settle(&mut voters, &mut one, 0);
-    assert!(leases.iter().all(|&lease| one.permit(at(0), lease).is_some()));
-    assert_eq!(first, 10_000_usize.div_ceil(config.max_batch_leases) * 3);
+    leases.iter().for_each(|&lease| candidate.request(at(0), lease, 0, 0.0));
+    candidate.tick(at(0), || 0.5);
+    let first_messages = deliver_all(&mut voters, &mut candidate, 0);
+    assert!(leases.iter().all(|&lease| candidate.permit(at(0), lease).is_some()));
+    assert_eq!(first_messages, 10_000_usize.div_ceil(config.max_batch_leases) * 3);
     // Renewals during one term.
     let mut messages = 0;
     for now in (50..=TERM).step_by(50) {
-        one.tick(at(now), || 0.5);
-        messages += settle(&mut voters, &mut one, now);
+        candidate.tick(at(now), || 0.5);
+        messages += deliver_all(&mut voters, &mut candidate, now);
     }
-    assert!(messages <= first * 4, "{messages} messages per term");
-    assert!(leases.iter().all(|&lease| one.permit(at(TERM), lease).is_some()));
-    one.release_all();
-    settle(&mut voters, &mut one, TERM);
-    assert!(leases.iter().all(|&lease| one.permit(at(TERM), lease).is_none()));
+    assert!(messages <= first_messages * 4, "{messages} messages per term");
+    assert!(leases.iter().all(|&lease| candidate.permit(at(TERM), lease).is_some()));
+    candidate.release_all();
+    deliver_all(&mut voters, &mut candidate, TERM);
+    assert!(leases.iter().all(|&lease| candidate.permit(at(TERM), lease).is_none()));
     assert!(
         voters.iter().all(|voter| leases.iter().all(|&lease| voter.remaining(at(TERM + 1), lease).is_none()))
     );
@@ -328,40 +337,40 @@
     let config = LeaseConfig { max_leases: 4, ..LeaseConfig::default() };
     let snapshot = VoterSnapshot { is_complete: true, ..VoterSnapshot::default() };
     let mut voter = Voter::start(at(-TERM), config, VoterId(0), Some(snapshot), 1);
-    let wants = (0..6).map(|n| LeaseEpoch { lease: LeaseId(n), epoch: Epoch(1) }).collect();
-    voter.handle_message(at(0), &Message::Request { from: CandidateId(1), round: 1, leases: wants });
+    let leases = (0..6).map(|n| LeaseEpoch { lease: LeaseId(n), epoch: Epoch(1) }).collect();
+    voter.handle_message(at(0), &Message::Request { from: CandidateId(1), round: 1, leases });
     let response = write_and_take_outgoing(&mut voter).into_iter().find_map(|(_, message)| match message {
         Message::Response { verdicts, .. } => Some(verdicts),
         _ => None,
     });
-    let full =
+    let at_capacity =
         response.unwrap_or_default().iter().filter(|(_, verdict)| *verdict == Verdict::AtCapacity).count();
-    assert_eq!(full, 2);
+    assert_eq!(at_capacity, 2);
 }
 
 #[test]
 fn clock_drift_is_reported_and_slow_responses_are_not() {
-    let ask = |round| Message::Request { from: CandidateId(1), round, leases: Vec::new() };
-    let answer = |round, clock: i64| Message::Response {
+    let request = |round| Message::Request { from: CandidateId(1), round, leases: Vec::new() };
+    let response = |round, clock_us: i64| Message::Response {
         from: VoterId(1),
         round,
-        clock: Timestamp::from_micros(clock),
+        clock: Timestamp::from_micros(clock_us),
         verdicts: Vec::new(),
     };
     // The drift of the voter's clock, and the delay of its responses.
-    for (ppm, took, wanted) in
+    for (ppm, delay_ms, expected) in
         [(0, 2, false), (1900, 2, false), (3000, 2, true), (-3000, 2, true), (3000, 400, false)]
     {
-        let mut clocks = ClockMonitor::new(3, 1000);
-        let mut found = None;
+        let mut monitor = ClockMonitor::new(3, 1000);
+        let mut reported = None;
         for round in 0..20_u64 {
             let now = round as i64 * 1000;
-            clocks.observe(at(now), &ask(round));
-            let showed = (now + took / 2) * 1000;
-            let showed = 77_000_000 + showed + showed * ppm / 1_000_000;
-            found = found.or(clocks.observe(at(now + took), &answer(round, showed)));
+            monitor.observe(at(now), &request(round));
+            let true_us = (now + delay_ms / 2) * 1000;
+            let voter_us = 77_000_000 + true_us + true_us * ppm / 1_000_000;
+            reported = reported.or(monitor.observe(at(now + delay_ms), &response(round, voter_us)));
         }
-        assert_eq!(found.is_some(), wanted, "{ppm} ppm, responses after {took} ms: {found:?}");
+        assert_eq!(reported.is_some(), expected, "{ppm} ppm, responses after {delay_ms} ms: {reported:?}");
     }
 }
 
@@ -381,38 +390,39 @@
 #[test]
 fn a_lease_that_is_not_renewed_expires_at_its_holder_before_its_voters() {
     let mut voters: Vec<Voter> = (0..3).map(voter).collect();
-    let mut one = Candidate::new(LeaseConfig::default(), CandidateId(5));
-    one.request(at(0), lease_id("a"), 0, 0.0);
-    one.tick(at(0), || 0.5);
-    settle(&mut voters, &mut one, 0);
-    assert_eq!(one.events, [Event::Acquired { lease: lease_id("a"), epoch: Epoch(1) }]);
-    let mut lost = None;
+    let mut candidate = Candidate::new(LeaseConfig::default(), CandidateId(5));
+    candidate.request(at(0), lease_id("a"), 0, 0.0);
+    candidate.tick(at(0), || 0.5);
+    deliver_all(&mut voters, &mut candidate, 0);
+    assert_eq!(candidate.events, [Event::Acquired { lease: lease_id("a"), epoch: Epoch(1) }]);
+    let mut expired_at = None;
     for now in 1..=TERM {
-        one.tick(at(now), || 0.5);
-        one.outbox.clear();
-        if lost.is_none() && one.permit(at(now), lease_id("a")).is_none() {
-            lost = Some(now);
+        candidate.tick(at(now), || 0.5);
+        candidate.outbox.clear();
+        if expired_at.is_none() && candidate.permit(at(now), lease_id("a")).is_none() {
+            expired_at = Some(now);
         }
     }
-    let lost = lost.expect("the lease expires");
+    let expired_at = expired_at.expect("the lease expires");
     assert!(
-        lost < TERM && voters.iter().all(|voter| voter.remaining(at(lost), lease_id("a")).is_some()),
-        "{lost}"
+        expired_at < TERM
+            && voters.iter().all(|voter| voter.remaining(at(expired_at), lease_id("a")).is_some()),
+        "{expired_at}"
     );
-    assert!(lost >= TERM * 99 / 100, "not much earlier than the term: {lost}");
+    assert!(expired_at >= TERM * 99 / 100, "not much earlier than the term: {expired_at}");
 }
 
 #[test]
 fn group_ids_differ_by_fleet_voters_term_and_drift_bound() {
-    let names = |names: &[&str]| names.iter().map(ToString::to_string).collect::<Vec<_>>();
-    let one = group_id("f", &names(&["a", "b", "c"]), ms(3000), 1000);
-    let others = [
-        group_id("g", &names(&["a", "b", "c"]), ms(3000), 1000),
-        group_id("f", &names(&["a", "b", "d"]), ms(3000), 1000),
-        group_id("f", &names(&["a", "b", "c"]), ms(3001), 1000),
-        group_id("f", &names(&["a", "b", "c"]), ms(3000), 999),
+    let owned = |names: &[&str]| names.iter().map(ToString::to_string).collect::<Vec<_>>();
+    let id = group_id("f", &owned(&["a", "b", "c"]), ms(3000), 1000);
+    let other_ids = [
+        group_id("g", &owned(&["a", "b", "c"]), ms(3000), 1000),
+        group_id("f", &owned(&["a", "b", "d"]), ms(3000), 1000),
+        group_id("f", &owned(&["a", "b", "c"]), ms(3001), 1000),
+        group_id("f", &owned(&["a", "b", "c"]), ms(3000), 999),
     ];
-    assert!(others.iter().all(|other| *other != one));
-    let marks: BTreeMap<u64, ()> = others.iter().map(|mark| (*mark, ())).collect();
-    assert_eq!(marks.len(), 4);
+    assert!(other_ids.iter().all(|other| *other != id));
+    let distinct_ids: BTreeMap<u64, ()> = other_ids.iter().map(|id| (*id, ())).collect();
+    assert_eq!(distinct_ids.len(), 4);
 }
