--- a/crates/arrowyard-daemon/src/cells.rs
+++ b/crates/arrowyard-daemon/src/cells.rs
@@ -75,7 +75,7 @@
     json: bool,
 }
 
-fn load(path: &Path) -> Result<Layout, String> {
+fn load_layout(path: &Path) -> Result<Layout, String> {
     let operator_config = arrowyard_operator_config::load(path)?;
     arrowyard_operator_config::cell_layout(&operator_config)
         .ok_or_else(|| format!("{}: no cells are configured", path.display()))
@@ -84,12 +84,12 @@
 /// Runs the command.
 ///
 /// # Errors
-/// Why it failed.
+/// An operator's file cannot be read or is invalid, or the router does not respond.
 pub fn run(command: Command) -> Result<ExitCode, String> {
     match command {
         Command::Show(show) => self::show(&show),
         Command::Place(Place { file, tenants, json }) => {
-            let layout = load(&file)?;
+            let layout = load_layout(&file)?;
             let mut assignment = CellAssignment::new(&layout);
             let mut cells = |tenant: &str| -> Vec<String> {
                 let cells = assignment.cells_for(Some(tenant), None, GroupId(0)).unwrap_or_default();
@@ -115,7 +115,7 @@
             Ok(ExitCode::from(u8::from(any_unassigned)))
         }
         Command::Diff(Diff { old, new, tenants, rows, json }) => {
-            let (old, new) = (load(&old)?, load(&new)?);
+            let (old, new) = (load_layout(&old)?, load_layout(&new)?);
             let other_tenants = match &tenants {
                 Some(path) => {
                     std::fs::read_to_string(path).map_err(|error| format!("{}: {error}", path.display()))?
@@ -144,22 +144,22 @@
             Ok(ExitCode::from(u8::from(any_moved)))
         }
         Command::Odds(Odds { file, pairs, json }) => {
-            let layout = load(&file)?;
+            let layout = load_layout(&file)?;
             let cells_per_tenant = layout
                 .cells_per_hashed_tenant
                 .ok_or_else(|| format!("{}: tenants are not assigned by hash", file.display()))?;
-            let cells = layout.cells.iter().filter(|cell| cell.accepts_hashed_tenants).count();
+            let cell_count = layout.cells.iter().filter(|cell| cell.accepts_hashed_tenants).count();
             let (exact, sampled) =
-                (sharing_odds(cells, cells_per_tenant), sampled_sharing_odds(&layout, pairs, 1));
+                (sharing_odds(cell_count, cells_per_tenant), sampled_sharing_odds(&layout, pairs, 1));
             if json {
-                let pair = |odds: arrowyard_cells::assignment::Odds| json!({"all": odds.share_all, "any": odds.share_any});
+                let odds_json = |odds: arrowyard_cells::assignment::Odds| json!({"all": odds.share_all, "any": odds.share_any});
                 println!(
                     "{}",
-                    json!({"cells": cells, "each": cells_per_tenant, "worked_out": pair(exact), "drawn": pair(sampled)})
+                    json!({"cells": cell_count, "each": cells_per_tenant, "worked_out": odds_json(exact), "drawn": odds_json(sampled)})
                 );
             } else {
                 println!(
-                    "{cells_per_tenant} of {cells} cells per tenant; probability that two tenants share"
+                    "{cells_per_tenant} of {cell_count} cells per tenant; probability that two tenants share"
                 );
                 let row = |name: &str, exact: f64, sampled: f64| {
                     vec![name.to_string(), format!("{exact:.6}"), format!("{sampled:.6}")]
@@ -189,7 +189,7 @@
         return Ok(ExitCode::SUCCESS);
     }
     let report: Value = serde_json::from_str(&report).map_err(|error| format!("{}: {error}", show.router))?;
-    let rows = |list: &str, fields: &[&str]| rows(&report[list], fields);
+    let report_rows = |list: &str, fields: &[&str]| rows(&report[list], fields);
     println!("epoch {}, held ops {}", value_text(&report["epoch"]), value_text(&report["held"]));
     let columns = [
         "cell",
@@ -206,9 +206,9 @@
         "first_sends",
         "further_sends",
     ];
-    println!("{}", table(&columns, rows("cells", &columns).into_iter()));
+    println!("{}", table(&columns, report_rows("cells", &columns).into_iter()));
     let columns = ["tenant", "stage", "out", "tokens"];
-    let moves = rows("moves", &columns);
+    let moves = report_rows("moves", &columns);
     if !moves.is_empty() {
         println!("\n{}", table(&columns, moves.into_iter()));
     }
--- a/crates/arrowyard-daemon/src/leases.rs
+++ b/crates/arrowyard-daemon/src/leases.rs
@@ -46,7 +46,7 @@
 /// Runs the command.
 ///
 /// # Errors
-/// Why it failed.
+/// The operator's file, the vote file or the router's reply is unusable.
 pub fn run(command: &Command) -> Result<ExitCode, String> {
     match command {
         Command::Show(args) => show(args),
@@ -72,20 +72,20 @@
     std::fs::create_dir_all(&folder).map_err(|error| format!("{}: {error}", folder.display()))?;
     let path = folder.join("votes");
     // Replacing valid votes would allow their epochs to be granted again.
-    let existing = SystemDisk
+    let existing_snapshot = SystemDisk
         .read(&path, storage::MAX_FILE_BYTES)
         .ok()
         .map(|(bytes, _)| storage::decode(&bytes, group, &args.name));
-    if let Some(Ok(_)) = existing {
+    if let Some(Ok(_)) = existing_snapshot {
         return Err(format!("{}: a valid vote file exists already", path.display()));
     }
     let snapshot =
         VoterSnapshot { is_complete: true, epoch_floor: Epoch(args.floor), ..VoterSnapshot::default() };
     let temporary = folder.join("votes.next");
-    let written = SystemDisk
+    let write_result = SystemDisk
         .write(&temporary, &storage::encode(&snapshot, group, &args.name))
         .and_then(|()| SystemDisk.replace(&temporary, &path));
-    written.map_err(|error| format!("{}: {error}", path.display()))?;
+    write_result.map_err(|error| format!("{}: {error}", path.display()))?;
     println!("{}: created", path.display());
     Ok(ExitCode::SUCCESS)
 }
--- a/crates/arrowyard-daemon/src/lib.rs
+++ b/crates/arrowyard-daemon/src/lib.rs
@@ -91,8 +91,8 @@
     Ok(if faults.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(EXIT_FAULTS) })
 }
 
-/// The parsed command line. `None` without arguments and without ARROWYARD_BOOK, as the platform starts the
-/// router: the parser is then never loaded into memory.
+/// Parses the command line. `None` without arguments and without ARROWYARD_BOOK, as the platform starts the
+/// router: skipping the parser saves the memory of its code.
 fn parse_command() -> Option<Command> {
     if std::env::args_os().len() == 1 && std::env::var_os("ARROWYARD_BOOK").is_none() {
         return None;
@@ -101,8 +101,8 @@
     Some(command.unwrap_or(Command::Run(run)))
 }
 
-/// Runs the command line's command. `serve` runs the router, given the path of the operator's file if there
-/// is one.
+/// Runs the command given on the command line. `serve` runs the router; it gets the path of the operator's
+/// file, if one is given.
 pub fn run(serve: impl FnOnce(Option<PathBuf>) -> Result<(), String>) -> ExitCode {
     let result = match parse_command() {
         None => serve(None).map(|()| ExitCode::SUCCESS),
--- a/crates/arrowyard-daemon/src/router_service.rs
+++ b/crates/arrowyard-daemon/src/router_service.rs
@@ -52,21 +52,24 @@
 /// The tasks of a running router, and the handles by which frontends submit ops.
 pub struct RouterService<B: HostTransport> {
     pub admission: Rc<AdmissionController>,
+    /// Messages to the route task.
     pub messages: mpsc::Sender<RouteMessage<B>>,
     /// Number of client connections of all frontends.
     pub client_connections: Rc<Cell<usize>>,
+    /// Whether the router serves or drains.
     pub stage: watch::Receiver<Stage>,
     pub stall_detector: Rc<StallDetector>,
     pub clock: Clock,
     pub limits: Rc<Limits>,
     peers: Option<mpsc::Sender<PeersCommand>>,
     drain: Drain,
+    /// SIGTERM and SIGINT.
     signals: (Signal, Signal),
     route_task: JoinHandle<()>,
 }
 
 impl<B: HostTransport> RouterService<B> {
-    /// Starts the tasks; `new_transport` creates the backend that sends to hosts.
+    /// Starts the tasks; `new_transport` creates the transport to the hosts.
     ///
     /// # Errors
     /// Why a task could not be started.
@@ -89,8 +92,8 @@
         let stall_detector = StallDetector::new(clock, limits.stall_check_interval);
         drop(spawn_local(stall_detector.clone().run()));
         let transport = new_transport(&limits);
-        // Changes cannot be applied to a stored list: the watch starts with the whole list unless the
-        // platform gave one.
+        // Incremental changes apply only to a list that the platform gave. Without one, in particular with a
+        // stored list, the watch starts with the complete list.
         let version = Rc::new(Cell::new(router_config.host_list.as_ref().map(|list| list.version)));
         let (mut host_list, mut startup, mut reconnect) = (router_config.host_list.clone(), None, None);
         if let Some(startup_config) = operator_config.and_then(startup_settings) {
@@ -147,8 +150,8 @@
             let (task, lease_commands) =
                 LeasesTask::open(lease_config, &router_config.name, router_config.seed).await?;
             drop(spawn_local(task.run()));
-            // Released as soon as the drain begins: in-flight ops are still finished then, leased tasks are
-            // not.
+            // Leases are released as soon as the drain begins: in-flight ops still finish then, but leased
+            // tasks do not run any more.
             let (commands, mut drain_stage) = (lease_commands.clone(), stage.clone());
             drop(spawn_local(async move {
                 if drain_stage.wait_for(|stage| *stage != Stage::Serving).await.is_ok() {
@@ -224,23 +227,23 @@
 
 /// Releases all leases, so that others need not wait for them to expire.
 async fn release_leases(commands: mpsc::Sender<leases::LeasesCommand>) {
-    let (done, acknowledged) = oneshot::channel();
+    let (ack_sender, ack_receiver) = oneshot::channel();
     // If the task's queue is full, the leases expire instead.
-    if commands.try_send(leases::LeasesCommand::ReleaseAll(done)).is_ok() {
-        let _ = acknowledged.await;
+    if commands.try_send(leases::LeasesCommand::ReleaseAll(ack_sender)).is_ok() {
+        let _ = ack_receiver.await;
     }
 }
 
-/// Announces to the fleet that this router leaves. Sent twice, since a datagram may be lost; if both are,
-/// the other routers detect the exit as a failure, by refused datagrams.
+/// Announces to the fleet that this router leaves. Sent twice, since a datagram may be lost. If both are
+/// lost, the other routers detect the exit as a failure, since the port refuses their datagrams.
 async fn announce_leave(commands: Option<mpsc::Sender<PeersCommand>>) {
     let Some(commands) = commands else { return };
     for _ in 0..2 {
-        let (done, acknowledged) = oneshot::channel();
+        let (ack_sender, ack_receiver) = oneshot::channel();
         // Bounded, so that a hanging membership task does not delay the exit.
         let ack_timeout = std::time::Duration::from_millis(100);
-        if commands.try_send(PeersCommand::Leave(done)).is_err()
-            || timeout(ack_timeout, acknowledged).await.is_err()
+        if commands.try_send(PeersCommand::Leave(ack_sender)).is_err()
+            || timeout(ack_timeout, ack_receiver).await.is_err()
         {
             return;
         }
--- a/crates/arrowyard-daemon/src/serve.rs
+++ b/crates/arrowyard-daemon/src/serve.rs
@@ -64,7 +64,7 @@
     service.run(std::future::pending()).await
 }
 
-/// Runs the router until it is told to stop, with the operator's file if a path is given.
+/// Runs the router until a signal stops it, with the operator's file if a path is given.
 ///
 /// # Errors
 /// Why it could not start, or why it stopped.
--- a/crates/arrowyard-daemon/src/show.rs
+++ b/crates/arrowyard-daemon/src/show.rs
@@ -29,13 +29,14 @@
     }
 }
 
-/// Text of the given fields of each object in a JSON array; empty if `list` is not an array.
+/// The given fields of each object in a JSON array, as text; empty if `list` is not an array.
 pub fn rows(list: &Value, fields: &[&str]) -> Vec<Vec<String>> {
     let objects = list.as_array().map(Vec::as_slice).unwrap_or_default();
     objects.iter().map(|row| fields.iter().map(|field| value_text(&row[field])).collect()).collect()
 }
 
-/// Runs `SHOW <subject>` over the router's client protocol. The inner error is the router's answer.
+/// Runs `SHOW <subject>` over the router's client protocol. The inner error says why the reply is
+/// unusable.
 ///
 /// # Errors
 /// The connection fails or times out.
@@ -43,6 +44,7 @@
     let timeout = Duration::from_secs(5);
     let mut stream = TcpStream::connect_timeout(&router, timeout)?;
     stream.set_read_timeout(Some(timeout))?;
+    // Protocol version 3.0, then the connection parameters.
     let startup = b"\0\x03\0\0user\0operator\0database\0orders\0\0";
     stream.write_all(&(startup.len() as u32 + 4).to_be_bytes())?;
     stream.write_all(startup)?;
@@ -52,15 +54,16 @@
     stream.write_all(query.as_bytes())?;
     let mut ready_count = 0;
     loop {
-        let mut head = [0; 5];
-        stream.read_exact(&mut head)?;
-        let length = u32::from_be_bytes([head[1], head[2], head[3], head[4]]) as usize;
+        let mut header = [0; 5];
+        stream.read_exact(&mut header)?;
+        let length = u32::from_be_bytes([header[1], header[2], header[3], header[4]]) as usize;
         if !(4..=MAX_MESSAGE_BYTES).contains(&length) {
             return Ok(Err("the reply is malformed".to_string()));
         }
         let mut body = vec![0; length - 4];
         stream.read_exact(&mut body)?;
-        match head[0] {
+        match header[0] {
+            // DataRow: the column's text follows the number of columns (2 bytes) and its length (4 bytes).
             b'D' => return Ok(Ok(String::from_utf8_lossy(body.get(6..).unwrap_or_default()).into_owned())),
             b'E' => {
                 return Ok(Err(format!(
--- a/crates/arrowyard-daemon/src/store.rs
+++ b/crates/arrowyard-daemon/src/store.rs
@@ -27,7 +27,8 @@
     json: bool,
 }
 
-fn describe(state: &GenerationState) -> String {
+/// The state of a generation, as shown in tables and JSON.
+fn describe_state(state: &GenerationState) -> String {
     match state {
         GenerationState::Valid(snapshot) => {
             format!("whole, number {}, {} hosts", snapshot.number, snapshot.hosts.len())
@@ -61,8 +62,10 @@
     let loaded = store.load(now_ms);
     let newest = loaded.newest();
     if let Command::Check(_) = command {
-        let rows =
-            loaded.generations.iter().map(|(generation, state)| (format!("{generation:?}"), describe(state)));
+        let rows = loaded
+            .generations
+            .iter()
+            .map(|(generation, state)| (format!("{generation:?}"), describe_state(state)));
         if *json {
             let rows: Vec<_> =
                 rows.map(|(generation, state)| json!({"generation": generation, "found": state})).collect();
