--- a/crates/arrowyard-fair-shares/src/allocator.rs
+++ b/crates/arrowyard-fair-shares/src/allocator.rs
@@ -1,5 +1,5 @@
-//! Divides overloaded hosts between classes and routers. It runs on the control machine that holds the
-//! duty.
+//! Divides the permits of overloaded hosts between classes and routers. It runs on the control machine that
+//! holds the duty.
 //!
 //! Routers report their demand for a host. While the summed demand exceeds the host's capacity, classes
 //! that want more than their fair share are limited to it, each router to its part. Classes that want less
@@ -21,42 +21,44 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RouterId(pub u64);
 
-/// A host becomes overloaded when the reported demand exceeds this part of its permits, and stops being so
-/// after the demand was below the lower part for `OVERLOAD_EXIT_DELAY`. Routers report unasked only from
-/// their equal part of the permits on; while a host is overloaded all routers are polled at
-/// `DEMAND_POLL_INTERVAL`.
+/// A host becomes overloaded when the reported demand exceeds this part of its available permits.
 const OVERLOAD_ENTER_RATIO: f64 = 0.6;
+/// The overload ends after the demand was below this part for `OVERLOAD_EXIT_DELAY`.
 const OVERLOAD_EXIT_RATIO: f64 = 0.4;
 const OVERLOAD_EXIT_DELAY: TimeDelta = TimeDelta::from_millis(300);
+/// How often all routers are polled about an overloaded host. Without a poll, a router reports only demand
+/// of at least its equal part of the permits.
 const DEMAND_POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(500);
-/// Factor by which leases are kept longer here than at the router, whose clock may run slower.
+/// Leases last longer here than at the router by this factor, since the router's clock may be slower.
 const LEASE_CLOCK_MARGIN: f64 = 1.1;
 /// Minimum time between two allocations of a host.
 const MIN_ALLOCATION_INTERVAL: TimeDelta = TimeDelta::from_millis(10);
-/// A cap that changed by no more than the larger of `MIN_CAP_CHANGE` and the previous cap divided by
-/// `MIN_CAP_CHANGE_DIVISOR` is not sent before the lease is due for renewal.
+/// A cap is sent before the renewal of its lease only if it changed by more than this, and by more than the
+/// previous cap divided by `MIN_CAP_CHANGE_DIVISOR`.
 const MIN_CAP_CHANGE: MilliPermits = 20;
 const MIN_CAP_CHANGE_DIVISOR: u32 = 16;
 const LEASE_RENEWAL_INTERVAL: TimeDelta = TimeDelta::from_millis(200);
-/// Hosts with state at a time, and unacknowledged allocations of one router at one host.
+/// The maximum number of hosts with state.
 const MAX_HOSTS: usize = 4096;
+/// The maximum number of unacknowledged allocations to one router for one host.
 const MAX_UNACKNOWLEDGED: usize = 64;
 
 /// The caps of one router at a host, by class; classes that are not named are not limited.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Allocation {
     pub host: String,
-    /// Fencing token of the duty holder, and the allocation's number under it; the newest pair wins.
+    /// Fencing token of the duty holder.
     pub fence: u64,
+    /// The allocation's number under this fence. Routers apply the highest pair of fence and number.
     pub number: u64,
     /// Number of the router's report that this answers; the lease runs from when that report was sent.
     pub report: u64,
     /// Whether the host is overloaded. If not, all limits are lifted.
     pub overloaded: bool,
     pub caps: Vec<(ClassId, MilliPermits)>,
-    /// The host's permits and the number of routers that share them: the router's fallback once its lease
-    /// has expired.
+    /// The host's permits. A router whose lease expires falls back to its equal part of them.
     pub permits: MilliPermits,
+    /// The number of routers that share the permits.
     pub routers: u32,
 }
 
@@ -77,8 +79,8 @@
     /// Number of the router's last report, and when it arrived.
     report: u64,
     reported_at: Timestamp,
-    /// The last acknowledged allocation and all that were sent since; the router may be applying any of
-    /// them.
+    /// Numbers and caps of the last acknowledged allocation and of all that were sent since. The router may
+    /// be applying any of them.
     sent: VecDeque<(u64, Vec<(ClassId, MilliPermits)>)>,
     acknowledged: bool,
     sent_at: Timestamp,
@@ -115,6 +117,7 @@
     permits: MilliPermits,
     routers: BTreeMap<RouterId, RouterState>,
     overloaded_since: Option<Timestamp>,
+    /// Since when the demand is below `OVERLOAD_EXIT_RATIO`.
     below_exit_since: Option<Timestamp>,
     allocated_at: Timestamp,
     polled_at: Timestamp,
@@ -140,7 +143,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct AllocationRound {
     pub allocations: Vec<(RouterId, Allocation)>,
-    /// Hosts for which every router is to report its demand.
+    /// Hosts for which every router is asked to report its demand.
     pub poll: Vec<String>,
 }
 
@@ -154,9 +157,9 @@
     hosts: BTreeMap<String, HostState>,
 }
 
-/// A host's permits over all routers: twice the number of statements that it runs at a time, so that the host
-/// is not idle while answers travel and no statement waits at the host for much longer than one statement
-/// takes.
+/// A host's permits over all routers: twice the number of statements that it runs at a time. The host is
+/// then not idle while responses are in transit, and no statement waits there for much longer than one
+/// statement takes.
 #[must_use]
 pub fn permits_for_capacity(capacity: u32) -> MilliPermits {
     capacity.clamp(1, 100_000) * 2000
@@ -175,9 +178,8 @@
         Allocator { fence, not_before, ..Allocator::default() }
     }
 
-    /// Records a router's full demand for a host: the report's number, and the number of the last
-    /// allocation that the router applied under this fence (0 for none). [`Allocator::allocate`] sends the
-    /// resulting changes.
+    /// Records a router's complete demand for a host. `report` is the number of the report, and `applied`
+    /// that of the last allocation that the router applied under this fence (0 for none).
     pub fn record_demand(
         &mut self,
         now: Timestamp,
@@ -206,20 +208,20 @@
         }
     }
 
-    /// Divides the hosts that are due. Returns the allocations to send, and the overloaded hosts for which
-    /// every router is to be polled: routers with little demand each do not report unasked, but their sum
-    /// counts. `routers` is the number of routers.
+    /// Divides the hosts that are due between `routers` routers. Returns the allocations to send, and the
+    /// overloaded hosts for which every router is to be polled: small demands are reported only when polled,
+    /// but their sum counts.
     pub fn allocate(&mut self, now: Timestamp, config: &ShareConfig, routers: u32) -> AllocationRound {
         let mut round = AllocationRound::default();
         if now < self.not_before {
             return round;
         }
         let (fence, last_number) = (self.fence, &mut self.last_number);
-        // Permits of each class by group: its fair share at each host, as far as it has demand there.
-        let mut elsewhere: BTreeMap<(String, ClassId), f64> = BTreeMap::new();
+        // By group and class: the sum of its fair shares at all hosts, as far as it has demand there.
+        let mut group_totals: BTreeMap<(String, ClassId), f64> = BTreeMap::new();
         for host in self.hosts.values() {
             for (class, fair_share, demand) in &host.fair_shares {
-                *elsewhere.entry((host.group.clone(), *class)).or_default() += fair_share.min(*demand);
+                *group_totals.entry((host.group.clone(), *class)).or_default() += fair_share.min(*demand);
             }
         }
         for (id, host) in &mut self.hosts {
@@ -228,15 +230,15 @@
             }
             host.allocated_at = now;
             host.routers.retain(|_, router| now - router.reported_at < ALLOCATION_LEASE * LEASE_CLOCK_MARGIN);
-            // Each host is divided by the current result of the hosts before it. Dividing all hosts of a
-            // group by the previous round's results oscillates between two wrong divisions.
+            // Each host is divided with the updated shares at the hosts before it. Dividing all hosts of a
+            // group with the shares of the previous round oscillates between two wrong divisions.
             let key = |host: &HostState, class: ClassId| (host.group.clone(), class);
             for (class, fair_share, demand) in &host.fair_shares {
-                *elsewhere.entry(key(host, *class)).or_default() -= fair_share.min(*demand);
+                *group_totals.entry(key(host, *class)).or_default() -= fair_share.min(*demand);
             }
-            host.update_fair_shares(now, config, &elsewhere);
+            host.update_fair_shares(now, config, &group_totals);
             for (class, fair_share, demand) in &host.fair_shares {
-                *elsewhere.entry(key(host, *class)).or_default() += fair_share.min(*demand);
+                *group_totals.entry(key(host, *class)).or_default() += fair_share.min(*demand);
             }
             let is_overloaded = host.overloaded_since.is_some();
             if is_overloaded && now - host.polled_at >= DEMAND_POLL_INTERVAL {
@@ -295,12 +297,13 @@
 }
 
 impl HostState {
-    /// Updates the fair share of each class, and whether the host is overloaded.
+    /// Updates the fair share of each class, and whether the host is overloaded. `group_totals` are the fair
+    /// shares at the other hosts of each group.
     fn update_fair_shares(
         &mut self,
         now: Timestamp,
         config: &ShareConfig,
-        elsewhere: &BTreeMap<(String, ClassId), f64>,
+        group_totals: &BTreeMap<(String, ClassId), f64>,
     ) {
         let mut demands: BTreeMap<ClassId, u64> = BTreeMap::new();
         for demand in self.routers.values().flat_map(|router| &router.demands) {
@@ -310,15 +313,15 @@
         let demands: Vec<(ClassId, f64)> =
             demands.into_iter().map(|(class, demand)| (class, demand as f64 / 1000.0)).collect();
         let permits = f64::from(self.permits) / 1000.0;
-        let total: f64 = demands.iter().map(|(_, demand)| demand).sum();
+        let total_demand: f64 = demands.iter().map(|(_, demand)| demand).sum();
         let reserved = config.reserved(permits, &demands);
         let available = permits - reserved;
-        if total > available * OVERLOAD_ENTER_RATIO {
+        if total_demand > available * OVERLOAD_ENTER_RATIO {
             self.below_exit_since = None;
             self.overloaded_since.get_or_insert(now);
-        } else if self.overloaded_since.is_some() && total < available * OVERLOAD_EXIT_RATIO {
-            let since = *self.below_exit_since.get_or_insert(now);
-            if now - since >= OVERLOAD_EXIT_DELAY {
+        } else if self.overloaded_since.is_some() && total_demand < available * OVERLOAD_EXIT_RATIO {
+            let below_since = *self.below_exit_since.get_or_insert(now);
+            if now - below_since >= OVERLOAD_EXIT_DELAY {
                 (self.overloaded_since, self.below_exit_since) = (None, None);
             }
         } else {
@@ -326,7 +329,7 @@
         }
         let mut contenders = config.contenders(permits, &demands);
         for ((class, _), contender) in demands.iter().zip(&mut contenders) {
-            let held_elsewhere = elsewhere.get(&(self.group.clone(), *class)).copied().unwrap_or(0.0);
+            let held_elsewhere = group_totals.get(&(self.group.clone(), *class)).copied().unwrap_or(0.0);
             contender.held_elsewhere = held_elsewhere.max(0.0);
         }
         let shares = weighted_max_min(available, &contenders);
@@ -334,62 +337,60 @@
             demands.iter().zip(shares).map(|((class, demand), share)| (*class, share, *demand)).collect();
     }
 
-    /// The caps to send to each router; routers whose caps changed little and whose lease is fresh are left
-    /// out.
+    /// The caps to send to each router, without routers whose caps changed little and whose lease is not due
+    /// for renewal.
     fn caps_to_send(&self, now: Timestamp) -> Vec<(RouterId, Vec<(ClassId, MilliPermits)>)> {
         let limited: Vec<(ClassId, f64, f64)> = match self.overloaded_since {
             Some(_) => self.fair_shares.iter().copied().filter(|(_, share, demand)| demand > share).collect(),
             _ => Vec::new(),
         };
         // By class: the part of its fair share that no router may be using, in thousandths.
-        let mut free: BTreeMap<ClassId, i64> = BTreeMap::new();
+        let mut free_by_class: BTreeMap<ClassId, i64> = BTreeMap::new();
         for (class, fair_share, _) in &limited {
             let in_use: i64 = self.routers.values().map(|router| i64::from(router.max_in_use(*class))).sum();
-            free.insert(*class, (*fair_share * 1000.0) as i64 - in_use);
+            free_by_class.insert(*class, (*fair_share * 1000.0) as i64 - in_use);
         }
-        // Permits that one class gives up go to another only once that is acknowledged, and a class
-        // that is no longer limited still counts with its old caps at routers that have not acknowledged
-        // the change.
+        // Permits that one class gives up go to another only once the routers have acknowledged it. A class
+        // that is no longer limited therefore counts with its unacknowledged caps.
         let mut classes: std::collections::BTreeSet<ClassId> =
             self.fair_shares.iter().map(|(class, ..)| *class).collect();
-        let sent = self.routers.values().flat_map(|router| &router.sent).flat_map(|(_, caps)| caps);
-        classes.extend(sent.map(|(class, _)| *class));
+        let sent_caps = self.routers.values().flat_map(|router| &router.sent).flat_map(|(_, caps)| caps);
+        classes.extend(sent_caps.map(|(class, _)| *class));
         let mut total_free = i64::from(self.permits);
         for class in classes {
             let in_use: i64 = self.routers.values().map(|router| i64::from(router.max_in_use(class))).sum();
             total_free -= in_use;
         }
-        let mut out = Vec::new();
+        let mut caps_by_router = Vec::new();
         for (id, router) in &self.routers {
             let mut caps = Vec::new();
             for (class, fair_share, total_demand) in &limited {
                 let demand = router.demand(*class);
                 let router_demand = f64::from(demand.in_flight) + f64::from(demand.queued);
-                let target = (fair_share * router_demand / total_demand) as i64;
+                let target_cap = (fair_share * router_demand / total_demand) as i64;
                 // A raise starts from the cap that was sent, not from the in-flight statements: those may
-                // date from before the class was limited, and permits that were never allocated would
-                // count as kept.
-                let sent = router.max_sent_cap(*class);
-                let is_new = sent.is_none();
-                let current = i64::from(sent.unwrap_or(demand.in_flight));
-                let free = free.get_mut(class).expect("every limited class has an entry");
-                let room = (*free).min(total_free);
+                // have started before the class was limited, without allocated permits.
+                let sent_cap = router.max_sent_cap(*class);
+                let is_new = sent_cap.is_none();
+                let current_cap = i64::from(sent_cap.unwrap_or(demand.in_flight));
+                let class_free = free_by_class.get_mut(class).expect("every limited class has an entry");
+                let max_raise = (*class_free).min(total_free);
                 let cap = if is_new {
-                    // An unlimited router uses what it has in flight; its first cap is bounded by what
-                    // others leave.
-                    (current + room).clamp(0, target)
-                } else if target <= current {
-                    target
+                    // The class was not limited at this router. Its first cap is its in-flight statements and
+                    // what is free, up to the target.
+                    (current_cap + max_raise).clamp(0, target_cap)
+                } else if target_cap <= current_cap {
+                    target_cap
                 } else {
-                    current + (target - current).min(room.max(0))
+                    current_cap + (target_cap - current_cap).min(max_raise.max(0))
                 };
-                let raised_by = if is_new { cap - current } else { (cap - current).max(0) };
-                (*free, total_free) = (*free - raised_by, total_free - raised_by);
+                let raised_by = if is_new { cap - current_cap } else { (cap - current_cap).max(0) };
+                (*class_free, total_free) = (*class_free - raised_by, total_free - raised_by);
                 caps.push((*class, cap.max(0) as MilliPermits));
             }
             if self.overloaded_since.is_none() {
-                // Routers with caps are told that the limits are lifted.
-                out.extend((!router.sent.is_empty()).then(|| (*id, Vec::new())));
+                // Routers with caps get an allocation without caps, which lifts the limits.
+                caps_by_router.extend((!router.sent.is_empty()).then(|| (*id, Vec::new())));
                 continue;
             }
             let unchanged = |(class, cap): &(ClassId, MilliPermits)| {
@@ -397,17 +398,17 @@
                     last.abs_diff(*cap) <= MIN_CAP_CHANGE.max(last / MIN_CAP_CHANGE_DIVISOR)
                 })
             };
-            let last_len = router.sent.back().map_or(0, |(_, caps)| caps.len());
-            let changed = !caps.iter().all(unchanged) || last_len != caps.len();
-            let first = router.sent.is_empty();
-            let full = router.sent.len() >= MAX_UNACKNOWLEDGED;
-            let renew = now - router.sent_at >= LEASE_RENEWAL_INTERVAL;
-            if !full && (first || changed || renew)
-                || full && renew && router.sent.len() < MAX_UNACKNOWLEDGED * 2
+            let last_cap_count = router.sent.back().map_or(0, |(_, caps)| caps.len());
+            let has_changed = !caps.iter().all(unchanged) || last_cap_count != caps.len();
+            let is_first = router.sent.is_empty();
+            let is_full = router.sent.len() >= MAX_UNACKNOWLEDGED;
+            let renewal_is_due = now - router.sent_at >= LEASE_RENEWAL_INTERVAL;
+            if !is_full && (is_first || has_changed || renewal_is_due)
+                || is_full && renewal_is_due && router.sent.len() < MAX_UNACKNOWLEDGED * 2
             {
-                out.push((*id, caps));
+                caps_by_router.push((*id, caps));
             }
         }
-        out
+        caps_by_router
     }
 }
--- a/crates/arrowyard-fair-shares/src/demand_meter.rs
+++ b/crates/arrowyard-fair-shares/src/demand_meter.rs
@@ -1,10 +1,9 @@
 //! A router's in-flight and queued statements by host and class, averaged over the time since the last
 //! reading.
 //!
-//! In-flight statements are derived from answers by Little's law: the summed latency of answered statements
-//! over the elapsed time. Statements whose answer was lost, or whose host is unreachable, stay outstanding
-//! until the client gives up but occupy no permit at the host; counting them would make an idle host look
-//! overloaded.
+//! In-flight statements are derived from replies by Little's law: the summed latency of answered statements
+//! over the elapsed time. Statements whose reply was lost, or whose host is unreachable, stay outstanding
+//! until their timeout but use no permit at the host; counting them would make an idle host look overloaded.
 
 use std::collections::BTreeMap;
 
@@ -15,18 +14,18 @@
 /// Weight of the newest reading in the exponential moving average of in-flight statements.
 const SMOOTHING: f64 = 0.5;
 
-/// A count, and its integral over the time since the last reading.
+/// A count, and its integral over the time since the last reading in seconds.
 #[derive(Clone, Copy, Debug, Default)]
 struct TimeAverage {
     value: f64,
-    area: f64,
+    integral: f64,
     updated_at: Timestamp,
     read_at: Timestamp,
 }
 
 impl TimeAverage {
     fn advance(&mut self, now: Timestamp) {
-        self.area += self.value * (now - self.updated_at).max(TimeDelta::ZERO).as_secs_f64();
+        self.integral += self.value * (now - self.updated_at).max(TimeDelta::ZERO).as_secs_f64();
         self.updated_at = now;
     }
 
@@ -39,19 +38,20 @@
     fn read(&mut self, now: Timestamp) -> f64 {
         self.advance(now);
         let elapsed_s = (now - self.read_at).as_secs_f64();
-        let mean = if elapsed_s > 0.0 { self.area / elapsed_s } else { self.value };
-        (self.area, self.read_at) = (0.0, now);
+        let mean = if elapsed_s > 0.0 { self.integral / elapsed_s } else { self.value };
+        (self.integral, self.read_at) = (0.0, now);
         mean
     }
 }
 
+/// The counters of one class at one host.
 #[derive(Clone, Copy, Debug, Default)]
 struct Counters {
     /// Statements sent whose end was not recorded yet.
     outstanding: u32,
-    /// Summed latency in seconds of statements answered since the last reading, and the averaged in-flight
-    /// statements.
+    /// Summed latency in seconds of the statements answered since the last reading.
     answered_s: f64,
+    /// The moving average of the in-flight statements.
     in_flight: f64,
     queued: TimeAverage,
 }
@@ -75,11 +75,11 @@
 
 impl<H: Copy + Ord> DemandMeter<H> {
     fn counters(&mut self, now: Timestamp, host: H, class: ClassId) -> &mut Counters {
-        let new = || {
-            let count = TimeAverage { updated_at: now, read_at: now, ..TimeAverage::default() };
-            Counters { queued: count, ..Counters::default() }
+        let new_counters = || {
+            let queued = TimeAverage { updated_at: now, read_at: now, ..TimeAverage::default() };
+            Counters { queued, ..Counters::default() }
         };
-        self.counters.entry((host, class)).or_insert_with(new)
+        self.counters.entry((host, class)).or_insert_with(new_counters)
     }
 
     /// Records that a statement was sent to a host.
@@ -130,9 +130,9 @@
     pub fn hosts(&self) -> impl Iterator<Item = H> {
         let mut last = None;
         self.counters.keys().filter_map(move |(host, _)| {
-            let new = last != Some(*host);
+            let is_new = last != Some(*host);
             last = Some(*host);
-            new.then_some(*host)
+            is_new.then_some(*host)
         })
     }
 
--- a/crates/arrowyard-fair-shares/src/leases.rs
+++ b/crates/arrowyard-fair-shares/src/leases.rs
@@ -9,14 +9,14 @@
 use crate::max_min::weighted_max_min;
 use crate::{Allocation, ClassDemand, ClassId, MilliPermits, ShareConfig};
 
-/// How long an allocation is valid after the report that it answers. It holds in full for the first half of
-/// that, then shrinks.
+/// How long an allocation is valid after the report that it answers. Its caps shrink in the second half of
+/// this time.
 pub const ALLOCATION_LEASE: TimeDelta = TimeDelta::from_millis(1000);
 /// How long after the last poll the demand for a host is still reported.
 const POLL_VALIDITY: TimeDelta = TimeDelta::from_millis(1500);
-/// Reports of a router whose send times are kept.
+/// The maximum number of reports whose send times are kept.
 const MAX_REPORTS: usize = 256;
-/// An allocation without renewal for so long no longer marks its host as overloaded.
+/// A host counts as overloaded for this long after the last renewal of its allocation.
 const ALLOCATION_RETENTION: TimeDelta = TimeDelta::from_millis(60_000);
 
 #[derive(Clone, Debug)]
@@ -30,7 +30,7 @@
 pub struct AllocationLeases {
     allocations: BTreeMap<String, LeasedAllocation>,
     /// Send times of the latest reports, by number.
-    reports: BTreeMap<u64, Timestamp>,
+    report_times: BTreeMap<u64, Timestamp>,
     last_report: u64,
     /// Fence and number of the newest allocation that was applied, by host.
     applied: BTreeMap<String, (u64, u64)>,
@@ -42,9 +42,9 @@
     /// The number of the next demand report, which is sent now.
     pub fn next_report(&mut self, now: Timestamp) -> u64 {
         self.last_report += 1;
-        self.reports.insert(self.last_report, now);
-        while self.reports.len() > MAX_REPORTS {
-            self.reports.pop_first();
+        self.report_times.insert(self.last_report, now);
+        while self.report_times.len() > MAX_REPORTS {
+            self.report_times.pop_first();
         }
         self.last_report
     }
@@ -55,18 +55,20 @@
         self.applied.get(host).copied().unwrap_or_default()
     }
 
-    /// Applies an allocation and returns true, or returns false if it is not newer than the last one or
-    /// answers a report that is no longer remembered.
+    /// Applies an allocation. Returns false if it is ignored: it is not newer than the last one, or it
+    /// answers a report whose send time is no longer kept.
     pub fn apply(&mut self, now: Timestamp, allocation: Allocation) -> bool {
         let newest = self.last_applied(&allocation.host);
         if (allocation.fence, allocation.number) <= newest {
             return false;
         }
-        // The lease runs from the report, not from now: the message may have been delayed for longer than
-        // the lease. A router that has not reported yet (report 0) is allocated nothing of the limited
-        // classes, so a late message does no harm.
-        let lease_start =
-            if allocation.report == 0 { Some(now) } else { self.reports.get(&allocation.report).copied() };
+        // The lease runs from the report, since the allocation may be delayed for longer than the lease.
+        // A router without a report (0) gets no permits of limited classes, so the delay is harmless.
+        let lease_start = if allocation.report == 0 {
+            Some(now)
+        } else {
+            self.report_times.get(&allocation.report).copied()
+        };
         let Some(lease_start) = lease_start else { return false };
         self.applied.insert(allocation.host.clone(), (allocation.fence, allocation.number));
         if allocation.overloaded {
@@ -99,15 +101,15 @@
         self.allocations.contains_key(host)
     }
 
-    /// Drops expired allocations after a reconnect to control, which sends the allocations of overloaded
+    /// Drops expired allocations, after a reconnect to control: control sends the allocations of overloaded
     /// hosts again.
     pub fn drop_expired(&mut self, now: Timestamp) {
-        self.allocations.retain(|_, held| now - held.lease_start < ALLOCATION_LEASE);
+        self.allocations.retain(|_, leased| now - leased.lease_start < ALLOCATION_LEASE);
     }
 
     /// Drops allocations, polls and numbers that were not renewed for a long time.
     pub fn sweep(&mut self, now: Timestamp) {
-        self.allocations.retain(|_, held| now - held.lease_start < ALLOCATION_RETENTION);
+        self.allocations.retain(|_, leased| now - leased.lease_start < ALLOCATION_RETENTION);
         self.polled.retain(|_, at| now - *at < POLL_VALIDITY);
         self.applied.retain(|host, _| self.allocations.contains_key(host) || self.polled.contains_key(host));
     }
@@ -122,20 +124,21 @@
         demands: &[ClassDemand],
         config: &ShareConfig,
     ) -> Vec<(ClassId, MilliPermits)> {
-        let Some(held) = self.allocations.get(host) else { return Vec::new() };
-        let age = now - held.lease_start;
+        let Some(leased) = self.allocations.get(host) else { return Vec::new() };
+        let age = now - leased.lease_start;
         if age < ALLOCATION_LEASE * 0.5 {
-            return held.allocation.caps.clone();
+            return leased.allocation.caps.clone();
         }
-        let fallback = held.fallback_caps(demands, config);
-        let remaining = (1.0 - (age - ALLOCATION_LEASE * 0.5) / (ALLOCATION_LEASE * 0.5)).clamp(0.0, 1.0);
-        let shrunk = |(class, cap): &(ClassId, MilliPermits)| {
+        let fallback = leased.fallback_caps(demands, config);
+        let remaining_fraction =
+            (1.0 - (age - ALLOCATION_LEASE * 0.5) / (ALLOCATION_LEASE * 0.5)).clamp(0.0, 1.0);
+        let shrink = |(class, cap): &(ClassId, MilliPermits)| {
             let fallback =
                 fallback.iter().find(|(other, _)| other == class).map_or(0, |(_, cap)| *cap).min(*cap);
-            let cap = f64::from(fallback) + f64::from(cap - fallback) * remaining;
+            let cap = f64::from(fallback) + f64::from(cap - fallback) * remaining_fraction;
             (*class, cap as MilliPermits)
         };
-        held.allocation.caps.iter().map(shrunk).collect()
+        leased.allocation.caps.iter().map(shrink).collect()
     }
 }
 
--- a/crates/arrowyard-fair-shares/src/max_min.rs
+++ b/crates/arrowyard-fair-shares/src/max_min.rs
@@ -1,14 +1,15 @@
 //! Weighted max-min division of a capacity.
 
-/// A class that contends for a host's permits. `guaranteed` and `limit` are in permits; the guaranteed part
-/// is given before the rest is divided by weight, as far as there is demand for it.
+/// A class that contends for a host's permits.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Contender {
     /// Permits that the class could use now.
     pub demand: f64,
     /// Relative weight. A class of weight 0 gets only what classes with a weight leave over.
     pub weight: f64,
+    /// Permits that it gets before the rest is divided by weight, as far as it has demand for them.
     pub guaranteed: f64,
+    /// The maximum number of permits that it gets.
     pub limit: f64,
     /// Permits that the class has at other hosts of the same group; they count against its share here.
     pub held_elsewhere: f64,
@@ -27,9 +28,9 @@
         .zip(&upper)
         .map(|(contender, upper)| contender.guaranteed.clamp(0.0, *upper))
         .collect();
-    let sum: f64 = lower.iter().sum();
-    if sum > capacity {
-        lower.iter_mut().for_each(|lower| *lower *= capacity.max(0.0) / sum);
+    let lower_sum: f64 = lower.iter().sum();
+    if lower_sum > capacity {
+        lower.iter_mut().for_each(|bound| *bound *= capacity.max(0.0) / lower_sum);
         return lower;
     }
     let share_at = |index: usize, level: f64| {
@@ -38,11 +39,12 @@
     };
     let weighted: Vec<usize> =
         (0..contenders.len()).filter(|&index| contenders[index].weight > 0.0).collect();
-    let unweighted: f64 = (0..contenders.len())
+    let zero_weight_sum: f64 = (0..contenders.len())
         .filter(|&index| contenders[index].weight <= 0.0)
         .map(|index| lower[index])
         .sum();
-    let sum_at = |level: f64| weighted.iter().map(|&index| share_at(index, level)).sum::<f64>() + unweighted;
+    let sum_at =
+        |level: f64| weighted.iter().map(|&index| share_at(index, level)).sum::<f64>() + zero_weight_sum;
     // The sum is piecewise linear in the level; its breakpoints are where a contender leaves its lower bound
     // or reaches its upper bound.
     let mut breakpoints: Vec<f64> = weighted
@@ -54,22 +56,23 @@
         .collect();
     breakpoints.push(0.0);
     breakpoints.sort_by(f64::total_cmp);
-    let above = breakpoints.iter().position(|&level| sum_at(level) > capacity);
-    let level = match above {
+    let first_above = breakpoints.iter().position(|&level| sum_at(level) > capacity);
+    let level = match first_above {
         None => breakpoints.last().copied().unwrap_or(0.0),
         Some(index) => {
-            let (from, to) = (breakpoints[index.saturating_sub(1)], breakpoints[index]);
-            let (low, high) = (sum_at(from), sum_at(to));
-            from + (to - from) * ((capacity - low) / (high - low)).clamp(0.0, 1.0)
+            let (from_level, to_level) = (breakpoints[index.saturating_sub(1)], breakpoints[index]);
+            let (from_sum, to_sum) = (sum_at(from_level), sum_at(to_level));
+            from_level
+                + (to_level - from_level) * ((capacity - from_sum) / (to_sum - from_sum)).clamp(0.0, 1.0)
         }
     };
     let mut shares: Vec<f64> = lower.clone();
     weighted.iter().for_each(|&index| shares[index] = share_at(index, level));
     // What the weighted contenders leave over is divided evenly between those of weight 0.
-    let rest = capacity - shares.iter().sum::<f64>();
+    let remaining = capacity - shares.iter().sum::<f64>();
     let zero_weight: Vec<usize> =
         (0..contenders.len()).filter(|&index| contenders[index].weight <= 0.0).collect();
-    if rest > 0.0 && !zero_weight.is_empty() {
+    if remaining > 0.0 && !zero_weight.is_empty() {
         let equal_contender = |index: &usize| Contender {
             demand: upper[*index] - shares[*index],
             weight: 1.0,
@@ -77,8 +80,9 @@
             limit: f64::INFINITY,
             held_elsewhere: contenders[*index].held_elsewhere,
         };
-        let more = weighted_max_min(rest, &zero_weight.iter().map(equal_contender).collect::<Vec<_>>());
-        zero_weight.iter().zip(more).for_each(|(&index, more)| shares[index] += more);
+        let extra_shares =
+            weighted_max_min(remaining, &zero_weight.iter().map(equal_contender).collect::<Vec<_>>());
+        zero_weight.iter().zip(extra_shares).for_each(|(&index, extra)| shares[index] += extra);
     }
     shares
 }
--- a/crates/arrowyard-fair-shares/src/share_config.rs
+++ b/crates/arrowyard-fair-shares/src/share_config.rs
@@ -1,4 +1,4 @@
-//! The configured share of each class, and the numbers that stand for class names within a process.
+//! The configured share of each class, and the numbers that identify classes within a process.
 
 use std::collections::BTreeMap;
 
@@ -16,12 +16,13 @@
     pub name: String,
     /// Relative weight, 0 or more.
     pub weight: f64,
-    /// Fractions of a host's permits, 0 to 1: guaranteed when there is demand for them, and the upper limit.
+    /// The fraction of a host's permits, 0 to 1, that is guaranteed when there is demand for it.
     pub min_fraction: f64,
+    /// The fraction of a host's permits, 0 to 1, that the class may use at most.
     pub max_fraction: f64,
     /// Whether other classes may use its guaranteed part while it has no demand for it.
     pub lends: bool,
-    /// Whether it may exceed its weight's part of all permits.
+    /// Whether it may use more than its part of all permits by weight.
     pub borrows: bool,
 }
 
@@ -51,7 +52,7 @@
 /// The weight of a class without a configured share: that of the lowest priority in use.
 const DEFAULT_WEIGHT: f64 = 1.0;
 
-/// Classes that are told apart; all further ones are counted together under `OVERFLOW_CLASS`.
+/// The maximum number of distinct classes; all further names share the class `OVERFLOW_CLASS`.
 const MAX_CLASSES: usize = 4096;
 const OVERFLOW_CLASS: &str = "(others)";
 
@@ -100,7 +101,7 @@
         }
     }
 
-    /// The weight of a class.
+    /// The weight of a class; the default if the number is unknown.
     #[must_use]
     pub fn weight(&self, id: ClassId) -> f64 {
         self.classes.get(id.0 as usize).map_or(DEFAULT_WEIGHT, |class| class.weight)
@@ -110,11 +111,11 @@
     /// order.
     #[must_use]
     pub fn contenders(&self, permits: f64, demands: &[(ClassId, f64)]) -> Vec<Contender> {
-        let share_of = |id: &ClassId| self.classes.get(id.0 as usize);
+        let class_share = |id: &ClassId| self.classes.get(id.0 as usize);
         let total_weight: f64 =
-            demands.iter().filter_map(|(id, _)| share_of(id)).map(|class| class.weight).sum();
+            demands.iter().filter_map(|(id, _)| class_share(id)).map(|class| class.weight).sum();
         let contender = |(id, demand): &(ClassId, f64)| {
-            let Some(class) = share_of(id) else {
+            let Some(class) = class_share(id) else {
                 return Contender {
                     demand: *demand,
                     weight: DEFAULT_WEIGHT,
@@ -139,11 +140,11 @@
     /// Permits reserved for classes that do not lend: their guarantees, less their current demand.
     #[must_use]
     pub fn reserved(&self, permits: f64, demands: &[(ClassId, f64)]) -> f64 {
-        let reserved = |(index, class): (usize, &ClassShare)| {
+        let reserved_for = |(index, class): (usize, &ClassShare)| {
             let demand =
                 demands.iter().find(|(id, _)| id.0 as usize == index).map_or(0.0, |(_, demand)| *demand);
             if class.lends { 0.0 } else { (class.min_fraction * permits - demand).max(0.0) }
         };
-        self.classes.iter().enumerate().map(reserved).sum::<f64>().min(permits)
+        self.classes.iter().enumerate().map(reserved_for).sum::<f64>().min(permits)
     }
 }
--- a/crates/arrowyard-fair-shares/tests/division.rs
+++ b/crates/arrowyard-fair-shares/tests/division.rs
@@ -61,10 +61,10 @@
 
     #[test]
     fn more_demand_of_one_claim_takes_nothing_from_the_weighted_share_of_another(
-        demand in 0.0..5.0_f64, flood in 0.0..1000.0_f64, weight in 0.1..10.0_f64,
+        demand in 0.0..5.0_f64, other_demand in 0.0..1000.0_f64, weight in 0.1..10.0_f64,
     ) {
         let share_before = weighted_max_min(10.0, &[contender(demand, weight), contender(1.0, 1.0)])[0];
-        let share_after = weighted_max_min(10.0, &[contender(demand, weight), contender(flood, 1.0)])[0];
+        let share_after = weighted_max_min(10.0, &[contender(demand, weight), contender(other_demand, 1.0)])[0];
         let by_weight = 10.0 * weight / (weight + 1.0);
         prop_assert!(share_after >= share_before.min(by_weight) - 1e-6);
     }
