--- a/crates/arrowyard-fleet/src/bin/peers.rs
+++ b/crates/arrowyard-fleet/src/bin/peers.rs
@@ -1,5 +1,5 @@
-//! Runs fault plans against membership in simulated time, arrowyard's and two baselines, and prints a table
-//! of the results.
+//! Runs fault plans in simulated time against arrowyard's membership protocol and two baselines, and prints a
+//! table of the results.
 
 use arrowyard_fleet::membership::{
     ArrowyardNode, HeartbeatNode, MemberState, MembershipSimulation, Node, SwimNode,
@@ -50,7 +50,7 @@
         let not_alive = not_alive.into_iter().take(3).collect::<Vec<_>>().join("; ");
         let median = counts[counts.len() / 2];
         eprintln!(
-            "{at_ms} ms: {} run, {fewest} {median} {most} held alive; n{index}: {not_alive}",
+            "{at_ms} ms: {} routers run and see {fewest}, {median}, {most} as alive; n{index} does not see: {not_alive}",
             counts.len()
         );
     }
@@ -101,8 +101,12 @@
                         Box::new(move |now, index, seed| new_node(&node_protocol, now, index, count, seed)),
                     );
                     let started_at = simulation.now;
-                    let last_fault_end =
-                        plan.faults.iter().map(|act| act.at_ms + act.duration_ms).max().unwrap_or(0);
+                    let last_fault_end = plan
+                        .faults
+                        .iter()
+                        .map(|planned_fault| planned_fault.at_ms + planned_fault.duration_ms)
+                        .max()
+                        .unwrap_or(0);
                     for second in
                         (1..=last_fault_end.min(plan.span_ms) / 1000).filter(|_| command_line.seconds)
                     {
@@ -130,30 +134,36 @@
                     datagrams += stats.datagrams as f64 / router_seconds;
                     bytes += stats.bytes as f64 / router_seconds;
                     cpu_micros += stats.node_time.as_secs_f64() * 1e6 / router_seconds;
-                    for act in &plan.faults {
+                    for planned_fault in &plan.faults {
                         let (Fault::Kill(stopped)
                         | Fault::SilentShutdown(stopped)
-                        | Fault::Shutdown(stopped)) = &act.fault
+                        | Fault::Shutdown(stopped)) = &planned_fault.fault
                         else {
                             continue;
                         };
-                        let act_start = started_at + TimeDelta::from_millis(act.at_ms as i64);
-                        let act_end = act_start + TimeDelta::from_millis(act.duration_ms as i64);
+                        let fault_start = started_at + TimeDelta::from_millis(planned_fault.at_ms as i64);
+                        let fault_end =
+                            fault_start + TimeDelta::from_millis(planned_fault.duration_ms as i64);
                         for &subject in stopped {
                             for observer in (0..count).filter(|observer| !stopped.contains(observer)) {
                                 let detection_time = |min_state: MemberState| {
-                                    let detects = |change: &&(Timestamp, usize, usize, MemberState)| {
-                                        change.0 >= act_start
-                                            && change.0 < act_end
-                                            && change.1 == observer
-                                            && change.2 == subject
-                                            && change.3 >= min_state
+                                    let detects = |&&(at, by, member, state): &&(
+                                        Timestamp,
+                                        usize,
+                                        usize,
+                                        MemberState,
+                                    )| {
+                                        at >= fault_start
+                                            && at < fault_end
+                                            && by == observer
+                                            && member == subject
+                                            && state >= min_state
                                     };
                                     stats
                                         .state_changes
                                         .iter()
                                         .find(detects)
-                                        .map(|change| (change.0 - act_start).as_secs_f64())
+                                        .map(|(at, ..)| (*at - fault_start).as_secs_f64())
                                 };
                                 match detection_time(MemberState::Silent) {
                                     Some(seconds) => detection_times.push(seconds),
--- a/crates/arrowyard-fleet/src/host.rs
+++ b/crates/arrowyard-fleet/src/host.rs
@@ -1,11 +1,12 @@
-//! A simulated host: cores that each run one op at a time, a warm-up after the start, a role and a position.
+//! A simulated host: cores that each run one op at a time, and a warm-up after a cold start.
 
 use arrowyard_types::{TimeDelta, Timestamp};
 
 /// Interval at which a host refreshes its load report, in microseconds.
 const REPORT_INTERVAL_US: i64 = 150_000;
-/// Work of accepting a connection and of answering a probe, in microseconds of a core.
+/// Work of accepting a connection, in microseconds of a core.
 const HANDSHAKE_WORK: f64 = 5_000.0;
+/// Work of answering a probe, in microseconds of a core.
 const PROBE_WORK: f64 = 300.0;
 
 /// A simulated host.
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Share of its capacity that it has at this time.
+    /// The share of its capacity that it has at this time.
     pub fn capacity_share(&self, now: Timestamp) -> f64 {
         let progress =
             self.started_at.map_or(1.0, |started_at| ((now - started_at) / self.warmup_time).clamp(0.0, 1.0));
@@ -78,7 +79,7 @@
         Some(self.core_free_at[core])
     }
 
-    /// Accepts a connection.
+    /// Queues the work of accepting a connection.
     pub fn accept_connection(&mut self, now: Timestamp) {
         let _ = self.serve(now, HANDSHAKE_WORK, TimeDelta::from_millis(60_000));
     }
@@ -99,9 +100,10 @@
         let capacity =
             |at: Timestamp| self.capacity_share(at) * window.micros() as f64 * self.core_free_at.len() as f64;
         let load = |end: usize| {
-            let (last, _) = self.warmup_work[end];
-            let in_window = self.warmup_work[..=end].iter().rev().take_while(|(at, _)| last - *at <= window);
-            in_window.map(|(_, work)| work).sum::<f64>() / capacity(last - window)
+            let (window_end, _) = self.warmup_work[end];
+            let in_window =
+                self.warmup_work[..=end].iter().rev().take_while(|(at, _)| window_end - *at <= window);
+            in_window.map(|(_, work)| work).sum::<f64>() / capacity(window_end - window)
         };
         (0..self.warmup_work.len()).map(load).fold(0.0, f64::max)
     }
--- a/crates/arrowyard-fleet/src/membership/arrowyard_node.rs
+++ b/crates/arrowyard-fleet/src/membership/arrowyard_node.rs
@@ -11,7 +11,7 @@
 pub struct ArrowyardNode(pub Membership);
 
 impl ArrowyardNode {
-    /// The process with this index. `seeds` are indices of processes.
+    /// A node at the process with this index. `seeds` are the indices of the processes that it joins through.
     #[must_use]
     pub fn new(
         now: Timestamp,
@@ -90,7 +90,10 @@
     fn describe_not_alive(&self, now: Timestamp) -> Vec<String> {
         let rows = self.0.view(now).rows.into_iter().filter(|row| row.standing != Standing::Alive);
         rows.map(|row| {
-            format!("{} {:?} life {} by {}", row.name, row.standing, row.incarnation, row.reported_by)
+            format!(
+                "{} {:?}, incarnation {}, reported by {}",
+                row.name, row.standing, row.incarnation, row.reported_by
+            )
         })
         .collect()
     }
--- a/crates/arrowyard-fleet/src/membership/baselines.rs
+++ b/crates/arrowyard-fleet/src/membership/baselines.rs
@@ -16,17 +16,19 @@
     local: usize,
     last_heard: Vec<Timestamp>,
     dead: Vec<bool>,
+    /// When the next heartbeats are sent.
     next_period: Timestamp,
+    /// Whether it has left and sends no more heartbeats.
     left: bool,
     output: NodeOutput,
 }
 
 const HEARTBEAT_TIMEOUT: TimeDelta = TimeDelta::from_millis(2000);
-/// Heartbeat of the size that sender, incarnation and sequence number would take.
+/// A heartbeat of the size of a sender, an incarnation and a sequence number; its contents are not read.
 const HEARTBEAT: [u8; 24] = [7; 24];
 
 impl HeartbeatNode {
-    /// The process with index `local` of `count`.
+    /// A node at the process with index `local` of `count`.
     #[must_use]
     pub fn new(now: Timestamp, local: usize, count: usize, seed: u64) -> HeartbeatNode {
         let next_period = now + PERIOD * Rng::with_seed(seed).f64();
@@ -95,7 +97,7 @@
     rumors: Vec<(usize, u32)>,
     /// Open probes: sequence number, member, deadline of the step, and step (0 direct, 1 indirect).
     probes: Vec<(u64, usize, Timestamp, u8)>,
-    /// Probes for other members by sequence number: the requester, and its sequence number.
+    /// By sequence number: the requester of an indirect probe, and the requester's sequence number.
     relays: HashMap<u64, (SocketAddr, u64)>,
     next_period: Timestamp,
     last_seq: u64,
@@ -110,6 +112,7 @@
     member: u32,
     #[prost(uint64, tag = "2")]
     incarnation: u64,
+    /// 0 alive, 1 suspect, 2 dead.
     #[prost(uint32, tag = "3")]
     state: u32,
 }
@@ -121,6 +124,7 @@
     kind: u32,
     #[prost(fixed64, tag = "2")]
     seq: u64,
+    /// In an indirect ping: the member to probe.
     #[prost(uint32, tag = "3")]
     subject: u32,
     #[prost(message, repeated, tag = "4")]
@@ -130,7 +134,7 @@
 const ACK_TIMEOUT: TimeDelta = TimeDelta::from_millis(150);
 
 impl SwimNode {
-    /// The process with index `local` of `count`.
+    /// A node at the process with index `local` of `count`.
     #[must_use]
     pub fn new(now: Timestamp, local: usize, count: usize, seed: u64) -> SwimNode {
         let mut rng = Rng::with_seed(seed);
@@ -157,6 +161,7 @@
         node
     }
 
+    /// How often a rumor is sent.
     fn retransmit_limit(&self) -> u32 {
         (3.0 * ((self.members.len() + 1) as f64).log2()).ceil() as u32
     }
@@ -201,12 +206,13 @@
 
 impl Node for SwimNode {
     fn next_deadline(&self) -> Timestamp {
-        self.probes.iter().map(|probe| probe.2).fold(self.next_period, Timestamp::min)
+        self.probes.iter().map(|(_, _, deadline, _)| *deadline).fold(self.next_period, Timestamp::min)
     }
 
     fn tick(&mut self, now: Timestamp) {
-        let due: Vec<_> = self.probes.iter().filter(|probe| probe.2 <= now).copied().collect();
-        self.probes.retain(|probe| probe.2 > now);
+        let due: Vec<_> =
+            self.probes.iter().filter(|(_, _, deadline, _)| *deadline <= now).copied().collect();
+        self.probes.retain(|(_, _, deadline, _)| *deadline > now);
         for (seq, member, _, step) in due {
             if step == 0 {
                 for helper in self.sample(3, member) {
@@ -266,7 +272,7 @@
                 self.send(from, 2, datagram.seq, 0);
             }
             2 => {
-                self.probes.retain(|probe| probe.0 != datagram.seq);
+                self.probes.retain(|(seq, ..)| *seq != datagram.seq);
                 if let Some((requester, seq)) = self.relays.remove(&datagram.seq) {
                     self.send(requester, 2, seq, 0);
                 }
--- a/crates/arrowyard-fleet/src/membership/mod.rs
+++ b/crates/arrowyard-fleet/src/membership/mod.rs
@@ -18,9 +18,9 @@
 
 /// The membership protocol of one process, with the same interface for arrowyard's and the baselines.
 pub trait Node {
-    /// When `tick` is due.
+    /// When [`Node::tick`] has to be called next.
     fn next_deadline(&self) -> Timestamp;
-    /// Advances timers and probes.
+    /// Runs the timers that are due.
     fn tick(&mut self, now: Timestamp);
     /// Processes a received datagram.
     fn receive(&mut self, now: Timestamp, from: SocketAddr, bytes: &[u8]);
--- a/crates/arrowyard-fleet/src/membership/simulation.rs
+++ b/crates/arrowyard-fleet/src/membership/simulation.rs
@@ -11,7 +11,7 @@
 
 use super::{Node, node_address, node_index};
 
-/// State of one member as another one sees it.
+/// The state of a member in the view of another one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum MemberState {
     Alive,
@@ -27,6 +27,7 @@
     pub state_changes: Vec<(Timestamp, usize, usize, MemberState)>,
     /// Time, observer and subject of each change to dead of a process that was running.
     pub false_deaths: Vec<(Timestamp, usize, usize)>,
+    /// Numbers of datagrams and of their bytes that all nodes sent.
     pub datagrams: u64,
     pub bytes: u64,
     /// Real time spent in all nodes together.
@@ -37,16 +38,24 @@
 
 enum Scheduled {
     Tick(usize),
-    Datagram { to: usize, from: SocketAddr, bytes: Vec<u8> },
-    PortRefused { to: usize, address: SocketAddr },
+    Datagram {
+        to: usize,
+        from: SocketAddr,
+        bytes: Vec<u8>,
+    },
+    PortRefused {
+        to: usize,
+        address: SocketAddr,
+    },
+    /// The index of a fault in the plan, and whether it begins.
     PlanStep(usize, bool),
 }
 
 struct Process {
-    /// `None` while the process is not running.
+    /// `None` while the process does not run.
     node: Option<Box<dyn Node>>,
-    halted: bool,
-    /// Datagrams received while it is halted.
+    paused: bool,
+    /// Datagrams received while it is paused.
     receive_buffer: Vec<(SocketAddr, Vec<u8>)>,
     /// Whether its datagrams are dropped.
     mute: bool,
@@ -58,6 +67,7 @@
 
 /// A simulation of the membership of one fleet.
 pub struct MembershipSimulation {
+    /// The simulated time.
     pub now: Timestamp,
     started_at: Timestamp,
     plan: Plan,
@@ -67,8 +77,8 @@
     schedule: BTreeMap<(Timestamp, u64), Scheduled>,
     /// Orders scheduled items of the same time.
     sequence: u64,
-    /// By index of the plan's act: the pairs of sender and receiver that it cuts.
-    cuts: Vec<(usize, HashSet<(usize, usize)>)>,
+    /// By index of the plan's fault: the pairs of sender and receiver that it partitions.
+    partitions: Vec<(usize, HashSet<(usize, usize)>)>,
     loss_rate: f64,
     duplicate_rate: f64,
     corruption_rate: f64,
@@ -76,20 +86,21 @@
     pub stats: SimulationStats,
 }
 
-/// Datagrams that the socket buffer of a halted process holds.
+/// Datagrams that the socket buffer of a paused process holds.
 const RECEIVE_BUFFER_DATAGRAMS: usize = 200;
 
 impl MembershipSimulation {
+    /// Starts all processes of the plan.
     pub fn new(plan: Plan, mut node_factory: NodeFactory) -> MembershipSimulation {
         let now = Timestamp::from_micros(1_000_000_000_000);
         let mut rng = Rng::with_seed(plan.seed);
         let processes = (0..plan.processes).map(|index| {
             let node = Some(node_factory(now, index, rng.u64(..)));
-            Process { node, halted: false, receive_buffer: Vec::new(), mute: false, started_at: now }
+            Process { node, paused: false, receive_buffer: Vec::new(), mute: false, started_at: now }
         });
         let processes = processes.collect();
         let (loss_rate, duplicate_rate, corruption_rate, delay_ms) = (0.0, 0.0, 0.0, 0);
-        let (schedule, sequence, cuts, stats) = Default::default();
+        let (schedule, sequence, partitions, stats) = Default::default();
         let mut simulation = MembershipSimulation {
             now,
             started_at: now,
@@ -98,7 +109,7 @@
             processes,
             schedule,
             sequence,
-            cuts,
+            partitions,
             loss_rate,
             duplicate_rate,
             corruption_rate,
@@ -109,8 +120,11 @@
         for index in 0..simulation.plan.processes {
             simulation.schedule_tick(index);
         }
-        for (at_ms, act, begins) in simulation.plan.steps() {
-            simulation.schedule(now + TimeDelta::from_millis(at_ms as i64), Scheduled::PlanStep(act, begins));
+        for (at_ms, fault_index, begins) in simulation.plan.steps() {
+            simulation.schedule(
+                now + TimeDelta::from_millis(at_ms as i64),
+                Scheduled::PlanStep(fault_index, begins),
+            );
         }
         simulation
     }
@@ -141,7 +155,7 @@
             match scheduled {
                 Scheduled::Tick(index) => {
                     let is_due = |node: &dyn Node| node.next_deadline() <= at;
-                    if !self.processes[index].halted
+                    if !self.processes[index].paused
                         && self.processes[index].node.as_deref().is_some_and(is_due)
                     {
                         self.with_node(index, |node| node.tick(at));
@@ -151,7 +165,7 @@
                 Scheduled::PortRefused { to, address } => {
                     self.with_node(to, |node| node.port_refused(at, address))
                 }
-                Scheduled::PlanStep(act, begins) => self.apply_step(act, begins),
+                Scheduled::PlanStep(fault_index, begins) => self.apply_step(fault_index, begins),
             }
         }
         self.now = end;
@@ -160,7 +174,7 @@
     fn deliver(&mut self, to: usize, from: SocketAddr, bytes: Vec<u8>) {
         let now = self.now;
         let process = &mut self.processes[to];
-        if process.halted {
+        if process.paused {
             if process.receive_buffer.len() < RECEIVE_BUFFER_DATAGRAMS {
                 process.receive_buffer.push((from, bytes));
             }
@@ -169,24 +183,25 @@
         }
     }
 
-    /// Calls the node of a process, unless it is halted or not running, and processes its output.
+    /// Calls the node of a process, unless it is paused or not running, and processes its output.
     fn with_node(&mut self, index: usize, call: impl FnOnce(&mut dyn Node)) {
-        let (mute, halted) = (self.processes[index].mute, self.processes[index].halted);
-        let Some(node) = self.processes[index].node.as_deref_mut().filter(|_| !halted) else { return };
-        let called_at = Instant::now();
+        let (mute, paused) = (self.processes[index].mute, self.processes[index].paused);
+        let Some(node) = self.processes[index].node.as_deref_mut().filter(|_| !paused) else { return };
+        let call_start = Instant::now();
         call(node);
         let output = node.take_output();
-        self.stats.node_time += called_at.elapsed();
+        self.stats.node_time += call_start.elapsed();
         for (subject, incarnation, state) in output.state_changes {
             if subject >= self.processes.len() {
                 continue;
             }
             self.stats.state_changes.push((self.now, index, subject, state));
-            // An earlier incarnation is in fact dead.
-            let is_earlier = incarnation.is_some_and(|incarnation| {
+            // A report that an earlier incarnation is dead is correct.
+            let is_earlier_incarnation = incarnation.is_some_and(|incarnation| {
                 (incarnation as i64) < self.processes[subject].started_at.micros() / 1000
             });
-            if state == MemberState::Dead && self.processes[subject].node.is_some() && !is_earlier {
+            if state == MemberState::Dead && self.processes[subject].node.is_some() && !is_earlier_incarnation
+            {
                 self.stats.false_deaths.push((self.now, index, subject));
             }
         }
@@ -197,12 +212,12 @@
         }
         for address in output.port_checks {
             let subject = node_index(address);
-            let refuses = self.processes.get(subject).is_some_and(|process| process.node.is_none());
-            let cut = self
-                .cuts
+            let is_refused = self.processes.get(subject).is_some_and(|process| process.node.is_none());
+            let is_partitioned = self
+                .partitions
                 .iter()
-                .any(|(_, cut)| cut.contains(&(index, subject)) || cut.contains(&(subject, index)));
-            if refuses && !cut && self.rng.f64() >= self.loss_rate {
+                .any(|(_, pairs)| pairs.contains(&(index, subject)) || pairs.contains(&(subject, index)));
+            if is_refused && !is_partitioned && self.rng.f64() >= self.loss_rate {
                 self.schedule(
                     self.now + TimeDelta::from_micros(600),
                     Scheduled::PortRefused { to: index, address },
@@ -217,8 +232,8 @@
         self.stats.bytes += bytes.len() as u64;
         self.stats.largest_datagram = self.stats.largest_datagram.max(bytes.len());
         let to = node_index(to);
-        let lost =
-            self.cuts.iter().any(|(_, cut)| cut.contains(&(from, to))) || self.rng.f64() < self.loss_rate;
+        let lost = self.partitions.iter().any(|(_, pairs)| pairs.contains(&(from, to)))
+            || self.rng.f64() < self.loss_rate;
         if to >= self.processes.len() || lost {
             return;
         }
@@ -242,7 +257,7 @@
         let node = (self.node_factory)(self.now, index, seed);
         self.processes[index] = Process {
             node: Some(node),
-            halted: false,
+            paused: false,
             receive_buffer: Vec::new(),
             mute: false,
             started_at: self.now,
@@ -250,18 +265,18 @@
         self.schedule_tick(index);
     }
 
-    /// Begins or ends an act of the plan.
-    fn apply_step(&mut self, act: usize, begins: bool) {
+    /// Begins or ends a fault of the plan.
+    fn apply_step(&mut self, fault_index: usize, begins: bool) {
         let now = self.now;
-        match (self.plan.faults[act].fault.clone(), begins) {
+        match (self.plan.faults[fault_index].fault.clone(), begins) {
             (Fault::Pause(processes), true) => {
-                processes.into_iter().for_each(|index| self.processes[index].halted = true)
+                processes.into_iter().for_each(|index| self.processes[index].paused = true)
             }
             (Fault::Pause(processes), false) => {
                 for index in processes {
-                    self.processes[index].halted = false;
+                    self.processes[index].paused = false;
                     let received = std::mem::take(&mut self.processes[index].receive_buffer);
-                    // After a halt, a real process may see either its timer or its socket first.
+                    // After a pause, a real process may handle either its timer or its socket first.
                     if self.rng.bool() {
                         self.with_node(index, |node| node.tick(now));
                     }
@@ -276,9 +291,9 @@
                 true,
             ) => processes.into_iter().for_each(|index| self.processes[index].node = None),
             (Fault::Shutdown(processes) | Fault::SilentShutdown(processes), true) => {
-                let unheard = matches!(self.plan.faults[act].fault, Fault::SilentShutdown(_));
+                let is_silent = matches!(self.plan.faults[fault_index].fault, Fault::SilentShutdown(_));
                 for index in processes {
-                    self.processes[index].mute = unheard;
+                    self.processes[index].mute = is_silent;
                     self.with_node(index, |node| node.leave(now));
                     self.processes[index].node = None;
                 }
@@ -298,19 +313,19 @@
                     .iter()
                     .flat_map(|&sender| receivers.iter().map(move |&receiver| (sender, receiver)))
                     .collect();
-                self.cuts.push((act, pairs));
+                self.partitions.push((fault_index, pairs));
             }
             (Fault::Partition(left, right), true) => {
                 let pairs =
                     left.iter().flat_map(|&a| right.iter().flat_map(move |&b| [(a, b), (b, a)])).collect();
-                self.cuts.push((act, pairs));
+                self.partitions.push((fault_index, pairs));
             }
             (Fault::OneWayPartition(..) | Fault::Partition(..), false) => {
-                self.cuts.retain(|(cut_by, _)| *cut_by != act)
+                self.partitions.retain(|(cause, _)| *cause != fault_index)
             }
-            (Fault::PacketLoss(share), begins) => self.loss_rate = if begins { share } else { 0.0 },
-            (Fault::Duplication(share), begins) => self.duplicate_rate = if begins { share } else { 0.0 },
-            (Fault::Corruption(share), begins) => self.corruption_rate = if begins { share } else { 0.0 },
+            (Fault::PacketLoss(rate), begins) => self.loss_rate = if begins { rate } else { 0.0 },
+            (Fault::Duplication(rate), begins) => self.duplicate_rate = if begins { rate } else { 0.0 },
+            (Fault::Corruption(rate), begins) => self.corruption_rate = if begins { rate } else { 0.0 },
             (Fault::Delay { ms }, begins) => self.delay_ms = if begins { ms } else { 0 },
         }
     }
@@ -334,8 +349,8 @@
             .iter()
             .enumerate()
             .filter_map(|(index, process)| Some((index, process.node.as_ref()?)));
-        let least = nodes.min_by_key(|(_, node)| node.alive_count());
-        least.map_or((0, Vec::new()), |(index, node)| (index, node.describe_not_alive(self.now)))
+        let least_complete = nodes.min_by_key(|(_, node)| node.alive_count());
+        least_complete.map_or((0, Vec::new()), |(index, node)| (index, node.describe_not_alive(self.now)))
     }
 
     /// How many others each running process sees as alive.
--- a/crates/arrowyard-fleet/src/simulation.rs
+++ b/crates/arrowyard-fleet/src/simulation.rs
@@ -21,15 +21,16 @@
     pub ops_per_second: f64,
     /// Whether the host list names the primaries.
     pub list_names_primaries: bool,
-    /// Share of its capacity that a host has at its start, and the duration of its warm-up.
+    /// The share of its capacity that a host has at a cold start.
     pub cold_capacity: f64,
+    /// The time from a cold start to the full capacity.
     pub warmup_time: TimeDelta,
     pub replica_lag: TimeDelta,
     /// Time without a primary after a group's primary has failed.
     pub failover_time: TimeDelta,
-    /// How often a client retries an op that was rejected, failed, or lost with its router, and the mean
-    /// delay of a retry.
+    /// How often a client retries an op that was rejected, failed, or lost with its router.
     pub client_retries: u32,
+    /// The mean delay of a retry.
     pub client_retry_delay: TimeDelta,
 }
 
@@ -53,16 +54,17 @@
     }
 }
 
-/// Counts of all routers together since the last `FleetSimulation::take_counts`.
+/// Counts over all routers since the last [`FleetSimulation::take_counts`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FleetCounts {
     pub requests: u64,
     /// Ops acked within the latency target, and later.
     pub acked_in_time: u64,
     pub acked_late: u64,
+    /// Ops with a busy reply, and ops with an error reply or lost with their router.
     pub busy: u64,
     pub errored: u64,
-    /// Busy and error replies to ops that were never sent, given after half of the op's timeout.
+    /// Ops that were never sent and got a busy or error reply after more than half of their timeout.
     pub late_rejections: u64,
     pub sends: u64,
     pub probes: u64,
@@ -73,7 +75,7 @@
     pub writes_acked: u64,
 }
 
-/// An event that a run schedules.
+/// A disturbance, scheduled with [`FleetSimulation::schedule_event`].
 #[derive(Clone, Copy, Debug)]
 pub enum Event {
     /// The primary of a group fails silently; another host is promoted after the failover time.
@@ -88,25 +90,28 @@
     RestartRouters(usize),
 }
 
+/// An item of the simulation's schedule.
 enum Scheduled {
     NewRequest,
     /// A client retries an op of this type and group; the last field counts the op's retries.
     ClientRetry(usize, GroupId, u32),
     Event(Event),
-    /// This host becomes the primary of the group.
+    /// In this group, this host becomes the primary.
     Promotion(usize, usize),
+    /// The first field of these is the index of the router.
     TimerFired(usize, TimerId),
     ProbeEnded(usize, HostId, Outcome, HostStatus),
     SendEnded(usize, SendResult),
     HostListUpdate(usize, Vec<HostEntry>),
 }
 
+/// An op that a router has received and not finished.
 struct InFlightOp {
     arrived_at: Timestamp,
     deadline: Timestamp,
     latency_target: TimeDelta,
     is_write: bool,
-    /// Microseconds of a core.
+    /// Microseconds of a warm core.
     work: f64,
     send_count: u32,
     op_type: usize,
@@ -117,6 +122,7 @@
 /// A simulated fleet of routers with its hosts and clients.
 pub struct FleetSimulation {
     config: FleetConfig,
+    /// The simulated time.
     pub now: Timestamp,
     rng: Rng,
     routers: Vec<Router>,
@@ -127,9 +133,9 @@
     /// Orders scheduled items of the same time.
     sequence: u64,
     in_flight: HashMap<(usize, OpId), InFlightOp>,
-    /// By router and host: when each connection is or was free.
+    /// By router and host: the time at which each connection becomes or became idle.
     connections: HashMap<(usize, HostId), Vec<Timestamp>>,
-    /// Definition, share of the requests, and mean work in microseconds of a core.
+    /// Definition, share of the requests, and mean work in microseconds of a warm core.
     op_types: Vec<(OpType, f64, f64)>,
     pub counts: FleetCounts,
     next_op_id: u64,
@@ -139,7 +145,7 @@
 
 const HOST_IDLE_TIMEOUT: TimeDelta = TimeDelta::from_millis(12_000);
 const CONNECT_TIMEOUT: TimeDelta = TimeDelta::from_millis(250);
-/// An op that would wait for longer than this at a host is rejected.
+/// A host rejects an op that would wait there for longer than this.
 const MAX_QUEUE_TIME: TimeDelta = TimeDelta::from_millis(1_500);
 
 /// Read consistency, effect, share of requests, mean milliseconds of a core, latency target, op timeout,
@@ -153,13 +159,14 @@
 ];
 
 impl FleetSimulation {
+    /// Starts all hosts, routers and clients.
     pub fn new(config: FleetConfig) -> Self {
         let now = Timestamp::from_micros(1_000_000_000_000);
         let settings = router_settings(&config);
         let op_types = OpType::rows(&settings)
             .into_iter()
             .zip(OP_TYPES)
-            .map(|(op_type, parameters)| (op_type, parameters.2, parameters.3 * 1000.0));
+            .map(|(op_type, (_, _, share, mean_work_ms, ..))| (op_type, share, mean_work_ms * 1000.0));
         let host_count = config.groups * config.hosts_per_group;
         let hosts = (0..host_count).map(|index| {
             Host::new(index / config.hosts_per_group, config.cores_per_host, None, config.warmup_time, 1.0)
@@ -191,14 +198,14 @@
         simulation
     }
 
-    /// Starts a router, or restarts it.
+    /// Starts a router, or replaces it by a new one.
     fn start_router(&mut self, router: usize) {
         let mut actions = Vec::new();
         let seed = self.rng.u64(..);
-        let started = Router::start(self.now, seed, self.settings.clone(), &mut actions);
+        let new_router = Router::start(self.now, seed, self.settings.clone(), &mut actions);
         match self.routers.get_mut(router) {
-            Some(previous) => *previous = started,
-            None => self.routers.push(started),
+            Some(previous) => *previous = new_router,
+            None => self.routers.push(new_router),
         }
         self.apply_actions(router, actions);
         let entries = self.initial_hosts.clone();
@@ -216,10 +223,10 @@
             _ => true,
         });
         self.connections.retain(|(owner, _), _| *owner != router);
-        let mut lost: Vec<OpId> =
+        let mut lost_ops: Vec<OpId> =
             self.in_flight.keys().filter(|(owner, _)| *owner == router).map(|(_, op)| *op).collect();
-        lost.sort_unstable();
-        for op in lost {
+        lost_ops.sort_unstable();
+        for op in lost_ops {
             self.fail_op(router, op, false);
         }
         self.start_router(router);
@@ -235,7 +242,7 @@
         std::mem::take(&mut self.counts)
     }
 
-    /// Runs the simulation for this time.
+    /// Runs the simulation for this time and returns the counts so far.
     pub fn run_for(&mut self, duration: TimeDelta) -> &FleetCounts {
         let end = self.now + duration;
         while let Some(entry) = self.schedule.first_entry().filter(|entry| entry.key().0 <= end) {
@@ -406,7 +413,7 @@
         }
     }
 
-    /// Delivers a change of the host list to each router within a second.
+    /// Sends a change of the host list to all routers, with a random delay of up to a second each.
     fn publish_host_list(&mut self, entries: Vec<HostEntry>) {
         for router in 0..self.routers.len() {
             let delay = TimeDelta::from_micros(self.rng.i64(0..1_000_000));
@@ -430,7 +437,7 @@
                 Action::Probe { host } => self.probe(router, host),
                 Action::BusyReply { op, .. } => self.fail_op(router, op, true),
                 Action::ErrorReply { op } => self.fail_op(router, op, false),
-                // A cancelled send continues at its host, and its result arrives as if it was not cancelled.
+                // Cancellation is not modelled: a cancelled send continues, and its result arrives.
                 _ => {}
             }
         }
@@ -440,8 +447,8 @@
     fn fail_op(&mut self, router: usize, op: OpId, busy: bool) {
         let Some(in_flight) = self.in_flight.remove(&(router, op)) else { return };
         *(if busy { &mut self.counts.busy } else { &mut self.counts.errored }) += 1;
-        let late = self.now - in_flight.arrived_at > (in_flight.deadline - in_flight.arrived_at) * 0.5;
-        self.counts.late_rejections += u64::from(in_flight.send_count == 0 && late);
+        let is_late = self.now - in_flight.arrived_at > (in_flight.deadline - in_flight.arrived_at) * 0.5;
+        self.counts.late_rejections += u64::from(in_flight.send_count == 0 && is_late);
         if in_flight.retries < self.config.client_retries {
             let delay = self.config.client_retry_delay * (0.5 + self.rng.f64());
             self.schedule(
@@ -456,8 +463,8 @@
     fn acquire_connection(&mut self, router: usize, host: HostId) -> Timestamp {
         let connections = self.connections.entry((router, host)).or_default();
         connections.retain(|free_at| self.now - *free_at < HOST_IDLE_TIMEOUT);
-        let idle = connections.iter().position(|free_at| *free_at <= self.now);
-        if let Some(index) = idle {
+        let idle_index = connections.iter().position(|free_at| *free_at <= self.now);
+        if let Some(index) = idle_index {
             connections.swap_remove(index);
             return self.now;
         }
@@ -470,8 +477,8 @@
         let (primary, failed_at) = self.primaries[self.hosts[host.0 as usize].group];
         let is_primary = primary == Some(host.0 as usize);
         // Positions do not advance while the group has no primary.
-        let newest = if primary.is_none() { as_of.min(failed_at) } else { as_of };
-        let position = if is_primary { as_of } else { newest - self.config.replica_lag };
+        let newest_position = if primary.is_none() { as_of.min(failed_at) } else { as_of };
+        let position = if is_primary { as_of } else { newest_position - self.config.replica_lag };
         let role = if is_primary { Role::Primary } else { Role::Replica };
         HostStatus { role: Some(role), position: Some(position), ..HostStatus::default() }
     }
@@ -482,13 +489,13 @@
         let (send, work, is_write) = (SendIndex(in_flight.send_count), in_flight.work, in_flight.is_write);
         in_flight.send_count += 1;
         let start = self.acquire_connection(router, host);
-        let target = &mut self.hosts[host.0 as usize];
-        let is_primary = self.primaries[target.group].0 == Some(host.0 as usize);
-        let (outcome, ended_at) = match target.is_up {
+        let target_host = &mut self.hosts[host.0 as usize];
+        let is_primary = self.primaries[target_host.group].0 == Some(host.0 as usize);
+        let (outcome, ended_at) = match target_host.is_up {
             false => (Outcome::TimedOut, deadline),
             true if is_write && !is_primary => (Outcome::Misrouted, start + TimeDelta::from_millis(1)),
-            true => match target.serve(start, work, MAX_QUEUE_TIME) {
-                Some(done) if done <= deadline => (Outcome::Acked, done),
+            true => match target_host.serve(start, work, MAX_QUEUE_TIME) {
+                Some(done_at) if done_at <= deadline => (Outcome::Acked, done_at),
                 Some(_) => (Outcome::TimedOut, deadline),
                 None => (Outcome::Overloaded, start + TimeDelta::from_millis(1)),
             },
@@ -513,11 +520,11 @@
                 Scheduled::ProbeEnded(router, host, Outcome::ConnectFailed, HostStatus::default()),
             );
         }
-        let done = self.acquire_connection(router, host) + TimeDelta::from_millis(1);
+        let ended_at = self.acquire_connection(router, host) + TimeDelta::from_millis(1);
         let as_of = self.hosts[host.0 as usize].answer_probe(self.now);
-        self.connections.entry((router, host)).or_default().push(done);
+        self.connections.entry((router, host)).or_default().push(ended_at);
         let status = self.host_status(host, as_of);
-        self.schedule(done - self.now, Scheduled::ProbeEnded(router, host, Outcome::Acked, status));
+        self.schedule(ended_at - self.now, Scheduled::ProbeEnded(router, host, Outcome::Acked, status));
     }
 }
 
@@ -526,13 +533,14 @@
     let mut settings = RouterSettings::new();
     let mut put = |name: &str, value: SettingValue| settings.insert(name.to_string(), value);
     let ms = |millis: i64| SettingValue::TimeDelta(TimeDelta::from_millis(millis));
-    for (index, (read, effect, _, _, target, timeout, value, late_value)) in OP_TYPES.into_iter().enumerate()
+    for (index, (consistency, effect, _, _, latency_target, op_timeout, value, late_value)) in
+        OP_TYPES.into_iter().enumerate()
     {
         let mut put_field =
             |field: &str, value: SettingValue| put(&format!("op_type.{index}.{field}"), value);
-        put_field("latency_target", ms(target));
-        put_field("op_timeout", ms(timeout));
-        put_field("read", SettingValue::Text(read.to_string()));
+        put_field("latency_target", ms(latency_target));
+        put_field("op_timeout", ms(op_timeout));
+        put_field("read", SettingValue::Text(consistency.to_string()));
         put_field("effect", SettingValue::Text(effect.to_string()));
         put_field("scope", SettingValue::Text("group".to_string()));
         put_field("value", SettingValue::Number(value));
