--- a/crates/arrowyard-leases/tests/model_check.rs
+++ b/crates/arrowyard-leases/tests/model_check.rs
@@ -315,15 +315,15 @@
             Step::Tick => {
                 state.tick += 1;
                 state.in_flight.clear();
-                for index in 0..3 {
-                    state.voters[index].tick(self.voter_now(state.tick, index));
-                    self.write_and_send(&mut state, index);
+                for voter in 0..3 {
+                    state.voters[voter].tick(self.voter_now(state.tick, voter));
+                    self.write_and_send(&mut state, voter);
                 }
             }
-            Step::RunCandidate(index, fates) => {
-                let now = self.candidate_now(state.tick, index);
-                state.candidates[index].tick(now, || 1.0);
-                self.send_messages(&mut state, index, fates);
+            Step::RunCandidate(candidate, fates) => {
+                let now = self.candidate_now(state.tick, candidate);
+                state.candidates[candidate].tick(now, || 1.0);
+                self.send_messages(&mut state, candidate, fates);
             }
             Step::Deliver(to, message) => {
                 let addressed = (to, message.clone());
@@ -334,30 +334,32 @@
                 state.duplicates -= 1;
                 self.deliver(&mut state, to, &message);
             }
-            Step::Crash(crash, index, store) => {
+            Step::Crash(crash, voter, store) => {
                 state.crashes[crash] = true;
                 let snapshot = match store {
-                    Store::Current => Some(state.disks[index].clone()),
+                    Store::Current => Some(state.disks[voter].clone()),
                     Store::Lost => None,
-                    Store::Older => Some(state.initial_disks[index].clone()),
+                    Store::Older => Some(state.initial_disks[voter].clone()),
                 };
-                let id = arrowyard_leases::VoterId(index as u8);
-                state.voters[index] =
-                    Voter::start(self.voter_now(state.tick, index), self.config, id, snapshot, 2);
-                self.write_and_send(&mut state, index);
+                let id = arrowyard_leases::VoterId(voter as u8);
+                state.voters[voter] =
+                    Voter::start(self.voter_now(state.tick, voter), self.config, id, snapshot, 2);
+                self.write_and_send(&mut state, voter);
             }
-            Step::Release(index, fates) => {
-                state.candidates[index].release(lease_id(LEASE_NAME));
-                self.send_messages(&mut state, index, fates);
+            Step::Release(candidate, fates) => {
+                state.candidates[candidate].release(lease_id(LEASE_NAME));
+                self.send_messages(&mut state, candidate, fates);
             }
-            Step::StartEffect(index) => {
-                let permit = self.permit(&state, index)?;
-                state.pending_effects.insert((index, permit.epoch));
+            Step::StartEffect(candidate) => {
+                let permit = self.permit(&state, candidate)?;
+                state.pending_effects.insert((candidate, permit.epoch));
             }
-            Step::DeliverEffect(index, epoch) => {
-                state.pending_effects.remove(&(index, epoch));
-                let accepted =
-                    state.fencing_guard.admit(lease_id(LEASE_NAME), epoch, CandidateId(index as u64)).is_ok();
+            Step::DeliverEffect(candidate, epoch) => {
+                state.pending_effects.remove(&(candidate, epoch));
+                let accepted = state
+                    .fencing_guard
+                    .admit(lease_id(LEASE_NAME), epoch, CandidateId(candidate as u64))
+                    .is_ok();
                 if accepted || self.config.flaw == Some(Flaw::SkipFencingCheck) {
                     state.epoch_regressed |= state.last_effect_epoch.is_some_and(|newest| epoch < newest);
                     state.last_effect_epoch = Some(epoch);
@@ -365,12 +367,13 @@
             }
         }
         Scenario::drop_stale_responses(&mut state);
-        for index in 0..2 {
-            let Some(permit) = self.permit(&state, index) else { continue };
-            let reused =
-                state.latest_holder.is_some_and(|(epoch, holder)| holder != index && permit.epoch <= epoch);
+        for candidate in 0..2 {
+            let Some(permit) = self.permit(&state, candidate) else { continue };
+            let reused = state
+                .latest_holder
+                .is_some_and(|(epoch, holder)| holder != candidate && permit.epoch <= epoch);
             state.epoch_reused |= reused;
-            state.latest_holder = state.latest_holder.max(Some((permit.epoch, index)));
+            state.latest_holder = state.latest_holder.max(Some((permit.epoch, candidate)));
         }
         Some(state)
     }
