--- a/crates/arrowyard-emulator/src/clients.rs
+++ b/crates/arrowyard-emulator/src/clients.rs
@@ -22,11 +22,18 @@
 /// A statement of an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum Step {
+    /// Assigns a value to the session variable `tag`.
     Assign(String),
+    /// Prepares a statement: its definition, and whether it writes.
     Define(String, bool),
+    /// Begins a transaction; the flag says whether it is read-only.
     Begin(bool),
-    Read { use_prepared: bool },
-    Write { use_prepared: bool },
+    Read {
+        use_prepared: bool,
+    },
+    Write {
+        use_prepared: bool,
+    },
     Commit,
     Abort,
 }
@@ -39,9 +46,11 @@
     next_step: usize,
     started_at: Timestamp,
     transaction_started_at: Timestamp,
+    /// Tokens of the writes sent so far.
     tokens: Vec<String>,
     in_transaction: bool,
     commit_sent: bool,
+    /// Number of earlier attempts.
     attempts: u32,
     has_writes: bool,
 }
@@ -53,23 +62,29 @@
     freshness: Freshness,
     conn: Option<Conn>,
     open: bool,
+    /// Number of the session, unique within the run.
     session: u64,
     decoder: LineDecoder,
     tag: Option<String>,
+    /// Definitions of the prepared statements, by whether they write.
     prepared_statements: BTreeMap<bool, String>,
     operation: Option<Operation>,
-    /// The current statement: its id, rows, stamp and fault.
+    /// The statement without a complete reply: its id, and the rows, stamp and fault received so far.
     statement_id: Option<String>,
     rows: String,
     stamp: Option<String>,
     fault: Option<FaultCode>,
+    /// The operation to be retried: its steps, the number of attempts, and its start.
     retry: Option<(Vec<Step>, u32, Timestamp)>,
 }
 
 #[derive(Clone, Debug)]
 enum Timer {
+    /// A user opens a session.
     Dial(usize),
+    /// The think time of a user ends.
     Think(usize),
+    /// A user has no reply to the statement with this id, or to the opening of its session.
     ResponseTimeout(usize, String),
 }
 
@@ -89,20 +104,22 @@
 }
 
 impl Clients {
-    /// Makes the statements take hosts more work.
+    /// Sets whether the statements take hosts more work.
     #[must_use]
     pub fn expensive(mut self, expensive: bool) -> Self {
         self.expensive = expensive;
         self
     }
 
-    /// Creates `users` for each of the databases, with a mean time of `think_time` between two operations.
+    /// Creates `users_per_database` users for each database, which is given with its service and freshness. A
+    /// user waits for `think_time` on average between two operations, from the start to the end of
+    /// `load_interval`.
     pub fn new(
         router_addresses: Rc<RefCell<Vec<SocketAddrV4>>>,
         databases: &[(String, String, Freshness)],
-        users: usize,
+        users_per_database: usize,
         think_time: TimeDelta,
-        interval: (Timestamp, Timestamp),
+        load_interval: (Timestamp, Timestamp),
         history: SharedHistory,
         seed: u64,
     ) -> Self {
@@ -123,8 +140,8 @@
             fault: None,
             retry: None,
         };
-        let users = (0..users).flat_map(|_| databases.iter().map(user)).collect();
-        let (load_start, load_end) = interval;
+        let users = (0..users_per_database).flat_map(|_| databases.iter().map(user)).collect();
+        let (load_start, load_end) = load_interval;
         Clients {
             router_addresses,
             users,
@@ -372,7 +389,7 @@
         self.timers.set(now + DEADLINE + TimeDelta::from_millis(100), Timer::ResponseTimeout(user_index, id));
     }
 
-    /// Handles the end of the reply to a statement.
+    /// Handles the end of the reply to a statement. The transaction state `I` means that no transaction is open.
     fn handle_reply(
         &mut self,
         now: Timestamp,
@@ -387,7 +404,6 @@
         };
         let step = operation.steps[operation.next_step - 1].clone();
         if let Some(code) = user.fault.take() {
-            // After a failed transaction the client ends the session.
             let rejected = matches!(
                 code,
                 FaultCode::Saturated
@@ -408,6 +424,7 @@
                 not_executed.then_some(WriteOutcome::NotKept { at: now, service }),
             );
             self.finish_operation(now, user_index, operation, false, retryable);
+            // A session with a failed transaction is not used again.
             if transaction_state != "I" {
                 self.close_session(now, user_index, commands);
             }
@@ -445,6 +462,7 @@
         }
     }
 
+    /// Closes the session and schedules a new one.
     fn close_session(&mut self, now: Timestamp, user_index: usize, commands: &mut Commands) {
         if let Some(conn) = self.users[user_index].conn.take() {
             self.users_by_conn.remove(&conn);
--- a/crates/arrowyard-emulator/src/deployment.rs
+++ b/crates/arrowyard-emulator/src/deployment.rs
@@ -28,10 +28,13 @@
     pub services: usize,
     /// Users per database; each service has three databases.
     pub users: usize,
+    /// Mean time of a user between two operations.
     pub think_time: TimeDelta,
     pub load_start: Timestamp,
     pub load_end: Timestamp,
+    /// Times of configuration changes.
     pub changes: Vec<Timestamp>,
+    /// Maximum number of connections of one host.
     pub connection_limit: u32,
     pub zones: usize,
     /// Number of control machines that may be lost at once.
@@ -39,8 +42,9 @@
     /// Whether the platform rejects a fencing token lower than the highest one seen.
     pub fence_checked: bool,
     pub surges: Vec<Surge>,
-    /// Whether the capacity of hosts is divided among routers, and the configured shares as JSON.
+    /// Whether the capacity of overloaded hosts is divided among routers.
     pub divide_hosts: bool,
+    /// Shares of kinds of requests in the configuration, as JSON; none if empty.
     pub shares: String,
 }
 
@@ -48,18 +52,20 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Surge {
+    /// Start, in seconds.
     pub at: f64,
     #[serde(rename = "for-s")]
     pub duration_s: f64,
     /// Kind of requests: `primary`, `bounded` or `own`.
     pub kind: String,
-    /// Additional users per service, and their think time in milliseconds.
+    /// Additional users per service.
     pub users: usize,
+    /// Think time of these users, in milliseconds.
     pub think_ms: i64,
     /// Whether the statements take hosts more work.
     #[serde(rename = "costly", default)]
     pub expensive: bool,
-    /// Routers that the clients connect to; all if empty.
+    /// Indexes of the routers that the clients connect to; all if empty.
     #[serde(default)]
     pub routers: Vec<usize>,
 }
@@ -70,8 +76,10 @@
     pub id: String,
     pub address: SocketAddrV4,
     pub zone: String,
+    /// Index of the service.
     pub service: usize,
     pub faults: Rc<RefCell<HostFaults>>,
+    /// Number of the last heartbeat.
     pub call_seq: Rc<RefCell<u64>>,
 }
 
@@ -84,15 +92,20 @@
     pub plan: DeploymentPlan,
     pub history: SharedHistory,
     pub controls: Vec<MachineId>,
+    /// Disks of the control machines.
     pub disks: Vec<Rc<RefCell<Disk>>>,
     pub routers: Vec<MachineId>,
     pub hosts: Vec<HostSlot>,
+    /// Replication groups by index of the service.
     pub groups: Vec<Rc<RefCell<ReplicationGroup>>>,
+    /// Addresses of the routers that clients connect to.
     pub router_addresses: Rc<RefCell<Vec<SocketAddrV4>>>,
     pub platform_unavailable: Rc<RefCell<bool>>,
-    /// Addresses of the control machines as known to callers, and the control machines that were removed.
+    /// Addresses of the control machines, as known to callers.
     pub control_addresses: ControlAddresses,
+    /// Indexes of the control machines that were removed permanently.
     removed_controls: Vec<usize>,
+    /// State of the generator of incarnations.
     incarnation_state: u64,
 }
 
@@ -271,16 +284,16 @@
         }
         let empty_disk = || Rc::new(RefCell::new(Disk::default()));
         let listen_addresses = vec![SocketAddrV4::new(Ipv4Addr::new(10, 3, 0, 1), 8783)];
-        let platform =
+        let platform_machine =
             self.simulation.add_machine("platform", listen_addresses, empty_disk(), TimeDelta::ZERO);
-        let plane = Platform::new(
+        let platform = Platform::new(
             &self.groups,
             self.history.clone(),
             TimeDelta::from_millis(1000),
             self.platform_unavailable.clone(),
         )
         .with_fencing(self.plan.fence_checked);
-        self.simulation.start(platform, Box::new(plane));
+        self.simulation.start(platform_machine, Box::new(platform));
         let services = (0..self.plan.services).map(|service| format!("s{service}")).collect();
         let operator = Operator::new(
             self.control_addresses.clone(),
@@ -381,7 +394,7 @@
         }
     }
 
-    /// Maps an index to one of the control machines that were not removed.
+    /// Maps any number to the index of a control machine that was not removed.
     pub fn existing_control(&self, index: usize) -> usize {
         let remaining: Vec<usize> =
             (0..self.controls.len()).filter(|number| !self.removed_controls.contains(number)).collect();
@@ -428,7 +441,7 @@
     /// Removes a router from the addresses that clients connect to.
     pub fn remove_router_address(&mut self, number: usize) {
         let router_address = SocketAddrV4::new(machine_ip(1, number), CLIENT_PORT);
-        self.router_addresses.borrow_mut().retain(|known| *known != router_address);
+        self.router_addresses.borrow_mut().retain(|address| *address != router_address);
     }
 
     /// Starts a host with the log that it has in its replication group.
@@ -491,12 +504,12 @@
 
     /// Partitions a host from all control machines and from the current replicas of its service, or heals
     /// the partition.
-    pub fn set_isolation(&mut self, host_index: usize, partitioned: bool) {
-        self.set_control_partition(host_index, partitioned);
+    pub fn set_isolation(&mut self, host_index: usize, isolated: bool) {
+        self.set_control_partition(host_index, isolated);
         let HostSlot { id, service, .. } = &self.hosts[host_index];
         let mut group = self.groups[*service].borrow_mut();
         for (_, host_log) in group.host_logs.iter_mut().filter(|(other, _)| *other != id) {
-            host_log.receive_blocked = partitioned;
+            host_log.receive_blocked = isolated;
         }
     }
 
@@ -509,17 +522,17 @@
         if power_loss { self.simulation.power_off(slot.machine) } else { self.simulation.kill(slot.machine) }
     }
 
-    /// Index of the primary of a service, or of its `nth` replica.
-    pub fn host_index_of(&self, service: usize, primary: bool, nth: usize) -> Option<usize> {
+    /// Index of the `nth` host of a service that is, or is not, the primary.
+    pub fn host_index_of(&self, service: usize, is_primary: bool, nth: usize) -> Option<usize> {
         let group = self.groups[service].borrow();
         let members = self.hosts.iter().enumerate().filter(|(_, slot)| slot.service == service);
         let mut matching =
-            members.filter(|(_, slot)| group.is_primary(&slot.id) == primary).map(|(index, _)| index);
+            members.filter(|(_, slot)| group.is_primary(&slot.id) == is_primary).map(|(index, _)| index);
         matching.nth(nth)
     }
 }
 
-/// Runs a plane whose clock starts at its own start.
+/// A plane whose clock starts at zero when its process starts.
 struct PlaneWithOwnClock {
     started_at: Timestamp,
     plane: Box<dyn Plane>,
--- a/crates/arrowyard-emulator/src/host.rs
+++ b/crates/arrowyard-emulator/src/host.rs
@@ -18,11 +18,11 @@
 
 /// Timeout of a call to control, after which the next machine is tried.
 const CALL_TIMEOUT: TimeDelta = TimeDelta::from_millis(1000);
-/// Number of concurrent statements. `MAX_QUEUED` more wait; further statements are rejected.
+/// Number of statements that a host executes concurrently, which is also the capacity that it reports.
 const STATEMENT_SLOTS: usize = 5;
-/// A draining host serves for this time after its drain was acknowledged, including a margin; no request
-/// may arrive later.
+/// Latest arrival of a request after the acknowledgement of a drain, including a margin.
 const DRAIN_BOUND: TimeDelta = TimeDelta::from_millis(7000);
+/// Number of statements that may wait for a slot. Further statements are rejected.
 const MAX_QUEUED: usize = 40;
 /// Delay of the first heartbeat of a host that starts during the run.
 const FIRST_HEARTBEAT_DELAY: TimeDelta = TimeDelta::from_millis(10);
@@ -41,6 +41,7 @@
     pub slowdown: f64,
     /// Statements complete without delay, for measurements of other components.
     pub instant: bool,
+    /// Whether the host reports that it is draining.
     pub draining: bool,
 }
 
@@ -49,19 +50,25 @@
 struct Transaction {
     read_only: bool,
     failed: bool,
+    /// Term of the replication group when the transaction began.
     term: u64,
+    /// Number of the client's operation, known after the first statement.
     operation: Option<u64>,
+    /// Tokens of the writes.
     writes: Vec<String>,
 }
 
-/// A client session; `queue` holds statements that have not started.
+/// A client session.
 struct Session {
     decoder: LineDecoder,
     open: bool,
     variables: BTreeMap<String, String>,
+    /// Prepared statements by name: whether they write, and their definitions.
     prepared: BTreeMap<String, (bool, String)>,
     transaction: Option<Transaction>,
+    /// Whether a statement is executing or waiting for a slot.
     busy: bool,
+    /// Ids and texts of the statements that have not started.
     queue: std::collections::VecDeque<(String, String)>,
 }
 
@@ -73,7 +80,7 @@
         id: String,
         text: String,
     },
-    /// Checks whether a replica has received a commit.
+    /// Checks whether a replica has received a commit; `checks` counts the earlier checks.
     CheckReplicated {
         conn: Conn,
         id: String,
@@ -94,16 +101,21 @@
     faults: Rc<RefCell<HostFaults>>,
     controls: ControlAddresses,
     assigned_control: Option<SocketAddrV4>,
+    /// Index of the control machine to call next without an assigned one.
     next_control: usize,
     heartbeat_period: TimeDelta,
     connection_limit: usize,
     sessions: BTreeMap<Conn, Session>,
+    /// Heartbeats without a response, with the text of the request.
     heartbeat_calls: BTreeMap<Conn, (HttpDecoder, String)>,
     timers: Timers<Timer>,
     rng: Rng,
+    /// Number of the last heartbeat, which survives restarts of the host.
     call_seq: Rc<RefCell<u64>>,
     running_statements: usize,
+    /// Connections, ids and texts of the statements that wait for a slot.
     waiting_statements: std::collections::VecDeque<(Conn, String, String)>,
+    /// Whether the last heartbeat reported the role of a primary.
     reported_role: Option<bool>,
     /// When control acknowledged the drain.
     drain_acknowledged_at: Option<Timestamp>,
@@ -183,7 +195,8 @@
         self.timers.set(now + CALL_TIMEOUT, Timer::CallTimeout(conn));
     }
 
-    fn heartbeat_failed(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
+    /// Schedules the heartbeat of a failed call again, for the next control machine.
+    fn retry_heartbeat(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
         if self.heartbeat_calls.remove(&conn).is_some() {
             commands.reset(conn);
             self.assigned_control = None;
@@ -198,6 +211,7 @@
         let Some(session) = self.sessions.get_mut(&conn) else { return };
         match Request::parse(line) {
             Some(Request::Open { database, user }) if !session.open => {
+                // A router that requires a certain host names it after the user.
                 let requested_host = split_word(user).1;
                 let misrouted = database != self.group.borrow().service
                     || !requested_host.is_empty() && requested_host != self.id;
@@ -216,7 +230,7 @@
             }
             Some(Request::Query { id, text }) if session.open => {
                 session.queue.push_back((id.to_string(), text.to_string()));
-                self.run_next(now, conn, commands);
+                self.start_queued_statements(now, conn, commands);
             }
             _ => {
                 commands.close(conn);
@@ -237,7 +251,7 @@
     }
 
     /// Starts the queued statements of a session until one has to wait.
-    fn run_next(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
+    fn start_queued_statements(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
         loop {
             let Some(session) = self.sessions.get_mut(&conn) else { return };
             if session.busy {
@@ -245,6 +259,7 @@
             }
             let Some((id, text)) = session.queue.pop_front() else { return };
             let keyword = split_word(&text).0;
+            // `AFTER` and a position may precede the statement.
             let effective_keyword =
                 if keyword == "AFTER" { split_word(split_word(split_word(&text).1).1).0 } else { keyword };
             if matches!(effective_keyword, "READ" | "WRITE" | "COMMIT" | "RUN" | "OBSERVE") {
@@ -275,6 +290,7 @@
         self.timers.set(now + delay, Timer::StatementDone { conn, id, text });
     }
 
+    /// Replies with a fault, which makes an open transaction fail.
     fn send_fault(&mut self, conn: Conn, code: &str, commands: &mut Commands) {
         if let Some(transaction) =
             self.sessions.get_mut(&conn).and_then(|session| session.transaction.as_mut())
@@ -290,8 +306,8 @@
         self.send_idle(conn, commands);
     }
 
-    /// Returns whether the log lacks the position that a statement requires, and the statement without the
-    /// position.
+    /// Returns whether this host has not yet applied the position that a statement requires, and the statement
+    /// without the position.
     fn check_position<'a>(&self, text: &'a str) -> (bool, &'a str) {
         let (keyword, rest) = split_word(text);
         if keyword != "AFTER" {
@@ -358,6 +374,7 @@
         self.send_settled(conn, "-", commands);
     }
 
+    /// Replies with the role, the term and the received position.
     fn send_observation(&mut self, conn: Conn, commands: &mut Commands) {
         let group = self.group.borrow();
         let (_, received) = group.positions(&self.id);
@@ -394,8 +411,8 @@
         let lost_primary_role =
             session.transaction.as_ref().is_some_and(|tx| !tx.read_only && (!is_primary || tx.term != term));
         let shape = (keyword == "RUN").then(|| session.prepared.get(split_word(arguments).0).cloned());
-        let writes = match &shape {
-            Some(Some((writes, _))) => *writes,
+        let is_write = match &shape {
+            Some(Some((is_write, _))) => *is_write,
             Some(None) => return self.send_fault(conn, "UNDEFINED", commands),
             None => keyword == "WRITE",
         };
@@ -410,7 +427,7 @@
             return self.send_fault(conn, "LAGGING", commands);
         }
         let has_writes = session.transaction.as_ref().is_some_and(|tx| !tx.writes.is_empty());
-        if writes && !is_primary || lost_primary_role && (keyword != "COMMIT" || has_writes) {
+        if is_write && !is_primary || lost_primary_role && (keyword != "COMMIT" || has_writes) {
             if keyword == "COMMIT" {
                 session.transaction = None;
             }
@@ -421,7 +438,7 @@
                 session.transaction = None;
             }
             self.send_fault(conn, "FAILED", commands);
-            return self.run_next(now, conn, commands);
+            return self.start_queued_statements(now, conn, commands);
         }
         let transaction_operation = session.transaction.as_ref().map(|transaction| transaction.operation);
         let tag = session.variables.get("tag").cloned();
@@ -436,11 +453,12 @@
             transaction.operation = operation;
         }
         let stamp = format!("{}.{id}", self.id);
-        let row = if writes || keyword == "COMMIT" { String::new() } else { format!("row-{id}-{}", self.id) };
+        let row =
+            if is_write || keyword == "COMMIT" { String::new() } else { format!("row-{id}-{}", self.id) };
         if let Some(statement) = history.statements.get_mut(id) {
             (statement.stamp, statement.rows) = (Some(stamp.clone()), Some(row.clone()));
         }
-        if !writes && keyword != "COMMIT" {
+        if !is_write && keyword != "COMMIT" {
             let group = self.group.borrow();
             history.record_read(now, id, group.host_logs[&self.id].applied, group.log().len(), &self.id);
         }
@@ -453,12 +471,12 @@
                 (!writes.is_empty()).then_some(writes)
             }
             (Some(transaction), _) => {
-                if writes {
+                if is_write {
                     transaction.writes.push(token);
                 }
                 None
             }
-            (None, _) => writes.then(|| vec![token]),
+            (None, _) => is_write.then(|| vec![token]),
         };
         if let Some(writes) = committed_writes {
             let log_index = self.group.borrow_mut().commit(now, &self.id, writes.clone());
@@ -475,7 +493,7 @@
             }
             self.send_settled(conn, &stamp, commands);
         }
-        self.run_next(now, conn, commands);
+        self.start_queued_statements(now, conn, commands);
     }
 
     /// Replies to a commit once a replica has received it, and checks again later otherwise.
@@ -496,8 +514,9 @@
         }
         if !self.group.borrow().is_replicated(&self.id, log_index) {
             if checks % 50 == 49 {
-                let others: Vec<String> = self.group.borrow().host_logs.keys().cloned().collect();
-                others.iter().for_each(|other| self.group.borrow_mut().send_log(now, other));
+                // Replicas that were down or paused may have missed the first transfer.
+                let host_ids: Vec<String> = self.group.borrow().host_logs.keys().cloned().collect();
+                host_ids.iter().for_each(|host_id| self.group.borrow_mut().send_log(now, host_id));
             }
             let timer = Timer::CheckReplicated { conn, id: id.to_string(), log_index, checks: checks + 1 };
             self.timers.set(now + TimeDelta::from_micros(900), timer);
@@ -510,7 +529,7 @@
                 let stamp = format!("{}.{id}", self.id);
                 self.send_settled(conn, &stamp, commands);
             }
-            self.run_next(now, conn, commands);
+            self.start_queued_statements(now, conn, commands);
         }
     }
 }
@@ -555,6 +574,7 @@
                                 self.drain_acknowledged_at.get_or_insert(now);
                             }
                             commands.close(conn);
+                            // The first value of the response is the address of the assigned control machine.
                             let body = String::from_utf8_lossy(&response.body).into_owned();
                             if let Some(control) =
                                 body.split('"').nth(3).and_then(|control| control.parse().ok())
@@ -562,7 +582,7 @@
                                 self.assigned_control = Some(control);
                             }
                         }
-                        _ => self.heartbeat_failed(now, conn, commands),
+                        _ => self.retry_heartbeat(now, conn, commands),
                     }
                     return;
                 }
@@ -577,7 +597,7 @@
                 }
             }
             Event::Closed { conn, .. } => {
-                self.heartbeat_failed(now, conn, commands);
+                self.retry_heartbeat(now, conn, commands);
                 self.sessions.remove(&conn);
                 self.waiting_statements.retain(|(queued_conn, _, _)| *queued_conn != conn);
             }
@@ -595,7 +615,7 @@
                     self.timers.set(now + self.heartbeat_period, Timer::Heartbeat);
                     self.send_heartbeat(now, commands);
                 }
-                Timer::CallTimeout(conn) => self.heartbeat_failed(now, conn, commands),
+                Timer::CallTimeout(conn) => self.retry_heartbeat(now, conn, commands),
             }
         }
         // A change of role is reported at once.
--- a/crates/arrowyard-emulator/src/models.rs
+++ b/crates/arrowyard-emulator/src/models.rs
@@ -1,20 +1,22 @@
 //! Model checking of the ledger and of promotion. The code under test is the code that ships; stateright
-//! explores every order of events within the bounds of a scenario. Mutations, which introduce a deliberate
-//! fault, show that a scenario detects the error that it is meant to detect.
+//! explores every order of events within the bounds of a scenario. A mutation
+//! introduces a deliberate fault, which the scenarios must detect.
 
 pub mod ledger;
 pub mod promotion;
 
 use stateright::{Checker, HasDiscoveries, Model};
 
-/// Name of the property that shows that the events of interest occur in a scenario.
+/// Name of the property that holds if a scenario reaches the events that it covers. Without them, the other
+/// properties would hold trivially.
 const PROGRESS: &str = "lives";
 
 /// Result of exploring a scenario.
 #[derive(Clone, Debug)]
 pub struct CheckResult {
+    /// Number of distinct states.
     pub unique_states: usize,
-    /// Whether the events of interest occurred.
+    /// Whether the scenario reached the events that it covers.
     pub progressed: bool,
     /// Each violated property, with the violating state and the actions that lead to it.
     pub violations: Vec<(&'static str, String)>,
--- a/crates/arrowyard-emulator/src/models/ledger.rs
+++ b/crates/arrowyard-emulator/src/models/ledger.rs
@@ -44,8 +44,9 @@
     timeouts: u8,
     crashes: u8,
     wipes: u8,
-    /// The machine that may crash and whose disk may be slow. Other disks sync at once.
+    /// The only machine that may crash.
     crashing_machine: Option<usize>,
+    /// Whether the disk of `crashing_machine` syncs late. All other disks sync at once.
     slow_disk: bool,
     /// The machine that issues a read.
     reader: Option<usize>,
@@ -55,8 +56,9 @@
 #[derive(Clone, Debug, Hash)]
 struct Machine {
     ledger: ReplicatedLog,
+    /// Synced records, in order.
     disk: Vec<Vec<u8>>,
-    /// Records written but not yet synced, in order.
+    /// Tickets and records written but not yet synced, in order.
     unsynced: Vec<(u64, Vec<u8>)>,
 }
 
@@ -64,18 +66,22 @@
 #[derive(Clone, Debug)]
 struct ModelState {
     machines: Vec<Machine>,
-    /// Messages in flight: receiver, sender, encoded frame.
+    /// Messages in flight: index of the receiver, address of the sender, encoded frame.
     messages: BTreeSet<(usize, u32, Vec<u8>)>,
+    /// Remaining timeouts, crashes, and crashes that lose the disk.
     timeouts: u8,
     crashes: u8,
     wipes: u8,
+    /// Whether the proposal after the loss of a disk is still to come.
     proposal_after_wipe: bool,
+    /// The read, and the highest slot acknowledged before it.
     pending_read: Option<(ProposalId, u64)>,
     read_completed: bool,
     /// Entry known to be chosen in each slot, and the snapshot of the state after it.
     chosen_entries: BTreeMap<u64, (Entry, Vec<u8>)>,
     acknowledged_slots: BTreeSet<u64>,
     rejected_entries: Vec<Entry>,
+    /// Proposing machine, proposal and entry.
     proposals: Vec<(usize, ProposalId, Entry)>,
     violation: Option<&'static str>,
     /// Number of actions so far. One action advances time by more than any backoff or timeout of the
@@ -85,10 +91,11 @@
 
 /// Excludes the clock: states that differ only in time are equal.
 impl Hash for ModelState {
-    fn hash<H: Hasher>(&self, state: &mut H) {
-        (&self.machines, &self.messages, self.timeouts, self.crashes, self.wipes).hash(state);
-        (self.proposal_after_wipe, self.pending_read, self.read_completed, self.violation).hash(state);
-        (&self.chosen_entries, &self.acknowledged_slots, &self.rejected_entries, &self.proposals).hash(state);
+    fn hash<H: Hasher>(&self, hasher: &mut H) {
+        (&self.machines, &self.messages, self.timeouts, self.crashes, self.wipes).hash(hasher);
+        (self.proposal_after_wipe, self.pending_read, self.read_completed, self.violation).hash(hasher);
+        (&self.chosen_entries, &self.acknowledged_slots, &self.rejected_entries, &self.proposals)
+            .hash(hasher);
     }
 }
 
@@ -101,13 +108,19 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum ModelAction {
+    /// Delivers a message: index of the receiver, address of the sender, encoded frame.
     Deliver(usize, u32, Vec<u8>),
+    /// Completes the oldest unsynced write of a machine.
     Sync(usize),
+    /// A timeout of a machine expires.
     Timeout(usize),
+    /// A machine crashes and restarts; the flag says whether its disk is lost.
     Crash(usize, bool),
+    /// A machine issues the read.
     Read(usize),
+    /// A machine proposes an entry after a disk was lost.
     ProposeAfterWipe,
-    /// A heartbeat: the first machine learns that the second one knows more entries, or the voters.
+    /// The first machine receives a heartbeat of the second one, which knows more entries or the voters.
     Heartbeat(usize, usize),
 }
 
@@ -170,8 +183,8 @@
         });
     }
 
-    /// Drops messages without effect: replies to an earlier ballot, and messages for a slot that is already
-    /// chosen.
+    /// Drops messages without effect, which reduces the number of states: replies to an earlier ballot, and
+    /// messages for a slot that is already chosen.
     fn drop_stale_messages(&mut self) {
         let machines = &self.machines;
         self.messages.retain(|(to, _, bytes)| {
@@ -198,18 +211,22 @@
                         promise.accepted = None;
                     }
                     let others = (0..scenario.machine_count).filter(|&other| other != machine);
-                    let to: Vec<usize> = if to == 0 { others.collect() } else { vec![to as usize - 1] };
+                    // Address 0 stands for all other machines.
+                    let receivers: Vec<usize> =
+                        if to == 0 { others.collect() } else { vec![to as usize - 1] };
                     if let Payload::Fetch(_) | Payload::LogEntries(_) = &message {
-                        // Catch-up is one action. The message that starts it may be delayed arbitrarily.
-                        for other in to {
-                            self.run_ledger(scenario, other, |ledger, now, outputs| {
+                        // A fetch and its reply are delivered at once, so that catch-up is a single action.
+                        for receiver in receivers {
+                            self.run_ledger(scenario, receiver, |ledger, now, outputs| {
                                 ledger.on_message(now, machine_ip(machine), &message, outputs);
                             });
                         }
                         continue;
                     }
                     let bytes = Frame { payload: Some(message) }.encode_to_vec();
-                    self.messages.extend(to.into_iter().map(|to| (to, machine_ip(machine), bytes.clone())));
+                    self.messages.extend(
+                        receivers.into_iter().map(|receiver| (receiver, machine_ip(machine), bytes.clone())),
+                    );
                 }
                 Output::Store { ticket, record } => {
                     self.machines[machine].unsynced.push((ticket, record));
@@ -245,7 +262,8 @@
                 }
                 self.acknowledged_slots.insert(slot);
             }
-            // As in control: a machine that learned the slots from a snapshot checks the applied changes.
+            // A machine that learned the slot from a snapshot lacks the entry. Like control, it looks up the
+            // applied changes before it treats the proposal as rejected.
             ProposalOutcome::Superseded if !is_applied(&self.machines[machine].ledger, entry) => {
                 self.rejected_entries.push(entry.clone())
             }
@@ -253,7 +271,7 @@
         }
     }
 
-    /// Compares the entries and the state of this machine with those seen earlier on any machine.
+    /// Compares the entries and the state of a machine with those seen earlier on any machine.
     fn check_entries(&mut self, machine: usize) {
         let ledger = &self.machines[machine].ledger;
         for slot in 1..=ledger.chosen() {
@@ -284,14 +302,15 @@
             restarted.disk.clear();
         }
         let drops_promises = scenario.mutation == Some(Mutation::PromisesNotPersisted);
-        let retained = |record: &&Vec<u8>| {
+        let is_retained = |record: &&Vec<u8>| {
             let kind = Record::decode(record.as_slice()).expect("a record that it wrote").kind;
             !(drops_promises && matches!(kind, Some(RecordKind::Promised(_))))
         };
-        let disk: Vec<Vec<u8>> = restarted.disk.iter().filter(retained).cloned().collect();
+        let disk: Vec<Vec<u8>> = restarted.disk.iter().filter(is_retained).cloned().collect();
         let initial_voters: Vec<u32> = (0..3).map(machine_ip).collect();
         let keeps_vote = wiped && scenario.mutation == Some(Mutation::WipedVoterCounts);
         let mut outputs = Vec::new();
+        // Differs from the incarnations of all earlier starts.
         let incarnation = u64::from(self.crashes) + 100 * (machine as u64 + 1);
         let ledger = ReplicatedLog::open(
             machine_ip(machine),
@@ -363,35 +382,35 @@
         actions.extend(
             state.messages.iter().cloned().map(|(to, from, message)| ModelAction::Deliver(to, from, message)),
         );
-        for (machine, current) in state.machines.iter().enumerate() {
-            if !current.unsynced.is_empty() {
-                actions.push(ModelAction::Sync(machine));
+        for (machine_index, machine) in state.machines.iter().enumerate() {
+            if !machine.unsynced.is_empty() {
+                actions.push(ModelAction::Sync(machine_index));
             }
             if state.timeouts > 0
-                && current.ledger.due().is_some_and(|at| at < Timestamp::from_micros(i64::MAX / 2))
+                && machine.ledger.due().is_some_and(|at| at < Timestamp::from_micros(i64::MAX / 2))
             {
-                actions.push(ModelAction::Timeout(machine));
+                actions.push(ModelAction::Timeout(machine_index));
             }
-            if state.crashes > 0 && self.crashing_machine == Some(machine) {
-                actions.push(ModelAction::Crash(machine, false));
+            if state.crashes > 0 && self.crashing_machine == Some(machine_index) {
+                actions.push(ModelAction::Crash(machine_index, false));
                 // At most one disk is lost, and only while all voters vote: more exceeds the tolerated
                 // faults.
                 if state.wipes > 0 && state.all_vote() {
-                    actions.push(ModelAction::Crash(machine, true));
+                    actions.push(ModelAction::Crash(machine_index, true));
                 }
             }
-            if state.proposal_after_wipe && state.wipes == 0 && machine == 0 {
+            if state.proposal_after_wipe && state.wipes == 0 && machine_index == 0 {
                 actions.push(ModelAction::ProposeAfterWipe);
             }
-            if self.reader == Some(machine) && state.pending_read.is_none() {
-                actions.push(ModelAction::Read(machine));
+            if self.reader == Some(machine_index) && state.pending_read.is_none() {
+                actions.push(ModelAction::Read(machine_index));
             }
             let knows_more = |other: &Machine| {
-                other.ledger.chosen() > current.ledger.chosen()
-                    || current.ledger.voters().is_empty() && !other.ledger.voters().is_empty()
+                other.ledger.chosen() > machine.ledger.chosen()
+                    || machine.ledger.voters().is_empty() && !other.ledger.voters().is_empty()
             };
             let peer_ahead = state.machines.iter().position(knows_more);
-            actions.extend(peer_ahead.map(|other| ModelAction::Heartbeat(machine, other)));
+            actions.extend(peer_ahead.map(|other| ModelAction::Heartbeat(machine_index, other)));
         }
     }
 
@@ -521,10 +540,10 @@
             ..base
         },
         "one more voter" => {
-            let new_voters = Entry { payload: Some(EntryPayload::Voters(new_voters)) };
+            let voters_entry = Entry { payload: Some(EntryPayload::Voters(new_voters)) };
             ModelScenario {
                 machine_count: 4,
-                proposals: vec![(0, new_voters)],
+                proposals: vec![(0, voters_entry)],
                 timeouts: u8::from(is_long_run()),
                 ..base
             }
@@ -544,7 +563,7 @@
     "one more voter",
 ];
 
-/// Explores the scenario `name`, with an optional mutation. Returns `None` if there is no such scenario.
+/// Explores the scenario `name` exhaustively, or with a mutation up to the first violation. Returns `None` if there is no such scenario.
 pub fn check(name: &str, mutation: Option<Mutation>) -> Option<CheckResult> {
     Some(explore(scenario(name, mutation)?, mutation.is_some()))
 }
--- a/crates/arrowyard-emulator/src/models/promotion.rs
+++ b/crates/arrowyard-emulator/src/models/promotion.rs
@@ -40,10 +40,10 @@
     commits: u8,
     crashes: u8,
     restarts: u8,
-    /// Number of replicas that may stop receiving; only the last host.
+    /// Number of replicas that may stop receiving. Only the last host does.
     receive_faults: u8,
-    /// Number of replicas that control may lose contact with while routers still reach them; only the last
-    /// host.
+    /// Number of replicas that control may lose contact with while routers still reach them. Only the last
+    /// host is affected.
     partitions: u8,
     suspicions: u8,
     switchover: bool,
@@ -58,13 +58,16 @@
 struct Server {
     up: bool,
     is_primary: bool,
+    /// Whether the host was asked to stop receiving.
     paused: bool,
+    /// Whether a fault prevents the host from receiving.
     receive_blocked: bool,
+    /// Whether control cannot reach the host; routers can.
     partitioned: bool,
     draining: bool,
     /// Term and number of each commit.
     log: Vec<(u64, u8)>,
-    /// Role and draining state in the last heartbeat.
+    /// Last heartbeat: whether the host is the primary, and whether it is draining.
     reported: (bool, bool),
     request_queue: VecDeque<PromotionRequest>,
 }
@@ -75,21 +78,28 @@
     servers: Vec<Server>,
     term: u64,
     promotion: Promotion,
+    /// Hosts that control considers silent, with the start of the silence.
     silent: BTreeMap<String, Timestamp>,
+    /// When each host last crashed or was partitioned.
     unreachable_since: BTreeMap<String, Timestamp>,
+    /// Term and number of the commits acknowledged to clients.
     acknowledged: BTreeSet<(u64, u8)>,
+    /// Hosts named in pending promotion calls to the platform.
     platform_calls: Vec<String>,
+    /// Hosts named in calls that the platform executes after the caller gave up.
     delayed_calls: Vec<String>,
+    /// Status codes that control has not received yet; 0 for a lost reply.
     platform_replies: Vec<u16>,
     budget: ModelScenario,
     promotions: u8,
+    /// Whether a new primary lacked an acknowledged commit.
     lost_commit: bool,
     /// Number of actions so far; each takes 10 s.
     clock: i64,
 }
 
 impl Hash for ModelState {
-    fn hash<H: Hasher>(&self, state: &mut H) {
+    fn hash<H: Hasher>(&self, hasher: &mut H) {
         let budget = &self.budget;
         // Only whether an attempt is the current one affects behavior, so its number is normalized.
         let mut servers = self.servers.clone();
@@ -98,12 +108,12 @@
                 *attempt = u64::from(*attempt == self.promotion.attempt());
             }
         }
-        (&servers, self.term, &self.promotion, &self.acknowledged).hash(state);
-        (self.silent.keys().collect::<Vec<_>>(), self.promotions, self.lost_commit).hash(state);
-        (&self.platform_calls, &self.delayed_calls, &self.platform_replies).hash(state);
+        (&servers, self.term, &self.promotion, &self.acknowledged).hash(hasher);
+        (self.silent.keys().collect::<Vec<_>>(), self.promotions, self.lost_commit).hash(hasher);
+        (&self.platform_calls, &self.delayed_calls, &self.platform_replies).hash(hasher);
         (budget.commits, budget.crashes, budget.restarts, budget.receive_faults, budget.partitions)
-            .hash(state);
-        (budget.suspicions, budget.lost_replies, budget.late_executions).hash(state);
+            .hash(hasher);
+        (budget.suspicions, budget.lost_replies, budget.late_executions).hash(hasher);
     }
 }
 
@@ -116,38 +126,52 @@
 
 #[derive(Clone, Debug, PartialEq)]
 enum ModelAction {
+    /// The primary commits a transaction.
     Commit,
+    /// A replica receives the next commit.
     Replicate(usize),
     Crash(usize),
     Restart(usize),
+    /// A replica stops receiving.
     BlockReceive(usize),
+    /// Control loses contact with a replica.
     Partition(usize),
+    /// The primary starts to drain.
     Drain,
     /// Control receives a heartbeat with the role and the draining state.
     Heartbeat(usize),
     /// Control considers the host silent.
     Silence(usize),
+    /// Control suspects the reported primary.
     Suspect,
+    /// Control polls the promotion.
     Poll,
-    /// A host executes the next request and control receives the reply, only the reply is lost, or the
-    /// request is lost.
+    /// A host executes its next request, and control receives the reply.
     HandleRequest(usize),
+    /// A host executes its next request, and the reply is lost.
     LoseReply(usize),
+    /// The requests to a host are lost.
     LoseRequest(usize),
+    /// The platform executes the next call.
     ExecuteCall,
+    /// The platform executes the next call, and the reply is lost.
     LosePlatformReply,
+    /// The next call times out before the platform executes it.
     DelayCall,
+    /// The platform executes a call that has timed out.
     ExecuteDelayedCall,
+    /// Control receives a status code of the platform.
     DeliverStatus,
 }
 
 const HOSTS: [&str; 3] = ["a", "b", "c"];
 
 fn host_index(name: &str) -> usize {
-    HOSTS.iter().position(|other| *other == name).expect("one of three")
+    HOSTS.iter().position(|host| *host == name).expect("one of three")
 }
 
 impl Server {
+    /// Position of the last received commit.
     fn received(&self) -> Position {
         let term = self.log.last().map_or(1, |(term, _)| *term);
         Position { term, number: self.log.len() as u64 }
@@ -168,9 +192,9 @@
 
     /// Whether requests reach a running host. Routers relay them once control considers the host silent.
     fn is_reachable(&self, index: usize) -> bool {
-        let relays =
+        let is_relayed =
             self.budget.mutation != Some(Mutation::NoRelays) && self.silent.contains_key(HOSTS[index]);
-        !self.servers[index].partitioned || relays
+        !self.servers[index].partitioned || is_relayed
     }
 
     /// Runs a step of the promotion with the host registry built from the last heartbeats.
@@ -214,7 +238,7 @@
         }
     }
 
-    /// Passes a reply to the promotion, changed by the mutation if it concerns replies.
+    /// Passes a reply to the promotion. Some mutations replace the reply.
     fn handle_reply(&mut self, reply: Reply) {
         let reply = match reply {
             Reply::NoResponse { host }
@@ -242,7 +266,7 @@
         });
     }
 
-    /// A host executes the next request in its queue.
+    /// Executes the next request in the queue of a host and returns the reply.
     fn execute_request(&mut self, index: usize) -> Option<Reply> {
         let request = self.servers[index].request_queue.pop_front()?;
         let mutation = self.budget.mutation;
@@ -259,7 +283,8 @@
         Some(Reply::Row { host: HOSTS[index].into(), kind: request.request_kind()?, row })
     }
 
-    /// The platform promotes a host with its current log; the other hosts truncate entries that it lacks.
+    /// Makes a host the primary and truncates the entries that it lacks on the other hosts. Returns the status
+    /// code of the platform.
     fn promote(&mut self, host: &str) -> u16 {
         let candidate = host_index(host);
         if !self.servers[candidate].up {
@@ -278,8 +303,8 @@
             server.is_primary = index == candidate;
             if server.up {
                 server.paused = false;
-                let common = server.log.iter().zip(&log).take_while(|(ours, theirs)| ours == theirs).count();
-                server.log.truncate(common);
+                let common_length = server.log.iter().zip(&log).take_while(|(own, new)| own == new).count();
+                server.log.truncate(common_length);
             }
         }
         200
@@ -324,7 +349,7 @@
             return;
         }
         let (budget, primary) = (&state.budget, state.primary());
-        // Requests time out after 400 ms: the first one completes before more are queued.
+        // Bounds the queues: a request is handled or times out, after 400 ms, before this many others follow.
         if let Some(index) = state.servers.iter().position(|server| server.request_queue.len() > 3) {
             actions.push(if state.servers[index].up && state.is_reachable(index) {
                 ModelAction::HandleRequest(index)
@@ -361,9 +386,8 @@
                     actions.push(ModelAction::Silence(index));
                 }
             } else {
-                // Excluded, because promotion does not tolerate it: a replica that was ignored or paused
-                // restarts during the promotion and receives from a primary that is alive but no longer
-                // replies to control.
+                // Promotion does not tolerate the restart of an ignored or paused replica while it runs: the
+                // replica would receive from a primary that is alive but does not reply to control.
                 let in_progress = !matches!(state.promotion.stage, Stage::Idle | Stage::Checking { .. });
                 if budget.restarts > 0 && !in_progress {
                     actions.push(ModelAction::Restart(index));
@@ -421,11 +445,11 @@
             ModelAction::Replicate(index) => {
                 let log = state.servers[state.primary()?].log.clone();
                 let server = &mut state.servers[index];
-                let common = server.log.iter().zip(&log).take_while(|(ours, theirs)| ours == theirs).count();
-                server.log.truncate(common);
-                server.log.extend(log.get(common));
+                let common_length = server.log.iter().zip(&log).take_while(|(own, new)| own == new).count();
+                server.log.truncate(common_length);
+                server.log.extend(log.get(common_length));
                 // The primary is alive and acknowledges the commit to its client.
-                state.acknowledged.extend(log.get(common));
+                state.acknowledged.extend(log.get(common_length));
             }
             ModelAction::Crash(index) => {
                 state.budget.crashes -= 1;
@@ -530,10 +554,12 @@
             // A paused host without a pending request must be known to the promotion, which resumes it
             // later.
             Property::always("nobody is left behind", |_: &ModelScenario, state: &ModelState| {
-                let is_held = |server: &Server| server.up && server.paused && server.request_queue.is_empty();
-                let held_hosts = state.servers.iter().zip(HOSTS).filter(|(server, _)| is_held(server));
+                let is_left_paused =
+                    |server: &Server| server.up && server.paused && server.request_queue.is_empty();
+                let left_paused =
+                    state.servers.iter().zip(HOSTS).filter(|(server, _)| is_left_paused(server));
                 state.promotion.stage != Stage::Idle
-                    || held_hosts.into_iter().all(|(_, name)| state.promotion.is_paused(name))
+                    || left_paused.into_iter().all(|(_, name)| state.promotion.is_paused(name))
             }),
             Property::sometimes(PROGRESS, |_: &ModelScenario, state: &ModelState| {
                 state.promotions > 0 && state.promotion.stage == Stage::Idle
@@ -583,7 +609,7 @@
     "lost answers",
 ];
 
-/// Explores the scenario `name`, with an optional mutation. Returns `None` if there is no such scenario.
+/// Explores the scenario `name` exhaustively, or with a mutation up to the first violation. Returns `None` if there is no such scenario.
 pub fn check(name: &str, mutation: Option<Mutation>) -> Option<CheckResult> {
     Some(explore(scenario(name, mutation)?, mutation.is_some()))
 }
--- a/crates/arrowyard-emulator/src/operator.rs
+++ b/crates/arrowyard-emulator/src/operator.rs
@@ -12,10 +12,14 @@
 
 #[derive(Clone, Debug)]
 enum Timer {
+    /// Sends the pending change.
     Send,
     CallTimeout(Conn),
+    /// Starts the next change.
     Change,
+    /// Checks whether routers know this database.
     CheckRouters(String),
+    /// Reads the configuration back.
     Read,
     ReadTimeout(Conn),
 }
@@ -30,16 +34,20 @@
     /// The pending change: path, base revision, body, and when it was first sent.
     pending_change: Option<(String, u64, String, Timestamp)>,
     change_call: Option<(Conn, HttpDecoder)>,
+    /// Last acknowledged revision.
     pub revision: u64,
     acknowledged_at: Timestamp,
-    /// Database added by the last change, and the connections that check whether routers know it.
+    /// Database that the pending change adds.
     added_database: Option<String>,
+    /// Connections that check whether a router knows a database.
     router_checks: Vec<(Conn, SocketAddrV4, String)>,
+    /// Times of the remaining changes.
     changes: Vec<Timestamp>,
     services: Vec<String>,
+    /// Time within which routers must apply an acknowledged change.
     apply_time: TimeDelta,
     next_control: usize,
-    /// When to read the configuration back, and the call that reads it.
+    /// When to read the configuration back.
     read_at: Timestamp,
     read_call: Option<(Conn, HttpDecoder)>,
     /// Whether every change was acknowledged.
@@ -97,8 +105,9 @@
         self.timers.set(now + TimeDelta::from_millis(1000), Timer::ReadTimeout(conn));
     }
 
-    fn read_failed(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
-        if self.read_call.take_if(|(read_call, _)| *read_call == conn).is_some() {
+    /// Schedules a retry of the read if `conn` is its call.
+    fn retry_read(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
+        if self.read_call.take_if(|(call_conn, _)| *call_conn == conn).is_some() {
             commands.reset(conn);
             self.timers.set(now + TimeDelta::from_millis(100), Timer::Read);
         }
@@ -114,9 +123,9 @@
         }
     }
 
-    /// Schedules a retry of the pending change.
-    fn change_failed(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
-        if self.change_call.as_ref().is_some_and(|(change_call, _)| *change_call == conn) {
+    /// Schedules a retry of the pending change if `conn` is its call.
+    fn retry_change(&mut self, now: Timestamp, conn: Conn, commands: &mut Commands) {
+        if self.change_call.as_ref().is_some_and(|(call_conn, _)| *call_conn == conn) {
             self.change_call = None;
             commands.reset(conn);
             let delay = TimeDelta::from_millis(100) * (1.0 + self.rng.f64());
@@ -124,7 +133,8 @@
         }
     }
 
-    /// Handles the response to the pending change.
+    /// Handles the response to the pending change. Any status but 200 violates `CONFIG`, because all changes are
+    /// valid.
     fn handle_response(&mut self, now: Timestamp, status: u16) {
         let Some((path, _, body, _)) = self.pending_change.take() else { return };
         self.history.borrow_mut().change_pending_since = None;
@@ -158,8 +168,8 @@
 
 /// Parses the revision of a configuration.
 fn parse_revision(body: &str) -> Option<u64> {
-    let rest = body.split("\"revision\":").nth(1)?;
-    rest.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
+    let after_key = body.split("\"revision\":").nth(1)?;
+    after_key.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
 }
 
 impl Plane for Operator {
@@ -170,12 +180,12 @@
                 self.timers.set(self.read_at, Timer::Read);
             }
             Event::Connected { conn }
-                if self.read_call.as_ref().is_some_and(|(read_call, _)| *read_call == conn) =>
+                if self.read_call.as_ref().is_some_and(|(call_conn, _)| *call_conn == conn) =>
             {
                 commands.write(conn, &[format_request("GET", "/Config.Read", "control", &[], "").as_bytes()]);
             }
             Event::Received { conn, bytes }
-                if self.read_call.as_ref().is_some_and(|(read_call, _)| *read_call == conn) =>
+                if self.read_call.as_ref().is_some_and(|(call_conn, _)| *call_conn == conn) =>
             {
                 let Some((_, decoder)) = &mut self.read_call else { return };
                 decoder.put(bytes);
@@ -187,7 +197,7 @@
                         let body = String::from_utf8_lossy(&response.body).into_owned();
                         self.history.borrow_mut().read_revision = parse_revision(&body);
                     }
-                    _ => self.read_failed(now, conn, commands),
+                    _ => self.retry_read(now, conn, commands),
                 }
             }
             Event::Connected { conn } => {
@@ -200,14 +210,14 @@
                         format_request("POST", path, "control", &[("Arrowyard-Base-Revision", &base)], body);
                     commands.write(conn, &[request.as_bytes()]);
                 } else if let Some((_, _, database)) =
-                    self.router_checks.iter().find(|(check, _, _)| *check == conn)
+                    self.router_checks.iter().find(|(check_conn, _, _)| *check_conn == conn)
                 {
                     commands.write_line(conn, &["OPEN ", database, " operator"]);
                 }
             }
             Event::Received { conn, bytes } => {
                 if let Some((_, decoder)) =
-                    self.change_call.as_mut().filter(|(change_call, _)| *change_call == conn)
+                    self.change_call.as_mut().filter(|(call_conn, _)| *call_conn == conn)
                 {
                     decoder.put(bytes);
                     match decoder.next_response() {
@@ -217,9 +227,10 @@
                             commands.close(conn);
                             self.handle_response(now, response.status);
                         }
-                        _ => self.change_failed(now, conn, commands),
+                        _ => self.retry_change(now, conn, commands),
                     }
-                } else if let Some(index) = self.router_checks.iter().position(|(check, _, _)| *check == conn)
+                } else if let Some(index) =
+                    self.router_checks.iter().position(|(check_conn, _, _)| *check_conn == conn)
                 {
                     let (_, router, database) = self.router_checks.remove(index);
                     let response = String::from_utf8_lossy(bytes).into_owned();
@@ -232,18 +243,18 @@
                 }
             }
             Event::Closed { conn, .. } => {
-                self.change_failed(now, conn, commands);
-                self.read_failed(now, conn, commands);
-                self.router_checks.retain(|(check, _, _)| *check != conn);
+                self.retry_change(now, conn, commands);
+                self.retry_read(now, conn, commands);
+                self.router_checks.retain(|(check_conn, _, _)| *check_conn != conn);
             }
             _ => {}
         }
         while let Some(timer) = self.timers.take(now) {
             match timer {
                 Timer::Send => self.send_change(now, commands),
-                Timer::CallTimeout(conn) => self.change_failed(now, conn, commands),
+                Timer::CallTimeout(conn) => self.retry_change(now, conn, commands),
                 Timer::Read => self.start_read(now, commands),
-                Timer::ReadTimeout(conn) => self.read_failed(now, conn, commands),
+                Timer::ReadTimeout(conn) => self.retry_read(now, conn, commands),
                 Timer::Change => {
                     let revision = self.revision + 1 + self.rng.u64(0..4);
                     let database = format!("extra{revision}");
--- a/crates/arrowyard-emulator/src/platform.rs
+++ b/crates/arrowyard-emulator/src/platform.rs
@@ -16,6 +16,7 @@
     groups: BTreeMap<String, Rc<RefCell<ReplicationGroup>>>,
     history: SharedHistory,
     promotion_duration: TimeDelta,
+    /// Highest fencing token seen, by service.
     highest_fences: BTreeMap<String, u64>,
     connections: BTreeMap<Conn, HttpDecoder>,
     timers: Timers<Timer>,
@@ -23,7 +24,7 @@
     pub down: Rc<RefCell<bool>>,
     /// Calls received while unavailable; they are executed some time after it is available again.
     delayed_requests: Vec<PromoteRequest>,
-    /// Whether lower fencing tokens are rejected; if not, a lower one violates an invariant.
+    /// Whether lower fencing tokens are rejected; if not, a lower one violates `ONE`.
     checks_fencing: bool,
     /// Host named under each fencing token of a service.
     host_by_fence: BTreeMap<(String, u64), String>,
@@ -32,6 +33,7 @@
 /// Request to make a host the primary of a service.
 #[derive(Clone, Debug)]
 struct PromoteRequest {
+    /// Fencing token.
     fence: u64,
     service: String,
     host: String,
@@ -44,7 +46,7 @@
     Replay,
 }
 
-/// Delay of calls received while unavailable.
+/// Time after which calls received while unavailable are executed, if the platform is available by then.
 const HANG_TIME: TimeDelta = TimeDelta::from_millis(6000);
 
 impl Platform {
@@ -78,7 +80,8 @@
         Platform { checks_fencing, ..self }
     }
 
-    /// Validates a promotion request, schedules the promotion, and returns the HTTP status.
+    /// Validates a promotion request, schedules the promotion, and returns the HTTP status. Violates `ONE` if a
+    /// fencing token decreases or names two hosts.
     fn handle_request(&mut self, now: Timestamp, promote_request: &PromoteRequest) -> u16 {
         let PromoteRequest { fence, service, host } = promote_request;
         let highest_fence = self.highest_fences.entry(service.clone()).or_default();
@@ -90,7 +93,7 @@
             self.history.borrow_mut().record_violation("ONE", now, description);
         }
         *highest_fence = *fence;
-        // ONE: a fencing token belongs to one decision.
+        // A fencing token belongs to a single decision and therefore to a single host.
         let expected_host =
             self.host_by_fence.entry((service.clone(), *fence)).or_insert_with(|| host.clone());
         if expected_host != host {
@@ -109,7 +112,7 @@
         200
     }
 
-    /// Promotes a host. LOST: its log must hold every acknowledged write.
+    /// Promotes a host. Violates `LOST` if its log lacks an acknowledged write.
     fn promote(&mut self, now: Timestamp, promote_request: &PromoteRequest) {
         let PromoteRequest { service, host, .. } = promote_request;
         let group = self.groups[service].clone();
--- a/crates/arrowyard-emulator/src/replication.rs
+++ b/crates/arrowyard-emulator/src/replication.rs
@@ -17,10 +17,13 @@
 #[derive(Clone, Debug)]
 pub struct HostLog {
     pub commits: Vec<Commit>,
+    /// Number of applied commits.
     pub applied: usize,
     /// Highest term known to the host.
     pub term: u64,
+    /// Whether the host was asked to stop receiving.
     pub paused: bool,
+    /// Whether a fault prevents the host from receiving.
     pub receive_blocked: bool,
     pub up: bool,
     /// Delay between receiving and applying a commit.
@@ -31,6 +34,7 @@
 #[derive(Clone, Debug)]
 struct Transfer {
     to: String,
+    /// Number of commits in the log of the primary at the time of sending.
     end_index: usize,
     term: u64,
 }
@@ -42,11 +46,14 @@
     pub term: u64,
     pub primary: Option<String>,
     pub host_logs: BTreeMap<String, HostLog>,
+    /// Transfers by time of arrival and sequence number.
     transfers: BTreeMap<(Timestamp, u64), Transfer>,
+    /// By time and sequence number: the host, and the number of commits applied then.
     pending_applies: BTreeMap<(Timestamp, u64), (String, usize)>,
     last_sequence: u64,
     /// One-way latency between hosts.
     pub latency: TimeDelta,
+    /// Number of promotions so far.
     pub promotions: u32,
 }
 
@@ -157,7 +164,8 @@
         }
     }
 
-    /// Commits on the primary, sends the commit to the replicas, and returns its log index.
+    /// Commits on the primary, sends its log to the replicas, and returns the log index of the commit, counted
+    /// from 1.
     pub fn commit(&mut self, now: Timestamp, id: &str, writes: Vec<String>) -> usize {
         let term = self.term;
         let host_log = self.host_logs.get_mut(id).expect("the primary is a member");
@@ -169,14 +177,14 @@
         log_index
     }
 
-    /// Whether a replica has received the commit `log_index`.
+    /// Whether a host other than `id` has received the commit `log_index` in the current term.
     pub fn is_replicated(&self, id: &str, log_index: usize) -> bool {
         self.host_logs.iter().any(|(other, host_log)| {
             other != id && host_log.commits.len() >= log_index && host_log.term == self.term
         })
     }
 
-    /// Makes a running host the primary in a new term and truncates the other logs to their common prefix.
+    /// Makes a running host the primary in a new term and truncates the other logs to the prefix shared with its log.
     pub fn promote(&mut self, now: Timestamp, id: &str) {
         if self.is_primary(id) || !self.host_logs.get(id).is_some_and(|host_log| host_log.up) {
             return;
@@ -193,16 +201,15 @@
                 (host_log.term, host_log.applied) = (self.term, log.len());
                 continue;
             }
-            let common =
-                host_log.commits.iter().zip(&log).take_while(|(ours, theirs)| ours == theirs).count();
-            host_log.commits.truncate(common);
-            host_log.applied = host_log.applied.min(common);
+            let common_length = host_log.commits.iter().zip(&log).take_while(|(own, new)| own == new).count();
+            host_log.commits.truncate(common_length);
+            host_log.applied = host_log.applied.min(common_length);
         }
         let others: Vec<String> = self.host_logs.keys().filter(|other| *other != id).cloned().collect();
         others.iter().for_each(|other| self.send_log(now, other));
     }
 
-    /// Position of the commit `number` in a log.
+    /// Position of the commit `number` in a log, counted from 1; 0 stands for the start of the log.
     pub fn position(&self, number: usize, log: &[Commit]) -> Position {
         let term = log.get(number.wrapping_sub(1)).map_or(1, |commit| commit.term);
         Position { term, number: number as u64 }
--- a/crates/arrowyard-emulator/src/scenario.rs
+++ b/crates/arrowyard-emulator/src/scenario.rs
@@ -62,9 +62,9 @@
     ReleaseReplica,
     /// A primary is partitioned from control and from its replicas; routers reach it.
     CutPrimary,
-    /// A primary or a replica is partitioned from control; routers and the other hosts of the service reach
-    /// it.
+    /// A primary is partitioned from control; routers and the other hosts of the service reach it.
     HidePrimary,
+    /// A replica is partitioned from control; routers and the other hosts of the service reach it.
     HideReplica,
     /// A service gets an additional replica, which receives from its primary at once.
     JoinReplica,
@@ -116,7 +116,7 @@
         FaultKind::PowerOff,
     ];
 
-    /// Whether it makes a control machine unavailable; only one may be unavailable at a time.
+    /// Whether the fault makes a control machine unavailable; only one may be unavailable at a time.
     fn affects_control(self) -> bool {
         use FaultKind::*;
         matches!(
@@ -135,7 +135,7 @@
         )
     }
 
-    /// Whether it makes a host of a service unavailable.
+    /// Whether the fault makes a host of a service unavailable.
     fn affects_host(self) -> bool {
         use FaultKind::*;
         matches!(
@@ -155,15 +155,17 @@
     }
 }
 
-/// A scheduled fault: start, duration, kind, and the index of the affected machine among the eligible ones.
+/// A scheduled fault. Serialized names are those of the scenario files.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Fault {
+    /// Start, in seconds.
     pub at: f64,
     #[serde(rename = "for-s", default)]
     pub duration_s: f64,
     #[serde(rename = "what")]
     pub kind: FaultKind,
+    /// Selects the affected machine among the eligible ones, modulo their number.
     #[serde(rename = "which", default)]
     pub target_index: usize,
 }
@@ -176,8 +178,9 @@
     pub controls: usize,
     pub routers: usize,
     pub services: usize,
+    /// Users per database; each service has three databases.
     pub users: usize,
-    /// Length of the run.
+    /// Length of the run, in seconds.
     pub seconds: f64,
     /// Times of configuration changes, in seconds.
     #[serde(default)]
@@ -258,10 +261,13 @@
 pub struct RunResult {
     pub violations: Vec<Violation>,
     pub counts: OperationCounts,
+    /// Second, operations that started in it, and those of them that were served.
     pub counts_by_second: Vec<(i64, u64, u64)>,
     pub promotions: u32,
     pub acknowledged: bool,
+    /// Statements executed by hosts.
     pub statements_run: u64,
+    /// Sessions that hosts rejected at their connection limit.
     pub connections_over_limit: u64,
     /// Time between the acknowledgement of a drain and the last request that the host received.
     pub last_request_after_drain: Option<TimeDelta>,
@@ -269,6 +275,7 @@
     pub write_times: BTreeMap<String, Vec<Timestamp>>,
     /// Times of acknowledged configuration changes.
     pub change_times: Vec<Timestamp>,
+    /// Percentiles of the latency of operations.
     pub p50_ms: f64,
     pub p99_ms: f64,
     pub stats_by_kind: BTreeMap<&'static str, KindStats>,
@@ -280,7 +287,8 @@
     Timestamp::from_micros((seconds * 1e6) as i64)
 }
 
-/// Time after a power loss until at least a quarter is served. The documented bound is 12 s.
+/// Time after the restart of all machines until at least a quarter of the operations must be served. The
+/// documented bound is 12 s.
 const RECOVERY_TIME: TimeDelta = TimeDelta::from_millis(3000);
 
 /// Time after the end of the load within which the configuration must have been read back.
@@ -346,8 +354,11 @@
 #[derive(Clone, Debug)]
 enum ScheduledStep {
     Begin(Fault),
+    /// The end of a fault, with the index of the affected machine.
     End(Fault, usize),
+    /// The process of the host with this index crashes.
     CrashHost(usize),
+    /// The host with this index is replaced by a new one at its address.
     ReplaceHost(usize),
 }
 
@@ -421,7 +432,9 @@
             .controls
             .iter()
             .map(|machine| deployment.simulation.resource_usage(*machine))
-            .fold((0, std::time::Duration::ZERO), |sum, cost| (sum.0 + cost.0, sum.1 + cost.3)),
+            .fold((0, std::time::Duration::ZERO), |(byte_sum, time_sum), (bytes_sent, _, _, plane_time)| {
+                (byte_sum + bytes_sent, time_sum + plane_time)
+            }),
     }
 }
 
@@ -436,14 +449,14 @@
     }
 }
 
-/// Control machines that lose their disks together.
+/// Indexes of the control machines that lose power and disk in a `WipeControls` fault.
 fn wiped_controls(deployment: &Deployment, fault: &Fault) -> Vec<usize> {
     (0..deployment.plan.tolerance as usize)
-        .map(|next| deployment.existing_control(fault.target_index + next))
+        .map(|offset| deployment.existing_control(fault.target_index + offset))
         .collect()
 }
 
-/// Pairs of one control machine and each of the others.
+/// Pairs of one control machine, first, and each of the others.
 fn control_pairs(deployment: &Deployment, control: usize) -> Vec<(MachineId, MachineId)> {
     let machine = deployment.controls[control];
     deployment.controls.iter().filter(|other| **other != machine).map(|other| (machine, *other)).collect()
@@ -455,7 +468,7 @@
     now: Timestamp,
     step: ScheduledStep,
 ) -> Vec<(Timestamp, ScheduledStep)> {
-    let end_later = |fault: &Fault, machine_index: usize| {
+    let end_after_duration = |fault: &Fault, machine_index: usize| {
         let end = now + TimeDelta::from_micros((fault.duration_s * 1e6) as i64);
         vec![(end, ScheduledStep::End(fault.clone(), machine_index))]
     };
@@ -515,12 +528,12 @@
                 FaultKind::CrashPrimary | FaultKind::DarkPrimary => {
                     let Some(host_index) = primary else { return Vec::new() };
                     deployment.stop_host(host_index, fault.kind == FaultKind::DarkPrimary);
-                    return end_later(&fault, host_index);
+                    return end_after_duration(&fault, host_index);
                 }
                 FaultKind::CrashReplica | FaultKind::DarkReplica => {
                     let Some(host_index) = replica else { return Vec::new() };
                     deployment.stop_host(host_index, fault.kind == FaultKind::DarkReplica);
-                    return end_later(&fault, host_index);
+                    return end_after_duration(&fault, host_index);
                 }
                 FaultKind::DeafReplica | FaultKind::DeafThenCrash | FaultKind::LateReplica => {
                     let Some(host_index) = replica else { return Vec::new() };
@@ -530,7 +543,7 @@
                         host_log.apply_lag =
                             TimeDelta::from_millis(if host_log.receive_blocked { 8 } else { 900 });
                     }
-                    let mut steps = end_later(&fault, host_index);
+                    let mut steps = end_after_duration(&fault, host_index);
                     if fault.kind == FaultKind::DeafThenCrash {
                         let crash_at = now + TimeDelta::from_micros((fault.duration_s * 5e5) as i64);
                         steps.extend(primary.map(|primary| (crash_at, ScheduledStep::CrashHost(primary))));
@@ -552,14 +565,14 @@
                 FaultKind::CutPrimary => {
                     let Some(host_index) = primary else { return Vec::new() };
                     deployment.set_isolation(host_index, true);
-                    return end_later(&fault, host_index);
+                    return end_after_duration(&fault, host_index);
                 }
                 FaultKind::HidePrimary | FaultKind::HideReplica => {
                     let partitioned_host =
                         if fault.kind == FaultKind::HidePrimary { primary } else { replica };
                     let Some(host_index) = partitioned_host else { return Vec::new() };
                     deployment.set_control_partition(host_index, true);
-                    return end_later(&fault, host_index);
+                    return end_after_duration(&fault, host_index);
                 }
                 FaultKind::JoinReplica => {
                     deployment.add_host(service);
@@ -573,7 +586,7 @@
                         FaultKind::FailStatements => faults.failure_share = 0.2,
                         _ => faults.lost_reply_share = 0.15,
                     }
-                    return end_later(&fault, host_index);
+                    return end_after_duration(&fault, host_index);
                 }
                 FaultKind::PlatformAway => *deployment.platform_unavailable.borrow_mut() = true,
                 FaultKind::PowerOff => {
@@ -587,7 +600,7 @@
                 FaultKind::KillRouter => router,
                 _ => control,
             };
-            end_later(&fault, machine_index)
+            end_after_duration(&fault, machine_index)
         }
         ScheduledStep::End(fault, machine_index) => {
             match fault.kind {
@@ -677,8 +690,9 @@
         }
         ScheduledStep::CrashHost(host_index) => {
             deployment.stop_host(host_index, false);
-            let restart = Fault { at: 0.0, duration_s: 4.0, kind: FaultKind::CrashPrimary, target_index: 0 };
-            vec![(now + TimeDelta::from_millis(4000), ScheduledStep::End(restart, host_index))]
+            // The end of this fault restarts the host.
+            let crash = Fault { at: 0.0, duration_s: 4.0, kind: FaultKind::CrashPrimary, target_index: 0 };
+            vec![(now + TimeDelta::from_millis(4000), ScheduledStep::End(crash, host_index))]
         }
         ScheduledStep::ReplaceHost(host_index) => {
             // A new host at the same address takes over the log of the old one.
--- a/crates/arrowyard-emulator/src/simulation.rs
+++ b/crates/arrowyard-emulator/src/simulation.rs
@@ -35,8 +35,8 @@
 pub struct Disk {
     pub records: Vec<Vec<u8>>,
     pub fault: DiskFault,
-    /// Whether a write has failed since the process started. No record is durable until a snapshot is
-    /// stored.
+    /// Whether a write has failed since the process started. Further records are not durable until a snapshot
+    /// is stored.
     failed: bool,
 }
 
@@ -91,17 +91,21 @@
     listen_addresses: Vec<SocketAddrV4>,
     plane: Option<Box<dyn Plane>>,
     commands: Commands,
+    /// Incremented at each start and stop. Events of earlier incarnations are dropped.
     incarnation: u64,
     frozen: bool,
+    /// Time of the scheduled timer.
     timer_at: Option<Timestamp>,
     disk: Rc<RefCell<Disk>>,
     sync_duration: TimeDelta,
+    /// Whether the plane has stopped itself since its start.
     stopped: bool,
-    /// Bytes, writes and events of the plane, and the real time spent in it.
+    /// Bytes and writes sent by the plane, events handled by it, and the real time that it took.
     pub bytes_sent: u64,
     pub write_count: u64,
     pub event_count: u64,
     pub plane_time: std::time::Duration,
+    /// Events that arrived while the machine was frozen.
     suspended_events: Vec<(Timestamp, SimEvent)>,
     /// Records that a hanging disk has not completed.
     pending_stores: Vec<(u64, Vec<u8>)>,
@@ -111,11 +115,13 @@
 pub struct Simulation {
     pub now: Timestamp,
     pub rng: Rng,
+    /// By time and sequence number: the machine, its incarnation and the event.
     event_queue: BTreeMap<(Timestamp, u64), (MachineId, u64, SimEvent)>,
     last_sequence: u64,
     machines: Vec<Machine>,
     endpoints: FxHashMap<(MachineId, Conn), Endpoint>,
     listeners: FxHashMap<SocketAddrV4, (MachineId, ListenerId)>,
+    /// Pairs of machines that are partitioned from each other, with the lower id first.
     partitions: BTreeSet<(MachineId, MachineId)>,
     /// Blocked directions: from the first machine to the second one.
     blocked_directions: BTreeSet<(MachineId, MachineId)>,
@@ -199,8 +205,8 @@
         machine.pending_stores.clear();
         machine.disk.borrow_mut().failed = false;
         (machine.timer_at, machine.stopped, machine.frozen) = (None, false, false);
-        for (number, address) in machine.listen_addresses.clone().into_iter().enumerate() {
-            self.listeners.insert(address, (id, ListenerId(number as u8)));
+        for (listener_index, address) in machine.listen_addresses.clone().into_iter().enumerate() {
+            self.listeners.insert(address, (id, ListenerId(listener_index as u8)));
         }
         self.schedule(self.now, id, SimEvent::Start);
     }
@@ -272,15 +278,15 @@
     /// delivered.
     pub fn heal(&mut self, a: MachineId, b: MachineId) {
         self.partitions.remove(&(a.min(b), a.max(b)));
-        let mut delayed: Vec<(MachineId, Conn)> = Vec::new();
+        let mut delayed_endpoints: Vec<(MachineId, Conn)> = Vec::new();
         for ((machine, conn), endpoint) in &self.endpoints {
             let is_between = |peer: MachineId| (*machine == a && peer == b) || (*machine == b && peer == a);
             if !endpoint.delayed_bytes.is_empty() && endpoint.peer.is_some_and(|(peer, _)| is_between(peer)) {
-                delayed.push((*machine, *conn));
+                delayed_endpoints.push((*machine, *conn));
             }
         }
-        delayed.sort_unstable();
-        for (machine, conn) in delayed {
+        delayed_endpoints.sort_unstable();
+        for (machine, conn) in delayed_endpoints {
             let bytes = self
                 .endpoints
                 .get_mut(&(machine, conn))
@@ -353,6 +359,7 @@
         self.event_queue.insert((at, self.last_sequence), (id, incarnation, event));
     }
 
+    /// Draws the one-way latency of a message.
     fn draw_latency(&mut self) -> TimeDelta {
         self.latency + self.latency * (self.rng.f64() / 3.0)
     }
@@ -370,6 +377,7 @@
             if let SimEvent::DialArrived { from, conn, to } = event {
                 self.deliver_dial(from, conn, to);
             } else if incarnation != machine.incarnation || machine.plane.is_none() {
+                // The process that the event belongs to has ended.
             } else if machine.frozen {
                 machine.suspended_events.push((at, event));
             } else {
@@ -379,13 +387,13 @@
         self.now = until.max(self.now);
     }
 
+    /// Delivers a connection attempt to the machine that listens at the address.
     fn deliver_dial(&mut self, from: MachineId, conn: Conn, to: SocketAddrV4) {
         if !self.endpoints.contains_key(&(from, conn)) {
             return;
         }
         let Some(&(id, listener)) = self.listeners.get(&to) else {
-            // A closed port rejects the connection. Packets to a machine without power get no reply, so the
-            // dialer times out.
+            // Nothing listens at the address, so the attempt is rejected.
             self.endpoints.remove(&(from, conn));
             let reply_at = self.now + self.latency;
             return self.schedule(
@@ -397,6 +405,7 @@
         let is_blocked =
             self.blocked_directions.contains(&(from, id)) || self.blocked_directions.contains(&(id, from));
         if is_blocked || self.is_partitioned(from, id) {
+            // The packets are lost, so the dialer receives no reply and times out.
             return;
         }
         let accepted_conn = self.machines[id.0].commands.new_conn();
@@ -471,10 +480,10 @@
     /// Executes the commands that the plane has issued.
     fn execute_commands(&mut self, id: MachineId) {
         let machine = &mut self.machines[id.0];
-        let (pending, bytes) =
+        let (commands, written_bytes) =
             (std::mem::take(&mut machine.commands.list), std::mem::take(&mut machine.commands.bytes));
         let mut offset = 0;
-        for command in pending {
+        for command in commands {
             match command {
                 Command::Dial { conn, to } => {
                     let endpoint = Endpoint {
@@ -489,7 +498,7 @@
                     self.schedule(arrival, id, SimEvent::DialArrived { from: id, conn, to });
                 }
                 Command::Write { conn, len } => {
-                    let chunk = bytes[offset..offset + len].to_vec();
+                    let chunk = written_bytes[offset..offset + len].to_vec();
                     offset += len;
                     self.machines[id.0].bytes_sent += len as u64;
                     self.machines[id.0].write_count += 1;
@@ -510,14 +519,15 @@
         }
     }
 
+    /// Sends bytes to the peer, or keeps them if a partition or a blocked direction delays them.
     fn write(&mut self, id: MachineId, conn: Conn, bytes: Vec<u8>) {
         let latency = self.draw_latency();
         let Some(endpoint) = self.endpoints.get_mut(&(id, conn)) else { return };
         let Some((peer, peer_conn)) = endpoint.peer else { return };
         if self.partitions.contains(&(id.min(peer), id.max(peer))) {
-            let first_delayed = endpoint.delayed_bytes.is_empty();
+            let is_first_delayed = endpoint.delayed_bytes.is_empty();
             endpoint.delayed_bytes.extend(bytes);
-            if first_delayed {
+            if is_first_delayed {
                 let detected_at = self.now + FAILURE_DETECTION_DELAY;
                 self.schedule(
                     detected_at,
@@ -542,6 +552,7 @@
         self.schedule(next_arrival, peer, SimEvent::Received { conn: peer_conn, bytes });
     }
 
+    /// Closes a connection and notifies the peer.
     fn close(&mut self, id: MachineId, conn: Conn, reason: CloseReason) {
         let Some(endpoint) = self.endpoints.remove(&(id, conn)) else { return };
         let Some((peer, peer_conn)) = endpoint.peer else { return };
