--- a/crates/arrowyard-emulator/src/acknowledgements.rs
+++ b/crates/arrowyard-emulator/src/acknowledgements.rs
@@ -1,6 +1,6 @@
 //! Measures how long configuration changes wait for an acknowledgement during a fault of a control machine.
-//! The measure is external: a change is sent as soon as the previous one is acknowledged, at most ten per
-//! second, and the longest gap between acknowledgements around the fault counts.
+//! The operator sends a change once the previous one is acknowledged, at most ten per second. The result is
+//! the longest gap between acknowledgements around the fault.
 
 use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
@@ -8,8 +8,9 @@
 use crate::failover::{DurationSummary, longest_gap, summarize_runs};
 use crate::scenario::{Fault, FaultKind, Scenario, run_scenario};
 
-/// Start and interval of the changes in seconds, and their number.
+/// Time of the first change, in seconds.
 const FIRST_CHANGE_S: f64 = 4.0;
+/// Interval of the changes, in seconds.
 const CHANGE_INTERVAL_S: f64 = 0.1;
 const CHANGE_COUNT: u32 = 160;
 
@@ -27,7 +28,7 @@
     FaultKind::HangDisk,
 ];
 
-/// Scenario with this fault, and the start and the end of the fault.
+/// Returns a scenario with this fault, and the start and the end of the fault.
 fn scenario(fault_kind: FaultKind, seed: u64) -> (Scenario, Timestamp, Timestamp) {
     let mut rng = Rng::with_seed(seed ^ 0xacc5);
     let (at, duration_s) = (8.0 + rng.f64(), 3.0 + 2.0 * rng.f64());
@@ -54,6 +55,6 @@
     })
 }
 
-/// Upper bound of a change's wait during a fault of one control machine: a call times out after a second,
-/// and the next machine is tried.
+/// Maximum gap between acknowledgements during a fault of one control machine. A call times out after a
+/// second, and then the next machine is tried.
 pub const MAX_GAP: TimeDelta = TimeDelta::from_millis(1500);
--- a/crates/arrowyard-emulator/src/bin/arrowyard-basin.rs
+++ b/crates/arrowyard-emulator/src/bin/arrowyard-basin.rs
@@ -165,10 +165,10 @@
     );
     for &size in sizes {
         if dimension == "routes" {
-            let ChangeCost { apply_time, layout_time, difference_time, configuration_bytes } =
+            let ChangeCost { apply_time, routes_time, difference_time, configuration_bytes } =
                 measure_configuration_change(size);
             println!(
-                "{size:>8}  change {apply_time:?}, layout {layout_time:?}, difference {difference_time:?}, whole {configuration_bytes} bytes"
+                "{size:>8}  change {apply_time:?}, layout {routes_time:?}, difference {difference_time:?}, whole {configuration_bytes} bytes"
             );
             continue;
         }
@@ -208,22 +208,22 @@
     println!("{column:>24}  cases  p50 ms  p99 ms  worst ms  never  days with a rule broken");
 }
 
-fn print_outages(name: &str, outages: &DurationSummary) {
+fn print_durations(name: &str, durations: &DurationSummary) {
     println!(
         "{name:>24}  {:>5}  {:>6}  {:>6}  {:>8}  {:>5}  {}",
-        outages.cases,
-        outages.p50_ms,
-        outages.p99_ms,
-        outages.worst_ms,
-        outages.unrecovered,
-        outages.runs_with_violations
+        durations.cases,
+        durations.p50_ms,
+        durations.p99_ms,
+        durations.worst_ms,
+        durations.unrecovered,
+        durations.runs_with_violations
     );
 }
 
 fn print_acknowledgements(cases: u64, first_seed: u64) {
     print_header("trouble");
     for fault_kind in CONTROL_FAULTS {
-        print_outages(
+        print_durations(
             &format!("{fault_kind:?}"),
             &measure_acknowledgement_gaps(fault_kind, cases, first_seed),
         );
@@ -234,14 +234,14 @@
     print_header("trouble");
     for fault_kind in [None].into_iter().chain(CONTROL_FAULTS.map(Some)) {
         let name = fault_kind.map_or("none".to_string(), |fault_kind| format!("{fault_kind:?}"));
-        print_outages(&name, &measure_requests_after_drain(fault_kind, cases, first_seed));
+        print_durations(&name, &measure_requests_after_drain(fault_kind, cases, first_seed));
     }
 }
 
 fn print_failover(cases: u64, first_seed: u64) {
     print_header("cause");
     for cause in Cause::ALL {
-        print_outages(cause.name(), &measure_outages(cause, cases, first_seed));
+        print_durations(cause.name(), &measure_outages(cause, cases, first_seed));
     }
 }
 
@@ -275,16 +275,16 @@
     for (model, scenarios, explore) in models {
         for name in scenarios {
             let started = std::time::Instant::now();
-            let Some(checked) = explore(name) else { continue };
+            let Some(result) = explore(name) else { continue };
             let verdict =
-                if checked.violations.is_empty() && checked.progressed { "holds" } else { "does not hold" };
+                if result.violations.is_empty() && result.progressed { "holds" } else { "does not hold" };
             println!(
                 "{model:>10}  {name:<30}  {:>9} states  {:>6.1?}  {verdict}",
-                checked.unique_states,
+                result.unique_states,
                 started.elapsed()
             );
-            checked.violations.iter().for_each(|(property, trace)| println!("{property}: {trace}"));
-            holds &= checked.violations.is_empty() && checked.progressed;
+            result.violations.iter().for_each(|(property, trace)| println!("{property}: {trace}"));
+            holds &= result.violations.is_empty() && result.progressed;
         }
     }
     holds
@@ -333,8 +333,8 @@
     println!("{:>8}  {:>12}  {:>12}  {:>12}  within (95 of 100)", "figure", "first", "second", "second less");
     for (name, difference) in METRIC_NAMES.iter().zip(compare(&first_results, &second_results)?) {
         let Difference { first, second, mean, margin } = difference;
-        let note = if mean.abs() > margin { "" } else { "  no difference shown" };
-        println!("{name:>8}  {first:>12.4}  {second:>12.4}  {mean:>+12.4}  {margin:.4}{note}");
+        let significance_note = if mean.abs() > margin { "" } else { "  no difference shown" };
+        println!("{name:>8}  {first:>12.4}  {second:>12.4}  {mean:>+12.4}  {margin:.4}{significance_note}");
     }
     Ok(())
 }
@@ -344,7 +344,7 @@
     serde_saphyr::from_str(&text).map_err(|error| format!("{}: {error}", file.display()))
 }
 
-/// Prints an error and maps it to exit code 2.
+/// Maps success to exit code 0. Prints an error and maps it to exit code 2.
 fn exit_code<T>(result: Result<T, impl std::fmt::Display>) -> ExitCode {
     match result {
         Ok(_) => ExitCode::SUCCESS,
@@ -355,7 +355,7 @@
     }
 }
 
-fn summary(result: &RunResult) -> String {
+fn format_summary(result: &RunResult) -> String {
     let counts = result.counts;
     format!(
         "asked {}, in aim {}, late {}, refused {}, failed {}; p50 {:.1} ms, p99 {:.1} ms; {} promotions, {} statements run, {} \
@@ -412,18 +412,18 @@
             ExitCode::SUCCESS
         }
         Command::Shares { without_faults, services, seed, output, routers, .. } => {
-            let last = shares::print_comparison(&routers, services, !without_faults, seed);
-            exit_code(match (output, last) {
+            let last_run = shares::print_comparison(&routers, services, !without_faults, seed);
+            exit_code(match (output, last_run) {
                 (Some(output), Some((scenario, result))) => draw_kinds(&scenario, &result, &output),
                 _ => Ok(()),
             })
         }
         Command::Check => ExitCode::from(u8::from(!check_models())),
         Command::Chart { output, scenario } => {
-            let chart = read_scenario(&scenario)
+            let drawn = read_scenario(&scenario)
                 .map_err(Into::into)
                 .and_then(|scenario| draw_throughput(&scenario, &run_scenario(&scenario), &output));
-            exit_code(chart)
+            exit_code(drawn)
         }
         Command::Play { scenario } => {
             let scenario = match read_scenario(&scenario) {
@@ -431,7 +431,7 @@
                 Err(error) => return exit_code(Err::<(), _>(error)),
             };
             let result = run_scenario(&scenario);
-            println!("{}", summary(&result));
+            println!("{}", format_summary(&result));
             for (second, requested, served) in &result.counts_by_second {
                 println!("{second:3} s  asked {requested:5}  served {served:5}");
             }
@@ -445,7 +445,7 @@
                 let result = run_scenario(&scenario);
                 if !result.violations.is_empty() {
                     failing_scenarios += 1;
-                    println!("seed {seed}: {}", summary(&result));
+                    println!("seed {seed}: {}", format_summary(&result));
                     print_violations(&result);
                     println!("{}", serde_saphyr::to_string(&scenario).unwrap_or_default());
                 }
--- a/crates/arrowyard-emulator/src/calls.rs
+++ b/crates/arrowyard-emulator/src/calls.rs
@@ -13,8 +13,9 @@
 /// Status and body of the response, once there is one. Status 0: the connection closed without a response.
 pub type CallReply = Rc<RefCell<Option<(u16, String)>>>;
 
-/// A response is polled at this interval, for one second at most.
+/// Interval at which a response is polled.
 const POLL_INTERVAL: TimeDelta = TimeDelta::from_millis(5);
+/// Number of polls, which wait for a second in total.
 const MAX_POLLS: usize = 200;
 
 /// A client that makes one call.
@@ -48,7 +49,7 @@
 }
 
 impl Deployment {
-    /// Starts a call to a control machine; `request` is its whole text.
+    /// Starts a call to a control machine; `request` is the HTTP request with its headers and body.
     pub fn start_call(&mut self, control: usize, request: &str) -> CallReply {
         let reply = CallReply::default();
         let caller = Caller {
--- a/crates/arrowyard-emulator/src/capacity.rs
+++ b/crates/arrowyard-emulator/src/capacity.rs
@@ -20,11 +20,13 @@
     pub users: usize,
     /// Growth of the resident memory of this process in bytes.
     pub memory: i64,
-    /// Rates of all control machines and of all routers.
+    /// Sum of the rates of all control machines.
     pub control: ResourceRate,
+    /// Sum of the rates of all routers.
     pub router: ResourceRate,
     /// Number of configuration changes during the measurement.
     pub changes: usize,
+    /// Number of statements executed during the measurement.
     pub statements: u64,
 }
 
@@ -37,16 +39,18 @@
     pub cpu_seconds: f64,
 }
 
+/// Resident memory of this process.
 fn resident_bytes() -> i64 {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
     let pages: i64 = text.split(' ').nth(1).and_then(|pages| pages.parse().ok()).unwrap_or(0);
     pages * 4096
 }
 
+/// Sum of the bytes, writes, events and plane time of the machines.
 fn total_usage(deployment: &Deployment, machines: &[MachineId]) -> (u64, u64, u64, Duration) {
     machines.iter().fold((0, 0, 0, Duration::ZERO), |totals, machine| {
-        let cost = deployment.simulation.resource_usage(*machine);
-        (totals.0 + cost.0, totals.1 + cost.1, totals.2 + cost.2, totals.3 + cost.3)
+        let usage = deployment.simulation.resource_usage(*machine);
+        (totals.0 + usage.0, totals.1 + usage.1, totals.2 + usage.2, totals.3 + usage.3)
     })
 }
 
@@ -97,7 +101,8 @@
     let mut deployment = Deployment::new(plan);
     deployment.simulation.run_until(at(start));
     let (control_ids, router_ids) = (deployment.controls.clone(), deployment.routers.clone());
-    let (control, router) = (total_usage(&deployment, &control_ids), total_usage(&deployment, &router_ids));
+    let (control_before, router_before) =
+        (total_usage(&deployment, &control_ids), total_usage(&deployment, &router_ids));
     let statements_before = deployment.history.borrow().statements_run;
     deployment.simulation.run_until(at(start + seconds));
     let memory = resident_bytes() - memory_before;
@@ -108,8 +113,8 @@
         hosts: services * 3,
         users: users * services * 3,
         memory,
-        control: rate_between(control, total_usage(&deployment, &control_ids), seconds),
-        router: rate_between(router, total_usage(&deployment, &router_ids), seconds),
+        control: rate_between(control_before, total_usage(&deployment, &control_ids), seconds),
+        router: rate_between(router_before, total_usage(&deployment, &router_ids), seconds),
         changes,
         statements,
     }
@@ -117,10 +122,10 @@
 
 /// Cost of one change of a configuration.
 pub struct ChangeCost {
-    /// Time to validate and apply it.
+    /// Time to validate and apply the change.
     pub apply_time: Duration,
     /// Time to build the routing tables.
-    pub layout_time: Duration,
+    pub routes_time: Duration,
     /// Time to compute the difference sent to routers.
     pub difference_time: Duration,
     /// Size of the whole configuration in bytes.
@@ -158,14 +163,14 @@
     }
     let adjust_time = started.elapsed() / rounds as u32;
     let started = Instant::now();
-    let layouts: Vec<Routes> = (0..rounds).map(|_| Routes::new(&configuration)).collect();
-    let layout_time = started.elapsed() / rounds as u32;
-    drop(layouts);
+    let routing_tables: Vec<Routes> = (0..rounds).map(|_| Routes::new(&configuration)).collect();
+    let routes_time = started.elapsed() / rounds as u32;
+    drop(routing_tables);
     let changed =
         configuration.adjust(b"{\"revision\":99,\"remove\":{\"channels\":[\"r-1\"]}}").expect("it is valid");
     let started = Instant::now();
     let differences = (0..rounds).filter(|_| configuration.difference(&changed).is_some()).count();
     assert_eq!(differences, rounds, "every comparison finds a difference");
     let difference_time = started.elapsed() / rounds as u32;
-    ChangeCost { apply_time: adjust_time, layout_time, difference_time, configuration_bytes: body.len() }
+    ChangeCost { apply_time: adjust_time, routes_time, difference_time, configuration_bytes: body.len() }
 }
--- a/crates/arrowyard-emulator/src/catch_up.rs
+++ b/crates/arrowyard-emulator/src/catch_up.rs
@@ -1,6 +1,5 @@
 //! Measures how long a control machine takes to catch up, by missing entries and configured routes.
-//! Simulated time does not include processing, so the real time of the plane is measured separately and
-//! scaled by the assumed share of a core.
+//! Simulated time does not include processing, so the real time of the plane is measured as well.
 
 use std::time::Duration;
 
@@ -9,7 +8,7 @@
 
 use crate::deployment::{Deployment, DeploymentPlan};
 
-/// Index of the control machine that is down.
+/// Index of the control machine that is stopped while entries are committed.
 const STOPPED_CONTROL: usize = 2;
 /// Revision of the initial configuration.
 const FIRST_REVISION: u64 = 3;
@@ -20,8 +19,8 @@
 /// Duration and cost of a catch-up.
 #[derive(Clone, Copy, Debug)]
 pub struct CatchUp {
-    /// Simulated time from the start of the process until all entries are present: timeouts, messages and
-    /// syncs.
+    /// Simulated time from the start of the process until all entries are present. It consists of timeouts,
+    /// message latencies and disk syncs.
     pub elapsed: TimeDelta,
     /// Real time spent in the plane meanwhile.
     pub plane_time: Duration,
@@ -30,7 +29,7 @@
 }
 
 impl CatchUp {
-    /// Upper bound of the duration, in seconds, on a machine with this share of a core.
+    /// Upper bound of the duration, in seconds, on a machine with the share `share` of a core.
     pub fn at_cpu_share(&self, share: f64) -> f64 {
         self.elapsed.as_secs_f64() + self.plane_time.as_secs_f64() / share
     }
@@ -68,6 +67,7 @@
     format_request("POST", path, "c", &[("Arrowyard-Base-Revision", &base.to_string())], body)
 }
 
+/// Sends a change to the running control machines in turn until one accepts it.
 fn apply_change(deployment: &mut Deployment, request: &str) -> Result<(), String> {
     for control in 0..STOPPED_CONTROL {
         if deployment.call(control, request).0 == 200 {
@@ -85,10 +85,10 @@
     let mut deployment = Deployment::new(deployment_plan());
     advance(&mut deployment, TimeDelta::from_millis(6000));
     let mut revision = FIRST_REVISION + 1;
-    let route_list: Vec<String> = (0..routes).map(|number| route_json(number, 800)).collect();
+    let route_objects: Vec<String> = (0..routes).map(|number| route_json(number, 800)).collect();
     let configuration = format!(
         "{{\"revision\":{revision},\"channels\":[{}],\"services\":[{{\"name\":\"s0\",\"conn-limit\":40,\"sync-replicas\":1}}]}}",
-        route_list.join(",")
+        route_objects.join(",")
     );
     apply_change(&mut deployment, &change_request("/Config.Replace", FIRST_REVISION, &configuration))?;
     advance(&mut deployment, TimeDelta::from_millis(1000));
--- a/crates/arrowyard-emulator/src/chart.rs
+++ b/crates/arrowyard-emulator/src/chart.rs
@@ -27,9 +27,9 @@
     chart.configure_mesh().x_desc("seconds").y_desc("operations a second").disable_x_mesh().draw()?;
     for (index, fault) in scenario.faults.iter().enumerate() {
         let (from, until) = (fault.at, (fault.at + fault.duration_s.max(0.2)).min(scenario.seconds));
-        let colour = Palette99::pick(index + 3);
+        let color = Palette99::pick(index + 3);
         let top = max_requests as f64 * 1.35;
-        let band = Rectangle::new([(from, 0.0), (until, top)], colour.mix(0.18).filled());
+        let band = Rectangle::new([(from, 0.0), (until, top)], color.mix(0.18).filled());
         chart.draw_series([band])?;
         let height = max_requests as f64 * (1.28 - 0.07 * (index % 3) as f64);
         let name = Text::new(format!("{:?}", fault.kind), (from, height), ("sans-serif", 13).into_font());
@@ -39,12 +39,13 @@
         result
             .counts_by_second
             .iter()
-            .map(move |second| (second.0 as f64 + 0.5, count_of(second) as f64))
+            .map(move |counts| (counts.0 as f64 + 0.5, count_of(counts) as f64))
             .collect::<Vec<_>>()
     };
-    let requested = chart.draw_series(LineSeries::new(series(|second| second.1), BLUE.stroke_width(2)))?;
+    let requested =
+        chart.draw_series(LineSeries::new(series(|(_, requested, _)| *requested), BLUE.stroke_width(2)))?;
     requested.label("asked").legend(|(x, y)| PathElement::new([(x, y), (x + 18, y)], BLUE));
-    let served = chart.draw_series(LineSeries::new(series(|second| second.2), RED.stroke_width(2)))?;
+    let served = chart.draw_series(LineSeries::new(series(|(_, _, served)| *served), RED.stroke_width(2)))?;
     served.label("served").legend(|(x, y)| PathElement::new([(x, y), (x + 18, y)], RED));
     chart
         .configure_series_labels()
@@ -87,15 +88,15 @@
         chart.draw_series([Text::new(name, (from, height), ("sans-serif", 12).into_font())])?;
     }
     for (index, (kind, stats)) in result.stats_by_kind.iter().enumerate() {
-        let colour = Palette99::pick(index).to_rgba();
+        let color = Palette99::pick(index).to_rgba();
         let at = |half_second: i64| arrowyard_types::Timestamp::from_micros(half_second * 500_000);
         let point = |half_second: i64| {
             let (total, within_target) = stats.count_between(at(half_second), at(half_second + 1));
             (total > 0).then(|| (half_second as f64 * 0.5 + 0.25, within_target as f64 / total as f64))
         };
         let points: Vec<(f64, f64)> = (0..(scenario.seconds * 2.0) as i64).filter_map(point).collect();
-        let line = chart.draw_series(LineSeries::new(points, colour.stroke_width(2)))?;
-        line.label(*kind).legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], colour));
+        let line = chart.draw_series(LineSeries::new(points, color.stroke_width(2)))?;
+        line.label(*kind).legend(move |(x, y)| PathElement::new([(x, y), (x + 18, y)], color));
     }
     chart
         .configure_series_labels()
--- a/crates/arrowyard-emulator/src/departures.rs
+++ b/crates/arrowyard-emulator/src/departures.rs
@@ -1,5 +1,5 @@
 //! Measures how long a draining replica still receives requests after its drain was acknowledged, during a
-//! fault of a control machine. The measure is external, at the host.
+//! fault of a control machine. The host records the requests that it receives.
 
 use arrowyard_types::TimeDelta;
 use fastrand::Rng;
@@ -7,13 +7,16 @@
 use crate::failover::{DurationSummary, summarize_runs};
 use crate::scenario::{Fault, FaultKind, Scenario, run_scenario};
 
-/// Each router sends the replica about twenty requests per second.
+/// Numbers of routers and users and the think time, with which each router sends the replica about twenty
+/// requests per second.
 const ROUTERS: usize = 6;
 const USERS: usize = 12;
 const THINK_MS: i64 = 25;
-/// Start of the drain in seconds, and how much earlier the control fault starts at most.
+/// Start of the drain, in seconds.
 const DRAIN_AT_S: f64 = 8.0;
-const MAX_LEAD_S: f64 = 2.0;
+/// Length of the interval in which the control fault starts, in seconds. It ends half a second after the start
+/// of the drain.
+const FAULT_START_RANGE_S: f64 = 2.0;
 
 /// Scenario with a draining replica and an optional fault of a control machine.
 fn scenario(fault_kind: Option<FaultKind>, seed: u64) -> Scenario {
@@ -24,7 +27,7 @@
         kind: FaultKind::ReleaseReplica,
         target_index: rng.usize(0..2),
     };
-    let at = DRAIN_AT_S + 0.5 - MAX_LEAD_S * rng.f64();
+    let at = DRAIN_AT_S + 0.5 - FAULT_START_RANGE_S * rng.f64();
     let control_fault =
         |kind| Fault { at, duration_s: 3.0 + 2.0 * rng.f64(), kind, target_index: rng.usize(0..6) };
     let faults = [drain].into_iter().chain(fault_kind.map(control_fault)).collect();
--- a/crates/arrowyard-emulator/src/experiment.rs
+++ b/crates/arrowyard-emulator/src/experiment.rs
@@ -8,13 +8,15 @@
 
 use crate::scenario::{RunResult, Scenario, random_scenario, run_scenario};
 
-/// Metrics of one run. Builds are compared by the printed form.
+/// Metrics of one run. Other builds of the program report them in the printed form.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RunMetrics {
     pub seed: u64,
-    /// Shares of operations served within the latency target, served late, and rejected or failed.
+    /// Share of operations served within the latency target.
     pub served: f64,
+    /// Share of operations served late.
     pub late: f64,
+    /// Share of operations rejected or failed.
     pub failed: f64,
     pub p50_ms: f64,
     pub p99_ms: f64,
@@ -130,16 +132,21 @@
     Ok(())
 }
 
-/// Difference of a metric, second minus first, over the pairs.
+/// Paired difference of a metric between two results with the same seeds.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Difference {
+    /// Mean of the first result.
     pub first: f64,
+    /// Mean of the second result.
     pub second: f64,
+    /// Mean difference, second minus first.
     pub mean: f64,
     /// Half the width of the 95% confidence interval of the mean difference (Student's t).
     pub margin: f64,
 }
 
+/// Compares two results run by run and returns the differences in the order of [`METRIC_NAMES`].
+///
 /// # Errors
 /// If the seeds of the two differ, or if there are fewer than two pairs.
 pub fn compare(first: &[RunMetrics], second: &[RunMetrics]) -> Result<[Difference; 6], String> {
--- a/crates/arrowyard-emulator/src/failover.rs
+++ b/crates/arrowyard-emulator/src/failover.rs
@@ -1,5 +1,5 @@
-//! Measures how long a service is without a primary, by cause, in generated scenarios. The measure is
-//! external: the longest interval around the fault without an acknowledged write of the service.
+//! Measures how long a service is without a primary, by cause, in generated scenarios: the longest interval
+//! around the fault without an acknowledged write of the service.
 
 use arrowyard_types::{TimeDelta, Timestamp};
 use fastrand::Rng;
@@ -10,7 +10,8 @@
 /// Maximum recorded duration in milliseconds.
 const MAX_DURATION_MS: u64 = 100_000;
 
-/// A service without an acknowledged write after this time has not recovered. The load lasts longer.
+/// A service without an acknowledged write later than this after the fault has not recovered. The load lasts
+/// longer.
 const RECOVERY_TIMEOUT: TimeDelta = TimeDelta::from_millis(10_000);
 
 /// Cause of a change of primary.
@@ -22,14 +23,14 @@
     PowerLoss,
     /// A planned switchover.
     Switchover,
-    /// One replica has not received anything for a while.
+    /// The primary crashes while one replica has not received anything for three seconds.
     LaggingReplica,
-    /// One replica crashes five seconds earlier.
+    /// The primary crashes five seconds after one of its replicas.
     AfterReplicaCrash,
-    /// A control machine crashes at the same time; in a third of the cases it is the one that runs
-    /// promotions.
+    /// The primary and a control machine crash at the same time. In a third of the cases, that control
+    /// machine runs the promotions.
     WithControlCrash,
-    /// The platform is unavailable for two seconds.
+    /// The primary crashes while the platform is unavailable for two seconds.
     PlatformUnavailable,
 }
 
@@ -58,7 +59,7 @@
         }
     }
 
-    /// Scenario with this cause, and the time of the fault.
+    /// Returns a scenario with this cause, and the time of the fault.
     pub fn scenario(self, seed: u64) -> (Scenario, Timestamp) {
         let mut rng = Rng::with_seed(seed ^ 0xfa11);
         let at = 11.0 + 1.2 * rng.f64();
@@ -69,8 +70,8 @@
             Cause::Crash => vec![crash],
             Cause::PowerLoss => vec![fault(FaultKind::DarkPrimary, at, 20.0)],
             Cause::Switchover => vec![fault(FaultKind::ReleasePrimary, at, 0.0)],
-            // A commit needs one replica, so the lost one returns after some seconds; otherwise nothing
-            // would be acknowledged.
+            // A commit needs a replica. After the promotion only the faulty one is left, so its fault must end,
+            // or no write would be acknowledged.
             Cause::LaggingReplica => vec![fault(FaultKind::DeafReplica, at - 3.0, 3.2), crash],
             Cause::AfterReplicaCrash => vec![fault(FaultKind::CrashReplica, at - 5.0, 6.0), crash],
             Cause::WithControlCrash => vec![crash, fault(FaultKind::KillControl, at, 2.0)],
@@ -120,7 +121,8 @@
     })
 }
 
-/// Runs cases that return a duration, if there was a recovery, and whether an invariant was violated.
+/// Summarizes `cases` runs with consecutive seeds. `run_case` returns a duration, if there was a recovery, and
+/// whether an invariant was violated.
 pub fn summarize_runs(
     cases: u64,
     first_seed: u64,
--- a/crates/arrowyard-emulator/src/shares.rs
+++ b/crates/arrowyard-emulator/src/shares.rs
@@ -16,12 +16,15 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct SurgeStats {
     pub kind: &'static str,
+    /// Operations that started during the surge.
     pub total: u64,
     /// Ratio of operations within the latency target.
     pub within_target: f64,
-    /// Share of 100 ms windows that met the target, and the lowest ratio in a second.
+    /// Share of the 100 ms windows that met [`TARGET_RATIO`].
     pub windows_met: f64,
+    /// Lowest ratio of operations within the latency target in a second.
     pub worst_second: f64,
+    /// 99th percentile of the latency over the whole run.
     pub p99_ms: f64,
 }
 
@@ -66,7 +69,7 @@
     }
 }
 
-fn at(seconds: f64) -> Timestamp {
+fn timestamp(seconds: f64) -> Timestamp {
     Timestamp::from_micros((seconds * 1e6) as i64)
 }
 
@@ -75,11 +78,11 @@
 pub fn surge_stats(result: &RunResult) -> Vec<SurgeStats> {
     let stats_of = |(kind, stats): (&&'static str, &crate::KindStats)| {
         let (windows_met, worst_second) =
-            stats.window_stats(at(SURGE_START_S), at(SURGE_END_S), TARGET_RATIO);
+            stats.window_stats(timestamp(SURGE_START_S), timestamp(SURGE_END_S), TARGET_RATIO);
         let mut durations = stats.durations.clone();
         durations.sort_unstable();
         let p99 = durations.get(durations.len().saturating_sub(1) * 99 / 100);
-        let (total, within_target) = stats.count_between(at(SURGE_START_S), at(SURGE_END_S));
+        let (total, within_target) = stats.count_between(timestamp(SURGE_START_S), timestamp(SURGE_END_S));
         let within_target = within_target as f64 / total.max(1) as f64;
         SurgeStats {
             kind,
@@ -114,22 +117,22 @@
     scenario
 }
 
-/// Time in milliseconds until the returning kind meets its target: from then on, 0.95 of the operations
-/// within half a second are within the latency target. `None` if it never does.
+/// Time in milliseconds until the returning kind has its throughput: 0.95 of the operations that start in the
+/// next half second are within the latency target. `None` if that is never the case.
 #[must_use]
 pub fn recovery_time_ms(seed: u64, routers: usize) -> Option<i64> {
     let result = run_scenario(&returning_kind_scenario(seed, routers));
     let stats = result.stats_by_kind.get("primary")?;
     let (from, until) = ((RETURN_AT_S * 10.0) as i64, (SURGE_END_S * 10.0) as i64 - 5);
-    let at = |window: i64| Timestamp::from_micros(window * 100_000);
+    let window_start = |window: i64| Timestamp::from_micros(window * 100_000);
     let meets_target = |window: &i64| {
-        let (total, within_target) = stats.count_between(at(*window), at(*window + 5));
+        let (total, within_target) = stats.count_between(window_start(*window), window_start(*window + 5));
         total > 0 && within_target as f64 >= 0.95 * total as f64
     };
     (from..until).find(meets_target).map(|window| (window - from) * 100)
 }
 
-/// Runs such scenarios and prints percentiles of the recovery time.
+/// Runs `cases` scenarios with a returning kind and prints percentiles of its recovery time.
 pub fn print_recovery_times(cases: u64, routers: usize) {
     let mut times: Vec<Option<i64>> = (1..=cases).map(|seed| recovery_time_ms(seed, routers)).collect();
     times.sort_unstable_by_key(|time| time.unwrap_or(i64::MAX));
@@ -153,7 +156,7 @@
     with_faults: bool,
     seed: u64,
 ) -> Option<(Scenario, RunResult)> {
-    let mut last = None;
+    let mut last_run = None;
     println!(
         "{:>7}  {:>8}  {:>8}  {:>7}  {:>6}  {:>7}  {:>6}  {:>7}  {:>7}  {:>10}  {:>9}  broken",
         "routers",
@@ -188,8 +191,8 @@
                     result.violations.len()
                 );
             }
-            last = Some((scenario, result));
+            last_run = Some((scenario, result));
         }
     }
-    last
+    last_run
 }
--- a/crates/arrowyard-emulator/tests/auditors.rs
+++ b/crates/arrowyard-emulator/tests/auditors.rs
@@ -69,12 +69,19 @@
     assert_eq!(in_transaction(None), ["PINNED"], "outside its own transaction");
     let tagged = StatementRecord { tag: Some("v1".into()), ..read_statement() };
     assert_eq!(
-        violated_invariants(tagged, |h| h.record_execution(at(101), "a", "READ t", None, Some("v2"), None)),
+        violated_invariants(tagged, |history| history.record_execution(
+            at(101),
+            "a",
+            "READ t",
+            None,
+            Some("v2"),
+            None
+        )),
         ["PINNED"]
     );
     let prepared = StatementRecord { shape: Some("q1".into()), text: "RUN r t".into(), ..read_statement() };
     assert_eq!(
-        violated_invariants(prepared, |h| h.record_execution(
+        violated_invariants(prepared, |history| history.record_execution(
             at(101),
             "a",
             "RUN g0 t",
--- a/crates/arrowyard-emulator/tests/control.rs
+++ b/crates/arrowyard-emulator/tests/control.rs
@@ -10,8 +10,8 @@
 use arrowyard_runtime::http::format_request;
 use arrowyard_types::{TimeDelta, Timestamp};
 
-fn ms(ms: i64) -> TimeDelta {
-    TimeDelta::from_millis(ms)
+fn ms(millis: i64) -> TimeDelta {
+    TimeDelta::from_millis(millis)
 }
 
 /// A deployment without clients. The simulated operator sends the initial configuration, revision 3.
@@ -62,7 +62,7 @@
         self.deployment.call(control, request)
     }
 
-    /// Sends a change of the current revision to the machines in turn until one acknowledges it.
+    /// Sends the next change to the machines in turn until one acknowledges it, and returns the request.
     fn commit_change(&mut self, first_control: usize) -> String {
         let request = change_request(self.revision + 1, self.revision, "");
         for attempt in 0..60 {
@@ -87,7 +87,7 @@
         self.call(control, &format_request("GET", "/status", "c", &[], "")).1
     }
 
-    /// Machines that currently execute the duty.
+    /// Indexes of the machines that currently execute the duty.
     fn holders(&mut self) -> Vec<usize> {
         let request = format_request("GET", "/status", "c", &[], "");
         let replies: Vec<CallReply> =
@@ -141,16 +141,17 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Partition {
+    /// Both directions are blocked.
     Both,
-    /// The machine sends nothing but receives.
+    /// The other machines receive nothing from the machine; it receives from them.
     SendBlocked,
-    /// The machine receives nothing but sends.
+    /// The machine receives nothing from the others; they receive from it.
     ReceiveBlocked,
 }
 
 fn parse_number(text: &str, prefix: &str) -> Option<u64> {
-    let digits = text.split(prefix).nth(1)?;
-    digits.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
+    let after_prefix = text.split(prefix).nth(1)?;
+    after_prefix.split(|c: char| !c.is_ascii_digit()).next()?.parse().ok()
 }
 
 fn change_request(revision: u64, base: u64, suffix: &str) -> String {
@@ -186,7 +187,7 @@
         let mut fleet = Fleet::new(3, 1);
         assert_eq!(fleet.call(0, &drain_request("i-known", 1)).0, 200, "connected before the partition");
         fleet.isolate(0, direction);
-        let mut newest = fleet.revision;
+        let mut newest_revision = fleet.revision;
         for round in 0..20 {
             let calls = [
                 drain_request(&format!("i-drain{round}"), 1),
@@ -194,12 +195,12 @@
                 format_request("GET", "/Config.Read", "c", &[], ""),
             ];
             let replies = calls.map(|request| fleet.start_call(0, &request));
-            let change = fleet.start_call(0, &change_request(900 + round, newest, "cut"));
+            let change = fleet.start_call(0, &change_request(900 + round, newest_revision, "cut"));
             fleet.advance(100);
             let status = |reply: &CallReply| reply.borrow().as_ref().map_or(0, |(status, _)| *status);
             assert!([0, 503].contains(&status(&change)), "{direction:?}, round {round}: {change:?}");
             fleet.commit_change(1);
-            newest = fleet.revision;
+            newest_revision = fleet.revision;
             fleet.advance(1000);
             for reply in &replies {
                 assert!([0, 503].contains(&status(reply)), "{direction:?}, round {round}: {reply:?}");
@@ -213,7 +214,7 @@
         );
         fleet.heal(0);
         fleet.advance(3000);
-        assert_eq!(fleet.read_revision(0), (200, Some(newest)), "{direction:?}: it rejoined");
+        assert_eq!(fleet.read_revision(0), (200, Some(newest_revision)), "{direction:?}: it rejoined");
         assert_eq!(fleet.call(0, &drain_request("i-after", 1)).0, 200, "{direction:?}");
     }
 }
@@ -343,20 +344,20 @@
 #[test]
 fn acknowledged_change_is_never_rejected_later() {
     let mut fleet = Fleet::new(3, 1);
-    let first = fleet.commit_change(0);
+    let first_request = fleet.commit_change(0);
     for _ in 0..MAX_REMEMBERED_CHANGES + 40 {
         fleet.commit_change(0);
     }
-    let conflicting = change_request(5, 3, "other");
+    let conflicting_request = change_request(5, 3, "other");
     for control in 0..3 {
-        assert_eq!(fleet.call(control, &first).0, 503, "too old to be remembered");
-        assert_eq!(fleet.call(control, &conflicting).0, 503, "unknown whether it was this change");
+        assert_eq!(fleet.call(control, &first_request).0, 503, "too old to be remembered");
+        assert_eq!(fleet.call(control, &conflicting_request).0, 503, "unknown whether it was this change");
     }
-    let recent = (0..5).map(|_| fleet.commit_change(1)).next().expect("five");
+    let recent_request = (0..5).map(|_| fleet.commit_change(1)).next().expect("five");
     fleet.restart_after_power_loss(&[2]);
     fleet.advance(4000);
     for control in 0..3 {
-        assert_eq!(fleet.call(control, &recent).0, 200, "it is remembered on every disk");
+        assert_eq!(fleet.call(control, &recent_request).0, 200, "it is remembered on every disk");
         assert_eq!(fleet.call(control, &change_request(fleet.revision, fleet.revision - 1, "other")).0, 412);
     }
 }
@@ -366,9 +367,9 @@
 #[test]
 fn each_replacement_restores_tolerance_of_one_loss() {
     let mut fleet = Fleet::new(4, 1);
-    let mut oldest = vec![0, 1, 2, 3];
+    let mut by_disk_age = vec![0, 1, 2, 3];
     for round in 0..3 {
-        let removed = oldest.remove(0);
+        let removed = by_disk_age.remove(0);
         fleet.commit_change(1);
         fleet.deployment.remove_control(removed);
         fleet.advance(1000);
@@ -376,9 +377,9 @@
         // The next loss is tolerated `settle-s` after the start of the new machine.
         fleet.advance(4000);
         fleet.commit_change(1);
-        let lost = oldest[0];
+        let lost = by_disk_age[0];
         fleet.restart_after_power_loss(&[lost]);
-        oldest.rotate_left(1);
+        by_disk_age.rotate_left(1);
         fleet.advance(4000);
         let reader = fleet.deployment.existing_control(round);
         assert_eq!(fleet.read_revision(reader), (200, Some(fleet.revision)), "round {round}");
@@ -530,8 +531,8 @@
         let holder = fleet.holders().pop().expect("the duty is held");
         let primary = fleet.deployment.host_index_of(0, true, 0).expect("the service has a primary");
         fleet.deployment.stop_host(primary, false);
-        // Without clients, control detects the loss only by missing heartbeats, after slightly more than 3
-        // s.
+        // Without clients, control detects the loss only by missing heartbeats, after slightly
+        // more than three seconds.
         fleet.advance(1800 + case * 60);
         let machine = fleet.deployment.controls[holder];
         fleet.deployment.simulation.set_frozen(machine, true);
@@ -698,7 +699,7 @@
 /// voter send all later entries again.
 #[test]
 fn catch_up_transfers_each_entry_about_once() {
-    let cost = measure_catch_up(300, 10).expect("it catches up");
-    assert!(cost.elapsed < ms(500), "{cost:?}");
-    assert!(cost.bytes_sent < 1_000_000, "{cost:?}");
+    let catch_up = measure_catch_up(300, 10).expect("it catches up");
+    assert!(catch_up.elapsed < ms(500), "{catch_up:?}");
+    assert!(catch_up.bytes_sent < 1_000_000, "{catch_up:?}");
 }
--- a/crates/arrowyard-emulator/tests/drawn.rs
+++ b/crates/arrowyard-emulator/tests/drawn.rs
@@ -10,7 +10,7 @@
 #[test]
 fn generated_scenarios_violate_no_invariant() {
     let next_seed = AtomicU64::new(1);
-    let workers = thread::available_parallelism().map_or(2, |cores| cores.get().min(8));
+    let worker_count = thread::available_parallelism().map_or(2, |cores| cores.get().min(8));
     let failures: Vec<String> = thread::scope(|scope| {
         let run_scenarios = || {
             let mut failures = Vec::new();
@@ -25,7 +25,7 @@
                 }
             }
         };
-        let workers: Vec<_> = (0..workers).map(|_| scope.spawn(run_scenarios)).collect();
+        let workers: Vec<_> = (0..worker_count).map(|_| scope.spawn(run_scenarios)).collect();
         workers.into_iter().flat_map(|worker| worker.join().expect("no panic")).collect()
     });
     assert!(failures.is_empty(), "{} of {SCENARIO_COUNT}: {failures:#?}", failures.len());
--- a/crates/arrowyard-emulator/tests/experiment.rs
+++ b/crates/arrowyard-emulator/tests/experiment.rs
@@ -22,18 +22,18 @@
 #[test]
 fn paired_comparison_removes_the_variance_between_seeds() {
     let first: Vec<RunMetrics> = (0..8).map(|seed| metrics(seed, 0.5 + 0.05 * seed as f64)).collect();
-    let improved = |run: &RunMetrics| metrics(run.seed, run.served + 0.01 + 0.001 * (run.seed % 2) as f64);
-    let second: Vec<RunMetrics> = first.iter().map(improved).collect();
-    let served = compare(&first, &second).expect("the seeds match")[0];
-    assert!((served.mean - 0.0105).abs() < 1e-9, "{served:?}");
+    let improve = |run: &RunMetrics| metrics(run.seed, run.served + 0.01 + 0.001 * (run.seed % 2) as f64);
+    let second: Vec<RunMetrics> = first.iter().map(improve).collect();
+    let served_difference = compare(&first, &second).expect("the seeds match")[0];
+    assert!((served_difference.mean - 0.0105).abs() < 1e-9, "{served_difference:?}");
     // Eight pairs, half 0.010 and half 0.011: t of 0.975 with seven degrees of freedom is 2.3646.
-    let error = (0.0005f64.powi(2) * 8.0 / 7.0 / 8.0).sqrt();
-    assert!((served.margin - 2.3646 * error).abs() < 1e-6, "{served:?}");
+    let standard_error = (0.0005f64.powi(2) * 8.0 / 7.0 / 8.0).sqrt();
+    assert!((served_difference.margin - 2.3646 * standard_error).abs() < 1e-6, "{served_difference:?}");
     assert!(
         compare(&first, &first)
             .expect("the seeds match")
             .iter()
-            .all(|metric| metric.mean.abs() <= metric.margin)
+            .all(|difference| difference.mean.abs() <= difference.margin)
     );
 }
 
@@ -82,8 +82,8 @@
         };
         let parsed: RunMetrics = metrics.to_string().parse().expect("a printed line");
         prop_assert!(parsed.seed == metrics.seed && parsed.violations == violations);
-        let near = |(a, b): (&f64, &f64)| (a - b).abs() < 1e-3;
-        prop_assert!(parsed.values().iter().zip(&metrics.values()).all(near));
+        let is_near = |(a, b): (&f64, &f64)| (a - b).abs() < 1e-3;
+        prop_assert!(parsed.values().iter().zip(&metrics.values()).all(is_near));
     }
 
     #[test]
@@ -169,7 +169,7 @@
         if matches!(event, Event::TimerExpired) {
             *self.timer_count.borrow_mut() += 1;
         }
-        // Late after a timer, early after any other event.
+        // Ten milliseconds after a timer, one after any other event.
         self.due = now + TimeDelta::from_millis(if matches!(event, Event::TimerExpired) { 10 } else { 1 });
     }
 
@@ -194,7 +194,8 @@
         simulation.run_until(at(round * 5));
         simulation.signal(machine, arrowyard_runtime::Signal::Reload);
     }
-    // One timer per signal, one millisecond later; the next signal comes before another ten have passed.
+    // Each signal leads to one timer a millisecond later. The next signal replaces the timer requested then,
+    // which is due ten milliseconds later.
     let timer_count = *timer_count.borrow();
     assert!((190..=210).contains(&timer_count), "{timer_count} timers in a second");
 }
--- a/crates/arrowyard-emulator/tests/models.rs
+++ b/crates/arrowyard-emulator/tests/models.rs
@@ -2,22 +2,22 @@
 
 use arrowyard_emulator::models::{CheckResult, ledger, promotion};
 
-fn assert_holds(name: &str, checked: Option<CheckResult>) {
-    let checked = checked.expect("the scenario exists");
-    println!("{name}: {} states", checked.unique_states);
-    let traces: Vec<&str> = checked.violations.iter().map(|(_, trace)| trace.as_str()).collect();
-    assert!(traces.is_empty(), "{name}: {:?}\n{}", checked.violations[0].0, traces[0]);
-    assert!(checked.progressed, "{name}: the events of interest do not occur");
-    assert!(checked.unique_states > 10_000, "{name}: {} states", checked.unique_states);
+fn assert_holds(name: &str, result: Option<CheckResult>) {
+    let result = result.expect("the scenario exists");
+    println!("{name}: {} states", result.unique_states);
+    let traces: Vec<&str> = result.violations.iter().map(|(_, trace)| trace.as_str()).collect();
+    assert!(traces.is_empty(), "{name}: {:?}\n{}", result.violations[0].0, traces[0]);
+    assert!(result.progressed, "{name}: the events of interest do not occur");
+    assert!(result.unique_states > 10_000, "{name}: {} states", result.unique_states);
 }
 
-fn assert_detected(mutation: &str, name: &str, checked: Option<CheckResult>) {
-    let checked = checked.expect("the scenario exists");
-    println!("{mutation} in {name}: {} states", checked.unique_states);
+fn assert_detected(mutation: &str, name: &str, result: Option<CheckResult>) {
+    let result = result.expect("the scenario exists");
+    println!("{mutation} in {name}: {} states", result.unique_states);
     assert!(
-        !checked.violations.is_empty(),
+        !result.violations.is_empty(),
         "{mutation} is not detected in {name}, {} states",
-        checked.unique_states
+        result.unique_states
     );
 }
 
--- a/crates/arrowyard-emulator/tests/shares.rs
+++ b/crates/arrowyard-emulator/tests/shares.rs
@@ -16,8 +16,8 @@
     surge_scenario(3, routers, 1, true, false)
 }
 
-/// The other kinds keep their throughput: at least this ratio within the target, overall and in each
-/// second.
+/// Asserts that the other kinds keep their throughput: at least the ratio `within_target` of their operations
+/// is within the latency target during the surge, and at least `worst_second` in each second of it.
 fn assert_others_keep_throughput(result: &RunResult, within_target: f64, worst_second: f64) {
     for kind in ["primary", "own"] {
         let stats = surge_stats_of(result, kind);
@@ -50,9 +50,9 @@
 
 #[test]
 fn surge_is_limited_at_one_router_and_at_thirty() {
-    let mut at_one = surged_scenario(6);
-    at_one.surges[0].routers = vec![0];
-    assert_others_keep_throughput(&run_scenario(&at_one), 0.95, 0.75);
+    let mut surge_at_one_router = surged_scenario(6);
+    surge_at_one_router.surges[0].routers = vec![0];
+    assert_others_keep_throughput(&run_scenario(&surge_at_one_router), 0.95, 0.75);
     assert_others_keep_throughput(&run_scenario(&surged_scenario(30)), 0.97, 0.8);
 }
 
@@ -117,7 +117,7 @@
 
 #[test]
 fn competing_kinds_share_by_weight() {
-    let surge = |kind: &str| Surge {
+    let surge_of = |kind: &str| Surge {
         at: SURGE_START_S,
         duration_s: SURGE_END_S - SURGE_START_S,
         kind: kind.to_string(),
@@ -129,9 +129,9 @@
     // The configuration promises half of the capacity to `own_region` reads.
     let shares = r#"[{"name":"own_region/1","weight":6}]"#;
     let unweighted =
-        run_scenario(&Scenario { surges: vec![surge("bounded"), surge("own")], ..surged_scenario(4) });
+        run_scenario(&Scenario { surges: vec![surge_of("bounded"), surge_of("own")], ..surged_scenario(4) });
     let weighted = run_scenario(&Scenario {
-        surges: vec![surge("bounded"), surge("own")],
+        surges: vec![surge_of("bounded"), surge_of("own")],
         shares: shares.to_string(),
         ..surged_scenario(4)
     });
