--- a/crates/arrowyard-emulator/src/deployment.rs
+++ b/crates/arrowyard-emulator/src/deployment.rs
@@ -36,6 +36,7 @@
     pub changes: Vec<Timestamp>,
     /// Maximum number of connections of one host.
     pub connection_limit: u32,
+    /// Number of zones that machines are spread over.
     pub zones: usize,
     /// Number of control machines that may be lost at once.
     pub tolerance: u32,
@@ -54,6 +55,7 @@
 pub struct Surge {
     /// Start, in seconds.
     pub at: f64,
+    /// Duration, in seconds.
     #[serde(rename = "for-s")]
     pub duration_s: f64,
     /// Kind of requests: `primary`, `bounded` or `own`.
@@ -100,6 +102,7 @@
     pub groups: Vec<Rc<RefCell<ReplicationGroup>>>,
     /// Addresses of the routers that clients connect to.
     pub router_addresses: Rc<RefCell<Vec<SocketAddrV4>>>,
+    /// Shared with the platform: whether it is unavailable.
     pub platform_unavailable: Rc<RefCell<bool>>,
     /// Addresses of the control machines, as known to callers.
     pub control_addresses: ControlAddresses,
--- a/crates/arrowyard-emulator/src/history.rs
+++ b/crates/arrowyard-emulator/src/history.rs
@@ -86,6 +86,7 @@
     pub within_target: u64,
     /// Operations that succeeded, also late.
     pub served: u64,
+    /// Latencies of the finished operations.
     pub durations: Vec<TimeDelta>,
     /// By window of the start time: operations, and operations within the latency target.
     pub windows: BTreeMap<i64, (u32, u32)>,
--- a/crates/arrowyard-emulator/src/replication.rs
+++ b/crates/arrowyard-emulator/src/replication.rs
@@ -25,6 +25,7 @@
     pub paused: bool,
     /// Whether a fault prevents the host from receiving.
     pub receive_blocked: bool,
+    /// Whether the process of the host is running.
     pub up: bool,
     /// Delay between receiving and applying a commit.
     pub apply_lag: TimeDelta,
@@ -44,7 +45,9 @@
 pub struct ReplicationGroup {
     pub service: String,
     pub term: u64,
+    /// Id of the primary; `None` after it has stepped down.
     pub primary: Option<String>,
+    /// Logs by the id of the host.
     pub host_logs: BTreeMap<String, HostLog>,
     /// Transfers by time of arrival and sequence number.
     transfers: BTreeMap<(Timestamp, u64), Transfer>,
--- a/crates/arrowyard-emulator/src/scenario.rs
+++ b/crates/arrowyard-emulator/src/scenario.rs
@@ -161,6 +161,7 @@
 pub struct Fault {
     /// Start, in seconds.
     pub at: f64,
+    /// Duration, in seconds.
     #[serde(rename = "for-s", default)]
     pub duration_s: f64,
     #[serde(rename = "what")]
--- a/crates/arrowyard-emulator/src/simulation.rs
+++ b/crates/arrowyard-emulator/src/simulation.rs
@@ -33,6 +33,7 @@
 /// Synced records of a machine.
 #[derive(Debug, Default)]
 pub struct Disk {
+    /// Synced records, in order.
     pub records: Vec<Vec<u8>>,
     pub fault: DiskFault,
     /// Whether a write has failed since the process started. Further records are not durable until a snapshot
@@ -113,6 +114,7 @@
 
 /// Simulated machines and the events in flight.
 pub struct Simulation {
+    /// Current simulated time.
     pub now: Timestamp,
     pub rng: Rng,
     /// By time and sequence number: the machine, its incarnation and the event.
